--- a/cmd/clerk/main.go
+++ b/cmd/clerk/main.go
@@ -14,8 +14,8 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-faster/errors"
 
-	"orchidward/boot"
-	"orchidward/call"
+	"orchidward/internal/daemon/settings"
+	"orchidward/internal/transport/httpclient"
 )
 
 type flags struct {
@@ -36,12 +36,12 @@
 
 // desk is what every command works with.
 type desk struct {
-	call *call.Caller
+	call *httpclient.Caller
 	json bool
 }
 
 // refused is an answer of the fleet that is not a success.
-type refused struct{ got call.Got }
+type refused struct{ got httpclient.Got }
 
 func (r refused) Error() (text string) { return r.got.Why() }
 
@@ -76,11 +76,11 @@
 
 func main() {
 	f := &flags{}
-	ctx := boot.Parse(f, "clerk", "Command line for callers and operators of orchidward.", func(c *boot.Check) {
+	ctx := settings.Parse(f, "clerk", "Command line for callers and operators of orchidward.", func(c *settings.Check) {
 		c.Addrs("gates", f.Gates, 1)
 		c.Range("wait-ms", f.WaitMs, 100, 60000)
 	})
-	d := &desk{call: call.New(f.Gates, time.Duration(f.WaitMs)*time.Millisecond), json: f.Output == "json"}
+	d := &desk{call: httpclient.New(f.Gates, time.Duration(f.WaitMs)*time.Millisecond), json: f.Output == "json"}
 	os.Exit(code(ctx, d))
 }
 
@@ -93,9 +93,9 @@
 	var no refused
 	var use usage
 	switch {
-	case errors.Is(err, call.ErrReach):
+	case errors.Is(err, httpclient.ErrReach):
 		return 3
-	case errors.Is(err, call.ErrUnknown), errors.As(err, &no) && no.got.Status == http.StatusGatewayTimeout:
+	case errors.Is(err, httpclient.ErrUnknown), errors.As(err, &no) && no.got.Status == http.StatusGatewayTimeout:
 		return 4
 	case errors.As(err, &no):
 		return 1
--- a/cmd/clerk/table.go
+++ b/cmd/clerk/table.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"orchidward/table"
+	"orchidward/internal/api/limits"
 )
 
 type tableCmd struct {
@@ -44,7 +44,7 @@
 
 func (s sheet) records() (out [][]string) {
 	head := []string{"row"}
-	for _, c := range table.Columns {
+	for _, c := range limits.Columns {
 		head = append(head, c.Name)
 	}
 	out = append(out, head)
@@ -55,12 +55,12 @@
 	sort.Strings(names)
 	for _, n := range names {
 		rec := []string{n}
-		for _, c := range table.Columns {
+		for _, c := range limits.Columns {
 			rec = append(rec, cell(s.Rows[n][c.Name]))
 		}
 		out = append(out, rec)
 	}
-	for _, c := range table.Site {
+	for _, c := range limits.Site {
 		out = append(out, []string{"site", c.Name, cell(s.Site[c.Name])})
 	}
 	return out
--- a/cmd/drill/desk.go
+++ b/cmd/drill/desk.go
@@ -18,12 +18,12 @@
 
 	"github.com/go-faster/errors"
 
-	"orchidward/call"
-	"orchidward/crew"
-	"orchidward/diary"
-	"orchidward/ids"
-	"orchidward/runner"
-	"orchidward/watch"
+	"orchidward/internal/api/eventlog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/invariants"
+	"orchidward/internal/runner"
+	"orchidward/internal/transport/httpclient"
 )
 
 // lag is how long events wait so that those of other runners catch up.
@@ -31,10 +31,10 @@
 
 type desk struct {
 	f     *flags
-	crew  *crew.Crew
-	clock *crew.Clock
-	in    *crew.Ring[func()]
-	watch *watch.Watch
+	crew  *lifecycle.Crew
+	clock *lifecycle.Clock
+	in    *lifecycle.Ring[func()]
+	watch *invariants.Watch
 	rnd   *rand.Rand
 	web   *http.Client
 	at    int64
@@ -57,7 +57,7 @@
 
 // place is a runner as its diary shows it.
 type place struct {
-	page diary.Page
+	page eventlog.Page
 	life int
 	live bool
 	// read is when its diary was last read: nothing later is known of it.
@@ -98,10 +98,10 @@
 	d.dues = append(d.dues, rest...)
 }
 
-func newDesk(f *flags, c *crew.Crew) (d *desk) {
-	d = &desk{f: f, crew: c, clock: crew.NewClock(), in: crew.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
+func newDesk(f *flags, c *lifecycle.Crew) (d *desk) {
+	d = &desk{f: f, crew: c, clock: lifecycle.NewClock(), in: lifecycle.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
 		web: &http.Client{Timeout: 500 * time.Millisecond}, places: map[string]*place{}, ready: map[string]bool{}}
-	d.watch = watch.New(d)
+	d.watch = invariants.New(d)
 	return d
 }
 
@@ -116,12 +116,12 @@
 	}
 }
 
-func (d *desk) Place(name string) (p watch.Place) {
+func (d *desk) Place(name string) (p invariants.Place) {
 	one := d.places[name]
 	if one == nil {
 		return p
 	}
-	return watch.Place{Zone: string(one.page.Domain), Life: one.life, Live: one.live && one.read >= d.at, Labels: one.page.Labels, Cap: one.page.Cap}
+	return invariants.Place{Zone: string(one.page.Domain), Life: one.life, Live: one.live && one.read >= d.at, Labels: one.page.Labels, Cap: one.page.Cap}
 }
 
 // gate picks one that says it is ready, as the platform before the edge does.
@@ -140,7 +140,7 @@
 
 // mind follows one gate's readiness.
 func (d *desk) mind(gate string, stop <-chan struct{}) {
-	crew.Every(100*time.Millisecond, stop, func() {
+	lifecycle.Every(100*time.Millisecond, stop, func() {
 		res, err := d.web.Get("http://" + gate + "/ready")
 		ok := err == nil && res.StatusCode == 200
 		if err == nil {
@@ -152,11 +152,11 @@
 
 // ask does one request on a caller of its own and hands the outcome to the
 // desk's own duty.
-func (d *desk) ask(verb, path string, body []byte, done func(got call.Got, err error)) {
+func (d *desk) ask(verb, path string, body []byte, done func(got httpclient.Got, err error)) {
 	gate := d.gate()
 	d.asked++
 	d.crew.Go(func(stop <-chan struct{}) {
-		c := call.NewKeepAlive([]string{gate}, 3*time.Second)
+		c := httpclient.NewKeepAlive([]string{gate}, 3*time.Second)
 		c.Tries = 1
 		got, err := c.Do(context.Background(), verb, path, body)
 		broken := c.Broken
@@ -170,7 +170,7 @@
 }
 
 func (d *desk) run() (err error) {
-	c := call.New(d.f.Gates, 2*time.Second)
+	c := httpclient.New(d.f.Gates, 2*time.Second)
 	got, err := c.Do(context.Background(), "GET", "/v1/runners", nil)
 	if err != nil {
 		return err
@@ -244,8 +244,8 @@
 // follow reads one runner's diary.
 func (d *desk) follow(addr string, stop <-chan struct{}) {
 	last, bad, name := uint64(0), 0, ""
-	inc := ids.Inc("")
-	crew.Every(60*time.Millisecond, stop, func() {
+	inc := identifier.Inc("")
+	lifecycle.Every(60*time.Millisecond, stop, func() {
 		sent := int64(d.clock.Now())
 		page, ok := d.page(addr, last)
 		got := int64(d.clock.Now())
@@ -274,7 +274,7 @@
 	})
 }
 
-func (d *desk) page(addr string, after uint64) (p diary.Page, ok bool) {
+func (d *desk) page(addr string, after uint64) (p eventlog.Page, ok bool) {
 	res, err := d.web.Get(fmt.Sprintf("http://%s/v1/stand-in/events?after=%d", addr, after))
 	if err != nil {
 		return p, false
@@ -284,7 +284,7 @@
 	return p, err == nil && res.StatusCode == 200 && json.Unmarshal(text, &p) == nil
 }
 
-func (d *desk) turn(p diary.Page, sent, got int64) {
+func (d *desk) turn(p eventlog.Page, sent, got int64) {
 	name := string(p.Runner)
 	one := d.places[name]
 	if one == nil {
@@ -336,7 +336,7 @@
 		}
 		return
 	}
-	d.ask("PUT", "/v1/closings/"+d.f.Domain, nil, func(got call.Got, err error) {
+	d.ask("PUT", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Got, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, d.out)
 			return
@@ -352,7 +352,7 @@
 		return
 	}
 	d.watch.Opens(d.f.Domain)
-	d.ask("DELETE", "/v1/closings/"+d.f.Domain, nil, func(got call.Got, err error) {
+	d.ask("DELETE", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Got, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, d.back)
 		}
@@ -365,7 +365,7 @@
 	if len(d.epochs) > 0 {
 		floor = d.epochs[len(d.epochs)-1]
 	}
-	d.ask("GET", "/v1/table", nil, func(got call.Got, err error) {
+	d.ask("GET", "/v1/table", nil, func(got httpclient.Got, err error) {
 		if err != nil || !got.OK() {
 			return
 		}
--- a/cmd/drill/load.go
+++ b/cmd/drill/load.go
@@ -6,14 +6,14 @@
 	"encoding/json"
 	"fmt"
 
-	"orchidward/call"
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/watch"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/invariants"
+	"orchidward/internal/transport/httpclient"
 )
 
-const agentName ids.Agent = "drill"
+const agentName identifier.Agent = "drill"
 
 func (d *desk) load() {
 	for n := d.share(1); n > 0; n-- {
@@ -43,20 +43,20 @@
 	if err != nil {
 		panic(err)
 	}
-	var f doc.Faults
+	var f jsondoc.Faults
 	spec := job.Read(text, &f)
 	if f.Any() {
 		panic(fmt.Sprint(f.List))
 	}
-	key := ids.MakeKey(agentName, ids.JobID(fmt.Sprintf("%x-%d", d.begun^int64(d.rnd.Uint32()), d.asked)))
-	j := &watch.Job{Spec: *spec, Handed: d.at}
+	key := identifier.MakeKey(agentName, identifier.JobID(fmt.Sprintf("%x-%d", d.begun^int64(d.rnd.Uint32()), d.asked)))
+	j := &invariants.Job{Spec: *spec, Handed: d.at}
 	d.watch.Jobs[key] = j
 	d.left++
 	d.put(key, j, text)
 }
 
-func (d *desk) put(key ids.Key, j *watch.Job, text []byte) {
-	d.ask("PUT", "/v1/jobs/"+string(key), text, func(got call.Got, err error) {
+func (d *desk) put(key identifier.Key, j *invariants.Job, text []byte) {
+	d.ask("PUT", "/v1/jobs/"+string(key), text, func(got httpclient.Got, err error) {
 		switch {
 		case err == nil && got.OK():
 			if j.Acked == 0 {
@@ -78,8 +78,8 @@
 }
 
 // read reads a job until it has ended.
-func (d *desk) read(key ids.Key, j *watch.Job) {
-	d.ask("GET", "/v1/jobs/"+string(key), nil, func(got call.Got, err error) {
+func (d *desk) read(key identifier.Key, j *invariants.Job) {
+	d.ask("GET", "/v1/jobs/"+string(key), nil, func(got httpclient.Got, err error) {
 		var doc struct {
 			State string `json:"state"`
 		}
@@ -97,9 +97,9 @@
 	})
 }
 
-func (d *desk) cancel(key ids.Key, j *watch.Job) {
+func (d *desk) cancel(key identifier.Key, j *invariants.Job) {
 	j.Asked = true
-	d.ask("DELETE", "/v1/jobs/"+string(key), nil, func(got call.Got, err error) {
+	d.ask("DELETE", "/v1/jobs/"+string(key), nil, func(got httpclient.Got, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, func() { d.cancel(key, j) })
 			return
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -13,9 +13,9 @@
 
 	"github.com/go-faster/errors"
 
-	"orchidward/boot"
-	"orchidward/call"
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/settings"
+	"orchidward/internal/transport/httpclient"
 )
 
 type flags struct {
@@ -30,7 +30,7 @@
 	Output  string   `help:"How to print: text or json." default:"text" enum:"text,json"`
 }
 
-func (f *flags) check(c *boot.Check) {
+func (f *flags) check(c *settings.Check) {
 	c.Addrs("gates", f.Gates, 1)
 	c.Addrs("runners", f.Runners, 1)
 	c.Name("domain", f.Domain)
@@ -46,8 +46,8 @@
 
 func main() {
 	f := &flags{}
-	boot.Parse(f, "drill", "Takes a zone out of a running fleet and checks the promises.", f.check)
-	c := crew.New()
+	settings.Parse(f, "drill", "Takes a zone out of a running fleet and checks the promises.", f.check)
+	c := lifecycle.New()
 	d := newDesk(f, c)
 	err := d.run()
 	ctx, end := context.WithTimeout(context.Background(), 3*time.Second)
@@ -57,7 +57,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "drill: %v\n", err)
-		if errors.Is(err, call.ErrReach) {
+		if errors.Is(err, httpclient.ErrReach) {
 			os.Exit(3)
 		}
 		os.Exit(1)
--- a/cmd/gate/main.go
+++ b/cmd/gate/main.go
@@ -5,11 +5,11 @@
 import (
 	"go.uber.org/fx"
 
-	"orchidward/boot"
-	"orchidward/crew"
-	"orchidward/gatewayd"
-	"orchidward/ids"
-	"orchidward/logs"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/daemon/gatewayd"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/daemon/settings"
 )
 
 type flags struct {
@@ -21,7 +21,7 @@
 	BodyKb int64    `help:"Largest request body in KiB." default:"1024"`
 }
 
-func (f *flags) check(c *boot.Check) {
+func (f *flags) check(c *settings.Check) {
 	c.Addr("addr", f.Addr)
 	c.Addr("http", f.HTTP)
 	c.Name("domain", f.Domain)
@@ -30,11 +30,11 @@
 }
 
 func (f *flags) settings() (s gatewayd.Settings) {
-	return gatewayd.Settings{Addr: f.Addr, HTTP: f.HTTP, Domain: ids.Domain(f.Domain), Seeds: f.Seeds, BodyKb: f.BodyKb}
+	return gatewayd.Settings{Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, BodyKb: f.BodyKb}
 }
 
 func main() {
 	f := &flags{}
-	boot.Parse(f, "gate", "Edge machine of orchidward.", f.check)
-	logs.Run(fx.Supply(f.settings()), crew.Module, fx.Provide(gatewayd.New), fx.Invoke(func(*gatewayd.Desk) {}))
+	settings.Parse(f, "gate", "Edge machine of orchidward.", f.check)
+	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(gatewayd.New), fx.Invoke(func(*gatewayd.Desk) {}))
 }
--- a/cmd/keeper/main.go
+++ b/cmd/keeper/main.go
@@ -5,11 +5,11 @@
 import (
 	"go.uber.org/fx"
 
-	"orchidward/boot"
-	"orchidward/crew"
-	"orchidward/ids"
-	"orchidward/logs"
-	"orchidward/serverd"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/daemon/serverd"
+	"orchidward/internal/daemon/settings"
 )
 
 type flags struct {
@@ -24,7 +24,7 @@
 	ElectMs int64    `help:"Least wait for word of a leader before an election, in ms; the same for all keepers." default:"1000"`
 }
 
-func (f *flags) check(c *boot.Check) {
+func (f *flags) check(c *settings.Check) {
 	c.Addr("addr", f.Addr)
 	c.Addr("http", f.HTTP)
 	c.Name("domain", f.Domain)
@@ -35,11 +35,11 @@
 }
 
 func (f *flags) settings() (s serverd.Settings) {
-	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: ids.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, Found: true, Elect: ids.Span(f.ElectMs)}
+	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, Found: true, Elect: identifier.Span(f.ElectMs)}
 }
 
 func main() {
 	f := &flags{}
-	boot.Parse(f, "keeper", "Core machine of orchidward.", f.check)
-	logs.Run(fx.Supply(f.settings()), crew.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Desk, life fx.Lifecycle) { d.Depart(life) }))
+	settings.Parse(f, "keeper", "Core machine of orchidward.", f.check)
+	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Desk, life fx.Lifecycle) { d.Depart(life) }))
 }
--- a/cmd/runner/desk.go
+++ b/cmd/runner/desk.go
@@ -16,55 +16,55 @@
 	"github.com/gin-gonic/gin"
 	"go.uber.org/fx"
 
-	"orchidward/call"
-	"orchidward/crew"
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/poll"
-	"orchidward/raft"
-	"orchidward/runner"
-	"orchidward/serve"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/runner"
+	"orchidward/internal/transport/httpclient"
+	"orchidward/internal/transport/httpserver"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 type desk struct {
-	log   *logs.Log
-	crew  *crew.Crew
-	clock *crew.Clock
+	log   *logging.Log
+	crew  *lifecycle.Crew
+	clock *lifecycle.Clock
 	link  *link.Link
-	http  *serve.Server
+	http  *httpserver.Server
 	mach  *runner.Machine
 	name  string
-	in    *crew.Ring[func()]
+	in    *lifecycle.Ring[func()]
 	web   *http.Client
 	seeds []string
 	self  wire.Tell
 	known []raft.Member
-	asked ids.Mono
+	asked identifier.Mono
 	note  *note
 	stop  fx.Shutdowner
 }
 
-func newDesk(f *flags, c *crew.Crew, log *logs.Log, life fx.Lifecycle, stop fx.Shutdowner) (d *desk, err error) {
+func newDesk(f *flags, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (d *desk, err error) {
 	var b [16]byte
 	if _, err = rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	d = &desk{log: log, crew: c, clock: crew.NewClock(), name: f.Name, in: crew.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
-	set := runner.Boot{Name: ids.Runner(f.Name), Inc: ids.Inc(fmt.Sprintf("%x", b[:8])), Cap: job.Demand{Cores: f.Cores, Mem: f.MemMb},
-		Domain: ids.Domain(f.Domain), Rack: ids.Rack(f.Rack), Seed: int64(binary.LittleEndian.Uint64(b[8:]) >> 1), Slow: f.Slow, Faulty: f.Faulty}
+	d = &desk{log: log, crew: c, clock: lifecycle.NewClock(), name: f.Name, in: lifecycle.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
+	set := runner.Boot{Name: identifier.Runner(f.Name), Inc: identifier.Inc(fmt.Sprintf("%x", b[:8])), Cap: job.Demand{Cores: f.Cores, Mem: f.MemMb},
+		Domain: identifier.Domain(f.Domain), Rack: identifier.Rack(f.Rack), Seed: int64(binary.LittleEndian.Uint64(b[8:]) >> 1), Slow: f.Slow, Faulty: f.Faulty}
 	sort.Strings(f.Labels)
 	for _, l := range f.Labels {
-		set.Labels = append(set.Labels, ids.Label(l))
+		set.Labels = append(set.Labels, identifier.Label(l))
 	}
 	d.mach = runner.New(set, d.clock.Now())
 	if d.link, err = link.Listen(f.Addr, c); err != nil {
 		return nil, err
 	}
-	if d.http, err = serve.New(f.HTTP); err != nil {
+	if d.http, err = httpserver.New(f.HTTP); err != nil {
 		return nil, err
 	}
 	d.self = wire.Tell{Role: "runner", Addr: f.Addr, Domain: set.Domain}
@@ -104,7 +104,7 @@
 // seek asks seeds and members for gates: often while there are none that
 // answer, and now and then to keep the members known for others that ask.
 func (d *desk) seek() {
-	gap := ids.Span(500)
+	gap := identifier.Span(500)
 	if d.http.Ready() {
 		gap = 5000
 	}
@@ -177,7 +177,7 @@
 			}
 			res.Body.Close()
 		}
-		if err != nil && call.BrokeOff(err) {
+		if err != nil && httpclient.BrokeOff(err) {
 			d.note.broke()
 		}
 	}
@@ -188,19 +188,19 @@
 func (d *desk) control(c *gin.Context) {
 	text, err := io.ReadAll(io.LimitReader(c.Request.Body, 4096))
 	if err != nil {
-		serve.Refuse(c, 400, "bad-request", "the body could not be read")
+		httpserver.Refuse(c, 400, "bad-request", "the body could not be read")
 		return
 	}
-	var f doc.Faults
-	o := doc.Parse(text, &f)
+	var f jsondoc.Faults
+	o := jsondoc.Parse(text, &f)
 	if o == nil {
 		c.Data(f.Status(), "application/json", f.Bad())
 		return
 	}
-	mode := o.OneOf("mode", poll.Active, poll.Active, poll.Draining)
-	departs := ids.Span(o.Int("departsMs", 0, 0, 1<<40))
+	mode := o.OneOf("mode", runnerapi.Active, runnerapi.Active, runnerapi.Draining)
+	departs := identifier.Span(o.Int("departsMs", 0, 0, 1<<40))
 	slow, faulty := o.Int("slow", 0, 0, 100000), o.Int("faulty", 0, 0, 100)
-	cut := ids.Span(o.Int("cutMs", 0, 0, 600000))
+	cut := identifier.Span(o.Int("cutMs", 0, 0, 600000))
 	o.Done()
 	if f.Any() {
 		c.Data(f.Status(), "application/json", f.Bad())
--- a/cmd/runner/main.go
+++ b/cmd/runner/main.go
@@ -5,9 +5,9 @@
 import (
 	"go.uber.org/fx"
 
-	"orchidward/boot"
-	"orchidward/crew"
-	"orchidward/logs"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/daemon/settings"
 )
 
 type flags struct {
@@ -25,7 +25,7 @@
 	Faulty int64    `help:"Share of runs that end in a defect, in percent." default:"0"`
 }
 
-func (f *flags) check(c *boot.Check) {
+func (f *flags) check(c *settings.Check) {
 	c.Name("name", f.Name)
 	c.Addr("addr", f.Addr)
 	c.Addr("http", f.HTTP)
@@ -43,6 +43,6 @@
 
 func main() {
 	f := &flags{}
-	boot.Parse(f, "runner", "Stand-in back end of orchidward.", f.check)
-	logs.Run(fx.Supply(f), crew.Module, fx.Provide(newDesk), fx.Invoke(func(*desk) {}))
+	settings.Parse(f, "runner", "Stand-in back end of orchidward.", f.check)
+	logging.Run(fx.Supply(f), lifecycle.Module, fx.Provide(newDesk), fx.Invoke(func(*desk) {}))
 }
--- a/cmd/runner/note.go
+++ b/cmd/runner/note.go
@@ -8,31 +8,31 @@
 
 	"github.com/gin-gonic/gin"
 
-	"orchidward/diary"
-	"orchidward/ids"
-	"orchidward/runner"
-	"orchidward/serve"
+	"orchidward/internal/api/eventlog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/runner"
+	"orchidward/internal/transport/httpserver"
 )
 
 const noteMost = 8192
 
 type note struct {
 	mu   sync.Mutex
-	page diary.Page
+	page eventlog.Page
 	next uint64
 }
 
 func newNote(set runner.Boot) (n *note) {
-	return &note{page: diary.Page{Runner: set.Name, Inc: set.Inc, Domain: set.Domain, Labels: set.Labels, Cap: set.Cap}, next: 1}
+	return &note{page: eventlog.Page{Runner: set.Name, Inc: set.Inc, Domain: set.Domain, Labels: set.Labels, Cap: set.Cap}, next: 1}
 }
 
-func (n *note) add(at ids.Mono, e runner.Event) {
+func (n *note) add(at identifier.Mono, e runner.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.page.Events = append(n.page.Events, diary.Event{N: n.next, At: at, What: e.What, Grant: e.Grant, Task: e.Task, Cost: e.Cost})
+	n.page.Events = append(n.page.Events, eventlog.Event{N: n.next, At: at, What: e.What, Grant: e.Grant, Task: e.Task, Cost: e.Cost})
 	n.next++
 	if len(n.page.Events) > noteMost {
-		n.page.Events = append([]diary.Event(nil), n.page.Events[len(n.page.Events)-noteMost/2:]...)
+		n.page.Events = append([]eventlog.Event(nil), n.page.Events[len(n.page.Events)-noteMost/2:]...)
 	}
 }
 
@@ -43,11 +43,11 @@
 }
 
 // after copies what came after the given number.
-func (n *note) after(num uint64, now ids.Mono) (p diary.Page) {
+func (n *note) after(num uint64, now identifier.Mono) (p eventlog.Page) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p = n.page
-	p.Now, p.Events = now, []diary.Event{}
+	p.Now, p.Events = now, []eventlog.Event{}
 	for _, e := range n.page.Events {
 		if e.N > num {
 			p.Events = append(p.Events, e)
@@ -59,7 +59,7 @@
 func (d *desk) events(c *gin.Context) {
 	num, err := strconv.ParseUint(c.DefaultQuery("after", "0"), 10, 64)
 	if err != nil {
-		serve.Refuse(c, 400, "bad-request", "after wants a number")
+		httpserver.Refuse(c, 400, "bad-request", "after wants a number")
 		return
 	}
 	c.JSON(200, d.note.after(num, d.clock.Now()))
--- a/agent/beat.go
+++ b/internal/agent/beat.go
@@ -6,49 +6,49 @@
 package agent
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/transport/wire"
 )
 
 // Boot is what an agent is told at its start. Name is the name under which the
 // core knows the place this agent stands at; a runner that is started again
 // there is a new incarnation of it.
 type Boot struct {
-	Name   ids.Runner
+	Name   identifier.Runner
 	Addr   string
-	Domain ids.Domain
+	Domain identifier.Domain
 	Seeds  []string
 	// Seed is where the numbers of this life's polls begin. It must lie above
 	// those of former lives: microseconds since 1970 will do.
 	Seed int64
 	// HoldMost is the longest hold a runner takes, in milliseconds.
-	HoldMost ids.Span
+	HoldMost identifier.Span
 	// HoldUsual is what a runner is given while all is well, 0 for HoldMost. The
 	// shorter it is, the sooner a runner that has crashed is known to be dead; it
 	// must outlast an agent that is started again.
-	HoldUsual ids.Span
+	HoldUsual identifier.Span
 	// Pace is how long a runner should wait between heartbeats, in milliseconds.
-	Pace ids.Span
+	Pace identifier.Span
 }
 
 // Beat is one heartbeat of the runner: who it is, what room it has in all, and
 // what runs or has ended on it. Departs is the least time it has left, and
 // counts only while Draining is set.
 type Beat struct {
-	Runner ids.Inc
+	Runner identifier.Inc
 	// Seq rises with every heartbeat of one life: a late one is passed over.
 	Seq      uint64
 	Pool     string
-	Domain   ids.Domain
-	Rack     ids.Rack
-	Labels   []ids.Label
+	Domain   identifier.Domain
+	Rack     identifier.Rack
+	Labels   []identifier.Label
 	Cap      job.Demand
 	Draining bool
-	Departs  ids.Span
-	Active   []poll.RunState
-	Finished []poll.RunEnd
+	Departs  identifier.Span
+	Active   []runnerapi.RunState
+	Finished []runnerapi.RunEnd
 }
 
 // Event is one line for the log.
@@ -64,17 +64,17 @@
 }
 
 // Tick is how often an agent should be ticked.
-const Tick ids.Span = 20
+const Tick identifier.Span = 20
 
 // Orders answer a heartbeat. Hold is how long everything that runs may run on,
 // counted from the sending of the heartbeat; 0 holds nothing and starts
 // nothing. Observed is the number up to which ends need not be told again.
 // Retry is when to beat again.
 type Orders struct {
-	Hold     ids.Span
+	Hold     identifier.Span
 	Fence    uint64
 	Observed uint64
-	Start    []poll.Start
-	Stop     []poll.RunStop
-	Retry    ids.Span
+	Start    []runnerapi.Start
+	Stop     []runnerapi.RunStop
+	Retry    identifier.Span
 }
--- a/agent/machine.go
+++ b/internal/agent/machine.go
@@ -6,9 +6,9 @@
 	"encoding/json"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/poll"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/transport/wire"
 )
 
 // Machine is the agent of one runner as a pure state machine. It answers the
@@ -16,19 +16,19 @@
 // does no input or output and reads no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot Boot
-	now  ids.Mono
+	now  identifier.Mono
 	out  Out
 
 	beat   *Beat
-	beaten ids.Mono
+	beaten identifier.Mono
 	// held is when the last hold given to the runner, by this process or one
 	// before it, has run out on the slowest clock.
-	held ids.Mono
+	held identifier.Mono
 	down bool
 	// buried says that the core has been told that the runner is dead.
 	buried bool
-	past   map[ids.Inc]bool
-	left   ids.Mono
+	past   map[identifier.Inc]bool
+	left   identifier.Mono
 	queue  map[run]*order
 	halts  map[run]bool
 	gone   map[run]bool
@@ -40,40 +40,40 @@
 	seq     uint64
 	open    *ask
 	// asked is when each of the last polls was sent.
-	asked   map[uint64]ids.Mono
-	next    ids.Mono
-	back    ids.Span
+	asked   map[uint64]identifier.Mono
+	next    identifier.Mono
+	back    identifier.Span
 	news    bool
-	contact ids.Mono
+	contact identifier.Mono
 	touched bool
-	grant   ids.Span
-	wait    ids.Span
+	grant   identifier.Span
+	wait    identifier.Span
 	fence   uint64
 	// greeting is the number of the last question for a fence, greeted when it
 	// was asked.
 	greeting uint64
-	greeted  ids.Mono
+	greeted  identifier.Mono
 	odd      int
 }
 
 // run names an attempt.
 type run struct {
-	task ids.Ref
+	task identifier.Ref
 	no   uint64
 }
 
 // order is a start on its way to the runner. Given says that an answer bore it.
 type order struct {
-	poll.Start
-	until ids.Mono
+	runnerapi.Start
+	until identifier.Mono
 	given bool
 }
 
 // ask is the poll under way.
 type ask struct {
 	seq  uint64
-	sent ids.Mono
-	inc  ids.Inc
+	sent identifier.Mono
+	inc  identifier.Inc
 }
 
 const (
@@ -105,8 +105,8 @@
 // New makes an agent that has heard neither its runner nor the control plane. It
 // assumes that an agent before it has just given the runner the longest hold
 // there is.
-func New(boot Boot, now ids.Mono) (m *Machine) {
-	m = &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[ids.Inc]bool{}, asked: map[uint64]ids.Mono{}}
+func New(boot Boot, now identifier.Mono) (m *Machine) {
+	m = &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Inc]bool{}, asked: map[uint64]identifier.Mono{}}
 	if n := len(boot.Seeds); n > 0 {
 		m.at = int(uint64(boot.Seed) % uint64(n))
 	}
@@ -119,7 +119,7 @@
 // as long as may be.
 func (m *Machine) Stop() { m.down = true }
 
-func (m *Machine) usual() (hold ids.Span) {
+func (m *Machine) usual() (hold identifier.Span) {
 	if m.boot.HoldUsual == 0 || m.down {
 		return m.boot.HoldMost
 	}
@@ -146,7 +146,7 @@
 func (m *Machine) Touched() (ok bool) { return m.touched && m.now.Since(m.contact) < m.grant }
 
 // Beat takes a heartbeat and answers it at once.
-func (m *Machine) Beat(b Beat, now ids.Mono) (o Orders) {
+func (m *Machine) Beat(b Beat, now identifier.Mono) (o Orders) {
 	m.now = max(m.now, now)
 	o.Retry = m.boot.Pace
 	switch {
@@ -168,7 +168,7 @@
 	}
 	for r := range m.halts {
 		if !m.gone[r] {
-			o.Stop = append(o.Stop, poll.RunStop{Task: r.task, Run: r.no})
+			o.Stop = append(o.Stop, runnerapi.RunStop{Task: r.task, Run: r.no})
 		}
 	}
 	sort.Slice(o.Stop, func(i, j int) bool {
@@ -192,7 +192,7 @@
 
 // renew notes that another life of the runner speaks: whatever the former one
 // ran is dead.
-func (m *Machine) renew(inc ids.Inc) {
+func (m *Machine) renew(inc identifier.Inc) {
 	if m.beat != nil {
 		if len(m.past) >= pastKept {
 			clear(m.past)
@@ -234,19 +234,19 @@
 // has been told that it no longer does.
 type step struct {
 	percent int64
-	at      ids.Mono
-	gap     ids.Span
+	at      identifier.Mono
+	gap     identifier.Span
 	told    bool
 	// speed is how far it came lately, in thousandths of the whole a second,
 	// measured from the mark.
 	speed int64
 	mark  int64
-	since ids.Mono
+	since identifier.Mono
 }
 
 // measure takes the speed once enough has been seen of it; slower tells whether
 // it has fallen by half or more.
-func (s *step) measure(percent int64, now ids.Mono) (slower bool) {
+func (s *step) measure(percent int64, now identifier.Mono) (slower bool) {
 	span := now.Since(s.since)
 	if percent >= 99 || span < speedLeast || percent-s.mark < 4 && span < speedMost {
 		return false
@@ -258,7 +258,7 @@
 }
 
 // late tells whether a run has stood still for far longer than it used to.
-func (s step) late(now ids.Mono) (yes bool) { return now.Since(s.at) >= stillTold+4*s.gap }
+func (s step) late(now identifier.Mono) (yes bool) { return now.Since(s.at) >= stillTold+4*s.gap }
 
 // progress notes when each run last moved.
 func (m *Machine) progress(b *Beat) {
@@ -318,7 +318,7 @@
 }
 
 // Leave hears that the runner says farewell.
-func (m *Machine) Leave(id ids.Inc, now ids.Mono) {
+func (m *Machine) Leave(id identifier.Inc, now identifier.Mono) {
 	m.now = max(m.now, now)
 	if m.beat != nil && m.beat.Runner == id {
 		m.left = m.now
@@ -327,7 +327,7 @@
 
 // Tick passes in the time: it drops starts that have expired, reports a runner
 // that is dead, and polls when due.
-func (m *Machine) Tick(now ids.Mono) {
+func (m *Machine) Tick(now identifier.Mono) {
 	m.now = max(m.now, now)
 	m.greet()
 	for r, o := range m.queue {
@@ -349,7 +349,7 @@
 
 // patience is how long an open poll is waited for; whoever lost touch asks more
 // often, since the core answers its first poll at once.
-func (m *Machine) patience() (s ids.Span) {
+func (m *Machine) patience() (s identifier.Span) {
 	if m.back > 0 && m.now.Since(m.contact) > lostAfter {
 		return seekWait
 	}
@@ -374,7 +374,7 @@
 
 // welcome takes the fence.
 func (m *Machine) welcome(r *wire.Reply) {
-	var a poll.Answer
+	var a runnerapi.Answer
 	if !r.Moved && r.Status == 200 && json.Unmarshal(r.Body, &a) == nil {
 		m.fence = max(m.fence, a.Fence)
 	}
@@ -383,7 +383,7 @@
 func (m *Machine) fail() {
 	m.at++
 	m.back = min(max(50, m.back*2), backMost)
-	m.next = m.now.Add(m.back/2 + ids.Span(m.seq*7919%uint64(m.back)))
+	m.next = m.now.Add(m.back/2 + identifier.Span(m.seq*7919%uint64(m.back)))
 }
 
 // dead tells whether the runner is silent and whatever it ran is over.
@@ -418,12 +418,12 @@
 		Path: "/v1/runners/" + string(m.boot.Name) + "/poll", Body: body, Budget: pollWait}}})
 }
 
-func (m *Machine) ask() (a poll.Ask) {
+func (m *Machine) ask() (a runnerapi.Ask) {
 	b := m.beat
-	a = poll.Ask{Agent: true, Inc: b.Runner, Seq: m.seq, Cores: b.Cap.Cores, Milli: b.Cap.Milli, Mem: b.Cap.Mem, GPUs: b.Cap.GPUs, Pool: b.Pool, Addr: m.boot.Addr,
-		Labels: b.Labels, Domain: b.Domain, Rack: b.Rack, Mode: poll.Active, Silent: m.now.Since(m.beaten), Finished: b.Finished}
+	a = runnerapi.Ask{Agent: true, Inc: b.Runner, Seq: m.seq, Cores: b.Cap.Cores, Milli: b.Cap.Milli, Mem: b.Cap.Mem, GPUs: b.Cap.GPUs, Pool: b.Pool, Addr: m.boot.Addr,
+		Labels: b.Labels, Domain: b.Domain, Rack: b.Rack, Mode: runnerapi.Active, Silent: m.now.Since(m.beaten), Finished: b.Finished}
 	if b.Draining {
-		a.Mode, a.Departs = poll.Draining, max(0, b.Departs-m.now.Since(m.beaten))
+		a.Mode, a.Departs = runnerapi.Draining, max(0, b.Departs-m.now.Since(m.beaten))
 	}
 	for _, x := range b.Active {
 		s := m.moved[run{x.Task, x.Run}]
@@ -436,10 +436,10 @@
 	a.Dead = m.dead()
 	a.Left = m.left > 0 && m.now.Since(m.left) > leaveLag
 	for _, x := range m.waiting() {
-		a.Active = append(a.Active, poll.RunState{Task: x.Task, Run: x.No})
+		a.Active = append(a.Active, runnerapi.RunState{Task: x.Task, Run: x.No})
 	}
 	for r := range m.gone {
-		a.Gone = append(a.Gone, poll.RunStop{Task: r.task, Run: r.no})
+		a.Gone = append(a.Gone, runnerapi.RunStop{Task: r.task, Run: r.no})
 	}
 	sort.Slice(a.Gone, func(i, j int) bool {
 		return less(run{a.Gone[i].Task, a.Gone[i].Run}, run{a.Gone[j].Task, a.Gone[j].Run})
@@ -448,7 +448,7 @@
 }
 
 // Frame takes what a keeper says.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now ids.Mono) {
+func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now identifier.Mono) {
 	m.now = max(m.now, now)
 	if t := msg.Tell; t != nil && t.Node != 0 && t.Lead == t.Node {
 		m.follow(t)
@@ -469,7 +469,7 @@
 	open := m.open
 	m.open = nil
 	delete(m.asked, open.seq)
-	var a poll.Answer
+	var a runnerapi.Answer
 	if r.Moved || r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
 		if !r.Moved && r.Status != m.odd {
 			m.odd = r.Status
@@ -496,7 +496,7 @@
 		return
 	}
 	delete(m.asked, r.ID)
-	var a poll.Answer
+	var a runnerapi.Answer
 	if r.Moved || r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
 		return
 	}
@@ -522,7 +522,7 @@
 	m.polls()
 }
 
-func (m *Machine) obey(a *poll.Answer, open *ask) {
+func (m *Machine) obey(a *runnerapi.Answer, open *ask) {
 	if a.GrantMs > 0 {
 		m.grant = a.GrantMs
 	}
--- a/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -4,11 +4,11 @@
 	"encoding/json"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/raft"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/transport/wire"
 )
 
 func begin() (m *Machine) {
@@ -18,7 +18,7 @@
 func beat(seq uint64, tasks ...string) (b Beat) {
 	b = Beat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Cap: job.Demand{Milli: 1000, Mem: 10}}
 	for _, t := range tasks {
-		b.Active = append(b.Active, poll.RunState{Task: ids.Ref{Job: ids.Key(t)}, Run: 1})
+		b.Active = append(b.Active, runnerapi.RunState{Task: identifier.Ref{Job: identifier.Key(t)}, Run: 1})
 	}
 	return b
 }
@@ -37,7 +37,7 @@
 	return to, a
 }
 
-func answer(id uint64, a poll.Answer) (msg wire.Msg) {
+func answer(id uint64, a runnerapi.Answer) (msg wire.Msg) {
 	a.GrantMs, a.StartMs = 5000, 1000
 	text, err := json.Marshal(a)
 	if err != nil {
@@ -57,12 +57,12 @@
 	if first.ID == second.ID {
 		t.Fatal("news did not replace the poll")
 	}
-	m.Frame("k1", answer(first.ID, poll.Answer{Starts: []poll.Start{{Task: ids.Ref{Job: "q/b.0"}, No: 1}}}), 1200)
+	m.Frame("k1", answer(first.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.Ref{Job: "q/b.0"}, No: 1}}}), 1200)
 	o := m.Beat(beat(3, "q/a.0"), 1300)
 	if o.Hold != 4700 || len(o.Start) > 0 {
 		t.Errorf("held for %d, %d starts; want 4700 and none", o.Hold, len(o.Start))
 	}
-	m.Frame("k1", answer(first.ID, poll.Answer{}), 1400)
+	m.Frame("k1", answer(first.ID, runnerapi.Answer{}), 1400)
 	if o = m.Beat(beat(4, "q/a.0"), 2300); o.Hold != 3700 {
 		t.Errorf("an answer counted twice: held for %d", o.Hold)
 	}
@@ -80,7 +80,7 @@
 		m := begin()
 		m.Beat(beat(1), 1000)
 		_, a := asked(t, m)
-		m.Frame("k1", answer(a.ID, poll.Answer{Starts: []poll.Start{{Task: ids.Ref{Job: "q/b.0"}, No: 1}}}), 1100)
+		m.Frame("k1", answer(a.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.Ref{Job: "q/b.0"}, No: 1}}}), 1100)
 		if o := next(m); (len(o.Start) == 1) != (name == "") {
 			t.Errorf("%q: %d starts", name, len(o.Start))
 		}
@@ -93,7 +93,7 @@
 	m := begin()
 	m.Beat(beat(5, "q/a.0"), 1000)
 	_, a := asked(t, m)
-	m.Frame("k1", answer(a.ID, poll.Answer{Halts: []poll.RunStop{{Task: ids.Ref{Job: "q/a.0"}, Run: 1}}}), 1010)
+	m.Frame("k1", answer(a.ID, runnerapi.Answer{Halts: []runnerapi.RunStop{{Task: identifier.Ref{Job: "q/a.0"}, Run: 1}}}), 1010)
 	if o := m.Beat(beat(4), 1100); len(o.Stop) > 0 || o.Hold > 0 {
 		t.Errorf("a late heartbeat was answered %+v", o)
 	}
@@ -140,7 +140,7 @@
 	if next == to {
 		t.Error("the same keeper was asked again")
 	}
-	m.Frame(next, answer(a.ID, poll.Answer{Fence: 9}), 1410)
+	m.Frame(next, answer(a.ID, runnerapi.Answer{Fence: 9}), 1410)
 	if m.Fence() != 9 {
 		t.Errorf("fence %d", m.Fence())
 	}
--- a/rules/op.go
+++ b/internal/api/admission/op.go
@@ -1,8 +1,8 @@
 // Package rules compiles the table into short programs and runs them: the way
 // of a job through a gate, and again through the leader where counts decide.
-package rules
+package admission
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // Op says what an instruction checks.
 type Op uint8
@@ -38,7 +38,7 @@
 	Op    Op
 	Field Field
 	Limit int64
-	Set   map[ids.Label]bool
+	Set   map[identifier.Label]bool
 	Path  string
 	Why   string
 }
--- a/rules/rules.go
+++ b/internal/api/admission/rules.go
@@ -1,34 +1,34 @@
 // Rules is the compiled table: one program a row. The same value serves the
 // gates, the leader and the simulator.
 
-package rules
+package admission
 
 import (
 	"strings"
 
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/table"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
 )
 
 // Rules is the limits table as a short program for each row. Epoch is the
 // version of the table. It is safe for concurrent use once compiled.
 type Rules struct {
-	Epoch ids.Epoch
-	rows  map[ids.Row][]Line
+	Epoch identifier.Epoch
+	rows  map[identifier.Row][]Line
 }
 
 // Compile makes the programs of a checked table.
-func Compile(t *table.Table) (r *Rules) {
-	r = &Rules{Epoch: t.Epoch, rows: map[ids.Row][]Line{}}
+func Compile(t *limits.Table) (r *Rules) {
+	r = &Rules{Epoch: t.Epoch, rows: map[identifier.Row][]Line{}}
 	for _, name := range t.Names() {
 		r.rows[name] = compile(t, name)
 	}
 	return r
 }
 
-func compile(t *table.Table, row ids.Row) (prog []Line) {
+func compile(t *limits.Table, row identifier.Row) (prog []Line) {
 	limit := func(f Field, col, path, what string) {
 		prog = append(prog, Line{Op: Cap, Field: f, Limit: t.Num(row, col), Path: path, Why: what + " over the row's " + col})
 	}
@@ -37,9 +37,9 @@
 	limit(Mem, "taskMemMb", "steps", "memory of a task")
 	limit(Urgency, "maxUrgency", "urgency", "urgency")
 	if set := t.Cell(row, "labels"); !strings.Contains(" "+set+" ", " * ") {
-		only := map[ids.Label]bool{}
+		only := map[identifier.Label]bool{}
 		for _, l := range strings.Fields(set) {
-			only[ids.Label(l)] = true
+			only[identifier.Label(l)] = true
 		}
 		prog = append(prog, Line{Op: Only, Set: only, Path: "steps", Why: "label not allowed in the row"})
 	}
@@ -54,7 +54,7 @@
 
 // Run passes a job through its row's program. used is the number of tasks
 // waiting in the row, or negative where that isn't known.
-func (r *Rules) Run(s *job.Spec, used int64, f *doc.Faults) (v Verdict) {
+func (r *Rules) Run(s *job.Spec, used int64, f *jsondoc.Faults) (v Verdict) {
 	prog, ok := r.rows[s.Pending]
 	if !ok {
 		f.Sense("pending", "no such row in the table")
--- a/catalog/catalog_test.go
+++ b/internal/api/catalog/catalog_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"orchidward/doc"
+	"orchidward/internal/api/jsondoc"
 )
 
 const good = `{"base":0,"version":3,"queues":[{"name":"q","host":"H.example","prefix":"/a/","pool":"x","timeoutMs":1,"source":{"odd":1}}],"pools":[{"name":"x"}],"source":{"limits":{"a":1}}}`
@@ -22,7 +22,7 @@
 		"no path":       strings.Replace(good, `"/a/"`, `"a"`, 1),
 		"wrong type":    strings.Replace(good, `"pool":"x"`, `"pool":4`, 1),
 	} {
-		var f doc.Faults
+		var f jsondoc.Faults
 		if ReadWhole([]byte(text), &f); !f.Any() {
 			t.Errorf("%s passed", name)
 		}
@@ -32,7 +32,7 @@
 // TestNamed: named items are replaced in place, added at the end and dropped;
 // the rest, and what came along with it, stays as it was.
 func TestNamed(t *testing.T) {
-	var f doc.Faults
+	var f jsondoc.Faults
 	first, why := (&Catalog{}).With(ReadWhole([]byte(good), &f))
 	if f.Any() || why != "" {
 		t.Fatal(f.List, why)
--- a/catalog/change.go
+++ b/internal/api/catalog/change.go
@@ -10,7 +10,7 @@
 	"encoding/json"
 	"io"
 
-	"orchidward/doc"
+	"orchidward/internal/api/jsondoc"
 )
 
 // Change replaces the catalogue, or some items of it.
@@ -51,7 +51,7 @@
 	Rest json.RawMessage `json:"rest"`
 }
 
-func decode(text []byte, into any, f *doc.Faults) (ok bool) {
+func decode(text []byte, into any, f *jsondoc.Faults) (ok bool) {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -66,7 +66,7 @@
 }
 
 // ReadWhole reads a whole catalogue.
-func ReadWhole(text []byte, f *doc.Faults) (c *Change) {
+func ReadWhole(text []byte, f *jsondoc.Faults) (c *Change) {
 	var w whole
 	if !decode(text, &w, f) {
 		return nil
@@ -76,7 +76,7 @@
 }
 
 // ReadPatch reads a change of named items.
-func ReadPatch(text []byte, f *doc.Faults) (c *Change) {
+func ReadPatch(text []byte, f *jsondoc.Faults) (c *Change) {
 	var p patch
 	if !decode(text, &p, f) {
 		return nil
@@ -85,7 +85,7 @@
 	return c.finish(p.Base, p.Version, text, f)
 }
 
-func (c *Change) finish(base, version *uint64, text []byte, f *doc.Faults) (out *Change) {
+func (c *Change) finish(base, version *uint64, text []byte, f *jsondoc.Faults) (out *Change) {
 	if base == nil || version == nil {
 		f.Sense("base", "base and version must be given")
 		return nil
@@ -111,7 +111,7 @@
 	maxNumber = 1 << 40
 )
 
-func (q *Queue) check(f *doc.Faults) {
+func (q *Queue) check(f *jsondoc.Faults) {
 	bad := func(ok bool, key, why string) {
 		if !ok {
 			f.Sense("queues."+q.Name+"."+key, "%s", why)
--- a/diary/diary.go
+++ b/internal/api/eventlog/diary.go
@@ -1,22 +1,22 @@
 // Package diary is what a stand-in runner tells a drill of its attempts.
 // Now is the time on the runner's clock when the page was made, so that the
 // reader can place each event on its own clock by its age.
-package diary
+package eventlog
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Page is the event log of one incarnation of a runner. Now is in milliseconds
 // on the runner's monotonic clock.
 type Page struct {
-	Runner ids.Runner  `json:"runner"`
-	Inc    ids.Inc     `json:"incarnation"`
-	Domain ids.Domain  `json:"domain"`
-	Labels []ids.Label `json:"labels"`
-	Cap    job.Demand  `json:"cap"`
-	Now    ids.Mono    `json:"now"`
+	Runner identifier.Runner  `json:"runner"`
+	Inc    identifier.Inc     `json:"incarnation"`
+	Domain identifier.Domain  `json:"domain"`
+	Labels []identifier.Label `json:"labels"`
+	Cap    job.Demand         `json:"cap"`
+	Now    identifier.Mono    `json:"now"`
 	// Broken counts polls whose answer broke off.
 	Broken int     `json:"broken"`
 	Events []Event `json:"events"`
@@ -25,10 +25,10 @@
 // Event is one thing that happened to an attempt. N numbers the events, and At
 // is in milliseconds on the same clock as the page's Now.
 type Event struct {
-	N     uint64     `json:"n"`
-	At    ids.Mono   `json:"at"`
-	What  string     `json:"what"`
-	Grant ids.Grant  `json:"grant"`
-	Task  ids.Ref    `json:"task"`
-	Cost  job.Demand `json:"cost"`
+	N     uint64           `json:"n"`
+	At    identifier.Mono  `json:"at"`
+	What  string           `json:"what"`
+	Grant identifier.Grant `json:"grant"`
+	Task  identifier.Ref   `json:"task"`
+	Cost  job.Demand       `json:"cost"`
 }
--- a/ids/ids.go
+++ b/internal/api/identifier/ids.go
@@ -1,7 +1,7 @@
 // Package ids holds the small types that name things: who asks, which job,
 // which runner, which grant, which epoch. Giving each its own type lets the
 // compiler refuse a runner's name where a job's is wanted.
-package ids
+package identifier
 
 import (
 	"fmt"
--- a/ids/ref.go
+++ b/internal/api/identifier/ref.go
@@ -1,7 +1,7 @@
 // A Ref points at one task: its job, the place of its step in the job, and
 // its own number within the step.
 
-package ids
+package identifier
 
 import "fmt"
 
--- a/ids/time.go
+++ b/internal/api/identifier/time.go
@@ -3,7 +3,7 @@
 // committed time of day that appointed starts are held against; Wall is what
 // one machine's clock claims, and is only ever evidence for site time.
 
-package ids
+package identifier
 
 import "time"
 
--- a/job/read.go
+++ b/internal/api/job/read.go
@@ -9,8 +9,8 @@
 	"encoding/json"
 	"time"
 
-	"orchidward/doc"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 )
 
 const (
@@ -31,13 +31,13 @@
 // Read reads and checks the JSON of a job. Faults are added to f; the result is
 // nil when the text is not one JSON object, and must not be used when there are
 // any faults.
-func Read(text []byte, f *doc.Faults) (s *Spec) {
-	o := doc.Parse(text, f)
+func Read(text []byte, f *jsondoc.Faults) (s *Spec) {
+	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
 	queued := o.Has("queue")
-	s = &Spec{Pending: ids.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
+	s = &Spec{Pending: identifier.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
 	if queued {
 		readQueued(o, s)
 	}
@@ -62,23 +62,23 @@
 	return s
 }
 
-func readStart(o *doc.Obj, s *Spec) {
+func readStart(o *jsondoc.Obj, s *Spec) {
 	if o.Has("notBefore") && o.Has("delayMs") {
 		o.Faults().Sense("delayMs", "give notBefore or delayMs, not both")
 	}
-	s.Delay = ids.Span(o.Int("delayMs", 0, 0, maxSpan))
+	s.Delay = identifier.Span(o.Int("delayMs", 0, 0, maxSpan))
 	if text := o.Text("notBefore", ""); text != "" {
 		at, err := time.Parse(time.RFC3339, text)
 		if err != nil || at.UnixMilli() <= 0 {
 			o.Faults().Sense("notBefore", "want an RFC 3339 time")
 			return
 		}
-		s.NotBefore = ids.Millis(at.UnixMilli())
+		s.NotBefore = identifier.Millis(at.UnixMilli())
 	}
 }
 
 // readQueued reads what only a job for a queue of the catalogue may bear.
-func readQueued(o *doc.Obj, s *Spec) {
+func readQueued(o *jsondoc.Obj, s *Spec) {
 	s.Queue = o.Text("queue", "")
 	switch {
 	case s.Queue == "" || len(s.Queue) > MaxName:
@@ -90,7 +90,7 @@
 		o.Faults().Sense("text", "at most %d bytes", MaxText)
 	}
 	if r := o.Sub("repeat"); r != nil {
-		s.Repeat = &Repeat{Times: r.Int("times", 1, 1, MaxTimes), First: ids.Millis(r.Int("firstMs", 0, 0, 1<<45)), Every: ids.Span(r.Int("everyMs", 0, 0, maxSpan))}
+		s.Repeat = &Repeat{Times: r.Int("times", 1, 1, MaxTimes), First: identifier.Millis(r.Int("firstMs", 0, 0, 1<<45)), Every: identifier.Span(r.Int("everyMs", 0, 0, maxSpan))}
 		r.Done()
 		if s.Repeat.Times > 1 && s.Repeat.Every == 0 {
 			r.Faults().Sense("repeat.everyMs", "want a span between two times")
@@ -99,12 +99,12 @@
 }
 
 // readPlace reads where a step's tasks would best stand, and how they end.
-func readPlace(o *doc.Obj, s *Step) {
+func readPlace(o *jsondoc.Obj, s *Step) {
 	s.Demand.Cores = o.Int("cores", 0, 0, maxRoom)
 	s.Demand.Milli = o.Int("milliCores", 0, 0, maxRoom)
 	s.Demand.Mem = o.Int("memMb", 0, 0, maxRoom)
 	s.Demand.GPUs = o.Int("gpus", 0, 0, maxRoom)
-	s.Near = ids.Rack(o.Text("near", ""))
+	s.Near = identifier.Rack(o.Text("near", ""))
 	s.OneRack = o.Bool("oneRack", false)
 	s.Apart = o.Int("apart", 0, 0, MaxTasks)
 	s.Copies = o.Bool("copies", false)
@@ -112,7 +112,7 @@
 	s.Saves = o.Bool("saves", false)
 }
 
-func readStep(o *doc.Obj, queued bool) (s Step) {
+func readStep(o *jsondoc.Obj, queued bool) (s Step) {
 	s.Name = o.Name("name", true)
 	s.After = o.Names("after", MaxSteps)
 	s.Tasks = o.Int("tasks", 1, 1, MaxTasks)
@@ -124,16 +124,16 @@
 		s.Demand.Mem = o.Int("memMb", 1, 1, maxRoom)
 	}
 	for _, l := range o.Names("labels", 16) {
-		s.Labels = append(s.Labels, ids.Label(l))
+		s.Labels = append(s.Labels, identifier.Label(l))
 	}
 	s.Defects = o.Int("allowedDefects", 1, 1, 100)
-	s.Run = ids.Span(o.Int("spanMs", 1000, 1, maxSpan))
+	s.Run = identifier.Span(o.Int("spanMs", 1000, 1, maxSpan))
 	o.Done()
 	return s
 }
 
 // order refuses unknown steps and cycles.
-func order(s *Spec, names map[string]int, f *doc.Faults) {
+func order(s *Spec, names map[string]int, f *jsondoc.Faults) {
 	need := make([]int, len(s.Steps))
 	next := make([][]int, len(s.Steps))
 	for i, st := range s.Steps {
--- a/job/read_test.go
+++ b/internal/api/job/read_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"orchidward/doc"
+	"orchidward/internal/api/jsondoc"
 )
 
 func TestBadJobs(t *testing.T) {
@@ -35,7 +35,7 @@
 		"bad name":       {`{"pending":"a b","steps":[{"name":"x"}]}`, 422, "pending"},
 		"too many tasks": {`{"pending":"a","steps":[{"name":"x","tasks":4096},{"name":"y","tasks":1}]}`, 422, "steps"},
 	} {
-		var f doc.Faults
+		var f jsondoc.Faults
 		Read([]byte(c.text), &f)
 		if !f.Any() || f.Status() != c.status {
 			t.Errorf("%s: want %d, have %v", name, c.status, f.List)
@@ -49,7 +49,7 @@
 
 // TestSameSum: the same job in other words is the same job.
 func TestSameSum(t *testing.T) {
-	var f doc.Faults
+	var f jsondoc.Faults
 	a := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p","q"]}]}`), &f)
 	b := Read([]byte(` {"steps":[{"labels":["q","p"],"tasks":1,"cores":1,"name":"x"}],"urgency":0,"pending":"a"}`), &f)
 	c := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p"]}]}`), &f)
@@ -61,7 +61,7 @@
 func FuzzJob(f *testing.F) {
 	f.Add([]byte(`{"pending":"a","steps":[{"name":"x","after":["y"]},{"name":"y"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var faults doc.Faults
+		var faults jsondoc.Faults
 		if s := Read(text, &faults); s != nil && !faults.Any() {
 			if len(s.Steps) == 0 || s.Tasks() < 1 || s.Tasks() > MaxTasks {
 				t.Errorf("passed %+v", s)
--- a/job/spec.go
+++ b/internal/api/job/spec.go
@@ -3,17 +3,17 @@
 // tasks.
 package job
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // Spec is the checked content of a job. A job starts at NotBefore (site time) or
 // Delay milliseconds after it was accepted; when both are 0, as soon as there is
 // room. Higher Urgency goes first within a row.
 type Spec struct {
-	Pending   ids.Row    `json:"pending"`
-	Urgency   int64      `json:"urgency"`
-	NotBefore ids.Millis `json:"notBefore,omitempty"`
-	Delay     ids.Span   `json:"delayMs,omitempty"`
-	Steps     []Step     `json:"steps"`
+	Pending   identifier.Row    `json:"pending"`
+	Urgency   int64             `json:"urgency"`
+	NotBefore identifier.Millis `json:"notBefore,omitempty"`
+	Delay     identifier.Span   `json:"delayMs,omitempty"`
+	Steps     []Step            `json:"steps"`
 	// Queue names a queue of the catalogue in place of a pending row; Text is
 	// handed to whatever runs the tasks; Repeat runs the steps many times.
 	Queue  string  `json:"queue,omitempty"`
@@ -23,13 +23,13 @@
 
 // Repeat has the steps run Times times, the k-th due at First + k x Every.
 type Repeat struct {
-	Times int64      `json:"times"`
-	First ids.Millis `json:"firstMs"`
-	Every ids.Span   `json:"everyMs"`
+	Times int64             `json:"times"`
+	First identifier.Millis `json:"firstMs"`
+	Every identifier.Span   `json:"everyMs"`
 }
 
 // At is when the k-th time is due.
-func (r *Repeat) At(k int64) (at ids.Millis) { return r.First.Add(ids.Span(k) * r.Every) }
+func (r *Repeat) At(k int64) (at identifier.Millis) { return r.First.Add(identifier.Span(k) * r.Every) }
 
 // Tasks is the number of tasks in all steps.
 func (s *Spec) Tasks() (sum int64) {
@@ -51,11 +51,11 @@
 }
 
 // Chain is the longest chain of work through the steps, by their rough spans.
-func (s *Spec) Chain() (span ids.Span) {
-	at := make([]ids.Span, len(s.Steps))
+func (s *Spec) Chain() (span identifier.Span) {
+	at := make([]identifier.Span, len(s.Steps))
 	for range s.Steps {
 		for i, one := range s.Steps {
-			from := ids.Span(0)
+			from := identifier.Span(0)
 			for _, name := range one.After {
 				for k, other := range s.Steps {
 					if other.Name == name {
--- a/job/step.go
+++ b/internal/api/job/step.go
@@ -3,24 +3,24 @@
 
 package job
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // Step is a number of equal tasks. They may start once every step named in After
 // has ended with success. Run is the expected duration of one task in
 // milliseconds, and Defects the number of reported defects that use up a task.
 type Step struct {
-	Name    string      `json:"name"`
-	After   []string    `json:"after,omitempty"`
-	Tasks   int64       `json:"tasks"`
-	Gang    bool        `json:"gang,omitempty"`
-	Demand  Demand      `json:"demand"`
-	Labels  []ids.Label `json:"labels,omitempty"`
-	Defects int64       `json:"allowedDefects"`
-	Run     ids.Span    `json:"spanMs"`
+	Name    string             `json:"name"`
+	After   []string           `json:"after,omitempty"`
+	Tasks   int64              `json:"tasks"`
+	Gang    bool               `json:"gang,omitempty"`
+	Demand  Demand             `json:"demand"`
+	Labels  []identifier.Label `json:"labels,omitempty"`
+	Defects int64              `json:"allowedDefects"`
+	Run     identifier.Span    `json:"spanMs"`
 	// Near is the rack that holds the data; OneRack wants the members of a gang
 	// in one rack. Both cost time where they are missed, and neither forbids.
-	Near    ids.Rack `json:"near,omitempty"`
-	OneRack bool     `json:"oneRack,omitempty"`
+	Near    identifier.Rack `json:"near,omitempty"`
+	OneRack bool            `json:"oneRack,omitempty"`
 	// Apart is how many tasks of the step one runner may hold, 0 for any number.
 	Apart int64 `json:"apart,omitempty"`
 	// Copies may run side by side; Lasting tasks are started again however they
--- a/doc/fault.go
+++ b/internal/api/jsondoc/fault.go
@@ -3,7 +3,7 @@
 // fault instead of stopping at the first. A Shape fault is text that does not
 // say what its type should be (400); a Sense fault is well formed but means
 // nothing that could be done (422).
-package doc
+package jsondoc
 
 import "fmt"
 
--- a/doc/obj.go
+++ b/internal/api/jsondoc/obj.go
@@ -1,14 +1,14 @@
 // Obj reads one JSON object field by field. Each getter notes the field as
 // seen; Done then names every field nobody asked for.
 
-package doc
+package jsondoc
 
 import (
 	"encoding/json"
 	"fmt"
 	"sort"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Obj is a JSON object that is read field by field. Faults found on the way are
@@ -76,7 +76,7 @@
 	if _, is := o.vals[key].(string); !is && o.Has(key) {
 		return ""
 	}
-	if !ids.Plain(out) {
+	if !identifier.Plain(out) {
 		o.f.Sense(o.at(key), "want a name of 1 to 64 letters, digits, '.', '-' or '_'")
 	}
 	return out
@@ -172,7 +172,7 @@
 			o.f.Shape(fmt.Sprintf("%s[%d]", o.at(key), i), "want a string")
 			continue
 		}
-		if !ids.Plain(text) {
+		if !identifier.Plain(text) {
 			o.f.Sense(fmt.Sprintf("%s[%d]", o.at(key), i), "want a plain name")
 			continue
 		}
--- a/doc/parse.go
+++ b/internal/api/jsondoc/parse.go
@@ -1,7 +1,7 @@
 // Parse turns JSON text into plain values while refusing what encoding/json
 // lets pass: doubled keys, data after the value, and nesting without end.
 
-package doc
+package jsondoc
 
 import (
 	"bytes"
--- a/table/change.go
+++ b/internal/api/limits/change.go
@@ -2,33 +2,33 @@
 // JSON objects of cells, numbers as numbers; in a patch each cell is named
 // "row.column". Row names may hold dots nowhere, so the name splits cleanly.
 
-package table
+package limits
 
 import (
 	"encoding/json"
 	"strconv"
 	"strings"
 
-	"orchidward/doc"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 )
 
 // Change is a checked change of the table. Base is the version it was made
 // against. With Whole set, Rows replace all rows of the table; otherwise only
 // the named cells change and the rows in Drop go.
 type Change struct {
-	Base  ids.Epoch                     `json:"base"`
-	Whole bool                          `json:"whole"`
-	Rows  map[ids.Row]map[string]string `json:"rows"`
-	Drop  map[ids.Row]bool              `json:"drop,omitempty"`
+	Base  identifier.Epoch                     `json:"base"`
+	Whole bool                                 `json:"whole"`
+	Rows  map[identifier.Row]map[string]string `json:"rows"`
+	Drop  map[identifier.Row]bool              `json:"drop,omitempty"`
 }
 
 func (c *Change) names(cell string) (ok bool) {
 	row, col, _ := strings.Cut(cell, ".")
-	if c.Drop[ids.Row(row)] {
+	if c.Drop[identifier.Row(row)] {
 		return true
 	}
-	cells, ok := c.Rows[ids.Row(row)]
+	cells, ok := c.Rows[identifier.Row(row)]
 	if !ok || col == "" {
 		return ok
 	}
@@ -39,12 +39,12 @@
 // ReadWhole reads a change that replaces the whole table. Faults are added to f;
 // the result is nil when the text is not one JSON object, and must not be
 // applied when there are any faults.
-func ReadWhole(text []byte, f *doc.Faults) (c *Change) {
-	o := doc.Parse(text, f)
+func ReadWhole(text []byte, f *jsondoc.Faults) (c *Change) {
+	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	c = &Change{Whole: true, Rows: map[ids.Row]map[string]string{}}
+	c = &Change{Whole: true, Rows: map[identifier.Row]map[string]string{}}
 	readBase(o, c)
 	c.Rows[SiteRow] = readRow(o.Sub("site"), SiteRow)
 	rows := o.Sub("rows")
@@ -58,7 +58,7 @@
 		if !rowName(name) {
 			f.Sense(rows.Path(name), "not a row name")
 		}
-		c.Rows[ids.Row(name)] = readRow(rows.Sub(name), ids.Row(name))
+		c.Rows[identifier.Row(name)] = readRow(rows.Sub(name), identifier.Row(name))
 	}
 	if len(c.Rows) > maxRows+1 {
 		f.Sense("rows", "at most %d rows", maxRows)
@@ -70,18 +70,18 @@
 // ReadPatch reads a change of single cells and rows. Faults are added to f; the
 // result is nil when the text is not one JSON object, and must not be applied
 // when there are any faults.
-func ReadPatch(text []byte, f *doc.Faults) (c *Change) {
-	o := doc.Parse(text, f)
+func ReadPatch(text []byte, f *jsondoc.Faults) (c *Change) {
+	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	c = &Change{Rows: map[ids.Row]map[string]string{}, Drop: map[ids.Row]bool{}}
+	c = &Change{Rows: map[identifier.Row]map[string]string{}, Drop: map[identifier.Row]bool{}}
 	readBase(o, c)
 	for _, r := range o.Names("drop", maxRows) {
 		if r == string(SiteRow) {
 			f.Sense("drop", "the site row cannot be dropped")
 		}
-		c.Drop[ids.Row(r)] = true
+		c.Drop[identifier.Row(r)] = true
 	}
 	if cells := o.Sub("cells"); cells != nil {
 		for _, name := range cells.Keys() {
@@ -90,13 +90,13 @@
 				f.Sense(cells.Path(name), "want row.column")
 				continue
 			}
-			if c.Drop[ids.Row(row)] {
+			if c.Drop[identifier.Row(row)] {
 				f.Sense(cells.Path(name), "row is dropped by the same change")
 			}
-			if c.Rows[ids.Row(row)] == nil {
-				c.Rows[ids.Row(row)] = map[string]string{}
+			if c.Rows[identifier.Row(row)] == nil {
+				c.Rows[identifier.Row(row)] = map[string]string{}
 			}
-			readCell(cells, name, ids.Row(row), col, c.Rows[ids.Row(row)])
+			readCell(cells, name, identifier.Row(row), col, c.Rows[identifier.Row(row)])
 		}
 	}
 	if len(c.Rows) == 0 && len(c.Drop) == 0 && !f.Any() {
@@ -107,17 +107,17 @@
 }
 
 func rowName(name string) (ok bool) {
-	return ids.Plain(name) && !strings.Contains(name, ".") && name != string(SiteRow)
+	return identifier.Plain(name) && !strings.Contains(name, ".") && name != string(SiteRow)
 }
 
-func readBase(o *doc.Obj, c *Change) {
+func readBase(o *jsondoc.Obj, c *Change) {
 	if !o.Has("base") {
 		o.Faults().Sense("base", "want the epoch the change was made against")
 	}
-	c.Base = ids.Epoch(o.Int("base", 0, 0, 1<<53))
+	c.Base = identifier.Epoch(o.Int("base", 0, 0, 1<<53))
 }
 
-func readRow(o *doc.Obj, row ids.Row) (cells map[string]string) {
+func readRow(o *jsondoc.Obj, row identifier.Row) (cells map[string]string) {
 	cells = map[string]string{}
 	if o == nil {
 		return cells
@@ -131,7 +131,7 @@
 	return cells
 }
 
-func readCell(o *doc.Obj, key string, row ids.Row, name string, into map[string]string) {
+func readCell(o *jsondoc.Obj, key string, row identifier.Row, name string, into map[string]string) {
 	col, ok := Find(row, name)
 	if !ok {
 		o.Faults().Shape(o.Path(key), "unknown column")
--- a/table/column.go
+++ b/internal/api/limits/column.go
@@ -2,14 +2,14 @@
 // columns their weights and limits, and one more row, "site", has the few
 // cells that hold for the whole site. Cells are kept as text, as a spreadsheet
 // would, and every cell remembers the epoch that last changed it.
-package table
+package limits
 
 import (
 	"strconv"
 	"strings"
 
-	"orchidward/ids"
-	"orchidward/policy"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/scheduler/policy"
 )
 
 // Column says what a cell may hold: a number between two bounds, one of some
@@ -60,11 +60,11 @@
 }
 
 // SiteRow is the row name under which the site-wide cells are addressed.
-const SiteRow ids.Row = "site"
+const SiteRow identifier.Row = "site"
 
 // Find looks up a column by name, in Site for the row SiteRow and in Columns for
 // any other; the row need not exist.
-func Find(row ids.Row, name string) (col Column, ok bool) {
+func Find(row identifier.Row, name string) (col Column, ok bool) {
 	list := Columns
 	if row == SiteRow {
 		list = Site
@@ -78,7 +78,7 @@
 }
 
 // source tells whether a cell holds a policy.
-func source(row ids.Row, name string) (yes bool) {
+func source(row identifier.Row, name string) (yes bool) {
 	col, _ := Find(row, name)
 	return col.Source
 }
@@ -122,7 +122,7 @@
 		return "", "at most 16 labels"
 	}
 	for _, l := range list {
-		if l != "*" && !ids.Plain(l) {
+		if l != "*" && !identifier.Plain(l) {
 			return "", "want labels parted by spaces, or *"
 		}
 	}
--- a/table/table.go
+++ b/internal/api/limits/table.go
@@ -2,14 +2,14 @@
 // the epoch it was made against; it loses only to a later change of a cell it
 // names itself, or, for a whole table, of any cell.
 
-package table
+package limits
 
 import (
 	"sort"
 	"strconv"
 	"strings"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Table is the limits table in force. Epoch is its version; every change raises
@@ -17,17 +17,17 @@
 // last changed a cell ("row.column") or a whole row ("row"). A change based on a
 // version below Floor is refused, since marks that old may have been dropped.
 type Table struct {
-	Epoch ids.Epoch                     `json:"epoch"`
-	Rows  map[ids.Row]map[string]string `json:"rows"`
-	Marks map[string]ids.Epoch          `json:"marks"`
-	Floor ids.Epoch                     `json:"floor"`
+	Epoch identifier.Epoch                     `json:"epoch"`
+	Rows  map[identifier.Row]map[string]string `json:"rows"`
+	Marks map[string]identifier.Epoch          `json:"marks"`
+	Floor identifier.Epoch                     `json:"floor"`
 }
 
 const maxRows = 512
 
 // First is the table of a site that has configured nothing yet: one row.
 func First() (t *Table) {
-	t = &Table{Epoch: 1, Rows: map[ids.Row]map[string]string{}, Marks: map[string]ids.Epoch{}}
+	t = &Table{Epoch: 1, Rows: map[identifier.Row]map[string]string{}, Marks: map[string]identifier.Epoch{}}
 	t.Rows[SiteRow] = fill(Site, nil)
 	t.Rows["default"] = fill(Columns, nil)
 	return t
@@ -48,25 +48,25 @@
 }
 
 // Cell is the text of a cell, empty when there is no such cell.
-func (t *Table) Cell(row ids.Row, name string) (text string) { return t.Rows[row][name] }
+func (t *Table) Cell(row identifier.Row, name string) (text string) { return t.Rows[row][name] }
 
 // Num is the value of a numeric cell, 0 when it is missing or no number.
-func (t *Table) Num(row ids.Row, name string) (n int64) {
+func (t *Table) Num(row identifier.Row, name string) (n int64) {
 	n, _ = strconv.ParseInt(t.Rows[row][name], 10, 64)
 	return n
 }
 
 // Site is a site-wide span in milliseconds.
-func (t *Table) Site(name string) (s ids.Span) { return ids.Span(t.Num(SiteRow, name)) }
+func (t *Table) Site(name string) (s identifier.Span) { return identifier.Span(t.Num(SiteRow, name)) }
 
 // Has tells whether the table has this pending row; SiteRow is none.
-func (t *Table) Has(row ids.Row) (ok bool) {
+func (t *Table) Has(row identifier.Row) (ok bool) {
 	_, ok = t.Rows[row]
 	return ok && row != SiteRow
 }
 
 // Names lists the pending rows in order, the site row left out.
-func (t *Table) Names() (out []ids.Row) {
+func (t *Table) Names() (out []identifier.Row) {
 	for r := range t.Rows {
 		if r != SiteRow {
 			out = append(out, r)
@@ -91,7 +91,7 @@
 }
 
 // Dropped lists the rows that the change would take away.
-func (t *Table) Dropped(c *Change) (rows []ids.Row) {
+func (t *Table) Dropped(c *Change) (rows []identifier.Row) {
 	for _, r := range t.Names() {
 		if _, kept := c.Rows[r]; c.Drop[r] || (c.Whole && !kept) {
 			rows = append(rows, r)
@@ -161,7 +161,7 @@
 	}
 	for name, at := range t.Marks {
 		row, _, _ := strings.Cut(name, ".")
-		if _, ok := t.Rows[ids.Row(row)]; !ok {
+		if _, ok := t.Rows[identifier.Row(row)]; !ok {
 			if at > t.Floor {
 				t.Floor = at
 			}
--- a/table/table_test.go
+++ b/internal/api/limits/table_test.go
@@ -1,16 +1,16 @@
-package table
+package limits
 
 import (
 	"reflect"
 	"testing"
 
-	"orchidward/doc"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 )
 
 func patch(t *testing.T, text string) (c *Change) {
 	t.Helper()
-	var f doc.Faults
+	var f jsondoc.Faults
 	if c = ReadPatch([]byte(text), &f); f.Any() {
 		t.Fatalf("%s: %v", text, f.List)
 	}
@@ -35,14 +35,14 @@
 			t.Errorf("%s clashes with %v, want %v", text, have, want)
 		}
 	}
-	var f doc.Faults
+	var f jsondoc.Faults
 	if c := ReadWhole([]byte(`{"base":2,"rows":{"a":{}}}`), &f); f.Any() || len(x.Clash(c)) == 0 {
 		t.Errorf("a whole table over a later change must lose: %v", f.List)
 	}
 	if c := ReadWhole([]byte(`{"base":3,"rows":{"a":{"weight":2}}}`), &f); f.Any() || len(x.Clash(c)) != 0 || !x.Apply(c) {
 		t.Errorf("a whole table on the present epoch must win: %v", f.List)
 	}
-	if names := x.Names(); !reflect.DeepEqual(names, []ids.Row{"a"}) || x.Num("a", "weight") != 2 || x.Epoch != 4 {
+	if names := x.Names(); !reflect.DeepEqual(names, []identifier.Row{"a"}) || x.Num("a", "weight") != 2 || x.Epoch != 4 {
 		t.Errorf("rows %v, weight %d, epoch %d", names, x.Num("a", "weight"), x.Epoch)
 	}
 }
@@ -65,7 +65,7 @@
 		`{"base":"one","cells":{"a.weight":1}}`:             400,
 		`{"base":1,"cells":{"a.weight":1}} {"more":"data"}`: 400,
 	} {
-		var f doc.Faults
+		var f jsondoc.Faults
 		ReadPatch([]byte(text), &f)
 		if !f.Any() || f.Status() != status {
 			t.Errorf("%s: want %d, have %v", text, status, f.List)
@@ -76,7 +76,7 @@
 func FuzzChange(f *testing.F) {
 	f.Add([]byte(`{"base":1,"cells":{"a.weight":2,"site.evacMs":4000},"drop":["b"]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var faults doc.Faults
+		var faults jsondoc.Faults
 		if c := ReadPatch(text, &faults); c != nil && !faults.Any() {
 			x := First()
 			x.Apply(c)
--- a/poll/poll.go
+++ b/internal/api/runnerapi/poll.go
@@ -1,36 +1,36 @@
 // Package poll is the runners' published protocol: what a poll says and what
 // its answer says. docs/runners.md is its description for others.
-package poll
+package runnerapi
 
 import (
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
 )
 
 // Ask is one poll. Seq grows with every poll of an incarnation.
 type Ask struct {
-	Inc     ids.Inc     `json:"incarnation"`
-	Seq     uint64      `json:"seq"`
-	Cores   int64       `json:"cores"`
-	Mem     int64       `json:"memMb"`
-	Labels  []ids.Label `json:"labels,omitempty"`
-	Domain  ids.Domain  `json:"domain"`
-	Rack    ids.Rack    `json:"rack"`
-	Mode    string      `json:"mode"`
-	Departs ids.Span    `json:"departsMs,omitempty"`
-	Running []ids.Grant `json:"running,omitempty"`
-	Ended   []End       `json:"ended,omitempty"`
+	Inc     identifier.Inc     `json:"incarnation"`
+	Seq     uint64             `json:"seq"`
+	Cores   int64              `json:"cores"`
+	Mem     int64              `json:"memMb"`
+	Labels  []identifier.Label `json:"labels,omitempty"`
+	Domain  identifier.Domain  `json:"domain"`
+	Rack    identifier.Rack    `json:"rack"`
+	Mode    string             `json:"mode"`
+	Departs identifier.Span    `json:"departsMs,omitempty"`
+	Running []identifier.Grant `json:"running,omitempty"`
+	Ended   []End              `json:"ended,omitempty"`
 	// What follows is said by agents, of the runner they stand beside. Milli are
 	// thousandths of a core beyond Cores.
-	Agent    bool       `json:"agent,omitempty"`
-	Milli    int64      `json:"milliCores,omitempty"`
-	GPUs     int64      `json:"gpus,omitempty"`
-	Pool     string     `json:"pool,omitempty"`
-	Addr     string     `json:"addr,omitempty"`
-	Silent   ids.Span   `json:"silentMs,omitempty"`
-	Active   []RunState `json:"active,omitempty"`
-	Finished []RunEnd   `json:"finished,omitempty"`
+	Agent    bool            `json:"agent,omitempty"`
+	Milli    int64           `json:"milliCores,omitempty"`
+	GPUs     int64           `json:"gpus,omitempty"`
+	Pool     string          `json:"pool,omitempty"`
+	Addr     string          `json:"addr,omitempty"`
+	Silent   identifier.Span `json:"silentMs,omitempty"`
+	Active   []RunState      `json:"active,omitempty"`
+	Finished []RunEnd        `json:"finished,omitempty"`
 	// Gone are runs that were to stop and are certain never to run here again;
 	// Left says that the runner has ended in good order, Dead that it is silent
 	// and that every hold it was given has run out.
@@ -41,21 +41,21 @@
 
 // End is one attempt that ended, repeated until acknowledged.
 type End struct {
-	Grant ids.Grant `json:"grant"`
-	Task  ids.Ref   `json:"task"`
-	How   string    `json:"how"`
-	Saved string    `json:"-"`
+	Grant identifier.Grant `json:"grant"`
+	Task  identifier.Ref   `json:"task"`
+	How   string           `json:"how"`
+	Saved string           `json:"-"`
 }
 
 // Start orders one attempt. It expires StartMs after the poll was sent.
 type Start struct {
-	Grant  ids.Grant  `json:"grant"`
-	Task   ids.Ref    `json:"task"`
-	Demand job.Demand `json:"demand"`
-	Run    ids.Span   `json:"spanMs"`
+	Grant  identifier.Grant `json:"grant"`
+	Task   identifier.Ref   `json:"task"`
+	Demand job.Demand       `json:"demand"`
+	Run    identifier.Span  `json:"spanMs"`
 	// Gang, when it is given, is how long the attempt may go on since the
 	// sending of the last poll whose answer called it whole.
-	Gang ids.Span `json:"gangMs,omitempty"`
+	Gang identifier.Span `json:"gangMs,omitempty"`
 	// No, Text and Saved are for agents: the number of the run, the job's own
 	// text, and the progress to go on from.
 	No    uint64 `json:"run,omitempty"`
@@ -69,14 +69,14 @@
 // start may wait. Retired says that a newer incarnation of the runner has
 // reported, so that this one must stop.
 type Answer struct {
-	Starts  []Start     `json:"starts,omitempty"`
-	Stops   []ids.Grant `json:"stops,omitempty"`
-	Acked   []ids.Grant `json:"acked,omitempty"`
-	Whole   []ids.Grant `json:"whole,omitempty"`
-	GrantMs ids.Span    `json:"grantMs"`
-	StartMs ids.Span    `json:"startMs"`
-	Gates   []string    `json:"gates,omitempty"`
-	Retired bool        `json:"retired,omitempty"`
+	Starts  []Start            `json:"starts,omitempty"`
+	Stops   []identifier.Grant `json:"stops,omitempty"`
+	Acked   []identifier.Grant `json:"acked,omitempty"`
+	Whole   []identifier.Grant `json:"whole,omitempty"`
+	GrantMs identifier.Span    `json:"grantMs"`
+	StartMs identifier.Span    `json:"startMs"`
+	Gates   []string           `json:"gates,omitempty"`
+	Retired bool               `json:"retired,omitempty"`
 	// For agents: the fence of the leader that speaks, the number up to which
 	// ends are on record, runs to stop, the keepers, and the last number of a
 	// poll the leader has of this runner.
@@ -97,12 +97,12 @@
 )
 
 // readSlowly reads any poll, and names each of its faults.
-func readSlowly(text []byte, f *doc.Faults) (a *Ask) {
-	o := doc.Parse(text, f)
+func readSlowly(text []byte, f *jsondoc.Faults) (a *Ask) {
+	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	a = &Ask{Inc: ids.Inc(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
+	a = &Ask{Inc: identifier.Inc(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
 	low := int64(1)
 	if o.Has("agent") {
 		low = 0
@@ -114,19 +114,19 @@
 		}
 	}
 	for _, l := range o.Names("labels", 64) {
-		a.Labels = append(a.Labels, ids.Label(l))
+		a.Labels = append(a.Labels, identifier.Label(l))
 	}
-	a.Domain, a.Rack = ids.Domain(o.Name("domain", true)), ids.Rack(o.Name("rack", low > 0))
+	a.Domain, a.Rack = identifier.Domain(o.Name("domain", true)), identifier.Rack(o.Name("rack", low > 0))
 	a.Mode = o.OneOf("mode", Active, Active, Draining)
-	a.Departs = ids.Span(o.Int("departsMs", 0, 0, 1<<40))
+	a.Departs = identifier.Span(o.Int("departsMs", 0, 0, 1<<40))
 	if a.Agent = o.Bool("agent", false); a.Agent {
 		a.readAgent(o)
 	}
 	for _, n := range o.Ints("running", most) {
-		a.Running = append(a.Running, ids.Grant(n))
+		a.Running = append(a.Running, identifier.Grant(n))
 	}
 	for _, one := range o.List("ended", most) {
-		e := End{Grant: ids.Grant(one.Int("grant", 0, 1, 1<<53)), How: one.OneOf("how", "", "well", "defect", "stopped", "lapsed")}
+		e := End{Grant: identifier.Grant(one.Int("grant", 0, 1, 1<<53)), How: one.OneOf("how", "", "well", "defect", "stopped", "lapsed")}
 		e.Task = readTask(one)
 		one.Done()
 		a.Ended = append(a.Ended, e)
--- a/poll/run.go
+++ b/internal/api/runnerapi/run.go
@@ -2,22 +2,22 @@
 // remembers nothing, and neither does its runner know of grants: both name an
 // attempt by its task and the number of its run.
 
-package poll
+package runnerapi
 
 import (
-	"orchidward/doc"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 )
 
 // RunState is a run that goes on. Saved is its saved progress, empty for none,
 // Percent how far it says it is.
 type RunState struct {
-	Task    ids.Ref `json:"task"`
-	Run     uint64  `json:"run"`
-	Saved   string  `json:"saved,omitempty"`
-	Percent int64   `json:"percent,omitempty"`
+	Task    identifier.Ref `json:"task"`
+	Run     uint64         `json:"run"`
+	Saved   string         `json:"saved,omitempty"`
+	Percent int64          `json:"percent,omitempty"`
 	// Still is how long, in milliseconds, the percentage has not moved.
-	Still ids.Span `json:"stillMs,omitempty"`
+	Still identifier.Span `json:"stillMs,omitempty"`
 	// Speed is how far it came lately, in thousandths of the whole a second; 0
 	// where that is not known.
 	Speed int64 `json:"speed,omitempty"`
@@ -26,17 +26,17 @@
 // RunEnd is a run that ended; N rises from 1 within each life of a runner.
 // How is one of the words below.
 type RunEnd struct {
-	N     uint64  `json:"n"`
-	Task  ids.Ref `json:"task"`
-	Run   uint64  `json:"run"`
-	How   string  `json:"how"`
-	Saved string  `json:"saved,omitempty"`
+	N     uint64         `json:"n"`
+	Task  identifier.Ref `json:"task"`
+	Run   uint64         `json:"run"`
+	How   string         `json:"how"`
+	Saved string         `json:"saved,omitempty"`
 }
 
 // RunStop orders a run to end.
 type RunStop struct {
-	Task ids.Ref `json:"task"`
-	Run  uint64  `json:"run"`
+	Task identifier.Ref `json:"task"`
+	Run  uint64         `json:"run"`
 }
 
 // How a run ended: well; by a defect, its own or its runner's; on order; past
@@ -56,13 +56,13 @@
 const MaxSaved = 16 << 10
 
 // readAgent reads what only an agent says.
-func (a *Ask) readAgent(o *doc.Obj) {
+func (a *Ask) readAgent(o *jsondoc.Obj) {
 	a.Milli, a.GPUs = o.Int("milliCores", 0, 0, maxRoom), o.Int("gpus", 0, 0, maxRoom)
 	a.Pool, a.Addr = o.Text("pool", ""), o.Text("addr", "")
-	a.Silent = ids.Span(o.Int("silentMs", 0, 0, 1<<40))
+	a.Silent = identifier.Span(o.Int("silentMs", 0, 0, 1<<40))
 	a.Left, a.Dead = o.Bool("left", false), o.Bool("dead", false)
 	for _, one := range o.List("active", most) {
-		s := RunState{Task: readTask(one), Run: readRun(one), Saved: readSaved(one), Percent: one.Int("percent", 0, 0, 1<<20), Still: ids.Span(one.Int("stillMs", 0, 0, 1<<40)), Speed: one.Int("speed", 0, 0, 1<<30)}
+		s := RunState{Task: readTask(one), Run: readRun(one), Saved: readSaved(one), Percent: one.Int("percent", 0, 0, 1<<20), Still: identifier.Span(one.Int("stillMs", 0, 0, 1<<40)), Speed: one.Int("speed", 0, 0, 1<<30)}
 		one.Done()
 		a.Active = append(a.Active, s)
 	}
@@ -78,9 +78,9 @@
 	}
 }
 
-func readRun(o *doc.Obj) (no uint64) { return uint64(o.Int("run", 0, 0, 1<<53)) }
+func readRun(o *jsondoc.Obj) (no uint64) { return uint64(o.Int("run", 0, 0, 1<<53)) }
 
-func readSaved(o *doc.Obj) (text string) {
+func readSaved(o *jsondoc.Obj) (text string) {
 	if text = o.Text("saved", ""); len(text) > MaxSaved {
 		o.Faults().Sense(o.Path("saved"), "at most %d bytes", MaxSaved)
 		return ""
@@ -88,12 +88,12 @@
 	return text
 }
 
-func readTask(o *doc.Obj) (r ids.Ref) {
+func readTask(o *jsondoc.Obj) (r identifier.Ref) {
 	t := o.Sub("task")
 	if t == nil {
 		return r
 	}
-	r = ids.Ref{Job: ids.Key(t.Text("job", "")), Step: int(t.Int("step", 0, 0, 1<<20)), Num: int(t.Int("num", 0, 0, 1<<20))}
+	r = identifier.Ref{Job: identifier.Key(t.Text("job", "")), Step: int(t.Int("step", 0, 0, 1<<20)), Num: int(t.Int("num", 0, 0, 1<<20))}
 	t.Done()
 	return r
 }
--- a/poll/scan.go
+++ b/internal/api/runnerapi/scan.go
@@ -3,19 +3,19 @@
 // pass gives up at whatever is not plainly sound, and says nothing about why:
 // such a poll is read again by way of package doc, which names every fault.
 
-package poll
+package runnerapi
 
 import (
 	"encoding/json"
 	"slices"
 	"strings"
 
-	"orchidward/doc"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 )
 
 // Read checks a poll and gathers its faults.
-func Read(text []byte, f *doc.Faults) (a *Ask) {
+func Read(text []byte, f *jsondoc.Faults) (a *Ask) {
 	if a = scan(text); a != nil {
 		return a
 	}
@@ -37,7 +37,7 @@
 	seen := s.object(askFields, func(i int) {
 		switch askFields[i] {
 		case "incarnation":
-			a.Inc = ids.Inc(strings.Clone(s.name()))
+			a.Inc = identifier.Inc(strings.Clone(s.name()))
 		case "seq":
 			a.Seq = uint64(s.int(1, 1<<53))
 		case "cores":
@@ -45,17 +45,17 @@
 		case "memMb":
 			a.Mem = s.int(0, maxRoom)
 		case "labels":
-			s.list(64, func() { a.Labels = append(a.Labels, ids.Label(s.name())) })
+			s.list(64, func() { a.Labels = append(a.Labels, identifier.Label(s.name())) })
 		case "domain":
-			a.Domain = ids.Domain(s.name())
+			a.Domain = identifier.Domain(s.name())
 		case "rack":
-			a.Rack = ids.Rack(s.name())
+			a.Rack = identifier.Rack(s.name())
 		case "mode":
 			a.Mode = s.word(Active, Draining)
 		case "departsMs":
-			a.Departs = ids.Span(s.int(0, 1<<40))
+			a.Departs = identifier.Span(s.int(0, 1<<40))
 		case "running":
-			s.list(most, func() { a.Running = append(a.Running, ids.Grant(s.int(0, 1<<53))) })
+			s.list(most, func() { a.Running = append(a.Running, identifier.Grant(s.int(0, 1<<53))) })
 		case "ended":
 			s.list(most, func() { a.Ended = append(a.Ended, s.end()) })
 		case "agent":
@@ -106,7 +106,7 @@
 	case "addr":
 		a.Addr = s.string()
 	case "silentMs":
-		a.Silent = ids.Span(s.int(0, 1<<40))
+		a.Silent = identifier.Span(s.int(0, 1<<40))
 	case "active":
 		s.list(most, func() { a.Active = append(a.Active, s.runState()) })
 	case "finished":
@@ -124,7 +124,7 @@
 	seen := s.object(endFields, func(i int) {
 		switch endFields[i] {
 		case "grant":
-			e.Grant = ids.Grant(s.int(1, 1<<53))
+			e.Grant = identifier.Grant(s.int(1, 1<<53))
 		case "task":
 			e.Task = s.task()
 		case "how":
@@ -147,7 +147,7 @@
 		case "percent":
 			r.Percent = s.int(0, 1<<20)
 		case "stillMs":
-			r.Still = ids.Span(s.int(0, 1<<40))
+			r.Still = identifier.Span(s.int(0, 1<<40))
 		case "speed":
 			r.Speed = s.int(0, 1<<30)
 		}
@@ -186,11 +186,11 @@
 	return r
 }
 
-func (s *scanner) task() (r ids.Ref) {
+func (s *scanner) task() (r identifier.Ref) {
 	s.object(taskFields, func(i int) {
 		switch taskFields[i] {
 		case "job":
-			r.Job = ids.Key(s.string())
+			r.Job = identifier.Key(s.string())
 		case "step":
 			r.Step = int(s.int(0, 1<<20))
 		case "num":
@@ -308,7 +308,7 @@
 
 func (s *scanner) name() (out string) {
 	out = s.string()
-	s.bad = s.bad || !ids.Plain(out)
+	s.bad = s.bad || !identifier.Plain(out)
 	return out
 }
 
--- a/poll/scan_test.go
+++ b/internal/api/runnerapi/scan_test.go
@@ -1,4 +1,4 @@
-package poll
+package runnerapi
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 	"strings"
 	"testing"
 
-	"orchidward/doc"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 )
 
 // TestPlaces: the places that the scanner knows by number are those of the
@@ -30,22 +30,22 @@
 func sample(rnd *rand.Rand) (a Ask) {
 	texts := []string{"", "x", "a b", "q\"uo\\te", "ünï", "\u2028<&>", "a\x01b", strings.Repeat("s", 40)}
 	some := func() string { return texts[rnd.Intn(len(texts))] }
-	task := func() ids.Ref {
-		return ids.Ref{Job: ids.Key("q/" + some()), Step: rnd.Intn(3), Num: rnd.Intn(1 << 20)}
+	task := func() identifier.Ref {
+		return identifier.Ref{Job: identifier.Key("q/" + some()), Step: rnd.Intn(3), Num: rnd.Intn(1 << 20)}
 	}
-	a = Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: ids.Span(rnd.Intn(3))}
+	a = Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: identifier.Span(rnd.Intn(3))}
 	for i := rnd.Intn(4); i > 0; i-- {
-		a.Labels = append(a.Labels, ids.Label(fmt.Sprintf("l%d", rnd.Intn(9))))
-		a.Running = append(a.Running, ids.Grant(rnd.Intn(3)))
-		a.Ended = append(a.Ended, End{ids.Grant(1 + rnd.Intn(9)), task(), []string{Well, Defect, Stopped, Lapsed}[rnd.Intn(4)], ""})
+		a.Labels = append(a.Labels, identifier.Label(fmt.Sprintf("l%d", rnd.Intn(9))))
+		a.Running = append(a.Running, identifier.Grant(rnd.Intn(3)))
+		a.Ended = append(a.Ended, End{identifier.Grant(1 + rnd.Intn(9)), task(), []string{Well, Defect, Stopped, Lapsed}[rnd.Intn(4)], ""})
 	}
 	if a.Agent = rnd.Intn(4) > 0; !a.Agent {
 		return a
 	}
-	a.Cores, a.Milli, a.GPUs, a.Pool, a.Addr, a.Silent = rnd.Int63n(2), rnd.Int63n(3), rnd.Int63n(2), some(), some(), ids.Span(rnd.Intn(2))
+	a.Cores, a.Milli, a.GPUs, a.Pool, a.Addr, a.Silent = rnd.Int63n(2), rnd.Int63n(3), rnd.Int63n(2), some(), some(), identifier.Span(rnd.Intn(2))
 	a.Left, a.Dead = rnd.Intn(3) == 0, rnd.Intn(3) == 0
 	for i := rnd.Intn(5); i > 0; i-- {
-		a.Active = append(a.Active, RunState{task(), uint64(rnd.Intn(3)), some(), rnd.Int63n(100), ids.Span(rnd.Intn(2) * 700), rnd.Int63n(2) * 9})
+		a.Active = append(a.Active, RunState{task(), uint64(rnd.Intn(3)), some(), rnd.Int63n(100), identifier.Span(rnd.Intn(2) * 700), rnd.Int63n(2) * 9})
 		a.Finished = append(a.Finished, RunEnd{1 + uint64(rnd.Intn(9)), task(), uint64(rnd.Intn(3)), []string{Well, Defect, Stopped, Lapsed, Broken, Alone, Refused}[rnd.Intn(7)], some()})
 		a.Gone = append(a.Gone, RunStop{task(), uint64(rnd.Intn(3))})
 	}
@@ -99,7 +99,7 @@
 	rnd := rand.New(rand.NewSource(1))
 	sound, taken := 0, 0
 	both := func(text string, must bool) {
-		var f doc.Faults
+		var f jsondoc.Faults
 		slow, quick := readSlowly([]byte(text), &f), scan([]byte(text))
 		if !f.Any() {
 			sound++
@@ -115,7 +115,7 @@
 			t.Fatalf("%s\nquick %+v\nslow  %+v", text, quick, slow)
 		}
 		taken++
-		var g doc.Faults
+		var g jsondoc.Faults
 		if a := Read([]byte(text), &g); !reflect.DeepEqual(a, slow) || g.Any() {
 			t.Fatalf("Read differs: %s", text)
 		}
@@ -156,12 +156,12 @@
 		{`"left":true`, `"left":true,"left":true`},
 		{`"left":false`, `"left":0`},
 	} {
-		var f, g doc.Faults
+		var f, g jsondoc.Faults
 		a, b := Read([]byte(base+c.in+"}"), &f), readSlowly([]byte(base+c.in+"}"), &g)
 		if f.Any() || g.Any() || scan([]byte(base+c.in+"}")) == nil || !reflect.DeepEqual(a, b) {
 			t.Errorf("%.40s: %v %v", c.in, f.List, g.List)
 		}
-		f, g = doc.Faults{}, doc.Faults{}
+		f, g = jsondoc.Faults{}, jsondoc.Faults{}
 		Read([]byte(base+c.past+"}"), &f)
 		readSlowly([]byte(base+c.past+"}"), &g)
 		if !f.Any() || !reflect.DeepEqual(f, g) {
@@ -173,16 +173,16 @@
 func BenchmarkRead(b *testing.B) {
 	a := Ask{Inc: "i", Seq: 1, Mem: 1, Domain: "d", Rack: "r", Mode: Active, Agent: true, Milli: 4000, Pool: "x", Addr: "a:1"}
 	for i := range 14 {
-		a.Active = append(a.Active, RunState{Task: ids.Ref{Job: ids.Key(fmt.Sprintf("q/%016x.0", i)), Num: i}, Run: 1, Percent: 50, Still: 40, Speed: 9})
+		a.Active = append(a.Active, RunState{Task: identifier.Ref{Job: identifier.Key(fmt.Sprintf("q/%016x.0", i)), Num: i}, Run: 1, Percent: 50, Still: 40, Speed: 9})
 	}
 	text, err := json.Marshal(a)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for name, read := range map[string]func([]byte, *doc.Faults) *Ask{"read": Read, "slowly": readSlowly} {
+	for name, read := range map[string]func([]byte, *jsondoc.Faults) *Ask{"read": Read, "slowly": readSlowly} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				if read(text, &doc.Faults{}) == nil {
+				if read(text, &jsondoc.Faults{}) == nil {
 					b.Fatal("not read")
 				}
 			}
--- a/raft/changes_test.go
+++ b/internal/consensus/raft/changes_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 const (
@@ -22,18 +22,18 @@
 	t     *testing.T
 	state []byte
 	most  int
-	loads map[ids.Index]bool
+	loads map[identifier.Index]bool
 	// weighed is what each log was like when it was last weighed.
-	weighed map[ids.Node][3]ids.Index
+	weighed map[identifier.Node][3]identifier.Index
 }
 
 func newChanges(t *testing.T, seed int64, stateBytes int) (c *changes) {
 	g := weather(seed)
 	g.disk, g.size, g.want, g.most, g.hostsMost = 2, changeBytes, 3, 6, 6
-	c = &changes{group: g, t: t, state: bytes.Repeat([]byte("s"), stateBytes), loads: map[ids.Index]bool{}, weighed: map[ids.Node][3]ids.Index{}}
+	c = &changes{group: g, t: t, state: bytes.Repeat([]byte("s"), stateBytes), loads: map[identifier.Index]bool{}, weighed: map[identifier.Node][3]identifier.Index{}}
 	list := []Member{}
 	for i := 1; i <= 3; i++ {
-		list = append(list, Member{ID: ids.Node(i), Addr: fmt.Sprint(i), Voter: true})
+		list = append(list, Member{ID: identifier.Node(i), Addr: fmt.Sprint(i), Voter: true})
 	}
 	for range list {
 		g.begin(g.add(list, 1))
@@ -76,7 +76,7 @@
 			c.loads[p.load.Index] = true
 		}
 	}
-	extent := [3]ids.Index{h.r.log.base, h.r.commit, h.r.log.last()}
+	extent := [3]identifier.Index{h.r.log.base, h.r.commit, h.r.log.last()}
 	if c.weighed[h.id] == extent {
 		return
 	}
@@ -224,7 +224,7 @@
 func TestLateLoad(t *testing.T) {
 	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	m := Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Commit: 1}
-	for i := ids.Index(2); i <= 100; i++ {
+	for i := identifier.Index(2); i <= 100; i++ {
 		m.Entries = append(m.Entries, Entry{Index: i, Term: 3, Kind: Command})
 	}
 	r.Step(m, 10, 0)
@@ -252,8 +252,8 @@
 	entry := Entry{Index: 2, Term: 3, Kind: Command, Data: []byte("x")}
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []Entry{entry}, Stamp: 1}, 10, 0)
 	write := r.Take().Write
-	last := ids.Mono(0)
-	for now := ids.Mono(200); now < 3600_000; now += 200 {
+	last := identifier.Mono(0)
+	for now := identifier.Mono(200); now < 3600_000; now += 200 {
 		last = now
 		r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 2, LogTerm: 3, Stamp: now}, now, 0)
 		r.Take()
--- a/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -9,13 +9,13 @@
 	"sync"
 	"testing"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // host is one member with its disk: what was synced outlives a crash, what was
 // not is gone.
 type host struct {
-	id    ids.Node
+	id    identifier.Node
 	r     *Raft
 	up    bool
 	born  int64
@@ -25,12 +25,12 @@
 	list  []Entry
 	todo  Backlog
 	draft *Snapshot
-	at    ids.Index
-	seen  map[ids.Index]string
+	at    identifier.Index
+	seen  map[identifier.Index]string
 	gone  bool
 	// acked is the last index it acknowledged, and in which term.
-	acked     ids.Index
-	ackedTerm ids.Term
+	acked     identifier.Index
+	ackedTerm identifier.Term
 	// asleep is until when its process stands still.
 	asleep int64
 	// sum is a checksum over all that was applied; snapshots carry it.
@@ -72,11 +72,11 @@
 	now   int64
 	hosts []*host
 	air   []flightMsg
-	cuts  map[[2]ids.Node]bool
+	cuts  map[[2]identifier.Node]bool
 	// leads is who led each term, done what is committed at each index.
-	leads  map[ids.Term]ids.Node
-	done   map[ids.Index]string
-	top    ids.Index
+	leads  map[identifier.Term]identifier.Node
+	done   map[identifier.Index]string
+	top    identifier.Index
 	count  int
 	seats  int
 	failed string
@@ -112,9 +112,9 @@
 	timing Timing
 	prompt bool
 	// decided is the newest term in which a leader has committed.
-	decided ids.Term
+	decided identifier.Term
 	// sums are the checksums of the state at each index.
-	sums map[ids.Index]uint64
+	sums map[identifier.Index]uint64
 }
 
 func (g *group) in(ms int64, do func()) { g.later[g.now+1+ms] = append(g.later[g.now+1+ms], do) }
@@ -211,19 +211,19 @@
 	}
 }
 
-func (g *group) mono(h *host) (m ids.Mono) {
-	return ids.Mono(float64(g.now-h.born) * (1 + h.drift))
+func (g *group) mono(h *host) (m identifier.Mono) {
+	return identifier.Mono(float64(g.now-h.born) * (1 + h.drift))
 }
 
-func (g *group) add(members []Member, at ids.Index) (h *host) {
-	h = &host{id: ids.Node(len(g.hosts) + 1), drift: float64(g.rnd.Intn(2*g.drift+1)-g.drift) / 10000, view: &Snapshot{Index: at, Term: ids.Term(at), Members: members}}
+func (g *group) add(members []Member, at identifier.Index) (h *host) {
+	h = &host{id: identifier.Node(len(g.hosts) + 1), drift: float64(g.rnd.Intn(2*g.drift+1)-g.drift) / 10000, view: &Snapshot{Index: at, Term: identifier.Term(at), Members: members}}
 	g.hosts = append(g.hosts, h)
 	return h
 }
 
 func (g *group) begin(h *host) {
 	h.up, h.born, h.asleep, h.todo, h.draft, h.at = true, g.now, 0, Backlog{}, nil, h.view.Index
-	h.seen = map[ids.Index]string{}
+	h.seen = map[identifier.Index]string{}
 	h.restore(h.view)
 	h.r = New(h.id, g.timing, g.rnd.Int63(), 0, h.hard, h.view, append([]Entry(nil), h.list...))
 	if g.tail != nil {
@@ -286,7 +286,7 @@
 			g.air = append(g.air, flightMsg{g.now + 1, m})
 			continue
 		}
-		if !g.cuts[[2]ids.Node{m.From, m.To}] && g.rnd.Intn(100) >= 2 {
+		if !g.cuts[[2]identifier.Node{m.From, m.To}] && g.rnd.Intn(100) >= 2 {
 			g.air = append(g.air, flightMsg{g.now + 1 + g.rnd.Int63n(30), m})
 			if g.rnd.Intn(50) == 0 {
 				g.air = append(g.air, flightMsg{g.now + 1 + g.rnd.Int63n(g.lateMs), m})
@@ -423,7 +423,7 @@
 	}
 	g.air = kept
 	for _, m := range due {
-		if h := g.hosts[m.To-1]; h.up && !g.cuts[[2]ids.Node{m.From, m.To}] {
+		if h := g.hosts[m.To-1]; h.up && !g.cuts[[2]identifier.Node{m.From, m.To}] {
 			h.r.Step(m, g.mono(h), 0)
 			g.out(h)
 		}
@@ -475,9 +475,9 @@
 	case n < 30 && !h.up && !h.gone:
 		g.begin(h)
 	case n < 50 && h != other:
-		g.cuts[[2]ids.Node{h.id, other.id}] = true
+		g.cuts[[2]identifier.Node{h.id, other.id}] = true
 	case n < 62:
-		g.cuts = map[[2]ids.Node]bool{}
+		g.cuts = map[[2]identifier.Node]bool{}
 	case n < 72 && h.up && h.at > h.r.SnapshotIndex()+20:
 		h.r.Compact(h.at, h.state())
 		g.out(h)
@@ -496,7 +496,7 @@
 		if k := g.head(); k != nil {
 			for _, one := range g.hosts {
 				if one != k {
-					g.cuts[[2]ids.Node{k.id, one.id}], g.cuts[[2]ids.Node{one.id, k.id}] = true, true
+					g.cuts[[2]identifier.Node{k.id, one.id}], g.cuts[[2]identifier.Node{one.id, k.id}] = true, true
 				}
 			}
 		}
@@ -524,7 +524,7 @@
 	if k == nil {
 		return
 	}
-	list, voters, learner := []Member{}, 0, ids.Node(0)
+	list, voters, learner := []Member{}, 0, identifier.Node(0)
 	for _, m := range k.r.Members() {
 		if m.Voter {
 			voters++
@@ -646,8 +646,8 @@
 }
 
 func weather(seed int64) (g *group) {
-	return &group{rnd: rand.New(rand.NewSource(seed)), cuts: map[[2]ids.Node]bool{}, leads: map[ids.Term]ids.Node{}, done: map[ids.Index]string{},
-		disk: []int{2, 6, 25}[seed%3], size: []int{4, 50 << 10}[seed/3%2], mild: []int{2, 4, 8, 16}[seed%4], later: map[int64][]func(){}, proposeEvery: 40, drift: 20, lateMs: 900, timing: Usual(), sums: map[ids.Index]uint64{}}
+	return &group{rnd: rand.New(rand.NewSource(seed)), cuts: map[[2]identifier.Node]bool{}, leads: map[identifier.Term]identifier.Node{}, done: map[identifier.Index]string{},
+		disk: []int{2, 6, 25}[seed%3], size: []int{4, 50 << 10}[seed/3%2], mild: []int{2, 4, 8, 16}[seed%4], later: map[int64][]func(){}, proposeEvery: 40, drift: 20, lateMs: 900, timing: Usual(), sums: map[identifier.Index]uint64{}}
 }
 
 // lagMs is how far behind a member of a mended group may be, in ms of proposals.
@@ -657,13 +657,13 @@
 func (g *group) found(voters int) {
 	list := []Member{}
 	for i := 1; i <= voters; i++ {
-		list = append(list, Member{ID: ids.Node(i), Addr: fmt.Sprint(i), Voter: true})
+		list = append(list, Member{ID: identifier.Node(i), Addr: fmt.Sprint(i), Voter: true})
 	}
 	for len(list) < g.most && g.pairs {
-		list = append(list, Member{ID: ids.Node(len(list) + 1), Addr: fmt.Sprint(len(list) + 1)})
+		list = append(list, Member{ID: identifier.Node(len(list) + 1), Addr: fmt.Sprint(len(list) + 1)})
 	}
 	for _, m := range list {
-		at := ids.Index(0)
+		at := identifier.Index(0)
 		if m.Voter {
 			at = 1
 		}
@@ -677,7 +677,7 @@
 	for g.now < 20000 && g.failed == "" {
 		g.step(true)
 	}
-	g.cuts = map[[2]ids.Node]bool{}
+	g.cuts = map[[2]identifier.Node]bool{}
 	for _, h := range g.hosts {
 		if !h.up && !h.gone {
 			g.begin(h)
@@ -693,7 +693,7 @@
 		return
 	}
 	for _, m := range k.r.Members() {
-		if h := g.hosts[m.ID-1]; !h.gone && h.at+ids.Index(lagMs/g.proposeEvery) < g.top {
+		if h := g.hosts[m.ID-1]; !h.gone && h.at+identifier.Index(lagMs/g.proposeEvery) < g.top {
 			g.fail("member %d is at %d, the group at %d", m.ID, h.at, g.top)
 		}
 	}
--- a/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -4,14 +4,14 @@
 package raft
 
 import (
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 func (r *Raft) campaign(kind Kind, force bool) {
 	r.heard = r.now
 	r.resetElectionWait()
 	r.lead = 0
-	r.votes = map[ids.Node]bool{}
+	r.votes = map[identifier.Node]bool{}
 	term := r.hard.Term + 1
 	if kind == RequestPreVote {
 		r.role = PreCandidate
@@ -36,7 +36,7 @@
 	r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: r.seq + 1, own: true, msg: Message{Term: term}})
 }
 
-func (r *Raft) countVote(from ids.Node) {
+func (r *Raft) countVote(from identifier.Node) {
 	r.votes[from] = true
 	n := 0
 	for id := range r.votes {
@@ -58,7 +58,7 @@
 	r.role, r.lead = Leader, r.id
 	r.basis = r.log.lastTerm()
 	r.meeting()
-	r.peers = map[ids.Node]*peer{}
+	r.peers = map[identifier.Node]*peer{}
 	r.addPeers()
 	r.beat, r.ledSince = r.now, r.now
 	r.first = r.append(Blank, nil)
@@ -67,7 +67,7 @@
 	}
 }
 
-func (r *Raft) becomeFollower(term ids.Term, lead ids.Node) {
+func (r *Raft) becomeFollower(term identifier.Term, lead identifier.Node) {
 	if term > r.hard.Term {
 		r.setHard(HardState{Term: term})
 	}
@@ -80,7 +80,7 @@
 // TransferLeadership gives leadership to the member that has most of the log. The leader
 // stands down at once: it must not act on a lease it has let another break.
 func (r *Raft) TransferLeadership() (ok bool) {
-	best := ids.Node(0)
+	best := identifier.Node(0)
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
 		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.heard) > r.tm.Elect {
@@ -117,7 +117,9 @@
 	return true
 }
 
-func (r *Raft) resetElectionWait() { r.wait = r.tm.Elect + ids.Span(r.rnd.Int63n(int64(r.tm.Elect))) }
+func (r *Raft) resetElectionWait() {
+	r.wait = r.tm.Elect + identifier.Span(r.rnd.Int63n(int64(r.tm.Elect)))
+}
 
 func (r *Raft) setHard(h HardState) {
 	r.hard = h
--- a/raft/lease.go
+++ b/internal/consensus/raft/lease.go
@@ -5,17 +5,17 @@
 import (
 	"sort"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Leased tells whether this leader may still act alone: a quorum answered
 // something it sent less than a lease ago, and no other can have been elected.
-func (r *Raft) Leased(now ids.Mono) (ok bool) {
+func (r *Raft) Leased(now identifier.Mono) (ok bool) {
 	return r.role == Leader && now.Since(r.quorumAck(now)) < r.tm.Lease
 }
 
-func (r *Raft) quorumAck(now ids.Mono) (at ids.Mono) {
-	list := []ids.Mono{}
+func (r *Raft) quorumAck(now identifier.Mono) (at identifier.Mono) {
+	list := []identifier.Mono{}
 	for _, m := range r.Members() {
 		switch {
 		case !m.Voter:
--- a/raft/lease_test.go
+++ b/internal/consensus/raft/lease_test.go
@@ -4,12 +4,12 @@
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // acknowledging is member 1 of three, which follows leader 2 of term 3
 // and has just acknowledged a message of its.
-func acknowledging(now ids.Mono) (r *Raft) {
+func acknowledging(now identifier.Mono) (r *Raft) {
 	r = New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Stamp: 77}, now, 0)
 	r.Take()
@@ -36,7 +36,7 @@
 // renew the lease, since the stamp in it is of another life's clock.
 func TestOldMessageRenewsNoLease(t *testing.T) {
 	leader := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	deliver := func(r *Raft, m Message, now ids.Mono) (out []Message) {
+	deliver := func(r *Raft, m Message, now identifier.Mono) (out []Message) {
 		r.Step(m, now, 0)
 		for o := r.Take(); o.Write != nil || len(o.Msgs) > 0; o = r.Take() {
 			out = append(out, o.Msgs...)
@@ -46,7 +46,7 @@
 		}
 		return out
 	}
-	now := ids.Mono(0)
+	now := identifier.Mono(0)
 	for leader.Role() != PreCandidate {
 		now += 100
 		leader.Tick(now, 0)
@@ -57,7 +57,7 @@
 		t.Fatalf("role %d", leader.Role())
 	}
 	follower := New(2, Usual(), 1, 0, HardState{Term: 4}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	for _, stamp := range []ids.Mono{1_000_000, now + 1} {
+	for _, stamp := range []identifier.Mono{1_000_000, now + 1} {
 		for _, m := range deliver(follower, Message{Kind: AppendEntries, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 1, Stamp: stamp}, 4000) {
 			deliver(leader, m, now+100)
 		}
@@ -129,7 +129,7 @@
 // members whose clocks run the other way, parted at some moment after a beat,
 // while a change of the members is logged by as many as spread members.
 type parting struct {
-	elect                ids.Span
+	elect                identifier.Span
 	voters               int
 	slow                 bool
 	part, change, spread int
@@ -150,11 +150,11 @@
 	e = &eager{group: g}
 	list := []Member{}
 	for i := 1; i <= p.voters; i++ {
-		list = append(list, Member{ID: ids.Node(i), Voter: true})
+		list = append(list, Member{ID: identifier.Node(i), Voter: true})
 	}
-	learner := Member{ID: ids.Node(p.voters + 1)}
+	learner := Member{ID: identifier.Node(p.voters + 1)}
 	for _, m := range append(list, learner) {
-		h := g.add(append(list, learner), ids.Index(1))
+		h := g.add(append(list, learner), identifier.Index(1))
 		h.drift = 0.02
 		if (m.ID == 1) == p.slow {
 			h.drift = -0.02
@@ -194,7 +194,7 @@
 	e.pass(2 * int64(p.elect))
 	leader := e.hosts[0]
 	if p.early {
-		e.cuts[[2]ids.Node{1, ids.Node(p.voters)}] = true
+		e.cuts[[2]identifier.Node{1, identifier.Node(p.voters)}] = true
 		e.pass(int64(p.elect) * 3 / 2)
 	}
 	for leader.r.now != leader.r.beat {
@@ -228,8 +228,8 @@
 		list = append(list[:p.voters-1], list[p.voters:]...)
 	}
 	for i := range e.hosts {
-		if to := ids.Node(i + 1); i > p.spread {
-			e.cuts[[2]ids.Node{1, to}] = true
+		if to := identifier.Node(i + 1); i > p.spread {
+			e.cuts[[2]identifier.Node{1, to}] = true
 		}
 	}
 	if !leader.r.ProposeMembers(list) {
@@ -243,10 +243,10 @@
 func (e *eager) part(p parting, leader *host) {
 	for _, h := range e.hosts[1:] {
 		if p.part == partBoth || p.part == partMute {
-			e.cuts[[2]ids.Node{1, h.id}] = true
+			e.cuts[[2]identifier.Node{1, h.id}] = true
 		}
 		if p.part == partBoth || p.part == partDeaf {
-			e.cuts[[2]ids.Node{h.id, 1}] = true
+			e.cuts[[2]identifier.Node{h.id, 1}] = true
 		}
 	}
 	if p.part == partAsleep {
@@ -259,7 +259,7 @@
 // and changes of the members under way: whoever follows commits only after the
 // lease has ended. The least time between the two is the margin.
 func TestLeaseEndsFirst(t *testing.T) {
-	for _, elect := range []ids.Span{250, 1000} {
+	for _, elect := range []identifier.Span{250, 1000} {
 		for _, voters := range []int{3, 5} {
 			t.Run(fmt.Sprintf("%d voters at %d ms", voters, elect), func(t *testing.T) {
 				t.Parallel()
@@ -286,7 +286,7 @@
 
 // partings lists the cases of one pace and size; two voters that bear no loss
 // are left out, since keepers never go there.
-func partings(elect ids.Span, voters int) (list []parting) {
+func partings(elect identifier.Span, voters int) (list []parting) {
 	offsets := []int64{0, 10, 20, 30, 40, 50}
 	if elect == 1000 {
 		offsets = []int64{120}
--- a/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -3,7 +3,7 @@
 
 package raft
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // entryOverhead is what an entry weighs besides its data.
 const entryOverhead = 32
@@ -13,7 +13,7 @@
 // an older snapshot needs all entries after that one: for its sake the tail may
 // grow up to loadingBytes, whatever the number of entries.
 type tailLimit struct {
-	entries      ids.Index
+	entries      identifier.Index
 	bytes        int
 	loadingBytes int
 }
@@ -21,8 +21,8 @@
 var defaultTail = tailLimit{entries: 4096, bytes: 8 << 20, loadingBytes: 16 << 20}
 
 type log struct {
-	base     ids.Index
-	baseTerm ids.Term
+	base     identifier.Index
+	baseTerm identifier.Term
 	list     []Entry
 	view     *Snapshot
 }
@@ -30,9 +30,9 @@
 // size is what an entry weighs in memory, in a message and on disk.
 func (e Entry) size() (bytes int) { return len(e.Data) + entryOverhead }
 
-func (l *log) last() (i ids.Index) { return l.base + ids.Index(len(l.list)) }
+func (l *log) last() (i identifier.Index) { return l.base + identifier.Index(len(l.list)) }
 
-func (l *log) term(i ids.Index) (t ids.Term, ok bool) {
+func (l *log) term(i identifier.Index) (t identifier.Term, ok bool) {
 	switch {
 	case i == l.base:
 		return l.baseTerm, true
@@ -42,13 +42,13 @@
 	return l.list[i-l.base-1].Term, true
 }
 
-func (l *log) lastTerm() (t ids.Term) {
+func (l *log) lastTerm() (t identifier.Term) {
 	t, _ = l.term(l.last())
 	return t
 }
 
 // from returns entries beginning at i, up to some bytes but at least one.
-func (l *log) from(i ids.Index, bytes int) (out []Entry) {
+func (l *log) from(i identifier.Index, bytes int) (out []Entry) {
 	if i <= l.base || i > l.last() {
 		return nil
 	}
@@ -63,19 +63,19 @@
 }
 
 // bytes is what the entries from one to another weigh, as far as they are here.
-func (l *log) bytes(from, to ids.Index) (n int) {
+func (l *log) bytes(from, to identifier.Index) (n int) {
 	for i := max(from, l.base+1); i <= min(to, l.last()); i++ {
 		n += l.list[i-l.base-1].size()
 	}
 	return n
 }
 
-func (l *log) cut(from ids.Index) { l.list = l.list[:from-l.base-1] }
+func (l *log) cut(from identifier.Index) { l.list = l.list[:from-l.base-1] }
 
 // retainFrom is the index behind which entries may be dropped: the tail up to
 // the snapshot is within the limit. Oldest is the oldest snapshot that is being
 // loaded, or the newest one when none is.
-func (l *log) retainFrom(limit tailLimit, oldest ids.Index) (keep ids.Index) {
+func (l *log) retainFrom(limit tailLimit, oldest identifier.Index) (keep identifier.Index) {
 	bytes := 0
 	for keep = l.view.Index; keep > l.base; keep-- {
 		bytes += l.list[keep-l.base-1].size()
@@ -90,7 +90,7 @@
 
 // dropTo drops the entries up to and with keep, which must not be past the
 // snapshot.
-func (l *log) dropTo(keep ids.Index) {
+func (l *log) dropTo(keep identifier.Index) {
 	term, ok := l.term(keep)
 	if !ok || keep <= l.base {
 		return
--- a/raft/membership.go
+++ b/internal/consensus/raft/membership.go
@@ -6,7 +6,7 @@
 import (
 	"encoding/json"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 func (r *Raft) learnConfiguration(e Entry) {
@@ -24,7 +24,7 @@
 func (r *Raft) Members() (list []Member) { return r.configurations[len(r.configurations)-1].members }
 
 // Member finds a member, voter or learner, in the member list in force.
-func (r *Raft) Member(id ids.Node) (m Member, ok bool) {
+func (r *Raft) Member(id identifier.Node) (m Member, ok bool) {
 	for _, m := range r.Members() {
 		if m.ID == id {
 			return m, true
@@ -33,7 +33,7 @@
 	return m, false
 }
 
-func (r *Raft) voter(id ids.Node) (ok bool) {
+func (r *Raft) voter(id identifier.Node) (ok bool) {
 	m, ok := r.Member(id)
 	return ok && m.Voter
 }
--- a/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -4,24 +4,24 @@
 
 package raft
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 type peer struct {
-	next  ids.Index
-	match ids.Index
-	ack   ids.Mono
-	heard ids.Mono
-	wall  ids.Wall
-	at    ids.Mono
-	met   ids.Term
-	site  ids.Millis
-	from  ids.Term
+	next  identifier.Index
+	match identifier.Index
+	ack   identifier.Mono
+	heard identifier.Mono
+	wall  identifier.Wall
+	at    identifier.Mono
+	met   identifier.Term
+	site  identifier.Millis
+	from  identifier.Term
 	probe bool
 	out   bool
-	prev  ids.Index
+	prev  identifier.Index
 	load  *Snapshot
 	off   int64
-	sent  ids.Mono
+	sent  identifier.Mono
 	level uint16
 	// leaving is a member that has said that it stops soon.
 	leaving bool
@@ -30,7 +30,7 @@
 // hear takes what any answer of the peer says of it. Only an answer to what was
 // sent in this leadership renews the lease: a stamp from before may be of a
 // former life of this process, whose clock was another.
-func (p *peer) hear(m Message, rose, now ids.Mono) {
+func (p *peer) hear(m Message, rose, now identifier.Mono) {
 	if m.Stamp >= rose && m.Stamp <= now {
 		p.ack = max(p.ack, m.Stamp)
 	}
--- a/raft/progress_test.go
+++ b/internal/consensus/raft/progress_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 const (
@@ -67,7 +67,7 @@
 
 // staleReturns has two members be away for long; in the moment they are back,
 // two of those that know more are lost. It tells what was committed then.
-func (g *group) staleReturns() (top ids.Index) {
+func (g *group) staleReturns() (top identifier.Index) {
 	stale := g.voting(2)
 	for _, h := range stale {
 		g.crash(h)
--- a/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -6,7 +6,7 @@
 import (
 	"math/rand"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Role is the part that a member plays in its current term.
@@ -33,10 +33,10 @@
 )
 
 // never is a time before all others.
-const never ids.Mono = -1 << 40
+const never identifier.Mono = -1 << 40
 
 type configuration struct {
-	index   ids.Index
+	index   identifier.Index
 	members []Member
 }
 
@@ -51,46 +51,46 @@
 // finished writes, and collects the results with Take. It is not safe for
 // concurrent use.
 type Raft struct {
-	id    ids.Node
+	id    identifier.Node
 	tm    Timing
 	rnd   *rand.Rand
-	start ids.Mono
-	now   ids.Mono
-	wall  ids.Wall
+	start identifier.Mono
+	now   identifier.Mono
+	wall  identifier.Wall
 
 	hard           HardState
 	role           Role
-	lead           ids.Node
+	lead           identifier.Node
 	log            log
 	tail           tailLimit
 	configurations []configuration
-	commit         ids.Index
-	taken          ids.Index
+	commit         identifier.Index
+	taken          identifier.Index
 
-	heard ids.Mono
+	heard identifier.Mono
 	// followed is when a leader was last heard, of whatever term.
-	followed      ids.Mono
-	wait          ids.Span
-	votes         map[ids.Node]bool
-	peers         map[ids.Node]*peer
-	beat          ids.Mono
-	ledSince      ids.Mono
-	met           ids.Term
-	site          ids.Millis
-	from          ids.Term
-	basis         ids.Term
-	first         ids.Index
+	followed      identifier.Mono
+	wait          identifier.Span
+	votes         map[identifier.Node]bool
+	peers         map[identifier.Node]*peer
+	beat          identifier.Mono
+	ledSince      identifier.Mono
+	met           identifier.Term
+	site          identifier.Millis
+	from          identifier.Term
+	basis         identifier.Term
+	first         identifier.Index
 	receiving     *Snapshot
-	receivingFrom ids.Node
+	receivingFrom identifier.Node
 	level         uint16
-	truncatedFrom ids.Index
+	truncatedFrom identifier.Index
 	// leaving says that this member is about to stop for good or for a while.
 	leaving bool
 
 	seq             uint64
 	done            uint64
 	hardSeq         uint64
-	synced          ids.Index
+	synced          identifier.Index
 	inFlight        []flight
 	pendingMessages []pendingMessage
 	write           Write
@@ -100,13 +100,13 @@
 // flight is a write handed out and not yet synced.
 type flight struct {
 	seq  uint64
-	last ids.Index
-	at   ids.Mono
+	last identifier.Index
+	at   identifier.Mono
 }
 
 // New starts from what the disk gave: the hard state, the last view (nil for a
 // founding log, whose members are given), and the entries after it.
-func New(id ids.Node, tm Timing, seed int64, now ids.Mono, hard HardState, view *Snapshot, list []Entry) (r *Raft) {
+func New(id identifier.Node, tm Timing, seed int64, now identifier.Mono, hard HardState, view *Snapshot, list []Entry) (r *Raft) {
 	r = &Raft{id: id, tm: tm, rnd: rand.New(rand.NewSource(seed)), start: now, now: now, hard: hard, heard: now, followed: never, tail: defaultTail}
 	r.log = log{base: view.Index, baseTerm: view.Term, view: view, list: list}
 	r.commit, r.taken = view.Index, view.Index
@@ -124,49 +124,49 @@
 
 // Lead is the leader of the current term as far as this member knows, 0 for
 // none.
-func (r *Raft) Lead() (id ids.Node) { return r.lead }
+func (r *Raft) Lead() (id identifier.Node) { return r.lead }
 
 // Term is the current term. It may not have been synced to disk yet.
-func (r *Raft) Term() (t ids.Term) { return r.hard.Term }
+func (r *Raft) Term() (t identifier.Term) { return r.hard.Term }
 
 // Commit is the highest index known to be committed.
-func (r *Raft) Commit() (i ids.Index) { return r.commit }
+func (r *Raft) Commit() (i identifier.Index) { return r.commit }
 
 // Last is the index of the last entry in the log, committed or not.
-func (r *Raft) Last() (i ids.Index) { return r.log.last() }
+func (r *Raft) Last() (i identifier.Index) { return r.log.last() }
 
 // SetLevel sets the level this member says it knows.
 func (r *Raft) SetLevel(level uint16) { r.level = level }
 
 // Truncated tells the lowest index whose entry another has replaced since it was
 // last asked; 0 for none.
-func (r *Raft) Truncated() (i ids.Index) {
+func (r *Raft) Truncated() (i identifier.Index) {
 	i, r.truncatedFrom = r.truncatedFrom, 0
 	return i
 }
 
 // Basis is the term of the last entry this leader found in its log: only a
 // site time carried on from that term counts beside its own.
-func (r *Raft) Basis() (t ids.Term) { return r.basis }
+func (r *Raft) Basis() (t identifier.Term) { return r.basis }
 
 // Carry takes the site time this keeper would go on from, and the term of the
 // entry it has it from.
-func (r *Raft) Carry(site ids.Millis, from ids.Term) { r.site, r.from = site, from }
+func (r *Raft) Carry(site identifier.Millis, from identifier.Term) { r.site, r.from = site, from }
 
 // Met is the first term in which this process knew a leader, 0 before that.
-func (r *Raft) Met() (t ids.Term) { return r.met }
+func (r *Raft) Met() (t identifier.Term) { return r.met }
 
 // SnapshotIndex is the index that the newest snapshot covers.
-func (r *Raft) SnapshotIndex() (i ids.Index) { return r.log.view.Index }
+func (r *Raft) SnapshotIndex() (i identifier.Index) { return r.log.view.Index }
 
 // First is the index of the blank entry a leader opens its term with: once
 // that is applied the leader's state holds all that was ever acknowledged.
-func (r *Raft) First() (i ids.Index) { return r.first }
+func (r *Raft) First() (i identifier.Index) { return r.first }
 
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
 // down when no quorum has answered it for two election timeouts; any other voter
 // starts a pre-vote once its election timeout has passed without a leader.
-func (r *Raft) Tick(now ids.Mono, wall ids.Wall) {
+func (r *Raft) Tick(now identifier.Mono, wall identifier.Wall) {
 	r.now, r.wall = now, wall
 	if r.role == Leader {
 		r.tickLeader()
--- a/raft/raft_test.go
+++ b/internal/consensus/raft/raft_test.go
@@ -3,19 +3,19 @@
 import (
 	"testing"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 func trio() (list []Member) {
 	for i := 1; i <= 3; i++ {
-		list = append(list, Member{ID: ids.Node(i), Voter: true})
+		list = append(list, Member{ID: identifier.Node(i), Voter: true})
 	}
 	return list
 }
 
 // votes tells how an ask for a vote at this moment is answered, once all that
 // was written is on disk.
-func votes(r *Raft, term ids.Term, now ids.Mono) (yes bool) {
+func votes(r *Raft, term identifier.Term, now identifier.Mono) (yes bool) {
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9}, now, 0)
 	o := r.Take()
 	msgs := o.Msgs
@@ -51,7 +51,7 @@
 			r.Synced(o.Write.Seq)
 		}
 	}
-	now := ids.Mono(0)
+	now := identifier.Mono(0)
 	for r.Role() != PreCandidate {
 		now += 100
 		r.Tick(now, 0)
@@ -77,9 +77,9 @@
 // earlier ones, and a view alone.
 func TestBacklog(t *testing.T) {
 	var b Backlog
-	e := func(list ...ids.Index) (out []Entry) {
+	e := func(list ...identifier.Index) (out []Entry) {
 		for _, i := range list {
-			out = append(out, Entry{Index: i, Term: ids.Term(b.Len() + 1), Data: []byte("12345678")})
+			out = append(out, Entry{Index: i, Term: identifier.Term(b.Len() + 1), Data: []byte("12345678")})
 		}
 		return out
 	}
--- a/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -6,10 +6,10 @@
 import (
 	"sort"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
-func (r *Raft) append(kind EntryKind, data []byte) (i ids.Index) {
+func (r *Raft) append(kind EntryKind, data []byte) (i identifier.Index) {
 	e := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: kind, Data: data}
 	r.log.list = append(r.log.list, e)
 	r.write.Entries = append(r.write.Entries, e)
@@ -18,7 +18,7 @@
 }
 
 // Propose logs a command; it is decided once Commit hands it out again.
-func (r *Raft) Propose(data []byte) (i ids.Index, ok bool) {
+func (r *Raft) Propose(data []byte) (i identifier.Index, ok bool) {
 	if r.role != Leader {
 		return 0, false
 	}
@@ -37,7 +37,7 @@
 	}
 }
 
-func (r *Raft) replicateTo(to ids.Node, beat bool) {
+func (r *Raft) replicateTo(to identifier.Node, beat bool) {
 	p := r.peers[to]
 	if p == nil {
 		return
@@ -61,12 +61,12 @@
 	if len(m.Entries) == 0 && !beat {
 		return
 	}
-	p.next += ids.Index(len(m.Entries))
+	p.next += identifier.Index(len(m.Entries))
 	p.prev, p.out = prev, true
 	r.send(m)
 }
 
-func (r *Raft) sendSnapshot(to ids.Node, p *peer, beat bool) {
+func (r *Raft) sendSnapshot(to identifier.Node, p *peer, beat bool) {
 	if p.load == nil || p.load != r.log.view && r.silent(p) {
 		p.load, p.off, p.sent = r.log.view, 0, 0
 	}
@@ -84,7 +84,7 @@
 }
 
 func (r *Raft) advanceCommit() {
-	list := []ids.Index{}
+	list := []identifier.Index{}
 	for _, m := range r.Members() {
 		switch {
 		case !m.Voter:
@@ -112,7 +112,7 @@
 
 // oldestLoad is the index of the oldest snapshot that a live follower is being
 // sent, or that of the newest snapshot when none is.
-func (r *Raft) oldestLoad() (oldest ids.Index) {
+func (r *Raft) oldestLoad() (oldest identifier.Index) {
 	oldest = r.log.view.Index
 	for _, p := range r.peers {
 		if p.load != nil && !r.silent(p) {
@@ -127,7 +127,7 @@
 func (r *Raft) silent(p *peer) (yes bool) { return r.now.Since(p.heard) > 2*r.tm.Elect }
 
 // Compact takes a view of the state at an applied index.
-func (r *Raft) Compact(index ids.Index, data []byte) {
+func (r *Raft) Compact(index identifier.Index, data []byte) {
 	t, ok := r.log.term(index)
 	if !ok || index <= r.log.view.Index {
 		return
--- a/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -2,13 +2,13 @@
 
 package raft
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // Step passes in one message from another member. Messages to another member or
 // of an older term change nothing; a stale leader is told of the newer term. A
 // message of a newer term makes this member a follower in it, except that a vote
 // request is ignored while a leader may still hold its lease.
-func (r *Raft) Step(m Message, now ids.Mono, wall ids.Wall) {
+func (r *Raft) Step(m Message, now identifier.Mono, wall identifier.Wall) {
 	r.now, r.wall = now, wall
 	if m.To != r.id {
 		return
@@ -37,7 +37,7 @@
 		return
 	}
 	if m.Term > r.hard.Term {
-		lead := ids.Node(0)
+		lead := identifier.Node(0)
 		if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
 			lead = m.From
 		}
@@ -130,7 +130,7 @@
 func (r *Raft) handleAppend(m Message) {
 	if m.Index < r.log.base {
 		skip := r.log.base - m.Index
-		if ids.Index(len(m.Entries)) < skip {
+		if identifier.Index(len(m.Entries)) < skip {
 			r.acknowledge(m, r.log.base)
 			return
 		}
@@ -141,7 +141,7 @@
 		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, No: true, Index: m.Index, Hint: max(hint, r.commit), Stamp: m.Stamp})
 		return
 	}
-	match := m.Index + ids.Index(len(m.Entries))
+	match := m.Index + identifier.Index(len(m.Entries))
 	for i, e := range m.Entries {
 		t, ok := r.log.term(e.Index)
 		if ok && t == e.Term {
@@ -162,7 +162,7 @@
 }
 
 // truncate drops a tail that another leader's log contradicts.
-func (r *Raft) truncate(from ids.Index) {
+func (r *Raft) truncate(from identifier.Index) {
 	if from <= r.commit {
 		panic("raft: a committed entry would be cut")
 	}
@@ -188,7 +188,7 @@
 
 // acknowledge acknowledges at once what is on disk already, so that a slow disk
 // never looks like a lost link, and the rest when it is synced.
-func (r *Raft) acknowledge(m Message, match ids.Index) {
+func (r *Raft) acknowledge(m Message, match identifier.Index) {
 	now := min(match, r.synced)
 	back := Message{Kind: AppendReply, To: m.From, Index: now, Stamp: m.Stamp}
 	if r.hardSeq > r.done {
@@ -298,13 +298,13 @@
 // MemberStatus is what the leader can tell of one member.
 type MemberStatus struct {
 	Member
-	Match ids.Index
-	Quiet ids.Span
-	Wall  ids.Wall
-	At    ids.Mono
-	Met   ids.Term
-	Site  ids.Millis
-	From  ids.Term
+	Match identifier.Index
+	Quiet identifier.Span
+	Wall  identifier.Wall
+	At    identifier.Mono
+	Met   identifier.Term
+	Site  identifier.Millis
+	From  identifier.Term
 	Level uint16
 	// Leaving is a member that has said that it stops soon.
 	Leaving bool
--- a/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -3,16 +3,16 @@
 package raft
 
 import (
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Member is one keeper of the group. A learner receives the log and does not
 // count towards any quorum.
 type Member struct {
-	ID     ids.Node   `json:"id"`
-	Addr   string     `json:"addr"`
-	Domain ids.Domain `json:"domain"`
-	Voter  bool       `json:"voter"`
+	ID     identifier.Node   `json:"id"`
+	Addr   string            `json:"addr"`
+	Domain identifier.Domain `json:"domain"`
+	Voter  bool              `json:"voter"`
 }
 
 // EntryKind says what an entry of the log carries.
@@ -31,8 +31,8 @@
 // Entry is one position of the replicated log. Index and Term together identify
 // it: two logs that share them are equal up to and including that entry.
 type Entry struct {
-	Index ids.Index
-	Term  ids.Term
+	Index identifier.Index
+	Term  identifier.Term
 	Kind  EntryKind
 	Data  []byte
 }
@@ -73,20 +73,20 @@
 // Leaving says that the sender stops soon.
 type Message struct {
 	Kind    Kind
-	From    ids.Node
-	To      ids.Node
-	Term    ids.Term
-	Index   ids.Index
-	LogTerm ids.Term
-	Commit  ids.Index
+	From    identifier.Node
+	To      identifier.Node
+	Term    identifier.Term
+	Index   identifier.Index
+	LogTerm identifier.Term
+	Commit  identifier.Index
 	Entries []Entry
 	No      bool
 	Force   bool
-	Hint    ids.Index
-	Stamp   ids.Mono
-	Wall    ids.Wall
-	Met     ids.Term
-	Site    ids.Millis
+	Hint    identifier.Index
+	Stamp   identifier.Mono
+	Wall    identifier.Wall
+	Met     identifier.Term
+	Site    identifier.Millis
 	Level   uint16
 	Leaving bool
 	View    *Snapshot
@@ -96,16 +96,16 @@
 
 // Snapshot is the state up to and with Index, by which older entries may go.
 type Snapshot struct {
-	Index   ids.Index
-	Term    ids.Term
+	Index   identifier.Index
+	Term    identifier.Term
 	Members []Member
 	Data    []byte
 }
 
 // HardState is what must be on disk before it is acted on.
 type HardState struct {
-	Term ids.Term
-	Vote ids.Node
+	Term identifier.Term
+	Vote identifier.Node
 }
 
 // Write goes to the disk as one batch. Entries replace whatever is kept from
@@ -134,15 +134,15 @@
 // Timing in spans of the monotonic clock. Lease is shorter than Elect, the
 // least a follower waits, by what clocks may drift in that time.
 type Timing struct {
-	Beat  ids.Span
-	Elect ids.Span
-	Lease ids.Span
+	Beat  identifier.Span
+	Elect identifier.Span
+	Lease identifier.Span
 }
 
 // Usual is the timing with an election timeout of one second.
 func Usual() (t Timing) { return Paced(1000) }
 
 // Paced is the timing for a least election wait, in milliseconds.
-func Paced(elect ids.Span) (t Timing) {
+func Paced(elect identifier.Span) (t Timing) {
 	return Timing{Beat: elect / 5, Elect: elect, Lease: elect * 4 / 5}
 }
--- a/wal/chores.go
+++ b/internal/consensus/wal/chores.go
@@ -5,7 +5,7 @@
 
 package wal
 
-import "orchidward/raft"
+import "orchidward/internal/consensus/raft"
 
 // Chore is one thing for the disk: exactly one of the pointers is set.
 type Chore struct {
--- a/wal/draft.go
+++ b/internal/consensus/wal/draft.go
@@ -7,7 +7,7 @@
 import (
 	"github.com/go-faster/errors"
 
-	"orchidward/raft"
+	"orchidward/internal/consensus/raft"
 )
 
 // sliceBytes is how much of a draft goes down between entries.
--- a/wal/fill_test.go
+++ b/internal/consensus/wal/fill_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // TestRingNeverFillsUnderADraft: large changes come as fast as the disk takes
@@ -27,7 +27,7 @@
 			}
 			state, data := bytes.Repeat([]byte("s"), stateMB<<20), bytes.Repeat([]byte("c"), changeBytes)
 			var c Chores
-			last, since, drafts := ids.Index(1), 0, 0
+			last, since, drafts := identifier.Index(1), 0, 0
 			for last < 160 {
 				for c.Bytes() < 2<<20 {
 					last++
--- a/wal/former_test.go
+++ b/internal/consensus/wal/former_test.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"testing"
 
-	"orchidward/raft"
-	"orchidward/state"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/state"
 )
 
 // former reads a data folder as the first version left it.
--- a/wal/powerloss_test.go
+++ b/internal/consensus/wal/powerloss_test.go
@@ -8,8 +8,8 @@
 	"slices"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // inode is a file's content: what is synced, and the changes that are not. A
@@ -230,16 +230,16 @@
 	named   bool
 	founded bool
 	hard    []raft.HardState
-	last    ids.Index
-	asked   ids.Index
-	view    ids.Index
+	last    identifier.Index
+	asked   identifier.Index
+	view    identifier.Index
 	crashes int
 	doing   string
 }
 
 var smallShape = Shape{Files: 4, Bytes: 4096}
 
-const folderOwner ids.Node = 77
+const folderOwner identifier.Node = 77
 
 func newHistory(t *testing.T) (h *history) {
 	h = &history{t: t, disk: newFragile(), hard: []raft.HardState{{}}}
@@ -269,7 +269,7 @@
 		}
 		return
 	}
-	last := found.View.Index + ids.Index(len(found.List))
+	last := found.View.Index + identifier.Index(len(found.List))
 	if found.View.Index < h.view || last < h.last || last > h.asked {
 		h.t.Fatalf("%s: view %d of %d, entries to %d, acknowledged %d, asked %d", h.doing, found.View.Index, h.view, last, h.last, h.asked)
 	}
@@ -285,7 +285,7 @@
 }
 
 // goOn writes on in what a power loss left, and reads it back.
-func (h *history) goOn(d *Folder, r *Ring, kept Shape, last ids.Index) {
+func (h *history) goOn(d *Folder, r *Ring, kept Shape, last identifier.Index) {
 	if r.Full() >= 75 {
 		return
 	}
@@ -297,7 +297,7 @@
 	if err != nil {
 		h.t.Fatalf("%s: after going on: %v", h.doing, err)
 	}
-	if end := found.View.Index + ids.Index(len(found.List)); end != last+1 || found.Hard != hard {
+	if end := found.View.Index + identifier.Index(len(found.List)); end != last+1 || found.Hard != hard {
 		h.t.Fatalf("%s: went on to %d, reads to %d, hard state %v", h.doing, last+1, end, found.Hard)
 	}
 }
@@ -323,12 +323,12 @@
 	h.founded, h.last, h.view = true, 1, 1
 }
 
-func powerView(at ids.Index) (v *raft.Snapshot) {
+func powerView(at identifier.Index) (v *raft.Snapshot) {
 	return &raft.Snapshot{Index: at, Term: 1, Members: []raft.Member{{ID: folderOwner, Voter: true}}, Data: bytes.Repeat([]byte("v"), 300)}
 }
 
 // save has entries written, with a new term, and a view when at is not 0.
-func (h *history) save(entries int, term ids.Term, at ids.Index) {
+func (h *history) save(entries int, term identifier.Term, at identifier.Index) {
 	w := raft.Write{}
 	if at > 0 {
 		w.View = powerView(at)
@@ -352,7 +352,7 @@
 }
 
 // draft writes a view in slices, with entries saved between them.
-func (h *history) draft(at ids.Index) {
+func (h *history) draft(at identifier.Index) {
 	d := NewDraft(powerView(at))
 	d.view.Data = bytes.Repeat([]byte("d"), sliceBytes+100)
 	for over := false; !over; {
@@ -375,9 +375,9 @@
 	h := newHistory(t)
 	h.found()
 	for n := 0; n < 240; n++ {
-		term := ids.Term(0)
+		term := identifier.Term(0)
 		if n%7 == 0 {
-			term = ids.Term(n + 1)
+			term = identifier.Term(n + 1)
 		}
 		h.save(1+n%5*4, term, 0)
 		switch {
--- a/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -6,8 +6,8 @@
 import (
 	"encoding/binary"
 	"hash/crc32"
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 
 	"github.com/go-faster/errors"
 )
@@ -73,15 +73,15 @@
 	if len(buf) < 20 {
 		return h, nil, errBody
 	}
-	h.Term = ids.Term(binary.LittleEndian.Uint64(buf))
-	h.Vote = ids.Node(binary.LittleEndian.Uint64(buf[8:]))
+	h.Term = identifier.Term(binary.LittleEndian.Uint64(buf))
+	h.Vote = identifier.Node(binary.LittleEndian.Uint64(buf[8:]))
 	n := int(binary.LittleEndian.Uint32(buf[16:]))
 	buf = buf[20:]
 	for ; n > 0; n-- {
 		if len(buf) < 21 {
 			return h, nil, errBody
 		}
-		e := raft.Entry{Index: ids.Index(binary.LittleEndian.Uint64(buf)), Term: ids.Term(binary.LittleEndian.Uint64(buf[8:])), Kind: raft.EntryKind(buf[16])}
+		e := raft.Entry{Index: identifier.Index(binary.LittleEndian.Uint64(buf)), Term: identifier.Term(binary.LittleEndian.Uint64(buf[8:])), Kind: raft.EntryKind(buf[16])}
 		size := int(binary.LittleEndian.Uint32(buf[17:]))
 		buf = buf[21:]
 		if size > len(buf) {
--- a/wal/ring.go
+++ b/internal/consensus/wal/ring.go
@@ -9,8 +9,8 @@
 	"fmt"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 
 	"github.com/go-faster/errors"
 )
@@ -31,10 +31,10 @@
 	seq   uint64
 	at    int
 	off   int
-	high  []ids.Index
+	high  []identifier.Index
 	hard  raft.HardState
-	view  ids.Index
-	Who   ids.Node
+	view  identifier.Index
+	Who   identifier.Node
 }
 
 // Found is what the disk held.
@@ -61,7 +61,7 @@
 func fileName(i int) (name string) { return fmt.Sprintf("ring-%02d", i) }
 
 // Identity reads the folder's identity, or gives it the one offered.
-func Identity(d Disk, offer ids.Node, shape Shape) (who ids.Node, kept Shape, err error) {
+func Identity(d Disk, offer identifier.Node, shape Shape) (who identifier.Node, kept Shape, err error) {
 	data, err := d.Read(whoName)
 	if err != nil {
 		return 0, shape, errors.Wrap(err, "identity")
@@ -80,7 +80,7 @@
 	if err = json.Unmarshal(data, &p); err != nil {
 		return 0, shape, errors.Wrap(err, "identity file is damaged")
 	}
-	who, ok := ids.ParseNode(p.Who)
+	who, ok := identifier.ParseNode(p.Who)
 	if !ok || p.Files < 2 || p.Bytes < 4096 {
 		return 0, shape, errors.New("identity file is damaged")
 	}
@@ -89,7 +89,7 @@
 
 // Start lays out a new ring with the founding view.
 func Start(d Disk, shape Shape, v *raft.Snapshot) (r *Ring, err error) {
-	r = &Ring{disk: d, shape: shape, high: make([]ids.Index, shape.Files), seq: 1}
+	r = &Ring{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), seq: 1}
 	for i := 0; i < shape.Files; i++ {
 		if err = d.Make(fileName(i), shape.Bytes); err != nil {
 			return nil, errors.Wrap(err, "ring")
@@ -111,7 +111,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r = &Ring{disk: d, shape: shape, high: make([]ids.Index, shape.Files), view: v.Index}
+	r = &Ring{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), view: v.Index}
 	found = &Found{View: v}
 	files := make([][]byte, shape.Files)
 	for i := range files {
@@ -223,7 +223,7 @@
 	}
 	at := int(e.Index - base - 1)
 	if at > len(f.List) {
-		return errors.Errorf("ring: entry %d is missing", base+ids.Index(len(f.List))+1)
+		return errors.Errorf("ring: entry %d is missing", base+identifier.Index(len(f.List))+1)
 	}
 	f.List = append(f.List[:at], e)
 	return nil
--- a/wal/ring_test.go
+++ b/internal/consensus/wal/ring_test.go
@@ -5,8 +5,8 @@
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // memory is a disk that can be read and damaged at will.
@@ -48,8 +48,8 @@
 	return m, r
 }
 
-func entry(i int, term ids.Term) (e raft.Entry) {
-	return raft.Entry{Index: ids.Index(i), Term: term, Kind: raft.Command, Data: []byte(fmt.Sprintf("entry %d of term %d", i, term))}
+func entry(i int, term identifier.Term) (e raft.Entry) {
+	return raft.Entry{Index: identifier.Index(i), Term: term, Kind: raft.Command, Data: []byte(fmt.Sprintf("entry %d of term %d", i, term))}
 }
 
 func save(t *testing.T, r *Ring, w raft.Write) {
@@ -82,12 +82,12 @@
 			w.Entries = append(w.Entries, entry(at, 3))
 		}
 		if r.Full() >= 50 {
-			w.View = &raft.Snapshot{Index: ids.Index(at - 6), Term: 3, Data: []byte("view")}
+			w.View = &raft.Snapshot{Index: identifier.Index(at - 6), Term: 3, Data: []byte("view")}
 		}
 		save(t, r, w)
 		_, f := reopen(t, m)
-		last := f.View.Index + ids.Index(len(f.List))
-		if f.Hard != hard || last != ids.Index(at) || f.Cut {
+		last := f.View.Index + identifier.Index(len(f.List))
+		if f.Hard != hard || last != identifier.Index(at) || f.Cut {
 			t.Fatalf("batch %d: hard %v, last entry %d of %d, cut %v", n, f.Hard, last, at, f.Cut)
 		}
 		for i, e := range f.List {
@@ -204,7 +204,7 @@
 		}
 		save(t, r, raft.Write{Entries: []raft.Entry{entry(21+slices, 1)}})
 		_, f := reopen(t, m)
-		want, last := ids.Index(1), 21+slices
+		want, last := identifier.Index(1), 21+slices
 		if over {
 			want = 15
 		}
@@ -234,7 +234,7 @@
 func TestChores(t *testing.T) {
 	m, r := start(t)
 	var c Chores
-	view := func(i ids.Index) (v *raft.Snapshot) {
+	view := func(i identifier.Index) (v *raft.Snapshot) {
 		return &raft.Snapshot{Index: i, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 2*sliceBytes)}
 	}
 	write := func(i int) (w []*raft.Write) {
@@ -248,7 +248,7 @@
 		if x == nil || c.Next() != nil {
 			t.Fatal("not one thing at a time")
 		}
-		c.Add(nil, write(i), view(ids.Index(i-1)))
+		c.Add(nil, write(i), view(identifier.Index(i-1)))
 		if _, err := x.Do(m, shape, r); err != nil {
 			t.Fatal(err)
 		}
--- a/wal/view.go
+++ b/internal/consensus/wal/view.go
@@ -6,8 +6,8 @@
 	"encoding/binary"
 	"encoding/json"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 
 	"github.com/go-faster/errors"
 )
@@ -37,7 +37,7 @@
 	if !ok || len(body) < 20 {
 		return nil, errors.New("view file is damaged")
 	}
-	v = &raft.Snapshot{Index: ids.Index(binary.LittleEndian.Uint64(body)), Term: ids.Term(binary.LittleEndian.Uint64(body[8:]))}
+	v = &raft.Snapshot{Index: identifier.Index(binary.LittleEndian.Uint64(body)), Term: identifier.Term(binary.LittleEndian.Uint64(body[8:]))}
 	n := int(binary.LittleEndian.Uint32(body[16:]))
 	if n > len(body)-20 {
 		return nil, errors.New("view file is damaged")
--- a/controlplane/agents.go
+++ b/internal/controlplane/agents.go
@@ -8,29 +8,29 @@
 	"math"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/poll"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/state"
 )
 
 // agentSide is what the leader keeps of a runner that an agent speaks for.
 type agentSide struct {
 	// runs is what the last poll said of runs that the book knows, list the same
 	// in the poll's order.
-	runs   map[ids.Grant]*held
+	runs   map[identifier.Grant]*held
 	list   []*held
 	ends   []seenEnd
-	stray  []poll.RunStop
-	halted map[poll.RunStop]bool
+	stray  []runnerapi.RunStop
+	halted map[runnerapi.RunStop]bool
 	told   uint64
 	// rate is how fast work goes here, in thousandths of what its estimates
 	// say; ill is until when nothing is placed here.
 	rate  int64
-	rated ids.Mono
-	ill   ids.Mono
+	rated identifier.Mono
+	ill   identifier.Mono
 	// doubt is until when no run of the last poll can have stood still for
 	// too long.
-	doubt ids.Mono
+	doubt identifier.Mono
 	// old is the last progress of what ran on the former life of the runner.
 	old []state.Save
 }
@@ -38,8 +38,8 @@
 // held is a run as agents name it, with the last progress told. seq is the
 // last poll that told of it.
 type held struct {
-	id    ids.Grant
-	stop  poll.RunStop
+	id    identifier.Grant
+	stop  runnerapi.RunStop
 	saved string
 	pace  *pace
 	seq   uint64
@@ -48,8 +48,8 @@
 // seenEnd is an end the runner tells of; Grant is 0 for one nobody waits for.
 type seenEnd struct {
 	n     uint64
-	grant ids.Grant
-	ref   ids.Ref
+	grant identifier.Grant
+	ref   identifier.Ref
 }
 
 // turned is what is carried over to the contact with a new life of a runner.
@@ -61,7 +61,7 @@
 }
 
 func newAgentSide(old []state.Save) (a *agentSide) {
-	return &agentSide{old: old, runs: map[ids.Grant]*held{}, halted: map[poll.RunStop]bool{}, rate: 1000}
+	return &agentSide{old: old, runs: map[identifier.Grant]*held{}, halted: map[runnerapi.RunStop]bool{}, rate: 1000}
 }
 
 // saves lists the progress last told of what still counts as running.
@@ -70,7 +70,7 @@
 		return nil
 	}
 	list = c.agent.old
-	ordered := []ids.Grant{}
+	ordered := []identifier.Grant{}
 	for id := range c.agent.runs {
 		ordered = append(ordered, id)
 	}
@@ -84,7 +84,7 @@
 }
 
 // agentSays takes an agent's poll into the terms of the book.
-func (m *Machine) agentSays(name ids.Runner, c *contact, p *poll.Ask) {
+func (m *Machine) agentSays(name identifier.Runner, c *contact, p *runnerapi.Ask) {
 	a := c.agent
 	if a == nil {
 		a = newAgentSide(nil)
@@ -98,7 +98,7 @@
 	was, next := a.list, 0
 	a.list = make([]*held, 0, len(p.Active))
 	for _, one := range p.Active {
-		stop := poll.RunStop{Task: one.Task, Run: one.Run}
+		stop := runnerapi.RunStop{Task: one.Task, Run: one.Run}
 		var h *held
 		if h, next = m.again(name, p.Inc, was, next, stop); h == nil {
 			id, _, ok := m.book.Resolve(name, p.Inc, one.Task, one.Run)
@@ -127,14 +127,14 @@
 		if !ok {
 			id = 0
 		} else {
-			p.Ended = append(p.Ended, poll.End{Grant: id, Task: ref, How: one.How, Saved: one.Saved})
+			p.Ended = append(p.Ended, runnerapi.End{Grant: id, Task: ref, How: one.How, Saved: one.Saved})
 		}
 		a.ends = append(a.ends, seenEnd{one.N, id, ref})
 	}
 	sort.Slice(a.ends, func(i, j int) bool { return a.ends[i].n < a.ends[j].n })
 	for _, one := range p.Gone {
 		if id, ref, ok := m.book.Resolve(name, p.Inc, one.Task, one.Run); ok {
-			p.Ended = append(p.Ended, poll.End{Grant: id, Task: ref, How: poll.Stopped})
+			p.Ended = append(p.Ended, runnerapi.End{Grant: id, Task: ref, How: runnerapi.Stopped})
 		}
 	}
 }
@@ -145,7 +145,7 @@
 // again finds a run among those of the poll before, which mostly come in the
 // same order, at or after next. It holds as long as its grant is open: a
 // task's grant is the open one.
-func (m *Machine) again(name ids.Runner, inc ids.Inc, was []*held, next int, stop poll.RunStop) (h *held, at int) {
+func (m *Machine) again(name identifier.Runner, inc identifier.Inc, was []*held, next int, stop runnerapi.RunStop) (h *held, at int) {
 	for i := next; i < len(was) && i < next+ahead; i++ {
 		if was[i].stop != stop {
 			continue
@@ -160,7 +160,7 @@
 
 // present tells whether the runner itself is there to be reported on. One that
 // has said farewell is counted lost at once.
-func (m *Machine) present(name ids.Runner, c *contact, p *poll.Ask) (yes bool) {
+func (m *Machine) present(name identifier.Runner, c *contact, p *runnerapi.Ask) (yes bool) {
 	if c.agent == nil {
 		return true
 	}
@@ -175,7 +175,7 @@
 }
 
 // observed is the number up to which every end is on record.
-func (m *Machine) observed(name ids.Runner, c *contact) (n uint64) {
+func (m *Machine) observed(name identifier.Runner, c *contact) (n uint64) {
 	n = c.agent.told
 	for _, e := range c.agent.ends {
 		if e.grant != 0 && m.book.Hears(name, c.inc, e.grant, e.ref) {
@@ -188,15 +188,15 @@
 
 // answerAgent answers an agent's open poll if there is something to tell that
 // it was not told, or the poll has been open for long enough.
-func (m *Machine) answerAgent(name ids.Runner, c *contact, a *poll.Answer, hold ids.Span) {
+func (m *Machine) answerAgent(name identifier.Runner, c *contact, a *runnerapi.Answer, hold identifier.Span) {
 	s := c.agent
 	fresh := len(a.Starts) > 0
 	for _, id := range a.Stops {
-		stop := poll.RunStop{}
+		stop := runnerapi.RunStop{}
 		if h := s.runs[id]; h != nil {
 			stop = h.stop
 		} else if g := m.book.Grants[id]; g != nil {
-			stop = poll.RunStop{Task: m.book.Named(g.Ref), Run: g.No}
+			stop = runnerapi.RunStop{Task: m.book.Named(g.Ref), Run: g.No}
 		}
 		a.Halts = append(a.Halts, stop)
 	}
@@ -224,7 +224,7 @@
 }
 
 // fill adds what a start bears from its job.
-func (m *Machine) fill(s *poll.Start) {
+func (m *Machine) fill(s *runnerapi.Start) {
 	if j := m.book.Jobs[s.Task.Job]; j != nil {
 		s.Text, s.Saved = j.Spec.Text, j.Task(s.Task).Saved
 		s.Task = m.book.Named(s.Task)
--- a/controlplane/agents_test.go
+++ b/internal/controlplane/agents_test.go
@@ -7,21 +7,21 @@
 	"strings"
 	"testing"
 
-	"orchidward/agent"
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 // site is one keeper that leads alone, agents, and a stand-in runner beside
 // each, in virtual time: what the leader and the agents owe their runners.
 type site struct {
 	t      *testing.T
-	now    ids.Mono
+	now    identifier.Mono
 	keep   *controlplane.Machine
 	posts  []post
 	hands  []*hand
@@ -36,7 +36,7 @@
 
 // post is a message under way.
 type post struct {
-	at   ids.Mono
+	at   identifier.Mono
 	to   string
 	from string
 	msg  wire.Msg
@@ -49,27 +49,27 @@
 	inc   int
 	seq   uint64
 	room  job.Demand
-	next  ids.Mono
+	next  identifier.Mono
 	runs  []*running
-	ends  []poll.RunEnd
+	ends  []runnerapi.RunEnd
 	n     uint64
 	drain bool
 	// dead is a runner that has crashed; mute one that loses what it is answered.
 	// hung holds all its work still; cut keeps its agent from the core; frozen
 	// is until when the runner does nothing.
 	dead, mute, hung, cut bool
-	frozen                ids.Mono
-	hold                  ids.Span
+	frozen                identifier.Mono
+	hold                  identifier.Span
 	// slow is how many times as long all work takes.
-	slow  ids.Mono
-	until ids.Mono
+	slow  identifier.Mono
+	until identifier.Mono
 	saves bool
 }
 
 type running struct {
-	poll.Start
-	at, end ids.Mono
-	stop    ids.Mono
+	runnerapi.Start
+	at, end identifier.Mono
+	stop    identifier.Mono
 	bad     bool
 }
 
@@ -92,7 +92,7 @@
 }
 
 func (s *site) agent(h *hand) (m *agent.Machine) {
-	return agent.New(agent.Boot{Name: ids.Runner(h.name), Addr: h.name, Domain: "a", Seeds: []string{"k"}, Seed: int64(s.now) * 1000, HoldMost: 6000, HoldUsual: h.hold, Pace: 100}, s.now)
+	return agent.New(agent.Boot{Name: identifier.Runner(h.name), Addr: h.name, Domain: "a", Seeds: []string{"k"}, Seed: int64(s.now) * 1000, HoldMost: 6000, HoldUsual: h.hold, Pace: 100}, s.now)
 }
 
 // request asks the keeper and waits for its answer.
@@ -127,7 +127,7 @@
 }
 
 // run lets time pass.
-func (s *site) run(ms ids.Mono) {
+func (s *site) run(ms identifier.Mono) {
 	for end := s.now + ms; s.now < end; s.now++ {
 		later := []post{}
 		for len(s.posts) > 0 {
@@ -143,7 +143,7 @@
 		}
 		s.posts = later
 		if s.now%20 == 0 {
-			s.keep.Tick(s.now, ids.Wall(1_800_000_000_000+int64(s.now)))
+			s.keep.Tick(s.now, identifier.Wall(1_800_000_000_000+int64(s.now)))
 			s.out()
 			s.named()
 			for _, h := range s.hands {
@@ -176,7 +176,7 @@
 	}
 	switch {
 	case p.to == "k":
-		s.keep.Frame(wire.Peer(p.from), p.msg, s.now, ids.Wall(1_800_000_000_000+int64(s.now)))
+		s.keep.Frame(wire.Peer(p.from), p.msg, s.now, identifier.Wall(1_800_000_000_000+int64(s.now)))
 		s.out()
 	case p.to == "op":
 		if p.msg.Reply != nil {
@@ -197,10 +197,10 @@
 		o := s.keep.Take()
 		more = false
 		for _, x := range o.Sends {
-			s.posts = append(s.posts, post{s.now + 1 + ids.Mono(s.rnd.Intn(3)), string(x.To), "k", x.Msg})
+			s.posts = append(s.posts, post{s.now + 1 + identifier.Mono(s.rnd.Intn(3)), string(x.To), "k", x.Msg})
 		}
 		for _, w := range o.Writes {
-			s.keep.Synced(w.Seq, s.now, ids.Wall(1_800_000_000_000+int64(s.now)))
+			s.keep.Synced(w.Seq, s.now, identifier.Wall(1_800_000_000_000+int64(s.now)))
 			more = true
 		}
 	}
@@ -208,12 +208,12 @@
 
 func (s *site) sends(h *hand) {
 	for _, x := range h.mach.Take().Sends {
-		s.posts = append(s.posts, post{s.now + 1 + ids.Mono(s.rnd.Intn(3)), string(x.To), h.name, x.Msg})
+		s.posts = append(s.posts, post{s.now + 1 + identifier.Mono(s.rnd.Intn(3)), string(x.To), h.name, x.Msg})
 	}
 }
 
 // timed is a task's name as runners know it, which always tells the time.
-func timed(r ids.Ref) (out ids.Ref) {
+func timed(r identifier.Ref) (out identifier.Ref) {
 	if !strings.Contains(string(r.Job), ".") {
 		r.Job += ".0"
 	}
@@ -234,26 +234,26 @@
 		how := ""
 		switch {
 		case s.now > h.until:
-			how = poll.Lapsed
+			how = runnerapi.Lapsed
 		case r.stop > 0 && s.now >= r.stop:
-			how = poll.Stopped
+			how = runnerapi.Stopped
 		case h.hung:
 		case s.now >= r.end && r.bad:
-			how = poll.Defect
+			how = runnerapi.Defect
 		case s.now >= r.end:
-			how = poll.Well
+			how = runnerapi.Well
 		}
 		if how == "" {
 			kept = append(kept, r)
 			continue
 		}
 		ended = true
-		if how == poll.Lapsed {
+		if how == runnerapi.Lapsed {
 			s.lapses++
 		}
 		h.n++
-		e := poll.RunEnd{N: h.n, Task: r.Task, Run: r.No, How: how}
-		if h.saves && how != poll.Well {
+		e := runnerapi.RunEnd{N: h.n, Task: r.Task, Run: r.No, How: how}
+		if h.saves && how != runnerapi.Well {
 			e.Saved = fmt.Sprintf("%d", s.now-r.at)
 		}
 		h.ends = append(h.ends, e)
@@ -270,18 +270,18 @@
 
 func (s *site) beat(h *hand) {
 	h.seq++
-	b := agent.Beat{Runner: ids.Inc(fmt.Sprintf("%s-%d", h.name, h.inc)), Seq: h.seq, Pool: "x", Domain: "a", Rack: "r1", Cap: h.room, Draining: h.drain, Departs: 60000}
+	b := agent.Beat{Runner: identifier.Inc(fmt.Sprintf("%s-%d", h.name, h.inc)), Seq: h.seq, Pool: "x", Domain: "a", Rack: "r1", Cap: h.room, Draining: h.drain, Departs: 60000}
 	for _, r := range h.runs {
 		far := 100 - int64(r.end-s.now)*100/int64(r.Run)
 		if h.hung {
 			far = 0
 		}
-		b.Active = append(b.Active, poll.RunState{Task: r.Task, Run: r.No, Percent: far})
+		b.Active = append(b.Active, runnerapi.RunState{Task: r.Task, Run: r.No, Percent: far})
 	}
 	b.Finished = append(b.Finished, h.ends...)
 	o := h.mach.Beat(b, s.now)
 	s.sends(h)
-	h.next = s.now + ids.Mono(o.Retry)
+	h.next = s.now + identifier.Mono(o.Retry)
 	if h.mute {
 		return
 	}
@@ -294,7 +294,7 @@
 			left = append(left, e)
 			continue
 		}
-		s.done[fmt.Sprint(e.Task)] = s.done[fmt.Sprint(e.Task)] || e.How == poll.Well
+		s.done[fmt.Sprint(e.Task)] = s.done[fmt.Sprint(e.Task)] || e.How == runnerapi.Well
 	}
 	h.ends = left
 	for _, x := range o.Stop {
@@ -312,7 +312,7 @@
 }
 
 // start judges an order as the users would.
-func (s *site) start(h *hand, x poll.Start) {
+func (s *site) start(h *hand, x runnerapi.Start) {
 	used := x.Demand
 	for _, r := range h.runs {
 		used = used.Plus(r.Demand)
@@ -338,7 +338,7 @@
 		s.t.Errorf("%d: DRAIN: %s began on %s", s.now, name, h.name)
 	}
 	s.starts[name]++
-	h.runs = append(h.runs, &running{Start: x, at: s.now, end: s.now + ids.Mono(x.Run)})
+	h.runs = append(h.runs, &running{Start: x, at: s.now, end: s.now + identifier.Mono(x.Run)})
 }
 
 func (s *site) submit(id string, tasks int, span int) {
@@ -354,7 +354,7 @@
 		for i := 0; i < 30; i++ {
 			id := fmt.Sprintf("%016x", i)
 			s.submit(id, 1+s.rnd.Intn(8), 200+s.rnd.Intn(900))
-			s.run(ids.Mono(s.rnd.Intn(250)))
+			s.run(identifier.Mono(s.rnd.Intn(250)))
 			if s.rnd.Intn(2) == 0 {
 				s.must("DELETE", "/v1/jobs/q/"+id, "")
 			}
@@ -392,7 +392,7 @@
 		s.submit("00000000000000b1", 8, 30000)
 		s.run(2000)
 		s.hands[0].frozen = s.now + 5000
-		s.run(4900 + ids.Mono(s.rnd.Intn(100)))
+		s.run(4900 + identifier.Mono(s.rnd.Intn(100)))
 		s.run(90)
 		s.hands[0].cut = true
 		s.run(14000)
@@ -448,7 +448,7 @@
 		}
 		s.run(8000)
 		s.submit("00000000000000d1", 8, 5000)
-		s.run(1000 + ids.Mono(s.rnd.Intn(300)))
+		s.run(1000 + identifier.Mono(s.rnd.Intn(300)))
 		if s.rnd.Intn(2) == 0 {
 			s.hands[0].dead = true
 		} else {
@@ -490,7 +490,7 @@
 		s := newSite(t, seed, 2)
 		for i := 0; i < 6; i++ {
 			s.submit(fmt.Sprintf("%016x", i), 6, 400)
-			s.run(ids.Mono(s.rnd.Intn(200)))
+			s.run(identifier.Mono(s.rnd.Intn(200)))
 			if i == 3 {
 				s.hands[0].drain = true
 				s.beat(s.hands[0])
--- a/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -7,10 +7,10 @@
 	"fmt"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 func (m *Machine) apply(e raft.Entry) {
@@ -43,7 +43,7 @@
 	m.trackRouting()
 	m.sums.put(e.Index, m.book.Sum)
 	m.logged(c, res)
-	m.book.Cool(func(n ids.Runner) {
+	m.book.Cool(func(n identifier.Runner) {
 		if m.lead != nil {
 			m.lead.hot[n] = true
 		}
@@ -67,7 +67,7 @@
 }
 
 // waiting lists the proposals under way in the order they were made.
-func (m *Machine) waiting() (list []ids.Index) {
+func (m *Machine) waiting() (list []identifier.Index) {
 	for i := range m.waits {
 		list = append(list, i)
 	}
@@ -75,7 +75,7 @@
 	return list
 }
 
-func (m *Machine) drop(i ids.Index) {
+func (m *Machine) drop(i identifier.Index) {
 	if m.waits[i].table {
 		m.tables--
 	}
--- a/controlplane/ask.go
+++ b/internal/controlplane/ask.go
@@ -8,15 +8,15 @@
 	"slices"
 	"strings"
 
-	"orchidward/catalog"
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/table"
-	"orchidward/wire"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 func (m *Machine) ask(from wire.Peer, a *wire.Ask) {
@@ -126,19 +126,19 @@
 	case kind == "jobs" && n == 2 && a.Verb == "GET":
 		m.listJobs(c)
 	case kind == "states" && n == 4 && a.Verb == "GET":
-		m.showState(c, ids.MakeKey(ids.Agent(c.parts[2]), ids.JobID(c.parts[3])))
+		m.showState(c, identifier.MakeKey(identifier.Agent(c.parts[2]), identifier.JobID(c.parts[3])))
 	case kind == "fence" && n == 2 && a.Verb == "GET":
-		m.replyDoc(from, a.ID, 200, poll.Answer{Fence: uint64(m.term)})
+		m.replyDoc(from, a.ID, 200, runnerapi.Answer{Fence: uint64(m.term)})
 	case kind == "queues" && n == 3 && a.Verb == "GET":
 		m.showQueue(c, c.parts[2])
 	case kind == "catalog" && n == 2:
 		m.routeCatalog(c)
 	case kind == "jobs" && n == 4:
-		m.routeJob(c, ids.MakeKey(ids.Agent(c.parts[2]), ids.JobID(c.parts[3])))
+		m.routeJob(c, identifier.MakeKey(identifier.Agent(c.parts[2]), identifier.JobID(c.parts[3])))
 	case kind == "runners" && n == 2 && a.Verb == "GET":
 		m.replyDoc(from, a.ID, 200, m.showRunners())
 	case kind == "runners" && n == 4 && c.parts[3] == "poll" && a.Verb == "POST":
-		m.poll(from, a.ID, ids.Runner(c.parts[2]), a.Body)
+		m.poll(from, a.ID, identifier.Runner(c.parts[2]), a.Body)
 	case kind == "table" && n == 2:
 		m.routeTable(c)
 	case kind == "closings" && n == 2 && a.Verb == "GET":
@@ -169,16 +169,16 @@
 
 func (m *Machine) answer(peer wire.Peer, id uint64, res state.Result) {
 	if !res.OK() {
-		m.reply(peer, id, res.Status, doc.Trouble{Code: res.Code, Why: res.Why, Faults: res.Doc, Retry: res.Retry}.JSON(), res.Retry)
+		m.reply(peer, id, res.Status, jsondoc.Trouble{Code: res.Code, Why: res.Why, Faults: res.Doc, Retry: res.Retry}.JSON(), res.Retry)
 		return
 	}
 	m.replyDoc(peer, id, res.Status, res.Doc)
 }
 
-func (m *Machine) routeJob(c *call, key ids.Key) {
+func (m *Machine) routeJob(c *call, key identifier.Key) {
 	switch c.Verb {
 	case "PUT":
-		var f doc.Faults
+		var f jsondoc.Faults
 		s := job.Read(c.Body, &f)
 		if f.Any() {
 			m.reply(c.peer, c.ID, f.Status(), f.Bad(), 0)
@@ -213,8 +213,8 @@
 
 // changing reads a change by its verb, whole or as a patch; what can't be read
 // is answered here.
-func changing[T any](m *Machine, c *call, whole, patch func(text []byte, f *doc.Faults) *T) (ch *T, ok bool) {
-	var f doc.Faults
+func changing[T any](m *Machine, c *call, whole, patch func(text []byte, f *jsondoc.Faults) *T) (ch *T, ok bool) {
+	var f jsondoc.Faults
 	switch c.Verb {
 	case "PUT":
 		ch = whole(c.Body, &f)
@@ -253,7 +253,7 @@
 		m.reply(c.peer, c.ID, 200, m.book.Table.JSON(), 0)
 		return
 	}
-	ch, ok := changing(m, c, table.ReadWhole, table.ReadPatch)
+	ch, ok := changing(m, c, limits.ReadWhole, limits.ReadPatch)
 	switch {
 	case !ok:
 	case ch.Policies() && m.book.Level < state.PolicyLevel:
@@ -270,23 +270,23 @@
 	case "GET":
 		m.showClosing(c, name)
 	case "PUT":
-		var f doc.Faults
+		var f jsondoc.Faults
 		id, unseen := "", false
 		if len(c.Body) > 0 {
-			if o := doc.Parse(c.Body, &f); o != nil {
+			if o := jsondoc.Parse(c.Body, &f); o != nil {
 				id = o.Name("id", false)
 				unseen = o.Bool("unseen", false) && m.book.Level >= state.CatalogLevel
 				o.Done()
 			}
 		}
-		if !ids.Plain(name) {
+		if !identifier.Plain(name) {
 			f.Sense("domain", "not a name")
 		}
 		if f.Any() {
 			m.reply(c.peer, c.ID, f.Status(), f.Bad(), 0)
 			return
 		}
-		m.decide(c, &state.Command{Close: &state.Close{Domain: ids.Domain(name), ID: id, Unseen: unseen}})
+		m.decide(c, &state.Command{Close: &state.Close{Domain: identifier.Domain(name), ID: id, Unseen: unseen}})
 	case "DELETE":
 		m.decide(c, &state.Command{Reopen: &state.Reopen{Name: name}})
 	default:
@@ -302,7 +302,7 @@
 		m.refuse(c.peer, c.ID, 400, "bad-request", "join does not parse", 0)
 		return
 	}
-	id, ok := ids.ParseNode(j.ID)
+	id, ok := identifier.ParseNode(j.ID)
 	if !ok || j.Addr == "" {
 		m.refuse(c.peer, c.ID, 422, "unprocessable", "join lacks an identity or an address", 0)
 		return
--- a/controlplane/boot.go
+++ b/internal/controlplane/boot.go
@@ -3,16 +3,16 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/transport/wire"
 )
 
 // Boot is what a keeper is told at its start.
 type Boot struct {
-	ID     ids.Node
+	ID     identifier.Node
 	Addr   string
-	Domain ids.Domain
+	Domain identifier.Domain
 	Seeds  []string
 	Seed   int64
 	Timing raft.Timing
@@ -66,4 +66,4 @@
 )
 
 // Tick is how often a keeper should be ticked.
-const Tick ids.Span = tickMs
+const Tick identifier.Span = tickMs
--- a/controlplane/clock.go
+++ b/internal/controlplane/clock.go
@@ -11,12 +11,12 @@
 import (
 	"sort"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 type clock struct {
-	base ids.Millis
-	at   ids.Mono
+	base identifier.Millis
+	at   identifier.Mono
 	lean int64
 	// agreed is whether the clocks last agreed; set that they once did under
 	// this leader, after which it never steps.
@@ -33,17 +33,19 @@
 	// alike is how far apart clocks may be that are said to agree.
 	alike = 1000
 	// unset is a site time that nobody ever set: no clock reads so little.
-	unset ids.Millis = 946_684_800_000
+	unset identifier.Millis = 946_684_800_000
 )
 
-func newClock(base ids.Millis, now ids.Mono) (c clock) { return clock{base: base, at: now} }
+func newClock(base identifier.Millis, now identifier.Mono) (c clock) {
+	return clock{base: base, at: now}
+}
 
-func (c *clock) site(now ids.Mono) (at ids.Millis) { return c.base.Add(now.Since(c.at)) }
+func (c *clock) site(now identifier.Mono) (at identifier.Millis) { return c.base.Add(now.Since(c.at)) }
 
 // carried is the furthest that any voter in reach has carried site time from
 // the last leader's term: a leader that was away itself must not set it back
 // for the others, and one that slept must not carry on from before that term.
-func (m *Machine) carried() (at ids.Millis) {
+func (m *Machine) carried() (at identifier.Millis) {
 	at = max(m.book.Now, m.seen.site(m.now))
 	for _, s := range m.raft.MemberStatuses() {
 		if s.Voter && s.Site > 0 && s.From >= m.raft.Basis() {
@@ -55,8 +57,8 @@
 
 // got tells when the log came to reach an index.
 type got struct {
-	index ids.Index
-	at    ids.Mono
+	index identifier.Index
+	at    identifier.Mono
 }
 
 // note keeps track of how far the log reaches and since when. What came in
@@ -75,7 +77,7 @@
 
 // came tells when an entry about to be applied came here, and forgets those
 // that came before it.
-func (m *Machine) came(i ids.Index) (at ids.Mono) {
+func (m *Machine) came(i identifier.Index) (at identifier.Mono) {
 	n := 0
 	for n < len(m.gots) && m.gots[n].index < i {
 		n++
@@ -88,12 +90,12 @@
 
 // walls is the evidence: what the members' clocks claim at this moment.
 type walls struct {
-	list []ids.Millis
+	list []identifier.Millis
 	need int
 	cold bool
 }
 
-func (c *clock) tick(now ids.Mono, w walls) {
+func (c *clock) tick(now identifier.Mono, w walls) {
 	span := now.Since(c.at)
 	if span <= 0 {
 		return
@@ -115,14 +117,14 @@
 	c.lean += int64(span)
 	most := c.lean / leanPart
 	c.lean -= most * leanPart
-	c.base += ids.Millis(max(-most, min(most, diff)))
+	c.base += identifier.Millis(max(-most, min(most, diff)))
 }
 
 // agree finds a majority of the clocks that lie within a second, the closest
 // such, and returns the middle one of them.
-func (w walls) agree() (at ids.Millis, ok bool) {
+func (w walls) agree() (at identifier.Millis, ok bool) {
 	sort.Slice(w.list, func(i, j int) bool { return w.list[i] < w.list[j] })
-	low := ids.Millis(alike + 1)
+	low := identifier.Millis(alike + 1)
 	for i := 0; w.need > 0 && i+w.need <= len(w.list); i++ {
 		if span := w.list[i+w.need-1] - w.list[i]; span < low {
 			low, at, ok = span, w.list[i+(w.need-1)/2], true
@@ -142,14 +144,14 @@
 			voters++
 		}
 		if mem.Voter && mem.ID == m.boot.ID {
-			w.list = append(w.list, ids.Millis(m.wall))
+			w.list = append(w.list, identifier.Millis(m.wall))
 		}
 	}
 	for _, s := range m.raft.MemberStatuses() {
 		if !s.Voter || s.At == 0 || m.now.Since(s.At) > 2000 {
 			continue
 		}
-		w.list = append(w.list, ids.Millis(s.Wall).Add(m.now.Since(s.At)))
+		w.list = append(w.list, identifier.Millis(s.Wall).Add(m.now.Since(s.At)))
 		w.cold = w.cold && s.Met == m.term
 	}
 	w.need = voters/2 + 1
--- a/controlplane/deposed_test.go
+++ b/internal/controlplane/deposed_test.go
@@ -3,22 +3,22 @@
 import (
 	"testing"
 
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 // deliver hands a keeper a frame and lets its disk sync at once; it returns all
 // that the keeper sends.
-func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now ids.Mono) (sends []wire.Send) {
+func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now identifier.Mono) (sends []wire.Send) {
 	m.Frame(from, msg, now, 0)
 	return synced(m, now)
 }
 
 // synced syncs what a keeper writes until it writes nothing more.
-func synced(m *controlplane.Machine, now ids.Mono) (sends []wire.Send) {
+func synced(m *controlplane.Machine, now identifier.Mono) (sends []wire.Send) {
 	for o := m.Take(); len(o.Writes) > 0 || len(o.Sends) > 0; o = m.Take() {
 		sends = append(sends, o.Sends...)
 		for _, w := range o.Writes {
@@ -30,7 +30,7 @@
 
 // leaderOfThree is a keeper that leads two others, "k2" and "k3", which have
 // acknowledged all it has.
-func leaderOfThree(t *testing.T) (m *controlplane.Machine, now ids.Mono) {
+func leaderOfThree(t *testing.T) (m *controlplane.Machine, now identifier.Mono) {
 	t.Helper()
 	m = controlplane.New(controlplane.Boot{ID: 1, Addr: "k1", Domain: "a", Timing: raft.Usual(), Level: state.Present}, 0)
 	members := []raft.Member{{ID: 1, Addr: "k1", Domain: "a", Voter: true}, {ID: 2, Addr: "k2", Domain: "b", Voter: true}, {ID: 3, Addr: "k3", Domain: "c", Voter: true}}
@@ -49,7 +49,7 @@
 }
 
 // agree answers a keeper's messages as the others would.
-func agree(m *controlplane.Machine, sends []wire.Send, now ids.Mono) {
+func agree(m *controlplane.Machine, sends []wire.Send, now identifier.Mono) {
 	for len(sends) > 0 {
 		next := []wire.Send{}
 		for _, s := range sends {
@@ -61,7 +61,7 @@
 	}
 }
 
-func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now ids.Mono) (sends []wire.Send) {
+func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now identifier.Mono) (sends []wire.Send) {
 	back := raft.Message{From: r.To, To: r.From, Term: r.Term, Stamp: r.Stamp}
 	switch r.Kind {
 	case raft.RequestPreVote:
@@ -69,7 +69,7 @@
 	case raft.RequestVote:
 		back.Kind = raft.VoteReply
 	case raft.AppendEntries:
-		back.Kind, back.Index = raft.AppendReply, r.Index+ids.Index(len(r.Entries))
+		back.Kind, back.Index = raft.AppendReply, r.Index+identifier.Index(len(r.Entries))
 	default:
 		return nil
 	}
--- a/controlplane/find.go
+++ b/internal/controlplane/find.go
@@ -8,27 +8,27 @@
 	"encoding/json"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/table"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 type find struct {
-	next  ids.Mono
+	next  identifier.Mono
 	empty map[string]raft.Member
-	seen  map[string]ids.Mono
+	seen  map[string]identifier.Mono
 	// porters are the seeds that have no disk, by their own word.
 	porters map[string]bool
 	begun   bool
 	// born is when this search began, stirred when a message among members of a
 	// group was last heard.
-	born, stirred ids.Mono
+	born, stirred identifier.Mono
 }
 
-func newFind(now ids.Mono) (f *find) {
-	return &find{born: now, empty: map[string]raft.Member{}, seen: map[string]ids.Mono{}, porters: map[string]bool{}}
+func newFind(now identifier.Mono) (f *find) {
+	return &find{born: now, empty: map[string]raft.Member{}, seen: map[string]identifier.Mono{}, porters: map[string]bool{}}
 }
 
 const (
@@ -77,7 +77,7 @@
 		return
 	}
 	list, own := []raft.Member{}, false
-	names := map[ids.Node]bool{}
+	names := map[identifier.Node]bool{}
 	for _, s := range m.boot.Seeds {
 		if at, ok := m.find.seen[s]; !ok || m.now.Since(at) > seekLife {
 			return
@@ -99,13 +99,13 @@
 
 // still tells whether, for long enough for a leader to make itself heard, no
 // group was. Seeds without a disk forget at a restart that there is one.
-func (f *find) still(now ids.Mono) (yes bool) {
+func (f *find) still(now identifier.Mono) (yes bool) {
 	return now.Since(f.born) >= stillMs && (f.stirred == 0 || now.Since(f.stirred) >= stillMs)
 }
 
-func (m *Machine) begin(list []raft.Member, at ids.Index) {
+func (m *Machine) begin(list []raft.Member, at identifier.Index) {
 	m.find.begun = true
-	v := &raft.Snapshot{Index: at, Term: ids.Term(at), Members: list, Data: m.first().Encode()}
+	v := &raft.Snapshot{Index: at, Term: identifier.Term(at), Members: list, Data: m.first().Encode()}
 	m.out.Start = v
 	m.event("begin", "founder", at == 1, "members", list)
 }
@@ -114,13 +114,13 @@
 func (m *Machine) first() (b *state.Book) {
 	b = state.New()
 	for name, text := range m.boot.Cells {
-		b.Table.Rows[table.SiteRow][name] = text
+		b.Table.Rows[limits.SiteRow][name] = text
 	}
 	return b
 }
 
 // Started says that the ring Out.Start asked for is on disk.
-func (m *Machine) Started(v *raft.Snapshot, now ids.Mono, wall ids.Wall) {
+func (m *Machine) Started(v *raft.Snapshot, now identifier.Mono, wall identifier.Wall) {
 	m.clock(now, wall)
 	if err := m.Resume(raft.HardState{}, v, nil); err != nil {
 		m.quit(err.Error())
@@ -175,10 +175,10 @@
 
 // joinBody is what a would-be learner says of itself.
 type joinBody struct {
-	ID     string     `json:"id"`
-	Addr   string     `json:"addr"`
-	Domain ids.Domain `json:"domain"`
-	Level  uint16     `json:"level,omitempty"`
+	ID     string            `json:"id"`
+	Addr   string            `json:"addr"`
+	Domain identifier.Domain `json:"domain"`
+	Level  uint16            `json:"level,omitempty"`
 }
 
 // join asks for a place as a learner: whoever told of the group, if that was a
--- a/controlplane/gang.go
+++ b/internal/controlplane/gang.go
@@ -7,9 +7,9 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/poll"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/state"
 )
 
 // silence is how many spans of a poll a runner may miss before its partners
@@ -18,7 +18,7 @@
 
 // gangSpan is how long a member may go on without word: less than a grant, and
 // longer than a change of leaders takes.
-func (m *Machine) gangSpan(g *state.Grant) (s ids.Span) {
+func (m *Machine) gangSpan(g *state.Grant) (s identifier.Span) {
 	if m.book.Level < 1 || !spread(g, m.book.Partners(g)) {
 		return 0
 	}
@@ -49,7 +49,7 @@
 
 // wholes names the members running here whose partners all run. It says
 // whether there is one that the runner has not been told of since it began.
-func (m *Machine) wholes(c *contact, a *poll.Answer) (word bool) {
+func (m *Machine) wholes(c *contact, a *runnerapi.Answer) (word bool) {
 	for id := range c.running {
 		g := m.book.Grants[id]
 		if g == nil || g.Stop != "" {
@@ -75,7 +75,7 @@
 	if l.doubt > m.at {
 		return
 	}
-	var late []ids.Grant
+	var late []identifier.Grant
 	span := silence * m.book.Table.Site("startMs")
 	for n, c := range l.runners {
 		r := m.book.Runners[n]
--- a/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -6,10 +6,10 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/state"
 )
 
 // pace is how a run has come along: how far it was when first seen and when it
@@ -17,7 +17,7 @@
 type pace struct {
 	from    int64
 	percent int64
-	still   ids.Span
+	still   identifier.Span
 	// rate is how fast it goes, in thousandths of its estimate; 0 for unknown.
 	rate int64
 }
@@ -41,7 +41,7 @@
 )
 
 // progress takes what a run says of itself.
-func (m *Machine) progress(a *agentSide, h *held, s poll.RunState) {
+func (m *Machine) progress(a *agentSide, h *held, s runnerapi.RunState) {
 	p, g := h.pace, m.book.Grants[h.id]
 	if g == nil {
 		return
@@ -84,7 +84,7 @@
 const whole = 99
 
 // leastStill is the least time without a move that is held against a run.
-func leastStill(g *state.Grant) (span ids.Span) { return stillLeast + g.Run/8 }
+func leastStill(g *state.Grant) (span identifier.Span) { return stillLeast + g.Run/8 }
 
 // still tells whether a run has not moved for longer than any sound one would,
 // a slow one included: a hundredth of a slow run is some hundredths of its span.
@@ -124,8 +124,8 @@
 		return
 	}
 	l.looked = m.now
-	var late, slow []ids.Grant
-	room := map[ids.Runner]job.Demand{}
+	var late, slow []identifier.Grant
+	room := map[identifier.Runner]job.Demand{}
 	for _, n := range m.book.RunnerNames() {
 		c := l.runners[n]
 		if c == nil || c.agent == nil || c.silent > 400 || m.now.Since(c.heard) > 1000 {
@@ -171,8 +171,8 @@
 	if c.agent.rate >= slowRate || p.rate == 0 || p.rate >= slowRate || st.Lasting || p.percent >= whole {
 		return false
 	}
-	left := g.Run * ids.Span(100-p.percent) / 100
-	here, there := left*1000/ids.Span(p.rate), g.Run
+	left := g.Run * identifier.Span(100-p.percent) / 100
+	here, there := left*1000/identifier.Span(p.rate), g.Run
 	if st.Saves {
 		there = min(there, left+restoring)
 	}
@@ -181,10 +181,10 @@
 
 // roomElsewhere takes room for a run, or for its whole gang, on other runners of
 // the pool that are well; room is what was taken before.
-func (m *Machine) roomElsewhere(from ids.Runner, g *state.Grant, room map[ids.Runner]job.Demand) (ok bool) {
+func (m *Machine) roomElsewhere(from identifier.Runner, g *state.Grant, room map[identifier.Runner]job.Demand) (ok bool) {
 	need := 1 + len(m.book.Partners(g))
 	pool, fresh := m.book.Runners[from].Pool, m.fresh()
-	var at []ids.Runner
+	var at []identifier.Runner
 	for _, n := range m.book.RunnerNames() {
 		r, c := m.book.Runners[n], m.lead.runners[n]
 		if n == from || r.Pool != pool || r.Gone || r.Fence() != "" || c == nil || c.agent == nil || c.agent.rate < slowRate || !fresh(n) {
@@ -207,7 +207,7 @@
 
 // never lists what was placed on agents' runners that are leaving or closed and
 // has not begun there, and so never will.
-func (m *Machine) never() (list []ids.Grant) {
+func (m *Machine) never() (list []identifier.Grant) {
 	for _, n := range m.book.RunnerNames() {
 		c, r := m.lead.runners[n], m.book.Runners[n]
 		if c == nil || c.agent == nil || !c.known || r.Inc != c.inc || !c.drain && r.Fence() == "" {
@@ -226,7 +226,7 @@
 func (m *Machine) ill(c *contact) (yes bool) { return c.agent != nil && m.now < c.agent.ill }
 
 // pace is how fast work goes on a runner, in thousandths of its estimates.
-func (m *Machine) pace(n ids.Runner) (rate int64) {
+func (m *Machine) pace(n identifier.Runner) (rate int64) {
 	if c := m.lead.runners[n]; c != nil && c.agent != nil {
 		return c.agent.rate
 	}
--- a/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -5,70 +5,72 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/plan"
-	"orchidward/poll"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/scheduler"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 type lead struct {
-	runners map[ids.Runner]*contact
-	placed  map[ids.Grant]ids.Mono
-	sure    map[ids.Grant]bool
-	swept   ids.Mono
-	duty    map[string]ids.Index
+	runners map[identifier.Runner]*contact
+	placed  map[identifier.Grant]identifier.Mono
+	sure    map[identifier.Grant]bool
+	swept   identifier.Mono
+	duty    map[string]identifier.Index
 	entered map[string]entry
-	place   ids.Index
-	losing  map[ids.Runner]ids.Index
-	doubt   ids.Index
-	moving  ids.Index
-	looked  ids.Mono
-	raising ids.Index
-	checked ids.Mono
-	hot     map[ids.Runner]bool
+	place   identifier.Index
+	losing  map[identifier.Runner]identifier.Index
+	doubt   identifier.Index
+	moving  identifier.Index
+	looked  identifier.Mono
+	raising identifier.Index
+	checked identifier.Mono
+	hot     map[identifier.Runner]bool
 	line    []turn
 	dirty   bool
-	planned ids.Mono
+	planned identifier.Mono
 	clock   clock
-	beat    ids.Mono
+	beat    identifier.Mono
 	// rose is when this lead began, enough when five members were last alive.
-	rose, enough ids.Mono
+	rose, enough identifier.Mono
 	// told is when the seeds that are no members were last told of the group.
-	told ids.Mono
+	told identifier.Mono
 }
 
 // contact is a runner as the leader has it in hand.
 type contact struct {
-	inc     ids.Inc
+	inc     identifier.Inc
 	seq     uint64
-	heard   ids.Mono
-	silent  ids.Span
+	heard   identifier.Mono
+	silent  identifier.Span
 	known   bool
 	drain   bool
-	running map[ids.Grant]bool
+	running map[identifier.Grant]bool
 	// told are the runs that answers to this poll called whole; before, those
 	// that answers to the last one did.
-	told   map[ids.Grant]bool
-	before map[ids.Grant]bool
-	ended  map[ids.Grant]poll.End
+	told   map[identifier.Grant]bool
+	before map[identifier.Grant]bool
+	ended  map[identifier.Grant]runnerapi.End
 	open   bool
 	peer   wire.Peer
 	id     uint64
-	since  ids.Mono
-	facts  ids.Index
-	ends   ids.Index
+	since  identifier.Mono
+	facts  identifier.Index
+	ends   identifier.Index
 	agent  *agentSide
 }
 
 // quiet is how long nothing was heard of the runner itself.
-func (c *contact) quiet(now ids.Mono) (s ids.Span) { return now.Since(c.heard) + c.silent }
+func (c *contact) quiet(now identifier.Mono) (s identifier.Span) {
+	return now.Since(c.heard) + c.silent
+}
 
 // lapsed tells whether whatever ran there must have outlived its grant. The
 // margin covers clocks that drift. An agent's runner holds by its own last
 // heartbeat, which the agent tells of while it polls; when the agent is silent
 // too, later heartbeats may have been answered, up to the end of its grant.
-func (c *contact) lapsed(now ids.Mono, grant ids.Span) (yes bool) {
+func (c *contact) lapsed(now identifier.Mono, grant identifier.Span) (yes bool) {
 	if c.agent == nil {
 		return now.Since(c.heard) > grant+grant/10+1000
 	}
@@ -78,20 +80,20 @@
 
 // turn is a poll in the line of those that are answered empty in time.
 type turn struct {
-	runner ids.Runner
+	runner identifier.Runner
 	id     uint64
-	since  ids.Mono
+	since  identifier.Mono
 }
 
 // entry notes when, by this leader's clock, a closing came to its stage.
 type entry struct {
 	stage state.Stage
-	at    ids.Mono
+	at    identifier.Mono
 }
 
 func (m *Machine) rise() {
-	l := &lead{runners: map[ids.Runner]*contact{}, placed: map[ids.Grant]ids.Mono{}, sure: map[ids.Grant]bool{},
-		duty: map[string]ids.Index{}, entered: map[string]entry{}, losing: map[ids.Runner]ids.Index{}, hot: map[ids.Runner]bool{}, dirty: true, planned: -planGap, rose: m.now, enough: m.now}
+	l := &lead{runners: map[identifier.Runner]*contact{}, placed: map[identifier.Grant]identifier.Mono{}, sure: map[identifier.Grant]bool{},
+		duty: map[string]identifier.Index{}, entered: map[string]entry{}, losing: map[identifier.Runner]identifier.Index{}, hot: map[identifier.Runner]bool{}, dirty: true, planned: -planGap, rose: m.now, enough: m.now}
 	for _, n := range m.book.RunnerNames() {
 		l.runners[n] = &contact{inc: m.book.Runners[n].Inc, heard: m.now}
 	}
@@ -100,11 +102,11 @@
 	}
 	l.clock = newClock(m.carried(), m.now)
 	m.lead = l
-	m.reason = map[ids.Key]map[int]string{}
+	m.reason = map[identifier.Key]map[int]string{}
 }
 
 // propose puts a command into the log. It is not decided until applied.
-func (m *Machine) propose(c *state.Command) (i ids.Index) {
+func (m *Machine) propose(c *state.Command) (i identifier.Index) {
 	c.At = m.lead.clock.site(m.now)
 	i, ok := m.raft.Propose(c.Encode())
 	if !ok {
@@ -167,7 +169,7 @@
 func (m *Machine) unsure() {
 	l := m.lead
 	span := m.book.Table.Site("confirmMs")
-	var late []ids.Grant
+	var late []identifier.Grant
 	for id, at := range l.placed {
 		g := m.book.Grants[id]
 		switch {
@@ -224,7 +226,7 @@
 	}
 }
 
-func (m *Machine) next(c *state.Closing, in ids.Span) (s *state.Step) {
+func (m *Machine) next(c *state.Closing, in identifier.Span) (s *state.Step) {
 	s = &state.Step{ID: c.ID, From: c.Stage}
 	free, loose := m.book.Undone(c)
 	switch c.Stage {
@@ -253,7 +255,7 @@
 }
 
 // patience is how long post-drain waits for stops before it judges.
-func (m *Machine) patience(c *state.Closing) (s ids.Span) {
+func (m *Machine) patience(c *state.Closing) (s identifier.Span) {
 	if c.Kind == state.KindRack {
 		return m.book.Table.Site("drainMs")
 	}
@@ -267,7 +269,7 @@
 		return
 	}
 	l.dirty, l.planned = false, m.now
-	out := plan.RoundWith(m.book, plan.View{Fresh: m.fresh(), Pace: m.pace}, m.shelf)
+	out := scheduler.RoundWith(m.book, scheduler.View{Fresh: m.fresh(), Pace: m.pace}, m.shelf)
 	m.reason = out.Why
 	m.fare(out.Policies)
 	if len(out.Push) > 0 {
@@ -281,9 +283,9 @@
 
 // fresh gives a test of whether a runner has polled lately under its present
 // incarnation and is not on its way out.
-func (m *Machine) fresh() (test func(n ids.Runner) (ok bool)) {
+func (m *Machine) fresh() (test func(n identifier.Runner) (ok bool)) {
 	span := 2 * m.book.Table.Site("startMs")
-	return func(n ids.Runner) (ok bool) {
+	return func(n identifier.Runner) (ok bool) {
 		c := m.lead.runners[n]
 		return c != nil && c.known && !c.drain && c.inc == m.book.Runners[n].Inc && c.quiet(m.now) < span && !m.ill(c)
 	}
--- a/controlplane/level.go
+++ b/internal/controlplane/level.go
@@ -7,21 +7,21 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/state"
 )
 
 const sumsKept = 1024
 
 // sums remembers the book's sum after each of the last entries.
 type sums struct {
-	at  [sumsKept]ids.Index
+	at  [sumsKept]identifier.Index
 	sum [sumsKept]uint64
 }
 
-func (s *sums) put(i ids.Index, sum uint64) { s.at[i%sumsKept], s.sum[i%sumsKept] = i, sum }
+func (s *sums) put(i identifier.Index, sum uint64) { s.at[i%sumsKept], s.sum[i%sumsKept] = i, sum }
 
-func (s *sums) get(i ids.Index) (sum uint64, ok bool) {
+func (s *sums) get(i identifier.Index) (sum uint64, ok bool) {
 	return s.sum[i%sumsKept], s.at[i%sumsKept] == i && i > 0
 }
 
--- a/controlplane/load_test.go
+++ b/internal/controlplane/load_test.go
@@ -10,12 +10,12 @@
 
 	"golang.org/x/sys/unix"
 
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/poll"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 // load is one keeper that leads alone, its writes synced at once, under hollow
@@ -23,7 +23,7 @@
 // all of the collector's.
 type load struct {
 	b      *testing.B
-	now    ids.Mono
+	now    identifier.Mono
 	keep   *controlplane.Machine
 	rnd    *rand.Rand
 	hollow []*hollow
@@ -50,16 +50,16 @@
 	seq  uint64
 	n    uint64
 	runs []hollowRun
-	ends []poll.RunEnd
+	ends []runnerapi.RunEnd
 	open uint64
 	news bool
 }
 
 type hollowRun struct {
-	task    ids.Ref
+	task    identifier.Ref
 	no      uint64
-	at, end ids.Mono
-	span    ids.Span
+	at, end identifier.Mono
+	span    identifier.Span
 }
 
 func clock(id int32) (ns int64) {
@@ -88,7 +88,7 @@
 	return l
 }
 
-func (l *load) wall() (w ids.Wall) { return ids.Wall(1_800_000_000_000 + int64(l.now)) }
+func (l *load) wall() (w identifier.Wall) { return identifier.Wall(1_800_000_000_000 + int64(l.now)) }
 
 func (l *load) request(verb, path, body string) {
 	l.ask++
@@ -101,7 +101,7 @@
 }
 
 // run lets time pass, with so many tasks a second handed in, three to a job.
-func (l *load) run(ms ids.Mono, starts int) {
+func (l *load) run(ms identifier.Mono, starts int) {
 	due := 0
 	for end := l.now + ms; l.now < end; l.now++ {
 		for due += starts; due >= 3000; due -= 3000 {
@@ -164,7 +164,7 @@
 	if r.Status != 200 {
 		l.b.Fatalf("%s: %d %s", h.name, r.Status, r.Body)
 	}
-	var a poll.Answer
+	var a runnerapi.Answer
 	if err := json.Unmarshal(r.Body, &a); err != nil {
 		l.b.Fatal(err)
 	}
@@ -179,9 +179,9 @@
 	}
 	h.ends = left
 	for _, s := range a.Starts {
-		run := hollowRun{task: s.Task, no: s.No, at: l.now, end: l.now + ids.Mono(s.Run), span: s.Run}
+		run := hollowRun{task: s.Task, no: s.No, at: l.now, end: l.now + identifier.Mono(s.Run), span: s.Run}
 		if l.first {
-			run.end = l.now + ids.Mono(l.rnd.Int63n(int64(s.Run)))
+			run.end = l.now + identifier.Mono(l.rnd.Int63n(int64(s.Run)))
 		}
 		h.runs, h.news = append(h.runs, run), true
 		l.begun++
@@ -198,7 +198,7 @@
 			continue
 		}
 		h.n++
-		h.ends, h.news = append(h.ends, poll.RunEnd{N: h.n, Task: r.task, Run: r.no, How: poll.Well}), true
+		h.ends, h.news = append(h.ends, runnerapi.RunEnd{N: h.n, Task: r.task, Run: r.no, How: runnerapi.Well}), true
 		l.ended++
 	}
 	h.runs = kept
@@ -222,7 +222,7 @@
 	for i, r := range h.runs {
 		text = append(text, [2]string{`,"active":[`, `,`}[min(i, 1)]...)
 		text = appendRun(text, "", r.task, r.no)
-		gap := ids.Mono(max(1, r.span/100))
+		gap := identifier.Mono(max(1, r.span/100))
 		text = append(text, `,"percent":`...)
 		text = strconv.AppendInt(text, int64(min(99, (l.now-r.at)/gap)), 10)
 		text = append(text, `,"stillMs":`...)
@@ -244,7 +244,7 @@
 	return append(text, '}')
 }
 
-func appendRun(text []byte, before string, task ids.Ref, no uint64) (out []byte) {
+func appendRun(text []byte, before string, task identifier.Ref, no uint64) (out []byte) {
 	text = append(append(text, '{'), before...)
 	text = append(append(text, `"task":{"job":"`...), task.Job...)
 	text = strconv.AppendInt(append(text, `","step":`...), int64(task.Step), 10)
--- a/controlplane/logged.go
+++ b/internal/controlplane/logged.go
@@ -2,7 +2,7 @@
 
 package controlplane
 
-import "orchidward/state"
+import "orchidward/internal/state"
 
 func (m *Machine) logged(c *state.Command, res state.Result) {
 	if m.lead == nil {
--- a/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -6,12 +6,12 @@
 import (
 	"github.com/go-faster/errors"
 
-	"orchidward/ids"
-	"orchidward/plan"
-	"orchidward/policy"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/scheduler"
+	"orchidward/internal/scheduler/policy"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 // Machine is a control-plane server as a pure state machine: consensus, the
@@ -19,15 +19,15 @@
 // reads no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot  Boot
-	now   ids.Mono
-	wall  ids.Wall
+	now   identifier.Mono
+	wall  identifier.Wall
 	raft  *raft.Raft
 	book  *state.Book
-	at    ids.Index
+	at    identifier.Index
 	since int64
 	seen  clock
 	// seenTerm is the term of the entry that seen goes on from.
-	seenTerm ids.Term
+	seenTerm identifier.Term
 	// gots notes when entries came, for those not yet applied: an entry's time
 	// runs on from then, however late it is decided.
 	gots []got
@@ -46,28 +46,28 @@
 	follows wire.Peer
 	reach   reach
 	// reached is when this keeper last had a leader to go to.
-	reached ids.Mono
+	reached identifier.Mono
 	out     Out
 
 	founders []raft.Member
 	find     *find
 	porter   *porter
-	gates    map[string]ids.Mono
+	gates    map[string]identifier.Mono
 	// edge is where gates listen, and when each was last heard.
-	edge  map[string]ids.Mono
-	alone ids.Mono
+	edge  map[string]identifier.Mono
+	alone identifier.Mono
 
-	waits  map[ids.Index]wait
+	waits  map[identifier.Index]wait
 	tables int
 	bytes  int
 	relays map[uint64]relay
 	nextID uint64
 
-	term   ids.Term
+	term   identifier.Term
 	lead   *lead
-	reason map[ids.Key]map[int]string
+	reason map[identifier.Key]map[int]string
 	shelf  *policy.Shelf
-	fared  plan.Policies
+	fared  scheduler.Policies
 	// Full tells how much of the write-ahead log is in use, in percent, so that
 	// a snapshot is taken before it is full. The owner of the disk replaces it.
 	Full func() int
@@ -77,14 +77,14 @@
 type wait struct {
 	peer  wire.Peer
 	id    uint64
-	term  ids.Term
+	term  identifier.Term
 	table bool
 	size  int
 }
 
 // voice is a keeper and the line it was heard on.
 type voice struct {
-	id   ids.Node
+	id   identifier.Node
 	peer wire.Peer
 }
 
@@ -94,15 +94,15 @@
 	peer wire.Peer
 	id   uint64
 	to   wire.Peer
-	at   ids.Mono
+	at   identifier.Mono
 }
 
 // New makes a server without any state: one with a disk looks for a group to
 // join or, if told so, founds one; one without a disk only forwards requests to
 // the leader. Resume follows where the disk held state.
-func New(boot Boot, now ids.Mono) (m *Machine) {
-	m = &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]ids.Mono{}, edge: map[string]ids.Mono{}, waits: map[ids.Index]wait{}, relays: map[uint64]relay{},
-		find: newFind(now), alone: now, reached: now, reason: map[ids.Key]map[int]string{}, book: state.New(), shelf: policy.NewShelf(), fared: plan.Policies{}, Full: func() int { return 0 }}
+func New(boot Boot, now identifier.Mono) (m *Machine) {
+	m = &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]identifier.Mono{}, edge: map[string]identifier.Mono{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
+		find: newFind(now), alone: now, reached: now, reason: map[identifier.Key]map[int]string{}, book: state.New(), shelf: policy.NewShelf(), fared: scheduler.Policies{}, Full: func() int { return 0 }}
 	if boot.Diskless {
 		m.find, m.porter = nil, &porter{}
 	}
@@ -152,7 +152,7 @@
 // Tick passes in the time and starts whatever is due: heartbeats, elections,
 // discovery, and the periodic work of a leader. It should come every Tick
 // milliseconds.
-func (m *Machine) Tick(now ids.Mono, wall ids.Wall) {
+func (m *Machine) Tick(now identifier.Mono, wall identifier.Wall) {
 	if m.over {
 		return
 	}
@@ -181,7 +181,7 @@
 	m.settle()
 }
 
-func (m *Machine) clock(now ids.Mono, wall ids.Wall) {
+func (m *Machine) clock(now identifier.Mono, wall identifier.Wall) {
 	m.now, m.wall = max(m.now, now), wall
 	if m.raft != nil && m.seen.base > 0 {
 		m.raft.Carry(m.seen.site(m.now), m.seenTerm)
@@ -190,7 +190,7 @@
 
 // Frame passes in one message from another process. from is where a reply goes;
 // it need not be the sender's listening address.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now ids.Mono, wall ids.Wall) {
+func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now identifier.Mono, wall identifier.Wall) {
 	if m.over {
 		return
 	}
@@ -222,7 +222,7 @@
 
 // Synced reports that all writes up to and including seq are on disk, which lets
 // acknowledgements that waited for them go out.
-func (m *Machine) Synced(seq uint64, now ids.Mono, wall ids.Wall) {
+func (m *Machine) Synced(seq uint64, now identifier.Mono, wall identifier.Wall) {
 	if m.over {
 		return
 	}
--- a/controlplane/order_age.go
+++ b/internal/controlplane/order_age.go
@@ -9,9 +9,9 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/transport/wire"
 )
 
 // driftPart is the part of a span by which a clock may run slow: one in fifty.
@@ -63,4 +63,4 @@
 }
 
 // expiredRetry is when a caller may come back whose order was too old, in ms.
-const expiredRetry ids.Span = 200
+const expiredRetry identifier.Span = 200
--- a/controlplane/policies.go
+++ b/internal/controlplane/policies.go
@@ -4,19 +4,19 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/plan"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/scheduler"
 )
 
 // PolicyDoc is a row's policy as operators see it.
 type PolicyDoc struct {
-	Row    ids.Row `json:"row"`
-	Used   int     `json:"used"`
-	Failed int     `json:"failed"`
-	Last   string  `json:"lastFailure,omitempty"`
+	Row    identifier.Row `json:"row"`
+	Used   int            `json:"used"`
+	Failed int            `json:"failed"`
+	Last   string         `json:"lastFailure,omitempty"`
 }
 
-func (m *Machine) fare(list plan.Policies) {
+func (m *Machine) fare(list scheduler.Policies) {
 	for row := range m.fared {
 		if m.book.Table.Cell(row, "policy") == "" {
 			delete(m.fared, row)
--- a/controlplane/polls.go
+++ b/internal/controlplane/polls.go
@@ -9,25 +9,25 @@
 	"slices"
 	"sort"
 
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/state"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 // away is how long a runner has not polled when its next poll is answered at
 // once, so that whoever was cut off knows that it no longer is.
 const away = 1000
 
-func sortGrants(list []ids.Grant) {
+func sortGrants(list []identifier.Grant) {
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 }
 
-func (m *Machine) poll(peer wire.Peer, id uint64, name ids.Runner, body []byte) {
-	var f doc.Faults
-	p := poll.Read(body, &f)
+func (m *Machine) poll(peer wire.Peer, id uint64, name identifier.Runner, body []byte) {
+	var f jsondoc.Faults
+	p := runnerapi.Read(body, &f)
 	if f.Any() {
 		m.reply(peer, id, f.Status(), f.Bad(), 0)
 		return
@@ -40,7 +40,7 @@
 	r := m.book.Runners[name]
 	c := l.runners[name]
 	if r != nil && r.Was(p.Inc) {
-		m.replyDoc(peer, id, 200, poll.Answer{Retired: true})
+		m.replyDoc(peer, id, 200, runnerapi.Answer{Retired: true})
 		return
 	}
 	if c == nil && len(l.runners) >= state.MaxRunners {
@@ -63,10 +63,10 @@
 	}
 	m.shut(c)
 	back := !c.known || m.now.Since(c.heard) > away
-	c.seq, c.heard, c.silent, c.known, c.drain = p.Seq, m.now, p.Silent, true, p.Mode == poll.Draining
+	c.seq, c.heard, c.silent, c.known, c.drain = p.Seq, m.now, p.Silent, true, p.Mode == runnerapi.Draining
 	c.open, c.peer, c.id, c.since = true, peer, id, m.now
 	if back {
-		c.since -= ids.Mono(m.book.Table.Site("startMs"))
+		c.since -= identifier.Mono(m.book.Table.Site("startMs"))
 	}
 	c.begin()
 	was := c.before
@@ -108,7 +108,7 @@
 // begin empties what a poll says anew; what was told before it is kept aside.
 func (c *contact) begin() {
 	if c.running == nil {
-		c.running, c.ended, c.told, c.before = map[ids.Grant]bool{}, map[ids.Grant]poll.End{}, map[ids.Grant]bool{}, map[ids.Grant]bool{}
+		c.running, c.ended, c.told, c.before = map[identifier.Grant]bool{}, map[identifier.Grant]runnerapi.End{}, map[identifier.Grant]bool{}, map[identifier.Grant]bool{}
 		return
 	}
 	c.told, c.before = c.before, c.told
@@ -125,8 +125,8 @@
 	}
 }
 
-func (m *Machine) bare(c *contact) (a poll.Answer) {
-	a = poll.Answer{GrantMs: m.book.Table.Site("grantMs"), StartMs: m.book.Table.Site("startMs")}
+func (m *Machine) bare(c *contact) (a runnerapi.Answer) {
+	a = runnerapi.Answer{GrantMs: m.book.Table.Site("grantMs"), StartMs: m.book.Table.Site("startMs")}
 	if c.agent == nil {
 		a.Gates = m.liveGates()
 		return a
@@ -136,12 +136,12 @@
 }
 
 // facts commits what the runner says of itself when it differs from the book.
-func (m *Machine) facts(name ids.Runner, c *contact, p *poll.Ask) {
+func (m *Machine) facts(name identifier.Runner, c *contact, p *runnerapi.Ask) {
 	if c.facts > m.at {
 		return
 	}
 	rep := &state.Report{Runner: name, Inc: p.Inc, Cap: job.Demand{Cores: p.Cores, Mem: p.Mem, Milli: p.Milli, GPUs: p.GPUs}, Labels: p.Labels, Pool: p.Pool, Addr: p.Addr,
-		Domain: p.Domain, Rack: p.Rack, Drain: p.Mode == poll.Draining}
+		Domain: p.Domain, Rack: p.Rack, Drain: p.Mode == runnerapi.Draining}
 	if rep.Drain {
 		rep.Depart = m.lead.clock.site(m.now).Add(p.Departs)
 	}
@@ -159,7 +159,7 @@
 	c.facts = m.propose(&state.Command{Report: rep})
 }
 
-func same(a, b []ids.Label) (ok bool) {
+func same(a, b []identifier.Label) (ok bool) {
 	if len(a) != len(b) {
 		return false
 	}
@@ -172,7 +172,7 @@
 }
 
 // news commits the ends the book has yet to hear of.
-func (m *Machine) news(name ids.Runner, c *contact) {
+func (m *Machine) news(name identifier.Runner, c *contact) {
 	if c.ends > m.at {
 		return
 	}
@@ -188,7 +188,7 @@
 	}
 }
 
-func (c *contact) order() (list []ids.Grant) {
+func (c *contact) order() (list []identifier.Grant) {
 	for id := range c.ended {
 		list = append(list, id)
 	}
@@ -214,7 +214,7 @@
 			continue
 		}
 		m.news(n, c)
-		a := poll.Answer{}
+		a := runnerapi.Answer{}
 		m.orders(n, c, &a)
 		if c.agent != nil {
 			m.answerAgent(n, c, &a, hold)
@@ -240,7 +240,7 @@
 }
 
 // heated takes the runners to look at, in order.
-func (m *Machine) heated() (list []ids.Runner) {
+func (m *Machine) heated() (list []identifier.Runner) {
 	for n := range m.lead.hot {
 		list = append(list, n)
 	}
@@ -249,7 +249,7 @@
 	return list
 }
 
-func (m *Machine) orders(n ids.Runner, c *contact, a *poll.Answer) {
+func (m *Machine) orders(n identifier.Runner, c *contact, a *runnerapi.Answer) {
 	r := m.book.Runners[n]
 	if r == nil || r.Inc != c.inc {
 		return
@@ -261,10 +261,10 @@
 		case g.Stop != "":
 			a.Stops = append(a.Stops, g.ID)
 		case !c.running[g.ID] && !c.drain && r.Fence() == "":
-			a.Starts = append(a.Starts, poll.Start{Grant: g.ID, Task: g.Ref, Demand: g.Demand, Run: g.Run, Gang: m.gangSpan(g), No: g.No})
+			a.Starts = append(a.Starts, runnerapi.Start{Grant: g.ID, Task: g.Ref, Demand: g.Demand, Run: g.Run, Gang: m.gangSpan(g), No: g.No})
 		}
 	})
-	slices.SortFunc(a.Starts, func(x, y poll.Start) int { return cmp.Compare(x.Grant, y.Grant) })
+	slices.SortFunc(a.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Grant, y.Grant) })
 	for id := range c.running {
 		if m.book.Grants[id] == nil {
 			a.Stops = append(a.Stops, id)
@@ -281,10 +281,10 @@
 	m.reply(peer, id, status, text, 0)
 }
 
-func (m *Machine) reply(peer wire.Peer, id uint64, status int, body []byte, retry ids.Span) {
+func (m *Machine) reply(peer wire.Peer, id uint64, status int, body []byte, retry identifier.Span) {
 	m.send(peer, wire.Msg{Reply: &wire.Reply{ID: id, Status: status, Body: body, Retry: retry}})
 }
 
-func (m *Machine) refuse(peer wire.Peer, id uint64, status int, code, why string, retry ids.Span) {
-	m.reply(peer, id, status, doc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), retry)
+func (m *Machine) refuse(peer wire.Peer, id uint64, status int, code, why string, retry identifier.Span) {
+	m.reply(peer, id, status, jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), retry)
 }
--- a/controlplane/porter.go
+++ b/internal/controlplane/porter.go
@@ -7,19 +7,19 @@
 import (
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/transport/wire"
 )
 
 type porter struct {
-	next    ids.Mono
+	next    identifier.Mono
 	members []raft.Member
-	lead    ids.Node
+	lead    identifier.Node
 	// heard is when a keeper last said that lead leads, own when that one did.
-	heard, own ids.Mono
+	heard, own identifier.Mono
 	// rumour is when a keeper was heard that is in a group, but has no leader.
-	rumour ids.Mono
+	rumour identifier.Mono
 }
 
 const (
@@ -32,7 +32,7 @@
 func (p *porter) knows() (yes bool) { return len(p.members) > 0 }
 
 // leader is the member that leads, by what the porter has heard lately.
-func (p *porter) leader(now ids.Mono) (mem raft.Member, ok bool) {
+func (p *porter) leader(now identifier.Mono) (mem raft.Member, ok bool) {
 	if p.lead == 0 || now.Since(p.heard) > vouchLife {
 		return mem, false
 	}
@@ -64,7 +64,7 @@
 
 // unsure tells whether this porter can say neither where the group is nor that
 // there is none: then it says nothing.
-func (p *porter) unsure(now ids.Mono) (yes bool) {
+func (p *porter) unsure(now identifier.Mono) (yes bool) {
 	return !p.knows() && p.rumour != 0 && now.Since(p.rumour) < stillMs
 }
 
--- a/controlplane/reach.go
+++ b/internal/controlplane/reach.go
@@ -7,43 +7,45 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/transport/wire"
 )
 
 const (
 	// unreachedAfter is how long a leader may leave requests and pings without
 	// any answer, in milliseconds, before it counts as out of reach.
-	unreachedAfter ids.Span = 400
+	unreachedAfter identifier.Span = 400
 	// pingAfter is how long it may be silent before it is asked for a sign of
 	// life, pingGap how often it then is, in milliseconds.
-	pingAfter ids.Span = 150
-	pingGap   ids.Span = 100
+	pingAfter identifier.Span = 150
+	pingGap   identifier.Span = 100
 )
 
 // reach is what a keeper knows of its way to the leader.
 type reach struct {
 	// waiting is since when some request has been passed on without a reply.
-	waiting ids.Mono
+	waiting identifier.Mono
 	// heard is when the leader last answered anything, pinged when it was last
 	// asked for a sign of life.
-	heard, pinged ids.Mono
+	heard, pinged identifier.Mono
 	lost          bool
 }
 
 // passed notes that a request goes to the leader; first says that none was
 // waiting for it.
-func (r *reach) passed(now ids.Mono, first bool) {
+func (r *reach) passed(now identifier.Mono, first bool) {
 	if first {
 		r.waiting = now
 	}
 }
 
 // answered notes a reply or a sign of life.
-func (r *reach) answered(now ids.Mono) { r.heard, r.lost = now, false }
+func (r *reach) answered(now identifier.Mono) { r.heard, r.lost = now, false }
 
 // silent is how long the leader has owed an answer.
-func (r *reach) silent(now ids.Mono) (span ids.Span) { return now.Since(max(r.waiting, r.heard)) }
+func (r *reach) silent(now identifier.Mono) (span identifier.Span) {
+	return now.Since(max(r.waiting, r.heard))
+}
 
 // reachLeader asks a leader that owes answers for a sign of life, and gives up
 // the requests passed to it when there has been none for too long.
--- a/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -5,13 +5,13 @@
 	"fmt"
 	"testing"
 
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
 )
 
-const relayLeader ids.Node = 7
+const relayLeader identifier.Node = 7
 
 // forwarder is a keeper without a disk that knows of a leader at "k7".
 func forwarder(t *testing.T) (m *controlplane.Machine) {
@@ -23,7 +23,7 @@
 }
 
 // hear has a keeper say that it leads.
-func hear(m *controlplane.Machine, addr string, id ids.Node, reading wire.LeaderTime, now ids.Mono) {
+func hear(m *controlplane.Machine, addr string, id identifier.Node, reading wire.LeaderTime, now identifier.Mono) {
 	members := []raft.Member{{ID: relayLeader, Addr: "k7", Voter: true}, {ID: 8, Addr: "k8", Voter: true}}
 	m.Frame(wire.Peer(addr), wire.Msg{Tell: &wire.Tell{Role: "keeper", Node: id, Addr: addr, Founded: true, Lead: id, Members: members, Leader: reading}}, now, 0)
 }
@@ -117,7 +117,7 @@
 func TestExpiredOrder(t *testing.T) {
 	s := newSite(t, 1, 0)
 	term := s.keep.Raft().Term()
-	ask := func(verb string, dated bool, known wire.LeaderTime, budget ids.Span) (r *wire.Reply) {
+	ask := func(verb string, dated bool, known wire.LeaderTime, budget identifier.Span) (r *wire.Reply) {
 		s.ask++
 		order := &wire.Ask{ID: s.ask, Verb: verb, Path: "/v1/closings/nowhere", Budget: budget, Dated: dated, Known: known}
 		s.posts = append(s.posts, post{s.now, "k", "op", wire.Msg{Ask: order}})
@@ -131,9 +131,9 @@
 		name   string
 		verb   string
 		dated  bool
-		term   ids.Term
-		age    ids.Span
-		budget ids.Span
+		term   identifier.Term
+		age    identifier.Span
+		budget identifier.Span
 		taken  bool
 	}{
 		{"fresh", "PUT", true, term, 100, 900, true},
--- a/controlplane/reseat.go
+++ b/internal/controlplane/reseat.go
@@ -4,8 +4,8 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // seat is a member as the leader sees it. Dead is a voter whose seat is free to
@@ -13,7 +13,7 @@
 type seat struct {
 	raft.Member
 	self, live, dead, ready, idle bool
-	quiet                         ids.Span
+	quiet                         identifier.Span
 }
 
 // seatTable is the group being weighed. Held counts a zone's voters but for the
@@ -21,7 +21,7 @@
 type seatTable struct {
 	list               []seat
 	voters, spare      int
-	held               map[ids.Domain]int
+	held               map[identifier.Domain]int
 	dead, ready, other *seat
 	idle               *seat
 	whole              bool
@@ -50,7 +50,7 @@
 }
 
 func weigh(list []seat) (t *seatTable) {
-	t = &seatTable{list: list, held: map[ids.Domain]int{}, whole: true}
+	t = &seatTable{list: list, held: map[identifier.Domain]int{}, whole: true}
 	for i := range list {
 		s := &list[i]
 		if s.Voter {
@@ -114,7 +114,7 @@
 
 // holds tells whether the live are a majority of the voters of a list.
 func (t *seatTable) holds(next []raft.Member) (ok bool) {
-	live := map[ids.Node]bool{}
+	live := map[identifier.Node]bool{}
 	for _, s := range t.list {
 		live[s.ID] = s.live
 	}
