--- a/controlplane/reseat_test.go
+++ b/internal/controlplane/reseat_test.go
@@ -5,8 +5,8 @@
 	"math/rand"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // seatsOf makes a group, its first member the leader:
@@ -24,7 +24,7 @@
 		if !voter {
 			zone += 'A' - 'a'
 		}
-		s := seat{Member: raft.Member{ID: ids.Node(len(list) + 1), Domain: ids.Domain(zone), Voter: voter}, live: mark == 0, self: len(list) == 0}
+		s := seat{Member: raft.Member{ID: identifier.Node(len(list) + 1), Domain: identifier.Domain(zone), Voter: voter}, live: mark == 0, self: len(list) == 0}
 		s.dead, s.idle, s.ready = voter && mark == '-', !voter && mark == '-', !voter && mark == 0
 		list = append(list, s)
 		mark = 0
@@ -157,7 +157,7 @@
 // judgeChange says what is wrong with a change. Where the live are no majority
 // to begin with, nothing can be committed, and nothing is judged.
 func judgeChange(list []seat, next []raft.Member, changes map[string]int) (fault string) {
-	was, live := map[ids.Node]seat{}, 0
+	was, live := map[identifier.Node]seat{}, 0
 	for _, s := range list {
 		was[s.ID] = s
 	}
@@ -218,7 +218,7 @@
 				list = after(list, next)
 			}
 		}
-		held, voters := map[ids.Domain]int{}, 0
+		held, voters := map[identifier.Domain]int{}, 0
 		for _, s := range list {
 			if s.Voter {
 				voters++
--- a/controlplane/seats.go
+++ b/internal/controlplane/seats.go
@@ -7,8 +7,8 @@
 package controlplane
 
 import (
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 const (
@@ -57,7 +57,7 @@
 // seatList is the group as this leader sees it. Whoever it has not heard in
 // its own term is neither live nor ready.
 func (m *Machine) seatList() (out []seat) {
-	list, seen := m.raft.Members(), map[ids.Node]raft.MemberStatus{}
+	list, seen := m.raft.Members(), map[identifier.Node]raft.MemberStatus{}
 	for _, s := range m.raft.MemberStatuses() {
 		seen[s.ID] = s
 	}
--- a/controlplane/show.go
+++ b/internal/controlplane/show.go
@@ -9,23 +9,23 @@
 	"net/url"
 	"strconv"
 
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/state"
 )
 
 // JobDoc is a job as the API returns it. Times are RFC 3339 in UTC; Steps is
 // left out of lists. Why says why the job failed, if it did.
 type JobDoc struct {
-	Job       ids.Key   `json:"job"`
-	State     string    `json:"state"`
-	Pending   ids.Row   `json:"pending"`
-	Urgency   int64     `json:"urgency"`
-	Accepted  string    `json:"accepted"`
-	NotBefore string    `json:"notBefore,omitempty"`
-	Ended     string    `json:"ended,omitempty"`
-	Why       string    `json:"why,omitempty"`
-	Steps     []StepDoc `json:"steps,omitempty"`
+	Job       identifier.Key `json:"job"`
+	State     string         `json:"state"`
+	Pending   identifier.Row `json:"pending"`
+	Urgency   int64          `json:"urgency"`
+	Accepted  string         `json:"accepted"`
+	NotBefore string         `json:"notBefore,omitempty"`
+	Ended     string         `json:"ended,omitempty"`
+	Why       string         `json:"why,omitempty"`
+	Steps     []StepDoc      `json:"steps,omitempty"`
 }
 
 // StepDoc is one step of a job; Why says what its waiting tasks wait for.
@@ -39,11 +39,11 @@
 // start, and "stopping" while its lease is being revoked; Why then is the
 // reason.
 type TaskDoc struct {
-	State   string     `json:"state"`
-	Runner  ids.Runner `json:"runner,omitempty"`
-	Grant   ids.Grant  `json:"grant,omitempty"`
-	Defects int64      `json:"defects"`
-	Why     string     `json:"why,omitempty"`
+	State   string            `json:"state"`
+	Runner  identifier.Runner `json:"runner,omitempty"`
+	Grant   identifier.Grant  `json:"grant,omitempty"`
+	Defects int64             `json:"defects"`
+	Why     string            `json:"why,omitempty"`
 }
 
 func (m *Machine) jobDoc(j *state.Job, full bool) (d JobDoc) {
@@ -97,7 +97,7 @@
 	return "behind other work of row " + string(j.Spec.Pending)
 }
 
-func (m *Machine) showJob(c *call, key ids.Key) {
+func (m *Machine) showJob(c *call, key identifier.Key) {
 	if j := m.book.Jobs[key]; j != nil {
 		m.replyDoc(c.peer, c.ID, 200, m.jobDoc(j, true))
 		return
@@ -114,7 +114,7 @@
 	State string `json:"state"`
 }
 
-func (m *Machine) showState(c *call, key ids.Key) {
+func (m *Machine) showState(c *call, key identifier.Key) {
 	if j := m.book.Jobs[key]; j != nil {
 		m.replyDoc(c.peer, c.ID, 200, StateDoc{j.State()})
 		return
@@ -164,7 +164,7 @@
 		Next string   `json:"next,omitempty"`
 	}{Jobs: []JobDoc{}}
 	looked := 0
-	m.book.Page(ids.Key(q.Get("after")), func(j *state.Job) (more bool) {
+	m.book.Page(identifier.Key(q.Get("after")), func(j *state.Job) (more bool) {
 		agent, _ := j.Key.Split()
 		looked++
 		if match(q, "agent", string(agent)) && match(q, "pending", string(j.Spec.Pending)) && match(q, "state", j.State()) {
@@ -188,20 +188,20 @@
 // poll in milliseconds, Fence the drain operation that cordons it, Good and Bad
 // recent successes and defects.
 type RunnerDoc struct {
-	Runner ids.Runner  `json:"runner"`
-	Domain ids.Domain  `json:"domain"`
-	Rack   ids.Rack    `json:"rack"`
-	Labels []ids.Label `json:"labels"`
-	Cores  int64       `json:"cores"`
-	Mem    int64       `json:"memMb"`
-	Used   any         `json:"used"`
-	Tasks  int         `json:"tasks"`
-	Mode   string      `json:"mode"`
-	Gone   bool        `json:"gone"`
-	Fence  string      `json:"fence,omitempty"`
-	Quiet  ids.Span    `json:"quietMs"`
-	Good   int64       `json:"well"`
-	Bad    int64       `json:"defects"`
+	Runner identifier.Runner  `json:"runner"`
+	Domain identifier.Domain  `json:"domain"`
+	Rack   identifier.Rack    `json:"rack"`
+	Labels []identifier.Label `json:"labels"`
+	Cores  int64              `json:"cores"`
+	Mem    int64              `json:"memMb"`
+	Used   any                `json:"used"`
+	Tasks  int                `json:"tasks"`
+	Mode   string             `json:"mode"`
+	Gone   bool               `json:"gone"`
+	Fence  string             `json:"fence,omitempty"`
+	Quiet  identifier.Span    `json:"quietMs"`
+	Good   int64              `json:"well"`
+	Bad    int64              `json:"defects"`
 }
 
 func (m *Machine) showRunners() (out map[string]any) {
@@ -237,7 +237,7 @@
 	if err = json.Unmarshal(text, &out); err != nil {
 		panic(err)
 	}
-	fence := []ids.Runner{}
+	fence := []identifier.Runner{}
 	for _, n := range m.book.RunnerNames() {
 		if c.Stage.Down() && m.book.Runners[n].Fence() != "" && has(c.Scope, n) {
 			fence = append(fence, n)
@@ -249,7 +249,7 @@
 	return out
 }
 
-func has(list []ids.Runner, n ids.Runner) (ok bool) {
+func has(list []identifier.Runner, n identifier.Runner) (ok bool) {
 	for _, one := range list {
 		if one == n {
 			return true
@@ -279,11 +279,11 @@
 //revive:disable-next-line:exported Doc alone would not tell it from the other documents here.
 type KeeperDoc struct {
 	raft.Member
-	Name  string    `json:"name"`
-	Lead  bool      `json:"leads"`
-	Match ids.Index `json:"match"`
-	Quiet ids.Span  `json:"quietMs"`
-	Level uint16    `json:"level"`
+	Name  string           `json:"name"`
+	Lead  bool             `json:"leads"`
+	Match identifier.Index `json:"match"`
+	Quiet identifier.Span  `json:"quietMs"`
+	Level uint16           `json:"level"`
 }
 
 func (m *Machine) showKeepers() (out map[string]any) {
--- a/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -8,11 +8,11 @@
 	"net/url"
 	"strconv"
 
-	"orchidward/catalog"
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/routing"
-	"orchidward/wire"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/routing"
+	"orchidward/internal/transport/wire"
 )
 
 // Parameters of a SYNC request. Since is the epoch of the gateway's table, After
@@ -32,12 +32,12 @@
 // routing table, the members, and the other gateways. Table is the whole, for
 // gateways of a former version.
 type Sync struct {
-	Epoch   ids.Epoch     `json:"epoch"`
-	Table   *Sheet        `json:"table,omitempty"`
-	Page    *routing.Page `json:"page,omitempty"`
-	Lead    string        `json:"lead"`
-	Members []raft.Member `json:"members"`
-	Gates   []string      `json:"gates"`
+	Epoch   identifier.Epoch `json:"epoch"`
+	Table   *Sheet           `json:"table,omitempty"`
+	Page    *routing.Page    `json:"page,omitempty"`
+	Lead    string           `json:"lead"`
+	Members []raft.Member    `json:"members"`
+	Gates   []string         `json:"gates"`
 }
 
 // Stale is the body of a reply to a request that was checked by an older table.
@@ -50,8 +50,8 @@
 
 // Sheet is the table without the marks that only the core needs.
 type Sheet struct {
-	Epoch ids.Epoch                     `json:"epoch"`
-	Rows  map[ids.Row]map[string]string `json:"rows"`
+	Epoch identifier.Epoch                     `json:"epoch"`
+	Rows  map[identifier.Row]map[string]string `json:"rows"`
 	// Version and Places are the catalogue's, 0 and none where there is none.
 	Version uint64          `json:"version,omitempty"`
 	Places  []catalog.Place `json:"places,omitempty"`
@@ -108,14 +108,14 @@
 	switch {
 	case err != nil && c.Epoch != s.Epoch:
 		s.Table = m.sheetNow()
-	case err == nil && (ids.Epoch(since) != s.Epoch || q.Get(SyncAfter) != ""):
-		page := m.page(ids.Epoch(since), q.Get(SyncAfter))
+	case err == nil && (identifier.Epoch(since) != s.Epoch || q.Get(SyncAfter) != ""):
+		page := m.page(identifier.Epoch(since), q.Get(SyncAfter))
 		s.Page = &page
 	}
 	m.replyDoc(c.peer, c.ID, 200, s)
 }
 
-func (m *Machine) page(since ids.Epoch, after string) (p routing.Page) {
+func (m *Machine) page(since identifier.Epoch, after string) (p routing.Page) {
 	m.trackRouting()
 	return m.routed.history.Page(since, after)
 }
--- a/agentdesk/desk.go
+++ b/internal/daemon/agentd/desk.go
@@ -1,7 +1,7 @@
 // Package agentdesk is the agent's main duty: it alone touches the machine.
 // Frames from the core come in on one ring, and what its runner says, by way
 // of whatever face the agent has, on another.
-package agentdesk
+package agentd
 
 import (
 	"context"
@@ -10,13 +10,13 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/agent"
-	"orchidward/crew"
-	"orchidward/ids"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/serve"
-	"orchidward/wire"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/transport/httpserver"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 // Settings are what an agent is started with. Memory is in bytes; 0 sets no
@@ -28,12 +28,12 @@
 
 // Desk runs an agent.Machine.
 type Desk struct {
-	log     *logs.Log
-	clock   *crew.Clock
+	log     *logging.Log
+	clock   *lifecycle.Clock
 	link    *link.Link
 	mach    *agent.Machine
-	in      *crew.Ring[input]
-	errands *serve.Errands[*agent.Machine]
+	in      *lifecycle.Ring[input]
+	errands *httpserver.Errands[*agent.Machine]
 }
 
 // input is one frame.
@@ -43,11 +43,11 @@
 }
 
 // New opens the agent's address; it begins with the process's life.
-func New(s Settings, c *crew.Crew, log *logs.Log, life fx.Lifecycle) (d *Desk, err error) {
+func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (d *Desk, err error) {
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d = &Desk{log: log, clock: crew.NewClock(), in: crew.NewRing[input](8192), errands: serve.NewErrands[*agent.Machine](1024)}
+	d = &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*agent.Machine](1024)}
 	d.mach = agent.New(s.Boot, d.clock.Now())
 	if d.link, err = link.Listen(s.Boot.Addr, c); err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 
 // Leave tells that a runner says good-bye. If not ok, the machine has not
 // heard of it and won't.
-func (d *Desk) Leave(ctx context.Context, id ids.Inc) (ok bool) {
+func (d *Desk) Leave(ctx context.Context, id identifier.Inc) (ok bool) {
 	return d.errands.Do(ctx, func(m *agent.Machine) { m.Leave(id, d.clock.Now()) })
 }
 
--- a/agentdesk/desk_test.go
+++ b/internal/daemon/agentd/desk_test.go
@@ -1,4 +1,4 @@
-package agentdesk
+package agentd
 
 import (
 	"context"
@@ -8,13 +8,13 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/agent"
-	"orchidward/crew"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/wire"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 type life struct{ hooks []fx.Hook }
@@ -24,7 +24,7 @@
 // TestDesk: heartbeats are answered also without a core, what the machine has
 // to say reaches the core, and a desk that ended answers nothing.
 func TestDesk(t *testing.T) {
-	c := crew.New()
+	c := lifecycle.New()
 	core, err := link.Listen("127.0.0.1:0", c)
 	if err != nil {
 		t.Fatal(err)
@@ -35,7 +35,7 @@
 			told.Add(1)
 		}
 	})
-	log := logs.New()
+	log := logging.New()
 	log.Quiet()
 	l := &life{}
 	d, err := New(Settings{Boot: agent.Boot{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, HoldMost: 10000, Pace: 500}}, c, log, l)
@@ -63,7 +63,7 @@
 			t.Fatal("the core was not told of the runner")
 		}
 	}
-	if !d.Leave(ctx, ids.Inc("a")) || !d.Look(ctx, func(*agent.Machine) {}) {
+	if !d.Leave(ctx, identifier.Inc("a")) || !d.Look(ctx, func(*agent.Machine) {}) {
 		t.Error("the desk takes no errands")
 	}
 	if err = c.Stop(ctx); err != nil {
--- a/agentdesk/given_up_test.go
+++ b/internal/daemon/agentd/given_up_test.go
@@ -1,4 +1,4 @@
-package agentdesk
+package agentd
 
 import (
 	"context"
@@ -7,18 +7,18 @@
 	"testing"
 	"time"
 
-	"orchidward/agent"
-	"orchidward/crew"
-	"orchidward/job"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/wire"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/job"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 // TestGivenUp: a heartbeat whose caller was told that the agent has not heard of
 // it is never heard of, also not when the desk gets to it later.
 func TestGivenUp(t *testing.T) {
-	c := crew.New()
+	c := lifecycle.New()
 	core, err := link.Listen("127.0.0.1:0", c)
 	if err != nil {
 		t.Fatal(err)
@@ -32,7 +32,7 @@
 			mu.Unlock()
 		}
 	})
-	log := logs.New()
+	log := logging.New()
 	log.Quiet()
 	l := &life{}
 	d, err := New(Settings{Boot: agent.Boot{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, HoldMost: 10000, Pace: 500}}, c, log, l)
--- a/gatewayd/ask.go
+++ b/internal/daemon/gatewayd/ask.go
@@ -6,8 +6,8 @@
 import (
 	"context"
 
-	"orchidward/doc"
-	"orchidward/gateway"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/gateway"
 )
 
 // Ask has the gate settle a request. A caller whose context ends is forgotten,
@@ -29,14 +29,14 @@
 			m.Drop(r.ID)
 			delete(d.back, r.ID)
 		})
-		return gateway.Answer{Status: 504, Body: doc.Trouble{Code: "no-answer", Why: "the caller left; the outcome is not known"}.JSON()}
+		return gateway.Answer{Status: 504, Body: jsondoc.Trouble{Code: "no-answer", Why: "the caller left; the outcome is not known"}.JSON()}
 	case <-d.errands.Over():
 	}
 	select {
 	case a = <-back:
 		return a
 	default:
-		return gateway.Answer{Status: 504, Retry: 1000, Body: doc.Trouble{Code: "stopping", Why: "this gate has stopped; the outcome is not known", Retry: 1000}.JSON()}
+		return gateway.Answer{Status: 504, Retry: 1000, Body: jsondoc.Trouble{Code: "stopping", Why: "this gate has stopped; the outcome is not known", Retry: 1000}.JSON()}
 	}
 }
 
@@ -46,5 +46,5 @@
 }
 
 func full() (a gateway.Answer) {
-	return gateway.Answer{Status: 503, Retry: 1000, Body: doc.Trouble{Code: "busy", Why: "this gate is full"}.JSON()}
+	return gateway.Answer{Status: 503, Retry: 1000, Body: jsondoc.Trouble{Code: "busy", Why: "this gate is full"}.JSON()}
 }
--- a/gatewayd/desk.go
+++ b/internal/daemon/gatewayd/desk.go
@@ -12,13 +12,13 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/crew"
-	"orchidward/gateway"
-	"orchidward/ids"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/serve"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/gateway"
+	"orchidward/internal/transport/httpserver"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 // Settings are what a gate is started with. Without HTTP it serves none of its
@@ -26,7 +26,7 @@
 type Settings struct {
 	Addr   string
 	HTTP   string
-	Domain ids.Domain
+	Domain identifier.Domain
 	Seeds  []string
 	BodyKb int64
 	Memory int64
@@ -34,15 +34,15 @@
 
 // Desk runs a gateway.Machine.
 type Desk struct {
-	log     *logs.Log
-	clock   *crew.Clock
+	log     *logging.Log
+	clock   *lifecycle.Clock
 	link    *link.Link
-	http    *serve.Server
-	gauges  *serve.Gauges
+	http    *httpserver.Server
+	gauges  *httpserver.Gauges
 	ready   atomic.Bool
 	mach    *gateway.Machine
-	in      *crew.Ring[input]
-	errands *serve.Errands[*gateway.Machine]
+	in      *lifecycle.Ring[input]
+	errands *httpserver.Errands[*gateway.Machine]
 	back    map[uint64]chan<- gateway.Answer
 	next    atomic.Uint64
 	size    int64
@@ -55,7 +55,7 @@
 }
 
 // New opens the gate's addresses; it begins with the process's life.
-func New(s Settings, c *crew.Crew, log *logs.Log, life fx.Lifecycle) (d *Desk, err error) {
+func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (d *Desk, err error) {
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
@@ -63,7 +63,7 @@
 	if name == "" {
 		name = s.Addr
 	}
-	d = &Desk{log: log, clock: crew.NewClock(), in: crew.NewRing[input](8192), errands: serve.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
+	d = &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
 	d.mach = gateway.New(gateway.Boot{Addr: s.Addr, HTTP: name, Domain: s.Domain, Seeds: s.Seeds, Seed: rand.Int64()}, d.clock.Now())
 	if d.link, err = link.Listen(s.Addr, c); err != nil {
 		return nil, err
@@ -73,7 +73,7 @@
 		c.Go(d.run)
 	}
 	if s.HTTP == "" {
-		d.gauges = serve.NewGauges()
+		d.gauges = httpserver.NewGauges()
 		log.Event("start", "program", "gate", "addr", s.Addr, "domain", s.Domain)
 		life.Append(fx.Hook{OnStart: func(context.Context) error {
 			begin()
@@ -81,7 +81,7 @@
 		}})
 		return d, nil
 	}
-	if d.http, err = serve.New(s.HTTP); err != nil {
+	if d.http, err = httpserver.New(s.HTTP); err != nil {
 		d.link.Close()
 		return nil, err
 	}
@@ -133,7 +133,7 @@
 func (d *Desk) Ready() (ok bool) { return d.ready.Load() }
 
 // Gauges are this gate's numbers, for a face that shows them.
-func (d *Desk) Gauges() (g *serve.Gauges) { return d.gauges }
+func (d *Desk) Gauges() (g *httpserver.Gauges) { return d.gauges }
 
 func (d *Desk) gauge() {
 	ready := d.mach.Ready(d.clock.Now())
--- a/gatewayd/desk_test.go
+++ b/internal/daemon/gatewayd/desk_test.go
@@ -10,15 +10,15 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/controlplane"
-	"orchidward/crew"
-	"orchidward/gateway"
-	"orchidward/ids"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/raft"
-	"orchidward/table"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/gateway"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 type life struct{ hooks []fx.Hook }
@@ -27,7 +27,7 @@
 
 // core plays the leader: it answers discovery and syncs, answers reads of the
 // table, and keeps silent about all else, which it counts.
-func core(t *testing.T, c *crew.Crew) (addr string, silent *atomic.Int64) {
+func core(t *testing.T, c *lifecycle.Crew) (addr string, silent *atomic.Int64) {
 	t.Helper()
 	l, err := link.Listen("127.0.0.1:0", c)
 	if err != nil {
@@ -35,7 +35,7 @@
 	}
 	silent = &atomic.Int64{}
 	members := []raft.Member{{ID: 7, Addr: l.Addr(), Voter: true}}
-	text, err := json.Marshal(controlplane.Sync{Epoch: 1, Table: &controlplane.Sheet{Epoch: 1, Rows: table.First().Rows}, Lead: ids.Node(7).String(), Members: members})
+	text, err := json.Marshal(controlplane.Sync{Epoch: 1, Table: &controlplane.Sheet{Epoch: 1, Rows: limits.First().Rows}, Lead: identifier.Node(7).String(), Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,9 +54,9 @@
 	return l.Addr(), silent
 }
 
-func desk(t *testing.T, c *crew.Crew, seed string) (d *Desk, l *life) {
+func desk(t *testing.T, c *lifecycle.Crew, seed string) (d *Desk, l *life) {
 	t.Helper()
-	log := logs.New()
+	log := logging.New()
 	log.Quiet()
 	l = &life{}
 	d, err := New(Settings{Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{seed}, BodyKb: 16}, c, log, l)
@@ -87,7 +87,7 @@
 // TestAsk: a request made at the desk goes to the leader and its answer comes
 // back; one whose caller leaves is forgotten by the machine.
 func TestAsk(t *testing.T) {
-	c := crew.New()
+	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	addr, silent := core(t, c)
 	d, l := desk(t, c, addr)
@@ -121,7 +121,7 @@
 
 // TestAskRefused: out of touch, full and ended are said so at once.
 func TestAskRefused(t *testing.T) {
-	c := crew.New()
+	c := lifecycle.New()
 	d, l := desk(t, c, "127.0.0.1:1")
 	for d.errands.Offer(func(*gateway.Machine) {}) {
 	}
--- a/gatewayd/web.go
+++ b/internal/daemon/gatewayd/web.go
@@ -10,9 +10,9 @@
 
 	"github.com/gin-gonic/gin"
 
-	"orchidward/gateway"
-	"orchidward/ids"
-	"orchidward/serve"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/gateway"
+	"orchidward/internal/transport/httpserver"
 )
 
 const budgetHead = "Budget-Ms"
@@ -49,20 +49,20 @@
 	body, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, d.size))
 	if err != nil {
 		if _, big := err.(*http.MaxBytesError); big {
-			serve.Refuse(c, 413, "too-large", "the body is over "+strconv.FormatInt(d.size, 10)+" bytes")
+			httpserver.Refuse(c, 413, "too-large", "the body is over "+strconv.FormatInt(d.size, 10)+" bytes")
 			return
 		}
-		serve.Refuse(c, 400, "bad-request", "the body could not be read")
+		httpserver.Refuse(c, 400, "bad-request", "the body could not be read")
 		return
 	}
 	r := gateway.Request{Verb: c.Request.Method, Path: c.Request.URL.Path, Query: c.Request.URL.RawQuery, Body: body}
 	if text := c.GetHeader(budgetHead); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n < 50 || n > 30000 {
-			serve.Refuse(c, 400, "bad-request", budgetHead+" wants 50 to 30000")
+			httpserver.Refuse(c, 400, "bad-request", budgetHead+" wants 50 to 30000")
 			return
 		}
-		r.Budget = ids.Span(n)
+		r.Budget = identifier.Span(n)
 	}
 	a := d.Ask(c.Request.Context(), r)
 	if c.Request.Context().Err() != nil {
--- a/crew/clock.go
+++ b/internal/daemon/lifecycle/clock.go
@@ -3,18 +3,18 @@
 // runner waking from an hour's sleep would find its grant fresh, and a leader
 // its lease.
 
-package crew
+package lifecycle
 
 import (
 	"time"
 
 	"golang.org/x/sys/unix"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Clock reads the time of this process and of the machine.
-type Clock struct{ start ids.Mono }
+type Clock struct{ start identifier.Mono }
 
 // source is the kernel's clock that runs on through a suspend.
 const source = unix.CLOCK_BOOTTIME
@@ -24,16 +24,16 @@
 func NewClock() (c *Clock) { return &Clock{read()} }
 
 // read panics where the kernel lacks the clock: no promise could be kept.
-func read() (m ids.Mono) {
+func read() (m identifier.Mono) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(source, &ts); err != nil {
 		panic("crew: no clock that counts suspend: " + err.Error())
 	}
-	return ids.Mono(ts.Nano() / int64(time.Millisecond))
+	return identifier.Mono(ts.Nano() / int64(time.Millisecond))
 }
 
 // Now is the time since NewClock, that of a suspended machine included.
-func (c *Clock) Now() (m ids.Mono) { return read() - c.start }
+func (c *Clock) Now() (m identifier.Mono) { return read() - c.start }
 
 // Wall is the machine's time of day.
-func (c *Clock) Wall() (w ids.Wall) { return ids.Wall(time.Now().UnixMilli()) }
+func (c *Clock) Wall() (w identifier.Wall) { return identifier.Wall(time.Now().UnixMilli()) }
--- a/crew/clock_test.go
+++ b/internal/daemon/lifecycle/clock_test.go
@@ -1,4 +1,4 @@
-package crew
+package lifecycle
 
 import (
 	"testing"
--- a/crew/crew.go
+++ b/internal/daemon/lifecycle/crew.go
@@ -1,6 +1,6 @@
 // Package crew is the one place where goroutines are started: a duty each,
 // named, and all of them waited for at the stop.
-package crew
+package lifecycle
 
 import (
 	"context"
--- a/crew/ring.go
+++ b/internal/daemon/lifecycle/ring.go
@@ -1,7 +1,7 @@
 // A Ring joins two duties and never holds more than its size: what comes when
 // it is full is refused, and the one who offered it decides what that means.
 
-package crew
+package lifecycle
 
 // Ring is a bounded queue between goroutines.
 type Ring[T any] struct{ c chan T }
--- a/logs/logs.go
+++ b/internal/daemon/logging/logs.go
@@ -1,5 +1,5 @@
 // Package logs writes one key=value line for each event.
-package logs
+package logging
 
 import (
 	"context"
--- a/logs/logs_test.go
+++ b/internal/daemon/logging/logs_test.go
@@ -1,4 +1,4 @@
-package logs
+package logging
 
 import (
 	"bufio"
--- a/serverd/ask.go
+++ b/internal/daemon/serverd/ask.go
@@ -6,9 +6,9 @@
 import (
 	"context"
 
-	"orchidward/controlplane"
-	"orchidward/gateway"
-	"orchidward/pending"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/gateway"
+	"orchidward/internal/inflight"
 )
 
 // Ask has the leader settle a request, wherever it is, within the request's
@@ -22,21 +22,21 @@
 		d.pending.Admit(r, func(a gateway.Answer) { back <- a }, d.clock.Now(), m.Connected())
 	}
 	if !d.errands.Offer(admit) {
-		return pending.Full()
+		return inflight.Full()
 	}
 	select {
 	case a = <-back:
 		return a
 	case <-ctx.Done():
 		d.errands.Offer(func(*controlplane.Machine) { d.pending.Forget(r.ID) })
-		return pending.Refusal(504, "no-answer", "the caller left; the outcome is not known", 0)
+		return inflight.Refusal(504, "no-answer", "the caller left; the outcome is not known", 0)
 	case <-d.errands.Over():
 	}
 	select {
 	case a = <-back:
 		return a
 	default:
-		return pending.Refusal(504, "stopping", "this keeper has stopped; the outcome is not known", 1000)
+		return inflight.Refusal(504, "stopping", "this keeper has stopped; the outcome is not known", 1000)
 	}
 }
 
--- a/serverd/depart.go
+++ b/internal/daemon/serverd/depart.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/controlplane"
+	"orchidward/internal/controlplane"
 )
 
 // Depart has this server leave its group in order when the process is told to
--- a/serverd/depart_test.go
+++ b/internal/daemon/serverd/depart_test.go
@@ -5,16 +5,16 @@
 	"testing"
 	"time"
 
-	"orchidward/controlplane"
-	"orchidward/crew"
-	"orchidward/gateway"
-	"orchidward/raft"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/gateway"
 )
 
 // TestDepart: a leader that is told to stop hands on before its hook returns;
 // requests made at it meanwhile and after are settled by the next leader.
 func TestDepart(t *testing.T) {
-	c, seeds, list, lives := crew.New(), free(3), []*Desk{}, []*life{}
+	c, seeds, list, lives := lifecycle.New(), free(3), []*Desk{}, []*life{}
 	defer c.Stop(context.Background())
 	for _, addr := range seeds {
 		d, l := desk(t, c, addr, seeds)
--- a/serverd/desk.go
+++ b/internal/daemon/serverd/desk.go
@@ -15,17 +15,17 @@
 	"github.com/go-faster/errors"
 	"go.uber.org/fx"
 
-	"orchidward/controlplane"
-	"orchidward/crew"
-	"orchidward/ids"
-	"orchidward/link"
-	"orchidward/logs"
-	"orchidward/pending"
-	"orchidward/raft"
-	"orchidward/serve"
-	"orchidward/state"
-	"orchidward/wal"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/consensus/wal"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/inflight"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/httpserver"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 // Settings are what a keeper is started with. Without Data, a folder, it is a
@@ -34,7 +34,7 @@
 	Data   string
 	Addr   string
 	HTTP   string
-	Domain ids.Domain
+	Domain identifier.Domain
 	Seeds  []string
 	Files  int64
 	FileKb int64
@@ -43,7 +43,7 @@
 	Memory int64
 	// Elect is the least time a keeper waits for word of a leader before it asks
 	// for an election, in milliseconds; 0 is the usual 1000.
-	Elect ids.Span
+	Elect identifier.Span
 }
 
 func (s Settings) timing() (t raft.Timing) {
@@ -55,17 +55,17 @@
 
 // Desk runs a controlplane.Machine.
 type Desk struct {
-	log     *logs.Log
-	clock   *crew.Clock
+	log     *logging.Log
+	clock   *lifecycle.Clock
 	link    *link.Link
-	http    *serve.Server
-	gauges  *serve.Gauges
+	http    *httpserver.Server
+	gauges  *httpserver.Gauges
 	ready   atomic.Bool
 	mach    *controlplane.Machine
 	store   *store
-	in      *crew.Ring[input]
-	errands *serve.Errands[*controlplane.Machine]
-	pending *pending.Requests
+	in      *lifecycle.Ring[input]
+	errands *httpserver.Errands[*controlplane.Machine]
+	pending *inflight.Requests
 	next    atomic.Uint64
 	todo    wal.Chores
 	stop    fx.Shutdowner
@@ -90,11 +90,11 @@
 
 // New opens the keeper's folder and addresses; it begins with the process's
 // life, and ends the process when it must step aside.
-func New(s Settings, c *crew.Crew, log *logs.Log, life fx.Lifecycle, stop fx.Shutdowner) (d *Desk, err error) {
+func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (d *Desk, err error) {
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d = &Desk{log: log, clock: crew.NewClock(), in: crew.NewRing[input](8192), errands: serve.NewErrands[*controlplane.Machine](4096), pending: pending.New(), stop: stop, left: make(chan struct{})}
+	d = &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*controlplane.Machine](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
 	boot := controlplane.Boot{Addr: s.Addr, Domain: s.Domain, Seeds: s.Seeds, Seed: int64(random() >> 1), Timing: s.timing(), Level: state.Present, Found: s.Found, Cells: s.Cells, Diskless: s.Data == ""}
 	if d.store, boot.ID, err = newStore(s); err != nil {
 		return nil, err
@@ -123,14 +123,14 @@
 
 // begin hooks the duties into the process's life, by way of the HTTP side if
 // there is one.
-func (d *Desk) begin(s Settings, c *crew.Crew, life fx.Lifecycle, id ids.Node) (err error) {
+func (d *Desk) begin(s Settings, c *lifecycle.Crew, life fx.Lifecycle, id identifier.Node) (err error) {
 	begin := func() {
 		d.link.Serve(d.take)
 		c.Go(d.store.run)
 		c.Go(d.run)
 	}
 	if s.HTTP != "" {
-		if d.http, err = serve.New(s.HTTP); err != nil {
+		if d.http, err = httpserver.New(s.HTTP); err != nil {
 			return err
 		}
 		d.gauges = d.http.Gauge
@@ -140,7 +140,7 @@
 		d.http.Life(life, c, d.log, "keeper", begin)
 		return nil
 	}
-	d.gauges = serve.NewGauges()
+	d.gauges = httpserver.NewGauges()
 	life.Append(fx.Hook{OnStart: func(context.Context) error {
 		begin()
 		return nil
@@ -224,4 +224,4 @@
 func (d *Desk) Ready() (ok bool) { return d.ready.Load() }
 
 // Gauges are this keeper's numbers, for a face that shows them.
-func (d *Desk) Gauges() (g *serve.Gauges) { return d.gauges }
+func (d *Desk) Gauges() (g *httpserver.Gauges) { return d.gauges }
--- a/serverd/desk_test.go
+++ b/internal/daemon/serverd/desk_test.go
@@ -11,11 +11,11 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/controlplane"
-	"orchidward/crew"
-	"orchidward/gateway"
-	"orchidward/ids"
-	"orchidward/logs"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/gateway"
 )
 
 // life runs its hooks at once when told to, and remembers a shutdown.
@@ -60,9 +60,9 @@
 }
 
 // desk makes a keeper without an HTTP side of its own.
-func desk(t *testing.T, c *crew.Crew, addr string, seeds []string) (d *Desk, l *life) {
+func desk(t *testing.T, c *lifecycle.Crew, addr string, seeds []string) (d *Desk, l *life) {
 	t.Helper()
-	log := logs.New()
+	log := logging.New()
 	log.Quiet()
 	l = &life{down: make(chan bool, 1)}
 	d, err := New(Settings{Data: t.TempDir(), Addr: addr, Domain: "north", Seeds: seeds, Files: 4, FileKb: 256, Found: true}, c, log, l, l)
@@ -75,7 +75,7 @@
 // TestAskAtKeepers: a request made at any keeper, leading or not, is settled
 // by the leader, and what one accepted all of them know.
 func TestAskAtKeepers(t *testing.T) {
-	c, seeds, list := crew.New(), free(3), []*Desk{}
+	c, seeds, list := lifecycle.New(), free(3), []*Desk{}
 	defer c.Stop(context.Background())
 	for _, addr := range seeds {
 		d, l := desk(t, c, addr, seeds)
@@ -112,10 +112,10 @@
 // TestPorter: a keeper without a data folder keeps nothing and has no seat; a
 // request made at it is settled by the leader all the same.
 func TestPorter(t *testing.T) {
-	c, addrs := crew.New(), free(4)
+	c, addrs := lifecycle.New(), free(4)
 	seeds, list := addrs[:3], []*Desk{}
 	defer c.Stop(context.Background())
-	log := logs.New()
+	log := logging.New()
 	log.Quiet()
 	l := &life{down: make(chan bool, 1)}
 	porter, err := New(Settings{Addr: addrs[3], Domain: "north", Seeds: seeds, Found: true}, c, log, l, l)
@@ -163,9 +163,9 @@
 // TestAskAlone: a keeper that knows no leader tells its caller to come back
 // when the budget is up; one that ended, or is full, says so at once.
 func TestAskAlone(t *testing.T) {
-	c, seeds := crew.New(), free(3)
+	c, seeds := lifecycle.New(), free(3)
 	d, l := desk(t, c, seeds[0], seeds)
-	ask := func(budget ids.Span) (a gateway.Answer) {
+	ask := func(budget identifier.Span) (a gateway.Answer) {
 		return d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: budget})
 	}
 	for i := 0; i < 4096; i++ {
--- a/serverd/gauge.go
+++ b/internal/daemon/serverd/gauge.go
@@ -2,7 +2,7 @@
 
 package serverd
 
-import "orchidward/raft"
+import "orchidward/internal/consensus/raft"
 
 func (d *Desk) gauge() {
 	r := d.mach.Raft()
--- a/serverd/store.go
+++ b/internal/daemon/serverd/store.go
@@ -8,9 +8,9 @@
 
 	"github.com/go-faster/errors"
 
-	"orchidward/crew"
-	"orchidward/ids"
-	"orchidward/wal"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/wal"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 // done is word of a chore.
@@ -23,22 +23,22 @@
 	disk  *wal.Folder
 	shape wal.Shape
 	ring  *wal.Ring
-	in    *crew.Ring[*wal.Chore]
-	out   *crew.Ring[done]
+	in    *lifecycle.Ring[*wal.Chore]
+	out   *lifecycle.Ring[done]
 	fill  atomic.Int64
 }
 
 // newStore opens the folder and reads or makes up the keeper's identity; a
 // porter has neither.
-func newStore(set Settings) (s *store, id ids.Node, err error) {
-	s = &store{in: crew.NewRing[*wal.Chore](1), out: crew.NewRing[done](1)}
+func newStore(set Settings) (s *store, id identifier.Node, err error) {
+	s = &store{in: lifecycle.NewRing[*wal.Chore](1), out: lifecycle.NewRing[done](1)}
 	if set.Data == "" {
 		return s, 0, nil
 	}
 	if s.disk, err = wal.OpenFolder(set.Data); err != nil {
 		return nil, 0, err
 	}
-	id, s.shape, err = wal.Identity(s.disk, ids.Node(random()), wal.Shape{Files: int(set.Files), Bytes: int(set.FileKb) << 10})
+	id, s.shape, err = wal.Identity(s.disk, identifier.Node(random()), wal.Shape{Files: int(set.Files), Bytes: int(set.FileKb) << 10})
 	return s, id, err
 }
 
--- a/boot/boot.go
+++ b/internal/daemon/settings/boot.go
@@ -1,7 +1,7 @@
 // Package boot reads a program's settings: flags, and a JSON settings file
 // whose keys are the flags' names. Everything is checked before anything is
 // opened, and every fault is named with its key.
-package boot
+package settings
 
 import (
 	"bytes"
@@ -15,7 +15,7 @@
 	"github.com/alecthomas/kong"
 	"github.com/go-faster/errors"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // File is a settings file as a source of flag values for kong.
@@ -147,7 +147,7 @@
 
 // Name wants a plain name, as ids.Plain defines it.
 func (c *Check) Name(key, val string) {
-	if !ids.Plain(val) {
+	if !identifier.Plain(val) {
 		c.Fault(key, "want 1 to 64 letters, digits, '.', '-' or '_', have %q", val)
 	}
 }
--- a/boot/boot_test.go
+++ b/internal/daemon/settings/boot_test.go
@@ -1,4 +1,4 @@
-package boot
+package settings
 
 import (
 	"os"
--- a/gateway/boot.go
+++ b/internal/gateway/boot.go
@@ -6,9 +6,9 @@
 import (
 	"strings"
 
-	"orchidward/ids"
-	"orchidward/pause"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/stalldetector"
+	"orchidward/internal/transport/wire"
 )
 
 // Boot is the configuration a gateway starts with. Addr is where it listens for
@@ -17,7 +17,7 @@
 type Boot struct {
 	Addr   string
 	HTTP   string
-	Domain ids.Domain
+	Domain identifier.Domain
 	Seeds  []string
 	// Seed is where the numbers of this life's requests begin, so that no
 	// answer to a former life's is taken for one of this.
@@ -31,7 +31,7 @@
 	Path   string
 	Query  string
 	Body   []byte
-	Budget ids.Span
+	Budget identifier.Span
 }
 
 // Repeatable tells whether the request may be sent to a leader again when it
@@ -43,7 +43,7 @@
 }
 
 // patience is how long the caller waits, in milliseconds, where it doesn't say.
-func (r Request) patience() (span ids.Span) {
+func (r Request) patience() (span identifier.Span) {
 	switch {
 	case r.Budget > 0:
 		return r.Budget
@@ -58,7 +58,7 @@
 	ID     uint64
 	Status int
 	Body   []byte
-	Retry  ids.Span
+	Retry  identifier.Span
 }
 
 // Event is one line for the log: a name and alternating keys and values.
@@ -77,21 +77,21 @@
 
 const (
 	// Touch is how long a gate may be out of touch and still decide.
-	Touch ids.Span = 1000
+	Touch identifier.Span = 1000
 	// Tick is how often a gate should be ticked.
-	Tick ids.Span = 50
+	Tick identifier.Span = 50
 	// syncGap lies between two syncs with the leader, syncWait is how long the
 	// answer to one is waited for.
-	syncGap  ids.Span = 200
-	syncWait ids.Span = 400
+	syncGap  identifier.Span = 200
+	syncWait identifier.Span = 400
 	// tellGap lies between two words to the servers that this gate lives, lostGap
 	// while it is out of touch.
-	tellGap ids.Span = 1000
-	lostGap ids.Span = 200
+	tellGap identifier.Span = 1000
+	lostGap identifier.Span = 200
 	// usualUnnumbered is for orders without a number. With the longest pause that
 	// goes unnoticed it makes a second, after which callers send them again.
-	usualUnnumbered          = 1000 - pause.Limit
-	usual           ids.Span = 5000
+	usualUnnumbered                 = 1000 - stalldetector.Limit
+	usual           identifier.Span = 5000
 	// most and mostBytes bound the requests in hand and their bodies.
 	most      int = 4096
 	mostBytes int = 64 << 20
@@ -101,13 +101,13 @@
 	expiredMost int = 4
 	// tryWait is how long a try goes without an answer before another server is
 	// asked, shunned how long a server that failed is passed over.
-	tryWait ids.Span = 1000
-	shunned ids.Span = 3000
+	tryWait identifier.Span = 1000
+	shunned identifier.Span = 3000
 	// againGap lies between two tries of a request that met no leader.
-	againGap ids.Span = 100
+	againGap identifier.Span = 100
 	// staleGap is when a request is tried again whose table is being updated,
 	// behindMost how long an update may take before what is not in the table may
 	// be in the next, in milliseconds.
-	staleGap   ids.Span = 50
-	behindMost ids.Span = 1000
+	staleGap   identifier.Span = 50
+	behindMost identifier.Span = 1000
 )
--- a/gateway/machine.go
+++ b/internal/gateway/machine.go
@@ -5,13 +5,13 @@
 import (
 	"sort"
 
-	"orchidward/catalog"
-	"orchidward/ids"
-	"orchidward/pause"
-	"orchidward/raft"
-	"orchidward/routing"
-	"orchidward/rules"
-	"orchidward/wire"
+	"orchidward/internal/api/admission"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/routing"
+	"orchidward/internal/stalldetector"
+	"orchidward/internal/transport/wire"
 )
 
 // Machine is a stateless front end as a pure state machine. It checks requests
@@ -20,31 +20,31 @@
 // no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot Boot
-	now  ids.Mono
+	now  identifier.Mono
 	out  Out
 	// routes is the copy of the leader's routing table, rules its rows compiled.
 	routes routing.Replica
-	rules  *rules.Rules
+	rules  *admission.Rules
 	// behind is since when the leader is known to have a newer table, 0 when this
 	// one is the newest that is known.
-	behind ids.Mono
+	behind identifier.Mono
 	// queues finds the queues of the catalogue, nil while there is none.
 	queues *catalog.Map
 
 	members []raft.Member
 	gates   []string
-	lead    ids.Node
+	lead    identifier.Node
 	via     wire.Peer
-	bad     map[wire.Peer]ids.Mono
-	touch   ids.Mono
+	bad     map[wire.Peer]identifier.Mono
+	touch   identifier.Mono
 	sync    *asked
-	synced  ids.Mono
-	told    ids.Mono
+	synced  identifier.Mono
+	told    identifier.Mono
 
 	// leaderClock is the latest reading of the leader's clock that came here,
 	// paused finds out when this process stood still.
 	leaderClock wire.LeaderTime
-	paused      pause.Detector
+	paused      stalldetector.Detector
 
 	calls  map[uint64]*call
 	bytes  int
@@ -61,7 +61,7 @@
 // asked is the sync under way; after is the page that it asked for.
 type asked struct {
 	id    uint64
-	at    ids.Mono
+	at    identifier.Mono
 	to    wire.Peer
 	after string
 }
@@ -69,31 +69,33 @@
 // call is a request passed on and not yet answered.
 type call struct {
 	Request
-	until ids.Mono
-	sent  ids.Mono
+	until identifier.Mono
+	sent  identifier.Mono
 	to    wire.Peer
 	ask   uint64
 	stale int
 	// epoch is that of the table it was last passed on by.
-	epoch ids.Epoch
+	epoch identifier.Epoch
 	// expired counts the tries that were refused as too old.
 	expired int
 	again   bool
 	// lost says that some keeper may have taken the request, and its answer is
 	// not known.
 	lost  bool
-	later ids.Mono
+	later identifier.Mono
 }
 
 // New makes a gateway that knows no table and no leader yet; it is not ready
 // until it has synced with a leader.
-func New(boot Boot, now ids.Mono) (m *Machine) {
-	return &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * Touch), told: now.Add(-tellGap), bad: map[wire.Peer]ids.Mono{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
+func New(boot Boot, now identifier.Mono) (m *Machine) {
+	return &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * Touch), told: now.Add(-tellGap), bad: map[wire.Peer]identifier.Mono{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
 }
 
 // Ready tells whether the gate has been in touch with the leader lately and
 // has a table to decide by.
-func (m *Machine) Ready(now ids.Mono) (ok bool) { return m.rules != nil && now.Since(m.touch) < Touch }
+func (m *Machine) Ready(now identifier.Mono) (ok bool) {
+	return m.rules != nil && now.Since(m.touch) < Touch
+}
 
 // Version is the catalogue's, 0 while this gate knows of none.
 func (m *Machine) Version() (v uint64) {
@@ -113,7 +115,7 @@
 }
 
 // Epoch is the version of the routing table in use, 0 while there is none.
-func (m *Machine) Epoch() (e ids.Epoch) {
+func (m *Machine) Epoch() (e identifier.Epoch) {
 	if m.rules == nil {
 		return 0
 	}
@@ -145,7 +147,7 @@
 }
 
 // observe takes the time of an input.
-func (m *Machine) observe(now ids.Mono) {
+func (m *Machine) observe(now identifier.Mono) {
 	m.now = max(m.now, now)
 	m.paused.Observe(m.now)
 }
@@ -153,7 +155,7 @@
 // Tick passes in the time: it announces and syncs when due, retries requests
 // that may be repeated, and gives up those whose budget is used up. It should
 // come every Tick milliseconds.
-func (m *Machine) Tick(now ids.Mono) {
+func (m *Machine) Tick(now identifier.Mono) {
 	m.observe(now)
 	m.greet()
 	m.keepTouch()
@@ -184,7 +186,7 @@
 
 // Frame passes in a message from another server. A reply counts only when it
 // comes from the server that was asked last.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now ids.Mono) {
+func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now identifier.Mono) {
 	m.observe(now)
 	switch {
 	case msg.Tell != nil:
--- a/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -5,11 +5,11 @@
 	"encoding/json"
 	"testing"
 
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/table"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
 )
 
 // touched is a gate in touch with a leader, at 1000 ms.
@@ -18,8 +18,8 @@
 	m = New(Boot{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
 	m.Frame("k", wire.Msg{Tell: &wire.Tell{Role: "keeper", Founded: true, Lead: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
 	m.Tick(950)
-	first := table.First()
-	text, err := json.Marshal(controlplane.Sync{Epoch: 1, Table: &controlplane.Sheet{Epoch: 1, Rows: first.Rows}, Lead: ids.Node(7).String(), Members: m.members})
+	first := limits.First()
+	text, err := json.Marshal(controlplane.Sync{Epoch: 1, Table: &controlplane.Sheet{Epoch: 1, Rows: first.Rows}, Lead: identifier.Node(7).String(), Members: m.members})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,8 +116,8 @@
 	if a == nil || a.Epoch != 1 {
 		t.Fatalf("passed on as %+v", a)
 	}
-	sheet := func(epoch ids.Epoch, most string) (text []byte) {
-		now := table.First()
+	sheet := func(epoch identifier.Epoch, most string) (text []byte) {
+		now := limits.First()
 		now.Rows["default"]["maxTasks"] = most
 		text, err := json.Marshal(controlplane.Sheet{Epoch: epoch, Rows: now.Rows})
 		if err != nil {
--- a/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -7,17 +7,17 @@
 	"encoding/json"
 	"strings"
 
-	"orchidward/controlplane"
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
-	"orchidward/table"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
 )
 
 // Request takes one in. It is answered at once when it can't be passed on.
-func (m *Machine) Request(r Request, now ids.Mono) {
+func (m *Machine) Request(r Request, now identifier.Mono) {
 	m.observe(now)
 	m.Counts.Asked++
 	r.Budget = r.patience()
@@ -47,12 +47,12 @@
 
 // check runs what can be judged here: shape and the row's rules.
 func (m *Machine) check(c *call) (ok bool) {
-	var f doc.Faults
+	var f jsondoc.Faults
 	parts := strings.Split(strings.Trim(c.Path, "/"), "/")
 	switch {
 	case c.Verb == "PUT" && len(parts) == 4 && parts[1] == "jobs":
 		for _, p := range parts[2:] {
-			if !ids.Plain(p) {
+			if !identifier.Plain(p) {
 				f.Sense("path", "agent and job id want 1 to 64 letters, digits, '.', '-' or '_'")
 			}
 		}
@@ -60,14 +60,14 @@
 			m.rules.Run(s, -1, &f)
 		}
 	case c.Verb == "POST" && len(parts) == 4 && parts[3] == "poll":
-		if !ids.Plain(parts[2]) {
+		if !identifier.Plain(parts[2]) {
 			f.Sense("path", "runner's name wants 1 to 64 letters, digits, '.', '-' or '_'")
 		}
-		poll.Read(c.Body, &f)
+		runnerapi.Read(c.Body, &f)
 	case c.Verb == "PUT" && len(parts) == 2 && parts[1] == "table":
-		table.ReadWhole(c.Body, &f)
+		limits.ReadWhole(c.Body, &f)
 	case c.Verb == "PATCH" && len(parts) == 2 && parts[1] == "table":
-		table.ReadPatch(c.Body, &f)
+		limits.ReadPatch(c.Body, &f)
 	}
 	if f.Any() {
 		m.settle(Answer{ID: c.ID, Status: f.Status(), Body: f.Bad()})
@@ -169,9 +169,9 @@
 	m.refuse(id, 503, code, why, 1000)
 }
 
-func (m *Machine) refuse(id uint64, status int, code, why string, retry ids.Span) {
+func (m *Machine) refuse(id uint64, status int, code, why string, retry identifier.Span) {
 	m.Counts.Refused++
-	m.settle(Answer{ID: id, Status: status, Body: doc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), Retry: retry})
+	m.settle(Answer{ID: id, Status: status, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), Retry: retry})
 }
 
 func (m *Machine) settle(a Answer) {
--- a/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -7,11 +7,11 @@
 	"strconv"
 	"testing"
 
-	"orchidward/catalog"
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/routing"
-	"orchidward/wire"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
+	"orchidward/internal/transport/wire"
 )
 
 // leading stands in for a leader: it answers a gateway's syncs from a history.
@@ -20,7 +20,7 @@
 	m       *Machine
 	table   routing.Table
 	history *routing.History
-	now     ids.Mono
+	now     identifier.Mono
 	syncs   int
 	largest int
 }
@@ -64,9 +64,9 @@
 		if err != nil {
 			l.t.Fatalf("synced with %s", s.Msg.Ask.Query)
 		}
-		doc := controlplane.Sync{Epoch: l.table.Epoch, Lead: ids.Node(7).String(), Members: l.m.members}
-		if ids.Epoch(since) != l.table.Epoch || q.Get(controlplane.SyncAfter) != "" {
-			page := l.history.Page(ids.Epoch(since), q.Get(controlplane.SyncAfter))
+		doc := controlplane.Sync{Epoch: l.table.Epoch, Lead: identifier.Node(7).String(), Members: l.m.members}
+		if identifier.Epoch(since) != l.table.Epoch || q.Get(controlplane.SyncAfter) != "" {
+			page := l.history.Page(identifier.Epoch(since), q.Get(controlplane.SyncAfter))
 			doc.Page = &page
 		}
 		text, err := json.Marshal(doc)
@@ -79,7 +79,7 @@
 	return rest
 }
 
-func (l *leading) tick(ms ids.Mono) (o Out) {
+func (l *leading) tick(ms identifier.Mono) (o Out) {
 	for end := l.now + ms; l.now < end; l.now += 50 {
 		l.m.Tick(l.now)
 		o = l.m.Take()
--- a/gateway/touch.go
+++ b/internal/gateway/touch.go
@@ -8,13 +8,13 @@
 	"net/url"
 	"strconv"
 
-	"orchidward/catalog"
-	"orchidward/controlplane"
-	"orchidward/ids"
-	"orchidward/routing"
-	"orchidward/rules"
-	"orchidward/table"
-	"orchidward/wire"
+	"orchidward/internal/api/admission"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
+	"orchidward/internal/transport/wire"
 )
 
 // greet tells the keepers of this gate, and asks the seeds while it has no
@@ -79,7 +79,7 @@
 
 // choose prefers the leader, then whichever member failed least lately.
 func (m *Machine) choose() (p wire.Peer) {
-	low := ids.Mono(0)
+	low := identifier.Mono(0)
 	for _, mem := range m.members {
 		at, was := m.bad[wire.Peer(mem.Addr)]
 		if mem.ID == m.lead && (!was || m.now.Since(at) > shunned) {
@@ -157,7 +157,7 @@
 	was := m.Ready(m.now)
 	m.touch = max(m.touch, sent)
 	m.members, m.gates = s.Members, s.Gates
-	if n, ok := ids.ParseNode(s.Lead); ok && n != m.lead {
+	if n, ok := identifier.ParseNode(s.Lead); ok && n != m.lead {
 		m.lead = n
 		m.via = ""
 	}
@@ -173,7 +173,7 @@
 }
 
 // compare notes whether the leader has a newer table than this gateway.
-func (m *Machine) compare(leader ids.Epoch) {
+func (m *Machine) compare(leader identifier.Epoch) {
 	switch {
 	case leader <= m.Epoch():
 		m.behind = 0
@@ -192,7 +192,7 @@
 	if !changed {
 		return
 	}
-	m.rules = rules.Compile(&table.Table{Epoch: m.routes.Epoch(), Rows: m.routes.Rows()})
+	m.rules = admission.Compile(&limits.Table{Epoch: m.routes.Epoch(), Rows: m.routes.Rows()})
 	if m.queues = nil; m.routes.Version() > 0 {
 		m.queues = catalog.NewMap(m.routes.Version(), m.routes.Places())
 	}
--- a/pending/requests.go
+++ b/internal/inflight/requests.go
@@ -6,26 +6,26 @@
 // of its own, "@" and its number. One that met no leader is given again a little
 // later. When the server has been without a leader for a while, whatever waits
 // is answered at once, so that the caller can go on to another server.
-package pending
+package inflight
 
 import (
 	"sort"
 	"strconv"
 
-	"orchidward/doc"
-	"orchidward/gateway"
-	"orchidward/ids"
-	"orchidward/pause"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/gateway"
+	"orchidward/internal/stalldetector"
+	"orchidward/internal/transport/wire"
 )
 
 const (
-	usualBudget   ids.Span = 2000
-	retryGap      ids.Span = 100
-	noLeaderRetry ids.Span = 500
-	mostRequests           = 4096
-	mostBytes              = 64 << 20
-	mostExpired            = 4
+	usualBudget   identifier.Span = 2000
+	retryGap      identifier.Span = 100
+	noLeaderRetry identifier.Span = 500
+	mostRequests                  = 4096
+	mostBytes                     = 64 << 20
+	mostExpired                   = 4
 )
 
 // request is one that waits. While dispatched is set the machine has it; else
@@ -33,9 +33,9 @@
 type request struct {
 	gateway.Request
 	done       func(a gateway.Answer)
-	until      ids.Mono
+	until      identifier.Mono
 	dispatched bool
-	retryAt    ids.Mono
+	retryAt    identifier.Mono
 	// unknown says that an earlier dispatch may have been carried out.
 	unknown bool
 	// expired counts the dispatches that were refused as too old.
@@ -54,7 +54,7 @@
 	open   map[uint64]*request
 	bytes  int
 	out    []Dispatch
-	paused pause.Detector
+	paused stalldetector.Detector
 }
 
 // New makes an empty set of requests.
@@ -73,12 +73,12 @@
 }
 
 // Observe notes that the process runs; it is called at every input of it, first.
-func (r *Requests) Observe(now ids.Mono) { r.paused.Observe(now) }
+func (r *Requests) Observe(now identifier.Mono) { r.paused.Observe(now) }
 
 // Admit takes a request in. Done is called once with its answer, at once when
 // it can't be dispatched: connected tells whether the server knows a leader, or
 // did a moment ago. A budget of 0 is 2 s.
-func (r *Requests) Admit(q gateway.Request, done func(a gateway.Answer), now ids.Mono, connected bool) {
+func (r *Requests) Admit(q gateway.Request, done func(a gateway.Answer), now identifier.Mono, connected bool) {
 	r.Observe(now)
 	refuse := func(a gateway.Answer) {
 		a.ID = q.ID
@@ -104,14 +104,14 @@
 	r.dispatch(one, now)
 }
 
-func (r *Requests) dispatch(one *request, now ids.Mono) {
+func (r *Requests) dispatch(one *request, now identifier.Mono) {
 	one.dispatched = true
 	ask := &wire.Ask{ID: one.ID, Verb: one.Verb, Path: one.Path, Query: one.Query, Body: one.Body, Budget: one.until.Since(now)}
 	r.out = append(r.out, Dispatch{Peer(one.ID), ask})
 }
 
 // Complete takes the machine's reply to a dispatch.
-func (r *Requests) Complete(to wire.Peer, reply *wire.Reply, now ids.Mono) {
+func (r *Requests) Complete(to wire.Peer, reply *wire.Reply, now identifier.Mono) {
 	one := r.open[reply.ID]
 	if one == nil || to != Peer(reply.ID) || !one.dispatched {
 		return
@@ -135,7 +135,7 @@
 
 // Tick answers what is out of time or has no leader to go to, and dispatches
 // again what is due.
-func (r *Requests) Tick(now ids.Mono, connected bool) {
+func (r *Requests) Tick(now identifier.Mono, connected bool) {
 	r.Observe(now)
 	for _, id := range r.order() {
 		one := r.open[id]
@@ -182,8 +182,8 @@
 }
 
 // Refusal is an answer in the one shape that errors have.
-func Refusal(status int, code, why string, retry ids.Span) (a gateway.Answer) {
-	return gateway.Answer{Status: status, Retry: retry, Body: doc.Trouble{Code: code, Why: why, Retry: retry}.JSON()}
+func Refusal(status int, code, why string, retry identifier.Span) (a gateway.Answer) {
+	return gateway.Answer{Status: status, Retry: retry, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON()}
 }
 
 // Full is the answer of a server that can take no more requests.
--- a/watch/watch.go
+++ b/internal/invariants/watch.go
@@ -1,15 +1,15 @@
 // Package watch is the observer. It believes only what runners do and what
 // callers and operators were told, and holds it against the promises. The
 // simulator and the drill judge by the same one.
-package watch
+package invariants
 
 import (
 	"fmt"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/runner"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/runner"
 )
 
 // Place is a runner as it stands at this moment. Live is false for one that
@@ -18,7 +18,7 @@
 	Zone   string
 	Life   int
 	Live   bool
-	Labels []ids.Label
+	Labels []identifier.Label
 	Cap    job.Demand
 }
 
@@ -38,17 +38,17 @@
 // are durations by name, in milliseconds.
 type Watch struct {
 	w        World
-	Jobs     map[ids.Key]*Job
-	tasks    map[ids.Ref]*taskSeen
+	Jobs     map[identifier.Key]*Job
+	tasks    map[identifier.Ref]*taskSeen
 	leaving  map[string]int64
 	closed   map[string]int64
-	ended    map[string]map[ids.Grant]runner.Event
+	ended    map[string]map[identifier.Grant]runner.Event
 	used     map[string]job.Demand
 	gangs    map[[2]any]int64
 	Breaches []string
 	Counts   map[string]int
 	kinds    map[string]bool
-	bad      map[ids.Ref]int
+	bad      map[identifier.Ref]int
 	heard    map[string]int64
 	unseen   bool
 	// Spans measured on the way, in ms.
@@ -81,14 +81,14 @@
 
 // spot is an attempt running somewhere.
 type spot struct {
-	grant ids.Grant
+	grant identifier.Grant
 	since int64
 }
 
 // New makes a checker that has seen nothing yet.
 func New(w World) (x *Watch) {
-	return &Watch{w: w, Jobs: map[ids.Key]*Job{}, tasks: map[ids.Ref]*taskSeen{}, leaving: map[string]int64{}, closed: map[string]int64{},
-		ended: map[string]map[ids.Grant]runner.Event{}, used: map[string]job.Demand{}, gangs: map[[2]any]int64{}, Counts: map[string]int{}, kinds: map[string]bool{}, bad: map[ids.Ref]int{}, heard: map[string]int64{}, Spans: map[string][]int64{}}
+	return &Watch{w: w, Jobs: map[identifier.Key]*Job{}, tasks: map[identifier.Ref]*taskSeen{}, leaving: map[string]int64{}, closed: map[string]int64{},
+		ended: map[string]map[identifier.Grant]runner.Event{}, used: map[string]job.Demand{}, gangs: map[[2]any]int64{}, Counts: map[string]int{}, kinds: map[string]bool{}, bad: map[identifier.Ref]int{}, heard: map[string]int64{}, Spans: map[string][]int64{}}
 }
 
 // Breach notes a violated invariant. All are counted; only the first of a kind
@@ -107,7 +107,7 @@
 // Span records a measured duration in milliseconds.
 func (x *Watch) Span(name string, ms int64) { x.Spans[name] = append(x.Spans[name], ms) }
 
-func (x *Watch) task(r ids.Ref) (t *taskSeen) {
+func (x *Watch) task(r identifier.Ref) (t *taskSeen) {
 	t = x.tasks[r]
 	if t == nil {
 		t = &taskSeen{on: map[string]spot{}}
@@ -165,7 +165,7 @@
 	delete(t.on, name)
 	x.used[name] = x.used[name].Minus(e.Cost)
 	if x.ended[name] == nil {
-		x.ended[name] = map[ids.Grant]runner.Event{}
+		x.ended[name] = map[identifier.Grant]runner.Event{}
 	}
 	x.ended[name][e.Grant] = e
 	if e.What == "defect" {
@@ -243,8 +243,8 @@
 
 // covers is the observer's own look at labels: it shares no judgement with
 // what it judges.
-func covers(have, need []ids.Label) (ok bool) {
-	set := map[ids.Label]bool{}
+func covers(have, need []identifier.Label) (ok bool) {
+	set := map[identifier.Label]bool{}
 	for _, l := range have {
 		set[l] = true
 	}
@@ -269,7 +269,7 @@
 	for _, name := range j.Spec.Steps[e.Task.Step].After {
 		for i, st := range j.Spec.Steps {
 			for n := 0; st.Name == name && n < int(st.Tasks); n++ {
-				if t := x.tasks[ids.Ref{Job: e.Task.Job, Step: i, Num: n}]; t == nil || t.well == 0 {
+				if t := x.tasks[identifier.Ref{Job: e.Task.Job, Step: i, Num: n}]; t == nil || t.well == 0 {
 					if x.unseen {
 						x.Counts["unseen ends"]++
 						continue
@@ -288,7 +288,7 @@
 func (x *Watch) Touch(name string) { x.heard[name] = x.w.Time() }
 
 // acked hears that the core acknowledged an end.
-func (x *Watch) acked(name string, id ids.Grant) {
+func (x *Watch) acked(name string, id identifier.Grant) {
 	e, ok := x.ended[name][id]
 	if !ok {
 		return
@@ -322,10 +322,10 @@
 }
 
 // running counts live attempts of a job.
-func (x *Watch) running(key ids.Key, j *Job) (where string) {
+func (x *Watch) running(key identifier.Key, j *Job) (where string) {
 	for i, st := range j.Spec.Steps {
 		for n := 0; n < int(st.Tasks); n++ {
-			t := x.tasks[ids.Ref{Job: key, Step: i, Num: n}]
+			t := x.tasks[identifier.Ref{Job: key, Step: i, Num: n}]
 			if t == nil {
 				continue
 			}
@@ -340,7 +340,7 @@
 }
 
 // State hears a caller being told of a job's state.
-func (x *Watch) State(key ids.Key, status int, word string) {
+func (x *Watch) State(key identifier.Key, status int, word string) {
 	j := x.Jobs[key]
 	if status == 404 {
 		x.Breach("P9", "accepted job %s is not known", key)
@@ -368,10 +368,10 @@
 }
 
 // cause wants a task that used up its defects for a job said to have failed.
-func (x *Watch) cause(key ids.Key, j *Job) {
+func (x *Watch) cause(key identifier.Key, j *Job) {
 	for i, st := range j.Spec.Steps {
 		for n := 0; n < int(st.Tasks); n++ {
-			if x.bad[ids.Ref{Job: key, Step: i, Num: n}] >= int(st.Defects) {
+			if x.bad[identifier.Ref{Job: key, Step: i, Num: n}] >= int(st.Defects) {
 				return
 			}
 		}
@@ -426,10 +426,10 @@
 // that word may have been late, and the observer's own pace.
 const PartMost = 8700
 
-func (x *Watch) gang(key ids.Key, step int, st job.Step) {
+func (x *Watch) gang(key identifier.Key, step int, st job.Step) {
 	run, rest := 0, 0
 	for n := 0; n < int(st.Tasks); n++ {
-		t := x.tasks[ids.Ref{Job: key, Step: step, Num: n}]
+		t := x.tasks[identifier.Ref{Job: key, Step: step, Num: n}]
 		live := false
 		if t != nil {
 			for on := range t.on {
@@ -474,8 +474,8 @@
 }
 
 // Close judges what must have come about by the end.
-func (x *Watch) Close() (stuck []ids.Key) {
-	keys := []ids.Key{}
+func (x *Watch) Close() (stuck []identifier.Key) {
+	keys := []identifier.Key{}
 	for k := range x.Jobs {
 		keys = append(keys, k)
 	}
--- a/routing/history.go
+++ b/internal/routing/history.go
@@ -7,8 +7,8 @@
 import (
 	"slices"
 
-	"orchidward/catalog"
-	"orchidward/ids"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
 )
 
 const (
@@ -21,23 +21,23 @@
 // item is a place and the epoch of its last change; a dropped one is gone.
 type item struct {
 	place   catalog.Place
-	changed ids.Epoch
+	changed identifier.Epoch
 	dropped bool
 }
 
 // Table is a routing table as the state has it.
 type Table struct {
-	Epoch   ids.Epoch
+	Epoch   identifier.Epoch
 	Version uint64
-	Rows    map[ids.Row]map[string]string
+	Rows    map[identifier.Row]map[string]string
 	Places  []catalog.Place
 }
 
 // History tells what changed since any epoch from its horizon on.
 type History struct {
 	table       Table
-	horizon     ids.Epoch
-	rowsChanged ids.Epoch
+	horizon     identifier.Epoch
+	rowsChanged identifier.Epoch
 	items       map[string]item
 	names       []string
 	dropped     int
@@ -51,7 +51,7 @@
 }
 
 // Epoch is that of the table the history has come to.
-func (h *History) Epoch() (e ids.Epoch) { return h.table.Epoch }
+func (h *History) Epoch() (e identifier.Epoch) { return h.table.Epoch }
 
 // RowsChanged takes a table of which only the rows changed.
 func (h *History) RowsChanged(t Table) {
@@ -111,7 +111,7 @@
 	if h.dropped <= droppedMost {
 		return
 	}
-	epochs := []ids.Epoch{}
+	epochs := []identifier.Epoch{}
 	for _, one := range h.items {
 		if one.dropped {
 			epochs = append(epochs, one.changed)
@@ -137,7 +137,7 @@
 
 // Page is the part that begins after a name of what changed since an epoch. One
 // that the history does not reach back to is answered with the whole.
-func (h *History) Page(since ids.Epoch, after string) (p Page) {
+func (h *History) Page(since identifier.Epoch, after string) (p Page) {
 	if since < h.horizon || since > h.table.Epoch {
 		since = 0
 	}
--- a/routing/page.go
+++ b/internal/routing/page.go
@@ -9,8 +9,8 @@
 package routing
 
 import (
-	"orchidward/catalog"
-	"orchidward/ids"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
 )
 
 // pageBytes bounds the items of one page, about, in bytes.
@@ -19,14 +19,14 @@
 // Page is a part of what changed after an epoch, in the order of names.
 type Page struct {
 	// Since is the epoch after which all changes are told; 0 is the whole table.
-	Since ids.Epoch `json:"since"`
+	Since identifier.Epoch `json:"since"`
 	// Epoch is that of the table from which this page was cut.
-	Epoch   ids.Epoch `json:"epoch"`
-	Version uint64    `json:"version,omitempty"`
+	Epoch   identifier.Epoch `json:"epoch"`
+	Version uint64           `json:"version,omitempty"`
 	// Rows are all rows; none where they did not change, and on later pages.
-	Rows    map[ids.Row]map[string]string `json:"rows,omitempty"`
-	Places  []catalog.Place               `json:"places,omitempty"`
-	Dropped []string                      `json:"dropped,omitempty"`
+	Rows    map[identifier.Row]map[string]string `json:"rows,omitempty"`
+	Places  []catalog.Place                      `json:"places,omitempty"`
+	Dropped []string                             `json:"dropped,omitempty"`
 	// Next is the name after which the next page begins, empty on the last.
 	Next string `json:"next,omitempty"`
 }
--- a/routing/replica.go
+++ b/internal/routing/replica.go
@@ -5,15 +5,15 @@
 import (
 	"slices"
 
-	"orchidward/catalog"
-	"orchidward/ids"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
 )
 
 // Replica is the table that a gateway has, and the update under way.
 type Replica struct {
-	epoch   ids.Epoch
+	epoch   identifier.Epoch
 	version uint64
-	rows    map[ids.Row]map[string]string
+	rows    map[identifier.Row]map[string]string
 	places  map[string]catalog.Place
 	update  *update
 	// whole says that the leader's history does not reach back to the epoch.
@@ -31,13 +31,13 @@
 }
 
 // Epoch is that of the table in use, 0 while there is none.
-func (r *Replica) Epoch() (e ids.Epoch) { return r.epoch }
+func (r *Replica) Epoch() (e identifier.Epoch) { return r.epoch }
 
 // Version is that of the places in use.
 func (r *Replica) Version() (v uint64) { return r.version }
 
 // Rows are the limits by row. They are not to be changed.
-func (r *Replica) Rows() (rows map[ids.Row]map[string]string) { return r.rows }
+func (r *Replica) Rows() (rows map[identifier.Row]map[string]string) { return r.rows }
 
 // Places lists the places in use, in the order of names.
 func (r *Replica) Places() (list []catalog.Place) {
@@ -57,7 +57,7 @@
 
 // Want is what to ask the leader for next: what changed since an epoch, after a
 // name.
-func (r *Replica) Want() (since ids.Epoch, after string) {
+func (r *Replica) Want() (since identifier.Epoch, after string) {
 	if r.update != nil {
 		return r.update.first.Since, r.update.after
 	}
--- a/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -7,8 +7,8 @@
 	"math/rand"
 	"testing"
 
-	"orchidward/catalog"
-	"orchidward/ids"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
 )
 
 // leader is a table that changes, its history, and every table it ever had.
@@ -17,15 +17,15 @@
 	now     map[string]catalog.Place
 	table   Table
 	history *History
-	past    map[ids.Epoch]map[string]catalog.Place
+	past    map[identifier.Epoch]map[string]catalog.Place
 }
 
 func newLeader(seed int64, places int) (l *leader) {
-	l = &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Place{}, past: map[ids.Epoch]map[string]catalog.Place{}}
+	l = &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Place{}, past: map[identifier.Epoch]map[string]catalog.Place{}}
 	for i := 0; i < places; i++ {
 		l.put(fmt.Sprintf("queue-%04d", i))
 	}
-	l.table = Table{Epoch: 1, Version: 1, Rows: map[ids.Row]map[string]string{"a": {"weight": "1"}}}
+	l.table = Table{Epoch: 1, Version: 1, Rows: map[identifier.Row]map[string]string{"a": {"weight": "1"}}}
 	l.list()
 	l.history = NewHistory(l.table)
 	return l
@@ -47,7 +47,7 @@
 func (l *leader) change() {
 	l.table.Epoch++
 	if l.rnd.Intn(6) == 0 {
-		l.table.Rows = map[ids.Row]map[string]string{"a": {"weight": fmt.Sprint(l.table.Epoch)}}
+		l.table.Rows = map[identifier.Row]map[string]string{"a": {"weight": fmt.Sprint(l.table.Epoch)}}
 		l.past[l.table.Epoch] = maps.Clone(l.now)
 		l.history.RowsChanged(l.table)
 		return
@@ -97,7 +97,7 @@
 func TestReplicaFollows(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		l, r := newLeader(seed, 400), &Replica{}
-		epoch, changes := ids.Epoch(0), 0
+		epoch, changes := identifier.Epoch(0), 0
 		for step := 0; step < 400; step++ {
 			if l.rnd.Intn(3) == 0 {
 				l.change()
@@ -131,7 +131,7 @@
 }
 
 // everHeld tells whether some table from an epoch on had this place.
-func everHeld(l *leader, p catalog.Place, from ids.Epoch) (yes bool) {
+func everHeld(l *leader, p catalog.Place, from identifier.Epoch) (yes bool) {
 	for e := from; e <= l.table.Epoch; e++ {
 		if l.past[e][p.Name] == p {
 			return true
--- a/runner/boot.go
+++ b/internal/runner/boot.go
@@ -4,19 +4,19 @@
 package runner
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Boot is the configuration a runner starts with. Gates are the gateways it
 // polls, Cap its capacity, and Seed makes its random choices repeatable.
 type Boot struct {
-	Name   ids.Runner
-	Inc    ids.Inc
+	Name   identifier.Runner
+	Inc    identifier.Inc
 	Cap    job.Demand
-	Labels []ids.Label
-	Domain ids.Domain
-	Rack   ids.Rack
+	Labels []identifier.Label
+	Domain identifier.Domain
+	Rack   identifier.Rack
 	Gates  []string
 	Seed   int64
 	// Slow stretches every run, in percent; Faulty is the share of runs that
@@ -30,14 +30,14 @@
 	Gate string
 	Seq  uint64
 	Body []byte
-	Wait ids.Span
+	Wait identifier.Span
 }
 
 // Event is what happened to an attempt here, for logs and for observers.
 type Event struct {
 	What  string
-	Grant ids.Grant
-	Task  ids.Ref
+	Grant identifier.Grant
+	Task  identifier.Ref
 	Cost  job.Demand
 }
 
@@ -50,10 +50,10 @@
 
 const (
 	// Tick is how often a runner should be ticked, in milliseconds.
-	Tick      ids.Span = 20
-	firstWait ids.Span = 1000
-	tombLife  ids.Span = 60000
-	mostEnds           = 512
-	endsFull           = 4096
-	backMost  ids.Span = 1000
+	Tick      identifier.Span = 20
+	firstWait identifier.Span = 1000
+	tombLife  identifier.Span = 60000
+	mostEnds                  = 512
+	endsFull                  = 4096
+	backMost  identifier.Span = 1000
 )
--- a/runner/machine.go
+++ b/internal/runner/machine.go
@@ -9,8 +9,8 @@
 	"math/rand"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/poll"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
 )
 
 // Machine is a runner as a pure state machine: it polls for orders, runs tasks
@@ -18,44 +18,44 @@
 // output and reads no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot  Boot
-	now   ids.Mono
+	now   identifier.Mono
 	rnd   *rand.Rand
 	out   Out
 	gates []string
 	gate  int
 
 	seq     uint64
-	open    map[uint64]ids.Mono
-	next    ids.Mono
-	back    ids.Span
-	contact ids.Mono
-	grant   ids.Span
-	start   ids.Span
+	open    map[uint64]identifier.Mono
+	next    identifier.Mono
+	back    identifier.Span
+	contact identifier.Mono
+	grant   identifier.Span
+	start   identifier.Span
 
-	tasks   map[ids.Grant]*work
-	ended   map[ids.Grant]poll.End
-	tombs   map[ids.Grant]ids.Mono
+	tasks   map[identifier.Grant]*work
+	ended   map[identifier.Grant]runnerapi.End
+	tombs   map[identifier.Grant]identifier.Mono
 	news    bool
 	mode    string
-	departs ids.Mono
-	cut     ids.Mono
+	departs identifier.Mono
+	cut     identifier.Mono
 	Retired bool
 }
 
 // work is one attempt under way.
 type work struct {
-	poll.Start
-	end   ids.Mono
-	whole ids.Mono
+	runnerapi.Start
+	end   identifier.Mono
+	whole identifier.Mono
 	bad   bool
 }
 
 // New makes a runner without tasks, which polls a random one of its gateways
 // first.
-func New(boot Boot, now ids.Mono) (m *Machine) {
-	m = &Machine{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gates, mode: poll.Active,
-		open: map[uint64]ids.Mono{}, contact: now, grant: 10000, start: firstWait,
-		tasks: map[ids.Grant]*work{}, ended: map[ids.Grant]poll.End{}, tombs: map[ids.Grant]ids.Mono{}}
+func New(boot Boot, now identifier.Mono) (m *Machine) {
+	m = &Machine{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gates, mode: runnerapi.Active,
+		open: map[uint64]identifier.Mono{}, contact: now, grant: 10000, start: firstWait,
+		tasks: map[identifier.Grant]*work{}, ended: map[identifier.Grant]runnerapi.End{}, tombs: map[identifier.Grant]identifier.Mono{}}
 	if len(m.gates) > 0 {
 		m.gate = m.rnd.Intn(len(m.gates))
 	}
@@ -97,13 +97,13 @@
 }
 
 // Cut makes the stand-in deaf and mute for a while, running on.
-func (m *Machine) Cut(span ids.Span) { m.cut = m.now.Add(span) }
+func (m *Machine) Cut(span identifier.Span) { m.cut = m.now.Add(span) }
 
 // Move goes over to another gate: this one says that it is about to stop.
 func (m *Machine) Move() { m.gate++ }
 
 // SetMode makes the runner say that it is leaving, or that it is not.
-func (m *Machine) SetMode(mode string, departs ids.Span, now ids.Mono) {
+func (m *Machine) SetMode(mode string, departs identifier.Span, now identifier.Mono) {
 	m.clock(now)
 	m.mode, m.departs = mode, m.now.Add(departs)
 	m.news = true
@@ -115,12 +115,12 @@
 
 // Tick passes in the time: it stops tasks whose lease has lapsed, ends those
 // whose time is up, and polls when due.
-func (m *Machine) Tick(now ids.Mono) {
+func (m *Machine) Tick(now identifier.Mono) {
 	m.clock(now)
 	m.polls()
 }
 
-func (m *Machine) order() (list []ids.Grant) {
+func (m *Machine) order() (list []identifier.Grant) {
 	for id := range m.tasks {
 		list = append(list, id)
 	}
@@ -129,7 +129,7 @@
 }
 
 // clock first kills what outlived its grant, then ends what has run its span.
-func (m *Machine) clock(now ids.Mono) {
+func (m *Machine) clock(now identifier.Mono) {
 	m.now = max(m.now, now)
 	lapsed := m.now.Since(m.contact) > m.grant
 	for _, id := range m.order() {
@@ -150,10 +150,10 @@
 	}
 }
 
-func (m *Machine) end(id ids.Grant, how string) {
+func (m *Machine) end(id identifier.Grant, how string) {
 	w := m.tasks[id]
 	delete(m.tasks, id)
-	m.ended[id] = poll.End{Grant: id, Task: w.Task, How: how}
+	m.ended[id] = runnerapi.End{Grant: id, Task: w.Task, How: how}
 	m.tombs[id] = m.now
 	m.news = true
 	m.out.Events = append(m.out.Events, Event{how, id, w.Task, w.Demand})
@@ -186,16 +186,16 @@
 func (m *Machine) fail() {
 	m.gate++
 	m.back = min(max(50, m.back*2), backMost)
-	m.next = m.now.Add(m.back/2 + ids.Span(m.rnd.Int63n(int64(m.back))))
+	m.next = m.now.Add(m.back/2 + identifier.Span(m.rnd.Int63n(int64(m.back))))
 }
 
-func (m *Machine) ask() (a poll.Ask) {
-	a = poll.Ask{Inc: m.boot.Inc, Seq: m.seq, Cores: m.boot.Cap.Cores, Mem: m.boot.Cap.Mem, Labels: m.boot.Labels,
+func (m *Machine) ask() (a runnerapi.Ask) {
+	a = runnerapi.Ask{Inc: m.boot.Inc, Seq: m.seq, Cores: m.boot.Cap.Cores, Mem: m.boot.Cap.Mem, Labels: m.boot.Labels,
 		Domain: m.boot.Domain, Rack: m.boot.Rack, Mode: m.mode, Running: m.order()}
-	if m.mode == poll.Draining {
+	if m.mode == runnerapi.Draining {
 		a.Departs = max(0, m.departs.Since(m.now))
 	}
-	list := []ids.Grant{}
+	list := []identifier.Grant{}
 	for id := range m.ended {
 		list = append(list, id)
 	}
@@ -207,7 +207,7 @@
 }
 
 // Answer takes the outcome of a poll; a status of 0 means that none came.
-func (m *Machine) Answer(seq uint64, status int, body []byte, now ids.Mono) {
+func (m *Machine) Answer(seq uint64, status int, body []byte, now identifier.Mono) {
 	m.clock(now)
 	sent, ok := m.open[seq]
 	if !ok {
@@ -215,7 +215,7 @@
 		return
 	}
 	delete(m.open, seq)
-	var a poll.Answer
+	var a runnerapi.Answer
 	if m.now < m.cut || status != 200 || json.Unmarshal(body, &a) != nil {
 		if seq == m.seq {
 			m.fail()
@@ -233,7 +233,7 @@
 	m.polls()
 }
 
-func (m *Machine) obey(a poll.Answer, seq uint64, sent ids.Mono) {
+func (m *Machine) obey(a runnerapi.Answer, seq uint64, sent identifier.Mono) {
 	if a.GrantMs > 0 && a.StartMs > 0 {
 		m.grant, m.start = a.GrantMs, a.StartMs
 	}
@@ -262,7 +262,7 @@
 
 // stop ends an attempt at once. One never heard of is marked, so that its
 // start, should it come yet, finds the grant used up.
-func (m *Machine) stop(id ids.Grant) {
+func (m *Machine) stop(id identifier.Grant) {
 	if m.tasks[id] != nil {
 		m.end(id, "stopped")
 		return
@@ -271,12 +271,12 @@
 		m.tombs[id] = m.now
 	}
 	if _, told := m.ended[id]; !told {
-		m.ended[id] = poll.End{Grant: id, How: "stopped"}
+		m.ended[id] = runnerapi.End{Grant: id, How: "stopped"}
 		m.news = true
 	}
 }
 
-func (m *Machine) begin(s poll.Start, sent ids.Mono) {
+func (m *Machine) begin(s runnerapi.Start, sent identifier.Mono) {
 	if _, used := m.tombs[s.Grant]; used || m.tasks[s.Grant] != nil {
 		return
 	}
@@ -289,7 +289,7 @@
 	}
 	run := s.Run
 	if m.boot.Slow > 0 {
-		run += run * ids.Span(m.boot.Slow) / 100
+		run += run * identifier.Span(m.boot.Slow) / 100
 	}
 	w := &work{Start: s, end: m.now.Add(run), whole: sent, bad: m.rnd.Int63n(100) < m.boot.Faulty}
 	m.tasks[s.Grant] = w
--- a/runner/machine_test.go
+++ b/internal/runner/machine_test.go
@@ -4,9 +4,9 @@
 	"encoding/json"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
 )
 
 func fresh() (m *Machine) {
@@ -16,7 +16,7 @@
 }
 
 // answer hands the newest poll its answer and returns what came of it.
-func answer(t *testing.T, m *Machine, seq uint64, a poll.Answer, now ids.Mono) (o Out) {
+func answer(t *testing.T, m *Machine, seq uint64, a runnerapi.Answer, now identifier.Mono) (o Out) {
 	t.Helper()
 	if a.GrantMs == 0 {
 		a.GrantMs, a.StartMs = 10000, 1000
@@ -36,29 +36,29 @@
 	return list
 }
 
-func begin(id ids.Grant, gang ids.Span) (s poll.Start) {
-	return poll.Start{Grant: id, Task: ids.Ref{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 60000, Gang: gang}
+func begin(id identifier.Grant, gang identifier.Span) (s runnerapi.Start) {
+	return runnerapi.Start{Grant: id, Task: identifier.Ref{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 60000, Gang: gang}
 }
 
 // TestLateStarts: an answer past its span, or to a poll that another has
 // replaced, starts nothing, but stops all the same.
 func TestLateStarts(t *testing.T) {
 	m := fresh()
-	if got := what(answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(1, 0)}}, 1005)); got != "start " {
+	if got := what(answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 1005)); got != "start " {
 		t.Fatalf("in time: %q", got)
 	}
 	m = fresh()
-	if got := what(answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(1, 0)}}, 1015)); got != "" {
+	if got := what(answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 1015)); got != "" {
 		t.Errorf("a start 1005 ms after its poll: %q", got)
 	}
 	m = fresh()
-	answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(1, 0), begin(2, 0)}}, 100)
+	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0)}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(3, 0)}}, 130)); got != "" {
+	if got := what(answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(3, 0)}}, 130)); got != "" {
 		t.Errorf("an answer twice: %q", got)
 	}
-	m.SetMode(poll.Draining, 5000, 140)
-	if got := what(answer(t, m, 2, poll.Answer{Starts: []poll.Start{begin(3, 0)}, Stops: []ids.Grant{1}}, 150)); got != "stopped " {
+	m.SetMode(runnerapi.Draining, 5000, 140)
+	if got := what(answer(t, m, 2, runnerapi.Answer{Starts: []runnerapi.Start{begin(3, 0)}, Stops: []identifier.Grant{1}}, 150)); got != "stopped " {
 		t.Errorf("to a poll that another replaced: %q", got)
 	}
 }
@@ -66,9 +66,9 @@
 // TestUsedGrants: a grant starts once, also when its stop came first.
 func TestUsedGrants(t *testing.T) {
 	m := fresh()
-	answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(1, 0)}, Stops: []ids.Grant{2}}, 100)
+	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}, Stops: []identifier.Grant{2}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, m.seq, poll.Answer{Starts: []poll.Start{begin(1, 0), begin(2, 0), begin(3, 0)}, Stops: []ids.Grant{1}}, 200)); got != "stopped start " {
+	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0), begin(3, 0)}, Stops: []identifier.Grant{1}}, 200)); got != "stopped start " {
 		t.Errorf("used grants began again: %q", got)
 	}
 }
@@ -77,9 +77,9 @@
 // or does anything else, and an answer that waited meanwhile starts nothing.
 func TestSleeper(t *testing.T) {
 	m := fresh()
-	answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(1, 0)}}, 100)
+	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, m.seq, poll.Answer{Starts: []poll.Start{begin(2, 0)}, Whole: []ids.Grant{1}}, 20000)); got != "lapsed " {
+	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(2, 0)}, Whole: []identifier.Grant{1}}, 20000)); got != "lapsed " {
 		t.Errorf("on waking: %q", got)
 	}
 }
@@ -88,16 +88,16 @@
 // poll's sending, and ends itself without; a leader of the former version, which
 // gives neither the span nor the word, changes nothing.
 func TestGangWord(t *testing.T) {
-	for _, gang := range []ids.Span{0, 3000} {
+	for _, gang := range []identifier.Span{0, 3000} {
 		m := fresh()
-		answer(t, m, 1, poll.Answer{Starts: []poll.Start{begin(1, gang)}}, 100)
-		ended, now := "", ids.Mono(100)
+		answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, gang)}}, 100)
+		ended, now := "", identifier.Mono(100)
 		for ; now < 12000 && ended == ""; now += 20 {
 			m.Tick(now)
 			ended = what(m.Take())
-			a := poll.Answer{}
+			a := runnerapi.Answer{}
 			if now < 5000 && gang > 0 {
-				a.Whole = []ids.Grant{1}
+				a.Whole = []identifier.Grant{1}
 			}
 			if now%500 == 0 {
 				ended += what(answer(t, m, m.seq, a, now+5))
--- a/plan/bin.go
+++ b/internal/scheduler/bin.go
@@ -2,12 +2,12 @@
 // their weights, reserves room for the head that doesn't fit, and for work a
 // closing displaced finds what cheaper work would have to leave. It reads the
 // book and changes nothing; the book checks every placement again.
-package plan
+package scheduler
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/state"
 )
 
 // bin is a runner as one round sees it.
@@ -24,8 +24,8 @@
 func (n *bin) open() (d job.Demand) { return n.room.Minus(n.keep) }
 
 // take lists the fresh runners outside the fence, in order of name.
-func take(b *state.Book, fresh func(r ids.Runner) bool) (bins []*bin) {
-	leaving := map[ids.Rack]bool{}
+func take(b *state.Book, fresh func(r identifier.Runner) bool) (bins []*bin) {
+	leaving := map[identifier.Rack]bool{}
 	mean := standing(b)
 	all := make([]*state.Runner, 0, len(b.RunnerNames()))
 	for _, name := range b.RunnerNames() {
@@ -67,7 +67,7 @@
 
 // score is lower for the better bin: the tightest fit, standing, and racks
 // nobody is leaving; a runner that failed this very task comes last.
-func (n *bin) score(d job.Demand, shun ids.Runner) (s int64) {
+func (n *bin) score(d job.Demand, shun identifier.Runner) (s int64) {
 	left := n.room.Minus(d)
 	s = left.Share(n.r.Cap)/1000 + 2*rate(n.r)
 	if n.soft {
@@ -83,7 +83,7 @@
 }
 
 // best finds the bin for one task.
-func best(bins []*bin, st job.Step, shun ids.Runner) (pick *bin) {
+func best(bins []*bin, st job.Step, shun identifier.Runner) (pick *bin) {
 	low := int64(0)
 	for _, n := range bins {
 		if !n.fits(st) {
--- a/pack/pack.go
+++ b/internal/scheduler/feasibility/pack.go
@@ -1,31 +1,31 @@
 // Package pack answers one question for preflight and for placement: do these
 // lumps of work, gangs whole, go into these bins. It is first fit by falling
 // size, which never says yes wrongly; what it leaves over is the shortage.
-package pack
+package feasibility
 
 import (
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Bin is a runner's headroom.
 type Bin struct {
-	Name   ids.Runner
+	Name   identifier.Runner
 	Room   job.Demand
-	Labels []ids.Label
+	Labels []identifier.Label
 }
 
 // Lump is one task, or a gang of Count like tasks that go in whole or not.
 type Lump struct {
 	Demand job.Demand
-	Labels []ids.Label
+	Labels []identifier.Label
 	Count  int
 }
 
 // Has tells whether have, which is sorted or not, covers need.
-func Has(have, need []ids.Label) (ok bool) {
+func Has(have, need []identifier.Label) (ok bool) {
 	for _, n := range need {
 		found := false
 		for _, h := range have {
--- a/plan/plan.go
+++ b/internal/scheduler/plan.go
@@ -2,17 +2,17 @@
 // least share in use for its weight bids again and again until nothing more
 // fits or the round is full.
 
-package plan
+package scheduler
 
 import (
 	"fmt"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/pack"
-	"orchidward/policy"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/feasibility"
+	"orchidward/internal/scheduler/policy"
+	"orchidward/internal/state"
 )
 
 const (
@@ -26,8 +26,8 @@
 // why each step it looked at still waits.
 type Out struct {
 	Puts []state.Put
-	Push []ids.Grant
-	Why  map[ids.Key]map[int]string
+	Push []identifier.Grant
+	Why  map[identifier.Key]map[int]string
 	// Policies tells how the rows' policies fared.
 	Policies Policies
 }
@@ -36,9 +36,9 @@
 	b     *state.Book
 	bins  []*bin
 	total job.Demand
-	use   map[ids.Row]job.Demand
+	use   map[identifier.Row]job.Demand
 	kept  bool
-	done  map[ids.Ref]bool
+	done  map[identifier.Ref]bool
 	dull  map[shape]string
 	tasks int
 	shelf *policy.Shelf
@@ -64,7 +64,7 @@
 }
 
 type bid struct {
-	row  ids.Row
+	row  identifier.Row
 	walk *state.Walk
 	miss int
 	seen int
@@ -73,13 +73,13 @@
 // View is what a leader knows of runners beyond the book: whether one may be
 // given work now, and how fast work goes there, in thousandths of the usual.
 type View struct {
-	Fresh func(r ids.Runner) bool
-	Pace  func(r ids.Runner) int64
+	Fresh func(r identifier.Runner) bool
+	Pace  func(r identifier.Runner) int64
 }
 
 // Round is RoundWith for runners that all work at the usual pace.
-func Round(b *state.Book, fresh func(r ids.Runner) bool, shelf *policy.Shelf) (out Out) {
-	return RoundWith(b, View{Fresh: fresh, Pace: func(ids.Runner) int64 { return 1000 }}, shelf)
+func Round(b *state.Book, fresh func(r identifier.Runner) bool, shelf *policy.Shelf) (out Out) {
+	return RoundWith(b, View{Fresh: fresh, Pace: func(identifier.Runner) int64 { return 1000 }}, shelf)
 }
 
 // RoundWith plans placements and preemptions from the state as it is and does
@@ -87,7 +87,7 @@
 // placement again.
 func RoundWith(b *state.Book, v View, shelf *policy.Shelf) (out Out) {
 	if !b.Bids() {
-		return Out{Why: map[ids.Key]map[int]string{}, Policies: Policies{}}
+		return Out{Why: map[identifier.Key]map[int]string{}, Policies: Policies{}}
 	}
 	bins, pools := sortOut(take(b, v.Fresh))
 	for _, list := range pools {
@@ -95,8 +95,8 @@
 			n.pace = v.Pace(n.r.Name)
 		}
 	}
-	r := &round{b: b, shelf: shelf, bins: bins, pools: pools, total: b.Total(), use: map[ids.Row]job.Demand{}, dull: map[shape]string{}, done: map[ids.Ref]bool{}}
-	r.out.Why, r.out.Policies = map[ids.Key]map[int]string{}, Policies{}
+	r := &round{b: b, shelf: shelf, bins: bins, pools: pools, total: b.Total(), use: map[identifier.Row]job.Demand{}, dull: map[shape]string{}, done: map[identifier.Ref]bool{}}
+	r.out.Why, r.out.Policies = map[identifier.Key]map[int]string{}, Policies{}
 	for _, row := range b.Table.Names() {
 		r.use[row] = b.InUse(row)
 	}
@@ -175,7 +175,7 @@
 }
 
 func (r *round) try(l *lump) (put, fresh bool) {
-	first := ids.Ref{Job: l.j.Key, Step: l.step, Num: l.nums[0]}
+	first := identifier.Ref{Job: l.j.Key, Step: l.step, Num: l.nums[0]}
 	if r.done[first] {
 		return true, true
 	}
@@ -255,7 +255,7 @@
 	label := false
 	whole := []*bin{}
 	for _, n := range r.bins {
-		if pack.Has(n.r.Labels, st.Labels) {
+		if feasibility.Has(n.r.Labels, st.Labels) {
 			label = true
 			whole = append(whole, n)
 		}
--- a/plan/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -1,34 +1,34 @@
-package plan
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/policy"
-	"orchidward/state"
-	"orchidward/table"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/scheduler/policy"
+	"orchidward/internal/state"
 )
 
 func site(t testing.TB, runners int, cells string) (b *state.Book) {
 	t.Helper()
 	b = state.New()
-	var f doc.Faults
-	c := table.ReadPatch([]byte(`{"base":1,"cells":`+cells+`}`), &f)
+	var f jsondoc.Faults
+	c := limits.ReadPatch([]byte(`{"base":1,"cells":`+cells+`}`), &f)
 	if f.Any() {
 		t.Fatal(f.List)
 	}
 	b.Apply(&state.Command{At: 1, Table: c})
 	for i := 1; i <= runners; i++ {
-		b.Apply(&state.Command{Report: &state.Report{Runner: ids.Runner(fmt.Sprintf("r%02d", i)), Inc: "a", Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []ids.Label{"std"},
-			Domain: ids.Domain([]string{"north", "east"}[i%2]), Rack: ids.Rack(fmt.Sprint(i / 3))}})
+		b.Apply(&state.Command{Report: &state.Report{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Inc: "a", Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []identifier.Label{"std"},
+			Domain: identifier.Domain([]string{"north", "east"}[i%2]), Rack: identifier.Rack(fmt.Sprint(i / 3))}})
 	}
 	return b
 }
 
-func hand(t testing.TB, b *state.Book, key ids.Key, row ids.Row, urgency int64, s job.Step) {
+func hand(t testing.TB, b *state.Book, key identifier.Key, row identifier.Row, urgency int64, s job.Step) {
 	t.Helper()
 	s.Defects, s.Run, s.Demand.Mem = 1, 1, 1
 	if r := b.Apply(&state.Command{Submit: &state.Submit{Key: key, Spec: job.Spec{Pending: row, Urgency: urgency, Steps: []job.Step{s}}}}); !r.OK() {
@@ -37,7 +37,7 @@
 }
 
 func look(b *state.Book) (out Out) {
-	return Round(b, func(ids.Runner) bool { return true }, policy.NewShelf())
+	return Round(b, func(identifier.Runner) bool { return true }, policy.NewShelf())
 }
 
 func place(b *state.Book) (out Out) {
@@ -47,7 +47,7 @@
 }
 
 func endAll(b *state.Book, keep func(g *state.Grant) bool) {
-	for id := ids.Grant(1); id < b.NextGrant; id++ {
+	for id := identifier.Grant(1); id < b.NextGrant; id++ {
 		if g := b.Grants[id]; g != nil && !keep(g) {
 			b.Apply(&state.Command{Ends: &state.Ends{Runner: g.Runner, Inc: g.Inc, List: []state.End{{Grant: id, Ref: g.Ref, How: state.EndWell}}}})
 		}
@@ -59,13 +59,13 @@
 func TestShares(t *testing.T) {
 	b := site(t, 10, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 	for i := 0; i < 200; i++ {
-		for _, row := range []ids.Row{"a", "b", "c"} {
-			hand(t, b, ids.Key(fmt.Sprintf("x/%s%d", row, i)), row, 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+		for _, row := range []identifier.Row{"a", "b", "c"} {
+			hand(t, b, identifier.Key(fmt.Sprintf("x/%s%d", row, i)), row, 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 		}
 	}
 	place(b)
 	place(b)
-	for row, want := range map[ids.Row]int64{"a": 10, "b": 20, "c": 50} {
+	for row, want := range map[identifier.Row]int64{"a": 10, "b": 20, "c": 50} {
 		if have := b.InUse(row).Cores; have < want-1 || have > want+1 {
 			t.Errorf("row %s has %d cores in use, want %d", row, have, want)
 		}
@@ -80,7 +80,7 @@
 	more := func() {
 		for i := 0; i < 40; i++ {
 			n++
-			hand(t, b, ids.Key(fmt.Sprintf("x/s%d", n)), "small", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+			hand(t, b, identifier.Key(fmt.Sprintf("x/s%d", n)), "small", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 		}
 	}
 	more()
@@ -105,7 +105,7 @@
 func TestImpossibleBlocksNobody(t *testing.T) {
 	b := site(t, 2, `{"x.weight":1}`)
 	hand(t, b, "x/huge", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 99}})
-	hand(t, b, "x/gpu", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}, Labels: []ids.Label{"gpu"}})
+	hand(t, b, "x/gpu", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}, Labels: []identifier.Label{"gpu"}})
 	hand(t, b, "x/ok", "default", 0, job.Step{Name: "s", Tasks: 16, Demand: job.Demand{Cores: 1}})
 	out := place(b)
 	if b.InUse("default").Cores != 16 || out.Why["x/huge"][0] == "" || out.Why["x/gpu"][0] == "" {
@@ -119,7 +119,7 @@
 	b := site(t, 1, `{"x.weight":1}`)
 	hand(t, b, "x/old", "default", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 	for i := 0; i < 50; i++ {
-		hand(t, b, ids.Key(fmt.Sprintf("x/u%d", i)), "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+		hand(t, b, identifier.Key(fmt.Sprintf("x/u%d", i)), "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 	}
 	place(b)
 	if b.Jobs["x/old"].State() != "running" || b.Jobs["x/u0"].State() != "running" {
@@ -132,7 +132,7 @@
 func TestStanding(t *testing.T) {
 	b := site(t, 4, `{"x.weight":1}`)
 	b.Runners["r01"].Good, b.Runners["r01"].Bad = 1, 9
-	for _, n := range []ids.Runner{"r02", "r03", "r04"} {
+	for _, n := range []identifier.Runner{"r02", "r03", "r04"} {
 		b.Runners[n].Good = 30
 	}
 	hand(t, b, "x/a", "default", 0, job.Step{Name: "s", Tasks: 24, Demand: job.Demand{Cores: 1}})
@@ -159,7 +159,7 @@
 }
 
 func stops(b *state.Book) {
-	for id := ids.Grant(1); id < b.NextGrant; id++ {
+	for id := identifier.Grant(1); id < b.NextGrant; id++ {
 		if g := b.Grants[id]; g != nil && g.Stop != "" {
 			b.Apply(&state.Command{Ends: &state.Ends{Runner: g.Runner, Inc: g.Inc, List: []state.End{{Grant: id, Ref: g.Ref, How: state.EndStopped}}}})
 		}
@@ -186,12 +186,12 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := site(t, 2, fmt.Sprintf(`{"mine.weight":%d,"theirs.weight":%d,"mine.onOutage":%q}`, c.mine, c.theirs, c.class))
 			hand(t, b, "x/mine", "mine", 0, job.Step{Name: "s", Tasks: 2, Gang: c.gang, Demand: job.Demand{Cores: c.cores}})
-			b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/mine", Nums: []int{0, 1}, On: []ids.Runner{"r02", "r02"}}}}})
+			b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/mine", Nums: []int{0, 1}, On: []identifier.Runner{"r02", "r02"}}}}})
 			if c.cores == 8 {
-				b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/mine", Nums: []int{0, 1}, On: []ids.Runner{"r02", "r01"}}}}})
+				b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/mine", Nums: []int{0, 1}, On: []identifier.Runner{"r02", "r01"}}}}})
 			} else {
 				hand(t, b, "x/theirs", "theirs", 0, job.Step{Name: "s", Tasks: 4, Demand: job.Demand{Cores: 2}})
-				b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/theirs", Nums: []int{0, 1, 2, 3}, On: []ids.Runner{"r01", "r01", "r01", "r01"}}}}})
+				b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/theirs", Nums: []int{0, 1, 2, 3}, On: []identifier.Runner{"r01", "r01", "r01", "r01"}}}}})
 			}
 			if cl := closed(t, b); cl.Fits {
 				t.Fatalf("preflight says yes: %+v", cl)
@@ -222,7 +222,7 @@
 		bench.Run(fmt.Sprintf("runners=%d/backlog=%d", size.runners, size.backlog), func(bench *testing.B) {
 			b := site(bench, size.runners, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 			for i := 0; i < size.backlog; i++ {
-				hand(bench, b, ids.Key(fmt.Sprintf("x/%d", i)), ids.Row([]string{"a", "b", "c"}[i%3]), int64(i%4), job.Step{Name: "s", Tasks: 1 + int64(i%3), Demand: job.Demand{Cores: 1 + int64(i%5)}})
+				hand(bench, b, identifier.Key(fmt.Sprintf("x/%d", i)), identifier.Row([]string{"a", "b", "c"}[i%3]), int64(i%4), job.Step{Name: "s", Tasks: 1 + int64(i%3), Demand: job.Demand{Cores: 1 + int64(i%5)}})
 			}
 			bench.ReportAllocs()
 			for bench.Loop() {
@@ -239,7 +239,7 @@
 	asked := 0
 	round := func() (out Out) {
 		asked = 0
-		return Round(b, func(ids.Runner) bool { asked++; return true }, policy.NewShelf())
+		return Round(b, func(identifier.Runner) bool { asked++; return true }, policy.NewShelf())
 	}
 	if out := round(); asked > 0 || out.Why == nil || out.Policies == nil || len(out.Puts)+len(out.Push)+len(out.Why)+len(out.Policies) > 0 {
 		t.Errorf("with no job at all: %d asked, %+v", asked, out)
--- a/plan/policy.go
+++ b/internal/scheduler/policy.go
@@ -2,14 +2,14 @@
 // their own. What is fit is decided before, and checked again by the book: a
 // policy orders, and can let nothing in.
 
-package plan
+package scheduler
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/pack"
-	"orchidward/policy"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/feasibility"
+	"orchidward/internal/scheduler/policy"
+	"orchidward/internal/state"
 )
 
 // mostScores bounds the scorings of one round; past it the built-in choice is
@@ -23,7 +23,7 @@
 }
 
 func (n *bin) fits(st job.Step) (ok bool) {
-	return st.Demand.Fits(n.open()) && pack.Has(n.r.Labels, st.Labels) && !(n.trial && n.room != n.r.Free())
+	return st.Demand.Fits(n.open()) && feasibility.Has(n.r.Labels, st.Labels) && !(n.trial && n.room != n.r.Free())
 }
 
 // pick finds the bin for one task, by the row's policy if it has one.
@@ -83,4 +83,4 @@
 }
 
 // Policies maps rows to how their policies fared.
-type Policies map[ids.Row]Tally
+type Policies map[identifier.Row]Tally
--- a/plan/push.go
+++ b/internal/scheduler/push.go
@@ -2,20 +2,20 @@
 // was not room enough, takes the least of strictly cheaper work out of the
 // way, and none at all if it would still not fit.
 
-package plan
+package scheduler
 
 import (
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/pack"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/feasibility"
+	"orchidward/internal/state"
 )
 
 // unit is what leaves together: one grant, or all of a gang's.
 type unit struct {
-	ids   []ids.Grant
+	ids   []identifier.Grant
 	price int64
 	gain  job.Demand
 	cost  int64
@@ -49,17 +49,17 @@
 		}
 	}
 	st := l.j.Spec.Steps[l.step]
-	room, gone := map[ids.Runner]job.Demand{}, map[ids.Grant]bool{}
+	room, gone := map[identifier.Runner]job.Demand{}, map[identifier.Grant]bool{}
 	for _, n := range r.bins {
 		room[n.r.Name] = n.room
 	}
-	var out []ids.Grant
+	var out []identifier.Grant
 	for range l.nums {
 		var pick *bin
 		var leave []unit
 		low := int64(-1)
 		for _, n := range r.bins {
-			if !pack.Has(n.r.Labels, st.Labels) {
+			if !feasibility.Has(n.r.Labels, st.Labels) {
 				continue
 			}
 			units, cost, ok := r.least(n, st.Demand, room[n.r.Name], r.price(l.j), gone)
@@ -85,7 +85,7 @@
 
 // least finds the cheapest units whose leaving makes room on one runner, and
 // then spares each one that turns out not to be needed.
-func (r *round) least(n *bin, want, room job.Demand, price int64, gone map[ids.Grant]bool) (out []unit, cost int64, ok bool) {
+func (r *round) least(n *bin, want, room job.Demand, price int64, gone map[identifier.Grant]bool) (out []unit, cost int64, ok bool) {
 	if want.Fits(room) {
 		return nil, 0, true
 	}
@@ -114,8 +114,8 @@
 	return out, cost, true
 }
 
-func (r *round) units(n *bin, price int64, gone map[ids.Grant]bool) (list []unit) {
-	seen := map[ids.Grant]bool{}
+func (r *round) units(n *bin, price int64, gone map[identifier.Grant]bool) (list []unit) {
+	seen := map[identifier.Grant]bool{}
 	for _, id := range n.r.GrantIDs() {
 		g := r.b.Grants[id]
 		j := r.b.Jobs[g.Ref.Job]
--- a/plan/queue.go
+++ b/internal/scheduler/queue.go
@@ -4,15 +4,15 @@
 // go whole, in one rack where they want that and one has room. The first that
 // only lacks room has it kept.
 
-package plan
+package scheduler
 
 import (
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/pack"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/feasibility"
+	"orchidward/internal/state"
 )
 
 // lateFactor is how many times its aim a job may take and still be worth
@@ -60,7 +60,7 @@
 )
 
 // hope tells what a job may yet earn if its work goes on now.
-func hope(j *state.Job, now ids.Millis) (h int) {
+func hope(j *state.Job, now identifier.Millis) (h int) {
 	end := now.Add(j.Rest())
 	switch {
 	case end <= j.Terms.Due:
@@ -138,8 +138,8 @@
 
 // racks parts the bins by rack, the one near the data first, then those with
 // the least room.
-func racks(bins []*bin, near ids.Rack) (out [][]*bin) {
-	at, room := map[ids.Rack]int{}, []int64{}
+func racks(bins []*bin, near identifier.Rack) (out [][]*bin) {
+	at, room := map[identifier.Rack]int{}, []int64{}
 	for _, n := range bins {
 		i, ok := at[n.r.Rack]
 		if !ok {
@@ -174,7 +174,7 @@
 		low := int64(0)
 		for _, b := range bins {
 			open := b.open().Minus(used[b])
-			if !st.Demand.Fits(open) || !pack.Has(b.r.Labels, st.Labels) || b.trial && b.room != b.r.Free() {
+			if !st.Demand.Fits(open) || !feasibility.Has(b.r.Labels, st.Labels) || b.trial && b.room != b.r.Free() {
 				continue
 			}
 			if st.Apart > 0 && r.b.Beside(l.j, l.step, b.r)+held[b]+r.put(l, b) >= st.Apart {
@@ -226,7 +226,7 @@
 func (r *round) starved(l *lump, st job.Step, bins []*bin, kept map[string]bool) (why string) {
 	whole := []*bin{}
 	for _, n := range bins {
-		if pack.Has(n.r.Labels, st.Labels) && !n.trial {
+		if feasibility.Has(n.r.Labels, st.Labels) && !n.trial {
 			whole = append(whole, n)
 		}
 	}
--- a/plan/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -1,14 +1,14 @@
-package plan
+package scheduler
 
 import (
 	"fmt"
 	"testing"
 
-	"orchidward/catalog"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/policy"
-	"orchidward/state"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/policy"
+	"orchidward/internal/state"
 )
 
 func queues(t *testing.T, runners int) (b *state.Book) {
@@ -22,19 +22,19 @@
 		t.Fatal(r)
 	}
 	for i := 0; i < runners; i++ {
-		b.Apply(&state.Command{Report: &state.Report{Runner: ids.Runner(fmt.Sprintf("r%02d", i)), Inc: "a", Pool: "p", Cap: job.Demand{Milli: 8000, Mem: 8000},
-			Domain: "d", Rack: ids.Rack(fmt.Sprint("k", i/3))}})
+		b.Apply(&state.Command{Report: &state.Report{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Inc: "a", Pool: "p", Cap: job.Demand{Milli: 8000, Mem: 8000},
+			Domain: "d", Rack: identifier.Rack(fmt.Sprint("k", i/3))}})
 	}
 	return b
 }
 
-func submit(t *testing.T, b *state.Book, id, queue string, at ids.Millis, s job.Step) {
+func submit(t *testing.T, b *state.Book, id, queue string, at identifier.Millis, s job.Step) {
 	t.Helper()
 	s.Defects, s.Name = 1, "s"
 	if s.Run == 0 {
 		s.Run = 1000
 	}
-	if r := b.Apply(&state.Command{At: at, Submit: &state.Submit{Key: ids.Key("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
+	if r := b.Apply(&state.Command{At: at, Submit: &state.Submit{Key: identifier.Key("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
 		t.Fatal(r)
 	}
 }
@@ -47,7 +47,7 @@
 	submit(t, b, "late", "q0", 1000, job.Step{Tasks: 1, Demand: whole})
 	submit(t, b, "second", "q2", 60000, job.Step{Tasks: 1, Demand: whole})
 	submit(t, b, "first", "q1", 60001, job.Step{Tasks: 1, Demand: whole})
-	for _, want := range []ids.Key{"q/first", "q/second", "q/late"} {
+	for _, want := range []identifier.Key{"q/first", "q/second", "q/late"} {
 		out := place(b)
 		if len(out.Puts) != 1 || out.Puts[0].Job != want {
 			t.Fatalf("want %s, placed %+v", want, out.Puts)
@@ -62,7 +62,7 @@
 	b := queues(t, 6)
 	submit(t, b, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: job.Demand{Milli: 4000, Mem: 1}})
 	out := place(b)
-	racks := map[ids.Rack]bool{}
+	racks := map[identifier.Rack]bool{}
 	for _, on := range out.Puts[0].On {
 		racks[b.Runners[on].Rack] = true
 	}
@@ -88,13 +88,13 @@
 func TestPace(t *testing.T) {
 	b := queues(t, 3)
 	submit(t, b, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{Milli: 4000, Mem: 1}})
-	out := RoundWith(b, View{Fresh: func(n ids.Runner) bool { return n != "r01" }, Pace: func(n ids.Runner) int64 {
+	out := RoundWith(b, View{Fresh: func(n identifier.Runner) bool { return n != "r01" }, Pace: func(n identifier.Runner) int64 {
 		if n == "r00" {
 			return 200
 		}
 		return 1000
 	}}, policy.NewShelf())
-	on := map[ids.Runner]int{}
+	on := map[identifier.Runner]int{}
 	for _, p := range out.Puts {
 		on[p.On[0]]++
 	}
@@ -111,8 +111,8 @@
 		n := uint32(seed*7919 + 1)
 		rnd := func(k uint32) int64 { n = n*1664525 + 1013904223; return int64(n >> 8 % k) }
 		for i := 0; i < 40; i++ {
-			submit(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), ids.Millis(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
-				Apart: rnd(3), Near: ids.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{Milli: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
+			submit(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), identifier.Millis(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
+				Apart: rnd(3), Near: identifier.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{Milli: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
 			if i%3 != 0 {
 				continue
 			}
--- a/pause/pause.go
+++ b/internal/stalldetector/pause.go
@@ -1,30 +1,30 @@
 // Package pause notices that a process stood still: it was frozen, suspended or
 // starved of its processor. What is then read from its connections may have
 // waited there for as long as the pause lasted, so that its age is not known.
-package pause
+package stalldetector
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 const (
 	// Limit is the longest gap between two observations, in milliseconds, that
 	// does not count as a pause.
-	Limit ids.Span = 250
+	Limit identifier.Span = 250
 	// Drain is how long after a pause, in milliseconds, requests may still be
 	// read that had arrived during it.
-	Drain ids.Span = 500
+	Drain identifier.Span = 500
 )
 
 // Detector finds pauses from the moments at which its process is seen to run.
 // The zero value has seen nothing.
 type Detector struct {
 	seen  bool
-	last  ids.Mono
-	until ids.Mono
+	last  identifier.Mono
+	until identifier.Mono
 }
 
 // Observe notes that the process runs. It must be called at every input of the
 // process, before the input is acted on, and at least every Limit.
-func (d *Detector) Observe(now ids.Mono) {
+func (d *Detector) Observe(now identifier.Mono) {
 	if d.seen && now.Since(d.last) > Limit {
 		d.until = now.Add(Drain)
 	}
@@ -34,4 +34,4 @@
 
 // Draining tells whether a request read at this moment may have arrived before
 // or during a pause.
-func (d *Detector) Draining(now ids.Mono) (yes bool) { return d.seen && now < d.until }
+func (d *Detector) Draining(now identifier.Mono) (yes bool) { return d.seen && now < d.until }
--- a/state/apply.go
+++ b/internal/state/apply.go
@@ -6,7 +6,7 @@
 import (
 	"encoding/json"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // Result is an outcome. Code names a refusal in one word.
@@ -15,7 +15,7 @@
 	Code   string
 	Why    string
 	Doc    any
-	Retry  ids.Span
+	Retry  identifier.Span
 }
 
 // OK tells whether the command was accepted.
--- a/state/book.go
+++ b/internal/state/book.go
@@ -13,11 +13,11 @@
 	"github.com/emirpasic/gods/trees/redblacktree"
 	"github.com/go-faster/errors"
 
-	"orchidward/catalog"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/rules"
-	"orchidward/table"
+	"orchidward/internal/api/admission"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/limits"
 )
 
 // Book is the replicated state: jobs, leases, runners, drains, the limits table
@@ -25,35 +25,35 @@
 // the running checksum, and Level the level of commands in use. It is not safe
 // for concurrent use, and only Apply may change it.
 type Book struct {
-	Now       ids.Millis             `json:"now"`
-	NextGrant ids.Grant              `json:"nextGrant"`
-	NextSeq   uint64                 `json:"nextSeq"`
-	NextClose uint64                 `json:"nextClosing"`
-	Table     *table.Table           `json:"table"`
-	Jobs      map[ids.Key]*Job       `json:"jobs"`
-	Over      []ids.Key              `json:"over"`
-	Grants    map[ids.Grant]*Grant   `json:"grants"`
-	Runners   map[ids.Runner]*Runner `json:"runners"`
-	Closings  map[string]*Closing    `json:"closings"`
-	Known     *Known                 `json:"known,omitempty"`
-	OldGrant  ids.Span               `json:"oldGrantMs,omitempty"`
-	OldAt     ids.Millis             `json:"oldGrantAt,omitempty"`
-	Level     uint16                 `json:"level,omitempty"`
-	Sum       uint64                 `json:"sum,omitempty"`
-	Catalog   *catalog.Catalog       `json:"catalog,omitempty"`
+	Now       identifier.Millis             `json:"now"`
+	NextGrant identifier.Grant              `json:"nextGrant"`
+	NextSeq   uint64                        `json:"nextSeq"`
+	NextClose uint64                        `json:"nextClosing"`
+	Table     *limits.Table                 `json:"table"`
+	Jobs      map[identifier.Key]*Job       `json:"jobs"`
+	Over      []identifier.Key              `json:"over"`
+	Grants    map[identifier.Grant]*Grant   `json:"grants"`
+	Runners   map[identifier.Runner]*Runner `json:"runners"`
+	Closings  map[string]*Closing           `json:"closings"`
+	Known     *Known                        `json:"known,omitempty"`
+	OldGrant  identifier.Span               `json:"oldGrantMs,omitempty"`
+	OldAt     identifier.Millis             `json:"oldGrantAt,omitempty"`
+	Level     uint16                        `json:"level,omitempty"`
+	Sum       uint64                        `json:"sum,omitempty"`
+	Catalog   *catalog.Catalog              `json:"catalog,omitempty"`
 	// IDHolds are in the order in which their time is up.
 	IDHolds []IDHold `json:"idHolds,omitempty"`
 
-	rules   *rules.Rules
-	lanes   map[ids.Row]*lane
+	rules   *admission.Rules
+	lanes   map[identifier.Row]*lane
 	later   *treeset.Set
 	moved   *treeset.Set
 	names   *redblacktree.Tree
-	waiting map[ids.Row]int64
-	jobs    map[ids.Row]int
-	inUse   map[ids.Row]job.Demand
-	order   []ids.Runner
-	hot     map[ids.Runner]bool
+	waiting map[identifier.Row]int64
+	jobs    map[identifier.Row]int
+	inUse   map[identifier.Row]job.Demand
+	order   []identifier.Runner
+	hot     map[identifier.Runner]bool
 	// due orders the repeated jobs by when their next time comes, queued counts
 	// the unfinished jobs of each queue.
 	due    *treeset.Set
@@ -70,8 +70,8 @@
 // New is the state before the first command.
 func New() (b *Book) {
 	b = &Book{
-		NextGrant: 1, NextSeq: 1, NextClose: 1, Table: table.First(),
-		Jobs: map[ids.Key]*Job{}, Grants: map[ids.Grant]*Grant{}, Runners: map[ids.Runner]*Runner{},
+		NextGrant: 1, NextSeq: 1, NextClose: 1, Table: limits.First(),
+		Jobs: map[identifier.Key]*Job{}, Grants: map[identifier.Grant]*Grant{}, Runners: map[identifier.Runner]*Runner{},
 		Closings: map[string]*Closing{}, Known: newKnown(),
 	}
 	b.derive()
@@ -79,7 +79,7 @@
 }
 
 func byKey(x, y any) (order int) {
-	a, b := x.(ids.Key), y.(ids.Key)
+	a, b := x.(identifier.Key), y.(identifier.Key)
 	switch {
 	case a < b:
 		return -1
@@ -90,18 +90,18 @@
 }
 
 func (b *Book) derive() {
-	b.rules = rules.Compile(b.Table)
-	b.lanes = map[ids.Row]*lane{}
+	b.rules = admission.Compile(b.Table)
+	b.lanes = map[identifier.Row]*lane{}
 	b.later = treeset.NewWith(byStart)
 	b.moved = treeset.NewWith(byAge)
 	b.names = redblacktree.NewWith(byKey)
-	b.waiting, b.jobs = map[ids.Row]int64{}, map[ids.Row]int{}
-	b.inUse = map[ids.Row]job.Demand{}
+	b.waiting, b.jobs = map[identifier.Row]int64{}, map[identifier.Row]int{}
+	b.inUse = map[identifier.Row]job.Demand{}
 	b.due, b.queued = treeset.NewWith(byDue), map[string]int64{}
-	b.order, b.hot = nil, map[ids.Runner]bool{}
+	b.order, b.hot = nil, map[identifier.Runner]bool{}
 	for _, r := range b.Runners {
 		b.enlist(r.Name)
-		r.used, r.grants, r.fence = job.Demand{}, map[ids.Grant]*Grant{}, ""
+		r.used, r.grants, r.fence = job.Demand{}, map[identifier.Grant]*Grant{}, ""
 	}
 	for _, j := range b.Jobs {
 		j.count, j.open, j.moved, j.lane, j.kids = make([]count, len(j.Steps)), 0, 0, nil, 0
@@ -175,22 +175,22 @@
 }
 
 // Rules is the compiled table of limits in force.
-func (b *Book) Rules() (r *rules.Rules) { return b.rules }
+func (b *Book) Rules() (r *admission.Rules) { return b.rules }
 
 // Waiting is the number of unplaced tasks in a row, as its limit counts them.
-func (b *Book) Waiting(row ids.Row) (n int64) { return b.waiting[row] }
+func (b *Book) Waiting(row identifier.Row) (n int64) { return b.waiting[row] }
 
 // InUse is the room taken by the row's open leases.
-func (b *Book) InUse(row ids.Row) (d job.Demand) { return b.inUse[row] }
+func (b *Book) InUse(row identifier.Row) (d job.Demand) { return b.inUse[row] }
 
 // Fenced tells whether the runner is known and cordoned by a drain.
-func (b *Book) Fenced(r ids.Runner) (yes bool) {
+func (b *Book) Fenced(r identifier.Runner) (yes bool) {
 	return b.Runners[r] != nil && b.Runners[r].fence != ""
 }
 
 // GrantSpan is how long a runner may yet be living on its last contact. After
 // the cell was lowered the longer span counts until nobody can hold it.
-func (b *Book) GrantSpan() (s ids.Span) {
+func (b *Book) GrantSpan() (s identifier.Span) {
 	s = b.Table.Site("grantMs")
 	if b.OldGrant > s && b.Now < b.OldAt.Add(3*b.OldGrant) {
 		return b.OldGrant
@@ -199,7 +199,7 @@
 }
 
 // Walk visits the row's placeable jobs in bidding order.
-func (b *Book) Walk(row ids.Row) (w *Walk) {
+func (b *Book) Walk(row identifier.Row) (w *Walk) {
 	l := b.lanes[row]
 	if l == nil {
 		l = newLane()
@@ -208,7 +208,7 @@
 }
 
 // Backlog counts the row's jobs that have something to place.
-func (b *Book) Backlog(row ids.Row) (n int) {
+func (b *Book) Backlog(row identifier.Row) (n int) {
 	if l := b.lanes[row]; l != nil {
 		return l.aged.Size()
 	}
@@ -229,7 +229,7 @@
 }
 
 // NextStart is the soonest appointed start still to come.
-func (b *Book) NextStart() (at ids.Millis, ok bool) {
+func (b *Book) NextStart() (at identifier.Millis, ok bool) {
 	it := b.later.Iterator()
 	if it.Next() {
 		at, ok = it.Value().(*Job).Start, true
@@ -244,9 +244,9 @@
 
 // RunnerNames lists the runners in order, so that walks are alike everywhere.
 // The list is the book's own and not to be changed.
-func (b *Book) RunnerNames() (out []ids.Runner) { return b.order }
+func (b *Book) RunnerNames() (out []identifier.Runner) { return b.order }
 
-func (b *Book) enlist(n ids.Runner) {
+func (b *Book) enlist(n identifier.Runner) {
 	at := sort.Search(len(b.order), func(i int) bool { return b.order[i] >= n })
 	b.order = append(b.order, "")
 	copy(b.order[at+1:], b.order[at:])
@@ -256,7 +256,7 @@
 
 // Cool forgets the runners that may have something new to hear, after telling
 // of each, in no order.
-func (b *Book) Cool(tell func(n ids.Runner)) {
+func (b *Book) Cool(tell func(n identifier.Runner)) {
 	for n := range b.hot {
 		tell(n)
 	}
@@ -271,8 +271,8 @@
 }
 
 // GrantIDs lists the runner's open leases in ascending order.
-func (r *Runner) GrantIDs() (out []ids.Grant) {
-	out = make([]ids.Grant, 0, len(r.grants))
+func (r *Runner) GrantIDs() (out []identifier.Grant) {
+	out = make([]identifier.Grant, 0, len(r.grants))
 	for id := range r.grants {
 		out = append(out, id)
 	}
@@ -296,7 +296,7 @@
 }
 
 // Page lists jobs by key from after onward, as far as keep says to go on.
-func (b *Book) Page(after ids.Key, keep func(j *Job) (more bool)) {
+func (b *Book) Page(after identifier.Key, keep func(j *Job) (more bool)) {
 	node, ok := b.names.Ceiling(after)
 	if !ok {
 		return
--- a/state/book_test.go
+++ b/internal/state/book_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/table"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
 )
 
 // desk drives a book by hand.
@@ -26,18 +26,18 @@
 	return d
 }
 
-func (d *desk) patch(base int, cells string) (c *table.Change) {
+func (d *desk) patch(base int, cells string) (c *limits.Change) {
 	d.Helper()
-	var f doc.Faults
-	if c = table.ReadPatch([]byte(fmt.Sprintf(`{"base":%d,"cells":%s}`, base, cells)), &f); f.Any() {
+	var f jsondoc.Faults
+	if c = limits.ReadPatch([]byte(fmt.Sprintf(`{"base":%d,"cells":%s}`, base, cells)), &f); f.Any() {
 		d.Fatal(f.List)
 	}
 	return c
 }
 
-func (d *desk) report(i int, inc ids.Inc, drain bool, depart ids.Millis) (r *Report) {
-	return &Report{Runner: ids.Runner(fmt.Sprintf("r%d", i)), Inc: inc, Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []ids.Label{"std"},
-		Domain: ids.Domain([]string{"north", "east"}[i%2]), Rack: ids.Rack([]string{"k0", "k1"}[i%2]), Drain: drain, Depart: depart}
+func (d *desk) report(i int, inc identifier.Inc, drain bool, depart identifier.Millis) (r *Report) {
+	return &Report{Runner: identifier.Runner(fmt.Sprintf("r%d", i)), Inc: inc, Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []identifier.Label{"std"},
+		Domain: identifier.Domain([]string{"north", "east"}[i%2]), Rack: identifier.Rack([]string{"k0", "k1"}[i%2]), Drain: drain, Depart: depart}
 }
 
 func (d *desk) must(status int, c *Command) {
@@ -47,7 +47,7 @@
 	}
 }
 
-func (d *desk) hand(key ids.Key, row ids.Row, steps ...job.Step) {
+func (d *desk) hand(key identifier.Key, row identifier.Row, steps ...job.Step) {
 	d.Helper()
 	for i := range steps {
 		if steps[i].Defects == 0 {
@@ -57,15 +57,15 @@
 	d.must(201, &Command{Submit: &Submit{Key: key, Spec: job.Spec{Pending: row, Steps: steps}}})
 }
 
-func (d *desk) place(key ids.Key, step int, nums []int, on ...ids.Runner) {
+func (d *desk) place(key identifier.Key, step int, nums []int, on ...identifier.Runner) {
 	d.b.Apply(&Command{Place: &Place{Puts: []Put{{Job: key, Step: step, Nums: nums, On: on}}}})
 }
 
-func (d *desk) end(on ids.Runner, inc ids.Inc, g ids.Grant, ref ids.Ref, how How) {
+func (d *desk) end(on identifier.Runner, inc identifier.Inc, g identifier.Grant, ref identifier.Ref, how How) {
 	d.b.Apply(&Command{Ends: &Ends{Runner: on, Inc: inc, List: []End{{Grant: g, Ref: ref, How: how}}}})
 }
 
-func (d *desk) state(key ids.Key, want string) {
+func (d *desk) state(key identifier.Key, want string) {
 	d.Helper()
 	if have := d.b.Jobs[key].State(); have != want {
 		d.Fatalf("job %s is %s, want %s", key, have, want)
@@ -87,7 +87,7 @@
 func TestPlaceIsChecked(t *testing.T) {
 	d := newDesk(t, `{"low.maxCores":4}`)
 	d.hand("a/big", "default", one(9))
-	d.hand("a/lab", "default", job.Step{Name: "l", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Labels: []ids.Label{"gpu"}, Run: 1})
+	d.hand("a/lab", "default", job.Step{Name: "l", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Labels: []identifier.Label{"gpu"}, Run: 1})
 	d.hand("a/two", "default", one(1), job.Step{Name: "next", After: []string{"one"}, Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1})
 	d.hand("a/gang", "default", gang(3, 4))
 	d.hand("a/low", "low", one(5))
@@ -126,7 +126,7 @@
 // task, stops the attempt that replaced it, and a stranger's word counts not.
 func TestLateWord(t *testing.T) {
 	d := newDesk(t, `{"keep.onLoss":"hold"}`)
-	ref := ids.Ref{Job: "a/x"}
+	ref := identifier.Ref{Job: "a/x"}
 	d.hand("a/x", "default", one(1))
 	d.place("a/x", 0, []int{0}, "r1")
 	d.b.Apply(&Command{Lost: &Lost{Runner: "r1", Inc: "a"}})
@@ -162,7 +162,7 @@
 	s := one(1)
 	s.Defects = 2
 	d.hand("a/x", "default", s)
-	ref, g := ids.Ref{Job: "a/x"}, ids.Grant(0)
+	ref, g := identifier.Ref{Job: "a/x"}, identifier.Grant(0)
 	for _, how := range []How{EndStopped, EndLapsed, EndDefect, EndStopped} {
 		g++
 		d.place("a/x", 0, []int{0}, "r1")
@@ -187,20 +187,20 @@
 		s.Defects = 5
 		d.hand("a/g", "default", s)
 		d.place("a/g", 0, []int{0, 1, 2}, "r1", "r2", "r3")
-		d.b.Apply(&Command{Recall: &Recall{Grants: []ids.Grant{1}, Why: StopLate}})
-		for id := ids.Grant(1); id <= 3; id++ {
+		d.b.Apply(&Command{Recall: &Recall{Grants: []identifier.Grant{1}, Why: StopLate}})
+		for id := identifier.Grant(1); id <= 3; id++ {
 			if d.b.Grants[id].Stop == "" {
 				t.Fatalf("%s: member %d goes on alone", how, id)
 			}
 		}
-		d.end("r1", "a", 1, ids.Ref{Job: "a/g"}, how)
+		d.end("r1", "a", 1, identifier.Ref{Job: "a/g"}, how)
 		d.place("a/g", 0, []int{0}, "r1")
-		d.end("r2", "a", 2, ids.Ref{Job: "a/g", Num: 1}, EndStopped)
+		d.end("r2", "a", 2, identifier.Ref{Job: "a/g", Num: 1}, EndStopped)
 		d.place("a/g", 0, []int{0, 1}, "r1", "r2")
 		if n := len(d.b.Grants); n != 1 {
 			t.Fatalf("%s: part of a gang was placed, %d grants", how, n)
 		}
-		d.end("r3", "a", 3, ids.Ref{Job: "a/g", Num: 2}, EndWell)
+		d.end("r3", "a", 3, identifier.Ref{Job: "a/g", Num: 2}, EndWell)
 		d.place("a/g", 0, []int{0, 1}, "r1", "r2")
 		if n := len(d.b.Grants); n != 2 {
 			t.Fatalf("%s: the rest of the gang was not placed, %d grants", how, n)
@@ -213,8 +213,8 @@
 func TestRide(t *testing.T) {
 	d := newDesk(t, `{"ride.onOutage":"ride"}`)
 	for i := 1; i <= 4; i++ {
-		d.hand(ids.Key(fmt.Sprintf("a/%d", i)), "ride", one(8))
-		d.place(ids.Key(fmt.Sprintf("a/%d", i)), 0, []int{0}, ids.Runner(fmt.Sprintf("r%d", i)))
+		d.hand(identifier.Key(fmt.Sprintf("a/%d", i)), "ride", one(8))
+		d.place(identifier.Key(fmt.Sprintf("a/%d", i)), 0, []int{0}, identifier.Runner(fmt.Sprintf("r%d", i)))
 	}
 	d.must(200, &Command{Close: &Close{Domain: "north", ID: "m1"}})
 	for _, s := range []Stage{Preflight, Predrain, Cordon} {
@@ -224,7 +224,7 @@
 	if c.Fits || c.Short.Cores != 16 || len(c.Displaced) != 2 || c.Stage != Postdrain {
 		t.Fatalf("closing %+v", c)
 	}
-	d.end("r2", "a", 2, ids.Ref{Job: "a/2"}, EndStopped)
+	d.end("r2", "a", 2, identifier.Ref{Job: "a/2"}, EndStopped)
 	if s := d.b.Jobs["a/2"].Steps[0][0].State; s != Riding {
 		t.Fatalf("displaced work is %s", s)
 	}
@@ -314,7 +314,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []*Command{{Step: &Step{ID: "m", From: Preflight}}, {Step: &Step{ID: "m", From: Predrain}}, {Step: &Step{ID: "m", From: Cordon}},
-		{Ends: &Ends{Runner: "r2", Inc: "a", List: []End{{Grant: 2, Ref: ids.Ref{Job: "a/g", Num: 1}, How: EndStopped}}}}, {At: 9000, Cancel: &Cancel{Key: "a/x"}}} {
+		{Ends: &Ends{Runner: "r2", Inc: "a", List: []End{{Grant: 2, Ref: identifier.Ref{Job: "a/g", Num: 1}, How: EndStopped}}}}, {At: 9000, Cancel: &Cancel{Key: "a/x"}}} {
 		d.b.Apply(c)
 		copied.Apply(c)
 		if a, b := d.b.Encode(), copied.Encode(); !bytes.Equal(a, b) {
--- a/state/closing.go
+++ b/internal/state/closing.go
@@ -5,8 +5,8 @@
 package state
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Stage is how far a drain of a zone or rack has come.
@@ -56,8 +56,8 @@
 
 // Mark notes when a stage was entered.
 type Mark struct {
-	Stage Stage      `json:"stage"`
-	At    ids.Millis `json:"at"`
+	Stage Stage             `json:"stage"`
+	At    identifier.Millis `json:"at"`
 }
 
 // Closing is one drain of a zone or a rack, from its start until it is open
@@ -66,21 +66,21 @@
 // elsewhere, and Short what is missing. Loose counts the stops that no runner
 // has confirmed, and Verdict is the outcome for operators.
 type Closing struct {
-	ID        string       `json:"id"`
-	Kind      string       `json:"kind"`
-	Domain    ids.Domain   `json:"domain"`
-	Rack      ids.Rack     `json:"rack,omitempty"`
-	Stage     Stage        `json:"stage"`
-	At        ids.Millis   `json:"at"`
-	Scope     []ids.Runner `json:"scope"`
-	Judged    bool         `json:"judged"`
-	Fits      bool         `json:"fits"`
-	Short     job.Demand   `json:"short"`
-	Displaced []ids.Ref    `json:"displaced,omitempty"`
-	Gangs     int          `json:"gangs"`
-	Verdict   string       `json:"verdict,omitempty"`
-	Loose     int          `json:"loose"`
-	Marks     []Mark       `json:"marks"`
+	ID        string              `json:"id"`
+	Kind      string              `json:"kind"`
+	Domain    identifier.Domain   `json:"domain"`
+	Rack      identifier.Rack     `json:"rack,omitempty"`
+	Stage     Stage               `json:"stage"`
+	At        identifier.Millis   `json:"at"`
+	Scope     []identifier.Runner `json:"scope"`
+	Judged    bool                `json:"judged"`
+	Fits      bool                `json:"fits"`
+	Short     job.Demand          `json:"short"`
+	Displaced []identifier.Ref    `json:"displaced,omitempty"`
+	Gangs     int                 `json:"gangs"`
+	Verdict   string              `json:"verdict,omitempty"`
+	Loose     int                 `json:"loose"`
+	Marks     []Mark              `json:"marks"`
 }
 
 const (
@@ -92,7 +92,7 @@
 	marksKept = 64
 )
 
-func (c *Closing) enter(s Stage, now ids.Millis) {
+func (c *Closing) enter(s Stage, now identifier.Millis) {
 	c.Stage = s
 	c.Marks = append(c.Marks, Mark{s, now})
 	if len(c.Marks) > marksKept {
@@ -100,7 +100,7 @@
 	}
 }
 
-func (c *Closing) has(r ids.Runner) (ok bool) {
+func (c *Closing) has(r identifier.Runner) (ok bool) {
 	for _, s := range c.Scope {
 		if s == r {
 			return true
--- a/state/cmd.go
+++ b/internal/state/cmd.go
@@ -7,29 +7,29 @@
 	"bytes"
 	"encoding/json"
 
-	"orchidward/catalog"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/table"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/limits"
 )
 
 // Command is one command of the replicated log. Exactly one of the pointers is set;
 // At is the leader's site time when it proposed the command.
 type Command struct {
-	At     ids.Millis    `json:"at"`
-	Submit *Submit       `json:"submit,omitempty"`
-	Cancel *Cancel       `json:"cancel,omitempty"`
-	Table  *table.Change `json:"table,omitempty"`
-	Close  *Close        `json:"close,omitempty"`
-	Reopen *Reopen       `json:"reopen,omitempty"`
-	Report *Report       `json:"report,omitempty"`
-	Ends   *Ends         `json:"ends,omitempty"`
-	Place  *Place        `json:"place,omitempty"`
-	Recall *Recall       `json:"recall,omitempty"`
-	Lost   *Lost         `json:"lost,omitempty"`
-	Step   *Step         `json:"step,omitempty"`
-	Raise  *Raise        `json:"raise,omitempty"`
-	Check  *Check        `json:"check,omitempty"`
+	At     identifier.Millis `json:"at"`
+	Submit *Submit           `json:"submit,omitempty"`
+	Cancel *Cancel           `json:"cancel,omitempty"`
+	Table  *limits.Change    `json:"table,omitempty"`
+	Close  *Close            `json:"close,omitempty"`
+	Reopen *Reopen           `json:"reopen,omitempty"`
+	Report *Report           `json:"report,omitempty"`
+	Ends   *Ends             `json:"ends,omitempty"`
+	Place  *Place            `json:"place,omitempty"`
+	Recall *Recall           `json:"recall,omitempty"`
+	Lost   *Lost             `json:"lost,omitempty"`
+	Step   *Step             `json:"step,omitempty"`
+	Raise  *Raise            `json:"raise,omitempty"`
+	Check  *Check            `json:"check,omitempty"`
 	// Catalog is known from CatalogLevel on.
 	Catalog *catalog.Change `json:"catalog,omitempty"`
 }
@@ -42,27 +42,27 @@
 
 // Check says what the book's sum was, at the leader, after the entry at Index.
 type Check struct {
-	Index ids.Index `json:"index"`
-	Sum   uint64    `json:"sum"`
+	Index identifier.Index `json:"index"`
+	Sum   uint64           `json:"sum"`
 }
 
 // Submit accepts a job. A repeated one with the same content gets the same
 // answer.
 type Submit struct {
-	Key  ids.Key  `json:"key"`
-	Spec job.Spec `json:"spec"`
+	Key  identifier.Key `json:"key"`
+	Spec job.Spec       `json:"spec"`
 }
 
 // Cancel ends a job and revokes its leases.
 type Cancel struct {
-	Key ids.Key `json:"key"`
+	Key identifier.Key `json:"key"`
 }
 
 // Close starts the drain of a zone. ID, when given, names the operation, so that
 // a repeated command starts no second one.
 type Close struct {
-	Domain ids.Domain `json:"domain"`
-	ID     string     `json:"id,omitempty"`
+	Domain identifier.Domain `json:"domain"`
+	ID     string            `json:"id,omitempty"`
 	// Unseen closes a domain of which no runner is known yet.
 	Unseen bool `json:"unseen,omitempty"`
 }
@@ -75,23 +75,23 @@
 // Report is what a runner says of itself. A new incarnation ends all leases of
 // the one before as lost, after Saves have been recorded.
 type Report struct {
-	Runner ids.Runner  `json:"runner"`
-	Inc    ids.Inc     `json:"inc"`
-	Cap    job.Demand  `json:"cap"`
-	Labels []ids.Label `json:"labels,omitempty"`
-	Domain ids.Domain  `json:"domain"`
-	Rack   ids.Rack    `json:"rack"`
-	Drain  bool        `json:"draining,omitempty"`
-	Depart ids.Millis  `json:"departsAt,omitempty"`
-	Pool   string      `json:"pool,omitempty"`
-	Addr   string      `json:"addr,omitempty"`
-	Saves  []Save      `json:"saves,omitempty"`
+	Runner identifier.Runner  `json:"runner"`
+	Inc    identifier.Inc     `json:"inc"`
+	Cap    job.Demand         `json:"cap"`
+	Labels []identifier.Label `json:"labels,omitempty"`
+	Domain identifier.Domain  `json:"domain"`
+	Rack   identifier.Rack    `json:"rack"`
+	Drain  bool               `json:"draining,omitempty"`
+	Depart identifier.Millis  `json:"departsAt,omitempty"`
+	Pool   string             `json:"pool,omitempty"`
+	Addr   string             `json:"addr,omitempty"`
+	Saves  []Save             `json:"saves,omitempty"`
 }
 
 // Save is the last progress told of a run that is about to be counted lost.
 type Save struct {
-	Grant ids.Grant `json:"grant"`
-	Saved string    `json:"saved"`
+	Grant identifier.Grant `json:"grant"`
+	Saved string           `json:"saved"`
 }
 
 // How an attempt ended.
@@ -119,26 +119,26 @@
 // End is the end of one attempt. Ref names the task again, for a lease that is
 // no longer known; Saved is the last progress, if any.
 type End struct {
-	Grant ids.Grant `json:"grant"`
-	Ref   ids.Ref   `json:"ref"`
-	How   How       `json:"how"`
-	Saved string    `json:"saved,omitempty"`
+	Grant identifier.Grant `json:"grant"`
+	Ref   identifier.Ref   `json:"ref"`
+	How   How              `json:"how"`
+	Saved string           `json:"saved,omitempty"`
 }
 
 // Ends reports attempts that ended on one incarnation of a runner. Leases of
 // another incarnation are left alone.
 type Ends struct {
-	Runner ids.Runner `json:"runner"`
-	Inc    ids.Inc    `json:"inc"`
-	List   []End      `json:"list"`
+	Runner identifier.Runner `json:"runner"`
+	Inc    identifier.Inc    `json:"inc"`
+	List   []End             `json:"list"`
 }
 
 // Put places tasks of one step; a gang's Nums and On cover it whole.
 type Put struct {
-	Job  ids.Key      `json:"job"`
-	Step int          `json:"step"`
-	Nums []int        `json:"nums"`
-	On   []ids.Runner `json:"on"`
+	Job  identifier.Key      `json:"job"`
+	Step int                 `json:"step"`
+	Nums []int               `json:"nums"`
+	On   []identifier.Runner `json:"on"`
 }
 
 // Place opens leases. Each Put is checked against the state again and passed
@@ -149,16 +149,16 @@
 
 // Recall revokes leases; unknown ones are passed over.
 type Recall struct {
-	Grants []ids.Grant `json:"grants"`
-	Why    string      `json:"why"`
+	Grants []identifier.Grant `json:"grants"`
+	Why    string             `json:"why"`
 }
 
 // Lost counts an incarnation of a runner as lost and ends all its leases. It
 // does nothing when the runner has reported another incarnation.
 type Lost struct {
-	Runner ids.Runner `json:"runner"`
-	Inc    ids.Inc    `json:"inc"`
-	Saves  []Save     `json:"saves,omitempty"`
+	Runner identifier.Runner `json:"runner"`
+	Inc    identifier.Inc    `json:"inc"`
+	Saves  []Save            `json:"saves,omitempty"`
 }
 
 // Step moves one closing on from one stage; Judge says that the time for
--- a/state/duty.go
+++ b/internal/state/duty.go
@@ -8,12 +8,12 @@
 	"fmt"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/pack"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/feasibility"
 )
 
-func (b *Book) open(id, kind string, domain ids.Domain, rack ids.Rack) (c *Closing) {
+func (b *Book) open(id, kind string, domain identifier.Domain, rack identifier.Rack) (c *Closing) {
 	for id == "" || b.Closings[id] != nil {
 		id = fmt.Sprintf("c-%d", b.NextClose)
 		b.NextClose++
@@ -27,7 +27,7 @@
 func (b *Book) reopen(p *Reopen) (r Result) {
 	c := b.Closings[p.Name]
 	if c == nil {
-		c = b.domainClosing(ids.Domain(p.Name))
+		c = b.domainClosing(identifier.Domain(p.Name))
 	}
 	switch {
 	case c == nil:
@@ -42,7 +42,7 @@
 
 // domainClosing is the domain's closing in force, else the last that was. Among
 // those of one moment the order of names says nothing about which came last.
-func (b *Book) domainClosing(domain ids.Domain) (c *Closing) {
+func (b *Book) domainClosing(domain identifier.Domain) (c *Closing) {
 	for _, id := range b.ClosingIDs() {
 		one := b.Closings[id]
 		if one.Kind != KindDomain || one.Domain != domain {
@@ -60,10 +60,10 @@
 // half of a rack's live runners leaving makes the whole rack the scope.
 func (b *Book) racks() {
 	type place struct {
-		domain ids.Domain
-		rack   ids.Rack
+		domain identifier.Domain
+		rack   identifier.Rack
 	}
-	all, leave := map[place][]ids.Runner{}, map[place][]ids.Runner{}
+	all, leave := map[place][]identifier.Runner{}, map[place][]identifier.Runner{}
 	for _, n := range b.RunnerNames() {
 		r := b.Runners[n]
 		at := place{r.Domain, r.Rack}
@@ -107,12 +107,12 @@
 }
 
 // rescope takes a rack closing's new scope; newcomers start its stages again.
-func (b *Book) rescope(c *Closing, scope []ids.Runner) {
+func (b *Book) rescope(c *Closing, scope []identifier.Runner) {
 	grown := false
 	for _, n := range scope {
 		grown = grown || !c.has(n)
 	}
-	c.Scope = append([]ids.Runner(nil), scope...)
+	c.Scope = append([]identifier.Runner(nil), scope...)
 	if grown && (c.Stage == Postdrain || c.Stage == Closed) {
 		c.enter(Preflight, b.Now)
 	}
@@ -154,11 +154,11 @@
 
 // Due tells whether a runner's tasks are to be stopped now. In a domain they
 // are at once; in a rack they run on until a margin before the departure.
-func (b *Book) Due(c *Closing, n ids.Runner, now ids.Millis) (yes bool) {
+func (b *Book) Due(c *Closing, n identifier.Runner, now identifier.Millis) (yes bool) {
 	if c.Kind == KindDomain {
 		return true
 	}
-	at := ids.Millis(0)
+	at := identifier.Millis(0)
 	for _, s := range c.Scope {
 		if r := b.Runners[s]; r != nil && r.Drain && (at == 0 || r.Depart < at) {
 			at = r.Depart
@@ -225,22 +225,22 @@
 // tasks, gangs whole. The answer never holds the fence back.
 func (b *Book) preflight(c *Closing) {
 	lumps := b.displace(c)
-	bins := []pack.Bin{}
+	bins := []feasibility.Bin{}
 	for _, n := range b.RunnerNames() {
 		if r := b.Runners[n]; r.fence == "" && !r.Gone {
-			bins = append(bins, pack.Bin{Name: n, Room: r.Free(), Labels: r.Labels})
+			bins = append(bins, feasibility.Bin{Name: n, Room: r.Free(), Labels: r.Labels})
 		}
 	}
 	c.Judged = true
-	c.Fits, c.Short = pack.Fits(lumps, bins)
+	c.Fits, c.Short = feasibility.Fits(lumps, bins)
 }
 
 // displace records the displaced set and returns it as lumps to pack. A gang with
 // a member in scope is displaced whole.
-func (b *Book) displace(c *Closing) (lumps []pack.Lump) {
+func (b *Book) displace(c *Closing) (lumps []feasibility.Lump) {
 	free, loose := b.Undone(c)
 	type step struct {
-		key ids.Key
+		key identifier.Key
 		num int
 	}
 	gangs := map[step]bool{}
@@ -249,7 +249,7 @@
 		st := b.Jobs[g.Ref.Job].Spec.Steps[g.Ref.Step]
 		at := step{g.Ref.Job, g.Ref.Step}
 		if !st.Gang {
-			lumps = append(lumps, pack.Lump{Demand: st.Demand, Labels: st.Labels, Count: 1})
+			lumps = append(lumps, feasibility.Lump{Demand: st.Demand, Labels: st.Labels, Count: 1})
 			c.Displaced = append(c.Displaced, g.Ref)
 			continue
 		}
@@ -262,10 +262,10 @@
 		for i, t := range b.Jobs[g.Ref.Job].Steps[g.Ref.Step] {
 			if !t.State.Ended() {
 				n++
-				c.Displaced = append(c.Displaced, ids.Ref{Job: g.Ref.Job, Step: g.Ref.Step, Num: i})
+				c.Displaced = append(c.Displaced, identifier.Ref{Job: g.Ref.Job, Step: g.Ref.Step, Num: i})
 			}
 		}
-		lumps = append(lumps, pack.Lump{Demand: st.Demand, Labels: st.Labels, Count: n})
+		lumps = append(lumps, feasibility.Lump{Demand: st.Demand, Labels: st.Labels, Count: n})
 	}
 	return lumps
 }
@@ -316,7 +316,7 @@
 
 // release lets go of the tasks that were waiting out the closing.
 func (b *Book) release(c *Closing) {
-	b.each(func(j *Job, ref ids.Ref, t *Task) {
+	b.each(func(j *Job, ref identifier.Ref, t *Task) {
 		if t.Closing != c.ID {
 			return
 		}
--- a/state/grant.go
+++ b/internal/state/grant.go
@@ -5,8 +5,8 @@
 package state
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Grant is the lease of one attempt: this task, on this runner, in this
@@ -14,15 +14,15 @@
 // revoked lease stays open and keeps its room until the runner confirms the end
 // or is counted lost. Run is the expected duration in milliseconds.
 type Grant struct {
-	ID     ids.Grant  `json:"id"`
-	Ref    ids.Ref    `json:"ref"`
-	Runner ids.Runner `json:"runner"`
-	Inc    ids.Inc    `json:"inc"`
-	Row    ids.Row    `json:"row"`
-	Demand job.Demand `json:"demand"`
-	Run    ids.Span   `json:"spanMs"`
-	At     ids.Millis `json:"at"`
-	Stop   string     `json:"stop,omitempty"`
+	ID     identifier.Grant  `json:"id"`
+	Ref    identifier.Ref    `json:"ref"`
+	Runner identifier.Runner `json:"runner"`
+	Inc    identifier.Inc    `json:"inc"`
+	Row    identifier.Row    `json:"row"`
+	Demand job.Demand        `json:"demand"`
+	Run    identifier.Span   `json:"spanMs"`
+	At     identifier.Millis `json:"at"`
+	Stop   string            `json:"stop,omitempty"`
 	// No counts the runs of the task, from 1; the members of a gang share one.
 	No uint64 `json:"no,omitempty"`
 }
--- a/state/grants.go
+++ b/internal/state/grants.go
@@ -6,9 +6,9 @@
 import (
 	"strings"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/pack"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/feasibility"
 )
 
 func (b *Book) place(p *Place) {
@@ -33,12 +33,12 @@
 	if st.Gang && len(p.Nums) != j.count[p.Step].wait {
 		return false
 	}
-	room, seen := map[ids.Runner]job.Demand{}, map[int]bool{}
+	room, seen := map[identifier.Runner]job.Demand{}, map[int]bool{}
 	sum := b.inUse[j.Spec.Pending]
-	held := map[ids.Runner]int64{}
+	held := map[identifier.Runner]int64{}
 	for i, n := range p.Nums {
-		t, r := j.Task(ids.Ref{Job: p.Job, Step: p.Step, Num: n}), b.Runners[p.On[i]]
-		if t == nil || seen[n] || t.State != Waiting || r == nil || r.Gone || r.fence != "" || !pack.Has(r.Labels, st.Labels) || !j.Serves(r) {
+		t, r := j.Task(identifier.Ref{Job: p.Job, Step: p.Step, Num: n}), b.Runners[p.On[i]]
+		if t == nil || seen[n] || t.State != Waiting || r == nil || r.Gone || r.fence != "" || !feasibility.Has(r.Labels, st.Labels) || !j.Serves(r) {
 			return false
 		}
 		if st.Apart > 0 {
@@ -67,7 +67,7 @@
 		shared = max(shared, j.Steps[p.Step][n].No+1)
 	}
 	for i, n := range p.Nums {
-		ref := ids.Ref{Job: p.Job, Step: p.Step, Num: n}
+		ref := identifier.Ref{Job: p.Job, Step: p.Step, Num: n}
 		st, r := j.Spec.Steps[p.Step], b.Runners[p.On[i]]
 		g := &Grant{ID: b.NextGrant, Ref: ref, Runner: r.Name, Inc: r.Inc, Row: j.Spec.Pending, Demand: st.Demand, Run: st.Run, At: b.Now}
 		b.NextGrant++
@@ -258,7 +258,7 @@
 }
 
 // spend counts a reported defect against the task's allowance.
-func (b *Book) spend(j *Job, ref ids.Ref, on ids.Runner) {
+func (b *Book) spend(j *Job, ref identifier.Ref, on identifier.Runner) {
 	t := j.Task(ref)
 	t.Defects++
 	t.Shun = on
@@ -302,7 +302,7 @@
 
 // Hears tells whether an end reported under this grant is still news: the
 // grant is open, or was counted lost and its task has not ended.
-func (b *Book) Hears(name ids.Runner, inc ids.Inc, id ids.Grant, ref ids.Ref) (yes bool) {
+func (b *Book) Hears(name identifier.Runner, inc identifier.Inc, id identifier.Grant, ref identifier.Ref) (yes bool) {
 	if g := b.Grants[id]; g != nil {
 		return g.Runner == name && g.Inc == inc
 	}
--- a/state/idhold.go
+++ b/internal/state/idhold.go
@@ -6,17 +6,17 @@
 
 package state
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // IDHold is an id under which no job is accepted before its time is up.
 type IDHold struct {
-	Job   ids.Key    `json:"job"`
-	Until ids.Millis `json:"until"`
+	Job   identifier.Key    `json:"job"`
+	Until identifier.Millis `json:"until"`
 }
 
 const (
 	// idHoldSpan is the longest budget of a request, and a second.
-	idHoldSpan ids.Span = 31_000
+	idHoldSpan identifier.Span = 31_000
 	// idHoldsMost bounds the ids that are held back at once.
 	idHoldsMost int = 4096
 	// idHoldsDropped bounds the holds that one command drops.
@@ -24,7 +24,7 @@
 )
 
 // held finds the id's hold, whether its time is up or not.
-func (b *Book) held(key ids.Key) (at int, ok bool) {
+func (b *Book) held(key identifier.Key) (at int, ok bool) {
 	for i := range b.IDHolds {
 		if b.IDHolds[i].Job == key {
 			return i, true
@@ -34,16 +34,16 @@
 }
 
 // heldFor is how long the id is yet held back, 0 where it is not.
-func (b *Book) heldFor(key ids.Key) (span ids.Span) {
+func (b *Book) heldFor(key identifier.Key) (span identifier.Span) {
 	i, ok := b.held(key)
 	if !ok {
 		return 0
 	}
-	return max(0, ids.Span(b.IDHolds[i].Until-b.Now))
+	return max(0, identifier.Span(b.IDHolds[i].Until-b.Now))
 }
 
 // holdBack answers a cancel that found no job.
-func (b *Book) holdBack(key ids.Key) (r Result) {
+func (b *Book) holdBack(key identifier.Key) (r Result) {
 	if b.Level >= ResendLevel && !b.hold(key) {
 		return Result{Status: 503, Code: "busy", Why: "too many ids are held back after cancels", Retry: 1000}
 	}
@@ -51,7 +51,7 @@
 }
 
 // hold keeps the id from now on; it fails when too many are held.
-func (b *Book) hold(key ids.Key) (ok bool) {
+func (b *Book) hold(key identifier.Key) (ok bool) {
 	b.dropHolds()
 	if i, had := b.held(key); had {
 		b.IDHolds = append(b.IDHolds[:i], b.IDHolds[i+1:]...)
--- a/state/job.go
+++ b/internal/state/job.go
@@ -6,8 +6,8 @@
 import (
 	"slices"
 
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Job is an accepted job and the state of each of its tasks, by step and number.
@@ -16,23 +16,23 @@
 // checksum of Spec. Cancel and Fail say that it is being ended; End is set once
 // it has ended.
 type Job struct {
-	Key    ids.Key    `json:"key"`
-	Seq    uint64     `json:"seq"`
-	At     ids.Millis `json:"at"`
-	Start  ids.Millis `json:"start,omitempty"`
-	Sum    string     `json:"sum"`
-	Spec   job.Spec   `json:"spec"`
-	Steps  [][]*Task  `json:"steps"`
-	Cancel bool       `json:"cancel,omitempty"`
-	Fail   string     `json:"fail,omitempty"`
-	End    State      `json:"end,omitempty"`
-	Ended  ids.Millis `json:"ended,omitempty"`
+	Key    identifier.Key    `json:"key"`
+	Seq    uint64            `json:"seq"`
+	At     identifier.Millis `json:"at"`
+	Start  identifier.Millis `json:"start,omitempty"`
+	Sum    string            `json:"sum"`
+	Spec   job.Spec          `json:"spec"`
+	Steps  [][]*Task         `json:"steps"`
+	Cancel bool              `json:"cancel,omitempty"`
+	Fail   string            `json:"fail,omitempty"`
+	End    State             `json:"end,omitempty"`
+	Ended  identifier.Millis `json:"ended,omitempty"`
 	// Terms are those of the job's queue when it was accepted, nil for a job of
 	// a pending row. Times counts the times of a repeated job that have come;
 	// each is a job of its own, whose Parent is this one.
-	Terms  *Terms  `json:"terms,omitempty"`
-	Times  int64   `json:"times,omitempty"`
-	Parent ids.Key `json:"parent,omitempty"`
+	Terms  *Terms         `json:"terms,omitempty"`
+	Times  int64          `json:"times,omitempty"`
+	Parent identifier.Key `json:"parent,omitempty"`
 	// kids counts the times that have come and not ended.
 	kids int
 
@@ -49,7 +49,7 @@
 
 // Task finds a task by step and number, nil when the job has no such task. The
 // job named in r is not compared.
-func (j *Job) Task(r ids.Ref) (t *Task) {
+func (j *Job) Task(r identifier.Ref) (t *Task) {
 	if r.Step < 0 || r.Step >= len(j.Steps) || r.Num < 0 || r.Num >= len(j.Steps[r.Step]) {
 		return nil
 	}
@@ -82,18 +82,18 @@
 }
 
 // Rest is the longest chain through the steps that are not done.
-func (j *Job) Rest() (span ids.Span) {
+func (j *Job) Rest() (span identifier.Span) {
 	steps := j.Spec.Steps
 	if len(steps) == 1 {
 		return steps[0].Run
 	}
-	at := make([]ids.Span, len(steps))
+	at := make([]identifier.Span, len(steps))
 	for range steps {
 		for i := range steps {
 			if j.count[i].well == len(j.Steps[i]) {
 				continue
 			}
-			from := ids.Span(0)
+			from := identifier.Span(0)
 			for k := range steps {
 				if at[k] > from && slices.Contains(steps[i].After, steps[k].Name) {
 					from = at[k]
--- a/state/jobs.go
+++ b/internal/state/jobs.go
@@ -5,23 +5,23 @@
 import (
 	"fmt"
 
-	"orchidward/doc"
-	"orchidward/ids"
-	"orchidward/rules"
-	"orchidward/table"
+	"orchidward/internal/api/admission"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
 )
 
 // Ack is the answer to an accepted job; a resend gets the very same one.
 type Ack struct {
-	Job      ids.Key `json:"job"`
-	Sum      string  `json:"sum"`
-	Accepted string  `json:"accepted"`
+	Job      identifier.Key `json:"job"`
+	Sum      string         `json:"sum"`
+	Accepted string         `json:"accepted"`
 }
 
 const stamp = "2006-01-02T15:04:05.000Z07:00"
 
 // Stamp writes a site time as RFC 3339 in UTC, with milliseconds.
-func Stamp(at ids.Millis) (text string) { return at.Time().Format(stamp) }
+func Stamp(at identifier.Millis) (text string) { return at.Time().Format(stamp) }
 
 func (b *Book) submit(s *Submit) (r Result) {
 	sum := s.Spec.Sum()
@@ -43,7 +43,7 @@
 	if s.Spec.Queue != "" {
 		return b.enqueue(s, sum)
 	}
-	var f doc.Faults
+	var f jsondoc.Faults
 	v := b.rules.Run(&s.Spec, b.waiting[s.Spec.Pending], &f)
 	switch {
 	case f.Any():
@@ -103,7 +103,7 @@
 		for n, t := range tasks {
 			switch {
 			case t.State.Unplaced():
-				b.set(j, ids.Ref{Job: j.Key, Step: i, Num: n}, Cancelled)
+				b.set(j, identifier.Ref{Job: j.Key, Step: i, Num: n}, Cancelled)
 				t.Why = why
 			case t.State == Placed:
 				b.stop(b.Grants[t.Grant], why)
@@ -140,7 +140,7 @@
 	b.leaveQueue(j)
 }
 
-func (b *Book) change(c *table.Change) (r Result) {
+func (b *Book) change(c *limits.Change) (r Result) {
 	if cells := b.Table.Clash(c); len(cells) > 0 {
 		return Result{Status: 409, Code: "stale-base", Why: fmt.Sprintf("changed since epoch %d", c.Base),
 			Doc: map[string]any{"epoch": b.Table.Epoch, "cells": cells}}
@@ -162,6 +162,6 @@
 	if b.Table.Site("grantMs") < old {
 		b.OldGrant, b.OldAt = old, b.Now
 	}
-	b.rules = rules.Compile(b.Table)
+	b.rules = admission.Compile(b.Table)
 	return Result{Status: 200, Doc: map[string]any{"epoch": b.Table.Epoch}}
 }
--- a/state/known.go
+++ b/internal/state/known.go
@@ -10,14 +10,14 @@
 	"encoding/binary"
 	"encoding/json"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 type mark struct {
 	key  [12]byte
 	sum  [12]byte
-	at   ids.Millis
-	gone ids.Millis
+	at   identifier.Millis
+	gone identifier.Millis
 	end  byte
 }
 
@@ -43,7 +43,7 @@
 var endCode = map[State]byte{Well: 1, Failed: 2, Cancelled: 3}
 var endState = map[byte]State{1: Well, 2: Failed, 3: Cancelled}
 
-func (k *Known) add(j *Job, now ids.Millis) {
+func (k *Known) add(j *Job, now identifier.Millis) {
 	key, sum := short(string(j.Key)), short(j.Sum)
 	k.by[key] = k.off + k.Len()
 	k.blob = append(append(k.blob, key[:]...), sum[:]...)
@@ -57,13 +57,13 @@
 	b := k.blob[i*markSize:]
 	copy(m.key[:], b)
 	copy(m.sum[:], b[12:])
-	m.at = ids.Millis(binary.LittleEndian.Uint64(b[24:]))
-	m.gone = ids.Millis(binary.LittleEndian.Uint64(b[32:]))
+	m.at = identifier.Millis(binary.LittleEndian.Uint64(b[24:]))
+	m.gone = identifier.Millis(binary.LittleEndian.Uint64(b[32:]))
 	m.end = b[40]
 	return m
 }
 
-func (k *Known) get(key ids.Key) (m mark, ok bool) {
+func (k *Known) get(key identifier.Key) (m mark, ok bool) {
 	i, ok := k.by[short(string(key))]
 	if !ok {
 		return m, false
@@ -74,7 +74,7 @@
 // Len is the number of remembered jobs.
 func (k *Known) Len() (n int) { return len(k.blob) / markSize }
 
-func (k *Known) drop(before ids.Millis) {
+func (k *Known) drop(before identifier.Millis) {
 	for n := 0; n < 16 && k.Len() > 0; n++ {
 		m := k.at(0)
 		if m.gone >= before {
@@ -107,7 +107,7 @@
 }
 
 // Past tells of a job that is only remembered by its id.
-func (b *Book) Past(key ids.Key) (at ids.Millis, end State, ok bool) {
+func (b *Book) Past(key identifier.Key) (at identifier.Millis, end State, ok bool) {
 	m, ok := b.Known.get(key)
 	return m.at, endState[m.end], ok
 }
--- a/state/orders_test.go
+++ b/internal/state/orders_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Orders without a number of their own: closing and reopening a domain, handing
@@ -111,13 +111,13 @@
 	}
 }
 
-func submission(key ids.Key) (c *Command) {
+func submission(key identifier.Key) (c *Command) {
 	steps := []job.Step{{Name: "one", Tasks: 1, Defects: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1}}
 	return &Command{Submit: &Submit{Key: key, Spec: job.Spec{Pending: "a", Steps: steps}}}
 }
 
 // jobOrder applies one copy and returns its status.
-func (d *desk) jobOrder(verb string, key ids.Key) (status int) {
+func (d *desk) jobOrder(verb string, key identifier.Key) (status int) {
 	if verb == put {
 		return d.b.Apply(submission(key)).Status
 	}
@@ -125,7 +125,7 @@
 }
 
 // mayRun tells whether the job has anything that could be placed.
-func (d *desk) mayRun(key ids.Key) (yes bool) {
+func (d *desk) mayRun(key identifier.Key) (yes bool) {
 	d.place(key, 0, []int{0}, "r1")
 	return d.open(key) > 0
 }
@@ -178,7 +178,7 @@
 	}
 
 	for i := 0; i < holdsMost; i++ {
-		d.must(404, &Command{Cancel: &Cancel{Key: ids.Key(fmt.Sprintf("a/%d", i))}})
+		d.must(404, &Command{Cancel: &Cancel{Key: identifier.Key(fmt.Sprintf("a/%d", i))}})
 	}
 	d.must(503, &Command{Cancel: &Cancel{Key: "a/more"}})
 	d.must(404, &Command{Cancel: &Cancel{Key: "a/17"}})
@@ -203,7 +203,7 @@
 // be dropped on its way.
 func TestClosingForgotten(t *testing.T) {
 	d := newDeskAt(t, ResendLevel)
-	reopen := func(domain ids.Domain, id string) {
+	reopen := func(domain identifier.Domain, id string) {
 		d.must(200, &Command{At: d.b.Now + 1, Close: &Close{Domain: domain, ID: id, Unseen: true}})
 		d.must(200, &Command{Reopen: &Reopen{Name: string(domain)}})
 		for _, stage := range []Stage{Preopen, Opening, Postopen} {
--- a/state/queue.go
+++ b/internal/state/queue.go
@@ -6,20 +6,20 @@
 import (
 	"strings"
 
-	"orchidward/catalog"
-	"orchidward/ids"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
 )
 
 // Terms are a queue's, as they stood when the job was accepted. Due is when the
 // job is to be done by: its longest chain of work times the queue's stretch,
 // and the set-point, from its acceptance or its appointed time.
 type Terms struct {
-	Queue string     `json:"queue"`
-	Pool  string     `json:"pool"`
-	Rank  int64      `json:"rank"`
-	Tries int64      `json:"tries"`
-	Aim   ids.Span   `json:"aimMs"`
-	Due   ids.Millis `json:"due"`
+	Queue string            `json:"queue"`
+	Pool  string            `json:"pool"`
+	Rank  int64             `json:"rank"`
+	Tries int64             `json:"tries"`
+	Aim   identifier.Span   `json:"aimMs"`
+	Due   identifier.Millis `json:"due"`
 }
 
 // mostWaiting bounds the tasks of queues that wait.
@@ -76,7 +76,7 @@
 	case len(b.Jobs)+b.Known.Len() >= MaxIDs:
 		return Result{Status: 503, Code: "ids-full", Why: "no room to remember another job id", Retry: 60000}
 	}
-	aim := s.Spec.Chain()*ids.Span(q.Stretch)/1000 + q.SetPoint
+	aim := s.Spec.Chain()*identifier.Span(q.Stretch)/1000 + q.SetPoint
 	j := &Job{Key: s.Key, Seq: b.NextSeq, At: b.Now, Sum: sum, Spec: s.Spec}
 	j.Terms = &Terms{Queue: q.Name, Pool: q.Pool, Rank: q.Rank, Tries: max(1, q.Tries), Aim: aim, Due: b.Now.Add(aim)}
 	b.NextSeq++
@@ -113,12 +113,12 @@
 
 // Find looks a job up by its key. The only time of a job that isn't repeated
 // may be named as its time 0.
-func (b *Book) Find(key ids.Key) (j *Job) {
+func (b *Book) Find(key identifier.Key) (j *Job) {
 	if j = b.Jobs[key]; j != nil {
 		return j
 	}
 	if plain, ok := strings.CutSuffix(string(key), ".0"); ok {
-		if j = b.Jobs[ids.Key(plain)]; j != nil && j.Spec.Repeat == nil {
+		if j = b.Jobs[identifier.Key(plain)]; j != nil && j.Spec.Repeat == nil {
 			return j
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // Named is the name that agents know a task by: it always tells the time.
-func (b *Book) Named(ref ids.Ref) (out ids.Ref) {
+func (b *Book) Named(ref identifier.Ref) (out identifier.Ref) {
 	if j := b.Jobs[ref.Job]; j != nil && j.Parent == "" {
 		ref.Job = timeKey(j.Key, 0)
 	}
@@ -134,7 +134,7 @@
 }
 
 // Resolve finds the grant that a run is held under, or was.
-func (b *Book) Resolve(name ids.Runner, inc ids.Inc, ref ids.Ref, no uint64) (id ids.Grant, at ids.Ref, ok bool) {
+func (b *Book) Resolve(name identifier.Runner, inc identifier.Inc, ref identifier.Ref, no uint64) (id identifier.Grant, at identifier.Ref, ok bool) {
 	j := b.Find(ref.Job)
 	if j == nil {
 		return 0, ref, false
@@ -165,7 +165,7 @@
 }
 
 // root is the job that callers know.
-func (j *Job) root() (key ids.Key) {
+func (j *Job) root() (key identifier.Key) {
 	if j.Parent != "" {
 		return j.Parent
 	}
@@ -252,12 +252,12 @@
 		if t.State.Ended() {
 			continue
 		}
-		b.set(j, ids.Ref{Job: j.Key, Step: g.Ref.Step, Num: n}, Well)
+		b.set(j, identifier.Ref{Job: j.Key, Step: g.Ref.Step, Num: n}, Well)
 	}
 }
 
 // spendQueued counts a failed run; a gang's counts once, whoever tells of it.
-func (b *Book) spendQueued(j *Job, ref ids.Ref, on ids.Runner, no uint64) {
+func (b *Book) spendQueued(j *Job, ref identifier.Ref, on identifier.Runner, no uint64) {
 	t := j.Task(ref)
 	t.Shun = on
 	if j.Spec.Steps[ref.Step].Lasting {
--- a/state/report.go
+++ b/internal/state/report.go
@@ -3,7 +3,7 @@
 package state
 
 import (
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 func (b *Book) report(p *Report) (r Result) {
@@ -12,7 +12,7 @@
 	case one == nil && len(b.Runners) >= MaxRunners:
 		return Result{Status: 503, Code: "runners-full", Why: "no room for another runner", Retry: 60000}
 	case one == nil:
-		one = &Runner{Name: p.Runner, Inc: p.Inc, grants: map[ids.Grant]*Grant{}}
+		one = &Runner{Name: p.Runner, Inc: p.Inc, grants: map[identifier.Grant]*Grant{}}
 		b.Runners[p.Runner] = one
 		b.enlist(p.Runner)
 	case one.Was(p.Inc):
@@ -33,8 +33,8 @@
 
 // free lets tasks held for a runner go: its new incarnation has answered, and
 // remembers nothing.
-func (b *Book) free(name ids.Runner) {
-	b.each(func(j *Job, ref ids.Ref, t *Task) {
+func (b *Book) free(name identifier.Runner) {
+	b.each(func(j *Job, ref identifier.Ref, t *Task) {
 		if t.State == Held && t.On == name {
 			b.set(j, ref, Waiting)
 			t.Why = ""
@@ -43,15 +43,15 @@
 }
 
 // each visits the tasks of every unfinished job in order of age of key.
-func (b *Book) each(do func(j *Job, ref ids.Ref, t *Task)) {
+func (b *Book) each(do func(j *Job, ref identifier.Ref, t *Task)) {
 	for _, key := range b.names.Keys() {
-		j := b.Jobs[key.(ids.Key)]
+		j := b.Jobs[key.(identifier.Key)]
 		if j.End != "" {
 			continue
 		}
 		for i, tasks := range j.Steps {
 			for n, t := range tasks {
-				do(j, ids.Ref{Job: j.Key, Step: i, Num: n}, t)
+				do(j, identifier.Ref{Job: j.Key, Step: i, Num: n}, t)
 			}
 		}
 		b.settle(j)
--- a/state/resend_test.go
+++ b/internal/state/resend_test.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"testing"
 
-	"orchidward/catalog"
-	"orchidward/doc"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/jsondoc"
 )
 
 // dayOfChanges is how many changes a day brings at the size designed for.
@@ -21,7 +21,7 @@
 // changeTo is an operator's change from one version to another.
 func changeTo(t *testing.T, base, version uint64) (c *catalog.Change) {
 	t.Helper()
-	var f doc.Faults
+	var f jsondoc.Faults
 	text := fmt.Sprintf(`{"base":%d,"version":%d,"put":{"pools":[{"name":"x"}]}}`, base, version)
 	if c = catalog.ReadPatch([]byte(text), &f); f.Any() {
 		t.Fatal(f.List)
@@ -153,7 +153,7 @@
 func TestSameTextOtherVerb(t *testing.T) {
 	d := newDeskAt(t, ResendLevel)
 	d.acceptChanges(0, 3)
-	var f doc.Faults
+	var f jsondoc.Faults
 	text := []byte(`{"base":3,"version":4}`)
 	replace, patch := catalog.ReadWhole(text, &f), catalog.ReadPatch(text, &f)
 	d.must(200, &Command{Catalog: patch})
--- a/state/runner.go
+++ b/internal/state/runner.go
@@ -4,8 +4,8 @@
 package state
 
 import (
-	"orchidward/ids"
-	"orchidward/job"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 )
 
 // Runner is what the state holds of one runner: its last report, the
@@ -13,24 +13,24 @@
 // runners were counted lost and have not reported since. Depart is when the
 // runner means to leave, in site time.
 type Runner struct {
-	Name   ids.Runner  `json:"name"`
-	Inc    ids.Inc     `json:"inc"`
-	Cap    job.Demand  `json:"cap"`
-	Labels []ids.Label `json:"labels,omitempty"`
-	Domain ids.Domain  `json:"domain"`
-	Rack   ids.Rack    `json:"rack"`
-	Drain  bool        `json:"draining,omitempty"`
-	Depart ids.Millis  `json:"departsAt,omitempty"`
-	Gone   bool        `json:"gone,omitempty"`
-	Past   []ids.Inc   `json:"past,omitempty"`
-	Good   int64       `json:"good"`
-	Bad    int64       `json:"bad"`
-	Pool   string      `json:"pool,omitempty"`
+	Name   identifier.Runner  `json:"name"`
+	Inc    identifier.Inc     `json:"inc"`
+	Cap    job.Demand         `json:"cap"`
+	Labels []identifier.Label `json:"labels,omitempty"`
+	Domain identifier.Domain  `json:"domain"`
+	Rack   identifier.Rack    `json:"rack"`
+	Drain  bool               `json:"draining,omitempty"`
+	Depart identifier.Millis  `json:"departsAt,omitempty"`
+	Gone   bool               `json:"gone,omitempty"`
+	Past   []identifier.Inc   `json:"past,omitempty"`
+	Good   int64              `json:"good"`
+	Bad    int64              `json:"bad"`
+	Pool   string             `json:"pool,omitempty"`
 	// Addr is where the agent that speaks for it listens, if one does.
 	Addr string `json:"addr,omitempty"`
 
 	used   job.Demand
-	grants map[ids.Grant]*Grant
+	grants map[identifier.Grant]*Grant
 	fence  string
 }
 
@@ -48,7 +48,7 @@
 func (r *Runner) Open() (n int) { return len(r.grants) }
 
 // Was tells whether inc is one this runner has left behind.
-func (r *Runner) Was(inc ids.Inc) (ok bool) {
+func (r *Runner) Was(inc identifier.Inc) (ok bool) {
 	for _, p := range r.Past {
 		if p == inc {
 			return true
@@ -59,7 +59,7 @@
 
 const incKept = 16
 
-func (r *Runner) renew(inc ids.Inc) {
+func (r *Runner) renew(inc identifier.Inc) {
 	r.Past = append(r.Past, r.Inc)
 	if len(r.Past) > incKept {
 		r.Past = r.Past[len(r.Past)-incKept:]
--- a/state/task.go
+++ b/internal/state/task.go
@@ -3,21 +3,21 @@
 
 package state
 
-import "orchidward/ids"
+import "orchidward/internal/api/identifier"
 
 // Task is one unit of work of a step, with the lease it holds, if any. Shun is
 // the runner of its last defect, which placement avoids; Closing is the drain
 // that displaced it; On is the runner of its last lease; Past are the leases
 // counted lost, newest last, at most pastKept of them.
 type Task struct {
-	State   State       `json:"state"`
-	Defects int64       `json:"defects,omitempty"`
-	Grant   ids.Grant   `json:"grant,omitempty"`
-	Shun    ids.Runner  `json:"shun,omitempty"`
-	Closing string      `json:"closing,omitempty"`
-	Past    []ids.Grant `json:"past,omitempty"`
-	On      ids.Runner  `json:"on,omitempty"`
-	Why     string      `json:"why,omitempty"`
+	State   State              `json:"state"`
+	Defects int64              `json:"defects,omitempty"`
+	Grant   identifier.Grant   `json:"grant,omitempty"`
+	Shun    identifier.Runner  `json:"shun,omitempty"`
+	Closing string             `json:"closing,omitempty"`
+	Past    []identifier.Grant `json:"past,omitempty"`
+	On      identifier.Runner  `json:"on,omitempty"`
+	Why     string             `json:"why,omitempty"`
 	// No is the number of the last run, PastNo those of the grants in Past, Bad
 	// the last run that counted as a defect, Saved the progress to go on from.
 	No     uint64   `json:"no,omitempty"`
@@ -43,10 +43,10 @@
 }
 
 // recall takes a past grant off the list and tells whether it was there.
-func (t *Task) recall(g ids.Grant) (ok bool) {
+func (t *Task) recall(g identifier.Grant) (ok bool) {
 	for i, p := range t.Past {
 		if p == g {
-			t.Past = append(append([]ids.Grant(nil), t.Past[:i]...), t.Past[i+1:]...)
+			t.Past = append(append([]identifier.Grant(nil), t.Past[:i]...), t.Past[i+1:]...)
 			if i < len(t.PastNo) {
 				t.PastNo = append(append([]uint64(nil), t.PastNo[:i]...), t.PastNo[i+1:]...)
 			}
--- a/state/times.go
+++ b/internal/state/times.go
@@ -6,13 +6,13 @@
 import (
 	"strconv"
 
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
 )
 
 // mostSpawn bounds the times that one entry begins.
 const mostSpawn = 64
 
-func (j *Job) nextTime() (at ids.Millis) { return j.Spec.Repeat.At(j.Times) }
+func (j *Job) nextTime() (at identifier.Millis) { return j.Spec.Repeat.At(j.Times) }
 
 // timesOver tells whether every time has come and ended, or none is to come.
 func (j *Job) timesOver() (yes bool) {
@@ -31,8 +31,8 @@
 }
 
 // timeKey names one time of a repeated job.
-func timeKey(parent ids.Key, k int64) (key ids.Key) {
-	return ids.Key(string(parent) + "." + strconv.FormatInt(k, 10))
+func timeKey(parent identifier.Key, k int64) (key identifier.Key) {
+	return identifier.Key(string(parent) + "." + strconv.FormatInt(k, 10))
 }
 
 // spawn begins the times that have come.
--- a/call/call.go
+++ b/internal/transport/httpclient/call.go
@@ -1,7 +1,7 @@
 // Package call is an HTTP caller of gates: it tries them in turn, waits as
 // long as it is told to when the fleet is busy, and says which it tried. What
 // may have been carried out is sent again only if a repeat is known for one.
-package call
+package httpclient
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"github.com/go-faster/errors"
 
-	"orchidward/gateway"
+	"orchidward/internal/gateway"
 )
 
 // Caller sends requests to a list of gateways. It is not safe for concurrent
--- a/call/call_test.go
+++ b/internal/transport/httpclient/call_test.go
@@ -1,4 +1,4 @@
-package call
+package httpclient
 
 import (
 	"bufio"
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 // stub is a gate whose every answer is written by hand.
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	s = &stub{ln: ln, answer: answer}
-	c := crew.New()
+	c := lifecycle.New()
 	ctx, stop := context.WithCancel(context.Background())
 	c.Go(func(<-chan struct{}) {
 		for {
--- a/serve/bare.go
+++ b/internal/transport/httpserver/bare.go
@@ -1,7 +1,7 @@
 // A bare server has the same listener, limits and polite stop as any other,
 // and none of the routes: all requests go to the handler that it is given.
 
-package serve
+package httpserver
 
 import (
 	"net"
--- a/serve/bare_test.go
+++ b/internal/transport/httpserver/bare_test.go
@@ -1,4 +1,4 @@
-package serve
+package httpserver
 
 import (
 	"bufio"
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 // gone waits until nobody listens on the address.
@@ -25,7 +25,7 @@
 }
 
 // held is a server with one request in hand, which goes on when out is closed.
-func held(t *testing.T, c *crew.Crew) (s *Server, out chan bool, got chan string) {
+func held(t *testing.T, c *lifecycle.Crew) (s *Server, out chan bool, got chan string) {
 	t.Helper()
 	in := make(chan bool)
 	out, got = make(chan bool), make(chan string, 1)
@@ -60,7 +60,7 @@
 // TestStopWaits: a request still in hand when the parting is over and the
 // listener has closed is answered whole, however long it takes.
 func TestStopWaits(t *testing.T) {
-	c := crew.New()
+	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	s, out, got := held(t, c)
 	s.Parting = 0
@@ -79,7 +79,7 @@
 // TestBareParts: while a bare server parts it takes requests, and every answer,
 // also of those taken in before, says that its connection closes.
 func TestBareParts(t *testing.T) {
-	c := crew.New()
+	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	s, out, got := held(t, c)
 	if s.Parting != parting {
--- a/serve/errands.go
+++ b/internal/transport/httpserver/errands.go
@@ -1,18 +1,18 @@
 // Errands are what callers on other duties want done on a desk's own: the desk
 // alone touches its machine, and takes one errand after another off a ring.
 
-package serve
+package httpserver
 
 import (
 	"context"
 	"sync/atomic"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 // Errands is the way in to a desk whose machine is an M.
 type Errands[M any] struct {
-	ring *crew.Ring[*Errand[M]]
+	ring *lifecycle.Ring[*Errand[M]]
 	over chan struct{}
 }
 
@@ -25,7 +25,7 @@
 
 // NewErrands makes a ring for so many errands.
 func NewErrands[M any](size int) (e *Errands[M]) {
-	return &Errands[M]{ring: crew.NewRing[*Errand[M]](size), over: make(chan struct{})}
+	return &Errands[M]{ring: lifecycle.NewRing[*Errand[M]](size), over: make(chan struct{})}
 }
 
 // Out is where the desk takes errands from.
--- a/serve/errands_test.go
+++ b/internal/transport/httpserver/errands_test.go
@@ -1,10 +1,10 @@
-package serve
+package httpserver
 
 import (
 	"context"
 	"testing"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 // TestErrands: a desk does what is handed in, in order; what is refused or
@@ -24,7 +24,7 @@
 	}
 	(<-e.Out()).Run(&list)
 	(<-e.Out()).Run(&list)
-	c := crew.New()
+	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	c.Go(func(<-chan struct{}) { (<-e.Out()).Run(&list) })
 	if !e.Do(context.Background(), func(m *[]int) { *m = append(*m, 5) }) {
--- a/serve/gauges.go
+++ b/internal/transport/httpserver/gauges.go
@@ -1,6 +1,6 @@
 // Gauges are the numbers a daemon shows on its metrics page.
 
-package serve
+package httpserver
 
 import (
 	"sort"
--- a/serve/life.go
+++ b/internal/transport/httpserver/life.go
@@ -1,20 +1,20 @@
 // Every daemon begins its duties at the start and parts from its callers at
 // the stop in the same way.
 
-package serve
+package httpserver
 
 import (
 	"context"
 
 	"go.uber.org/fx"
 
-	"orchidward/crew"
-	"orchidward/logs"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
 )
 
 // Life hooks a daemon into the process's life: begin starts its duties, and
 // the HTTP side is served until the polite stop.
-func (s *Server) Life(life fx.Lifecycle, c *crew.Crew, log *logs.Log, program string, begin func()) {
+func (s *Server) Life(life fx.Lifecycle, c *lifecycle.Crew, log *logging.Log, program string, begin func()) {
 	life.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			begin()
--- a/serve/limit.go
+++ b/internal/transport/httpserver/limit.go
@@ -1,7 +1,7 @@
 // A limited listener holds only so many connections. Whoever comes past that is
 // told to come back, at once, and is not kept waiting in a queue.
 
-package serve
+package httpserver
 
 import (
 	"net"
--- a/serve/serve.go
+++ b/internal/transport/httpserver/serve.go
@@ -1,6 +1,6 @@
 // Package serve is the HTTP side that every daemon has: liveness, readiness,
 // metrics, one error shape, and a stop that answers what is in hand.
-package serve
+package httpserver
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"orchidward/crew"
-	"orchidward/doc"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 // Server is the HTTP server of a daemon: the pages /live, /ready and /metrics,
@@ -82,7 +82,7 @@
 
 // Serve starts to answer requests in a goroutine of c and returns at once. Stop
 // ends it.
-func (s *Server) Serve(c *crew.Crew) {
+func (s *Server) Serve(c *lifecycle.Crew) {
 	c.Go(func(<-chan struct{}) { s.http.Serve(s.ln) })
 }
 
@@ -105,7 +105,7 @@
 
 // Refuse writes the one error shape.
 func Refuse(c *gin.Context, status int, code, why string) {
-	c.Data(status, "application/json", doc.Trouble{Code: code, Why: why}.JSON())
+	c.Data(status, "application/json", jsondoc.Trouble{Code: code, Why: why}.JSON())
 	c.Abort()
 }
 
--- a/serve/serve_test.go
+++ b/internal/transport/httpserver/serve_test.go
@@ -1,4 +1,4 @@
-package serve
+package httpserver
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	"github.com/gin-gonic/gin"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 func ask(t *testing.T, addr string) (conn net.Conn, res *http.Response) {
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	s.ln.most = 3
-	c := crew.New()
+	c := lifecycle.New()
 	s.Serve(c)
 	defer c.Stop(context.Background())
 	defer s.http.Close()
@@ -83,7 +83,7 @@
 		c.String(200, "whole")
 	})
 	s.SetReady(true)
-	c := crew.New()
+	c := lifecycle.New()
 	s.Serve(c)
 	defer c.Stop(context.Background())
 	got := make(chan string, 1)
--- a/serve/stream_test.go
+++ b/internal/transport/httpserver/stream_test.go
@@ -1,4 +1,4 @@
-package serve
+package httpserver
 
 import (
 	"bufio"
@@ -19,7 +19,7 @@
 
 	"github.com/gin-gonic/gin"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 const (
@@ -142,7 +142,7 @@
 }
 
 func start(t testing.TB, s *Server) {
-	c := crew.New()
+	c := lifecycle.New()
 	s.Serve(c)
 	t.Cleanup(func() {
 		s.http.Close()
--- a/link/link.go
+++ b/internal/transport/link/link.go
@@ -12,8 +12,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"orchidward/crew"
-	"orchidward/wire"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/transport/wire"
 )
 
 // Take receives what comes in. It must not block for long.
@@ -23,7 +23,7 @@
 // Messages can be lost and there is no acknowledgement. It is safe for
 // concurrent use.
 type Link struct {
-	crew *crew.Crew
+	crew *lifecycle.Crew
 	take Take
 	ln   net.Listener
 
@@ -36,7 +36,7 @@
 }
 
 type line struct {
-	out  *crew.Ring[wire.Msg]
+	out  *lifecycle.Ring[wire.Msg]
 	conn net.Conn
 }
 
@@ -54,7 +54,7 @@
 )
 
 // Listen opens the address; frames come in once Serve is called.
-func Listen(addr string, c *crew.Crew) (l *Link, err error) {
+func Listen(addr string, c *lifecycle.Crew) (l *Link, err error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -122,7 +122,7 @@
 	}
 	l.next++
 	peer := wire.Peer("#" + strconv.FormatUint(l.next, 10))
-	x := &line{out: crew.NewRing[wire.Msg](ringSize), conn: conn}
+	x := &line{out: lifecycle.NewRing[wire.Msg](ringSize), conn: conn}
 	l.lines[peer] = x
 	l.crew.Go(func(stop <-chan struct{}) { l.write(peer, x, conn, stop) })
 	l.crew.Go(func(_ <-chan struct{}) {
@@ -151,7 +151,7 @@
 			l.lost++
 			return
 		}
-		x = &line{out: crew.NewRing[wire.Msg](ringSize)}
+		x = &line{out: lifecycle.NewRing[wire.Msg](ringSize)}
 		l.lines[to] = x
 		l.crew.Go(func(stop <-chan struct{}) { l.dial(to, x, stop) })
 	}
@@ -207,7 +207,7 @@
 
 // drain throws away what waited for a line that is down: all of it will be
 // asked for again, and old news is worse than none.
-func drain(r *crew.Ring[wire.Msg]) {
+func drain(r *lifecycle.Ring[wire.Msg]) {
 	for {
 		select {
 		case <-r.Out():
--- a/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"orchidward/crew"
-	"orchidward/wire"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/transport/wire"
 )
 
 // waitFor waits until something holds.
@@ -31,7 +31,7 @@
 // open makes a link whose frames go to a channel, until the test ends.
 func open(t *testing.T) (l *Link, in chan received) {
 	t.Helper()
-	c := crew.New()
+	c := lifecycle.New()
 	l, err := Listen("127.0.0.1:0", c)
 	if err != nil {
 		t.Fatal(err)
--- a/wire/codec.go
+++ b/internal/transport/wire/codec.go
@@ -9,9 +9,9 @@
 	"capnproto.org/go/capnp/v3"
 	"github.com/go-faster/errors"
 
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/wire/frame"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/transport/wire/frame"
 )
 
 // MaxFrame bounds one frame.
@@ -256,8 +256,8 @@
 	}
 	var l look
 	a = &Ask{ID: o.Id(), Verb: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
-		Epoch: ids.Epoch(o.Epoch()), Budget: ids.Span(o.Budget()), Hops: o.Hops(),
-		Dated: o.Dated(), Known: LeaderTime{Term: ids.Term(o.LeaderTerm()), At: ids.Mono(o.LeaderAt())}}
+		Epoch: identifier.Epoch(o.Epoch()), Budget: identifier.Span(o.Budget()), Hops: o.Hops(),
+		Dated: o.Dated(), Known: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
 	return a, l.err
 }
 
@@ -267,8 +267,8 @@
 		return nil, err
 	}
 	var l look
-	r = &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: ids.Span(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
-		Expired: o.Expired(), Leader: LeaderTime{Term: ids.Term(o.LeaderTerm()), At: ids.Mono(o.LeaderAt())}}
+	r = &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: identifier.Span(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
+		Expired: o.Expired(), Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
 	return r, l.err
 }
 
@@ -278,9 +278,9 @@
 		return nil, err
 	}
 	var l look
-	t = &Tell{Ask: o.Ask(), Role: l.text(o.Role()), Node: ids.Node(o.Node()), Addr: l.text(o.Addr()), Domain: ids.Domain(l.text(o.Domain())),
-		HTTP: l.text(o.Http()), Founded: o.Founded(), Lead: ids.Node(o.Lead()),
-		Leader: LeaderTime{Term: ids.Term(o.LeaderTerm()), At: ids.Mono(o.LeaderAt())}}
+	t = &Tell{Ask: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
+		HTTP: l.text(o.Http()), Founded: o.Founded(), Lead: identifier.Node(o.Lead()),
+		Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
 	t.Members = getMembers(&l, o.Members)
 	t.Founders = getMembers(&l, o.Founders)
 	gates, err := o.Gates()
@@ -301,7 +301,7 @@
 	}
 	for i := 0; i < in.Len(); i++ {
 		o := in.At(i)
-		list = append(list, raft.Member{ID: ids.Node(o.Id()), Addr: l.text(o.Addr()), Domain: ids.Domain(l.text(o.Domain())), Voter: o.Voter()})
+		list = append(list, raft.Member{ID: identifier.Node(o.Id()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())), Voter: o.Voter()})
 	}
 	return list
 }
@@ -312,19 +312,19 @@
 		return nil, err
 	}
 	var l look
-	m = &raft.Message{Kind: raft.Kind(o.Kind()), From: ids.Node(o.From()), To: ids.Node(o.To()), Term: ids.Term(o.Term()),
-		Index: ids.Index(o.Index()), LogTerm: ids.Term(o.LogTerm()), Commit: ids.Index(o.Commit()), No: o.No(), Force: o.Force(),
-		Hint: ids.Index(o.Hint()), Stamp: ids.Mono(o.Stamp()), Wall: ids.Wall(o.Wall()), Met: ids.Term(o.Met()), Site: ids.Millis(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
+	m = &raft.Message{Kind: raft.Kind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
+		Index: identifier.Index(o.Index()), LogTerm: identifier.Term(o.LogTerm()), Commit: identifier.Index(o.Commit()), No: o.No(), Force: o.Force(),
+		Hint: identifier.Index(o.Hint()), Stamp: identifier.Mono(o.Stamp()), Wall: identifier.Wall(o.Wall()), Met: identifier.Term(o.Met()), Site: identifier.Millis(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
 	list, err := o.Entries()
 	if err != nil {
 		return nil, err
 	}
 	for i := 0; i < list.Len(); i++ {
 		e := list.At(i)
-		m.Entries = append(m.Entries, raft.Entry{Index: ids.Index(e.Index()), Term: ids.Term(e.Term()), Kind: raft.EntryKind(e.Kind()), Data: l.data(e.Data())})
+		m.Entries = append(m.Entries, raft.Entry{Index: identifier.Index(e.Index()), Term: identifier.Term(e.Term()), Kind: raft.EntryKind(e.Kind()), Data: l.data(e.Data())})
 	}
 	if o.HasView() {
-		m.View = &raft.Snapshot{Index: ids.Index(o.ViewIndex()), Term: ids.Term(o.ViewTerm()), Data: l.data(o.ViewData())}
+		m.View = &raft.Snapshot{Index: identifier.Index(o.ViewIndex()), Term: identifier.Term(o.ViewTerm()), Data: l.data(o.ViewData())}
 		m.View.Members = getMembers(&l, o.ViewMembers)
 		m.Off, m.Total = o.ViewOff(), o.ViewTotal()
 	}
--- a/wire/frame/frame.capnp
+++ b/internal/transport/wire/frame/frame.capnp
@@ -1,7 +1,7 @@
 using Go = import "/go.capnp";
 @0xd1a9b7c04e52f3a6;
 $Go.package("frame");
-$Go.import("orchidward/wire/frame");
+$Go.import("orchidward/internal/transport/wire/frame");
 
 # What processes say to one another: one frame a message, in the stream
 # encoding. A field is only ever added, with a new number; a reader passes over
--- a/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -3,8 +3,8 @@
 package wire
 
 import (
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // Peer is the other end of a line: an address to dial, or "#n" for the n-th
@@ -25,8 +25,8 @@
 // LeaderTime is a reading of a leader's own monotonic clock, in the term that
 // it led. The zero value is no reading.
 type LeaderTime struct {
-	Term ids.Term
-	At   ids.Mono
+	Term identifier.Term
+	At   identifier.Mono
 }
 
 // Later tells whether this reading was taken after another one.
@@ -43,8 +43,8 @@
 	Path   string
 	Query  string
 	Body   []byte
-	Epoch  ids.Epoch
-	Budget ids.Span
+	Epoch  identifier.Epoch
+	Budget identifier.Span
 	Hops   uint8
 	Dated  bool
 	Known  LeaderTime
@@ -64,7 +64,7 @@
 	ID      uint64
 	Status  int
 	Body    []byte
-	Retry   ids.Span
+	Retry   identifier.Span
 	Moved   bool
 	Stale   bool
 	Expired bool
@@ -76,12 +76,12 @@
 type Tell struct {
 	Ask      bool
 	Role     string
-	Node     ids.Node
+	Node     identifier.Node
 	Addr     string
-	Domain   ids.Domain
+	Domain   identifier.Domain
 	HTTP     string
 	Founded  bool
-	Lead     ids.Node
+	Lead     identifier.Node
 	Members  []raft.Member
 	Founders []raft.Member
 	Gates    []string
--- a/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -5,8 +5,8 @@
 	"reflect"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 func full() (list []Msg) {
@@ -58,7 +58,7 @@
 func TestLarge(t *testing.T) {
 	m := Msg{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
-		m.Raft.Entries = append(m.Raft.Entries, raft.Entry{Index: ids.Index(i + 1), Term: 1, Kind: raft.Command, Data: bytes.Repeat([]byte{byte(i)}, i+1)})
+		m.Raft.Entries = append(m.Raft.Entries, raft.Entry{Index: identifier.Index(i + 1), Term: 1, Kind: raft.Command, Data: bytes.Repeat([]byte{byte(i)}, i+1)})
 	}
 	if back := turn(t, m); !reflect.DeepEqual(m, back) {
 		t.Error("a large append does not come back as it was sent")
--- a/yard/fleet_test.go
+++ b/tests/devcluster/fleet_test.go
@@ -1,7 +1,7 @@
-// Package yard_test runs whole fleets of real processes, driven by scripts in
+// Package devcluster_test runs whole fleets of real processes, driven by scripts in
 // scripts/. Nothing here judges time more finely than "within a wide limit":
 // timing promises are judged by the simulator.
-package yard_test
+package devcluster_test
 
 import (
 	"fmt"
@@ -24,7 +24,7 @@
 var bin string
 
 func TestMain(m *testing.M) {
-	dir, err := os.MkdirTemp("", "orchidward-yard")
+	dir, err := os.MkdirTemp("", "orchidward-devcluster")
 	if err != nil {
 		panic(err)
 	}
--- a/yard/part_test.go
+++ b/tests/devcluster/part_test.go
@@ -1,4 +1,4 @@
-package yard_test
+package devcluster_test
 
 import (
 	"bufio"
--- a/yard/ledger_test.go
+++ b/tests/promises/promises_test.go
@@ -1,4 +1,5 @@
-package yard_test
+// Package promises_test holds the page of promises against the tree.
+package promises_test
 
 import (
 	"os"
@@ -11,23 +12,12 @@
 // TestLedger holds docs/promises.md against the tree: every test and wound it
 // names exists, and every promise names a scene and a wound.
 func TestLedger(t *testing.T) {
-	text, err := os.ReadFile("../docs/promises.md")
+	text, err := os.ReadFile("../../docs/promises.md")
 	if err != nil {
 		t.Fatal(err)
 	}
-	tests, files := "", 0
-	list, err := filepath.Glob("../*/*_test.go")
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, name := range list {
-		one, err := os.ReadFile(name)
-		if err != nil {
-			t.Fatal(err)
-		}
-		tests, files = tests+string(one), files+1
-	}
-	sources, err := filepath.Glob("break/*.go")
+	tests, files := testSources(t)
+	sources, err := filepath.Glob("../mutation/*.go")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +30,7 @@
 		wounds += string(one)
 	}
 	if files < 15 {
-		t.Fatalf("only %d files of tests found", files)
+		t.Fatalf("only %d test files found", files)
 	}
 	for _, name := range regexp.MustCompile("`(Test[A-Za-z]+)`").FindAllStringSubmatch(string(text), -1) {
 		if !strings.Contains(tests, "func "+name[1]+"(t *testing.T)") {
@@ -76,3 +66,26 @@
 		}
 	}
 }
+
+// testSources is the text of all test files of the repository, one after the
+// other, and their number.
+func testSources(t *testing.T) (text string, files int) {
+	t.Helper()
+	var all strings.Builder
+	err := filepath.WalkDir("../..", func(path string, d os.DirEntry, err error) error {
+		if err != nil || d.IsDir() || !strings.HasSuffix(path, "_test.go") {
+			return err
+		}
+		one, err := os.ReadFile(path)
+		if err != nil {
+			return err
+		}
+		all.Write(one)
+		files++
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all.String(), files
+}
--- a/yard/scale/catalogue.go
+++ b/tests/scale/catalogue.go
@@ -8,7 +8,7 @@
 
 	"github.com/go-faster/errors"
 
-	"orchidward/catalog"
+	"orchidward/internal/api/catalog"
 )
 
 type catalogues struct {
--- a/yard/scale/fleet.go
+++ b/tests/scale/fleet.go
@@ -18,7 +18,7 @@
 
 	"github.com/go-faster/errors"
 
-	"orchidward/crew"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 const (
@@ -29,8 +29,8 @@
 
 type fleet struct {
 	dir   string
-	crew  *crew.Crew
-	clock *crew.Clock
+	crew  *lifecycle.Crew
+	clock *lifecycle.Clock
 	crowd *crowd
 	web   *http.Client
 
@@ -59,7 +59,7 @@
 func here(port int) (addr string) { return fmt.Sprintf("127.0.0.1:%d", port) }
 
 func newFleet(dir string) (f *fleet, err error) {
-	f = &fleet{dir: dir, crew: crew.New(), clock: crew.NewClock(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
+	f = &fleet{dir: dir, crew: lifecycle.New(), clock: lifecycle.NewClock(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	if _, err = os.Stat("cmd/keeper"); err != nil {
 		return nil, errors.Wrap(err, "run from the root of the repository")
 	}
--- a/yard/scale/hold.go
+++ b/tests/scale/hold.go
@@ -7,29 +7,29 @@
 	"encoding/json"
 	"fmt"
 
-	"orchidward/agent"
-	"orchidward/ids"
-	"orchidward/poll"
-	"orchidward/wire"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/transport/wire"
 )
 
 const (
-	holdSpan  ids.Mono = 100_000
-	holdFrom  ids.Mono = 10_000
-	holdGrant ids.Span = 6000
-	holdOpen  ids.Span = 600
+	holdSpan  identifier.Mono = 100_000
+	holdFrom  identifier.Mono = 10_000
+	holdGrant identifier.Span = 6000
+	holdOpen  identifier.Span = 600
 )
 
 // stub is the core of the trial: the poll it holds, and since when.
 type stub struct {
 	mach  *agent.Machine
 	open  uint64
-	since ids.Mono
+	since identifier.Mono
 	polls int
 }
 
-func (s *stub) answer(id uint64, now ids.Mono) {
-	text, err := json.Marshal(poll.Answer{GrantMs: holdGrant, StartMs: 1000})
+func (s *stub) answer(id uint64, now identifier.Mono) {
+	text, err := json.Marshal(runnerapi.Answer{GrantMs: holdGrant, StartMs: 1000})
 	if err != nil {
 		panic(err)
 	}
@@ -37,7 +37,7 @@
 }
 
 // step answers what is due and takes in what the agent sends.
-func (s *stub) step(now ids.Mono) {
+func (s *stub) step(now identifier.Mono) {
 	if s.open != 0 && now.Since(s.since) >= holdOpen {
 		id := s.open
 		s.open = 0
@@ -60,13 +60,13 @@
 
 // holdTrial has so many tasks of about such a span run on, out of step, and
 // counts the beats after the first ten seconds that were answered without a hold.
-func holdTrial(tasks int, span ids.Span) (polls, bare, beats int) {
+func holdTrial(tasks int, span identifier.Span) (polls, bare, beats int) {
 	s := &standIn{inc: "a", domain: "n", rack: "r", until: 1 << 40}
 	c := &stub{mach: agent.New(agent.Boot{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, HoldMost: holdMost, Pace: beatGap}, 0)}
 	for i := range tasks {
-		s.runs = append(s.runs, &work{task: ids.Ref{Job: "q/00000000000000a1.0", Num: i}, no: 1, span: span + ids.Span(i)*span/97, at: ids.Mono(-217 * i)})
+		s.runs = append(s.runs, &work{task: identifier.Ref{Job: "q/00000000000000a1.0", Num: i}, no: 1, span: span + identifier.Span(i)*span/97, at: identifier.Mono(-217 * i)})
 	}
-	for now := ids.Mono(0); now < holdSpan; now += ids.Mono(agent.Tick) {
+	for now := identifier.Mono(0); now < holdSpan; now += identifier.Mono(agent.Tick) {
 		c.mach.Tick(now)
 		if s.due(now) {
 			o := c.mach.Beat(s.beat(now), now)
@@ -86,7 +86,7 @@
 func holdTrials() {
 	for _, one := range []struct {
 		tasks int
-		span  ids.Span
+		span  identifier.Span
 	}{{1, 117_000}, {5, 117_000}, {14, 117_000}, {14, 300_000}, {24, 3_000_000}, {14, 30_000}, {14, 1 << 40}} {
 		polls, bare, beats := holdTrial(one.tasks, one.span)
 		fmt.Printf("%d tasks of %d s: %.2f polls/s, %d of %d beats without a hold\n", one.tasks, one.span/1000, float64(polls)/float64(holdSpan)*1000, bare, beats)
--- a/yard/scale/hollow.go
+++ b/tests/scale/hollow.go
@@ -12,12 +12,12 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"orchidward/agent"
-	"orchidward/crew"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/link"
-	"orchidward/wire"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
 )
 
 const (
@@ -61,8 +61,8 @@
 
 // crowd is all the hollow agents of a run.
 type crowd struct {
-	crew  *crew.Crew
-	clock *crew.Clock
+	crew  *lifecycle.Crew
+	clock *lifecycle.Clock
 	seeds []string
 
 	mu    sync.Mutex
@@ -72,12 +72,12 @@
 	starts, ends, lapsed, sent, got, running atomic.Int64
 }
 
-func newCrowd(c *crew.Crew, clock *crew.Clock, seeds []string) (w *crowd) {
+func newCrowd(c *lifecycle.Crew, clock *lifecycle.Clock, seeds []string) (w *crowd) {
 	return &crowd{crew: c, clock: clock, seeds: seeds, waits: hdrhistogram.New(1, slowest, 3)}
 }
 
 // begun notes how long a task of a job waited for its start.
-func (w *crowd) begun(handed, at ids.Mono) {
+func (w *crowd) begun(handed, at identifier.Mono) {
 	w.starts.Add(1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -94,9 +94,11 @@
 
 // newRunner is the i-th runner of the fleet: one half of them has accelerators.
 func (w *crowd) newRunner(i int) (s *standIn) {
-	s = &standIn{inc: ids.Inc(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: ids.Domain(fmt.Sprintf("z%d", i%zones)), rack: ids.Rack(fmt.Sprintf("rack-%d", i/perRack)), begun: w.begun}
+	s = &standIn{inc: identifier.Inc(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: identifier.Domain(fmt.Sprintf("z%d", i%zones)), rack: identifier.Rack(fmt.Sprintf("rack-%d", i/perRack)), begun: w.begun}
 	rnd := rand.New(rand.NewPCG(uint64(i), 3))
-	s.vary = func(span ids.Span) (actual ids.Span) { return span*9/10 + ids.Span(rnd.Int64N(int64(span)/5+1)) }
+	s.vary = func(span identifier.Span) (actual identifier.Span) {
+		return span*9/10 + identifier.Span(rnd.Int64N(int64(span)/5+1))
+	}
 	s.room = job.Demand{Milli: 24000, Mem: 64000}
 	if i%2 == 1 {
 		s.room.GPUs = accelerators
@@ -107,7 +109,7 @@
 // grow adds agents until there are so many.
 func (w *crowd) grow(to int) (err error) {
 	for len(w.list) < to {
-		g := &group{crowd: w, in: crew.NewRing[frame](8192)}
+		g := &group{crowd: w, in: lifecycle.NewRing[frame](8192)}
 		for len(g.list) < groupSize && len(w.list) < to {
 			h, err := w.hollow(len(w.list), g)
 			if err != nil {
@@ -128,8 +130,8 @@
 	if i%sampleEach == 0 {
 		h.size = &sizes{}
 	}
-	h.run.next = w.clock.Now() + ids.Mono(i%beatGap)
-	h.mach = agent.New(agent.Boot{Name: ids.Runner(fmt.Sprintf("hollow-%d", i)), Addr: h.link.Addr(), Domain: h.run.domain, Seeds: w.seeds,
+	h.run.next = w.clock.Now() + identifier.Mono(i%beatGap)
+	h.mach = agent.New(agent.Boot{Name: identifier.Runner(fmt.Sprintf("hollow-%d", i)), Addr: h.link.Addr(), Domain: h.run.domain, Seeds: w.seeds,
 		Seed: time.Now().UnixMicro() + int64(i), HoldMost: holdMost, Pace: beatGap}, w.clock.Now())
 	h.link.Serve(func(from wire.Peer, msg wire.Msg) { g.in.Offer(frame{h, from, msg}) })
 	return h, nil
@@ -155,7 +157,7 @@
 // group is some agents that one duty looks after.
 type group struct {
 	crowd *crowd
-	in    *crew.Ring[frame]
+	in    *lifecycle.Ring[frame]
 	list  []*hollow
 }
 
--- a/yard/scale/load.go
+++ b/tests/scale/load.go
@@ -8,8 +8,8 @@
 	"sync/atomic"
 	"time"
 
-	"orchidward/crew"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/daemon/lifecycle"
 )
 
 const (
@@ -19,12 +19,12 @@
 	gangEvery = 4 * time.Second
 	posters   = 8
 	// shortSpan is the mean of the short tasks' spans.
-	shortSpan ids.Span = 3000
+	shortSpan identifier.Span = 3000
 )
 
 type load struct {
 	fleet *fleet
-	jobs  *crew.Ring[string]
+	jobs  *lifecycle.Ring[string]
 	next  atomic.Uint64
 	taken atomic.Int64
 	// odd counts jobs that were not taken, by status; 0 is no answer.
@@ -33,7 +33,7 @@
 }
 
 func newLoad(f *fleet) (l *load) {
-	l = &load{fleet: f, jobs: crew.NewRing[string](2048), odd: map[int]int{}}
+	l = &load{fleet: f, jobs: lifecycle.NewRing[string](2048), odd: map[int]int{}}
 	for i := range posters {
 		f.crew.Go(func(stop <-chan struct{}) { l.post(f.fronts[i%len(f.fronts)], stop) })
 	}
@@ -59,7 +59,7 @@
 }
 
 // job is so many like tasks, whole as a gang if asked.
-func (l *load) job(tasks int, span ids.Span, gang bool, gpus int) (body string) {
+func (l *load) job(tasks int, span identifier.Span, gang bool, gpus int) (body string) {
 	return fmt.Sprintf(`{"queue":%q,"text":%q,"steps":[{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}]}`,
 		queue, note(span, l.fleet.clock.Now()), tasks, gang, gpus, span)
 }
@@ -80,7 +80,7 @@
 func (l *load) start(rate int, seed uint64) (end func()) {
 	over := make(chan struct{})
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	span := func() (s ids.Span) { return shortSpan*2/3 + ids.Span(rnd.Int64N(int64(shortSpan)*2/3)) }
+	span := func() (s identifier.Span) { return shortSpan*2/3 + identifier.Span(rnd.Int64N(int64(shortSpan)*2/3)) }
 	gang := min(gangMost, rate)
 	plain := float64(rate) - float64(gang)/gangEvery.Seconds()
 	tasks := max(1, min(jobTasks, rate/2))
--- a/yard/scale/main.go
+++ b/tests/scale/main.go
@@ -32,7 +32,7 @@
 func main() {
 	runtime.LockOSThread()
 	s := settings{}
-	flag.StringVar(&s.out, "out", "yard/scale/out", "folder for the figures and the plot")
+	flag.StringVar(&s.out, "out", "tests/scale/out", "folder for the figures and the plot")
 	flag.DurationVar(&s.limit, "limit", 4*time.Minute, "all points not begun by then are left out")
 	flag.DurationVar(&s.window, "window", 3*time.Second, "length of one measurement")
 	flag.IntVar(&s.reps, "reps", 2, "measurements of each point")
--- a/yard/scale/runner.go
+++ b/tests/scale/runner.go
@@ -7,79 +7,81 @@
 	"strconv"
 	"strings"
 
-	"orchidward/agent"
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/poll"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
 )
 
 // stopping is how long a run takes to end on order, in milliseconds.
-const stopping ids.Span = 150
+const stopping identifier.Span = 150
 
 type standIn struct {
-	inc    ids.Inc
-	domain ids.Domain
-	rack   ids.Rack
+	inc    identifier.Inc
+	domain identifier.Domain
+	rack   identifier.Rack
 	room   job.Demand
 
 	seq   uint64
-	next  ids.Mono
-	until ids.Mono
+	next  identifier.Mono
+	until identifier.Mono
 	runs  []*work
-	ends  []poll.RunEnd
+	ends  []runnerapi.RunEnd
 	n     uint64
 	// lapses counts the runs whose hold was over.
 	lapses int64
 	// begun hears of every start: when the job was handed in, and when it began.
-	begun func(handed, at ids.Mono)
+	begun func(handed, at identifier.Mono)
 	// vary, if given, is how long a run of so long a span really takes.
-	vary func(span ids.Span) (actual ids.Span)
+	vary func(span identifier.Span) (actual identifier.Span)
 }
 
 // work is one run.
 type work struct {
-	task ids.Ref
+	task identifier.Ref
 	no   uint64
-	span ids.Span
-	at   ids.Mono
-	stop ids.Mono
+	span identifier.Span
+	at   identifier.Mono
+	stop identifier.Mono
 }
 
 // note is the text that every job of a scale run bears: how long a task runs
 // and when the job was handed in, by the one clock of the run.
-func note(span ids.Span, handed ids.Mono) (text string) { return fmt.Sprintf("%d %d", span, handed) }
+func note(span identifier.Span, handed identifier.Mono) (text string) {
+	return fmt.Sprintf("%d %d", span, handed)
+}
 
-func readNote(text string) (span ids.Span, handed ids.Mono, ok bool) {
+func readNote(text string) (span identifier.Span, handed identifier.Mono, ok bool) {
 	a, b, _ := strings.Cut(text, " ")
 	x, err := strconv.ParseInt(a, 10, 64)
 	if err != nil || x <= 0 {
 		return 0, 0, false
 	}
 	y, err := strconv.ParseInt(b, 10, 64)
-	return ids.Span(x), ids.Mono(y), err == nil
+	return identifier.Span(x), identifier.Mono(y), err == nil
 }
 
 // due lets time pass, and tells whether the runner would beat now. A run whose
 // hold is over has lapsed.
-func (s *standIn) due(now ids.Mono) (yes bool) {
+func (s *standIn) due(now identifier.Mono) (yes bool) {
 	kept := s.runs[:0]
 	for _, w := range s.runs {
 		how := ""
 		switch {
 		case now > s.until:
-			how = poll.Lapsed
+			how = runnerapi.Lapsed
 			s.lapses++
 		case w.stop > 0 && now >= w.stop:
-			how = poll.Stopped
+			how = runnerapi.Stopped
 		case now.Since(w.at) >= w.span:
-			how = poll.Well
+			how = runnerapi.Well
 		}
 		if how == "" {
 			kept = append(kept, w)
 			continue
 		}
 		s.n++
-		s.ends = append(s.ends, poll.RunEnd{N: s.n, Task: w.task, Run: w.no, How: how})
+		s.ends = append(s.ends, runnerapi.RunEnd{N: s.n, Task: w.task, Run: w.no, How: how})
 	}
 	clear(s.runs[len(kept):])
 	s.runs = kept
@@ -87,19 +89,19 @@
 }
 
 // beat is what the runner says of itself.
-func (s *standIn) beat(now ids.Mono) (b agent.Beat) {
+func (s *standIn) beat(now identifier.Mono) (b agent.Beat) {
 	s.seq++
 	b = agent.Beat{Runner: s.inc, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Cap: s.room}
 	for _, w := range s.runs {
-		b.Active = append(b.Active, poll.RunState{Task: w.task, Run: w.no, Percent: min(100, int64(now.Since(w.at)*100/w.span))})
+		b.Active = append(b.Active, runnerapi.RunState{Task: w.task, Run: w.no, Percent: min(100, int64(now.Since(w.at)*100/w.span))})
 	}
 	b.Finished = append(b.Finished, s.ends...)
 	return b
 }
 
 // obey takes the answer to a beat that was sent at the given time.
-func (s *standIn) obey(o agent.Orders, sent, now ids.Mono) {
-	s.next = sent + ids.Mono(max(1, o.Retry))
+func (s *standIn) obey(o agent.Orders, sent, now identifier.Mono) {
+	s.next = sent + identifier.Mono(max(1, o.Retry))
 	if o.Hold > 0 {
 		s.until = max(s.until, sent.Add(o.Hold))
 	}
@@ -120,7 +122,7 @@
 	}
 }
 
-func (s *standIn) find(task ids.Ref, no uint64) (w *work) {
+func (s *standIn) find(task identifier.Ref, no uint64) (w *work) {
 	for _, one := range s.runs {
 		if one.task == task && one.no == no {
 			return one
@@ -130,14 +132,14 @@
 }
 
 // start turns away what bears no note, and takes the same start only once.
-func (s *standIn) start(x poll.Start, now ids.Mono) {
+func (s *standIn) start(x runnerapi.Start, now identifier.Mono) {
 	if s.find(x.Task, x.No) != nil {
 		return
 	}
 	span, handed, ok := readNote(x.Text)
 	if !ok {
 		s.n++
-		s.ends = append(s.ends, poll.RunEnd{N: s.n, Task: x.Task, Run: x.No, How: poll.Refused})
+		s.ends = append(s.ends, runnerapi.RunEnd{N: s.n, Task: x.Task, Run: x.No, How: runnerapi.Refused})
 		return
 	}
 	if s.vary != nil {
