--- a/yard/scale/runner_test.go
+++ b/tests/scale/runner_test.go
@@ -3,28 +3,28 @@
 import (
 	"testing"
 
-	"orchidward/agent"
-	"orchidward/ids"
-	"orchidward/poll"
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
 )
 
-func startOf(num int, span ids.Span) (s poll.Start) {
-	return poll.Start{Task: ids.Ref{Job: "q/00000000000000a1.0", Num: num}, No: 1, Text: note(span, 40)}
+func startOf(num int, span identifier.Span) (s runnerapi.Start) {
+	return runnerapi.Start{Task: identifier.Ref{Job: "q/00000000000000a1.0", Num: num}, No: 1, Text: note(span, 40)}
 }
 
 // TestStandIn: a run begins on order and once, shows how far it is, ends well
 // after its span, and its end is told until it was observed.
 func TestStandIn(t *testing.T) {
-	var handed, began ids.Mono
+	var handed, began identifier.Mono
 	count := 0
-	s := &standIn{inc: "a", begun: func(h, at ids.Mono) { handed, began, count = h, at, count+1 }}
+	s := &standIn{inc: "a", begun: func(h, at identifier.Mono) { handed, began, count = h, at, count+1 }}
 	if !s.due(0) {
 		t.Fatal("no first beat")
 	}
 	if b := s.beat(0); b.Seq != 1 || b.Runner != "a" || b.Pool != pool || len(b.Active) > 0 {
 		t.Errorf("first beat %+v", b)
 	}
-	o := agent.Orders{Hold: 6000, Retry: 100, Start: []poll.Start{startOf(0, 1000)}}
+	o := agent.Orders{Hold: 6000, Retry: 100, Start: []runnerapi.Start{startOf(0, 1000)}}
 	s.obey(o, 0, 50)
 	s.obey(o, 0, 60)
 	if count != 1 || handed != 40 || began != 50 {
@@ -43,7 +43,7 @@
 	s.due(1050)
 	for range 2 {
 		b := s.beat(1100)
-		if len(b.Active) != 0 || len(b.Finished) != 1 || b.Finished[0].How != poll.Well || b.Finished[0].N != 1 {
+		if len(b.Active) != 0 || len(b.Finished) != 1 || b.Finished[0].How != runnerapi.Well || b.Finished[0].N != 1 {
 			t.Fatalf("after its span: %+v", b)
 		}
 		s.obey(agent.Orders{Hold: 6000, Retry: 100}, 1100, 1100)
@@ -59,8 +59,8 @@
 	s := &standIn{}
 	bad := startOf(2, 1000)
 	bad.Text = "x"
-	s.obey(agent.Orders{Hold: 1000, Start: []poll.Start{startOf(0, 9000), startOf(1, 9000), bad}}, 0, 0)
-	s.obey(agent.Orders{Hold: 1000, Stop: []poll.RunStop{{Task: startOf(0, 1).Task, Run: 1}}}, 100, 100)
+	s.obey(agent.Orders{Hold: 1000, Start: []runnerapi.Start{startOf(0, 9000), startOf(1, 9000), bad}}, 0, 0)
+	s.obey(agent.Orders{Hold: 1000, Stop: []runnerapi.RunStop{{Task: startOf(0, 1).Task, Run: 1}}}, 100, 100)
 	s.due(249)
 	if len(s.runs) != 2 {
 		t.Errorf("%d runs before the stop took hold", len(s.runs))
@@ -74,7 +74,7 @@
 	if s.lapses != 1 {
 		t.Errorf("%d lapses counted", s.lapses)
 	}
-	want := []string{poll.Refused, poll.Stopped, poll.Lapsed}
+	want := []string{runnerapi.Refused, runnerapi.Stopped, runnerapi.Lapsed}
 	b := s.beat(1101)
 	if len(b.Finished) != len(want) || len(b.Active) != 0 {
 		t.Fatalf("ends %+v", b.Finished)
@@ -88,8 +88,8 @@
 
 // TestStandInVaries: the percentage and the end go by how long a run really takes.
 func TestStandInVaries(t *testing.T) {
-	s := &standIn{vary: func(span ids.Span) (actual ids.Span) { return span * 2 }}
-	s.obey(agent.Orders{Hold: 6000, Start: []poll.Start{startOf(0, 1000)}}, 0, 0)
+	s := &standIn{vary: func(span identifier.Span) (actual identifier.Span) { return span * 2 }}
+	s.obey(agent.Orders{Hold: 6000, Start: []runnerapi.Start{startOf(0, 1000)}}, 0, 0)
 	s.due(1999)
 	if b := s.beat(1000); len(b.Active) != 1 || b.Active[0].Percent != 50 {
 		t.Errorf("%+v", b.Active)
--- a/sim/blow.go
+++ b/tests/simulation/blow.go
@@ -1,7 +1,7 @@
 // The larger blows: whole zones, whole racks, machines gone for good, several
 // operators at once, and crowds of processes that come back together.
 
-package sim
+package simulation
 
 import (
 	"fmt"
--- a/sim/bounds_test.go
+++ b/tests/simulation/bounds_test.go
@@ -1,13 +1,13 @@
-package sim
+package simulation
 
 import (
 	"bytes"
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/watch"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/invariants"
 )
 
 // TestHandsFull: with every disk at a stand nothing is decided, and what comes
@@ -36,7 +36,7 @@
 		w.at(8500, func() {
 			for i := 0; i < 50; i++ {
 				st := job.Step{Name: "s", Tasks: 1, Defects: 1, Demand: job.Demand{Cores: 1, Mem: 1}}
-				w.Watch.Jobs[ids.MakeKey("big", ids.JobID(fmt.Sprintf("j%d", i)))] = &watch.Job{Spec: job.Spec{Steps: []job.Step{st}}, Acked: 1, Over: "well"}
+				w.Watch.Jobs[identifier.MakeKey("big", identifier.JobID(fmt.Sprintf("j%d", i)))] = &invariants.Job{Spec: job.Spec{Steps: []job.Step{st}}, Acked: 1, Over: "well"}
 				put(i)
 			}
 		})
--- a/sim/cut_off_test.go
+++ b/tests/simulation/cut_off_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"sort"
 	"testing"
 
-	"orchidward/state"
+	"orchidward/internal/state"
 )
 
 // cutOffAway is how long a server of the control plane is cut off, in ms.
--- a/sim/disk.go
+++ b/tests/simulation/disk.go
@@ -1,7 +1,7 @@
 // A disk in memory. What was synced lasts; a write that was under way when
 // the power went is lost, torn, or done, as the seed has it.
 
-package sim
+package simulation
 
 import "github.com/go-faster/errors"
 
--- a/sim/edge.go
+++ b/tests/simulation/edge.go
@@ -1,10 +1,10 @@
 // A gate in the world, and the HTTP exchanges that go through it.
 
-package sim
+package simulation
 
 import (
-	"orchidward/gateway"
-	"orchidward/ids"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/gateway"
 )
 
 type edge struct {
@@ -25,7 +25,7 @@
 	g.life++
 	g.up, g.begun = true, g.w.Now
 	g.back = map[uint64]func(int, []byte){}
-	g.mach = gateway.New(gateway.Boot{Addr: g.addr, HTTP: g.addr, Domain: ids.Domain(g.zone), Seeds: g.w.seeds, Seed: g.w.rnd.Int63()}, 0)
+	g.mach = gateway.New(gateway.Boot{Addr: g.addr, HTTP: g.addr, Domain: identifier.Domain(g.zone), Seeds: g.w.seeds, Seed: g.w.rnd.Int63()}, 0)
 	g.tick(g.life)
 }
 
@@ -66,7 +66,7 @@
 	if n == nil {
 		return
 	}
-	r := gateway.Request{Verb: verb, Path: path, Body: body, Budget: ids.Span(wait)}
+	r := gateway.Request{Verb: verb, Path: path, Body: body, Budget: identifier.Span(wait)}
 	answer := func(status int, body []byte) {
 		w.fly(n, from, func() { settle(status, body) })
 	}
--- a/sim/fault.go
+++ b/tests/simulation/fault.go
@@ -1,7 +1,7 @@
 // Faults: a schedule is drawn from the seed, and can be cut down to the few
 // faults that make a failing run fail.
 
-package sim
+package simulation
 
 import (
 	"fmt"
--- a/sim/gang_test.go
+++ b/tests/simulation/gang_test.go
@@ -1,11 +1,11 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"orchidward/job"
-	"orchidward/watch"
+	"orchidward/internal/api/job"
+	"orchidward/internal/invariants"
 )
 
 // partners finds a runner that works on a gang others work on too.
@@ -49,18 +49,18 @@
 }{
 	{"partner crashes", 4500, func(w *World, r *side) { w.goneForGood(r) }},
 	{"partner freezes", 4500, func(w *World, r *side) { w.after(20000, w.hold(r.node)) }},
-	{"partner is cut off", watch.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, true)) }},
-	{"partner is not heard", watch.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, false)) }},
-	{"partner hears nothing", watch.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, false, true)) }},
-	{"partner and leader crash", watch.PartMost, func(w *World, r *side) {
+	{"partner is cut off", invariants.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, true)) }},
+	{"partner is not heard", invariants.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, false)) }},
+	{"partner hears nothing", invariants.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, false, true)) }},
+	{"partner and leader crash", invariants.PartMost, func(w *World, r *side) {
 		w.goneForGood(r)
 		w.strike(Fault{Dur: 15000, Kind: "leader-crash"})
 	}},
-	{"partner goes, then leader", watch.PartMost, func(w *World, r *side) {
+	{"partner goes, then leader", invariants.PartMost, func(w *World, r *side) {
 		w.goneForGood(r)
 		w.after(2200, func() { w.strike(Fault{Dur: 15000, Kind: "leader-freeze"}) })
 	}},
-	{"partner goes with the core", watch.PartMost, func(w *World, r *side) {
+	{"partner goes with the core", invariants.PartMost, func(w *World, r *side) {
 		w.goneForGood(r)
 		w.strike(Fault{Dur: 15000, Kind: "power"})
 	}},
--- a/sim/keep.go
+++ b/tests/simulation/keep.go
@@ -1,18 +1,18 @@
 // A keeper in the world: its machine, and a disk that takes its time.
 
-package sim
+package simulation
 
 import (
 	"github.com/go-faster/errors"
 
-	"orchidward/controlplane"
-	"orchidward/gateway"
-	"orchidward/ids"
-	"orchidward/pending"
-	"orchidward/raft"
-	"orchidward/state"
-	"orchidward/wal"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/consensus/wal"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/gateway"
+	"orchidward/internal/inflight"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
 )
 
 type keep struct {
@@ -24,7 +24,7 @@
 	shape wal.Shape
 	todo  wal.Chores
 	// requests are those made at this keeper itself.
-	requests *pending.Requests
+	requests *inflight.Requests
 	nextAsk  uint64
 	now      *wal.Chore
 	slow     int64
@@ -34,7 +34,7 @@
 	level    uint16
 	aside    string
 	// saved is how far the log on its disk goes.
-	saved ids.Index
+	saved identifier.Index
 	// diskless makes it a porter.
 	diskless bool
 }
@@ -50,25 +50,25 @@
 	w := k.w
 	k.life++
 	k.up, k.begun, k.todo, k.now, k.ring, k.saved = true, w.Now, wal.Chores{}, nil, nil, 0
-	k.requests = pending.New()
+	k.requests = inflight.New()
 	if k.diskless {
-		k.mach = controlplane.New(controlplane.Boot{Addr: k.addr, Domain: ids.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, Found: true, Diskless: true}, 0)
+		k.mach = controlplane.New(controlplane.Boot{Addr: k.addr, Domain: identifier.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, Found: true, Diskless: true}, 0)
 		k.tick(k.life)
 		return
 	}
-	id, shape, err := wal.Identity(k.disk, ids.Node(w.rnd.Uint64()|1), k.shape)
+	id, shape, err := wal.Identity(k.disk, identifier.Node(w.rnd.Uint64()|1), k.shape)
 	if err != nil {
 		panic(err)
 	}
 	k.shape = shape
-	k.mach = controlplane.New(controlplane.Boot{ID: id, Addr: k.addr, Domain: ids.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, Found: true}, 0)
+	k.mach = controlplane.New(controlplane.Boot{ID: id, Addr: k.addr, Domain: identifier.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, Found: true}, 0)
 	r, found, err := wal.Open(k.disk, k.shape)
 	if err != nil {
 		panic("sim: " + k.name + ": " + err.Error())
 	}
 	k.ring = r
 	if found != nil {
-		k.saved = found.View.Index + ids.Index(len(found.List))
+		k.saved = found.View.Index + identifier.Index(len(found.List))
 		if err = k.mach.Resume(found.Hard, found.View, found.List); err != nil {
 			k.aside = err.Error()
 			k.crash()
--- a/sim/leave_test.go
+++ b/tests/simulation/leave_test.go
@@ -1,10 +1,10 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"orchidward/raft"
+	"orchidward/internal/consensus/raft"
 )
 
 // stopParting is how long a server goes on serving after it was told to stop, as
--- a/sim/outage_test.go
+++ b/tests/simulation/outage_test.go
@@ -1,17 +1,17 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/state"
 )
 
 // standing counts the tasks of each row that stand in each state.
-func (w *World) standing() (out map[ids.Row]map[state.State]int) {
-	out = map[ids.Row]map[state.State]int{}
+func (w *World) standing() (out map[identifier.Row]map[state.State]int) {
+	out = map[identifier.Row]map[state.State]int{}
 	for _, j := range w.leader().mach.Book().Jobs {
 		row := j.Spec.Pending
 		if out[row] == nil {
@@ -42,7 +42,7 @@
 	t.Parallel()
 	site := Gilde()
 	site.Cores, site.Faulty = 4, 0
-	var during map[ids.Row]map[state.State]int
+	var during map[identifier.Row]map[state.State]int
 	var c *state.Closing
 	away, left := 0, 0
 	w := Run(Plan{Seed: seed, Site: site, Window: 30000, Settle: 70000, Extra: func(w *World) {
@@ -57,7 +57,7 @@
 			})
 		})
 		w.at(8000, func() {
-			fill := func(row ids.Row, tasks int64, gang bool) {
+			fill := func(row identifier.Row, tasks int64, gang bool) {
 				w.callers.hand(row, job.Step{Name: "long", Tasks: tasks, Gang: gang, Demand: job.Demand{Cores: 1, Mem: 64}, Run: 20000})
 			}
 			for i := 0; i < 6; i++ {
--- a/sim/owed.go
+++ b/tests/simulation/owed.go
@@ -2,7 +2,7 @@
 // one another and some gate reaches them and the callers. Whatever else is
 // broken meanwhile, however much of it, is no excuse.
 
-package sim
+package simulation
 
 // owed tells whether the machines as they stand owe service.
 func (w *World) owed() (ok bool) {
--- a/sim/policy_test.go
+++ b/tests/simulation/policy_test.go
@@ -1,11 +1,11 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
 	"strings"
 	"testing"
 
-	"orchidward/runner"
+	"orchidward/internal/runner"
 )
 
 // TestPolicy: a row's policy steers where its tasks go and nothing more; bad
--- a/sim/porter_test.go
+++ b/tests/simulation/porter_test.go
@@ -1,12 +1,12 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"sort"
 	"testing"
 
-	"orchidward/controlplane"
-	"orchidward/wire"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
 )
 
 // TestPorters: keepers without a disk find the group, show who leads, and never
--- a/sim/register_exchange_test.go
+++ b/tests/simulation/register_exchange_test.go
@@ -1,6 +1,6 @@
 // The register as a whole site keeps it: operators, gates and keepers.
 
-package sim
+package simulation
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	"math/rand"
 	"testing"
 
-	"orchidward/state"
+	"orchidward/internal/state"
 )
 
 var exchanges = flag.Int("exchanges", 48, "how many exchanges of operators with a whole site")
--- a/sim/register_histories_test.go
+++ b/tests/simulation/register_histories_test.go
@@ -1,6 +1,6 @@
 // The register at the state machine: many short histories.
 
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"math/rand"
 	"testing"
 
-	"orchidward/catalog"
-	"orchidward/doc"
-	"orchidward/state"
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/state"
 )
 
 var histories = flag.Int("histories", 1000, "how many histories of changes at the state machine")
@@ -43,7 +43,7 @@
 
 func (w *replicated) send(c *change) {
 	verb, body := c.text()
-	var faults doc.Faults
+	var faults jsondoc.Faults
 	read := catalog.ReadWhole
 	if verb == "PATCH" {
 		read = catalog.ReadPatch
@@ -168,7 +168,7 @@
 	for version := uint64(1); version <= count; version++ {
 		c := &change{number: -int(version), base: version - 1, version: version}
 		_, body := c.text()
-		var faults doc.Faults
+		var faults jsondoc.Faults
 		full.Apply(&state.Command{Catalog: catalog.ReadPatch(body, &faults)})
 		if version <= 4 {
 			oldest = append(oldest, c)
--- a/sim/register_spec_test.go
+++ b/tests/simulation/register_spec_test.go
@@ -3,7 +3,7 @@
 // it makes. This file is the specification, and decides whether a history of
 // calls is one that such a register could have given (Wing and Gong, 1993).
 
-package sim
+package simulation
 
 import (
 	"fmt"
--- a/sim/run.go
+++ b/tests/simulation/run.go
@@ -1,15 +1,15 @@
 // Run makes a world, lets a schedule loose on it, heals it, and waits for all
 // that was accepted to come to its end.
 
-package sim
+package simulation
 
 import (
 	"fmt"
 	"math/rand"
 	"sort"
 
-	"orchidward/ids"
-	"orchidward/watch"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/invariants"
 )
 
 // Plan is one run: all of it follows from the seed and the faults.
@@ -38,7 +38,7 @@
 // second. Equal seeds and sites give equal runs.
 func NewWorld(seed int64, site Site) (w *World) {
 	w = &World{Site: site, rnd: rand.New(rand.NewSource(seed)), nodes: map[string]*node{}, cuts: map[[2]string]bool{}, stalled: map[[2]string][]func(){}, last: map[[2]string]int64{}, shuts: map[string]int{}, Struck: map[string]int{}}
-	w.Watch = watch.New(w)
+	w.Watch = invariants.New(w)
 	for i := 0; i < min(site.Keepers, 3); i++ {
 		w.seeds = append(w.seeds, fmt.Sprintf("k%d", i+1))
 	}
@@ -150,7 +150,7 @@
 }
 
 // autopsy notes what the core has of a job that did not end.
-func (w *World) autopsy(key ids.Key) {
+func (w *World) autopsy(key identifier.Key) {
 	lead := w.leader()
 	if lead == nil {
 		w.note("no leader")
--- a/sim/scene_test.go
+++ b/tests/simulation/scene_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"orchidward/job"
-	"orchidward/state"
+	"orchidward/internal/api/job"
+	"orchidward/internal/state"
 )
 
 // play runs one scene with the usual load and judges it.
--- a/sim/seats_test.go
+++ b/tests/simulation/seats_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"fmt"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/raft"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
 )
 
 // The larger sites: of their core machines two may be lost at once, or a zone.
@@ -33,8 +33,8 @@
 }
 
 // voters of the group as its leader has it, and how many there are by zone.
-func (w *World) voters() (list []raft.Member, held map[ids.Domain]int) {
-	held = map[ids.Domain]int{}
+func (w *World) voters() (list []raft.Member, held map[identifier.Domain]int) {
+	held = map[identifier.Domain]int{}
 	if k := w.leader(); k != nil {
 		for _, mem := range k.mach.Raft().Members() {
 			if mem.Voter {
@@ -46,7 +46,7 @@
 	return list, held
 }
 
-func (w *World) keeperOf(id ids.Node) (k *keep) {
+func (w *World) keeperOf(id identifier.Node) (k *keep) {
 	for _, one := range w.keepers {
 		if one.up && one.mach != nil && one.mach.Boot().ID == id {
 			return one
@@ -62,7 +62,7 @@
 // wary fails the test when a voter is found that did not have the log on its
 // disk when it became one.
 func wary(t *testing.T, w *World) (risen *int) {
-	known := map[ids.Node]bool{}
+	known := map[identifier.Node]bool{}
 	risen = new(int)
 	var look func()
 	look = func() {
@@ -73,7 +73,7 @@
 			}
 			if len(known) >= 3 {
 				*risen++
-				saved, most := ids.Index(0), w.leader().mach.Raft().Commit()
+				saved, most := identifier.Index(0), w.leader().mach.Raft().Commit()
 				if k := w.keeperOf(mem.ID); k != nil {
 					saved = k.saved
 				}
--- a/sim/secondloss_test.go
+++ b/tests/simulation/secondloss_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 import (
 	"sort"
--- a/sim/side.go
+++ b/tests/simulation/side.go
@@ -1,13 +1,13 @@
 // A runner in the world.
 
-package sim
+package simulation
 
 import (
 	"fmt"
 
-	"orchidward/ids"
-	"orchidward/job"
-	"orchidward/runner"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/runner"
 )
 
 type side struct {
@@ -25,10 +25,10 @@
 func (w *World) addRunner(i int) (r *side) {
 	rack := i / 3
 	r = &side{node: w.add(fmt.Sprintf("r%d", i+1), zones[rack%3]), w: w, racked: fmt.Sprintf("rack-%d", rack)}
-	r.boot = runner.Boot{Name: ids.Runner(r.name), Cap: job.Demand{Cores: w.Site.Cores, Mem: w.Site.Mem}, Labels: []ids.Label{"std"},
-		Domain: ids.Domain(r.zone), Rack: ids.Rack(r.racked)}
+	r.boot = runner.Boot{Name: identifier.Runner(r.name), Cap: job.Demand{Cores: w.Site.Cores, Mem: w.Site.Mem}, Labels: []identifier.Label{"std"},
+		Domain: identifier.Domain(r.zone), Rack: identifier.Rack(r.racked)}
 	if i%2 == 1 {
-		r.boot.Labels = []ids.Label{"ssd", "std"}
+		r.boot.Labels = []identifier.Label{"ssd", "std"}
 	}
 	w.runners = append(w.runners, r)
 	return r
@@ -39,7 +39,7 @@
 	r.life++
 	r.up, r.begun = true, w.Now
 	set := r.boot
-	set.Inc, set.Seed, set.Faulty = ids.Inc(fmt.Sprintf("%016x", w.rnd.Uint64())), w.rnd.Int63(), w.Site.Faulty+r.sick
+	set.Inc, set.Seed, set.Faulty = identifier.Inc(fmt.Sprintf("%016x", w.rnd.Uint64())), w.rnd.Int63(), w.Site.Faulty+r.sick
 	for _, g := range w.gates {
 		set.Gates = append(set.Gates, g.addr)
 	}
@@ -96,7 +96,7 @@
 	if !r.up || r.frozen {
 		return
 	}
-	r.mach.SetMode("draining", ids.Span(departs), r.w.mono(r.node))
+	r.mach.SetMode("draining", identifier.Span(departs), r.w.mono(r.node))
 	r.out()
 }
 
--- a/sim/stale_order_test.go
+++ b/tests/simulation/stale_order_test.go
@@ -1,12 +1,12 @@
-package sim
+package simulation
 
 import (
 	"encoding/json"
 	"fmt"
 	"testing"
 
-	"orchidward/ids"
-	"orchidward/state"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/state"
 )
 
 // operator sends one order at a time and gives each try up after a second.
@@ -232,7 +232,7 @@
 	}
 	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) (late bool) {
 		w, late := s.playUnknown("PUT", "/v1/jobs/gilde/late", body)
-		j := w.leader().mach.Book().Jobs[ids.MakeKey("gilde", "late")]
+		j := w.leader().mach.Book().Jobs[identifier.MakeKey("gilde", "late")]
 		if late && j != nil && j.End != state.Cancelled {
 			t.Errorf("seed %d, offset %d: the job that was cancelled is %s", s.seed, s.offset, fmt.Sprint(j.State()))
 		}
--- a/sim/trap_test.go
+++ b/tests/simulation/trap_test.go
@@ -1,4 +1,4 @@
-package sim
+package simulation
 
 // snare takes whoever leads away as soon as its log has grown by n entries
 // since it was armed, for a while.
--- a/sim/versions_test.go
+++ b/tests/simulation/versions_test.go
@@ -1,11 +1,11 @@
-package sim
+package simulation
 
 import (
 	"fmt"
 	"strings"
 	"testing"
 
-	"orchidward/state"
+	"orchidward/internal/state"
 )
 
 // swap stops a keeper in order and starts it as another version.
--- a/sim/world.go
+++ b/tests/simulation/world.go
@@ -2,7 +2,7 @@
 // run, over a network that delays, loses and cuts, on disks that lose what was
 // not synced, by clocks that drift and jump. One seed gives one run, always
 // the same. An observer that watches only runners and callers judges it.
-package sim
+package simulation
 
 import (
 	"bytes"
@@ -10,10 +10,10 @@
 	"fmt"
 	"math/rand"
 
-	"orchidward/ids"
-	"orchidward/raft"
-	"orchidward/watch"
-	"orchidward/wire"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/invariants"
+	"orchidward/internal/transport/wire"
 )
 
 // event is something due at a time; seq keeps ties in order.
@@ -79,7 +79,7 @@
 	// Porters is how many keepers there are besides, without a disk.
 	Porters int
 	// Elect is the least wait before an election in ms, 0 for the usual.
-	Elect ids.Span
+	Elect identifier.Span
 }
 
 // coreZones are the zones that keepers stand in: gates and runners have three.
@@ -133,7 +133,7 @@
 	runners []*side
 	seeds   []string
 	callers *callers
-	Watch   *watch.Watch
+	Watch   *invariants.Watch
 	Log     []string
 	Trace   bool
 	// trap is sprung before a keeper hands out what a step led to.
@@ -195,15 +195,15 @@
 	})
 }
 
-func (w *World) mono(n *node) (m ids.Mono) {
+func (w *World) mono(n *node) (m identifier.Mono) {
 	gone := w.Now - n.begun
 	if w.Dull {
 		gone -= n.slept
 	}
-	return ids.Mono(float64(gone) * (1 + n.drift))
+	return identifier.Mono(float64(gone) * (1 + n.drift))
 }
 
-func (w *World) wall(n *node) (x ids.Wall) { return ids.Wall(epoch + w.Now + n.skew) }
+func (w *World) wall(n *node) (x identifier.Wall) { return identifier.Wall(epoch + w.Now + n.skew) }
 
 // cut tells whether what a sends reaches b.
 func (w *World) cut(a, b *node) (yes bool) {
@@ -363,10 +363,10 @@
 func (w *World) Note(text string, args ...any) { w.note(text, args...) }
 
 // Place describes a runner by name; it is empty for an unknown one.
-func (w *World) Place(name string) (p watch.Place) {
+func (w *World) Place(name string) (p invariants.Place) {
 	for _, r := range w.runners {
 		if r.name == name {
-			return watch.Place{Zone: r.zone, Life: r.life, Live: r.up && !r.frozen, Labels: r.boot.Labels, Cap: r.boot.Cap}
+			return invariants.Place{Zone: r.zone, Life: r.life, Live: r.up && !r.frozen, Labels: r.boot.Labels, Cap: r.boot.Cap}
 		}
 	}
 	return p
