--- a/cmd/clerk/main.go
+++ b/cmd/orchidctl/main.go
@@ -1,4 +1,4 @@
-// clerk is the command line of callers and operators. It exits 0 when done,
+// Command orchidctl is the command line of clients and operators. It exits 0 when done,
 // 1 when the fleet refused, 2 on bad usage, 3 when no gate could be reached,
 // 4 when a change may have been made and its answer is not known.
 package main
@@ -24,14 +24,14 @@
 	Output string   `help:"How to print: text or json." default:"text" enum:"text,json"`
 	WaitMs int64    `help:"How long to wait for one answer." default:"6000"`
 
-	Job      jobCmd      `cmd:"" help:"Hand in, read, list and cancel jobs."`
+	Job      jobCmd      `cmd:"" help:"Submit, read, list and cancel jobs."`
 	Table    tableCmd    `cmd:"" help:"Read and change the table of weights and limits."`
-	Close    closeCmd    `cmd:"" help:"Close a zone."`
-	Reopen   reopenCmd   `cmd:"" help:"Reopen a closing, by its id or its zone."`
-	Closings closingsCmd `cmd:"" help:"Show closings, or one."`
-	Runners  runnersCmd  `cmd:"" help:"Show runners."`
-	Keepers  keepersCmd  `cmd:"" help:"Show the core's machines."`
-	Members  membersCmd  `cmd:"" help:"Show what one gate knows of the fleet."`
+	Drain   closeCmd    `cmd:"" aliases:"close" help:"Drain a zone."`
+	Reopen  reopenCmd   `cmd:"" help:"Put a drained zone back into use, by the drain's id or its zone."`
+	Drains  closingsCmd `cmd:"" aliases:"closings" help:"Show drains, or one."`
+	Runners runnersCmd  `cmd:"" help:"Show runners."`
+	Servers keepersCmd  `cmd:"" aliases:"keepers" help:"Show the control-plane servers."`
+	Members membersCmd  `cmd:"" help:"Show what one gateway knows of the cluster."`
 }
 
 // desk is what every command works with.
@@ -76,7 +76,7 @@
 
 func main() {
 	f := &flags{}
-	ctx := settings.Parse(f, "clerk", "Command line for callers and operators of orchidward.", func(c *settings.Check) {
+	ctx := settings.Parse(f, "orchidctl", "Command line for callers and operators of orchidward.", func(c *settings.Check) {
 		c.Addrs("gates", f.Gates, 1)
 		c.Range("wait-ms", f.WaitMs, 100, 60000)
 	})
@@ -89,7 +89,7 @@
 	if err == nil {
 		return 0
 	}
-	fmt.Fprintf(os.Stderr, "clerk: %v\n", err)
+	fmt.Fprintf(os.Stderr, "orchidctl: %v\n", err)
 	var no refused
 	var use usage
 	switch {
@@ -105,7 +105,7 @@
 	return 1
 }
 
-// usage is a fault in what was asked of clerk itself.
+// usage is a fault in what was asked of orchidctl itself.
 type usage struct{ why string }
 
 func (u usage) Error() (text string) { return u.why }
--- a/cmd/gate/main.go
+++ b/cmd/orchidward-gateway/main.go
@@ -1,5 +1,6 @@
-// gate is an edge machine: HTTP for callers, operators and runners on one
-// side, the core on the other. It keeps nothing on disk.
+// Command orchidward-gateway is the stateless front end: it serves HTTP to clients,
+// operators and runners and passes their requests to the control plane. It keeps
+// nothing on disk.
 package main
 
 import (
@@ -35,6 +36,6 @@
 
 func main() {
 	f := &flags{}
-	settings.Parse(f, "gate", "Edge machine of orchidward.", f.check)
+	settings.Parse(f, "orchidward-gateway", "Stateless front end of orchidward.", f.check)
 	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(gatewayd.New), fx.Invoke(func(*gatewayd.Desk) {}))
 }
--- a/cmd/runner/main.go
+++ b/cmd/orchidward-runner/main.go
@@ -1,5 +1,5 @@
-// runner is the stand-in back end: it speaks the published protocol and
-// simulates work, well or badly, as it is told.
+// Command orchidward-runner is the stand-in back end: it speaks the published
+// protocol and simulates work, well or badly, as it is told.
 package main
 
 import (
@@ -43,6 +43,6 @@
 
 func main() {
 	f := &flags{}
-	settings.Parse(f, "runner", "Stand-in back end of orchidward.", f.check)
+	settings.Parse(f, "orchidward-runner", "Stand-in back end of orchidward.", f.check)
 	logging.Run(fx.Supply(f), lifecycle.Module, fx.Provide(newDesk), fx.Invoke(func(*desk) {}))
 }
--- a/cmd/keeper/main.go
+++ b/cmd/orchidward-server/main.go
@@ -1,5 +1,5 @@
-// keeper is a core machine: it holds the replicated state on its disk, and the
-// one that leads places the work and holds the maintenance duty.
+// Command orchidward-server is a control-plane server: it keeps the replicated
+// state on its disk. The one that leads schedules the work and runs the drains.
 package main
 
 import (
@@ -40,6 +40,6 @@
 
 func main() {
 	f := &flags{}
-	settings.Parse(f, "keeper", "Core machine of orchidward.", f.check)
+	settings.Parse(f, "orchidward-server", "Control-plane server of orchidward.", f.check)
 	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Desk, life fx.Lifecycle) { d.Depart(life) }))
 }
--- a/cmd/drill/desk.go
+++ b/cmd/zone-drill/desk.go
@@ -112,7 +112,7 @@
 // Note prints breaches as they are found; the rest is in the runners' logs.
 func (d *desk) Note(text string, args ...any) {
 	if strings.HasPrefix(text, "BREACH") {
-		fmt.Fprintf(os.Stderr, "drill: "+text+"\n", args...)
+		fmt.Fprintf(os.Stderr, "zone-drill: "+text+"\n", args...)
 	}
 }
 
@@ -331,7 +331,7 @@
 	if len(d.f.Pids) > 0 {
 		for _, p := range d.f.Pids {
 			if err := syscall.Kill(p, syscall.SIGKILL); err != nil {
-				fmt.Fprintf(os.Stderr, "drill: pid %d: %v\n", p, err)
+				fmt.Fprintf(os.Stderr, "zone-drill: pid %d: %v\n", p, err)
 			}
 		}
 		return
--- a/cmd/drill/main.go
+++ b/cmd/zone-drill/main.go
@@ -1,7 +1,7 @@
-// drill puts a running fleet under the users' load, takes a zone out and
-// brings it back, and holds what callers were told and what runners did
-// against the promises. It exits 0 when all were kept on enough evidence, 1 on
-// a breach or too little evidence, 2 on bad usage, 3 when no gate answered.
+// Command zone-drill puts a running cluster under load, takes a zone out and
+// brings it back, and checks what clients were told and what runners did against
+// the promises. It exits 0 when all were kept on enough evidence, 1 on
+// a breach or too little evidence, 2 on bad usage, 3 when no gateway answered.
 package main
 
 import (
@@ -46,17 +46,17 @@
 
 func main() {
 	f := &flags{}
-	settings.Parse(f, "drill", "Takes a zone out of a running fleet and checks the promises.", f.check)
+	settings.Parse(f, "zone-drill", "Takes a zone out of a running fleet and checks the promises.", f.check)
 	c := lifecycle.New()
 	d := newDesk(f, c)
 	err := d.run()
 	ctx, end := context.WithTimeout(context.Background(), 3*time.Second)
 	defer end()
 	if late := c.Stop(ctx); late != nil {
-		fmt.Fprintf(os.Stderr, "drill: stopped late: %v\n", late)
+		fmt.Fprintf(os.Stderr, "zone-drill: stopped late: %v\n", late)
 	}
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "drill: %v\n", err)
+		fmt.Fprintf(os.Stderr, "zone-drill: %v\n", err)
 		if errors.Is(err, httpclient.ErrReach) {
 			os.Exit(3)
 		}
--- a/internal/daemon/gatewayd/desk.go
+++ b/internal/daemon/gatewayd/desk.go
@@ -74,7 +74,7 @@
 	}
 	if s.HTTP == "" {
 		d.gauges = httpserver.NewGauges()
-		log.Event("start", "program", "gate", "addr", s.Addr, "domain", s.Domain)
+		log.Event("start", "program", "gateway", "addr", s.Addr, "domain", s.Domain)
 		life.Append(fx.Hook{OnStart: func(context.Context) error {
 			begin()
 			return nil
@@ -87,8 +87,8 @@
 	}
 	d.gauges = d.http.Gauge
 	d.routes()
-	log.Event("start", "program", "gate", "addr", s.Addr, "http", s.HTTP, "domain", s.Domain)
-	d.http.Life(life, c, log, "gate", begin)
+	log.Event("start", "program", "gateway", "addr", s.Addr, "http", s.HTTP, "domain", s.Domain)
+	d.http.Life(life, c, log, "gateway", begin)
 	return d, nil
 }
 
--- a/internal/daemon/serverd/desk.go
+++ b/internal/daemon/serverd/desk.go
@@ -135,9 +135,9 @@
 		}
 		d.gauges = d.http.Gauge
 	}
-	d.log.Event("start", "program", "keeper", "node", id, "addr", s.Addr, "domain", s.Domain)
+	d.log.Event("start", "program", "server", "node", id, "addr", s.Addr, "domain", s.Domain)
 	if d.http != nil {
-		d.http.Life(life, c, d.log, "keeper", begin)
+		d.http.Life(life, c, d.log, "server", begin)
 		return nil
 	}
 	d.gauges = httpserver.NewGauges()
--- a/tests/devcluster/fleet_test.go
+++ b/tests/devcluster/fleet_test.go
@@ -91,10 +91,10 @@
 
 func (f *fleet) start(ts *testscript.TestScript, name string) {
 	args := f.args[name]
-	prog, _, _ := strings.Cut(name, "-")
+	role, _, _ := strings.Cut(name, "-")
 	log, err := os.OpenFile(filepath.Join(f.dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	ts.Check(err)
-	cmd := exec.Command(filepath.Join(bin, prog), args...)
+	cmd := exec.Command(filepath.Join(bin, "orchidward-"+role), args...)
 	cmd.Stderr = log
 	ts.Check(cmd.Start())
 	log.Close()
@@ -114,14 +114,14 @@
 
 // plan lays down what each process of the fleet is started with.
 func (f *fleet) plan(runners int) {
-	seeds := f.port("keeper-1") + "," + f.port("keeper-2") + "," + f.port("keeper-3")
+	seeds := f.port("server-1") + "," + f.port("server-2") + "," + f.port("server-3")
 	for i := 1; i <= 3; i++ {
-		k, g := fmt.Sprintf("keeper-%d", i), fmt.Sprintf("gate-%d", i)
+		k, g := fmt.Sprintf("server-%d", i), fmt.Sprintf("gateway-%d", i)
 		f.args[k] = []string{"--data", filepath.Join(f.dir, k), "--addr", f.port(k), "--http", f.port(k + "-http"), "--domain", zones[i-1], "--seeds", seeds, "--file-kb", "512"}
 		f.args[g] = []string{"--addr", f.port(g), "--http", f.port(g + "-http"), "--domain", zones[i-1], "--seeds", seeds}
 	}
-	f.args["keeper-4"] = []string{"--data", filepath.Join(f.dir, "keeper-4"), "--addr", f.port("keeper-4"), "--http", f.port("keeper-4-http"), "--domain", "north",
-		"--seeds", f.port("gate-1") + "," + f.port("keeper-2") + "," + f.port("keeper-3"), "--file-kb", "512"}
+	f.args["server-4"] = []string{"--data", filepath.Join(f.dir, "server-4"), "--addr", f.port("server-4"), "--http", f.port("server-4-http"), "--domain", "north",
+		"--seeds", f.port("gateway-1") + "," + f.port("server-2") + "," + f.port("server-3"), "--file-kb", "512"}
 	for i := 1; i <= runners; i++ {
 		labels := "std"
 		if i <= 3 {
@@ -141,7 +141,7 @@
 			f.plan(11)
 			e.Values["fleet"] = f
 			e.Setenv("PATH", bin+string(os.PathListSeparator)+e.Getenv("PATH"))
-			e.Setenv("ORCHIDWARD_GATES", f.port("gate-1-http")+","+f.port("gate-2-http")+","+f.port("gate-3-http"))
+			e.Setenv("ORCHIDWARD_GATES", f.port("gateway-1-http")+","+f.port("gateway-2-http")+","+f.port("gateway-3-http"))
 			list := []string{}
 			for i := 1; i <= 11; i++ {
 				list = append(list, f.port(fmt.Sprintf("runner-%d-http", i)))
@@ -236,17 +236,17 @@
 	ts.Fatalf("after %v %v still says:\n%s", limit, args[1:], last)
 }
 
-// lead waits until some keeper leads and puts its name into LEAD.
+// lead waits until some server leads and puts its name into LEAD.
 func lead(ts *testscript.TestScript, _ bool, _ []string) {
-	until(ts, false, []string{`leader`, "clerk", "keepers"})
-	cmd := exec.Command(filepath.Join(bin, "clerk"), "keepers")
+	until(ts, false, []string{`leader`, "orchidctl", "servers"})
+	cmd := exec.Command(filepath.Join(bin, "orchidctl"), "servers")
 	cmd.Env = append(os.Environ(), "ORCHIDWARD_GATES="+ts.Getenv("ORCHIDWARD_GATES"))
 	text, err := cmd.CombinedOutput()
 	ts.Check(err)
 	f := ts.Value("fleet").(*fleet)
 	for _, line := range strings.Split(string(text), "\n") {
 		for i := 1; i <= 4; i++ {
-			name := fmt.Sprintf("keeper-%d", i)
+			name := fmt.Sprintf("server-%d", i)
 			if addr := f.ports[name]; addr != "" && strings.Contains(line, addr) && strings.Contains(line, "leader") {
 				ts.Setenv("LEAD", name)
 				return
--- a/tests/scale/fleet.go
+++ b/tests/scale/fleet.go
@@ -60,10 +60,10 @@
 
 func newFleet(dir string) (f *fleet, err error) {
 	f = &fleet{dir: dir, crew: lifecycle.New(), clock: lifecycle.NewClock(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
-	if _, err = os.Stat("cmd/keeper"); err != nil {
+	if _, err = os.Stat("cmd/orchidward-server"); err != nil {
 		return nil, errors.Wrap(err, "run from the root of the repository")
 	}
-	cmd := exec.Command("go", "build", "-o", dir+"/", "./cmd/keeper", "./cmd/gate")
+	cmd := exec.Command("go", "build", "-o", dir+"/", "./cmd/orchidward-server", "./cmd/orchidward-gateway")
 	cmd.Stderr = os.Stderr
 	if err = cmd.Run(); err != nil {
 		return nil, errors.Wrap(err, "build")
@@ -82,8 +82,8 @@
 	}
 	seeds := strings.Join(f.addrs, ",")
 	for i := range keepers {
-		name := fmt.Sprintf("keeper-%d", i)
-		c, err := start(f.dir, name, "keeper", keeperProcs, nil, "--data", filepath.Join(f.dir, "data-"+name), "--addr", f.addrs[i], "--http", f.pages[i], "--domain", fmt.Sprintf("z%d", i), "--seeds", seeds)
+		name := fmt.Sprintf("server-%d", i)
+		c, err := start(f.dir, name, "orchidward-server", keeperProcs, nil, "--data", filepath.Join(f.dir, "data-"+name), "--addr", f.addrs[i], "--http", f.pages[i], "--domain", fmt.Sprintf("z%d", i), "--seeds", seeds)
 		if err != nil {
 			return err
 		}
@@ -91,7 +91,7 @@
 	}
 	for i := range gates {
 		f.fronts = append(f.fronts, here(at+40+2*i+1))
-		c, err := start(f.dir, fmt.Sprintf("gate-%d", i), "gate", 1, nil, "--addr", here(at+40+2*i), "--http", f.fronts[i], "--domain", fmt.Sprintf("z%d", i), "--seeds", seeds, "--body-kb", "4096")
+		c, err := start(f.dir, fmt.Sprintf("gateway-%d", i), "orchidward-gateway", 1, nil, "--addr", here(at+40+2*i), "--http", f.fronts[i], "--domain", fmt.Sprintf("z%d", i), "--seeds", seeds, "--body-kb", "4096")
 		if err != nil {
 			return err
 		}
