--- a/cmd/orchidctl/main.go
+++ b/cmd/orchidctl/main.go
@@ -24,8 +24,8 @@
 	Output string   `help:"How to print: text or json." default:"text" enum:"text,json"`
 	WaitMs int64    `help:"How long to wait for one answer." default:"6000"`
 
-	Job      jobCmd      `cmd:"" help:"Submit, read, list and cancel jobs."`
-	Table    tableCmd    `cmd:"" help:"Read and change the table of weights and limits."`
+	Job     jobCmd      `cmd:"" help:"Submit, read, list and cancel jobs."`
+	Table   tableCmd    `cmd:"" help:"Read and change the table of weights and limits."`
 	Drain   closeCmd    `cmd:"" aliases:"close" help:"Drain a zone."`
 	Reopen  reopenCmd   `cmd:"" help:"Put a drained zone back into use, by the drain's id or its zone."`
 	Drains  closingsCmd `cmd:"" aliases:"closings" help:"Show drains, or one."`
