--- a/cmd/orchidctl/fleet.go
+++ b/cmd/orchidctl/fleet.go
@@ -12,7 +12,8 @@
 	ID     string `name:"id" help:"The closing's own id, so that a resend is known for one."`
 }
 
-func (c *closeCmd) Run(d *desk) (err error) {
+func (c *closeCmd) Run(d *desk) error {
+	var err error
 	var body []byte
 	if c.ID != "" {
 		if body, err = json.Marshal(map[string]string{"id": c.ID}); err != nil {
@@ -30,7 +31,7 @@
 	Name string `arg:"" help:"The closing's id, or its zone."`
 }
 
-func (c *reopenCmd) Run(d *desk) (err error) {
+func (c *reopenCmd) Run(d *desk) error {
 	text, err := d.ask("DELETE", "/v1/closings/"+url.PathEscape(c.Name), nil)
 	if err != nil {
 		return err
@@ -42,7 +43,7 @@
 	Name string `arg:"" optional:"" help:"One closing's id or zone."`
 }
 
-func (c *closingsCmd) Run(d *desk) (err error) {
+func (c *closingsCmd) Run(d *desk) error {
 	path := "/v1/closings"
 	if c.Name != "" {
 		path += "/" + url.PathEscape(c.Name)
@@ -62,7 +63,8 @@
 	})
 }
 
-func list(doc map[string]any, key string) (out []map[string]any) {
+func list(doc map[string]any, key string) []map[string]any {
+	var out []map[string]any
 	all, _ := doc[key].([]any)
 	for _, v := range all {
 		if one, ok := v.(map[string]any); ok {
@@ -89,7 +91,7 @@
 
 type runnersCmd struct{}
 
-func (c *runnersCmd) Run(d *desk) (err error) {
+func (c *runnersCmd) Run(d *desk) error {
 	text, err := d.ask("GET", "/v1/runners", nil)
 	if err != nil {
 		return err
@@ -113,7 +115,7 @@
 
 type keepersCmd struct{}
 
-func (c *keepersCmd) Run(d *desk) (err error) {
+func (c *keepersCmd) Run(d *desk) error {
 	text, err := d.ask("GET", "/v1/keepers", nil)
 	if err != nil {
 		return err
@@ -138,7 +140,7 @@
 
 type membersCmd struct{}
 
-func (c *membersCmd) Run(d *desk) (err error) {
+func (c *membersCmd) Run(d *desk) error {
 	text, err := d.ask("GET", "/v1/members", nil)
 	if err != nil {
 		return err
--- a/cmd/orchidctl/job.go
+++ b/cmd/orchidctl/job.go
@@ -26,11 +26,11 @@
 	return "/v1/jobs/" + url.PathEscape(agent) + "/" + url.PathEscape(id), nil
 }
 
-func readFile(name string) (text []byte, err error) {
+func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
 	}
-	text, err = os.ReadFile(name)
+	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, usage{err.Error()}
 	}
@@ -42,7 +42,7 @@
 	File string `arg:"" help:"JSON file or -"`
 }
 
-func (c *jobPut) Run(d *desk) (err error) {
+func (c *jobPut) Run(d *desk) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
@@ -61,7 +61,7 @@
 	Job string `arg:"" help:"AGENT/ID"`
 }
 
-func (c *jobGet) Run(d *desk) (err error) {
+func (c *jobGet) Run(d *desk) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 	MostMs int64  `help:"Give up after so long." default:"600000"`
 }
 
-func (c *jobWait) Run(d *desk) (err error) {
+func (c *jobWait) Run(d *desk) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 	Job string `arg:"" help:"AGENT/ID"`
 }
 
-func (c *jobCancel) Run(d *desk) (err error) {
+func (c *jobCancel) Run(d *desk) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
@@ -161,7 +161,7 @@
 	Limit   int    `help:"At most so many." default:"100"`
 }
 
-func (c *jobList) Run(d *desk) (err error) {
+func (c *jobList) Run(d *desk) error {
 	q := url.Values{"limit": {fmt.Sprint(c.Limit)}}
 	for k, v := range map[string]string{"agent": c.Agent, "pending": c.Pending, "state": c.State, "after": c.After} {
 		if v != "" {
--- a/cmd/orchidctl/main.go
+++ b/cmd/orchidctl/main.go
@@ -43,10 +43,10 @@
 // refused is an answer of the fleet that is not a success.
 type refused struct{ got httpclient.Got }
 
-func (r refused) Error() (text string) { return r.got.Why() }
+func (r refused) Error() string { return r.got.Why() }
 
 // ask sends a request and hands back the document of a success.
-func (d *desk) ask(verb, path string, body []byte) (text []byte, err error) {
+func (d *desk) ask(verb, path string, body []byte) ([]byte, error) {
 	got, err := d.call.Do(context.Background(), verb, path, body)
 	if err != nil {
 		return nil, err
@@ -61,13 +61,13 @@
 }
 
 // show prints a document: as it came, or by the given printer.
-func (d *desk) show(text []byte, printer func(doc map[string]any)) (err error) {
+func (d *desk) show(text []byte, printer func(doc map[string]any)) error {
 	if d.json {
 		fmt.Println(string(text))
 		return nil
 	}
 	doc := map[string]any{}
-	if err = json.Unmarshal(text, &doc); err != nil {
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return errors.Wrap(err, "answer does not parse")
 	}
 	printer(doc)
@@ -84,7 +84,7 @@
 	os.Exit(code(ctx, d))
 }
 
-func code(ctx *kong.Context, d *desk) (n int) {
+func code(ctx *kong.Context, d *desk) int {
 	err := ctx.Run(d)
 	if err == nil {
 		return 0
@@ -108,4 +108,4 @@
 // usage is a fault in what was asked of orchidctl itself.
 type usage struct{ why string }
 
-func (u usage) Error() (text string) { return u.why }
+func (u usage) Error() string { return u.why }
--- a/cmd/orchidctl/table.go
+++ b/cmd/orchidctl/table.go
@@ -35,14 +35,15 @@
 	return s, text, json.Unmarshal(text, &s)
 }
 
-func cell(v any) (text string) {
+func cell(v any) string {
 	if n, ok := v.(float64); ok {
 		return strconv.FormatInt(int64(n), 10)
 	}
 	return fmt.Sprint(v)
 }
 
-func (s sheet) records() (out [][]string) {
+func (s sheet) records() [][]string {
+	var out [][]string
 	head := []string{"row"}
 	for _, c := range limits.Columns {
 		head = append(head, c.Name)
@@ -68,7 +69,7 @@
 
 type tableGet struct{}
 
-func (c *tableGet) Run(d *desk) (err error) {
+func (c *tableGet) Run(d *desk) error {
 	s, text, err := d.sheet()
 	if err != nil {
 		return err
@@ -83,7 +84,7 @@
 
 type tableCSV struct{}
 
-func (c *tableCSV) Run(d *desk) (err error) {
+func (c *tableCSV) Run(d *desk) error {
 	s, _, err := d.sheet()
 	if err != nil {
 		return err
@@ -100,7 +101,7 @@
 	Base int64  `help:"Epoch the change was made against; the present one if left out."`
 }
 
-func (c *tablePut) Run(d *desk) (err error) {
+func (c *tablePut) Run(d *desk) error {
 	text, err := readFile(c.File)
 	if err != nil {
 		return err
@@ -128,7 +129,7 @@
 	return d.change("PUT", doc)
 }
 
-func fromCSV(text []byte) (doc map[string]any, err error) {
+func fromCSV(text []byte) (map[string]any, error) {
 	r := csv.NewReader(bytes.NewReader(text))
 	r.FieldsPerRecord = -1
 	recs, err := r.ReadAll()
@@ -154,7 +155,7 @@
 	return map[string]any{"site": site, "rows": rows}, nil
 }
 
-func (d *desk) change(verb string, doc map[string]any) (err error) {
+func (d *desk) change(verb string, doc map[string]any) error {
 	text, err := json.Marshal(doc)
 	if err != nil {
 		return err
@@ -171,7 +172,7 @@
 	Base  int64    `help:"Epoch the change was made against; the present one if left out."`
 }
 
-func (c *tableSet) Run(d *desk) (err error) {
+func (c *tableSet) Run(d *desk) error {
 	cells := map[string]any{}
 	for _, one := range c.Cells {
 		name, val, ok := strings.Cut(one, "=")
--- a/cmd/orchidward-gateway/main.go
+++ b/cmd/orchidward-gateway/main.go
@@ -30,7 +30,7 @@
 	c.Range("body-kb", f.BodyKb, 16, 4096)
 }
 
-func (f *flags) settings() (s gatewayd.Settings) {
+func (f *flags) settings() gatewayd.Settings {
 	return gatewayd.Settings{Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, BodyKb: f.BodyKb}
 }
 
--- a/cmd/orchidward-runner/desk.go
+++ b/cmd/orchidward-runner/desk.go
@@ -48,12 +48,13 @@
 	stop  fx.Shutdowner
 }
 
-func newDesk(f *flags, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (d *desk, err error) {
+func newDesk(f *flags, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (*desk, error) {
+	var err error
 	var b [16]byte
 	if _, err = rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	d = &desk{log: log, crew: c, clock: lifecycle.NewClock(), name: f.Name, in: lifecycle.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
+	d := &desk{log: log, crew: c, clock: lifecycle.NewClock(), name: f.Name, in: lifecycle.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
 	set := runner.Boot{Name: identifier.Runner(f.Name), Inc: identifier.Inc(fmt.Sprintf("%x", b[:8])), Cap: job.Demand{Cores: f.Cores, Mem: f.MemMb},
 		Domain: identifier.Domain(f.Domain), Rack: identifier.Rack(f.Rack), Seed: int64(binary.LittleEndian.Uint64(b[8:]) >> 1), Slow: f.Slow, Faulty: f.Faulty}
 	sort.Strings(f.Labels)
--- a/cmd/orchidward-runner/note.go
+++ b/cmd/orchidward-runner/note.go
@@ -22,7 +22,7 @@
 	next uint64
 }
 
-func newNote(set runner.Boot) (n *note) {
+func newNote(set runner.Boot) *note {
 	return &note{page: eventlog.Page{Runner: set.Name, Inc: set.Inc, Domain: set.Domain, Labels: set.Labels, Cap: set.Cap}, next: 1}
 }
 
@@ -43,10 +43,10 @@
 }
 
 // after copies what came after the given number.
-func (n *note) after(num uint64, now identifier.Mono) (p eventlog.Page) {
+func (n *note) after(num uint64, now identifier.Mono) eventlog.Page {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	p = n.page
+	p := n.page
 	p.Now, p.Events = now, []eventlog.Event{}
 	for _, e := range n.page.Events {
 		if e.N > num {
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -34,7 +34,7 @@
 	c.Range("elect-ms", f.ElectMs, 200, 10000)
 }
 
-func (f *flags) settings() (s serverd.Settings) {
+func (f *flags) settings() serverd.Settings {
 	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, Found: true, Elect: identifier.Span(f.ElectMs)}
 }
 
--- a/cmd/zone-drill/desk.go
+++ b/cmd/zone-drill/desk.go
@@ -98,16 +98,16 @@
 	d.dues = append(d.dues, rest...)
 }
 
-func newDesk(f *flags, c *lifecycle.Crew) (d *desk) {
-	d = &desk{f: f, crew: c, clock: lifecycle.NewClock(), in: lifecycle.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
+func newDesk(f *flags, c *lifecycle.Crew) *desk {
+	d := &desk{f: f, crew: c, clock: lifecycle.NewClock(), in: lifecycle.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
 		web: &http.Client{Timeout: 500 * time.Millisecond}, places: map[string]*place{}, ready: map[string]bool{}}
 	d.watch = invariants.New(d)
 	return d
 }
 
-func (d *desk) Time() (ms int64)  { return d.at }
-func (d *desk) Quiet() (yes bool) { return false }
-func (d *desk) Calm() (yes bool)  { return false }
+func (d *desk) Time() int64 { return d.at }
+func (d *desk) Quiet() bool { return false }
+func (d *desk) Calm() bool  { return false }
 
 // Note prints breaches as they are found; the rest is in the runners' logs.
 func (d *desk) Note(text string, args ...any) {
@@ -116,7 +116,8 @@
 	}
 }
 
-func (d *desk) Place(name string) (p invariants.Place) {
+func (d *desk) Place(name string) invariants.Place {
+	var p invariants.Place
 	one := d.places[name]
 	if one == nil {
 		return p
@@ -125,7 +126,7 @@
 }
 
 // gate picks one that says it is ready, as the platform before the edge does.
-func (d *desk) gate() (addr string) {
+func (d *desk) gate() string {
 	ready := []string{}
 	for _, g := range d.f.Gates {
 		if d.ready[g] {
@@ -169,7 +170,7 @@
 	})
 }
 
-func (d *desk) run() (err error) {
+func (d *desk) run() error {
 	c := httpclient.New(d.f.Gates, 2*time.Second)
 	got, err := c.Do(context.Background(), "GET", "/v1/runners", nil)
 	if err != nil {
--- a/cmd/zone-drill/load.go
+++ b/cmd/zone-drill/load.go
@@ -28,9 +28,9 @@
 	}
 }
 
-func (d *desk) share(per int64) (n int64) {
+func (d *desk) share(per int64) int64 {
 	sum := per * d.f.RatePct
-	n = sum / 100
+	n := sum / 100
 	if d.rnd.Int63n(100) < sum%100 {
 		n++
 	}
--- a/cmd/zone-drill/verdict.go
+++ b/cmd/zone-drill/verdict.go
@@ -21,7 +21,8 @@
 	Figures string `json:"figures"`
 }
 
-func (d *desk) verdicts() (list []verdict) {
+func (d *desk) verdicts() []verdict {
+	var list []verdict
 	n := d.watch.Counts
 	add := func(name, what string, enough bool, figures string, args ...any) {
 		v := verdict{Promise: name, Verdict: kept, What: what, Figures: fmt.Sprintf(figures, args...)}
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -105,8 +105,8 @@
 // New makes an agent that has heard neither its runner nor the control plane. It
 // assumes that an agent before it has just given the runner the longest hold
 // there is.
-func New(boot Boot, now identifier.Mono) (m *Machine) {
-	m = &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Inc]bool{}, asked: map[uint64]identifier.Mono{}}
+func New(boot Boot, now identifier.Mono) *Machine {
+	m := &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Inc]bool{}, asked: map[uint64]identifier.Mono{}}
 	if n := len(boot.Seeds); n > 0 {
 		m.at = int(uint64(boot.Seed) % uint64(n))
 	}
@@ -119,7 +119,7 @@
 // as long as may be.
 func (m *Machine) Stop() { m.down = true }
 
-func (m *Machine) usual() (hold identifier.Span) {
+func (m *Machine) usual() identifier.Span {
 	if m.boot.HoldUsual == 0 || m.down {
 		return m.boot.HoldMost
 	}
@@ -132,8 +132,8 @@
 }
 
 // Take returns the output so far and clears it.
-func (m *Machine) Take() (out Out) {
-	out = m.out
+func (m *Machine) Take() Out {
+	out := m.out
 	m.out = Out{}
 	return out
 }
@@ -143,10 +143,11 @@
 }
 
 // Touched tells whether the core has answered within the life of a grant.
-func (m *Machine) Touched() (ok bool) { return m.touched && m.now.Since(m.contact) < m.grant }
+func (m *Machine) Touched() bool { return m.touched && m.now.Since(m.contact) < m.grant }
 
 // Beat takes a heartbeat and answers it at once.
-func (m *Machine) Beat(b Beat, now identifier.Mono) (o Orders) {
+func (m *Machine) Beat(b Beat, now identifier.Mono) Orders {
+	var o Orders
 	m.now = max(m.now, now)
 	o.Retry = m.boot.Pace
 	switch {
@@ -178,7 +179,7 @@
 	return o
 }
 
-func less(a, b run) (yes bool) {
+func less(a, b run) bool {
 	switch {
 	case a.task.Job != b.task.Job:
 		return a.task.Job < b.task.Job
@@ -246,7 +247,7 @@
 
 // measure takes the speed once enough has been seen of it; slower tells whether
 // it has fallen by half or more.
-func (s *step) measure(percent int64, now identifier.Mono) (slower bool) {
+func (s *step) measure(percent int64, now identifier.Mono) bool {
 	span := now.Since(s.since)
 	if percent >= 99 || span < speedLeast || percent-s.mark < 4 && span < speedMost {
 		return false
@@ -258,7 +259,7 @@
 }
 
 // late tells whether a run has stood still for far longer than it used to.
-func (s step) late(now identifier.Mono) (yes bool) { return now.Since(s.at) >= stillTold+4*s.gap }
+func (s step) late(now identifier.Mono) bool { return now.Since(s.at) >= stillTold+4*s.gap }
 
 // progress notes when each run last moved.
 func (m *Machine) progress(b *Beat) {
@@ -283,7 +284,8 @@
 	}
 }
 
-func (m *Machine) differs(b *Beat, there map[run]bool) (yes bool) {
+func (m *Machine) differs(b *Beat, there map[run]bool) bool {
+	var yes bool
 	was := m.beat
 	if was == nil || was.Draining != b.Draining || was.Cap != b.Cap || was.Pool != b.Pool ||
 		len(was.Active) != len(b.Active) || len(was.Finished) != len(b.Finished) {
@@ -309,7 +311,8 @@
 	}
 }
 
-func (m *Machine) waiting() (list []*order) {
+func (m *Machine) waiting() []*order {
+	var list []*order
 	for _, x := range m.queue {
 		list = append(list, x)
 	}
@@ -349,7 +352,7 @@
 
 // patience is how long an open poll is waited for; whoever lost touch asks more
 // often, since the core answers its first poll at once.
-func (m *Machine) patience() (s identifier.Span) {
+func (m *Machine) patience() identifier.Span {
 	if m.back > 0 && m.now.Since(m.contact) > lostAfter {
 		return seekWait
 	}
@@ -357,7 +360,7 @@
 }
 
 // Fence is the highest fence this agent knows of, 0 for none.
-func (m *Machine) Fence() (fence uint64) { return m.fence }
+func (m *Machine) Fence() uint64 { return m.fence }
 
 // greet asks the core for its fence before there is a heartbeat to tell of: a
 // runner that obeyed a former process takes nothing from a lower one.
@@ -387,7 +390,7 @@
 }
 
 // dead tells whether the runner is silent and whatever it ran is over.
-func (m *Machine) dead() (yes bool) {
+func (m *Machine) dead() bool {
 	return m.beat != nil && m.now > m.held.Add(deadSlack) && m.now.Since(m.beaten) > deadSilence
 }
 
@@ -418,9 +421,9 @@
 		Path: "/v1/runners/" + string(m.boot.Name) + "/poll", Body: body, Budget: pollWait}}})
 }
 
-func (m *Machine) ask() (a runnerapi.Ask) {
+func (m *Machine) ask() runnerapi.Ask {
 	b := m.beat
-	a = runnerapi.Ask{Agent: true, Inc: b.Runner, Seq: m.seq, Cores: b.Cap.Cores, Milli: b.Cap.Milli, Mem: b.Cap.Mem, GPUs: b.Cap.GPUs, Pool: b.Pool, Addr: m.boot.Addr,
+	a := runnerapi.Ask{Agent: true, Inc: b.Runner, Seq: m.seq, Cores: b.Cap.Cores, Milli: b.Cap.Milli, Mem: b.Cap.Mem, GPUs: b.Cap.GPUs, Pool: b.Pool, Addr: m.boot.Addr,
 		Labels: b.Labels, Domain: b.Domain, Rack: b.Rack, Mode: runnerapi.Active, Silent: m.now.Since(m.beaten), Finished: b.Finished}
 	if b.Draining {
 		a.Mode, a.Departs = runnerapi.Draining, max(0, b.Departs-m.now.Since(m.beaten))
@@ -566,7 +569,8 @@
 }
 
 // runs tells whether the last heartbeat showed this run.
-func (m *Machine) runs(r run) (yes bool) {
+func (m *Machine) runs(r run) bool {
+	var yes bool
 	for _, a := range m.beat.Active {
 		yes = yes || run{a.Task, a.Run} == r
 	}
--- a/internal/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -11,12 +11,12 @@
 	"orchidward/internal/transport/wire"
 )
 
-func begin() (m *Machine) {
+func begin() *Machine {
 	return New(Boot{Name: "m", Addr: "me", Domain: "d", Seeds: []string{"k1", "k2"}, Seed: 100, HoldMost: 6000, Pace: 100}, 0)
 }
 
-func beat(seq uint64, tasks ...string) (b Beat) {
-	b = Beat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Cap: job.Demand{Milli: 1000, Mem: 10}}
+func beat(seq uint64, tasks ...string) Beat {
+	b := Beat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Cap: job.Demand{Milli: 1000, Mem: 10}}
 	for _, t := range tasks {
 		b.Active = append(b.Active, runnerapi.RunState{Task: identifier.Ref{Job: identifier.Key(t)}, Run: 1})
 	}
@@ -37,7 +37,7 @@
 	return to, a
 }
 
-func answer(id uint64, a runnerapi.Answer) (msg wire.Msg) {
+func answer(id uint64, a runnerapi.Answer) wire.Msg {
 	a.GrantMs, a.StartMs = 5000, 1000
 	text, err := json.Marshal(a)
 	if err != nil {
--- a/internal/api/admission/rules.go
+++ b/internal/api/admission/rules.go
@@ -20,15 +20,16 @@
 }
 
 // Compile makes the programs of a checked table.
-func Compile(t *limits.Table) (r *Rules) {
-	r = &Rules{Epoch: t.Epoch, rows: map[identifier.Row][]Line{}}
+func Compile(t *limits.Table) *Rules {
+	r := &Rules{Epoch: t.Epoch, rows: map[identifier.Row][]Line{}}
 	for _, name := range t.Names() {
 		r.rows[name] = compile(t, name)
 	}
 	return r
 }
 
-func compile(t *limits.Table, row identifier.Row) (prog []Line) {
+func compile(t *limits.Table, row identifier.Row) []Line {
+	var prog []Line
 	limit := func(f Field, col, path, what string) {
 		prog = append(prog, Line{Op: Cap, Field: f, Limit: t.Num(row, col), Path: path, Why: what + " over the row's " + col})
 	}
@@ -54,7 +55,8 @@
 
 // Run passes a job through its row's program. used is the number of tasks
 // waiting in the row, or negative where that isn't known.
-func (r *Rules) Run(s *job.Spec, used int64, f *jsondoc.Faults) (v Verdict) {
+func (r *Rules) Run(s *job.Spec, used int64, f *jsondoc.Faults) Verdict {
+	var v Verdict
 	prog, ok := r.rows[s.Pending]
 	if !ok {
 		f.Sense("pending", "no such row in the table")
@@ -83,7 +85,8 @@
 	return v
 }
 
-func measure(s *job.Spec, field Field) (n int64) {
+func measure(s *job.Spec, field Field) int64 {
+	var n int64
 	switch field {
 	case Tasks:
 		return s.Tasks()
--- a/internal/api/admission/rules_test.go
+++ b/internal/api/admission/rules_test.go
@@ -17,8 +17,8 @@
 	row := now.Rows["default"]
 	row["maxTasks"], row["taskCores"], row["taskMemMb"], row["maxUrgency"], row["labels"], row["maxWaiting"] = "4", "2", "100", "3", "ssd std", "10"
 	r := Compile(now)
-	spec := func(change func(s *job.Spec)) (s *job.Spec) {
-		s = &job.Spec{Pending: "default", Urgency: 3, Steps: []job.Step{
+	spec := func(change func(s *job.Spec)) *job.Spec {
+		s := &job.Spec{Pending: "default", Urgency: 3, Steps: []job.Step{
 			{Name: "a", Tasks: 3, Demand: job.Demand{Cores: 2, Mem: 100}, Labels: []identifier.Label{"ssd"}}, {Name: "b", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}}}}
 		change(s)
 		return s
--- a/internal/api/catalog/catalog.go
+++ b/internal/api/catalog/catalog.go
@@ -58,7 +58,7 @@
 )
 
 // Deduplicated is the same catalogue with a Dedup in place of former records.
-func (c *Catalog) Deduplicated() (out *Catalog) {
+func (c *Catalog) Deduplicated() *Catalog {
 	if c.Dedup != nil {
 		return c
 	}
@@ -68,14 +68,15 @@
 }
 
 // Published is what operators read: the catalogue without its memory of changes.
-func (c *Catalog) Published() (out Catalog) {
-	out = *c
+func (c *Catalog) Published() Catalog {
+	out := *c
 	out.Former, out.Dedup = nil, nil
 	return out
 }
 
 // Has tells whether this very change is remembered as accepted.
-func (c *Catalog) Has(ch *Change) (yes bool) {
+func (c *Catalog) Has(ch *Change) bool {
+	var yes bool
 	if c.Dedup != nil {
 		return c.Dedup.has(ch)
 	}
@@ -87,12 +88,12 @@
 
 // MayHaveForgotten tells whether this change can have been accepted so long ago
 // that it is no longer remembered.
-func (c *Catalog) MayHaveForgotten(ch *Change) (yes bool) {
+func (c *Catalog) MayHaveForgotten(ch *Change) bool {
 	return c.Dedup != nil && c.Dedup.mayHaveForgotten(ch)
 }
 
 // Queue finds a queue by name.
-func (c *Catalog) Queue(name string) (q *Queue) {
+func (c *Catalog) Queue(name string) *Queue {
 	for i := range c.Queues {
 		if c.Queues[i].Name == name {
 			return &c.Queues[i]
@@ -134,7 +135,8 @@
 }
 
 // merge replaces items by name, adds new ones at the end, and drops some.
-func merge[T any](old, put []T, drop []string, name func(T) string) (out []T) {
+func merge[T any](old, put []T, drop []string, name func(T) string) []T {
+	var out []T
 	gone, at := map[string]bool{}, map[string]int{}
 	for _, n := range drop {
 		gone[n] = true
@@ -162,7 +164,7 @@
 	return out
 }
 
-func (c *Catalog) check(was uint64) (why string) {
+func (c *Catalog) check(was uint64) string {
 	if c.Version <= was {
 		return "the version is not above the current one"
 	}
@@ -205,7 +207,8 @@
 }
 
 // Places lists what the edge must know.
-func (c *Catalog) Places() (list []Place) {
+func (c *Catalog) Places() []Place {
+	var list []Place
 	for _, q := range c.Queues {
 		list = append(list, Place{q.Name, strings.ToLower(q.Host), q.Prefix})
 	}
@@ -213,8 +216,8 @@
 }
 
 // NewMap orders the places so that the longest prefix is met first.
-func NewMap(version uint64, list []Place) (m *Map) {
-	m = &Map{Version: version, hosts: map[string][]Place{}}
+func NewMap(version uint64, list []Place) *Map {
+	m := &Map{Version: version, hosts: map[string][]Place{}}
 	for _, p := range list {
 		m.hosts[p.Host] = append(m.hosts[p.Host], p)
 	}
--- a/internal/api/catalog/change.go
+++ b/internal/api/catalog/change.go
@@ -51,7 +51,7 @@
 	Rest json.RawMessage `json:"rest"`
 }
 
-func decode(text []byte, into any, f *jsondoc.Faults) (ok bool) {
+func decode(text []byte, into any, f *jsondoc.Faults) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
@@ -66,26 +66,26 @@
 }
 
 // ReadWhole reads a whole catalogue.
-func ReadWhole(text []byte, f *jsondoc.Faults) (c *Change) {
+func ReadWhole(text []byte, f *jsondoc.Faults) *Change {
 	var w whole
 	if !decode(text, &w, f) {
 		return nil
 	}
-	c = &Change{Whole: true, Queues: w.Queues, Pools: w.Pools, Source: w.Source}
+	c := &Change{Whole: true, Queues: w.Queues, Pools: w.Pools, Source: w.Source}
 	return c.finish(w.Base, w.Version, text, f)
 }
 
 // ReadPatch reads a change of named items.
-func ReadPatch(text []byte, f *jsondoc.Faults) (c *Change) {
+func ReadPatch(text []byte, f *jsondoc.Faults) *Change {
 	var p patch
 	if !decode(text, &p, f) {
 		return nil
 	}
-	c = &Change{Queues: p.Put.Queues, Pools: p.Put.Pools, DropQueues: p.Drop.Queues, DropPools: p.Drop.Pools, Source: p.Source}
+	c := &Change{Queues: p.Put.Queues, Pools: p.Put.Pools, DropQueues: p.Drop.Queues, DropPools: p.Drop.Pools, Source: p.Source}
 	return c.finish(p.Base, p.Version, text, f)
 }
 
-func (c *Change) finish(base, version *uint64, text []byte, f *jsondoc.Faults) (out *Change) {
+func (c *Change) finish(base, version *uint64, text []byte, f *jsondoc.Faults) *Change {
 	if base == nil || version == nil {
 		f.Sense("base", "base and version must be given")
 		return nil
--- a/internal/api/catalog/dedup.go
+++ b/internal/api/catalog/dedup.go
@@ -49,22 +49,23 @@
 	kindPatch   = "patch"
 )
 
-func (ch *Change) kind() (name string) {
+func (ch *Change) kind() string {
 	if ch.Whole {
 		return kindReplace
 	}
 	return kindPatch
 }
 
-func makeDigest(kind, sum string) (d digest) {
+func makeDigest(kind, sum string) digest {
+	var d digest
 	full := sha256.Sum256([]byte(kind + " " + sum))
 	copy(d[:], full[:])
 	return d
 }
 
 // newDedup takes over what a former program remembered.
-func newDedup(former []FormerRecord) (d *Dedup) {
-	d = &Dedup{}
+func newDedup(former []FormerRecord) *Dedup {
+	d := &Dedup{}
 	for _, record := range former {
 		d.add(record.Version, makeDigest(kindFormer, record.Sum))
 	}
@@ -75,13 +76,14 @@
 }
 
 // Len is the number of remembered changes.
-func (d *Dedup) Len() (n int) { return len(d.Records) / recordSize }
+func (d *Dedup) Len() int { return len(d.Records) / recordSize }
 
-func (d *Dedup) version(i int) (version uint64) {
+func (d *Dedup) version(i int) uint64 {
 	return binary.BigEndian.Uint64(d.Records[i*recordSize:])
 }
 
-func (d *Dedup) digest(i int) (sum digest) {
+func (d *Dedup) digest(i int) digest {
+	var sum digest
 	copy(sum[:], d.Records[i*recordSize+8:])
 	return sum
 }
@@ -101,7 +103,7 @@
 }
 
 // has tells whether the change is remembered as accepted.
-func (d *Dedup) has(ch *Change) (yes bool) {
+func (d *Dedup) has(ch *Change) bool {
 	i, ok := d.find(ch.Version)
 	if !ok {
 		return false
@@ -112,14 +114,14 @@
 
 // mayHaveForgotten tells whether the change can have been accepted and
 // forgotten since. A version at or below its own base was never accepted.
-func (d *Dedup) mayHaveForgotten(ch *Change) (yes bool) {
+func (d *Dedup) mayHaveForgotten(ch *Change) bool {
 	return ch.Base < ch.Version && ch.Version <= d.Horizon
 }
 
 // with is the memory after a change was accepted; the one it is called on
 // stays as it is.
-func (d *Dedup) with(ch *Change) (out *Dedup) {
-	out = &Dedup{Records: slices.Clone(d.Records), Horizon: d.Horizon}
+func (d *Dedup) with(ch *Change) *Dedup {
+	out := &Dedup{Records: slices.Clone(d.Records), Horizon: d.Horizon}
 	out.add(ch.Version, makeDigest(ch.kind(), ch.Sum))
 	return out
 }
--- a/internal/api/identifier/ids.go
+++ b/internal/api/identifier/ids.go
@@ -44,7 +44,7 @@
 
 // MakeKey joins a client's name and its own id for the job. Both must be plain
 // names, so that Split finds them again.
-func MakeKey(agent Agent, id JobID) (key Key) { return Key(string(agent) + "/" + string(id)) }
+func MakeKey(agent Agent, id JobID) Key { return Key(string(agent) + "/" + string(id)) }
 
 // Split takes a key apart at its first slash.
 func (k Key) Split() (agent Agent, id JobID) {
@@ -52,7 +52,7 @@
 	return Agent(a), JobID(b)
 }
 
-func (n Node) String() (text string) { return fmt.Sprintf("%016x", uint64(n)) }
+func (n Node) String() string { return fmt.Sprintf("%016x", uint64(n)) }
 
 // ParseNode reads what Node.String writes: up to 16 hexadecimal digits, not all
 // zero.
@@ -63,7 +63,7 @@
 
 // Plain tells whether a name given from outside may be used: letters, digits,
 // dot, dash and underscore, at most 64 of them.
-func Plain(text string) (ok bool) {
+func Plain(text string) bool {
 	if text == "" || len(text) > 64 {
 		return false
 	}
--- a/internal/api/identifier/ref.go
+++ b/internal/api/identifier/ref.go
@@ -13,4 +13,4 @@
 	Num  int `json:"num"`
 }
 
-func (r Ref) String() (text string) { return fmt.Sprintf("%s/%d/%d", r.Job, r.Step, r.Num) }
+func (r Ref) String() string { return fmt.Sprintf("%s/%d/%d", r.Job, r.Step, r.Num) }
--- a/internal/api/identifier/time.go
+++ b/internal/api/identifier/time.go
@@ -22,16 +22,16 @@
 )
 
 // Add is the time s later, or earlier when s is negative.
-func (m Mono) Add(s Span) (out Mono) { return m + Mono(s) }
+func (m Mono) Add(s Span) Mono { return m + Mono(s) }
 
 // Since is the span from then to m, negative when m is the earlier one.
-func (m Mono) Since(then Mono) (span Span) { return Span(m - then) }
+func (m Mono) Since(then Mono) Span { return Span(m - then) }
 
 // Add is the time s later, or earlier when s is negative.
-func (m Millis) Add(s Span) (out Millis) { return m + Millis(s) }
+func (m Millis) Add(s Span) Millis { return m + Millis(s) }
 
 // Time is the same moment as a time.Time in UTC.
-func (m Millis) Time() (out time.Time) { return time.UnixMilli(int64(m)).UTC() }
+func (m Millis) Time() time.Time { return time.UnixMilli(int64(m)).UTC() }
 
 // Real is the same length as a time.Duration.
-func (s Span) Real() (out time.Duration) { return time.Duration(s) * time.Millisecond }
+func (s Span) Real() time.Duration { return time.Duration(s) * time.Millisecond }
--- a/internal/api/job/demand.go
+++ b/internal/api/job/demand.go
@@ -14,31 +14,32 @@
 }
 
 // CPU is the processor asked for, in thousandths of a core.
-func (d Demand) CPU() (milli int64) { return d.Cores*1000 + d.Milli }
+func (d Demand) CPU() int64 { return d.Cores*1000 + d.Milli }
 
 // Fits tells whether d is no more than room in processor, memory and
 // accelerators.
-func (d Demand) Fits(room Demand) (ok bool) {
+func (d Demand) Fits(room Demand) bool {
 	return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs
 }
 
 // Under tells whether d keeps within a limit that says nothing of accelerators.
-func (d Demand) Under(limit Demand) (ok bool) {
+func (d Demand) Under(limit Demand) bool {
 	return d.CPU() <= limit.CPU() && d.Mem <= limit.Mem
 }
 
 // Plus adds field by field.
-func (d Demand) Plus(b Demand) (out Demand) {
+func (d Demand) Plus(b Demand) Demand {
 	return Demand{d.Cores + b.Cores, d.Mem + b.Mem, d.Milli + b.Milli, d.GPUs + b.GPUs}
 }
 
 // Minus subtracts field by field; it does not stop at zero.
-func (d Demand) Minus(b Demand) (out Demand) {
+func (d Demand) Minus(b Demand) Demand {
 	return Demand{d.Cores - b.Cores, d.Mem - b.Mem, d.Milli - b.Milli, d.GPUs - b.GPUs}
 }
 
 // Share is the largest of the shares of whole, in millionths.
-func (d Demand) Share(whole Demand) (out int64) {
+func (d Demand) Share(whole Demand) int64 {
+	var out int64
 	if whole.CPU() > 0 {
 		out = d.CPU() * 1_000_000 / whole.CPU()
 	}
--- a/internal/api/job/read.go
+++ b/internal/api/job/read.go
@@ -31,13 +31,13 @@
 // Read reads and checks the JSON of a job. Faults are added to f; the result is
 // nil when the text is not one JSON object, and must not be used when there are
 // any faults.
-func Read(text []byte, f *jsondoc.Faults) (s *Spec) {
+func Read(text []byte, f *jsondoc.Faults) *Spec {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
 	queued := o.Has("queue")
-	s = &Spec{Pending: identifier.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
+	s := &Spec{Pending: identifier.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
 	if queued {
 		readQueued(o, s)
 	}
@@ -112,7 +112,8 @@
 	s.Saves = o.Bool("saves", false)
 }
 
-func readStep(o *jsondoc.Obj, queued bool) (s Step) {
+func readStep(o *jsondoc.Obj, queued bool) Step {
+	var s Step
 	s.Name = o.Name("name", true)
 	s.After = o.Names("after", MaxSteps)
 	s.Tasks = o.Int("tasks", 1, 1, MaxTasks)
@@ -173,7 +174,7 @@
 }
 
 // Sum identifies the content: the hash of the normal form.
-func (s *Spec) Sum() (sum string) {
+func (s *Spec) Sum() string {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
--- a/internal/api/job/spec.go
+++ b/internal/api/job/spec.go
@@ -29,10 +29,11 @@
 }
 
 // At is when the k-th time is due.
-func (r *Repeat) At(k int64) (at identifier.Millis) { return r.First.Add(identifier.Span(k) * r.Every) }
+func (r *Repeat) At(k int64) identifier.Millis { return r.First.Add(identifier.Span(k) * r.Every) }
 
 // Tasks is the number of tasks in all steps.
-func (s *Spec) Tasks() (sum int64) {
+func (s *Spec) Tasks() int64 {
+	var sum int64
 	for _, one := range s.Steps {
 		sum += one.Tasks
 	}
@@ -40,10 +41,11 @@
 }
 
 // Timed tells whether the job has an appointed start.
-func (s *Spec) Timed() (yes bool) { return s.NotBefore > 0 || s.Delay > 0 || s.Repeat != nil }
+func (s *Spec) Timed() bool { return s.NotBefore > 0 || s.Delay > 0 || s.Repeat != nil }
 
 // Lasts tells whether some of it goes on until the job is cancelled.
-func (s *Spec) Lasts() (yes bool) {
+func (s *Spec) Lasts() bool {
+	var yes bool
 	for _, one := range s.Steps {
 		yes = yes || one.Lasting
 	}
@@ -51,7 +53,8 @@
 }
 
 // Chain is the longest chain of work through the steps, by their rough spans.
-func (s *Spec) Chain() (span identifier.Span) {
+func (s *Spec) Chain() identifier.Span {
+	var span identifier.Span
 	at := make([]identifier.Span, len(s.Steps))
 	for range s.Steps {
 		for i, one := range s.Steps {
--- a/internal/api/jsondoc/fault.go
+++ b/internal/api/jsondoc/fault.go
@@ -39,10 +39,10 @@
 func (f *Faults) Sense(path string, why string, args ...any) { f.add(false, path, why, args...) }
 
 // Any tells whether there are any faults.
-func (f *Faults) Any() (bad bool) { return len(f.List) > 0 }
+func (f *Faults) Any() bool { return len(f.List) > 0 }
 
 // Status is the HTTP status the gathered faults call for.
-func (f *Faults) Status() (code int) {
+func (f *Faults) Status() int {
 	for _, one := range f.List {
 		if one.Shape {
 			return 400
--- a/internal/api/jsondoc/obj.go
+++ b/internal/api/jsondoc/obj.go
@@ -21,17 +21,17 @@
 	f    *Faults
 }
 
-func (o *Obj) at(key string) (path string) { return join(o.path, key) }
+func (o *Obj) at(key string) string { return join(o.path, key) }
 
 // Path is the path of a field from the top of the document, for faults.
-func (o *Obj) Path(key string) (path string) { return o.at(key) }
+func (o *Obj) Path(key string) string { return o.at(key) }
 
 // Faults is the list that this object's faults go to.
-func (o *Obj) Faults() (f *Faults) { return o.f }
+func (o *Obj) Faults() *Faults { return o.f }
 
 // Has tells whether the field is there and not null. It does not mark it as
 // read.
-func (o *Obj) Has(key string) (ok bool) {
+func (o *Obj) Has(key string) bool {
 	v, ok := o.vals[key]
 	return ok && v != nil
 }
@@ -43,7 +43,8 @@
 }
 
 // Keys lists the fields in alphabetical order, null ones included.
-func (o *Obj) Keys() (keys []string) {
+func (o *Obj) Keys() []string {
+	var keys []string
 	for k := range o.vals {
 		keys = append(keys, k)
 	}
@@ -53,7 +54,8 @@
 
 // Text reads a string, or returns def when the field is missing or, with a
 // fault, of another type.
-func (o *Obj) Text(key, def string) (out string) {
+func (o *Obj) Text(key, def string) string {
+	var out string
 	val, ok := o.take(key)
 	if !ok {
 		return def
@@ -68,8 +70,8 @@
 
 // Name reads a string that must be a plain name; need makes it a fault to
 // leave it out.
-func (o *Obj) Name(key string, need bool) (out string) {
-	out = o.Text(key, "")
+func (o *Obj) Name(key string, need bool) string {
+	out := o.Text(key, "")
 	if out == "" && !need && !o.Has(key) {
 		return ""
 	}
@@ -84,7 +86,7 @@
 
 // Int reads a whole number from low to high, or returns def when the field is
 // missing or, with a fault, not such a number. def itself is not checked.
-func (o *Obj) Int(key string, def, low, high int64) (out int64) {
+func (o *Obj) Int(key string, def, low, high int64) int64 {
 	val, ok := o.take(key)
 	if !ok {
 		return def
@@ -92,7 +94,7 @@
 	return o.num(val, o.at(key), def, low, high)
 }
 
-func (o *Obj) num(val any, path string, def, low, high int64) (out int64) {
+func (o *Obj) num(val any, path string, def, low, high int64) int64 {
 	n, ok := val.(json.Number)
 	if !ok {
 		o.f.Shape(path, "want a whole number")
@@ -114,7 +116,7 @@
 	return out
 }
 
-func whole(text string) (ok bool) {
+func whole(text string) bool {
 	for i, c := range text {
 		if (c < '0' || c > '9') && !(i == 0 && c == '-') {
 			return false
@@ -125,7 +127,8 @@
 
 // Bool reads true or false, or returns def when the field is missing or, with a
 // fault, of another type.
-func (o *Obj) Bool(key string, def bool) (out bool) {
+func (o *Obj) Bool(key string, def bool) bool {
+	var out bool
 	val, ok := o.take(key)
 	if !ok {
 		return def
@@ -139,8 +142,8 @@
 }
 
 // OneOf reads a word out of a short list.
-func (o *Obj) OneOf(key, def string, words ...string) (out string) {
-	out = o.Text(key, def)
+func (o *Obj) OneOf(key, def string, words ...string) string {
+	out := o.Text(key, def)
 	for _, w := range words {
 		if out == w {
 			return out
@@ -152,7 +155,8 @@
 
 // Names reads a list of at most limit plain names and returns them sorted. Entries
 // that are no plain name are left out, with a fault each.
-func (o *Obj) Names(key string, limit int) (out []string) {
+func (o *Obj) Names(key string, limit int) []string {
+	var out []string
 	val, ok := o.take(key)
 	if !ok {
 		return nil
@@ -183,7 +187,8 @@
 }
 
 // List hands out the objects of a list, each with its own path.
-func (o *Obj) List(key string, limit int) (out []*Obj) {
+func (o *Obj) List(key string, limit int) []*Obj {
+	var out []*Obj
 	val, ok := o.take(key)
 	if !ok {
 		return nil
@@ -211,7 +216,7 @@
 
 // Sub reads an object within this one, nil when the field is missing or, with a
 // fault, of another type.
-func (o *Obj) Sub(key string) (out *Obj) {
+func (o *Obj) Sub(key string) *Obj {
 	val, ok := o.take(key)
 	if !ok {
 		return nil
@@ -254,7 +259,8 @@
 func (o *Obj) Skip(key string) { o.seen[key] = true }
 
 // Ints reads a list of whole numbers from 0 up.
-func (o *Obj) Ints(key string, limit int) (out []int64) {
+func (o *Obj) Ints(key string, limit int) []int64 {
+	var out []int64
 	val, ok := o.take(key)
 	if !ok {
 		return nil
--- a/internal/api/jsondoc/parse.go
+++ b/internal/api/jsondoc/parse.go
@@ -15,7 +15,7 @@
 // Parse reads one JSON object. It returns nil, with a fault in f, when the text
 // is not valid JSON, has a key twice, is nested deeper than 16 levels, is no
 // object, or is followed by other data.
-func Parse(text []byte, f *Faults) (o *Obj) {
+func Parse(text []byte, f *Faults) *Obj {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
 	val, err := read(dec, "", 0)
@@ -35,7 +35,7 @@
 	return &Obj{vals: m, seen: map[string]bool{}, f: f}
 }
 
-func read(dec *json.Decoder, path string, depth int) (val any, err error) {
+func read(dec *json.Decoder, path string, depth int) (any, error) {
 	if depth > deep {
 		return nil, fmt.Errorf("nested deeper than %d at %q", deep, path)
 	}
@@ -54,7 +54,7 @@
 	}
 }
 
-func readMap(dec *json.Decoder, path string, depth int) (val any, err error) {
+func readMap(dec *json.Decoder, path string, depth int) (any, error) {
 	m := map[string]any{}
 	for dec.More() {
 		tok, err := dec.Token()
@@ -72,11 +72,11 @@
 			return nil, err
 		}
 	}
-	_, err = dec.Token()
+	_, err := dec.Token()
 	return m, err
 }
 
-func readList(dec *json.Decoder, path string, depth int) (val any, err error) {
+func readList(dec *json.Decoder, path string, depth int) (any, error) {
 	list := []any{}
 	for dec.More() {
 		one, err := read(dec, fmt.Sprintf("%s[%d]", path, len(list)), depth+1)
@@ -85,11 +85,11 @@
 		}
 		list = append(list, one)
 	}
-	_, err = dec.Token()
+	_, err := dec.Token()
 	return list, err
 }
 
-func join(path, key string) (out string) {
+func join(path, key string) string {
 	if path == "" {
 		return key
 	}
--- a/internal/api/jsondoc/trouble.go
+++ b/internal/api/jsondoc/trouble.go
@@ -19,7 +19,7 @@
 }
 
 // JSON is the response body: an object with the single field "error".
-func (t Trouble) JSON() (text []byte) {
+func (t Trouble) JSON() []byte {
 	text, err := json.Marshal(map[string]Trouble{"error": t})
 	if err != nil {
 		panic(err)
@@ -28,7 +28,7 @@
 }
 
 // Bad is the body for gathered faults.
-func (f *Faults) Bad() (text []byte) {
+func (f *Faults) Bad() []byte {
 	code := "bad-request"
 	if f.Status() == 422 {
 		code = "unprocessable"
--- a/internal/api/limits/change.go
+++ b/internal/api/limits/change.go
@@ -23,7 +23,7 @@
 	Drop  map[identifier.Row]bool              `json:"drop,omitempty"`
 }
 
-func (c *Change) names(cell string) (ok bool) {
+func (c *Change) names(cell string) bool {
 	row, col, _ := strings.Cut(cell, ".")
 	if c.Drop[identifier.Row(row)] {
 		return true
@@ -39,12 +39,12 @@
 // ReadWhole reads a change that replaces the whole table. Faults are added to f;
 // the result is nil when the text is not one JSON object, and must not be
 // applied when there are any faults.
-func ReadWhole(text []byte, f *jsondoc.Faults) (c *Change) {
+func ReadWhole(text []byte, f *jsondoc.Faults) *Change {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	c = &Change{Whole: true, Rows: map[identifier.Row]map[string]string{}}
+	c := &Change{Whole: true, Rows: map[identifier.Row]map[string]string{}}
 	readBase(o, c)
 	c.Rows[SiteRow] = readRow(o.Sub("site"), SiteRow)
 	rows := o.Sub("rows")
@@ -70,12 +70,12 @@
 // ReadPatch reads a change of single cells and rows. Faults are added to f; the
 // result is nil when the text is not one JSON object, and must not be applied
 // when there are any faults.
-func ReadPatch(text []byte, f *jsondoc.Faults) (c *Change) {
+func ReadPatch(text []byte, f *jsondoc.Faults) *Change {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	c = &Change{Rows: map[identifier.Row]map[string]string{}, Drop: map[identifier.Row]bool{}}
+	c := &Change{Rows: map[identifier.Row]map[string]string{}, Drop: map[identifier.Row]bool{}}
 	readBase(o, c)
 	for _, r := range o.Names("drop", maxRows) {
 		if r == string(SiteRow) {
@@ -106,7 +106,7 @@
 	return c
 }
 
-func rowName(name string) (ok bool) {
+func rowName(name string) bool {
 	return identifier.Plain(name) && !strings.Contains(name, ".") && name != string(SiteRow)
 }
 
@@ -117,8 +117,8 @@
 	c.Base = identifier.Epoch(o.Int("base", 0, 0, 1<<53))
 }
 
-func readRow(o *jsondoc.Obj, row identifier.Row) (cells map[string]string) {
-	cells = map[string]string{}
+func readRow(o *jsondoc.Obj, row identifier.Row) map[string]string {
+	cells := map[string]string{}
 	if o == nil {
 		return cells
 	}
@@ -151,7 +151,8 @@
 }
 
 // Policies tells whether the change touches a policy cell.
-func (c *Change) Policies() (yes bool) {
+func (c *Change) Policies() bool {
+	var yes bool
 	for r, cells := range c.Rows {
 		for k := range cells {
 			yes = yes || source(r, k)
@@ -161,7 +162,7 @@
 }
 
 // JSON shows the table as the whole-table form reads it back.
-func (t *Table) JSON() (text []byte) {
+func (t *Table) JSON() []byte {
 	rows := map[string]map[string]any{}
 	for _, r := range t.Names() {
 		rows[string(r)] = show(Columns, t.Rows[r])
@@ -174,8 +175,8 @@
 	return text
 }
 
-func show(cols []Column, row map[string]string) (out map[string]any) {
-	out = map[string]any{}
+func show(cols []Column, row map[string]string) map[string]any {
+	out := map[string]any{}
 	for _, c := range cols {
 		text := row[c.Name]
 		if n, err := strconv.ParseInt(text, 10, 64); err == nil && c.Words == nil && !c.Set && !c.Source {
--- a/internal/api/limits/column.go
+++ b/internal/api/limits/column.go
@@ -78,7 +78,7 @@
 }
 
 // source tells whether a cell holds a policy.
-func source(row identifier.Row, name string) (yes bool) {
+func source(row identifier.Row, name string) bool {
 	col, _ := Find(row, name)
 	return col.Source
 }
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -26,15 +26,15 @@
 const maxRows = 512
 
 // First is the table of a site that has configured nothing yet: one row.
-func First() (t *Table) {
-	t = &Table{Epoch: 1, Rows: map[identifier.Row]map[string]string{}, Marks: map[string]identifier.Epoch{}}
+func First() *Table {
+	t := &Table{Epoch: 1, Rows: map[identifier.Row]map[string]string{}, Marks: map[string]identifier.Epoch{}}
 	t.Rows[SiteRow] = fill(Site, nil)
 	t.Rows["default"] = fill(Columns, nil)
 	return t
 }
 
-func fill(cols []Column, from map[string]string) (row map[string]string) {
-	row = map[string]string{}
+func fill(cols []Column, from map[string]string) map[string]string {
+	row := map[string]string{}
 	for _, c := range cols {
 		text, ok := from[c.Name]
 		switch {
@@ -48,25 +48,26 @@
 }
 
 // Cell is the text of a cell, empty when there is no such cell.
-func (t *Table) Cell(row identifier.Row, name string) (text string) { return t.Rows[row][name] }
+func (t *Table) Cell(row identifier.Row, name string) string { return t.Rows[row][name] }
 
 // Num is the value of a numeric cell, 0 when it is missing or no number.
-func (t *Table) Num(row identifier.Row, name string) (n int64) {
-	n, _ = strconv.ParseInt(t.Rows[row][name], 10, 64)
+func (t *Table) Num(row identifier.Row, name string) int64 {
+	n, _ := strconv.ParseInt(t.Rows[row][name], 10, 64)
 	return n
 }
 
 // Site is a site-wide span in milliseconds.
-func (t *Table) Site(name string) (s identifier.Span) { return identifier.Span(t.Num(SiteRow, name)) }
+func (t *Table) Site(name string) identifier.Span { return identifier.Span(t.Num(SiteRow, name)) }
 
 // Has tells whether the table has this pending row; SiteRow is none.
-func (t *Table) Has(row identifier.Row) (ok bool) {
-	_, ok = t.Rows[row]
+func (t *Table) Has(row identifier.Row) bool {
+	_, ok := t.Rows[row]
 	return ok && row != SiteRow
 }
 
 // Names lists the pending rows in order, the site row left out.
-func (t *Table) Names() (out []identifier.Row) {
+func (t *Table) Names() []identifier.Row {
+	var out []identifier.Row
 	for r := range t.Rows {
 		if r != SiteRow {
 			out = append(out, r)
@@ -77,7 +78,8 @@
 }
 
 // Clash names the cells of the change that were changed after its base.
-func (t *Table) Clash(c *Change) (cells []string) {
+func (t *Table) Clash(c *Change) []string {
+	var cells []string
 	if c.Base < t.Floor || c.Base > t.Epoch {
 		return []string{"*"}
 	}
@@ -91,7 +93,8 @@
 }
 
 // Dropped lists the rows that the change would take away.
-func (t *Table) Dropped(c *Change) (rows []identifier.Row) {
+func (t *Table) Dropped(c *Change) []identifier.Row {
+	var rows []identifier.Row
 	for _, r := range t.Names() {
 		if _, kept := c.Rows[r]; c.Drop[r] || (c.Whole && !kept) {
 			rows = append(rows, r)
@@ -102,7 +105,7 @@
 
 // Apply makes the change as one epoch; the caller has asked Clash first. It
 // changes nothing and says false when the rows would become too many.
-func (t *Table) Apply(c *Change) (ok bool) {
+func (t *Table) Apply(c *Change) bool {
 	sum := len(t.Rows) - len(t.Dropped(c))
 	for r := range c.Rows {
 		if _, had := t.Rows[r]; !had {
--- a/internal/api/limits/table_test.go
+++ b/internal/api/limits/table_test.go
@@ -8,7 +8,8 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-func patch(t *testing.T, text string) (c *Change) {
+func patch(t *testing.T, text string) *Change {
+	var c *Change
 	t.Helper()
 	var f jsondoc.Faults
 	if c = ReadPatch([]byte(text), &f); f.Any() {
--- a/internal/api/runnerapi/poll.go
+++ b/internal/api/runnerapi/poll.go
@@ -97,12 +97,12 @@
 )
 
 // readSlowly reads any poll, and names each of its faults.
-func readSlowly(text []byte, f *jsondoc.Faults) (a *Ask) {
+func readSlowly(text []byte, f *jsondoc.Faults) *Ask {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	a = &Ask{Inc: identifier.Inc(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
+	a := &Ask{Inc: identifier.Inc(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
 	low := int64(1)
 	if o.Has("agent") {
 		low = 0
--- a/internal/api/runnerapi/run.go
+++ b/internal/api/runnerapi/run.go
@@ -78,9 +78,10 @@
 	}
 }
 
-func readRun(o *jsondoc.Obj) (no uint64) { return uint64(o.Int("run", 0, 0, 1<<53)) }
+func readRun(o *jsondoc.Obj) uint64 { return uint64(o.Int("run", 0, 0, 1<<53)) }
 
-func readSaved(o *jsondoc.Obj) (text string) {
+func readSaved(o *jsondoc.Obj) string {
+	var text string
 	if text = o.Text("saved", ""); len(text) > MaxSaved {
 		o.Faults().Sense(o.Path("saved"), "at most %d bytes", MaxSaved)
 		return ""
@@ -88,7 +89,8 @@
 	return text
 }
 
-func readTask(o *jsondoc.Obj) (r identifier.Ref) {
+func readTask(o *jsondoc.Obj) identifier.Ref {
+	var r identifier.Ref
 	t := o.Sub("task")
 	if t == nil {
 		return r
--- a/internal/api/runnerapi/scan.go
+++ b/internal/api/runnerapi/scan.go
@@ -15,8 +15,8 @@
 )
 
 // Read checks a poll and gathers its faults.
-func Read(text []byte, f *jsondoc.Faults) (a *Ask) {
-	if a = scan(text); a != nil {
+func Read(text []byte, f *jsondoc.Faults) *Ask {
+	if a := scan(text); a != nil {
 		return a
 	}
 	return readSlowly(text, f)
@@ -31,9 +31,9 @@
 }
 
 // scan reads a sound poll, or gives nil.
-func scan(text []byte) (a *Ask) {
+func scan(text []byte) *Ask {
 	s := &scanner{text: string(text)}
-	a = &Ask{Mode: Active}
+	a := &Ask{Mode: Active}
 	seen := s.object(askFields, func(i int) {
 		switch askFields[i] {
 		case "incarnation":
@@ -120,7 +120,8 @@
 	}
 }
 
-func (s *scanner) end() (e End) {
+func (s *scanner) end() End {
+	var e End
 	seen := s.object(endFields, func(i int) {
 		switch endFields[i] {
 		case "grant":
@@ -135,7 +136,8 @@
 	return e
 }
 
-func (s *scanner) runState() (r RunState) {
+func (s *scanner) runState() RunState {
+	var r RunState
 	s.object(runFields, func(i int) {
 		switch runFields[i] {
 		case "task":
@@ -155,7 +157,8 @@
 	return r
 }
 
-func (s *scanner) runEnd() (e RunEnd) {
+func (s *scanner) runEnd() RunEnd {
+	var e RunEnd
 	seen := s.object(overFields, func(i int) {
 		switch overFields[i] {
 		case "n":
@@ -174,7 +177,8 @@
 	return e
 }
 
-func (s *scanner) runStop() (r RunStop) {
+func (s *scanner) runStop() RunStop {
+	var r RunStop
 	s.object(goneFields, func(i int) {
 		switch goneFields[i] {
 		case "task":
@@ -186,7 +190,8 @@
 	return r
 }
 
-func (s *scanner) task() (r identifier.Ref) {
+func (s *scanner) task() identifier.Ref {
+	var r identifier.Ref
 	s.object(taskFields, func(i int) {
 		switch taskFields[i] {
 		case "job":
@@ -203,10 +208,11 @@
 // given is a set of an object's fields, by their places in its list.
 type given uint32
 
-func (g given) has(i int) (yes bool) { return g&(1<<i) != 0 }
+func (g given) has(i int) bool { return g&(1<<i) != 0 }
 
 // object reads an object that has none but these fields, and each at most once.
-func (s *scanner) object(names []string, value func(i int)) (seen given) {
+func (s *scanner) object(names []string, value func(i int)) given {
+	var seen given
 	if s.token('{'); s.next('}') {
 		return 0
 	}
@@ -264,7 +270,7 @@
 }
 
 // next takes a token if it comes next.
-func (s *scanner) next(c byte) (ok bool) {
+func (s *scanner) next(c byte) bool {
 	s.space()
 	if s.at >= len(s.text) || s.text[s.at] != c {
 		return false
@@ -276,7 +282,7 @@
 func (s *scanner) token(c byte) { s.bad = !s.next(c) || s.bad }
 
 // string is a part of the text wherever that holds the string as it is.
-func (s *scanner) string() (out string) {
+func (s *scanner) string() string {
 	s.token('"')
 	from := s.at
 	plain := true
@@ -301,25 +307,26 @@
 	return ""
 }
 
-func (s *scanner) unquote(quoted string) (out string) {
+func (s *scanner) unquote(quoted string) string {
+	var out string
 	s.bad = json.Unmarshal([]byte(quoted), &out) != nil
 	return out
 }
 
-func (s *scanner) name() (out string) {
-	out = s.string()
+func (s *scanner) name() string {
+	out := s.string()
 	s.bad = s.bad || !identifier.Plain(out)
 	return out
 }
 
-func (s *scanner) saved() (out string) {
-	out = s.string()
+func (s *scanner) saved() string {
+	out := s.string()
 	s.bad = s.bad || len(out) > MaxSaved
 	return out
 }
 
-func (s *scanner) word(words ...string) (out string) {
-	out = s.string()
+func (s *scanner) word(words ...string) string {
+	out := s.string()
 	for _, w := range words {
 		if out == w {
 			return w
@@ -331,7 +338,8 @@
 
 // int reads a whole number without sign, point or exponent; none here may be
 // below 0, and 17 digits hold the greatest.
-func (s *scanner) int(low, high int64) (n int64) {
+func (s *scanner) int(low, high int64) int64 {
+	var n int64
 	s.space()
 	from := s.at
 	for ; s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9'; s.at++ {
@@ -348,7 +356,7 @@
 	return n
 }
 
-func (s *scanner) bool() (yes bool) {
+func (s *scanner) bool() bool {
 	s.space()
 	switch rest := s.text[min(s.at, len(s.text)):]; {
 	case strings.HasPrefix(rest, "true"):
--- a/internal/api/runnerapi/scan_test.go
+++ b/internal/api/runnerapi/scan_test.go
@@ -27,13 +27,13 @@
 }
 
 // sample is a sound poll, most of whose fields are left out at random.
-func sample(rnd *rand.Rand) (a Ask) {
+func sample(rnd *rand.Rand) Ask {
 	texts := []string{"", "x", "a b", "q\"uo\\te", "ünï", "\u2028<&>", "a\x01b", strings.Repeat("s", 40)}
 	some := func() string { return texts[rnd.Intn(len(texts))] }
 	task := func() identifier.Ref {
 		return identifier.Ref{Job: identifier.Key("q/" + some()), Step: rnd.Intn(3), Num: rnd.Intn(1 << 20)}
 	}
-	a = Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: identifier.Span(rnd.Intn(3))}
+	a := Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: identifier.Span(rnd.Intn(3))}
 	for i := rnd.Intn(4); i > 0; i-- {
 		a.Labels = append(a.Labels, identifier.Label(fmt.Sprintf("l%d", rnd.Intn(9))))
 		a.Running = append(a.Running, identifier.Grant(rnd.Intn(3)))
@@ -57,7 +57,7 @@
 	"99999999999999999999", "1099511627776", "1048577", "true", "false", "null", `""`, `"x"`, `"well"`, `"alone"`, `"agent":true,`, `"agent":false,`, `"seq":1,`, `"Seq":1,`, `"rack":"",`, `"run":1,`, `"how":"well",`, `"task":{},`, `"extra":1,`, `"left":true,`, "[]", "{}"}
 
 // mutate spoils a text, or may: parts put in or taken out, values changed.
-func mutate(rnd *rand.Rand, text string) (out string) {
+func mutate(rnd *rand.Rand, text string) string {
 	for n := 1 + rnd.Intn(2); n > 0 && len(text) > 0; n-- {
 		at := rnd.Intn(len(text) + 1)
 		part := parts[rnd.Intn(len(parts))]
--- a/internal/consensus/raft/backlog.go
+++ b/internal/consensus/raft/backlog.go
@@ -21,14 +21,14 @@
 }
 
 // Len is the number of queued writes.
-func (b *Backlog) Len() (n int) { return len(b.list) }
+func (b *Backlog) Len() int { return len(b.list) }
 
 // Bytes is the size of the queued entries and snapshots together.
-func (b *Backlog) Bytes() (n int) { return b.bytes }
+func (b *Backlog) Bytes() int { return b.bytes }
 
 // Next takes what is first in line, and with it all that can be written at
 // once. A view goes alone, as what came before it must be down first.
-func (b *Backlog) Next() (w *Write) {
+func (b *Backlog) Next() *Write {
 	if len(b.list) == 0 {
 		return nil
 	}
@@ -59,7 +59,8 @@
 	w.Entries = append(append([]Entry(nil), w.Entries[:n]...), next.Entries...)
 }
 
-func (w *Write) size() (n int) {
+func (w *Write) size() int {
+	var n int
 	for _, e := range w.Entries {
 		n += e.size()
 	}
--- a/internal/consensus/raft/changes_test.go
+++ b/internal/consensus/raft/changes_test.go
@@ -27,10 +27,10 @@
 	weighed map[identifier.Node][3]identifier.Index
 }
 
-func newChanges(t *testing.T, seed int64, stateBytes int) (c *changes) {
+func newChanges(t *testing.T, seed int64, stateBytes int) *changes {
 	g := weather(seed)
 	g.disk, g.size, g.want, g.most, g.hostsMost = 2, changeBytes, 3, 6, 6
-	c = &changes{group: g, t: t, state: bytes.Repeat([]byte("s"), stateBytes), loads: map[identifier.Index]bool{}, weighed: map[identifier.Node][3]identifier.Index{}}
+	c := &changes{group: g, t: t, state: bytes.Repeat([]byte("s"), stateBytes), loads: map[identifier.Index]bool{}, weighed: map[identifier.Node][3]identifier.Index{}}
 	list := []Member{}
 	for i := 1; i <= 3; i++ {
 		list = append(list, Member{ID: identifier.Node(i), Addr: fmt.Sprint(i), Voter: true})
@@ -96,7 +96,7 @@
 
 // catchUp wants a member within some entries of the group in so many ms, while
 // changes go on coming.
-func (c *changes) catchUp(h *host, ms int64) (took int64) {
+func (c *changes) catchUp(h *host, ms int64) int64 {
 	c.t.Helper()
 	start := c.now
 	for c.now < start+ms {
@@ -109,7 +109,7 @@
 	return 0
 }
 
-func (c *changes) follower() (h *host) {
+func (c *changes) follower() *host {
 	for _, one := range c.hosts {
 		if one.up && one != c.head() {
 			return one
--- a/internal/consensus/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -38,7 +38,7 @@
 }
 
 // state is what a snapshot of a member's state holds.
-func (h *host) state() (data []byte) { return binary.BigEndian.AppendUint64(nil, h.sum) }
+func (h *host) state() []byte { return binary.BigEndian.AppendUint64(nil, h.sum) }
 
 func (h *host) restore(v *Snapshot) {
 	h.sum = 0
@@ -166,7 +166,7 @@
 
 // spared tells whether, with one more host lost for good, the last two lists of
 // members that anyone goes by or has on its disk keep a majority of voters.
-func (g *group) spared(lost *host) (ok bool) {
+func (g *group) spared(lost *host) bool {
 	for _, h := range g.hosts {
 		if h.gone {
 			continue
@@ -198,7 +198,8 @@
 	return true
 }
 
-func read(e Entry) (list []Member) {
+func read(e Entry) []Member {
+	var list []Member
 	if err := json.Unmarshal(e.Data, &list); err != nil {
 		panic(err)
 	}
@@ -211,12 +212,12 @@
 	}
 }
 
-func (g *group) mono(h *host) (m identifier.Mono) {
+func (g *group) mono(h *host) identifier.Mono {
 	return identifier.Mono(float64(g.now-h.born) * (1 + h.drift))
 }
 
-func (g *group) add(members []Member, at identifier.Index) (h *host) {
-	h = &host{id: identifier.Node(len(g.hosts) + 1), drift: float64(g.rnd.Intn(2*g.drift+1)-g.drift) / 10000, view: &Snapshot{Index: at, Term: identifier.Term(at), Members: members}}
+func (g *group) add(members []Member, at identifier.Index) *host {
+	h := &host{id: identifier.Node(len(g.hosts) + 1), drift: float64(g.rnd.Intn(2*g.drift+1)-g.drift) / 10000, view: &Snapshot{Index: at, Term: identifier.Term(at), Members: members}}
 	g.hosts = append(g.hosts, h)
 	return h
 }
@@ -269,7 +270,7 @@
 }
 
 // stamp tells entries apart.
-func stamp(e Entry) (text string) {
+func stamp(e Entry) string {
 	return fmt.Sprint(e.Term, e.Kind, string(e.Data[max(0, len(e.Data)-64):]))
 }
 
@@ -383,7 +384,8 @@
 	}
 }
 
-func (g *group) head() (h *host) {
+func (g *group) head() *host {
+	var h *host
 	for _, one := range g.hosts {
 		if one.up && one.r.Role() == Leader && (h == nil || one.r.Term() > h.r.Term()) {
 			h = one
@@ -393,9 +395,9 @@
 }
 
 // payload is an entry's data of so many bytes, told from others by its end.
-func payload(number, size int) (data []byte) {
+func payload(number, size int) []byte {
 	text := fmt.Sprintf("%0*d", min(size, 64), number)
-	data = make([]byte, max(size, len(text)))
+	data := make([]byte, max(size, len(text)))
 	copy(data[len(data)-len(text):], text)
 	return data
 }
@@ -576,7 +578,7 @@
 }
 
 // room tells whether another host may join.
-func (g *group) room(list []Member) (ok bool) {
+func (g *group) room(list []Member) bool {
 	return len(g.hosts) < g.hostsMost && len(list) < g.most
 }
 
@@ -638,14 +640,14 @@
 	}
 }
 
-func chaos(seed int64) (g *group) {
-	g = weather(seed)
+func chaos(seed int64) *group {
+	g := weather(seed)
 	g.want, g.most, g.hostsMost = 3, 6, 6
 	g.run(3 + 2*int(seed%2))
 	return g
 }
 
-func weather(seed int64) (g *group) {
+func weather(seed int64) *group {
 	return &group{rnd: rand.New(rand.NewSource(seed)), cuts: map[[2]identifier.Node]bool{}, leads: map[identifier.Term]identifier.Node{}, done: map[identifier.Index]string{},
 		disk: []int{2, 6, 25}[seed%3], size: []int{4, 50 << 10}[seed/3%2], mild: []int{2, 4, 8, 16}[seed%4], later: map[int64][]func(){}, proposeEvery: 40, drift: 20, lateMs: 900, timing: Usual(), sums: map[identifier.Index]uint64{}}
 }
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -79,7 +79,7 @@
 
 // TransferLeadership gives leadership to the member that has most of the log. The leader
 // stands down at once: it must not act on a lease it has let another break.
-func (r *Raft) TransferLeadership() (ok bool) {
+func (r *Raft) TransferLeadership() bool {
 	best := identifier.Node(0)
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
@@ -104,7 +104,7 @@
 
 // Replicated tells whether every other voter that this leader hears has the
 // whole log on its disk.
-func (r *Raft) Replicated() (yes bool) {
+func (r *Raft) Replicated() bool {
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
 		if !m.Voter || p == nil || r.now.Since(p.heard) > r.tm.Elect {
--- a/internal/consensus/raft/lease.go
+++ b/internal/consensus/raft/lease.go
@@ -10,11 +10,11 @@
 
 // Leased tells whether this leader may still act alone: a quorum answered
 // something it sent less than a lease ago, and no other can have been elected.
-func (r *Raft) Leased(now identifier.Mono) (ok bool) {
+func (r *Raft) Leased(now identifier.Mono) bool {
 	return r.role == Leader && now.Since(r.quorumAck(now)) < r.tm.Lease
 }
 
-func (r *Raft) quorumAck(now identifier.Mono) (at identifier.Mono) {
+func (r *Raft) quorumAck(now identifier.Mono) identifier.Mono {
 	list := []identifier.Mono{}
 	for _, m := range r.Members() {
 		switch {
--- a/internal/consensus/raft/lease_test.go
+++ b/internal/consensus/raft/lease_test.go
@@ -9,8 +9,8 @@
 
 // acknowledging is member 1 of three, which follows leader 2 of term 3
 // and has just acknowledged a message of its.
-func acknowledging(now identifier.Mono) (r *Raft) {
-	r = New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+func acknowledging(now identifier.Mono) *Raft {
+	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Stamp: 77}, now, 0)
 	r.Take()
 	return r
@@ -36,7 +36,8 @@
 // renew the lease, since the stamp in it is of another life's clock.
 func TestOldMessageRenewsNoLease(t *testing.T) {
 	leader := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	deliver := func(r *Raft, m Message, now identifier.Mono) (out []Message) {
+	deliver := func(r *Raft, m Message, now identifier.Mono) []Message {
+		var out []Message
 		r.Step(m, now, 0)
 		for o := r.Take(); o.Write != nil || len(o.Msgs) > 0; o = r.Take() {
 			out = append(out, o.Msgs...)
@@ -70,8 +71,8 @@
 // leaseWeather is a group under what may break a lease: clocks that drift by 2%
 // against true time, either way, processes that sleep, messages that are late
 // by seconds, cuts in one direction, and members added, removed and replaced.
-func leaseWeather(seed int64) (g *group) {
-	g = weather(seed)
+func leaseWeather(seed int64) *group {
+	g := weather(seed)
 	g.size, g.drift, g.lateMs, g.sleeps = 4, 200, 4000, true
 	g.want, g.most, g.hostsMost = 3, 6, 12
 	g.mild = []int{2, 4, 8}[seed%3]
@@ -96,7 +97,8 @@
 			})
 		}
 	})
-	total := func(list []int) (sum int) {
+	total := func(list []int) int {
+		var sum int
 		for _, n := range list {
 			sum += n
 		}
@@ -144,10 +146,10 @@
 	*group
 }
 
-func newEager(p parting) (e *eager) {
+func newEager(p parting) *eager {
 	g := weather(1)
 	g.disk, g.size, g.prompt, g.timing, g.proposeEvery = 1, 4, true, Paced(p.elect), 1<<30
-	e = &eager{group: g}
+	e := &eager{group: g}
 	list := []Member{}
 	for i := 1; i <= p.voters; i++ {
 		list = append(list, Member{ID: identifier.Node(i), Voter: true})
@@ -286,7 +288,8 @@
 
 // partings lists the cases of one pace and size; two voters that bear no loss
 // are left out, since keepers never go there.
-func partings(elect identifier.Span, voters int) (list []parting) {
+func partings(elect identifier.Span, voters int) []parting {
+	var list []parting
 	offsets := []int64{0, 10, 20, 30, 40, 50}
 	if elect == 1000 {
 		offsets = []int64{120}
--- a/internal/consensus/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -28,9 +28,9 @@
 }
 
 // size is what an entry weighs in memory, in a message and on disk.
-func (e Entry) size() (bytes int) { return len(e.Data) + entryOverhead }
+func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
-func (l *log) last() (i identifier.Index) { return l.base + identifier.Index(len(l.list)) }
+func (l *log) last() identifier.Index { return l.base + identifier.Index(len(l.list)) }
 
 func (l *log) term(i identifier.Index) (t identifier.Term, ok bool) {
 	switch {
@@ -42,13 +42,14 @@
 	return l.list[i-l.base-1].Term, true
 }
 
-func (l *log) lastTerm() (t identifier.Term) {
-	t, _ = l.term(l.last())
+func (l *log) lastTerm() identifier.Term {
+	t, _ := l.term(l.last())
 	return t
 }
 
 // from returns entries beginning at i, up to some bytes but at least one.
-func (l *log) from(i identifier.Index, bytes int) (out []Entry) {
+func (l *log) from(i identifier.Index, bytes int) []Entry {
+	var out []Entry
 	if i <= l.base || i > l.last() {
 		return nil
 	}
@@ -63,7 +64,8 @@
 }
 
 // bytes is what the entries from one to another weigh, as far as they are here.
-func (l *log) bytes(from, to identifier.Index) (n int) {
+func (l *log) bytes(from, to identifier.Index) int {
+	var n int
 	for i := max(from, l.base+1); i <= min(to, l.last()); i++ {
 		n += l.list[i-l.base-1].size()
 	}
@@ -75,7 +77,8 @@
 // retainFrom is the index behind which entries may be dropped: the tail up to
 // the snapshot is within the limit. Oldest is the oldest snapshot that is being
 // loaded, or the newest one when none is.
-func (l *log) retainFrom(limit tailLimit, oldest identifier.Index) (keep identifier.Index) {
+func (l *log) retainFrom(limit tailLimit, oldest identifier.Index) identifier.Index {
+	var keep identifier.Index
 	bytes := 0
 	for keep = l.view.Index; keep > l.base; keep-- {
 		bytes += l.list[keep-l.base-1].size()
--- a/internal/consensus/raft/membership.go
+++ b/internal/consensus/raft/membership.go
@@ -21,7 +21,7 @@
 }
 
 // Members is the list in force, which takes effect as soon as it is logged.
-func (r *Raft) Members() (list []Member) { return r.configurations[len(r.configurations)-1].members }
+func (r *Raft) Members() []Member { return r.configurations[len(r.configurations)-1].members }
 
 // Member finds a member, voter or learner, in the member list in force.
 func (r *Raft) Member(id identifier.Node) (m Member, ok bool) {
@@ -33,12 +33,13 @@
 	return m, false
 }
 
-func (r *Raft) voter(id identifier.Node) (ok bool) {
+func (r *Raft) voter(id identifier.Node) bool {
 	m, ok := r.Member(id)
 	return ok && m.Voter
 }
 
-func (r *Raft) voters() (n int) {
+func (r *Raft) voters() int {
+	var n int
 	for _, m := range r.Members() {
 		if m.Voter {
 			n++
@@ -49,7 +50,7 @@
 
 // ProposeMembers logs a new member list, one member different from the last, and only
 // when no earlier change is under way.
-func (r *Raft) ProposeMembers(list []Member) (ok bool) {
+func (r *Raft) ProposeMembers(list []Member) bool {
 	if r.role != Leader || r.commit < r.first || r.configurations[len(r.configurations)-1].index > r.commit {
 		return false
 	}
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -44,7 +44,7 @@
 
 // absorb makes one acknowledgement of two that wait for the same write, so that
 // those to a leader's heartbeats don't pile up while the disk stands still.
-func (h *pendingMessage) absorb(seq uint64, m Message) (done bool) {
+func (h *pendingMessage) absorb(seq uint64, m Message) bool {
 	was := h.msg
 	acks := !h.own && was.Kind == AppendReply && m.Kind == AppendReply && !was.No && !m.No
 	if !acks || h.seq != seq || was.To != m.To || was.Term != m.Term {
@@ -56,7 +56,7 @@
 }
 
 // Take hands over what the inputs so far led to.
-func (r *Raft) Take() (out Output) {
+func (r *Raft) Take() Output {
 	if !r.write.empty() {
 		r.seq++
 		w := r.write
@@ -71,7 +71,7 @@
 		r.out.Commit = append(r.out.Commit, r.log.list[r.taken-r.log.base:r.commit-r.log.base]...)
 		r.taken = r.commit
 	}
-	out = r.out
+	out := r.out
 	r.out = Output{}
 	return out
 }
--- a/internal/consensus/raft/progress_test.go
+++ b/internal/consensus/raft/progress_test.go
@@ -67,7 +67,7 @@
 
 // staleReturns has two members be away for long; in the moment they are back,
 // two of those that know more are lost. It tells what was committed then.
-func (g *group) staleReturns() (top identifier.Index) {
+func (g *group) staleReturns() identifier.Index {
 	stale := g.voting(2)
 	for _, h := range stale {
 		g.crash(h)
@@ -93,7 +93,8 @@
 }
 
 // voting picks live voters of the leader's list, the leader among them or not.
-func (g *group) voting(n int) (out []*host) {
+func (g *group) voting(n int) []*host {
+	var out []*host
 	k := g.head()
 	if k == nil {
 		return nil
@@ -124,8 +125,8 @@
 	lost, ready, lostOther int
 }
 
-func (g *group) seatsOf(k *host) (s seats) {
-	s = seats{list: append([]Member(nil), k.r.Members()...), lost: -1, ready: -1, lostOther: -1}
+func (g *group) seatsOf(k *host) seats {
+	s := seats{list: append([]Member(nil), k.r.Members()...), lost: -1, ready: -1, lostOther: -1}
 	for i, m := range s.list {
 		gone, p := g.hosts[m.ID-1].gone, k.r.peers[m.ID]
 		switch {
@@ -186,7 +187,7 @@
 }
 
 // whole tells whether five vote, all of them live and close behind.
-func (g *group) whole() (yes bool) {
+func (g *group) whole() bool {
 	k := g.head()
 	if k == nil {
 		return false
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -106,8 +106,8 @@
 
 // New starts from what the disk gave: the hard state, the last view (nil for a
 // founding log, whose members are given), and the entries after it.
-func New(id identifier.Node, tm Timing, seed int64, now identifier.Mono, hard HardState, view *Snapshot, list []Entry) (r *Raft) {
-	r = &Raft{id: id, tm: tm, rnd: rand.New(rand.NewSource(seed)), start: now, now: now, hard: hard, heard: now, followed: never, tail: defaultTail}
+func New(id identifier.Node, tm Timing, seed int64, now identifier.Mono, hard HardState, view *Snapshot, list []Entry) *Raft {
+	r := &Raft{id: id, tm: tm, rnd: rand.New(rand.NewSource(seed)), start: now, now: now, hard: hard, heard: now, followed: never, tail: defaultTail}
 	r.log = log{base: view.Index, baseTerm: view.Term, view: view, list: list}
 	r.commit, r.taken = view.Index, view.Index
 	r.configurations = []configuration{{view.Index, view.Members}}
@@ -120,48 +120,49 @@
 }
 
 // Role is the part this member plays in its current term.
-func (r *Raft) Role() (x Role) { return r.role }
+func (r *Raft) Role() Role { return r.role }
 
 // Lead is the leader of the current term as far as this member knows, 0 for
 // none.
-func (r *Raft) Lead() (id identifier.Node) { return r.lead }
+func (r *Raft) Lead() identifier.Node { return r.lead }
 
 // Term is the current term. It may not have been synced to disk yet.
-func (r *Raft) Term() (t identifier.Term) { return r.hard.Term }
+func (r *Raft) Term() identifier.Term { return r.hard.Term }
 
 // Commit is the highest index known to be committed.
-func (r *Raft) Commit() (i identifier.Index) { return r.commit }
+func (r *Raft) Commit() identifier.Index { return r.commit }
 
 // Last is the index of the last entry in the log, committed or not.
-func (r *Raft) Last() (i identifier.Index) { return r.log.last() }
+func (r *Raft) Last() identifier.Index { return r.log.last() }
 
 // SetLevel sets the level this member says it knows.
 func (r *Raft) SetLevel(level uint16) { r.level = level }
 
 // Truncated tells the lowest index whose entry another has replaced since it was
 // last asked; 0 for none.
-func (r *Raft) Truncated() (i identifier.Index) {
+func (r *Raft) Truncated() identifier.Index {
+	var i identifier.Index
 	i, r.truncatedFrom = r.truncatedFrom, 0
 	return i
 }
 
 // Basis is the term of the last entry this leader found in its log: only a
 // site time carried on from that term counts beside its own.
-func (r *Raft) Basis() (t identifier.Term) { return r.basis }
+func (r *Raft) Basis() identifier.Term { return r.basis }
 
 // Carry takes the site time this keeper would go on from, and the term of the
 // entry it has it from.
 func (r *Raft) Carry(site identifier.Millis, from identifier.Term) { r.site, r.from = site, from }
 
 // Met is the first term in which this process knew a leader, 0 before that.
-func (r *Raft) Met() (t identifier.Term) { return r.met }
+func (r *Raft) Met() identifier.Term { return r.met }
 
 // SnapshotIndex is the index that the newest snapshot covers.
-func (r *Raft) SnapshotIndex() (i identifier.Index) { return r.log.view.Index }
+func (r *Raft) SnapshotIndex() identifier.Index { return r.log.view.Index }
 
 // First is the index of the blank entry a leader opens its term with: once
 // that is applied the leader's state holds all that was ever acknowledged.
-func (r *Raft) First() (i identifier.Index) { return r.first }
+func (r *Raft) First() identifier.Index { return r.first }
 
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
 // down when no quorum has answered it for two election timeouts; any other voter
@@ -196,7 +197,7 @@
 
 // slow tells whether this leader's own disk holds the group up: a write of its
 // own is long overdue while a quorum of the others has synced past it.
-func (r *Raft) slow() (yes bool) {
+func (r *Raft) slow() bool {
 	if len(r.inFlight) == 0 || r.now.Since(r.inFlight[0].at) < r.tm.Elect {
 		return false
 	}
--- a/internal/consensus/raft/raft_test.go
+++ b/internal/consensus/raft/raft_test.go
@@ -6,7 +6,8 @@
 	"orchidward/internal/api/identifier"
 )
 
-func trio() (list []Member) {
+func trio() []Member {
+	var list []Member
 	for i := 1; i <= 3; i++ {
 		list = append(list, Member{ID: identifier.Node(i), Voter: true})
 	}
@@ -15,7 +16,8 @@
 
 // votes tells how an ask for a vote at this moment is answered, once all that
 // was written is on disk.
-func votes(r *Raft, term identifier.Term, now identifier.Mono) (yes bool) {
+func votes(r *Raft, term identifier.Term, now identifier.Mono) bool {
+	var yes bool
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9}, now, 0)
 	o := r.Take()
 	msgs := o.Msgs
@@ -77,7 +79,8 @@
 // earlier ones, and a view alone.
 func TestBacklog(t *testing.T) {
 	var b Backlog
-	e := func(list ...identifier.Index) (out []Entry) {
+	e := func(list ...identifier.Index) []Entry {
+		var out []Entry
 		for _, i := range list {
 			out = append(out, Entry{Index: i, Term: identifier.Term(b.Len() + 1), Data: []byte("12345678")})
 		}
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-func (r *Raft) append(kind EntryKind, data []byte) (i identifier.Index) {
+func (r *Raft) append(kind EntryKind, data []byte) identifier.Index {
 	e := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: kind, Data: data}
 	r.log.list = append(r.log.list, e)
 	r.write.Entries = append(r.write.Entries, e)
@@ -112,8 +112,8 @@
 
 // oldestLoad is the index of the oldest snapshot that a live follower is being
 // sent, or that of the newest snapshot when none is.
-func (r *Raft) oldestLoad() (oldest identifier.Index) {
-	oldest = r.log.view.Index
+func (r *Raft) oldestLoad() identifier.Index {
+	oldest := r.log.view.Index
 	for _, p := range r.peers {
 		if p.load != nil && !r.silent(p) {
 			oldest = min(oldest, p.load.Index)
@@ -124,7 +124,7 @@
 
 // silent tells whether a peer has not been heard for so long that a load to it
 // may as well begin anew.
-func (r *Raft) silent(p *peer) (yes bool) { return r.now.Since(p.heard) > 2*r.tm.Elect }
+func (r *Raft) silent(p *peer) bool { return r.now.Since(p.heard) > 2*r.tm.Elect }
 
 // Compact takes a view of the state at an applied index.
 func (r *Raft) Compact(index identifier.Index, data []byte) {
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -72,7 +72,7 @@
 // may count on it for the length of its lease.
 // A process just started counts as having heard one: before it stopped it may
 // have, and that leader's lease may still stand.
-func (r *Raft) busy() (yes bool) {
+func (r *Raft) busy() bool {
 	if r.now.Since(r.start) < r.tm.Elect {
 		return true
 	}
@@ -82,7 +82,7 @@
 	return r.now.Since(r.followed) < r.tm.Elect
 }
 
-func (r *Raft) upToDate(m Message) (yes bool) {
+func (r *Raft) upToDate(m Message) bool {
 	t := r.log.lastTerm()
 	return m.LogTerm > t || m.LogTerm == t && m.Index >= r.log.last()
 }
@@ -311,7 +311,8 @@
 }
 
 // MemberStatuses lists the other members as the leader sees them.
-func (r *Raft) MemberStatuses() (out []MemberStatus) {
+func (r *Raft) MemberStatuses() []MemberStatus {
+	var out []MemberStatus
 	for _, m := range r.Members() {
 		if p := r.peers[m.ID]; p != nil {
 			out = append(out, MemberStatus{Member: m, Match: p.match, Quiet: r.now.Since(p.heard), Wall: p.wall, At: p.at, Met: p.met, Site: p.site, From: p.from, Level: p.level, Leaving: p.leaving})
--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -117,7 +117,7 @@
 	View    *Snapshot
 }
 
-func (w *Write) empty() (yes bool) { return w.Hard == nil && len(w.Entries) == 0 && w.View == nil }
+func (w *Write) empty() bool { return w.Hard == nil && len(w.Entries) == 0 && w.View == nil }
 
 // Output is what one step asks for. Load is set when a view from the leader
 // replaces the state; Commit lists entries to apply, in order.
@@ -140,9 +140,9 @@
 }
 
 // Usual is the timing with an election timeout of one second.
-func Usual() (t Timing) { return Paced(1000) }
+func Usual() Timing { return Paced(1000) }
 
 // Paced is the timing for a least election wait, in milliseconds.
-func Paced(elect identifier.Span) (t Timing) {
+func Paced(elect identifier.Span) Timing {
 	return Timing{Beat: elect / 5, Elect: elect, Lease: elect * 4 / 5}
 }
--- a/internal/consensus/wal/chores.go
+++ b/internal/consensus/wal/chores.go
@@ -49,10 +49,11 @@
 
 // Bytes is the size of the batches that wait to be written, snapshots in the
 // background not included.
-func (c *Chores) Bytes() (n int) { return c.todo.Bytes() }
+func (c *Chores) Bytes() int { return c.todo.Bytes() }
 
 // Next is what to do now, or nil while something is under way or nothing waits.
-func (c *Chores) Next() (x *Chore) {
+func (c *Chores) Next() *Chore {
+	var x *Chore
 	if c.draft == nil && c.next != nil {
 		c.draft, c.next = NewDraft(c.next), nil
 	}
@@ -81,14 +82,17 @@
 }
 
 // Do carries a chore out. A founding makes the ring, which is returned.
-func (x *Chore) Do(d Disk, shape Shape, r *Ring) (out *Ring, err error) {
+func (x *Chore) Do(d Disk, shape Shape, r *Ring) (*Ring, error) {
+	var out *Ring
+	var err error
 	if out, err = x.carryOut(d, shape, r); out != nil {
 		x.full = out.Full()
 	}
 	return out, err
 }
 
-func (x *Chore) carryOut(d Disk, shape Shape, r *Ring) (out *Ring, err error) {
+func (x *Chore) carryOut(d Disk, shape Shape, r *Ring) (*Ring, error) {
+	var err error
 	switch {
 	case x.Start != nil:
 		return Start(d, shape, x.Start)
--- a/internal/consensus/wal/disk.go
+++ b/internal/consensus/wal/disk.go
@@ -13,18 +13,18 @@
 // returns only when its effect would survive a power loss.
 type Disk interface {
 	// Read returns a file whole, or nil when there is none.
-	Read(name string) (data []byte, err error)
+	Read(name string) ([]byte, error)
 	// Make creates a file of so many zero bytes, synced, folder too.
-	Make(name string, size int) (err error)
+	Make(name string, size int) error
 	// Write writes at a place and syncs.
-	Write(name string, off int, data []byte) (err error)
+	Write(name string, off int, data []byte) error
 	// Swap puts a whole new file in a name's place, synced, folder too.
-	Swap(name string, data []byte) (err error)
+	Swap(name string, data []byte) error
 	// Grow writes a part of what is to take a name's place, synced; a part at
 	// 0 begins it anew.
-	Grow(name string, off int, data []byte) (err error)
+	Grow(name string, off int, data []byte) error
 	// Settle puts what has grown in the name's place, synced, folder too.
-	Settle(name string) (err error)
+	Settle(name string) error
 }
 
 // Folder is the real disk: one data folder, locked while it is open.
@@ -36,7 +36,8 @@
 
 // OpenFolder creates the data folder if need be and locks it. It fails when
 // another process holds the lock.
-func OpenFolder(path string) (d *Folder, err error) {
+func OpenFolder(path string) (*Folder, error) {
+	var err error
 	if err = makeFolder(path); err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
@@ -44,7 +45,7 @@
 	if err != nil {
 		return nil, err
 	}
-	d = &Folder{files: osFolder(path), lock: lock, open: map[string]file{}}
+	d := &Folder{files: osFolder(path), lock: lock, open: map[string]file{}}
 	return d, d.files.syncFolder()
 }
 
@@ -56,8 +57,8 @@
 	d.lock.Close()
 }
 
-func (d *Folder) Read(name string) (data []byte, err error) {
-	data, err = d.files.read(name)
+func (d *Folder) Read(name string) ([]byte, error) {
+	data, err := d.files.read(name)
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
@@ -66,11 +67,13 @@
 
 // Make creates a file of zero bytes, or replaces the one of that name, and syncs
 // it and the folder.
-func (d *Folder) Make(name string, size int) (err error) {
+func (d *Folder) Make(name string, size int) error {
 	return d.Swap(name, make([]byte, size))
 }
 
-func (d *Folder) file(name string) (f file, err error) {
+func (d *Folder) file(name string) (file, error) {
+	var f file
+	var err error
 	if f = d.open[name]; f != nil {
 		return f, nil
 	}
@@ -89,7 +92,7 @@
 	}
 }
 
-func (d *Folder) Write(name string, off int, data []byte) (err error) {
+func (d *Folder) Write(name string, off int, data []byte) error {
 	f, err := d.file(name)
 	if err != nil {
 		return err
@@ -102,8 +105,8 @@
 
 // Swap replaces a file as a whole: after a crash either the old content is there
 // or all of the new.
-func (d *Folder) Swap(name string, data []byte) (err error) {
-	if err = d.put(name+fresh, 0, data); err != nil {
+func (d *Folder) Swap(name string, data []byte) error {
+	if err := d.put(name+fresh, 0, data); err != nil {
 		return err
 	}
 	return d.rename(name+fresh, name)
@@ -118,17 +121,17 @@
 
 // Grow writes a part of a replacement file and syncs it, without touching the
 // file it is to replace. A part at offset 0 starts it anew.
-func (d *Folder) Grow(name string, off int, data []byte) (err error) {
+func (d *Folder) Grow(name string, off int, data []byte) error {
 	return d.put(name+grown, off, data)
 }
 
 // Settle puts the replacement file that Grow wrote in the place of the named
 // one, and syncs the folder.
-func (d *Folder) Settle(name string) (err error) { return d.rename(name+grown, name) }
+func (d *Folder) Settle(name string) error { return d.rename(name+grown, name) }
 
 // put writes into a file that may not be there yet, synced; what is written at
 // its beginning begins it anew.
-func (d *Folder) put(name string, off int, data []byte) (err error) {
+func (d *Folder) put(name string, off int, data []byte) error {
 	flags := os.O_CREATE | os.O_WRONLY
 	if off == 0 {
 		flags |= os.O_TRUNC
@@ -145,9 +148,9 @@
 }
 
 // rename puts a synced file in a name's place, synced.
-func (d *Folder) rename(from, to string) (err error) {
+func (d *Folder) rename(from, to string) error {
 	d.forget(to)
-	if err = d.files.rename(from, to); err != nil {
+	if err := d.files.rename(from, to); err != nil {
 		return err
 	}
 	return d.files.syncFolder()
--- a/internal/consensus/wal/draft.go
+++ b/internal/consensus/wal/draft.go
@@ -22,7 +22,7 @@
 
 // NewDraft begins with nothing written. The snapshot must not be changed while
 // the draft is in use.
-func NewDraft(v *raft.Snapshot) (d *Draft) { return &Draft{view: v} }
+func NewDraft(v *raft.Snapshot) *Draft { return &Draft{view: v} }
 
 // Slice writes the next part of a draft and tells whether that was all of it.
 // A draft that a later view has overtaken is dropped.
--- a/internal/consensus/wal/files.go
+++ b/internal/consensus/wal/files.go
@@ -14,19 +14,19 @@
 
 // file is an open file; syncData may leave its times unsynced, Sync nothing.
 type file interface {
-	WriteAt(data []byte, off int64) (n int, err error)
-	Sync() (err error)
-	syncData() (err error)
-	Close() (err error)
+	WriteAt(data []byte, off int64) (int, error)
+	Sync() error
+	syncData() error
+	Close() error
 }
 
 // fileSystem is one folder. Names made or renamed last once the folder is
 // synced.
 type fileSystem interface {
-	open(name string, flags int) (f file, err error)
-	read(name string) (data []byte, err error)
-	rename(from, to string) (err error)
-	syncFolder() (err error)
+	open(name string, flags int) (file, error)
+	read(name string) ([]byte, error)
+	rename(from, to string) error
+	syncFolder() error
 }
 
 // osFolder is a folder of the operating system, by its path.
@@ -34,11 +34,11 @@
 
 type osFile struct{ *os.File }
 
-func (f osFile) syncData() (err error) { return syscall.Fdatasync(int(f.Fd())) }
+func (f osFile) syncData() error { return syscall.Fdatasync(int(f.Fd())) }
 
-func (p osFolder) path(name string) (path string) { return filepath.Join(string(p), name) }
+func (p osFolder) path(name string) string { return filepath.Join(string(p), name) }
 
-func (p osFolder) open(name string, flags int) (f file, err error) {
+func (p osFolder) open(name string, flags int) (file, error) {
 	made, err := os.OpenFile(p.path(name), flags, 0o644)
 	if err != nil {
 		return nil, err
@@ -46,14 +46,14 @@
 	return osFile{made}, nil
 }
 
-func (p osFolder) read(name string) (data []byte, err error) { return os.ReadFile(p.path(name)) }
+func (p osFolder) read(name string) ([]byte, error) { return os.ReadFile(p.path(name)) }
 
-func (p osFolder) rename(from, to string) (err error) { return os.Rename(p.path(from), p.path(to)) }
+func (p osFolder) rename(from, to string) error { return os.Rename(p.path(from), p.path(to)) }
 
-func (p osFolder) syncFolder() (err error) { return syncPath(string(p)) }
+func (p osFolder) syncFolder() error { return syncPath(string(p)) }
 
 // syncPath is a variable so that a test can see which folders are synced.
-var syncPath = func(path string) (err error) {
+var syncPath = func(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -64,7 +64,8 @@
 
 // makeFolder makes a folder, with those above it, and syncs the one above: a
 // folder whose name is lost with the power takes all that is in it along.
-func makeFolder(path string) (err error) {
+func makeFolder(path string) error {
+	var err error
 	path, err = filepath.Abs(path)
 	if err != nil {
 		return err
@@ -89,12 +90,12 @@
 
 // mayRefuseSync tells whether a folder that was there before may answer so: it
 // is not ours to read, or its file system can't sync folders.
-func mayRefuseSync(err error) (yes bool) {
+func mayRefuseSync(err error) bool {
 	return errors.Is(err, fs.ErrPermission) || errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.EROFS)
 }
 
-func lockFolder(path string) (lock *os.File, err error) {
-	lock, err = os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
+func lockFolder(path string) (*os.File, error) {
+	lock, err := os.OpenFile(filepath.Join(path, "lock"), os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
--- a/internal/consensus/wal/former_test.go
+++ b/internal/consensus/wal/former_test.go
@@ -13,9 +13,9 @@
 )
 
 // former reads a data folder as the first version left it.
-func former(t *testing.T) (m memory) {
+func former(t *testing.T) memory {
 	t.Helper()
-	m = memory{}
+	m := memory{}
 	list, err := filepath.Glob("testdata/folder-1/*.gz")
 	if err != nil || len(list) != 5 {
 		t.Fatalf("files of the former version: %v %v", list, err)
@@ -39,7 +39,7 @@
 	return m
 }
 
-func trim(name string) (out string) { return name[:len(name)-len(".gz")] }
+func trim(name string) string { return name[:len(name)-len(".gz")] }
 
 // TestFormerFolder opens a folder of the first version, goes on in it, and
 // applies the commands that version logged; then a step back: what this
--- a/internal/consensus/wal/powerloss_test.go
+++ b/internal/consensus/wal/powerloss_test.go
@@ -40,11 +40,11 @@
 	crash   func()
 }
 
-func newFragile() (d *fragile) {
+func newFragile() *fragile {
 	return &fragile{names: map[string]*inode{}, synced: map[string]*inode{}, crash: func() {}}
 }
 
-func (d *fragile) open(name string, flags int) (f file, err error) {
+func (d *fragile) open(name string, flags int) (file, error) {
 	node := d.names[name]
 	if node == nil {
 		if flags&os.O_CREATE == 0 {
@@ -61,14 +61,14 @@
 	return &fragileFile{d, node}, nil
 }
 
-func (d *fragile) read(name string) (data []byte, err error) {
+func (d *fragile) read(name string) ([]byte, error) {
 	if node := d.names[name]; node != nil {
 		return node.content(func(int) int { return whole }), nil
 	}
 	return nil, os.ErrNotExist
 }
 
-func (d *fragile) rename(from, to string) (err error) {
+func (d *fragile) rename(from, to string) error {
 	d.pending = append(d.pending, naming{name: to, from: from, file: d.names[from]})
 	d.names[to] = d.names[from]
 	delete(d.names, from)
@@ -76,7 +76,7 @@
 	return nil
 }
 
-func (d *fragile) syncFolder() (err error) {
+func (d *fragile) syncFolder() error {
 	d.synced, d.pending = map[string]*inode{}, nil
 	for name, node := range d.names {
 		d.synced[name] = node
@@ -90,20 +90,20 @@
 	node *inode
 }
 
-func (f *fragileFile) WriteAt(data []byte, off int64) (n int, err error) {
+func (f *fragileFile) WriteAt(data []byte, off int64) (int, error) {
 	f.node.pending = append(f.node.pending, change{int(off), bytes.Clone(data)})
 	f.d.crash()
 	return len(data), nil
 }
 
-func (f *fragileFile) Sync() (err error) {
+func (f *fragileFile) Sync() error {
 	f.node.synced, f.node.pending = f.node.content(func(int) int { return whole }), nil
 	f.d.crash()
 	return nil
 }
 
-func (f *fragileFile) syncData() (err error) { return f.Sync() }
-func (f *fragileFile) Close() (err error)    { return nil }
+func (f *fragileFile) syncData() error { return f.Sync() }
+func (f *fragileFile) Close() error    { return nil }
 
 // What may become of a write that was not synced.
 const (
@@ -119,8 +119,8 @@
 const sector = 64
 
 // content is a file's, when each of its unsynced changes has met a fate.
-func (n *inode) content(fate func(i int) int) (data []byte) {
-	data = bytes.Clone(n.synced)
+func (n *inode) content(fate func(i int) int) []byte {
+	data := bytes.Clone(n.synced)
 	for i, c := range n.pending {
 		f := fate(i)
 		if c.data == nil && f != lost {
@@ -141,7 +141,7 @@
 }
 
 // kept tells whether a sector of a write of so many is on the disk.
-func kept(fate, i, of int) (yes bool) {
+func kept(fate, i, of int) bool {
 	switch fate {
 	case whole:
 		return true
@@ -191,7 +191,7 @@
 	}
 }
 
-func (d *fragile) left(choice int, fate func(n *inode, i int) int) (left *fragile) {
+func (d *fragile) left(choice int, fate func(n *inode, i int) int) *fragile {
 	names := map[string]*inode{}
 	for name, n := range d.synced {
 		names[name] = n
@@ -205,7 +205,7 @@
 		}
 		names[n.name] = n.file
 	}
-	left = newFragile()
+	left := newFragile()
 	for name, n := range names {
 		node := &inode{synced: n.content(func(i int) int { return fate(n, i) })}
 		left.names[name], left.synced[name] = node, node
@@ -213,7 +213,8 @@
 	return left
 }
 
-func sorted(names map[string]*inode) (list []string) {
+func sorted(names map[string]*inode) []string {
+	var list []string
 	for name := range names {
 		list = append(list, name)
 	}
@@ -241,8 +242,8 @@
 
 const folderOwner identifier.Node = 77
 
-func newHistory(t *testing.T) (h *history) {
-	h = &history{t: t, disk: newFragile(), hard: []raft.HardState{{}}}
+func newHistory(t *testing.T) *history {
+	h := &history{t: t, disk: newFragile(), hard: []raft.HardState{{}}}
 	h.folder = &Folder{files: h.disk, open: map[string]file{}}
 	h.disk.crash = func() { h.disk.aftermaths(h.reopen) }
 	return h
@@ -311,19 +312,20 @@
 }
 
 func (h *history) found() {
-	h.do("identity", func() (err error) {
-		_, _, err = Identity(h.folder, folderOwner, smallShape)
+	h.do("identity", func() error {
+		_, _, err := Identity(h.folder, folderOwner, smallShape)
 		return err
 	})
 	h.named, h.asked = true, 1
-	h.do("founding", func() (err error) {
+	h.do("founding", func() error {
+		var err error
 		h.ring, err = Start(h.folder, smallShape, powerView(1))
 		return err
 	})
 	h.founded, h.last, h.view = true, 1, 1
 }
 
-func powerView(at identifier.Index) (v *raft.Snapshot) {
+func powerView(at identifier.Index) *raft.Snapshot {
 	return &raft.Snapshot{Index: at, Term: 1, Members: []raft.Member{{ID: folderOwner, Voter: true}}, Data: bytes.Repeat([]byte("v"), 300)}
 }
 
@@ -341,7 +343,7 @@
 		h.asked++
 		w.Entries = append(w.Entries, entry(int(h.asked), 1))
 	}
-	h.do(fmt.Sprintf("save of %d entries to %d, term %d, view %d", entries, h.asked, term, at), func() (err error) { return h.ring.Save(&w) })
+	h.do(fmt.Sprintf("save of %d entries to %d, term %d, view %d", entries, h.asked, term, at), func() error { return h.ring.Save(&w) })
 	h.last, h.view, h.hard = h.asked, max(h.view, at), h.hard[len(h.hard)-1:]
 }
 
@@ -356,7 +358,8 @@
 	d := NewDraft(powerView(at))
 	d.view.Data = bytes.Repeat([]byte("d"), sliceBytes+100)
 	for over := false; !over; {
-		h.do(fmt.Sprintf("draft of view %d", at), func() (err error) {
+		h.do(fmt.Sprintf("draft of view %d", at), func() error {
+			var err error
 			over, err = h.ring.Slice(d)
 			return err
 		})
@@ -401,7 +404,7 @@
 	top := t.TempDir()
 	seen := []string{}
 	original := syncPath
-	syncPath = func(path string) (err error) {
+	syncPath = func(path string) error {
 		seen = append(seen, path)
 		return original(path)
 	}
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -20,8 +20,8 @@
 var table = crc32.MakeTable(crc32.Castagnoli)
 
 // seal frames a record: magic, length, number, checksum, body.
-func seal(seq uint64, body []byte) (out []byte) {
-	out = make([]byte, head+len(body))
+func seal(seq uint64, body []byte) []byte {
+	out := make([]byte, head+len(body))
 	binary.LittleEndian.PutUint32(out[0:], magic)
 	binary.LittleEndian.PutUint32(out[4:], uint32(len(body)))
 	binary.LittleEndian.PutUint64(out[8:], seq)
@@ -31,8 +31,8 @@
 }
 
 // sum covers the head, but for its own place, and the body.
-func sum(rec []byte) (c uint32) {
-	c = crc32.Update(0, table, rec[:16])
+func sum(rec []byte) uint32 {
+	c := crc32.Update(0, table, rec[:16])
 	return crc32.Update(c, table, rec[20:])
 }
 
@@ -53,7 +53,8 @@
 }
 
 // A batch's body: the hard state, always, then entries.
-func encode(h raft.HardState, list []raft.Entry) (out []byte) {
+func encode(h raft.HardState, list []raft.Entry) []byte {
+	var out []byte
 	out = binary.LittleEndian.AppendUint64(out, uint64(h.Term))
 	out = binary.LittleEndian.AppendUint64(out, uint64(h.Vote))
 	out = binary.LittleEndian.AppendUint32(out, uint32(len(list)))
--- a/internal/consensus/wal/ring.go
+++ b/internal/consensus/wal/ring.go
@@ -58,7 +58,7 @@
 	whoName  = "identity"
 )
 
-func fileName(i int) (name string) { return fmt.Sprintf("ring-%02d", i) }
+func fileName(i int) string { return fmt.Sprintf("ring-%02d", i) }
 
 // Identity reads the folder's identity, or gives it the one offered.
 func Identity(d Disk, offer identifier.Node, shape Shape) (who identifier.Node, kept Shape, err error) {
@@ -88,10 +88,10 @@
 }
 
 // Start lays out a new ring with the founding view.
-func Start(d Disk, shape Shape, v *raft.Snapshot) (r *Ring, err error) {
-	r = &Ring{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), seq: 1}
+func Start(d Disk, shape Shape, v *raft.Snapshot) (*Ring, error) {
+	r := &Ring{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), seq: 1}
 	for i := 0; i < shape.Files; i++ {
-		if err = d.Make(fileName(i), shape.Bytes); err != nil {
+		if err := d.Make(fileName(i), shape.Bytes); err != nil {
 			return nil, errors.Wrap(err, "ring")
 		}
 	}
@@ -133,7 +133,7 @@
 
 // read walks the records in the order of their numbers and stops at the first
 // gap; whatever valid lies behind a gap proves damage, not a torn tail.
-func (r *Ring) read(files [][]byte, found *Found) (err error) {
+func (r *Ring) read(files [][]byte, found *Found) error {
 	all := []spot{}
 	for i, buf := range files {
 		for off := 0; off+head <= len(buf); {
@@ -156,7 +156,7 @@
 			return errors.Errorf("ring: record %d stands twice", all[i].seq)
 		}
 		if all[i].seq != all[i-1].seq+1 {
-			if err = r.gap(all[:i], all[i]); err != nil {
+			if err := r.gap(all[:i], all[i]); err != nil {
 				return err
 			}
 			all = all[i:]
@@ -185,7 +185,7 @@
 // gap judges a hole in the numbers. Records of a file's former lap are
 // overwritten from its front, so a hole is sound only if the view covers all
 // that stands before it.
-func (r *Ring) gap(old []spot, next spot) (err error) {
+func (r *Ring) gap(old []spot, next spot) error {
 	for _, s := range old {
 		_, list, err := decode(s.body)
 		if err != nil {
@@ -202,7 +202,7 @@
 
 // torn tells whether the next record was begun: its number stands there, but
 // the record does not hold. What a former lap left there has an older number.
-func (r *Ring) torn(buf []byte) (yes bool) {
+func (r *Ring) torn(buf []byte) bool {
 	if r.off+head > len(buf) || binary.LittleEndian.Uint32(buf[r.off:]) != magic {
 		return false
 	}
@@ -212,7 +212,7 @@
 // add puts an entry where it belongs; a later record replaces a tail. Terms
 // never fall along a log: an entry older than the view belongs to a tail that
 // a view from the leader has replaced.
-func (f *Found) add(e raft.Entry) (err error) {
+func (f *Found) add(e raft.Entry) error {
 	base := f.View.Index
 	switch {
 	case e.Index <= base:
@@ -229,11 +229,11 @@
 	return nil
 }
 
-func pad(n int) (out int) { return (n + 7) &^ 7 }
+func pad(n int) int { return (n + 7) &^ 7 }
 
 // Full tells how much of the ring holds entries the view doesn't cover, in
 // percent; the keeper takes a view in time.
-func (r *Ring) Full() (percent int) {
+func (r *Ring) Full() int {
 	n := 0
 	for _, h := range r.high {
 		if h > r.view {
@@ -244,9 +244,9 @@
 }
 
 // Save makes one batch last. The view goes first: entries may rest on it.
-func (r *Ring) Save(w *raft.Write) (err error) {
+func (r *Ring) Save(w *raft.Write) error {
 	if w.View != nil {
-		if err = r.saveView(w.View); err != nil {
+		if err := r.saveView(w.View); err != nil {
 			return err
 		}
 	}
@@ -260,7 +260,7 @@
 			size += len(list[part].Data) + 32
 			part++
 		}
-		if err = r.put(list[:part]); err != nil {
+		if err := r.put(list[:part]); err != nil {
 			return err
 		}
 		list = list[part:]
@@ -268,7 +268,7 @@
 	return nil
 }
 
-func (r *Ring) put(list []raft.Entry) (err error) {
+func (r *Ring) put(list []raft.Entry) error {
 	body := encode(r.hard, list)
 	if pad(head+len(body)) > r.shape.Bytes {
 		return errors.Errorf("ring: a batch of %d bytes is larger than a file", len(body))
@@ -282,7 +282,7 @@
 	}
 	rec := make([]byte, pad(head+len(body)))
 	copy(rec, seal(r.seq, body))
-	if err = r.disk.Write(fileName(r.at), r.off, rec); err != nil {
+	if err := r.disk.Write(fileName(r.at), r.off, rec); err != nil {
 		return errors.Wrap(err, "ring")
 	}
 	r.seq++
--- a/internal/consensus/wal/ring_test.go
+++ b/internal/consensus/wal/ring_test.go
@@ -12,25 +12,25 @@
 // memory is a disk that can be read and damaged at will.
 type memory map[string][]byte
 
-func (m memory) Read(name string) (data []byte, err error) { return bytes.Clone(m[name]), nil }
-func (m memory) Make(name string, size int) (err error) {
+func (m memory) Read(name string) ([]byte, error) { return bytes.Clone(m[name]), nil }
+func (m memory) Make(name string, size int) error {
 	m[name] = make([]byte, size)
 	return nil
 }
-func (m memory) Write(name string, off int, data []byte) (err error) {
+func (m memory) Write(name string, off int, data []byte) error {
 	copy(m[name][off:], data)
 	return nil
 }
-func (m memory) Swap(name string, data []byte) (err error) {
+func (m memory) Swap(name string, data []byte) error {
 	m[name] = bytes.Clone(data)
 	return nil
 }
 
-func (m memory) Grow(name string, off int, data []byte) (err error) {
+func (m memory) Grow(name string, off int, data []byte) error {
 	m[name+".part"] = append(m[name+".part"][:off:off], data...)
 	return nil
 }
-func (m memory) Settle(name string) (err error) {
+func (m memory) Settle(name string) error {
 	m[name] = m[name+".part"]
 	delete(m, name+".part")
 	return nil
@@ -48,7 +48,7 @@
 	return m, r
 }
 
-func entry(i int, term identifier.Term) (e raft.Entry) {
+func entry(i int, term identifier.Term) raft.Entry {
 	return raft.Entry{Index: identifier.Index(i), Term: term, Kind: raft.Command, Data: []byte(fmt.Sprintf("entry %d of term %d", i, term))}
 }
 
@@ -234,10 +234,10 @@
 func TestChores(t *testing.T) {
 	m, r := start(t)
 	var c Chores
-	view := func(i identifier.Index) (v *raft.Snapshot) {
+	view := func(i identifier.Index) *raft.Snapshot {
 		return &raft.Snapshot{Index: i, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 2*sliceBytes)}
 	}
-	write := func(i int) (w []*raft.Write) {
+	write := func(i int) []*raft.Write {
 		return []*raft.Write{{Seq: uint64(i), Entries: []raft.Entry{entry(i, 1)}}}
 	}
 	c.Add(nil, write(2), nil)
--- a/internal/consensus/wal/view.go
+++ b/internal/consensus/wal/view.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-func (r *Ring) saveView(v *raft.Snapshot) (err error) {
-	if err = r.disk.Swap(viewName, pack(v)); err != nil {
+func (r *Ring) saveView(v *raft.Snapshot) error {
+	if err := r.disk.Swap(viewName, pack(v)); err != nil {
 		return errors.Wrap(err, "view")
 	}
 	r.view = v.Index
@@ -21,7 +21,7 @@
 }
 
 // pack puts a view into the form its file has.
-func pack(v *raft.Snapshot) (file []byte) {
+func pack(v *raft.Snapshot) []byte {
 	list, err := json.Marshal(v.Members)
 	if err != nil {
 		panic(err)
@@ -32,17 +32,17 @@
 	return seal(uint64(v.Index), append(append(body, list...), v.Data...))
 }
 
-func readView(data []byte) (v *raft.Snapshot, err error) {
+func readView(data []byte) (*raft.Snapshot, error) {
 	_, body, ok := open(data)
 	if !ok || len(body) < 20 {
 		return nil, errors.New("view file is damaged")
 	}
-	v = &raft.Snapshot{Index: identifier.Index(binary.LittleEndian.Uint64(body)), Term: identifier.Term(binary.LittleEndian.Uint64(body[8:]))}
+	v := &raft.Snapshot{Index: identifier.Index(binary.LittleEndian.Uint64(body)), Term: identifier.Term(binary.LittleEndian.Uint64(body[8:]))}
 	n := int(binary.LittleEndian.Uint32(body[16:]))
 	if n > len(body)-20 {
 		return nil, errors.New("view file is damaged")
 	}
-	if err = json.Unmarshal(body[20:20+n], &v.Members); err != nil {
+	if err := json.Unmarshal(body[20:20+n], &v.Members); err != nil {
 		return nil, errors.Wrap(err, "view file is damaged")
 	}
 	v.Data = body[20+n:]
--- a/internal/controlplane/agents.go
+++ b/internal/controlplane/agents.go
@@ -53,23 +53,23 @@
 }
 
 // turned is what is carried over to the contact with a new life of a runner.
-func (m *Machine) turned(c *contact) (a *agentSide) {
+func (m *Machine) turned(c *contact) *agentSide {
 	if c.agent == nil {
 		return nil
 	}
 	return newAgentSide(m.saves(c))
 }
 
-func newAgentSide(old []state.Save) (a *agentSide) {
+func newAgentSide(old []state.Save) *agentSide {
 	return &agentSide{old: old, runs: map[identifier.Grant]*held{}, halted: map[runnerapi.RunStop]bool{}, rate: 1000}
 }
 
 // saves lists the progress last told of what still counts as running.
-func (m *Machine) saves(c *contact) (list []state.Save) {
+func (m *Machine) saves(c *contact) []state.Save {
 	if c.agent == nil {
 		return nil
 	}
-	list = c.agent.old
+	list := c.agent.old
 	ordered := []identifier.Grant{}
 	for id := range c.agent.runs {
 		ordered = append(ordered, id)
@@ -160,7 +160,7 @@
 
 // present tells whether the runner itself is there to be reported on. One that
 // has said farewell is counted lost at once.
-func (m *Machine) present(name identifier.Runner, c *contact, p *runnerapi.Ask) (yes bool) {
+func (m *Machine) present(name identifier.Runner, c *contact, p *runnerapi.Ask) bool {
 	if c.agent == nil {
 		return true
 	}
@@ -175,8 +175,8 @@
 }
 
 // observed is the number up to which every end is on record.
-func (m *Machine) observed(name identifier.Runner, c *contact) (n uint64) {
-	n = c.agent.told
+func (m *Machine) observed(name identifier.Runner, c *contact) uint64 {
+	n := c.agent.told
 	for _, e := range c.agent.ends {
 		if e.grant != 0 && m.book.Hears(name, c.inc, e.grant, e.ref) {
 			return n
@@ -232,8 +232,8 @@
 }
 
 // keepers lists the addresses of the keepers, this leader first.
-func (m *Machine) keepers() (list []string) {
-	list = []string{m.boot.Addr}
+func (m *Machine) keepers() []string {
+	list := []string{m.boot.Addr}
 	for _, mem := range m.raft.Members() {
 		if mem.ID != m.boot.ID {
 			list = append(list, mem.Addr)
--- a/internal/controlplane/agents_test.go
+++ b/internal/controlplane/agents_test.go
@@ -73,8 +73,8 @@
 	bad     bool
 }
 
-func newSite(t *testing.T, seed int64, hands int) (s *site) {
-	s = &site{t: t, rnd: rand.New(rand.NewSource(seed)), got: map[uint64]*wire.Reply{}, done: map[string]bool{}, starts: map[string]int{}}
+func newSite(t *testing.T, seed int64, hands int) *site {
+	s := &site{t: t, rnd: rand.New(rand.NewSource(seed)), got: map[uint64]*wire.Reply{}, done: map[string]bool{}, starts: map[string]int{}}
 	s.keep = controlplane.New(controlplane.Boot{ID: 1, Addr: "k", Domain: "a", Timing: raft.Usual(), Level: state.Present, Found: true}, 0)
 	v := &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 1, Addr: "k", Domain: "a", Voter: true}}, Data: state.New().Encode()}
 	if err := s.keep.Resume(raft.HardState{}, v, nil); err != nil {
@@ -91,17 +91,17 @@
 	return s
 }
 
-func (s *site) agent(h *hand) (m *agent.Machine) {
+func (s *site) agent(h *hand) *agent.Machine {
 	return agent.New(agent.Boot{Name: identifier.Runner(h.name), Addr: h.name, Domain: "a", Seeds: []string{"k"}, Seed: int64(s.now) * 1000, HoldMost: 6000, HoldUsual: h.hold, Pace: 100}, s.now)
 }
 
 // request asks the keeper and waits for its answer.
-func (s *site) request(verb, path, body string) (r *wire.Reply) {
+func (s *site) request(verb, path, body string) *wire.Reply {
 	s.ask++
 	id := s.ask
 	s.posts = append(s.posts, post{s.now, "k", "op", wire.Msg{Ask: &wire.Ask{ID: id, Verb: verb, Path: path, Body: []byte(body), Budget: 2000}}})
 	for end := s.now.Add(3000); s.now < end; {
-		if r = s.got[id]; r != nil {
+		if r := s.got[id]; r != nil {
 			return r
 		}
 		s.run(1)
@@ -110,14 +110,15 @@
 	return nil
 }
 
-func (s *site) must(verb, path, body string) (r *wire.Reply) {
+func (s *site) must(verb, path, body string) *wire.Reply {
+	var r *wire.Reply
 	if r = s.request(verb, path, body); r.Status >= 300 {
 		s.t.Fatalf("%s %s: %d %s", verb, path, r.Status, r.Body)
 	}
 	return r
 }
 
-func (s *site) state(id string) (word string) {
+func (s *site) state(id string) string {
 	var d struct{ State string }
 	r := s.request("GET", "/v1/states/q/"+id, "")
 	if json.Unmarshal(r.Body, &d) != nil || r.Status != 200 {
@@ -213,7 +214,7 @@
 }
 
 // timed is a task's name as runners know it, which always tells the time.
-func timed(r identifier.Ref) (out identifier.Ref) {
+func timed(r identifier.Ref) identifier.Ref {
 	if !strings.Contains(string(r.Job), ".") {
 		r.Job += ".0"
 	}
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -67,7 +67,8 @@
 }
 
 // waiting lists the proposals under way in the order they were made.
-func (m *Machine) waiting() (list []identifier.Index) {
+func (m *Machine) waiting() []identifier.Index {
+	var list []identifier.Index
 	for i := range m.waits {
 		list = append(list, i)
 	}
@@ -95,7 +96,7 @@
 	m.event("view", "index", m.at)
 }
 
-func (m *Machine) carry(out raft.Output) (more bool) {
+func (m *Machine) carry(out raft.Output) bool {
 	if out.Load != nil {
 		b, err := state.Decode(out.Load.Data)
 		if err != nil {
--- a/internal/controlplane/ask.go
+++ b/internal/controlplane/ask.go
@@ -71,7 +71,8 @@
 }
 
 // relayed lists the requests that were passed on, in the order they were.
-func (m *Machine) relayed() (list []uint64) {
+func (m *Machine) relayed() []uint64 {
+	var list []uint64
 	for id := range m.relays {
 		list = append(list, id)
 	}
--- a/internal/controlplane/clock.go
+++ b/internal/controlplane/clock.go
@@ -36,17 +36,17 @@
 	unset identifier.Millis = 946_684_800_000
 )
 
-func newClock(base identifier.Millis, now identifier.Mono) (c clock) {
+func newClock(base identifier.Millis, now identifier.Mono) clock {
 	return clock{base: base, at: now}
 }
 
-func (c *clock) site(now identifier.Mono) (at identifier.Millis) { return c.base.Add(now.Since(c.at)) }
+func (c *clock) site(now identifier.Mono) identifier.Millis { return c.base.Add(now.Since(c.at)) }
 
 // carried is the furthest that any voter in reach has carried site time from
 // the last leader's term: a leader that was away itself must not set it back
 // for the others, and one that slept must not carry on from before that term.
-func (m *Machine) carried() (at identifier.Millis) {
-	at = max(m.book.Now, m.seen.site(m.now))
+func (m *Machine) carried() identifier.Millis {
+	at := max(m.book.Now, m.seen.site(m.now))
 	for _, s := range m.raft.MemberStatuses() {
 		if s.Voter && s.Site > 0 && s.From >= m.raft.Basis() {
 			at = max(at, s.Site.Add(m.now.Since(s.At)))
@@ -77,7 +77,7 @@
 
 // came tells when an entry about to be applied came here, and forgets those
 // that came before it.
-func (m *Machine) came(i identifier.Index) (at identifier.Mono) {
+func (m *Machine) came(i identifier.Index) identifier.Mono {
 	n := 0
 	for n < len(m.gots) && m.gots[n].index < i {
 		n++
@@ -136,7 +136,8 @@
 // walls gathers the voters' clocks, each carried forward from when it was
 // told. The core is cold while no voter in reach has known an earlier leader since it
 // started: nobody carried time on.
-func (m *Machine) walls() (w walls) {
+func (m *Machine) walls() walls {
+	var w walls
 	w.cold = m.raft.Met() == m.term
 	voters := 0
 	for _, mem := range m.raft.Members() {
--- a/internal/controlplane/deposed_test.go
+++ b/internal/controlplane/deposed_test.go
@@ -12,13 +12,14 @@
 
 // deliver hands a keeper a frame and lets its disk sync at once; it returns all
 // that the keeper sends.
-func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now identifier.Mono) (sends []wire.Send) {
+func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now identifier.Mono) []wire.Send {
 	m.Frame(from, msg, now, 0)
 	return synced(m, now)
 }
 
 // synced syncs what a keeper writes until it writes nothing more.
-func synced(m *controlplane.Machine, now identifier.Mono) (sends []wire.Send) {
+func synced(m *controlplane.Machine, now identifier.Mono) []wire.Send {
+	var sends []wire.Send
 	for o := m.Take(); len(o.Writes) > 0 || len(o.Sends) > 0; o = m.Take() {
 		sends = append(sends, o.Sends...)
 		for _, w := range o.Writes {
@@ -61,7 +62,7 @@
 	}
 }
 
-func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now identifier.Mono) (sends []wire.Send) {
+func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now identifier.Mono) []wire.Send {
 	back := raft.Message{From: r.To, To: r.From, Term: r.Term, Stamp: r.Stamp}
 	switch r.Kind {
 	case raft.RequestPreVote:
--- a/internal/controlplane/find.go
+++ b/internal/controlplane/find.go
@@ -27,7 +27,7 @@
 	born, stirred identifier.Mono
 }
 
-func newFind(now identifier.Mono) (f *find) {
+func newFind(now identifier.Mono) *find {
 	return &find{born: now, empty: map[string]raft.Member{}, seen: map[string]identifier.Mono{}, porters: map[string]bool{}}
 }
 
@@ -40,8 +40,8 @@
 	reportGap = 1000
 )
 
-func (m *Machine) self(ask bool) (t *wire.Tell) {
-	t = &wire.Tell{Ask: ask, Role: "keeper", Node: m.boot.ID, Addr: m.boot.Addr, Domain: m.boot.Domain, Gates: m.liveGates()}
+func (m *Machine) self(ask bool) *wire.Tell {
+	t := &wire.Tell{Ask: ask, Role: "keeper", Node: m.boot.ID, Addr: m.boot.Addr, Domain: m.boot.Domain, Gates: m.liveGates()}
 	if p := m.porter; p != nil {
 		t.Role, t.Node, t.Founded, t.Members = "porter", 0, p.knows(), p.members
 		if mem, ok := p.leader(m.now); ok {
@@ -99,7 +99,7 @@
 
 // still tells whether, for long enough for a leader to make itself heard, no
 // group was. Seeds without a disk forget at a restart that there is one.
-func (f *find) still(now identifier.Mono) (yes bool) {
+func (f *find) still(now identifier.Mono) bool {
 	return now.Since(f.born) >= stillMs && (f.stirred == 0 || now.Since(f.stirred) >= stillMs)
 }
 
@@ -111,8 +111,8 @@
 }
 
 // first is the book a group begins with.
-func (m *Machine) first() (b *state.Book) {
-	b = state.New()
+func (m *Machine) first() *state.Book {
+	b := state.New()
 	for name, text := range m.boot.Cells {
 		b.Table.Rows[limits.SiteRow][name] = text
 	}
@@ -278,7 +278,8 @@
 	}
 }
 
-func (m *Machine) liveGates() (out []string) {
+func (m *Machine) liveGates() []string {
+	var out []string
 	for g, at := range m.gates {
 		if m.now.Since(at) < gateLife {
 			out = append(out, g)
--- a/internal/controlplane/gang.go
+++ b/internal/controlplane/gang.go
@@ -18,7 +18,7 @@
 
 // gangSpan is how long a member may go on without word: less than a grant, and
 // longer than a change of leaders takes.
-func (m *Machine) gangSpan(g *state.Grant) (s identifier.Span) {
+func (m *Machine) gangSpan(g *state.Grant) identifier.Span {
 	if m.book.Level < 1 || !spread(g, m.book.Partners(g)) {
 		return 0
 	}
@@ -27,7 +27,7 @@
 
 // spread tells whether the grant is a gang member's whose partners hold grants
 // on other runners.
-func spread(g *state.Grant, partners []*state.Grant) (yes bool) {
+func spread(g *state.Grant, partners []*state.Grant) bool {
 	for _, p := range partners {
 		if p.Runner != g.Runner {
 			return true
@@ -38,7 +38,7 @@
 
 // runs tells whether a grant is seen running, or ended, on a runner that has
 // not missed a poll: word given on older news would outlive a dead partner.
-func (m *Machine) runs(g *state.Grant) (ok bool) {
+func (m *Machine) runs(g *state.Grant) bool {
 	c := m.lead.runners[g.Runner]
 	if c == nil || !c.known || c.inc != g.Inc || g.Stop != "" || c.quiet(m.now) > m.book.Table.Site("startMs")*3/2 {
 		return false
@@ -49,7 +49,8 @@
 
 // wholes names the members running here whose partners all run. It says
 // whether there is one that the runner has not been told of since it began.
-func (m *Machine) wholes(c *contact, a *runnerapi.Answer) (word bool) {
+func (m *Machine) wholes(c *contact, a *runnerapi.Answer) bool {
+	var word bool
 	for id := range c.running {
 		g := m.book.Grants[id]
 		if g == nil || g.Stop != "" {
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -84,11 +84,11 @@
 const whole = 99
 
 // leastStill is the least time without a move that is held against a run.
-func leastStill(g *state.Grant) (span identifier.Span) { return stillLeast + g.Run/8 }
+func leastStill(g *state.Grant) identifier.Span { return stillLeast + g.Run/8 }
 
 // still tells whether a run has not moved for longer than any sound one would,
 // a slow one included: a hundredth of a slow run is some hundredths of its span.
-func (m *Machine) still(c *contact, p *pace, g *state.Grant) (yes bool) {
+func (m *Machine) still(c *contact, p *pace, g *state.Grant) bool {
 	j := m.book.Jobs[g.Ref.Job]
 	st := j.Spec.Steps[g.Ref.Step]
 	span := leastStill(g)
@@ -107,7 +107,7 @@
 }
 
 // gathered tells whether all members of a run's gang are there.
-func (m *Machine) gathered(g *state.Grant) (yes bool) {
+func (m *Machine) gathered(g *state.Grant) bool {
 	for _, p := range m.book.Partners(g) {
 		c := m.lead.runners[p.Runner]
 		if c == nil || !c.running[p.ID] {
@@ -166,7 +166,7 @@
 
 // slower tells whether a run on a slow runner would be done sooner if it began
 // elsewhere, with what progress is saved.
-func (m *Machine) slower(c *contact, p *pace, g *state.Grant) (yes bool) {
+func (m *Machine) slower(c *contact, p *pace, g *state.Grant) bool {
 	st := m.book.Jobs[g.Ref.Job].Spec.Steps[g.Ref.Step]
 	if c.agent.rate >= slowRate || p.rate == 0 || p.rate >= slowRate || st.Lasting || p.percent >= whole {
 		return false
@@ -181,7 +181,7 @@
 
 // roomElsewhere takes room for a run, or for its whole gang, on other runners of
 // the pool that are well; room is what was taken before.
-func (m *Machine) roomElsewhere(from identifier.Runner, g *state.Grant, room map[identifier.Runner]job.Demand) (ok bool) {
+func (m *Machine) roomElsewhere(from identifier.Runner, g *state.Grant, room map[identifier.Runner]job.Demand) bool {
 	need := 1 + len(m.book.Partners(g))
 	pool, fresh := m.book.Runners[from].Pool, m.fresh()
 	var at []identifier.Runner
@@ -207,7 +207,8 @@
 
 // never lists what was placed on agents' runners that are leaving or closed and
 // has not begun there, and so never will.
-func (m *Machine) never() (list []identifier.Grant) {
+func (m *Machine) never() []identifier.Grant {
+	var list []identifier.Grant
 	for _, n := range m.book.RunnerNames() {
 		c, r := m.lead.runners[n], m.book.Runners[n]
 		if c == nil || c.agent == nil || !c.known || r.Inc != c.inc || !c.drain && r.Fence() == "" {
@@ -223,10 +224,10 @@
 }
 
 // ill tells whether nothing should be placed on a runner for now.
-func (m *Machine) ill(c *contact) (yes bool) { return c.agent != nil && m.now < c.agent.ill }
+func (m *Machine) ill(c *contact) bool { return c.agent != nil && m.now < c.agent.ill }
 
 // pace is how fast work goes on a runner, in thousandths of its estimates.
-func (m *Machine) pace(n identifier.Runner) (rate int64) {
+func (m *Machine) pace(n identifier.Runner) int64 {
 	if c := m.lead.runners[n]; c != nil && c.agent != nil {
 		return c.agent.rate
 	}
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -62,7 +62,7 @@
 }
 
 // quiet is how long nothing was heard of the runner itself.
-func (c *contact) quiet(now identifier.Mono) (s identifier.Span) {
+func (c *contact) quiet(now identifier.Mono) identifier.Span {
 	return now.Since(c.heard) + c.silent
 }
 
@@ -70,7 +70,7 @@
 // margin covers clocks that drift. An agent's runner holds by its own last
 // heartbeat, which the agent tells of while it polls; when the agent is silent
 // too, later heartbeats may have been answered, up to the end of its grant.
-func (c *contact) lapsed(now identifier.Mono, grant identifier.Span) (yes bool) {
+func (c *contact) lapsed(now identifier.Mono, grant identifier.Span) bool {
 	if c.agent == nil {
 		return now.Since(c.heard) > grant+grant/10+1000
 	}
@@ -106,7 +106,7 @@
 }
 
 // propose puts a command into the log. It is not decided until applied.
-func (m *Machine) propose(c *state.Command) (i identifier.Index) {
+func (m *Machine) propose(c *state.Command) identifier.Index {
 	c.At = m.lead.clock.site(m.now)
 	i, ok := m.raft.Propose(c.Encode())
 	if !ok {
@@ -226,8 +226,8 @@
 	}
 }
 
-func (m *Machine) next(c *state.Closing, in identifier.Span) (s *state.Step) {
-	s = &state.Step{ID: c.ID, From: c.Stage}
+func (m *Machine) next(c *state.Closing, in identifier.Span) *state.Step {
+	s := &state.Step{ID: c.ID, From: c.Stage}
 	free, loose := m.book.Undone(c)
 	switch c.Stage {
 	case state.Cordon:
@@ -255,7 +255,7 @@
 }
 
 // patience is how long post-drain waits for stops before it judges.
-func (m *Machine) patience(c *state.Closing) (s identifier.Span) {
+func (m *Machine) patience(c *state.Closing) identifier.Span {
 	if c.Kind == state.KindRack {
 		return m.book.Table.Site("drainMs")
 	}
@@ -283,9 +283,9 @@
 
 // fresh gives a test of whether a runner has polled lately under its present
 // incarnation and is not on its way out.
-func (m *Machine) fresh() (test func(n identifier.Runner) (ok bool)) {
+func (m *Machine) fresh() func(n identifier.Runner) (ok bool) {
 	span := 2 * m.book.Table.Site("startMs")
-	return func(n identifier.Runner) (ok bool) {
+	return func(n identifier.Runner) bool {
 		c := m.lead.runners[n]
 		return c != nil && c.known && !c.drain && c.inc == m.book.Runners[n].Inc && c.quiet(m.now) < span && !m.ill(c)
 	}
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -42,7 +42,7 @@
 
 // Left tells whether the process may end: another leads, nobody does and this
 // keeper can't change that, or it has taken too long.
-func (m *Machine) Left() (yes bool) {
+func (m *Machine) Left() bool {
 	if m.leave == nil {
 		return false
 	}
--- a/internal/controlplane/level.go
+++ b/internal/controlplane/level.go
@@ -36,7 +36,7 @@
 }
 
 // parted tells whether this keeper's book differs from the leader's.
-func (m *Machine) parted(c *state.Check) (yes bool) {
+func (m *Machine) parted(c *state.Check) bool {
 	sum, ok := m.sums.get(c.Index)
 	if !ok || sum == c.Sum {
 		return false
--- a/internal/controlplane/load_test.go
+++ b/internal/controlplane/load_test.go
@@ -62,7 +62,7 @@
 	span    identifier.Span
 }
 
-func clock(id int32) (ns int64) {
+func clock(id int32) int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		panic(err)
@@ -70,8 +70,8 @@
 	return t.Nano()
 }
 
-func newLoad(b *testing.B, agents int, span func(first bool) int) (l *load) {
-	l = &load{b: b, rnd: rand.New(rand.NewSource(1)), by: map[string]*hollow{}, span: span}
+func newLoad(b *testing.B, agents int, span func(first bool) int) *load {
+	l := &load{b: b, rnd: rand.New(rand.NewSource(1)), by: map[string]*hollow{}, span: span}
 	l.keep = controlplane.New(controlplane.Boot{ID: 1, Addr: "k", Domain: "a", Timing: raft.Usual(), Level: state.Present, Found: true}, 0)
 	v := &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 1, Addr: "k", Domain: "a", Voter: true}}, Data: state.New().Encode()}
 	if err := l.keep.Resume(raft.HardState{}, v, nil); err != nil {
@@ -88,7 +88,7 @@
 	return l
 }
 
-func (l *load) wall() (w identifier.Wall) { return identifier.Wall(1_800_000_000_000 + int64(l.now)) }
+func (l *load) wall() identifier.Wall { return identifier.Wall(1_800_000_000_000 + int64(l.now)) }
 
 func (l *load) request(verb, path, body string) {
 	l.ask++
@@ -129,7 +129,8 @@
 }
 
 // step is a millisecond of the keeper's.
-func (l *load) step(list []post) (sends []wire.Send) {
+func (l *load) step(list []post) []wire.Send {
+	var sends []wire.Send
 	for _, p := range list {
 		l.keep.Frame(wire.Peer(p.from), p.msg, l.now, l.wall())
 	}
@@ -214,8 +215,8 @@
 }
 
 // body is what package agent would send.
-func (l *load) body(h *hollow) (text []byte) {
-	text = make([]byte, 0, 400+128*len(h.runs)+128*len(h.ends))
+func (l *load) body(h *hollow) []byte {
+	text := make([]byte, 0, 400+128*len(h.runs)+128*len(h.ends))
 	text = append(text, `{"incarnation":"`+h.name+`-0","seq":`...)
 	text = strconv.AppendUint(text, h.seq, 10)
 	text = append(text, `,"cores":0,"memMb":6000,"domain":"a","rack":"r1","mode":"active","departsMs":60000,"agent":true,"milliCores":12000,"pool":"x","addr":"`+h.name+`","silentMs":40`...)
@@ -244,7 +245,7 @@
 	return append(text, '}')
 }
 
-func appendRun(text []byte, before string, task identifier.Ref, no uint64) (out []byte) {
+func appendRun(text []byte, before string, task identifier.Ref, no uint64) []byte {
 	text = append(append(text, '{'), before...)
 	text = append(append(text, `"task":{"job":"`...), task.Job...)
 	text = strconv.AppendInt(append(text, `","step":`...), int64(task.Step), 10)
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -100,8 +100,8 @@
 // New makes a server without any state: one with a disk looks for a group to
 // join or, if told so, founds one; one without a disk only forwards requests to
 // the leader. Resume follows where the disk held state.
-func New(boot Boot, now identifier.Mono) (m *Machine) {
-	m = &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]identifier.Mono{}, edge: map[string]identifier.Mono{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
+func New(boot Boot, now identifier.Mono) *Machine {
+	m := &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]identifier.Mono{}, edge: map[string]identifier.Mono{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
 		find: newFind(now), alone: now, reached: now, reason: map[identifier.Key]map[int]string{}, book: state.New(), shelf: policy.NewShelf(), fared: scheduler.Policies{}, Full: func() int { return 0 }}
 	if boot.Diskless {
 		m.find, m.porter = nil, &porter{}
@@ -111,7 +111,7 @@
 
 // Resume starts from what the disk held. A view that doesn't decode is damage
 // that no keeper should run over.
-func (m *Machine) Resume(hard raft.HardState, view *raft.Snapshot, list []raft.Entry) (err error) {
+func (m *Machine) Resume(hard raft.HardState, view *raft.Snapshot, list []raft.Entry) error {
 	b, err := state.Decode(view.Data)
 	if err != nil {
 		return err
@@ -129,14 +129,14 @@
 }
 
 // Boot is the configuration that the server was started with.
-func (m *Machine) Boot() (boot Boot) { return m.boot }
+func (m *Machine) Boot() Boot { return m.boot }
 
 // Book is the replicated state as applied so far. Callers must not change it.
-func (m *Machine) Book() (b *state.Book) { return m.book }
+func (m *Machine) Book() *state.Book { return m.book }
 
 // Raft is the member of the consensus group, nil until this server belongs to
 // one.
-func (m *Machine) Raft() (r *raft.Raft) { return m.raft }
+func (m *Machine) Raft() *raft.Raft { return m.raft }
 
 func (m *Machine) event(name string, vals ...any) {
 	m.out.Events = append(m.out.Events, Event{name, vals})
@@ -235,8 +235,8 @@
 }
 
 // Take hands over the output so far.
-func (m *Machine) Take() (out Out) {
-	out = m.out
+func (m *Machine) Take() Out {
+	out := m.out
 	m.out = Out{}
 	return out
 }
@@ -282,7 +282,7 @@
 }
 
 // leads tells whether this keeper may act as the leader at this moment.
-func (m *Machine) leads() (ok bool) {
+func (m *Machine) leads() bool {
 	return m.leave == nil && m.lead != nil && m.raft.Leased(m.now)
 }
 
--- a/internal/controlplane/order_age.go
+++ b/internal/controlplane/order_age.go
@@ -18,14 +18,14 @@
 const driftPart = 50
 
 // leaderTime is a reading of this leader's clock.
-func (m *Machine) leaderTime() (t wire.LeaderTime) {
+func (m *Machine) leaderTime() wire.LeaderTime {
 	return wire.LeaderTime{Term: m.raft.Term(), At: m.now}
 }
 
 // expired tells whether an order may have come later than its sender waits. An
 // order without a reading comes from a program of a former version, or from
 // this process itself, and is not judged.
-func (m *Machine) expired(a *wire.Ask) (yes bool) {
+func (m *Machine) expired(a *wire.Ask) bool {
 	if !a.Dated || !a.Orders() {
 		return false
 	}
--- a/internal/controlplane/policies.go
+++ b/internal/controlplane/policies.go
@@ -42,8 +42,8 @@
 	}
 }
 
-func (m *Machine) showPolicies() (list []PolicyDoc) {
-	list = []PolicyDoc{}
+func (m *Machine) showPolicies() []PolicyDoc {
+	list := []PolicyDoc{}
 	for _, row := range m.book.Table.Names() {
 		if m.book.Table.Cell(row, "policy") == "" {
 			continue
--- a/internal/controlplane/polls.go
+++ b/internal/controlplane/polls.go
@@ -125,8 +125,8 @@
 	}
 }
 
-func (m *Machine) bare(c *contact) (a runnerapi.Answer) {
-	a = runnerapi.Answer{GrantMs: m.book.Table.Site("grantMs"), StartMs: m.book.Table.Site("startMs")}
+func (m *Machine) bare(c *contact) runnerapi.Answer {
+	a := runnerapi.Answer{GrantMs: m.book.Table.Site("grantMs"), StartMs: m.book.Table.Site("startMs")}
 	if c.agent == nil {
 		a.Gates = m.liveGates()
 		return a
@@ -159,7 +159,7 @@
 	c.facts = m.propose(&state.Command{Report: rep})
 }
 
-func same(a, b []identifier.Label) (ok bool) {
+func same(a, b []identifier.Label) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -188,7 +188,8 @@
 	}
 }
 
-func (c *contact) order() (list []identifier.Grant) {
+func (c *contact) order() []identifier.Grant {
+	var list []identifier.Grant
 	for id := range c.ended {
 		list = append(list, id)
 	}
@@ -240,7 +241,8 @@
 }
 
 // heated takes the runners to look at, in order.
-func (m *Machine) heated() (list []identifier.Runner) {
+func (m *Machine) heated() []identifier.Runner {
+	var list []identifier.Runner
 	for n := range m.lead.hot {
 		list = append(list, n)
 	}
--- a/internal/controlplane/porter.go
+++ b/internal/controlplane/porter.go
@@ -29,7 +29,7 @@
 	ownLife   = 3 * seekGap
 )
 
-func (p *porter) knows() (yes bool) { return len(p.members) > 0 }
+func (p *porter) knows() bool { return len(p.members) > 0 }
 
 // leader is the member that leads, by what the porter has heard lately.
 func (p *porter) leader(now identifier.Mono) (mem raft.Member, ok bool) {
@@ -64,12 +64,13 @@
 
 // unsure tells whether this porter can say neither where the group is nor that
 // there is none: then it says nothing.
-func (p *porter) unsure(now identifier.Mono) (yes bool) {
+func (p *porter) unsure(now identifier.Mono) bool {
 	return !p.knows() && p.rumour != 0 && now.Since(p.rumour) < stillMs
 }
 
 // known are the addresses of seeds and members, each once.
-func (p *porter) known(seeds []string) (list []string) {
+func (p *porter) known(seeds []string) []string {
+	var list []string
 	seen := map[string]bool{}
 	for _, addr := range seeds {
 		seen[addr] = true
@@ -127,11 +128,11 @@
 }
 
 // Led tells whether this keeper knows who leads.
-func (m *Machine) Led() (yes bool) {
+func (m *Machine) Led() bool {
 	if m.raft != nil {
 		return m.raft.Lead() != 0
 	}
-	_, yes = m.leader()
+	_, yes := m.leader()
 	return yes
 }
 
@@ -149,7 +150,7 @@
 	m.abandon(m.follows)
 }
 
-func (m *Machine) reaches() (yes bool) {
+func (m *Machine) reaches() bool {
 	if m.raft != nil && m.raft.Role() == raft.Leader {
 		return m.raft.Leased(m.now)
 	}
@@ -158,6 +159,6 @@
 
 // Connected tells whether this keeper has a leader to go to, or had one until
 // so short a time ago that the next one may be about to be elected.
-func (m *Machine) Connected() (yes bool) {
+func (m *Machine) Connected() bool {
 	return !m.reach.lost && m.now.Since(m.reached) <= 2*m.boot.Timing.Elect
 }
--- a/internal/controlplane/reach.go
+++ b/internal/controlplane/reach.go
@@ -43,7 +43,7 @@
 func (r *reach) answered(now identifier.Mono) { r.heard, r.lost = now, false }
 
 // silent is how long the leader has owed an answer.
-func (r *reach) silent(now identifier.Mono) (span identifier.Span) {
+func (r *reach) silent(now identifier.Mono) identifier.Span {
 	return now.Since(max(r.waiting, r.heard))
 }
 
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -14,9 +14,9 @@
 const relayLeader identifier.Node = 7
 
 // forwarder is a keeper without a disk that knows of a leader at "k7".
-func forwarder(t *testing.T) (m *controlplane.Machine) {
+func forwarder(t *testing.T) *controlplane.Machine {
 	t.Helper()
-	m = controlplane.New(controlplane.Boot{Addr: "p", Domain: "north", Seeds: []string{"k7"}, Timing: raft.Usual(), Diskless: true}, 0)
+	m := controlplane.New(controlplane.Boot{Addr: "p", Domain: "north", Seeds: []string{"k7"}, Timing: raft.Usual(), Diskless: true}, 0)
 	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 40}, 100)
 	m.Take()
 	return m
@@ -39,7 +39,8 @@
 }
 
 // replies lists the replies in an output.
-func replies(o controlplane.Out) (list []wire.Send) {
+func replies(o controlplane.Out) []wire.Send {
+	var list []wire.Send
 	for _, s := range o.Sends {
 		if s.Msg.Reply != nil {
 			list = append(list, s)
@@ -117,7 +118,8 @@
 func TestExpiredOrder(t *testing.T) {
 	s := newSite(t, 1, 0)
 	term := s.keep.Raft().Term()
-	ask := func(verb string, dated bool, known wire.LeaderTime, budget identifier.Span) (r *wire.Reply) {
+	ask := func(verb string, dated bool, known wire.LeaderTime, budget identifier.Span) *wire.Reply {
+		var r *wire.Reply
 		s.ask++
 		order := &wire.Ask{ID: s.ask, Verb: verb, Path: "/v1/closings/nowhere", Budget: budget, Dated: dated, Known: known}
 		s.posts = append(s.posts, post{s.now, "k", "op", wire.Msg{Ask: order}})
--- a/internal/controlplane/reseat.go
+++ b/internal/controlplane/reseat.go
@@ -31,7 +31,8 @@
 // this one; none when all is as it should be, or when after the change the live
 // voters would be no majority. Calm says that the leader has had the time to
 // hear whoever lives: only then is a live voter's seat given away.
-func reseat(list []seat, want int, calm bool) (next []raft.Member) {
+func reseat(list []seat, want int, calm bool) []raft.Member {
+	var next []raft.Member
 	t := weigh(list)
 	switch {
 	case t.dead != nil && (t.voters > want || t.voters > fewSeats && t.voters%2 == 0):
@@ -49,8 +50,8 @@
 	return next
 }
 
-func weigh(list []seat) (t *seatTable) {
-	t = &seatTable{list: list, held: map[identifier.Domain]int{}, whole: true}
+func weigh(list []seat) *seatTable {
+	t := &seatTable{list: list, held: map[identifier.Domain]int{}, whole: true}
 	for i := range list {
 		s := &list[i]
 		if s.Voter {
@@ -93,7 +94,7 @@
 // needs tells whether a learner is wanted as a voter: to take a dead one's
 // seat, or to grow. Four voters bear no more losses than three and lose more
 // with a zone, so growth waits until two can follow one another at once.
-func (t *seatTable) needs(want int) (yes bool) {
+func (t *seatTable) needs(want int) bool {
 	switch {
 	case t.voters < fewSeats, t.dead != nil && t.voters <= want:
 		return true
@@ -105,7 +106,7 @@
 
 // uneven tells whether a zone has two voters more than that of a learner that
 // is ready: it becomes a voter, and then one of that zone a learner.
-func (t *seatTable) uneven(want int) (yes bool) {
+func (t *seatTable) uneven(want int) bool {
 	if t.voters != want || !t.whole || t.other == nil {
 		return false
 	}
@@ -113,7 +114,7 @@
 }
 
 // holds tells whether the live are a majority of the voters of a list.
-func (t *seatTable) holds(next []raft.Member) (ok bool) {
+func (t *seatTable) holds(next []raft.Member) bool {
 	live := map[identifier.Node]bool{}
 	for _, s := range t.list {
 		live[s.ID] = s.live
@@ -131,7 +132,8 @@
 	return up > voters/2
 }
 
-func (t *seatTable) without(one *seat) (next []raft.Member) {
+func (t *seatTable) without(one *seat) []raft.Member {
+	var next []raft.Member
 	for _, s := range t.list {
 		if s.ID != one.ID {
 			next = append(next, s.Member)
@@ -140,7 +142,8 @@
 	return next
 }
 
-func (t *seatTable) voting(one *seat, voter bool) (next []raft.Member) {
+func (t *seatTable) voting(one *seat, voter bool) []raft.Member {
+	var next []raft.Member
 	for _, s := range t.list {
 		if s.ID == one.ID {
 			s.Voter = voter
--- a/internal/controlplane/reseat_test.go
+++ b/internal/controlplane/reseat_test.go
@@ -12,7 +12,8 @@
 // seatsOf makes a group, its first member the leader:
 // "A" is a voter of zone A that lives, "a" a learner that is ready; after "-"
 // comes one that is dead or idle, after "?" one that is not heard of.
-func seatsOf(text string) (list []seat) {
+func seatsOf(text string) []seat {
+	var list []seat
 	mark := rune(0)
 	for _, c := range text {
 		if c == '-' || c == '?' {
@@ -32,7 +33,7 @@
 	return list
 }
 
-func (s seat) String() (text string) {
+func (s seat) String() string {
 	c := []rune(s.Domain)[0]
 	if !s.Voter {
 		c += 'a' - 'A'
@@ -46,7 +47,8 @@
 	return string(c)
 }
 
-func textOf(list []seat) (text string) {
+func textOf(list []seat) string {
+	var text string
 	for _, s := range list {
 		text += s.String()
 	}
@@ -54,7 +56,8 @@
 }
 
 // after is the group as it would be seen once a change is committed.
-func after(list []seat, next []raft.Member) (out []seat) {
+func after(list []seat, next []raft.Member) []seat {
+	var out []seat
 	for _, mem := range next {
 		for _, s := range list {
 			if s.ID == mem.ID {
@@ -137,7 +140,7 @@
 	}
 }
 
-func drawSeats(rnd *rand.Rand) (list []seat) {
+func drawSeats(rnd *rand.Rand) []seat {
 	text := ""
 	zones := 1 + rnd.Intn(4)
 	count, voters := 1+rnd.Intn(9), 1+rnd.Intn(6)
@@ -156,7 +159,7 @@
 
 // judgeChange says what is wrong with a change. Where the live are no majority
 // to begin with, nothing can be committed, and nothing is judged.
-func judgeChange(list []seat, next []raft.Member, changes map[string]int) (fault string) {
+func judgeChange(list []seat, next []raft.Member, changes map[string]int) string {
 	was, live := map[identifier.Node]seat{}, 0
 	for _, s := range list {
 		was[s.ID] = s
--- a/internal/controlplane/seats.go
+++ b/internal/controlplane/seats.go
@@ -34,7 +34,7 @@
 // wanted is how many voters there should be. Five become three only when fewer
 // than five have been alive for long; on the way up or down, with four, there
 // is no reason to linger.
-func (m *Machine) wanted(list []seat) (n int) {
+func (m *Machine) wanted(list []seat) int {
 	live, voters := 0, 0
 	for _, s := range list {
 		if s.live {
@@ -56,7 +56,8 @@
 
 // seatList is the group as this leader sees it. Whoever it has not heard in
 // its own term is neither live nor ready.
-func (m *Machine) seatList() (out []seat) {
+func (m *Machine) seatList() []seat {
+	var out []seat
 	list, seen := m.raft.Members(), map[identifier.Node]raft.MemberStatus{}
 	for _, s := range m.raft.MemberStatuses() {
 		seen[s.ID] = s
@@ -81,7 +82,8 @@
 
 // outlived tells whether a later member has this one's address: its process
 // and its disk are gone.
-func outlived(list []raft.Member, one raft.Member) (yes bool) {
+func outlived(list []raft.Member, one raft.Member) bool {
+	var yes bool
 	seen := false
 	for _, mem := range list {
 		seen = seen || mem.ID == one.ID
--- a/internal/controlplane/show.go
+++ b/internal/controlplane/show.go
@@ -46,8 +46,8 @@
 	Why     string            `json:"why,omitempty"`
 }
 
-func (m *Machine) jobDoc(j *state.Job, full bool) (d JobDoc) {
-	d = JobDoc{Job: j.Key, State: j.State(), Pending: j.Spec.Pending, Urgency: j.Spec.Urgency, Accepted: state.Stamp(j.At), Why: j.Fail}
+func (m *Machine) jobDoc(j *state.Job, full bool) JobDoc {
+	d := JobDoc{Job: j.Key, State: j.State(), Pending: j.Spec.Pending, Urgency: j.Spec.Urgency, Accepted: state.Stamp(j.At), Why: j.Fail}
 	if j.Start > 0 {
 		d.NotBefore = state.Stamp(j.Start)
 	}
@@ -82,7 +82,7 @@
 }
 
 // why says what the step's waiting tasks wait for.
-func (m *Machine) why(j *state.Job, step int) (text string) {
+func (m *Machine) why(j *state.Job, step int) string {
 	switch {
 	case j.Start > m.lead.clock.site(m.now):
 		return "not before " + state.Stamp(j.Start)
@@ -91,7 +91,7 @@
 	case !j.Ready(step):
 		return "gang waits for its members to be free"
 	}
-	if text = m.reason[j.Key][step]; text != "" {
+	if text := m.reason[j.Key][step]; text != "" {
 		return text
 	}
 	return "behind other work of row " + string(j.Spec.Pending)
@@ -164,7 +164,7 @@
 		Next string   `json:"next,omitempty"`
 	}{Jobs: []JobDoc{}}
 	looked := 0
-	m.book.Page(identifier.Key(q.Get("after")), func(j *state.Job) (more bool) {
+	m.book.Page(identifier.Key(q.Get("after")), func(j *state.Job) bool {
 		agent, _ := j.Key.Split()
 		looked++
 		if match(q, "agent", string(agent)) && match(q, "pending", string(j.Spec.Pending)) && match(q, "state", j.State()) {
@@ -179,7 +179,7 @@
 	m.replyDoc(c.peer, c.ID, 200, out)
 }
 
-func match(q url.Values, key, have string) (ok bool) {
+func match(q url.Values, key, have string) bool {
 	want := q.Get(key)
 	return want == "" || want == have
 }
@@ -204,7 +204,7 @@
 	Bad    int64              `json:"defects"`
 }
 
-func (m *Machine) showRunners() (out map[string]any) {
+func (m *Machine) showRunners() map[string]any {
 	list := []RunnerDoc{}
 	for _, n := range m.book.RunnerNames() {
 		r := m.book.Runners[n]
@@ -221,7 +221,7 @@
 	return map[string]any{"runners": list}
 }
 
-func (m *Machine) showClosings() (out map[string]any) {
+func (m *Machine) showClosings() map[string]any {
 	list := []any{}
 	for _, id := range m.book.ClosingIDs() {
 		list = append(list, m.closingDoc(m.book.Closings[id]))
@@ -229,7 +229,8 @@
 	return map[string]any{"closings": list}
 }
 
-func (m *Machine) closingDoc(c *state.Closing) (out map[string]any) {
+func (m *Machine) closingDoc(c *state.Closing) map[string]any {
+	var out map[string]any
 	text, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -249,7 +250,7 @@
 	return out
 }
 
-func has(list []identifier.Runner, n identifier.Runner) (ok bool) {
+func has(list []identifier.Runner, n identifier.Runner) bool {
 	for _, one := range list {
 		if one == n {
 			return true
@@ -286,7 +287,7 @@
 	Level uint16           `json:"level"`
 }
 
-func (m *Machine) showKeepers() (out map[string]any) {
+func (m *Machine) showKeepers() map[string]any {
 	list := []KeeperDoc{}
 	self, _ := m.raft.Member(m.boot.ID)
 	list = append(list, KeeperDoc{Member: self, Name: self.ID.String(), Lead: true, Match: m.raft.Last(), Level: m.boot.Level})
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -57,14 +57,14 @@
 	Places  []catalog.Place `json:"places,omitempty"`
 }
 
-func (m *Machine) sheetNow() (s *Sheet) {
+func (m *Machine) sheetNow() *Sheet {
 	t := m.routingTable()
 	return &Sheet{Epoch: t.Epoch, Rows: t.Rows, Version: t.Version, Places: t.Places}
 }
 
 // routingTable is the table in force, as gateways need it.
-func (m *Machine) routingTable() (t routing.Table) {
-	t = routing.Table{Epoch: m.book.Table.Epoch, Rows: m.book.Table.Rows}
+func (m *Machine) routingTable() routing.Table {
+	t := routing.Table{Epoch: m.book.Table.Epoch, Rows: m.book.Table.Rows}
 	if c := m.book.Catalog; c != nil {
 		t.Version, t.Places = c.Version, c.Places()
 	}
@@ -115,14 +115,14 @@
 	m.replyDoc(c.peer, c.ID, 200, s)
 }
 
-func (m *Machine) page(since identifier.Epoch, after string) (p routing.Page) {
+func (m *Machine) page(since identifier.Epoch, after string) routing.Page {
 	m.trackRouting()
 	return m.routed.history.Page(since, after)
 }
 
 // staleBody is what goes with the reply to a request checked by an older table.
 // Gateways that date their requests know pages.
-func (m *Machine) staleBody(a *wire.Ask) (text []byte) {
+func (m *Machine) staleBody(a *wire.Ask) []byte {
 	var body any = m.sheetNow()
 	if a.Dated {
 		page := m.page(a.Epoch, "")
--- a/internal/daemon/agentd/desk.go
+++ b/internal/daemon/agentd/desk.go
@@ -43,11 +43,12 @@
 }
 
 // New opens the agent's address; it begins with the process's life.
-func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (d *Desk, err error) {
+func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (*Desk, error) {
+	var err error
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d = &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*agent.Machine](1024)}
+	d := &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*agent.Machine](1024)}
 	d.mach = agent.New(s.Boot, d.clock.Now())
 	if d.link, err = link.Listen(s.Boot.Addr, c); err != nil {
 		return nil, err
@@ -105,14 +106,15 @@
 }
 
 // Fence is the highest fence the agent knows of, 0 for none.
-func (d *Desk) Fence(ctx context.Context) (fence uint64) {
+func (d *Desk) Fence(ctx context.Context) uint64 {
+	var fence uint64
 	d.errands.Do(ctx, func(m *agent.Machine) { fence = m.Fence() })
 	return fence
 }
 
 // Stop says that the agent is about to end. It comes before the parting from
 // the runner, whose last heartbeats are then answered with the longest hold.
-func (d *Desk) Stop(ctx context.Context) (ok bool) {
+func (d *Desk) Stop(ctx context.Context) bool {
 	return d.errands.Do(ctx, func(m *agent.Machine) { m.Stop() })
 }
 
--- a/internal/daemon/agentd/given_up_test.go
+++ b/internal/daemon/agentd/given_up_test.go
@@ -52,7 +52,7 @@
 			t.Fatal(err)
 		}
 	}
-	heard := func(name string) (yes bool) {
+	heard := func(name string) bool {
 		mu.Lock()
 		defer mu.Unlock()
 		return strings.Contains(told, name)
--- a/internal/daemon/gatewayd/ask.go
+++ b/internal/daemon/gatewayd/ask.go
@@ -12,7 +12,8 @@
 
 // Ask has the gate settle a request. A caller whose context ends is forgotten,
 // and gets a 504 in case it still looks.
-func (d *Desk) Ask(ctx context.Context, r gateway.Request) (a gateway.Answer) {
+func (d *Desk) Ask(ctx context.Context, r gateway.Request) gateway.Answer {
+	var a gateway.Answer
 	r.ID = d.next.Add(1)
 	back := make(chan gateway.Answer, 1)
 	if !d.errands.Offer(func(m *gateway.Machine) {
@@ -45,6 +46,6 @@
 	return d.errands.Do(ctx, f)
 }
 
-func full() (a gateway.Answer) {
+func full() gateway.Answer {
 	return gateway.Answer{Status: 503, Retry: 1000, Body: jsondoc.Trouble{Code: "busy", Why: "this gate is full"}.JSON()}
 }
--- a/internal/daemon/gatewayd/desk.go
+++ b/internal/daemon/gatewayd/desk.go
@@ -55,7 +55,8 @@
 }
 
 // New opens the gate's addresses; it begins with the process's life.
-func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (d *Desk, err error) {
+func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (*Desk, error) {
+	var err error
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
@@ -63,7 +64,7 @@
 	if name == "" {
 		name = s.Addr
 	}
-	d = &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
+	d := &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
 	d.mach = gateway.New(gateway.Boot{Addr: s.Addr, HTTP: name, Domain: s.Domain, Seeds: s.Seeds, Seed: rand.Int64()}, d.clock.Now())
 	if d.link, err = link.Listen(s.Addr, c); err != nil {
 		return nil, err
@@ -130,10 +131,10 @@
 }
 
 // Ready tells whether this gate is in touch with the leader.
-func (d *Desk) Ready() (ok bool) { return d.ready.Load() }
+func (d *Desk) Ready() bool { return d.ready.Load() }
 
 // Gauges are this gate's numbers, for a face that shows them.
-func (d *Desk) Gauges() (g *httpserver.Gauges) { return d.gauges }
+func (d *Desk) Gauges() *httpserver.Gauges { return d.gauges }
 
 func (d *Desk) gauge() {
 	ready := d.mach.Ready(d.clock.Now())
--- a/internal/daemon/gatewayd/desk_test.go
+++ b/internal/daemon/gatewayd/desk_test.go
@@ -103,7 +103,8 @@
 		got <- d.Ask(ctx, gateway.Request{Verb: "GET", Path: "/v1/jobs", Budget: 30000})
 	})
 	until(t, "the request did not reach the leader", func() bool { return silent.Load() > 0 })
-	waiting := func() (n int) {
+	waiting := func() int {
+		var n int
 		if !d.Look(context.Background(), func(m *gateway.Machine) { n = m.Waiting() + len(d.back) }) {
 			t.Fatal("no look at the machine")
 		}
@@ -125,7 +126,7 @@
 	d, l := desk(t, c, "127.0.0.1:1")
 	for d.errands.Offer(func(*gateway.Machine) {}) {
 	}
-	ask := func() (a gateway.Answer) {
+	ask := func() gateway.Answer {
 		return d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: 30000})
 	}
 	if a := ask(); a.Status != 503 || a.Retry == 0 || !strings.Contains(string(a.Body), "busy") {
--- a/internal/daemon/lifecycle/clock.go
+++ b/internal/daemon/lifecycle/clock.go
@@ -21,10 +21,10 @@
 
 // NewClock makes a clock whose Now counts from this moment. It panics when the
 // kernel has no clock that runs on through a suspend.
-func NewClock() (c *Clock) { return &Clock{read()} }
+func NewClock() *Clock { return &Clock{read()} }
 
 // read panics where the kernel lacks the clock: no promise could be kept.
-func read() (m identifier.Mono) {
+func read() identifier.Mono {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(source, &ts); err != nil {
 		panic("crew: no clock that counts suspend: " + err.Error())
@@ -33,7 +33,7 @@
 }
 
 // Now is the time since NewClock, that of a suspended machine included.
-func (c *Clock) Now() (m identifier.Mono) { return read() - c.start }
+func (c *Clock) Now() identifier.Mono { return read() - c.start }
 
 // Wall is the machine's time of day.
-func (c *Clock) Wall() (w identifier.Wall) { return identifier.Wall(time.Now().UnixMilli()) }
+func (c *Clock) Wall() identifier.Wall { return identifier.Wall(time.Now().UnixMilli()) }
--- a/internal/daemon/lifecycle/crew.go
+++ b/internal/daemon/lifecycle/crew.go
@@ -19,7 +19,7 @@
 }
 
 // New makes a crew without goroutines.
-func New() (c *Crew) { return &Crew{stop: make(chan struct{})} }
+func New() *Crew { return &Crew{stop: make(chan struct{})} }
 
 // Go starts a duty. It should return soon after stop is closed.
 func (c *Crew) Go(duty func(stop <-chan struct{})) {
@@ -31,7 +31,7 @@
 }
 
 // Stop tells all duties to end and waits for them as long as ctx allows.
-func (c *Crew) Stop(ctx context.Context) (err error) {
+func (c *Crew) Stop(ctx context.Context) error {
 	c.once.Do(func() { close(c.stop) })
 	done := make(chan struct{})
 	go func() {
--- a/internal/daemon/logging/logs.go
+++ b/internal/daemon/logging/logs.go
@@ -19,15 +19,15 @@
 type Log struct{ l *logrus.Logger }
 
 // New makes a log that writes both events and faults.
-func New() (l *Log) {
+func New() *Log {
 	out := logrus.New()
 	out.SetOutput(os.Stderr)
 	out.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
 	return &Log{out}
 }
 
-func fields(vals []any) (f logrus.Fields) {
-	f = logrus.Fields{}
+func fields(vals []any) logrus.Fields {
+	f := logrus.Fields{}
 	for i := 0; i+1 < len(vals); i += 2 {
 		key := fmt.Sprint(vals[i])
 		switch v := vals[i+1].(type) {
@@ -78,7 +78,8 @@
 }
 
 // wait waits until the daemon is told to stop.
-func wait(log *Log, stop <-chan fx.ShutdownSignal, hangups <-chan os.Signal) (told fx.ShutdownSignal) {
+func wait(log *Log, stop <-chan fx.ShutdownSignal, hangups <-chan os.Signal) fx.ShutdownSignal {
+	var told fx.ShutdownSignal
 	for {
 		select {
 		case told = <-stop:
--- a/internal/daemon/serverd/ask.go
+++ b/internal/daemon/serverd/ask.go
@@ -15,7 +15,8 @@
 // budget, by default 2 s. Where no leader has been known for a while it is a 503
 // at once, with when to come back; a 504 means that the outcome is not known. A caller whose context ends is forgotten, and
 // gets a 504 in case it still looks.
-func (d *Desk) Ask(ctx context.Context, r gateway.Request) (a gateway.Answer) {
+func (d *Desk) Ask(ctx context.Context, r gateway.Request) gateway.Answer {
+	var a gateway.Answer
 	r.ID = d.next.Add(1)
 	back := make(chan gateway.Answer, 1)
 	admit := func(m *controlplane.Machine) {
--- a/internal/daemon/serverd/depart.go
+++ b/internal/daemon/serverd/depart.go
@@ -20,7 +20,7 @@
 
 // depart waits until the machine has left or the context ends; what could not be
 // done in time is left to an election.
-func (d *Desk) depart(ctx context.Context) (err error) {
+func (d *Desk) depart(ctx context.Context) error {
 	if !d.errands.Offer(func(m *controlplane.Machine) { m.Leave() }) {
 		return nil
 	}
--- a/internal/daemon/serverd/depart_test.go
+++ b/internal/daemon/serverd/depart_test.go
@@ -47,7 +47,8 @@
 	}
 }
 
-func role(ctx context.Context, d *Desk) (r raft.Role) {
+func role(ctx context.Context, d *Desk) raft.Role {
+	var r raft.Role
 	d.Look(ctx, func(m *controlplane.Machine) {
 		if m.Raft() != nil {
 			r = m.Raft().Role()
@@ -57,7 +58,7 @@
 }
 
 // leading is which of them leads, -1 when none does before the context ends.
-func leading(ctx context.Context, list []*Desk) (i int) {
+func leading(ctx context.Context, list []*Desk) int {
 	for ctx.Err() == nil {
 		for i, d := range list {
 			if role(ctx, d) == raft.Leader {
--- a/internal/daemon/serverd/desk.go
+++ b/internal/daemon/serverd/desk.go
@@ -46,7 +46,7 @@
 	Elect identifier.Span
 }
 
-func (s Settings) timing() (t raft.Timing) {
+func (s Settings) timing() raft.Timing {
 	if s.Elect == 0 {
 		return raft.Usual()
 	}
@@ -80,7 +80,7 @@
 	msg  wire.Msg
 }
 
-func random() (n uint64) {
+func random() uint64 {
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
 		panic(err)
@@ -90,11 +90,12 @@
 
 // New opens the keeper's folder and addresses; it begins with the process's
 // life, and ends the process when it must step aside.
-func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (d *Desk, err error) {
+func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (*Desk, error) {
+	var err error
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d = &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*controlplane.Machine](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
+	d := &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*controlplane.Machine](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
 	boot := controlplane.Boot{Addr: s.Addr, Domain: s.Domain, Seeds: s.Seeds, Seed: int64(random() >> 1), Timing: s.timing(), Level: state.Present, Found: s.Found, Cells: s.Cells, Diskless: s.Data == ""}
 	if d.store, boot.ID, err = newStore(s); err != nil {
 		return nil, err
@@ -123,7 +124,8 @@
 
 // begin hooks the duties into the process's life, by way of the HTTP side if
 // there is one.
-func (d *Desk) begin(s Settings, c *lifecycle.Crew, life fx.Lifecycle, id identifier.Node) (err error) {
+func (d *Desk) begin(s Settings, c *lifecycle.Crew, life fx.Lifecycle, id identifier.Node) error {
+	var err error
 	begin := func() {
 		d.link.Serve(d.take)
 		c.Go(d.store.run)
@@ -221,7 +223,7 @@
 }
 
 // Ready tells whether this keeper knows who leads.
-func (d *Desk) Ready() (ok bool) { return d.ready.Load() }
+func (d *Desk) Ready() bool { return d.ready.Load() }
 
 // Gauges are this keeper's numbers, for a face that shows them.
-func (d *Desk) Gauges() (g *httpserver.Gauges) { return d.gauges }
+func (d *Desk) Gauges() *httpserver.Gauges { return d.gauges }
--- a/internal/daemon/serverd/desk_test.go
+++ b/internal/daemon/serverd/desk_test.go
@@ -26,7 +26,7 @@
 
 func (l *life) Append(h fx.Hook) { l.hooks = append(l.hooks, h) }
 
-func (l *life) Shutdown(...fx.ShutdownOption) (err error) {
+func (l *life) Shutdown(...fx.ShutdownOption) error {
 	select {
 	case l.down <- true:
 	default:
@@ -48,7 +48,8 @@
 
 // free finds addresses nobody listens on, below the range that the kernel
 // gives to outgoing connections.
-func free(n int) (list []string) {
+func free(n int) []string {
+	var list []string
 	for len(list) < n {
 		addr := fmt.Sprintf("127.0.0.1:%d", 10000+rand.IntN(22000))
 		if ln, err := net.Listen("tcp", addr); err == nil {
@@ -151,7 +152,8 @@
 }
 
 // settled asks until a leader has settled it, as a caller would.
-func settled(ctx context.Context, d *Desk, r gateway.Request) (a gateway.Answer) {
+func settled(ctx context.Context, d *Desk, r gateway.Request) gateway.Answer {
+	var a gateway.Answer
 	for ctx.Err() == nil {
 		if a = d.Ask(ctx, r); a.Status != 503 && a.Status != 504 {
 			return a
@@ -165,7 +167,7 @@
 func TestAskAlone(t *testing.T) {
 	c, seeds := lifecycle.New(), free(3)
 	d, l := desk(t, c, seeds[0], seeds)
-	ask := func(budget identifier.Span) (a gateway.Answer) {
+	ask := func(budget identifier.Span) gateway.Answer {
 		return d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: budget})
 	}
 	for i := 0; i < 4096; i++ {
--- a/internal/daemon/serverd/store.go
+++ b/internal/daemon/serverd/store.go
@@ -42,9 +42,11 @@
 	return s, id, err
 }
 
-func (s *store) full() (percent int) { return int(s.fill.Load()) }
+func (s *store) full() int { return int(s.fill.Load()) }
 
-func (s *store) open() (found *wal.Found, err error) {
+func (s *store) open() (*wal.Found, error) {
+	var found *wal.Found
+	var err error
 	if s.disk == nil {
 		return nil, nil
 	}
@@ -69,7 +71,8 @@
 	}
 }
 
-func (s *store) do(x *wal.Chore) (d done) {
+func (s *store) do(x *wal.Chore) done {
+	var d done
 	d.chore = x
 	if s.ring, d.err = x.Do(s.disk, s.shape, s.ring); d.err == nil {
 		s.fill.Store(int64(s.ring.Full()))
--- a/internal/daemon/settings/boot.go
+++ b/internal/daemon/settings/boot.go
@@ -26,12 +26,12 @@
 
 // ReadFile reads a settings file, which must hold one JSON object. Its keys are
 // not checked; Validate does that.
-func ReadFile(path string) (f *File, err error) {
+func ReadFile(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Wrap(err, "settings file")
 	}
-	f = &File{Path: path}
+	f := &File{Path: path}
 	if !json.Valid(data) {
 		return nil, errors.Errorf("settings file %s is not one JSON object", path)
 	}
@@ -44,7 +44,7 @@
 }
 
 // Validate names keys that no flag has.
-func (f *File) Validate(app *kong.Application) (err error) {
+func (f *File) Validate(app *kong.Application) error {
 	known := map[string]bool{}
 	for _, flag := range app.Flags {
 		known[flag.Name] = true
@@ -64,7 +64,7 @@
 
 // Resolve gives kong the value of a flag, nil when the file has none. A list
 // becomes its values joined by commas.
-func (f *File) Resolve(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (val any, err error) {
+func (f *File) Resolve(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (any, error) {
 	v, ok := f.vals[flag.Name]
 	if !ok {
 		return nil, nil
@@ -81,7 +81,7 @@
 
 // Parse fills the program's flags from the command line and, with --boot FILE,
 // from a settings file; the command line wins. It exits 2 on bad usage.
-func Parse(into any, name, help string, check func(c *Check)) (ctx *kong.Context) {
+func Parse(into any, name, help string, check func(c *Check)) *kong.Context {
 	var opts = []kong.Option{kong.Name(name), kong.Description(help), kong.UsageOnError(),
 		kong.Exit(func(code int) {
 			if code != 0 {
@@ -107,7 +107,7 @@
 		}
 		opts = append(opts, kong.Resolvers(f))
 	}
-	ctx = kong.Parse(into, opts...)
+	ctx := kong.Parse(into, opts...)
 	c := &Check{}
 	check(c)
 	if len(c.list) == 0 {
@@ -160,4 +160,4 @@
 }
 
 // Faults lists what was noted, one line each.
-func (c *Check) Faults() (list []string) { return c.list }
+func (c *Check) Faults() []string { return c.list }
--- a/internal/daemon/settings/boot_test.go
+++ b/internal/daemon/settings/boot_test.go
@@ -17,16 +17,17 @@
 	Slow   bool
 }
 
-func write(t *testing.T, text string) (path string) {
+func write(t *testing.T, text string) string {
 	t.Helper()
-	path = filepath.Join(t.TempDir(), "boot.json")
+	path := filepath.Join(t.TempDir(), "boot.json")
 	if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-func parse(t *testing.T, text string, args ...string) (f flags, err error) {
+func parse(t *testing.T, text string, args ...string) (flags, error) {
+	var f flags
 	t.Helper()
 	from, err := ReadFile(write(t, text))
 	if err != nil {
--- a/internal/gateway/boot.go
+++ b/internal/gateway/boot.go
@@ -38,12 +38,12 @@
 // is not known what became of an earlier try: reads change nothing, jobs are
 // known by their id and changes of the catalogue by their version and digest.
 // Orders to close or reopen a zone have no number: the sender decides.
-func (r Request) Repeatable() (yes bool) {
+func (r Request) Repeatable() bool {
 	return r.Verb == "GET" || strings.HasPrefix(r.Path, "/v1/jobs/") || r.Path == "/v1/catalog"
 }
 
 // patience is how long the caller waits, in milliseconds, where it doesn't say.
-func (r Request) patience() (span identifier.Span) {
+func (r Request) patience() identifier.Span {
 	switch {
 	case r.Budget > 0:
 		return r.Budget
--- a/internal/gateway/machine.go
+++ b/internal/gateway/machine.go
@@ -87,18 +87,18 @@
 
 // New makes a gateway that knows no table and no leader yet; it is not ready
 // until it has synced with a leader.
-func New(boot Boot, now identifier.Mono) (m *Machine) {
+func New(boot Boot, now identifier.Mono) *Machine {
 	return &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * Touch), told: now.Add(-tellGap), bad: map[wire.Peer]identifier.Mono{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
 }
 
 // Ready tells whether the gate has been in touch with the leader lately and
 // has a table to decide by.
-func (m *Machine) Ready(now identifier.Mono) (ok bool) {
+func (m *Machine) Ready(now identifier.Mono) bool {
 	return m.rules != nil && now.Since(m.touch) < Touch
 }
 
 // Version is the catalogue's, 0 while this gate knows of none.
-func (m *Machine) Version() (v uint64) {
+func (m *Machine) Version() uint64 {
 	if m.queues == nil {
 		return 0
 	}
@@ -115,7 +115,7 @@
 }
 
 // Epoch is the version of the routing table in use, 0 while there is none.
-func (m *Machine) Epoch() (e identifier.Epoch) {
+func (m *Machine) Epoch() identifier.Epoch {
 	if m.rules == nil {
 		return 0
 	}
@@ -123,17 +123,17 @@
 }
 
 // Waiting is the number of requests without an answer.
-func (m *Machine) Waiting() (n int) { return len(m.calls) }
+func (m *Machine) Waiting() int { return len(m.calls) }
 
 // Members lists the control-plane servers as the leader last gave them.
-func (m *Machine) Members() (list []raft.Member) { return m.members }
+func (m *Machine) Members() []raft.Member { return m.members }
 
 // Gates lists the client addresses of the gateways as the leader last gave them.
-func (m *Machine) Gates() (list []string) { return m.gates }
+func (m *Machine) Gates() []string { return m.gates }
 
 // Take returns the output so far and clears it.
-func (m *Machine) Take() (out Out) {
-	out = m.out
+func (m *Machine) Take() Out {
+	out := m.out
 	m.out = Out{}
 	return out
 }
@@ -176,7 +176,8 @@
 	}
 }
 
-func (m *Machine) order() (list []uint64) {
+func (m *Machine) order() []uint64 {
+	var list []uint64
 	for id := range m.calls {
 		list = append(list, id)
 	}
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -13,9 +13,9 @@
 )
 
 // touched is a gate in touch with a leader, at 1000 ms.
-func touched(t *testing.T) (m *Machine) {
+func touched(t *testing.T) *Machine {
 	t.Helper()
-	m = New(Boot{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
+	m := New(Boot{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
 	m.Frame("k", wire.Msg{Tell: &wire.Tell{Role: "keeper", Founded: true, Lead: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
 	m.Tick(950)
 	first := limits.First()
@@ -35,7 +35,8 @@
 	return m
 }
 
-func passed(o Out) (a *wire.Ask) {
+func passed(o Out) *wire.Ask {
+	var a *wire.Ask
 	for _, s := range o.Sends {
 		if s.Msg.Ask != nil && s.Msg.Ask.Verb != "SYNC" {
 			a = s.Msg.Ask
@@ -116,7 +117,7 @@
 	if a == nil || a.Epoch != 1 {
 		t.Fatalf("passed on as %+v", a)
 	}
-	sheet := func(epoch identifier.Epoch, most string) (text []byte) {
+	sheet := func(epoch identifier.Epoch, most string) []byte {
 		now := limits.First()
 		now.Rows["default"]["maxTasks"] = most
 		text, err := json.Marshal(controlplane.Sheet{Epoch: epoch, Rows: now.Rows})
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -46,7 +46,7 @@
 }
 
 // check runs what can be judged here: shape and the row's rules.
-func (m *Machine) check(c *call) (ok bool) {
+func (m *Machine) check(c *call) bool {
 	var f jsondoc.Faults
 	parts := strings.Split(strings.Trim(c.Path, "/"), "/")
 	switch {
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -25,8 +25,8 @@
 	largest int
 }
 
-func newLeading(t *testing.T, places int) (l *leading) {
-	l = &leading{t: t, m: touched(t), now: 1000}
+func newLeading(t *testing.T, places int) *leading {
+	l := &leading{t: t, m: touched(t), now: 1000}
 	l.table = routing.Table{Epoch: 2, Version: 2, Rows: l.m.routes.Rows()}
 	for i := 0; i < places; i++ {
 		l.table.Places = append(l.table.Places, catalog.Place{Name: fmt.Sprintf("q%05d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i)})
@@ -49,7 +49,8 @@
 }
 
 // serve answers the syncs in an output and returns the rest.
-func (l *leading) serve(o Out) (rest []wire.Send) {
+func (l *leading) serve(o Out) []wire.Send {
+	var rest []wire.Send
 	for _, s := range o.Sends {
 		if s.Msg.Ask == nil || s.Msg.Ask.Verb != "SYNC" {
 			rest = append(rest, s)
@@ -79,7 +80,8 @@
 	return rest
 }
 
-func (l *leading) tick(ms identifier.Mono) (o Out) {
+func (l *leading) tick(ms identifier.Mono) Out {
+	var o Out
 	for end := l.now + ms; l.now < end; l.now += 50 {
 		l.m.Tick(l.now)
 		o = l.m.Take()
--- a/internal/gateway/touch.go
+++ b/internal/gateway/touch.go
@@ -73,12 +73,13 @@
 
 // Behind tells whether the leader has had a newer table for so long that this
 // gateway can't say any more what there is not.
-func (m *Machine) Behind() (yes bool) {
+func (m *Machine) Behind() bool {
 	return m.behind > 0 && m.now.Since(m.behind) > behindMost
 }
 
 // choose prefers the leader, then whichever member failed least lately.
-func (m *Machine) choose() (p wire.Peer) {
+func (m *Machine) choose() wire.Peer {
+	var p wire.Peer
 	low := identifier.Mono(0)
 	for _, mem := range m.members {
 		at, was := m.bad[wire.Peer(mem.Addr)]
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -58,16 +58,17 @@
 }
 
 // New makes an empty set of requests.
-func New() (r *Requests) { return &Requests{open: map[uint64]*request{}} }
+func New() *Requests { return &Requests{open: map[uint64]*request{}} }
 
 // Peer is the name under which the machine knows a request made here.
-func Peer(id uint64) (p wire.Peer) { return wire.Peer("@" + strconv.FormatUint(id, 10)) }
+func Peer(id uint64) wire.Peer { return wire.Peer("@" + strconv.FormatUint(id, 10)) }
 
 // Len is how many requests wait.
-func (r *Requests) Len() (n int) { return len(r.open) }
+func (r *Requests) Len() int { return len(r.open) }
 
 // Take hands over what is to be given to the machine.
-func (r *Requests) Take() (list []Dispatch) {
+func (r *Requests) Take() []Dispatch {
+	var list []Dispatch
 	list, r.out = r.out, nil
 	return list
 }
@@ -159,7 +160,8 @@
 	r.settle(one, noLeader())
 }
 
-func (r *Requests) order() (list []uint64) {
+func (r *Requests) order() []uint64 {
+	var list []uint64
 	for id := range r.open {
 		list = append(list, id)
 	}
@@ -182,17 +184,17 @@
 }
 
 // Refusal is an answer in the one shape that errors have.
-func Refusal(status int, code, why string, retry identifier.Span) (a gateway.Answer) {
+func Refusal(status int, code, why string, retry identifier.Span) gateway.Answer {
 	return gateway.Answer{Status: status, Retry: retry, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON()}
 }
 
 // Full is the answer of a server that can take no more requests.
-func Full() (a gateway.Answer) { return Refusal(503, "busy", "this server is full", 1000) }
+func Full() gateway.Answer { return Refusal(503, "busy", "this server is full", 1000) }
 
-func noLeader() (a gateway.Answer) {
+func noLeader() gateway.Answer {
 	return Refusal(503, "no-leader", "no leader is known here", noLeaderRetry)
 }
 
-func outcomeUnknown() (a gateway.Answer) {
+func outcomeUnknown() gateway.Answer {
 	return Refusal(504, "no-answer", "the leader did not answer in time; the outcome is not known", 500)
 }
--- a/internal/inflight/requests_test.go
+++ b/internal/inflight/requests_test.go
@@ -9,7 +9,7 @@
 )
 
 // into is what an answer is put into.
-func into(back chan gateway.Answer) (done func(a gateway.Answer)) {
+func into(back chan gateway.Answer) func(a gateway.Answer) {
 	return func(a gateway.Answer) { back <- a }
 }
 
@@ -119,7 +119,8 @@
 // TestFull: the set is bounded by requests and by their bytes.
 func TestFull(t *testing.T) {
 	h, body := New(), make([]byte, 1<<20)
-	full := func(n int, body []byte) (refused int) {
+	full := func(n int, body []byte) int {
+		var refused int
 		for i := 0; i < n; i++ {
 			back := make(chan gateway.Answer, 1)
 			h.Admit(gateway.Request{ID: uint64(len(h.open) + 1), Body: body}, into(back), 0, true)
@@ -210,8 +211,8 @@
 	for now := identifier.Mono(0); now <= 1000; now += 20 {
 		h.Tick(now, true)
 	}
-	ask := func(id uint64, verb string, now identifier.Mono) (a gateway.Answer) {
-		a = gateway.Answer{}
+	ask := func(id uint64, verb string, now identifier.Mono) gateway.Answer {
+		a := gateway.Answer{}
 		h.Admit(gateway.Request{ID: id, Verb: verb, Path: "/v1/closings/a", Budget: 900}, func(got gateway.Answer) { a = got }, now, true)
 		return a
 	}
--- a/internal/invariants/watch.go
+++ b/internal/invariants/watch.go
@@ -86,7 +86,7 @@
 }
 
 // New makes a checker that has seen nothing yet.
-func New(w World) (x *Watch) {
+func New(w World) *Watch {
 	return &Watch{w: w, Jobs: map[identifier.Key]*Job{}, tasks: map[identifier.Ref]*taskSeen{}, leaving: map[string]int64{}, closed: map[string]int64{},
 		ended: map[string]map[identifier.Grant]runner.Event{}, used: map[string]job.Demand{}, gangs: map[[2]any]int64{}, Counts: map[string]int{}, kinds: map[string]bool{}, bad: map[identifier.Ref]int{}, heard: map[string]int64{}, Spans: map[string][]int64{}}
 }
@@ -107,8 +107,8 @@
 // Span records a measured duration in milliseconds.
 func (x *Watch) Span(name string, ms int64) { x.Spans[name] = append(x.Spans[name], ms) }
 
-func (x *Watch) task(r identifier.Ref) (t *taskSeen) {
-	t = x.tasks[r]
+func (x *Watch) task(r identifier.Ref) *taskSeen {
+	t := x.tasks[r]
 	if t == nil {
 		t = &taskSeen{on: map[string]spot{}}
 		x.tasks[r] = t
@@ -243,7 +243,7 @@
 
 // covers is the observer's own look at labels: it shares no judgement with
 // what it judges.
-func covers(have, need []identifier.Label) (ok bool) {
+func covers(have, need []identifier.Label) bool {
 	set := map[identifier.Label]bool{}
 	for _, l := range have {
 		set[l] = true
@@ -256,7 +256,8 @@
 	return true
 }
 
-func sortedKeys[V any](m map[string]V) (list []string) {
+func sortedKeys[V any](m map[string]V) []string {
+	var list []string
 	for k := range m {
 		list = append(list, k)
 	}
@@ -322,7 +323,7 @@
 }
 
 // running counts live attempts of a job.
-func (x *Watch) running(key identifier.Key, j *Job) (where string) {
+func (x *Watch) running(key identifier.Key, j *Job) string {
 	for i, st := range j.Spec.Steps {
 		for n := 0; n < int(st.Tasks); n++ {
 			t := x.tasks[identifier.Ref{Job: key, Step: i, Num: n}]
@@ -464,7 +465,7 @@
 }
 
 // Done tells whether every job handed in was accepted and is known to be over.
-func (x *Watch) Done() (yes bool) {
+func (x *Watch) Done() bool {
 	for _, j := range x.Jobs {
 		if j.Acked == 0 || j.Over == "" {
 			return false
@@ -474,7 +475,8 @@
 }
 
 // Close judges what must have come about by the end.
-func (x *Watch) Close() (stuck []identifier.Key) {
+func (x *Watch) Close() []identifier.Key {
+	var stuck []identifier.Key
 	keys := []identifier.Key{}
 	for k := range x.Jobs {
 		keys = append(keys, k)
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -44,14 +44,14 @@
 }
 
 // NewHistory begins with a table and knows of no change before it.
-func NewHistory(t Table) (h *History) {
-	h = &History{horizon: t.Epoch, rowsChanged: t.Epoch, items: map[string]item{}}
+func NewHistory(t Table) *History {
+	h := &History{horizon: t.Epoch, rowsChanged: t.Epoch, items: map[string]item{}}
 	h.take(t)
 	return h
 }
 
 // Epoch is that of the table the history has come to.
-func (h *History) Epoch() (e identifier.Epoch) { return h.table.Epoch }
+func (h *History) Epoch() identifier.Epoch { return h.table.Epoch }
 
 // RowsChanged takes a table of which only the rows changed.
 func (h *History) RowsChanged(t Table) {
@@ -137,11 +137,11 @@
 
 // Page is the part that begins after a name of what changed since an epoch. One
 // that the history does not reach back to is answered with the whole.
-func (h *History) Page(since identifier.Epoch, after string) (p Page) {
+func (h *History) Page(since identifier.Epoch, after string) Page {
 	if since < h.horizon || since > h.table.Epoch {
 		since = 0
 	}
-	p = Page{Since: since, Epoch: h.table.Epoch, Version: h.table.Version}
+	p := Page{Since: since, Epoch: h.table.Epoch, Version: h.table.Version}
 	if after == "" && (since == 0 || h.rowsChanged > since) {
 		p.Rows = h.table.Rows
 	}
--- a/internal/routing/page.go
+++ b/internal/routing/page.go
@@ -32,7 +32,7 @@
 }
 
 // size is about what a place takes in a page.
-func size(name string, p catalog.Place) (bytes int) {
+func size(name string, p catalog.Place) int {
 	const frame = 40
 	return frame + len(name) + len(p.Host) + len(p.Prefix)
 }
--- a/internal/routing/replica.go
+++ b/internal/routing/replica.go
@@ -31,16 +31,17 @@
 }
 
 // Epoch is that of the table in use, 0 while there is none.
-func (r *Replica) Epoch() (e identifier.Epoch) { return r.epoch }
+func (r *Replica) Epoch() identifier.Epoch { return r.epoch }
 
 // Version is that of the places in use.
-func (r *Replica) Version() (v uint64) { return r.version }
+func (r *Replica) Version() uint64 { return r.version }
 
 // Rows are the limits by row. They are not to be changed.
-func (r *Replica) Rows() (rows map[identifier.Row]map[string]string) { return r.rows }
+func (r *Replica) Rows() map[identifier.Row]map[string]string { return r.rows }
 
 // Places lists the places in use, in the order of names.
-func (r *Replica) Places() (list []catalog.Place) {
+func (r *Replica) Places() []catalog.Place {
+	var list []catalog.Place
 	names := make([]string, 0, len(r.places))
 	for name := range r.places {
 		names = append(names, name)
@@ -53,7 +54,7 @@
 }
 
 // Updating tells whether more pages of an update are to come.
-func (r *Replica) Updating() (yes bool) { return r.update != nil }
+func (r *Replica) Updating() bool { return r.update != nil }
 
 // Want is what to ask the leader for next: what changed since an epoch, after a
 // name.
@@ -68,7 +69,7 @@
 }
 
 // Replace takes a whole table at once.
-func (r *Replica) Replace(t Table) (changed bool) {
+func (r *Replica) Replace(t Table) bool {
 	if t.Epoch <= r.epoch {
 		return false
 	}
@@ -82,7 +83,7 @@
 
 // Patch takes an update of a single page, whichever way it came. It changes
 // nothing unless it reaches back to the table in use and is newer.
-func (r *Replica) Patch(p Page) (changed bool) {
+func (r *Replica) Patch(p Page) bool {
 	if p.Next != "" {
 		return false
 	}
@@ -94,7 +95,7 @@
 // Take adds a page that was asked for and tells whether the table in use is
 // another now. A page that does not go on from the ones before ends the update,
 // which then begins anew.
-func (r *Replica) Take(p Page, after string) (changed bool) {
+func (r *Replica) Take(p Page, after string) bool {
 	since, wanted := r.Want()
 	switch {
 	case after != wanted:
@@ -115,7 +116,7 @@
 	return r.finish(u)
 }
 
-func newUpdate(first Page) (u *update) {
+func newUpdate(first Page) *update {
 	return &update{first: first, put: map[string]catalog.Place{}, drop: map[string]bool{}}
 }
 
@@ -128,7 +129,7 @@
 	}
 }
 
-func (r *Replica) finish(u *update) (changed bool) {
+func (r *Replica) finish(u *update) bool {
 	if u.first.Epoch <= r.epoch || u.first.Since > r.epoch {
 		return false
 	}
@@ -143,8 +144,8 @@
 	return true
 }
 
-func (r *Replica) merged(u *update) (places map[string]catalog.Place) {
-	places = make(map[string]catalog.Place, len(r.places)+len(u.put))
+func (r *Replica) merged(u *update) map[string]catalog.Place {
+	places := make(map[string]catalog.Place, len(r.places)+len(u.put))
 	for name, p := range r.places {
 		if !u.drop[name] {
 			places[name] = p
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -20,8 +20,8 @@
 	past    map[identifier.Epoch]map[string]catalog.Place
 }
 
-func newLeader(seed int64, places int) (l *leader) {
-	l = &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Place{}, past: map[identifier.Epoch]map[string]catalog.Place{}}
+func newLeader(seed int64, places int) *leader {
+	l := &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Place{}, past: map[identifier.Epoch]map[string]catalog.Place{}}
 	for i := 0; i < places; i++ {
 		l.put(fmt.Sprintf("queue-%04d", i))
 	}
@@ -80,7 +80,7 @@
 	return p, r.Take(p, after)
 }
 
-func same(r *Replica, want map[string]catalog.Place) (yes bool) {
+func same(r *Replica, want map[string]catalog.Place) bool {
 	list := r.Places()
 	for _, p := range list {
 		if want[p.Name] != p {
@@ -131,7 +131,7 @@
 }
 
 // everHeld tells whether some table from an epoch on had this place.
-func everHeld(l *leader, p catalog.Place, from identifier.Epoch) (yes bool) {
+func everHeld(l *leader, p catalog.Place, from identifier.Epoch) bool {
 	for e := from; e <= l.table.Epoch; e++ {
 		if l.past[e][p.Name] == p {
 			return true
--- a/internal/runner/machine.go
+++ b/internal/runner/machine.go
@@ -52,8 +52,8 @@
 
 // New makes a runner without tasks, which polls a random one of its gateways
 // first.
-func New(boot Boot, now identifier.Mono) (m *Machine) {
-	m = &Machine{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gates, mode: runnerapi.Active,
+func New(boot Boot, now identifier.Mono) *Machine {
+	m := &Machine{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gates, mode: runnerapi.Active,
 		open: map[uint64]identifier.Mono{}, contact: now, grant: 10000, start: firstWait,
 		tasks: map[identifier.Grant]*work{}, ended: map[identifier.Grant]runnerapi.End{}, tombs: map[identifier.Grant]identifier.Mono{}}
 	if len(m.gates) > 0 {
@@ -63,20 +63,20 @@
 }
 
 // Take returns the output so far and clears it.
-func (m *Machine) Take() (out Out) {
-	out = m.out
+func (m *Machine) Take() Out {
+	out := m.out
 	m.out = Out{}
 	return out
 }
 
 // Gates lists the gateways that the runner knows.
-func (m *Machine) Gates() (list []string) { return m.gates }
+func (m *Machine) Gates() []string { return m.gates }
 
 // Mode is poll.Active or poll.Draining.
-func (m *Machine) Mode() (mode string) { return m.mode }
+func (m *Machine) Mode() string { return m.mode }
 
 // Running is the number of tasks that run.
-func (m *Machine) Running() (n int) { return len(m.tasks) }
+func (m *Machine) Running() int { return len(m.tasks) }
 
 // Learn takes a list of gates from whoever knows one.
 func (m *Machine) Learn(gates []string) {
@@ -120,7 +120,8 @@
 	m.polls()
 }
 
-func (m *Machine) order() (list []identifier.Grant) {
+func (m *Machine) order() []identifier.Grant {
+	var list []identifier.Grant
 	for id := range m.tasks {
 		list = append(list, id)
 	}
@@ -189,8 +190,8 @@
 	m.next = m.now.Add(m.back/2 + identifier.Span(m.rnd.Int63n(int64(m.back))))
 }
 
-func (m *Machine) ask() (a runnerapi.Ask) {
-	a = runnerapi.Ask{Inc: m.boot.Inc, Seq: m.seq, Cores: m.boot.Cap.Cores, Mem: m.boot.Cap.Mem, Labels: m.boot.Labels,
+func (m *Machine) ask() runnerapi.Ask {
+	a := runnerapi.Ask{Inc: m.boot.Inc, Seq: m.seq, Cores: m.boot.Cap.Cores, Mem: m.boot.Cap.Mem, Labels: m.boot.Labels,
 		Domain: m.boot.Domain, Rack: m.boot.Rack, Mode: m.mode, Running: m.order()}
 	if m.mode == runnerapi.Draining {
 		a.Departs = max(0, m.departs.Since(m.now))
@@ -307,4 +308,4 @@
 }
 
 // InTouch tells whether a poll was answered lately.
-func (m *Machine) InTouch() (ok bool) { return m.seq > 1 && m.now.Since(m.contact) < 3*m.start }
+func (m *Machine) InTouch() bool { return m.seq > 1 && m.now.Since(m.contact) < 3*m.start }
--- a/internal/runner/machine_test.go
+++ b/internal/runner/machine_test.go
@@ -9,14 +9,14 @@
 	"orchidward/internal/api/runnerapi"
 )
 
-func fresh() (m *Machine) {
-	m = New(Boot{Name: "r", Inc: "a", Cap: job.Demand{Cores: 4, Mem: 4000}, Domain: "north", Rack: "k", Gates: []string{"g1", "g2"}, Seed: 1}, 0)
+func fresh() *Machine {
+	m := New(Boot{Name: "r", Inc: "a", Cap: job.Demand{Cores: 4, Mem: 4000}, Domain: "north", Rack: "k", Gates: []string{"g1", "g2"}, Seed: 1}, 0)
 	m.Tick(10)
 	return m
 }
 
 // answer hands the newest poll its answer and returns what came of it.
-func answer(t *testing.T, m *Machine, seq uint64, a runnerapi.Answer, now identifier.Mono) (o Out) {
+func answer(t *testing.T, m *Machine, seq uint64, a runnerapi.Answer, now identifier.Mono) Out {
 	t.Helper()
 	if a.GrantMs == 0 {
 		a.GrantMs, a.StartMs = 10000, 1000
@@ -29,14 +29,15 @@
 	return m.Take()
 }
 
-func what(o Out) (list string) {
+func what(o Out) string {
+	var list string
 	for _, e := range o.Events {
 		list += e.What + " "
 	}
 	return list
 }
 
-func begin(id identifier.Grant, gang identifier.Span) (s runnerapi.Start) {
+func begin(id identifier.Grant, gang identifier.Span) runnerapi.Start {
 	return runnerapi.Start{Grant: id, Task: identifier.Ref{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 60000, Gang: gang}
 }
 
--- a/internal/scheduler/bin.go
+++ b/internal/scheduler/bin.go
@@ -21,10 +21,10 @@
 }
 
 // open is the room left for work that holds no reservation.
-func (n *bin) open() (d job.Demand) { return n.room.Minus(n.keep) }
+func (n *bin) open() job.Demand { return n.room.Minus(n.keep) }
 
 // take lists the fresh runners outside the fence, in order of name.
-func take(b *state.Book, fresh func(r identifier.Runner) bool) (bins []*bin) {
+func take(b *state.Book, fresh func(r identifier.Runner) bool) []*bin {
 	leaving := map[identifier.Rack]bool{}
 	mean := standing(b)
 	all := make([]*state.Runner, 0, len(b.RunnerNames()))
@@ -37,7 +37,7 @@
 	}
 	// The bins of a round lie side by side: they are gone through again and again.
 	room := make([]bin, 0, len(all))
-	bins = make([]*bin, 0, len(all))
+	bins := make([]*bin, 0, len(all))
 	for _, r := range all {
 		if r.Gone || r.Fence() != "" || !fresh(r.Name) {
 			continue
@@ -55,9 +55,9 @@
 
 // rate is a runner's recent share of defects, in thousandths, with a little
 // doubt mixed in for runners little is known of.
-func rate(r *state.Runner) (n int64) { return (r.Bad*1000 + 20) / (r.Good + r.Bad + 2) }
+func rate(r *state.Runner) int64 { return (r.Bad*1000 + 20) / (r.Good + r.Bad + 2) }
 
-func standing(b *state.Book) (mean int64) {
+func standing(b *state.Book) int64 {
 	good, bad := int64(0), int64(0)
 	for _, r := range b.Runners {
 		good, bad = good+r.Good, bad+r.Bad
@@ -67,9 +67,9 @@
 
 // score is lower for the better bin: the tightest fit, standing, and racks
 // nobody is leaving; a runner that failed this very task comes last.
-func (n *bin) score(d job.Demand, shun identifier.Runner) (s int64) {
+func (n *bin) score(d job.Demand, shun identifier.Runner) int64 {
 	left := n.room.Minus(d)
-	s = left.Share(n.r.Cap)/1000 + 2*rate(n.r)
+	s := left.Share(n.r.Cap)/1000 + 2*rate(n.r)
 	if n.soft {
 		s += 2000
 	}
@@ -83,7 +83,8 @@
 }
 
 // best finds the bin for one task.
-func best(bins []*bin, st job.Step, shun identifier.Runner) (pick *bin) {
+func best(bins []*bin, st job.Step, shun identifier.Runner) *bin {
+	var pick *bin
 	low := int64(0)
 	for _, n := range bins {
 		if !n.fits(st) {
--- a/internal/scheduler/feasibility/pack.go
+++ b/internal/scheduler/feasibility/pack.go
@@ -25,7 +25,7 @@
 }
 
 // Has tells whether have, which is sorted or not, covers need.
-func Has(have, need []identifier.Label) (ok bool) {
+func Has(have, need []identifier.Label) bool {
 	for _, n := range need {
 		found := false
 		for _, h := range have {
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -78,14 +78,14 @@
 }
 
 // Round is RoundWith for runners that all work at the usual pace.
-func Round(b *state.Book, fresh func(r identifier.Runner) bool, shelf *policy.Shelf) (out Out) {
+func Round(b *state.Book, fresh func(r identifier.Runner) bool, shelf *policy.Shelf) Out {
 	return RoundWith(b, View{Fresh: fresh, Pace: func(identifier.Runner) int64 { return 1000 }}, shelf)
 }
 
 // RoundWith plans placements and preemptions from the state as it is and does
 // not change it. The plan is a proposal: the state machine checks every
 // placement again.
-func RoundWith(b *state.Book, v View, shelf *policy.Shelf) (out Out) {
+func RoundWith(b *state.Book, v View, shelf *policy.Shelf) Out {
 	if !b.Bids() {
 		return Out{Why: map[identifier.Key]map[int]string{}, Policies: Policies{}}
 	}
@@ -112,8 +112,8 @@
 
 // displaced lists the jobs with displaced work, the dearest first: room kept for
 // cheap work must not keep dear work out.
-func (r *round) displaced() (list []*state.Job) {
-	list = r.b.Moved()
+func (r *round) displaced() []*state.Job {
+	list := r.b.Moved()
 	sort.SliceStable(list, func(i, j int) bool { return r.price(list[i]) > r.price(list[j]) })
 	return list
 }
@@ -140,7 +140,8 @@
 }
 
 // lowest finds the row whose share in use is least for its weight.
-func (r *round) lowest(bids []*bid) (at int) {
+func (r *round) lowest(bids []*bid) int {
+	var at int
 	low := int64(0)
 	for i, one := range bids {
 		share := r.use[one.row].Share(r.total) * 1000 / r.b.Table.Num(one.row, "weight")
@@ -218,7 +219,8 @@
 }
 
 // find takes a bin for every member, or for none.
-func (r *round) find(l *lump) (on []*bin) {
+func (r *round) find(l *lump) []*bin {
+	var on []*bin
 	st := l.j.Spec.Steps[l.step]
 	for _, n := range l.nums {
 		t := l.j.Steps[l.step][n]
@@ -250,7 +252,7 @@
 // blocked says why the lump waits and, if it is the first that only lacks
 // free room, keeps room for it: on the kept runners others may use only what
 // the lump will not need.
-func (r *round) blocked(l *lump) (why string) {
+func (r *round) blocked(l *lump) string {
 	st := l.j.Spec.Steps[l.step]
 	label := false
 	whole := []*bin{}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -12,9 +12,9 @@
 	"orchidward/internal/state"
 )
 
-func site(t testing.TB, runners int, cells string) (b *state.Book) {
+func site(t testing.TB, runners int, cells string) *state.Book {
 	t.Helper()
-	b = state.New()
+	b := state.New()
 	var f jsondoc.Faults
 	c := limits.ReadPatch([]byte(`{"base":1,"cells":`+cells+`}`), &f)
 	if f.Any() {
@@ -36,12 +36,12 @@
 	}
 }
 
-func look(b *state.Book) (out Out) {
+func look(b *state.Book) Out {
 	return Round(b, func(identifier.Runner) bool { return true }, policy.NewShelf())
 }
 
-func place(b *state.Book) (out Out) {
-	out = look(b)
+func place(b *state.Book) Out {
+	out := look(b)
 	b.Apply(&state.Command{Place: &state.Place{Puts: out.Puts}})
 	return out
 }
@@ -148,7 +148,7 @@
 }
 
 // closed brings a closing of the north past its cordon and confirms the stops.
-func closed(t *testing.T, b *state.Book) (c *state.Closing) {
+func closed(t *testing.T, b *state.Book) *state.Closing {
 	t.Helper()
 	b.Apply(&state.Command{Close: &state.Close{Domain: "north", ID: "m"}})
 	for _, s := range []state.Stage{state.Preflight, state.Predrain, state.Cordon} {
@@ -237,7 +237,7 @@
 func TestNothingBids(t *testing.T) {
 	b := site(t, 4, `{"a.weight":1}`)
 	asked := 0
-	round := func() (out Out) {
+	round := func() Out {
 		asked = 0
 		return Round(b, func(identifier.Runner) bool { asked++; return true }, policy.NewShelf())
 	}
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -22,12 +22,12 @@
 	Last         string
 }
 
-func (n *bin) fits(st job.Step) (ok bool) {
+func (n *bin) fits(st job.Step) bool {
 	return st.Demand.Fits(n.open()) && feasibility.Has(n.r.Labels, st.Labels) && !(n.trial && n.room != n.r.Free())
 }
 
 // pick finds the bin for one task, by the row's policy if it has one.
-func (r *round) pick(l *lump, st job.Step, t *state.Task) (at *bin) {
+func (r *round) pick(l *lump, st job.Step, t *state.Task) *bin {
 	row := l.j.Spec.Pending
 	text := r.b.Table.Cell(row, "policy")
 	if text == "" {
@@ -72,8 +72,8 @@
 	return at, ""
 }
 
-func facts(n *bin, l *lump, st job.Step, t *state.Task) (f policy.Facts) {
-	f = policy.Facts{FreeCores: n.room.Cores, FreeMem: n.room.Mem, Cores: n.r.Cap.Cores, Mem: n.r.Cap.Mem, Running: int64(n.r.Open()), Good: n.r.Good, Bad: n.r.Bad,
+func facts(n *bin, l *lump, st job.Step, t *state.Task) policy.Facts {
+	f := policy.Facts{FreeCores: n.room.Cores, FreeMem: n.room.Mem, Cores: n.r.Cap.Cores, Mem: n.r.Cap.Mem, Running: int64(n.r.Open()), Good: n.r.Good, Bad: n.r.Bad,
 		Labels: map[string]bool{}, Zone: string(n.r.Domain), Rack: string(n.r.Rack),
 		NeedCores: st.Demand.Cores, NeedMem: st.Demand.Mem, Urgency: l.j.Spec.Urgency, Defects: t.Defects, Members: int64(len(l.nums))}
 	for _, one := range n.r.Labels {
--- a/internal/scheduler/policy/policy.go
+++ b/internal/scheduler/policy/policy.go
@@ -46,7 +46,7 @@
 
 // Compile checks a source and makes it ready. What is wrong is told with its
 // line and column.
-func Compile(text string) (p *Policy, err error) {
+func Compile(text string) (*Policy, error) {
 	if len(text) > MostText {
 		return nil, errors.Errorf("longer than %d bytes", MostText)
 	}
@@ -71,15 +71,16 @@
 
 // allowed walks the expression and refuses whatever could grow without bound
 // or know too much.
-func allowed(expr syntax.Expr) (err error) {
-	refuse := func(n syntax.Node, why string) (more bool) {
+func allowed(expr syntax.Expr) error {
+	var err error
+	refuse := func(n syntax.Node, why string) bool {
 		if err == nil {
 			at, _ := n.Span()
 			err = errors.Errorf("policy:%d:%d: %s", at.Line, at.Col, why)
 		}
 		return false
 	}
-	syntax.Walk(expr, func(n syntax.Node) (more bool) {
+	syntax.Walk(expr, func(n syntax.Node) bool {
 		switch n := n.(type) {
 		case nil, *syntax.ParenExpr, *syntax.UnaryExpr, *syntax.CondExpr:
 			return true
@@ -129,7 +130,7 @@
 	return err
 }
 
-func ask(name string, has func(word string) (yes bool)) (b *starlark.Builtin) {
+func ask(name string, has func(word string) (yes bool)) *starlark.Builtin {
 	return starlark.NewBuiltin(name, func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 		if len(args) != 1 {
 			return nil, errors.Errorf("%s() wants one word", name)
@@ -142,7 +143,7 @@
 	})
 }
 
-func record(list map[string]int64) (s *starlarkstruct.Struct) {
+func record(list map[string]int64) *starlarkstruct.Struct {
 	d := starlark.StringDict{}
 	for name, n := range list {
 		d[name] = starlark.Float(n)
@@ -152,7 +153,7 @@
 
 // Score evaluates the policy: higher is better. A failure, or running over
 // the cap, is an error; the caller falls back to its own choice.
-func (p *Policy) Score(f Facts) (score float64, err error) {
+func (p *Policy) Score(f Facts) (float64, error) {
 	thread := &starlark.Thread{Name: "policy"}
 	thread.SetMaxExecutionSteps(MostSteps)
 	args := starlark.Tuple{
--- a/internal/scheduler/policy/shelf.go
+++ b/internal/scheduler/policy/shelf.go
@@ -8,14 +8,14 @@
 type Shelf struct{ by map[string]*Policy }
 
 // NewShelf makes an empty cache.
-func NewShelf() (s *Shelf) { return &Shelf{by: map[string]*Policy{}} }
+func NewShelf() *Shelf { return &Shelf{by: map[string]*Policy{}} }
 
 // mostKept is how many sources are kept; past it the shelf is begun anew.
 const mostKept = 1024
 
 // Get returns nil for a source that doesn't compile, which a table accepted
 // by an older check may hold.
-func (s *Shelf) Get(text string) (p *Policy) {
+func (s *Shelf) Get(text string) *Policy {
 	p, known := s.by[text]
 	if known {
 		return p
--- a/internal/scheduler/push.go
+++ b/internal/scheduler/push.go
@@ -21,13 +21,13 @@
 	cost  int64
 }
 
-func (r *round) price(j *state.Job) (n int64) {
+func (r *round) price(j *state.Job) int64 {
 	return r.b.Table.Num(j.Spec.Pending, "weight")*1001 + j.Spec.Urgency
 }
 
 // mayPush tells whether the lump was displaced by a closing whose preflight
 // came out false, and its row pushes.
-func (r *round) mayPush(l *lump) (yes bool) {
+func (r *round) mayPush(l *lump) bool {
 	if r.b.Table.Cell(l.j.Spec.Pending, "onOutage") != "push" {
 		return false
 	}
@@ -114,7 +114,8 @@
 	return out, cost, true
 }
 
-func (r *round) units(n *bin, price int64, gone map[identifier.Grant]bool) (list []unit) {
+func (r *round) units(n *bin, price int64, gone map[identifier.Grant]bool) []unit {
+	var list []unit
 	seen := map[identifier.Grant]bool{}
 	for _, id := range n.r.GrantIDs() {
 		g := r.b.Grants[id]
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -39,7 +39,7 @@
 	kept := map[string]bool{}
 	for want := inTime; want <= hopeless; want++ {
 		miss, seen := 0, 0
-		r.b.QueueJobs(func(j *state.Job) (more bool) {
+		r.b.QueueJobs(func(j *state.Job) bool {
 			if hope(j, r.b.Now) != want {
 				return true
 			}
@@ -60,7 +60,7 @@
 )
 
 // hope tells what a job may yet earn if its work goes on now.
-func hope(j *state.Job, now identifier.Millis) (h int) {
+func hope(j *state.Job, now identifier.Millis) int {
 	end := now.Add(j.Rest())
 	switch {
 	case end <= j.Terms.Due:
@@ -125,10 +125,10 @@
 }
 
 // spread finds a bin for every member, or none at all. It takes no room yet.
-func (r *round) spread(l *lump, st job.Step, bins []*bin) (on []*bin) {
+func (r *round) spread(l *lump, st job.Step, bins []*bin) []*bin {
 	if st.Gang && st.OneRack {
 		for _, rack := range racks(bins, st.Near) {
-			if on = r.seat(l, st, rack); on != nil {
+			if on := r.seat(l, st, rack); on != nil {
 				return on
 			}
 		}
@@ -138,7 +138,8 @@
 
 // racks parts the bins by rack, the one near the data first, then those with
 // the least room.
-func racks(bins []*bin, near identifier.Rack) (out [][]*bin) {
+func racks(bins []*bin, near identifier.Rack) [][]*bin {
+	var out [][]*bin
 	at, room := map[identifier.Rack]int{}, []int64{}
 	for _, n := range bins {
 		i, ok := at[n.r.Rack]
@@ -166,7 +167,8 @@
 }
 
 // seat gives each member the bin that scores best at that moment.
-func (r *round) seat(l *lump, st job.Step, bins []*bin) (on []*bin) {
+func (r *round) seat(l *lump, st job.Step, bins []*bin) []*bin {
+	var on []*bin
 	used, held := map[*bin]job.Demand{}, map[*bin]int64{}
 	for _, n := range l.nums {
 		shun := l.j.Steps[l.step][n].Shun
@@ -199,7 +201,7 @@
 }
 
 // slowness is what a runner's pace adds to its score.
-func slowness(pace int64) (s int64) {
+func slowness(pace int64) int64 {
 	if pace < slowPace {
 		return 20000
 	}
@@ -207,7 +209,8 @@
 }
 
 // put counts the tasks of the step that this round has already put on a runner.
-func (r *round) put(l *lump, b *bin) (n int64) {
+func (r *round) put(l *lump, b *bin) int64 {
+	var n int64
 	for _, p := range r.out.Puts {
 		if p.Job != l.j.Key || p.Step != l.step {
 			continue
@@ -223,7 +226,7 @@
 
 // starved says why the lump waits and, if it is the first of its pool that only
 // lacks free room, keeps room for it.
-func (r *round) starved(l *lump, st job.Step, bins []*bin, kept map[string]bool) (why string) {
+func (r *round) starved(l *lump, st job.Step, bins []*bin, kept map[string]bool) string {
 	whole := []*bin{}
 	for _, n := range bins {
 		if feasibility.Has(n.r.Labels, st.Labels) && !n.trial {
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -11,8 +11,8 @@
 	"orchidward/internal/state"
 )
 
-func queues(t *testing.T, runners int) (b *state.Book) {
-	b = state.New()
+func queues(t *testing.T, runners int) *state.Book {
+	b := state.New()
 	b.Level = state.CatalogLevel
 	c := &catalog.Change{Version: 1, Whole: true, Sum: "x", Pools: []catalog.Pool{{Name: "p"}}}
 	for rank := int64(0); rank < 3; rank++ {
--- a/internal/stalldetector/pause.go
+++ b/internal/stalldetector/pause.go
@@ -34,4 +34,4 @@
 
 // Draining tells whether a request read at this moment may have arrived before
 // or during a pause.
-func (d *Detector) Draining(now identifier.Mono) (yes bool) { return d.seen && now < d.until }
+func (d *Detector) Draining(now identifier.Mono) bool { return d.seen && now < d.until }
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -19,9 +19,9 @@
 }
 
 // OK tells whether the command was accepted.
-func (r Result) OK() (ok bool) { return r.Status < 300 }
+func (r Result) OK() bool { return r.Status < 300 }
 
-func refuse(status int, code, why string) (r Result) {
+func refuse(status int, code, why string) Result {
 	return Result{Status: status, Code: code, Why: why}
 }
 
@@ -29,7 +29,8 @@
 // in order. A refused command is not an error: the result bears a status of 400
 // or more, and only what is due by site time changes (appointed starts, records
 // whose time is up). Site time never goes back, whatever c.At says.
-func (b *Book) Apply(c *Command) (r Result) {
+func (b *Book) Apply(c *Command) Result {
+	var r Result
 	b.Now = max(b.Now, c.At)
 	b.wake()
 	switch {
@@ -120,7 +121,7 @@
 	}
 }
 
-func (b *Book) close(c *Close) (r Result) {
+func (b *Book) close(c *Close) Result {
 	if c.ID != "" && b.Closings[c.ID] != nil {
 		old := b.Closings[c.ID]
 		if old.Kind != KindDomain || old.Domain != c.Domain {
@@ -145,7 +146,7 @@
 	return b.show(one)
 }
 
-func (b *Book) show(c *Closing) (r Result) {
+func (b *Book) show(c *Closing) Result {
 	text, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
