--- a/internal/state/book.go
+++ b/internal/state/book.go
@@ -68,8 +68,8 @@
 )
 
 // New is the state before the first command.
-func New() (b *Book) {
-	b = &Book{
+func New() *Book {
+	b := &Book{
 		NextGrant: 1, NextSeq: 1, NextClose: 1, Table: limits.First(),
 		Jobs: map[identifier.Key]*Job{}, Grants: map[identifier.Grant]*Grant{}, Runners: map[identifier.Runner]*Runner{},
 		Closings: map[string]*Closing{}, Known: newKnown(),
@@ -78,7 +78,7 @@
 	return b
 }
 
-func byKey(x, y any) (order int) {
+func byKey(x, y any) int {
 	a, b := x.(identifier.Key), y.(identifier.Key)
 	switch {
 	case a < b:
@@ -139,22 +139,22 @@
 const viewMark = "OWVIEW2\n"
 
 // Encode makes the view.
-func (b *Book) Encode() (text []byte) {
+func (b *Book) Encode() []byte {
 	bare := *b
 	bare.Known = nil
 	doc, err := json.Marshal(&bare)
 	if err != nil {
 		panic(err)
 	}
-	text = make([]byte, 0, len(viewMark)+4+len(doc)+len(b.Known.blob))
+	text := make([]byte, 0, len(viewMark)+4+len(doc)+len(b.Known.blob))
 	text = binary.LittleEndian.AppendUint32(append(text, viewMark...), uint32(len(doc)))
 	return append(append(text, doc...), b.Known.blob...)
 }
 
 // Decode reads a snapshot that Encode made, or one of the first version, and
 // rebuilds the derived fields.
-func Decode(text []byte) (b *Book, err error) {
-	b = New()
+func Decode(text []byte) (*Book, error) {
+	b := New()
 	b.Table = nil
 	doc, blob := text, []byte(nil)
 	if rest, ok := bytes.CutPrefix(text, []byte(viewMark)); ok {
@@ -164,7 +164,7 @@
 		n := binary.LittleEndian.Uint32(rest)
 		doc, blob = rest[4:4+n], rest[4+n:]
 	}
-	if err = json.Unmarshal(doc, b); err != nil {
+	if err := json.Unmarshal(doc, b); err != nil {
 		return nil, err
 	}
 	if blob != nil {
@@ -175,23 +175,23 @@
 }
 
 // Rules is the compiled table of limits in force.
-func (b *Book) Rules() (r *admission.Rules) { return b.rules }
+func (b *Book) Rules() *admission.Rules { return b.rules }
 
 // Waiting is the number of unplaced tasks in a row, as its limit counts them.
-func (b *Book) Waiting(row identifier.Row) (n int64) { return b.waiting[row] }
+func (b *Book) Waiting(row identifier.Row) int64 { return b.waiting[row] }
 
 // InUse is the room taken by the row's open leases.
-func (b *Book) InUse(row identifier.Row) (d job.Demand) { return b.inUse[row] }
+func (b *Book) InUse(row identifier.Row) job.Demand { return b.inUse[row] }
 
 // Fenced tells whether the runner is known and cordoned by a drain.
-func (b *Book) Fenced(r identifier.Runner) (yes bool) {
+func (b *Book) Fenced(r identifier.Runner) bool {
 	return b.Runners[r] != nil && b.Runners[r].fence != ""
 }
 
 // GrantSpan is how long a runner may yet be living on its last contact. After
 // the cell was lowered the longer span counts until nobody can hold it.
-func (b *Book) GrantSpan() (s identifier.Span) {
-	s = b.Table.Site("grantMs")
+func (b *Book) GrantSpan() identifier.Span {
+	s := b.Table.Site("grantMs")
 	if b.OldGrant > s && b.Now < b.OldAt.Add(3*b.OldGrant) {
 		return b.OldGrant
 	}
@@ -199,7 +199,7 @@
 }
 
 // Walk visits the row's placeable jobs in bidding order.
-func (b *Book) Walk(row identifier.Row) (w *Walk) {
+func (b *Book) Walk(row identifier.Row) *Walk {
 	l := b.lanes[row]
 	if l == nil {
 		l = newLane()
@@ -208,7 +208,7 @@
 }
 
 // Backlog counts the row's jobs that have something to place.
-func (b *Book) Backlog(row identifier.Row) (n int) {
+func (b *Book) Backlog(row identifier.Row) int {
 	if l := b.lanes[row]; l != nil {
 		return l.aged.Size()
 	}
@@ -216,7 +216,7 @@
 }
 
 // Bids tells whether any job has something to place, or has displaced work.
-func (b *Book) Bids() (yes bool) {
+func (b *Book) Bids() bool {
 	if !b.moved.Empty() {
 		return true
 	}
@@ -244,7 +244,7 @@
 
 // RunnerNames lists the runners in order, so that walks are alike everywhere.
 // The list is the book's own and not to be changed.
-func (b *Book) RunnerNames() (out []identifier.Runner) { return b.order }
+func (b *Book) RunnerNames() []identifier.Runner { return b.order }
 
 func (b *Book) enlist(n identifier.Runner) {
 	at := sort.Search(len(b.order), func(i int) bool { return b.order[i] >= n })
@@ -271,8 +271,8 @@
 }
 
 // GrantIDs lists the runner's open leases in ascending order.
-func (r *Runner) GrantIDs() (out []identifier.Grant) {
-	out = make([]identifier.Grant, 0, len(r.grants))
+func (r *Runner) GrantIDs() []identifier.Grant {
+	out := make([]identifier.Grant, 0, len(r.grants))
 	for id := range r.grants {
 		out = append(out, id)
 	}
@@ -281,7 +281,8 @@
 }
 
 // ClosingIDs lists the drains by the time they began, then by id.
-func (b *Book) ClosingIDs() (out []string) {
+func (b *Book) ClosingIDs() []string {
+	var out []string
 	for id := range b.Closings {
 		out = append(out, id)
 	}
--- a/internal/state/book_test.go
+++ b/internal/state/book_test.go
@@ -17,8 +17,8 @@
 	b *Book
 }
 
-func newDesk(t *testing.T, cells string) (d *desk) {
-	d = &desk{t, New()}
+func newDesk(t *testing.T, cells string) *desk {
+	d := &desk{t, New()}
 	d.must(200, &Command{At: 1000, Table: d.patch(1, cells)})
 	for i := 1; i <= 4; i++ {
 		d.must(200, &Command{Report: d.report(i, "a", false, 0)})
@@ -26,7 +26,8 @@
 	return d
 }
 
-func (d *desk) patch(base int, cells string) (c *limits.Change) {
+func (d *desk) patch(base int, cells string) *limits.Change {
+	var c *limits.Change
 	d.Helper()
 	var f jsondoc.Faults
 	if c = limits.ReadPatch([]byte(fmt.Sprintf(`{"base":%d,"cells":%s}`, base, cells)), &f); f.Any() {
@@ -35,7 +36,7 @@
 	return c
 }
 
-func (d *desk) report(i int, inc identifier.Inc, drain bool, depart identifier.Millis) (r *Report) {
+func (d *desk) report(i int, inc identifier.Inc, drain bool, depart identifier.Millis) *Report {
 	return &Report{Runner: identifier.Runner(fmt.Sprintf("r%d", i)), Inc: inc, Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []identifier.Label{"std"},
 		Domain: identifier.Domain([]string{"north", "east"}[i%2]), Rack: identifier.Rack([]string{"k0", "k1"}[i%2]), Drain: drain, Depart: depart}
 }
@@ -72,12 +73,12 @@
 	}
 }
 
-func one(cores int64) (s job.Step) {
+func one(cores int64) job.Step {
 	return job.Step{Name: "one", Tasks: 1, Demand: job.Demand{Cores: cores, Mem: 1}, Run: 1}
 }
 
-func gang(n, cores int64) (s job.Step) {
-	s = one(cores)
+func gang(n, cores int64) job.Step {
+	s := one(cores)
 	s.Tasks, s.Gang = n, true
 	return s
 }
--- a/internal/state/closing.go
+++ b/internal/state/closing.go
@@ -37,7 +37,7 @@
 )
 
 // Down tells whether the stage keeps the fence up.
-func (s Stage) Down() (ok bool) {
+func (s Stage) Down() bool {
 	switch s {
 	case Preflight, Predrain, Cordon, Postdrain, Closed, Preopen:
 		return true
@@ -46,7 +46,7 @@
 }
 
 // Leaving tells whether the stage is part of the mirror.
-func (s Stage) Leaving() (ok bool) {
+func (s Stage) Leaving() bool {
 	switch s {
 	case Preopen, Opening, Postopen, Open:
 		return true
@@ -100,7 +100,7 @@
 	}
 }
 
-func (c *Closing) has(r identifier.Runner) (ok bool) {
+func (c *Closing) has(r identifier.Runner) bool {
 	for _, s := range c.Scope {
 		if s == r {
 			return true
--- a/internal/state/cmd.go
+++ b/internal/state/cmd.go
@@ -170,7 +170,7 @@
 }
 
 // Encode makes the data of a log entry.
-func (c *Command) Encode() (text []byte) {
+func (c *Command) Encode() []byte {
 	text, err := json.Marshal(c)
 	if err != nil {
 		panic(err)
@@ -180,11 +180,11 @@
 
 // DecodeCommand wants to know every word of an entry: what this program does not
 // know it would not do, and its book would part from the others'.
-func DecodeCommand(text []byte) (c *Command, err error) {
-	c = &Command{}
+func DecodeCommand(text []byte) (*Command, error) {
+	c := &Command{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	if err = d.Decode(c); err != nil {
+	if err := d.Decode(c); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/state/duty.go
+++ b/internal/state/duty.go
@@ -13,18 +13,18 @@
 	"orchidward/internal/scheduler/feasibility"
 )
 
-func (b *Book) open(id, kind string, domain identifier.Domain, rack identifier.Rack) (c *Closing) {
+func (b *Book) open(id, kind string, domain identifier.Domain, rack identifier.Rack) *Closing {
 	for id == "" || b.Closings[id] != nil {
 		id = fmt.Sprintf("c-%d", b.NextClose)
 		b.NextClose++
 	}
-	c = &Closing{ID: id, Kind: kind, Domain: domain, Rack: rack, At: b.Now}
+	c := &Closing{ID: id, Kind: kind, Domain: domain, Rack: rack, At: b.Now}
 	b.Closings[id] = c
 	c.enter(Preflight, b.Now)
 	return c
 }
 
-func (b *Book) reopen(p *Reopen) (r Result) {
+func (b *Book) reopen(p *Reopen) Result {
 	c := b.Closings[p.Name]
 	if c == nil {
 		c = b.domainClosing(identifier.Domain(p.Name))
@@ -42,7 +42,8 @@
 
 // domainClosing is the domain's closing in force, else the last that was. Among
 // those of one moment the order of names says nothing about which came last.
-func (b *Book) domainClosing(domain identifier.Domain) (c *Closing) {
+func (b *Book) domainClosing(domain identifier.Domain) *Closing {
+	var c *Closing
 	for _, id := range b.ClosingIDs() {
 		one := b.Closings[id]
 		if one.Kind != KindDomain || one.Domain != domain {
@@ -154,7 +155,7 @@
 
 // Due tells whether a runner's tasks are to be stopped now. In a domain they
 // are at once; in a rack they run on until a margin before the departure.
-func (b *Book) Due(c *Closing, n identifier.Runner, now identifier.Millis) (yes bool) {
+func (b *Book) Due(c *Closing, n identifier.Runner, now identifier.Millis) bool {
 	if c.Kind == KindDomain {
 		return true
 	}
@@ -237,7 +238,8 @@
 
 // displace records the displaced set and returns it as lumps to pack. A gang with
 // a member in scope is displaced whole.
-func (b *Book) displace(c *Closing) (lumps []feasibility.Lump) {
+func (b *Book) displace(c *Closing) []feasibility.Lump {
+	var lumps []feasibility.Lump
 	free, loose := b.Undone(c)
 	type step struct {
 		key identifier.Key
@@ -329,7 +331,8 @@
 }
 
 // Total is the room of all live runners, the measure shares are taken of.
-func (b *Book) Total() (d job.Demand) {
+func (b *Book) Total() job.Demand {
+	var d job.Demand
 	for _, r := range b.Runners {
 		if !r.Gone {
 			d = d.Plus(r.Cap)
--- a/internal/state/grants.go
+++ b/internal/state/grants.go
@@ -21,7 +21,7 @@
 
 // sound checks a placement against the book as it is now, which may differ
 // from what the leader saw when it planned.
-func (b *Book) sound(p *Put) (ok bool) {
+func (b *Book) sound(p *Put) bool {
 	j := b.Jobs[p.Job]
 	if j == nil || p.Step < 0 || p.Step >= len(j.Steps) || len(p.Nums) != len(p.On) || len(p.Nums) == 0 {
 		return false
@@ -111,7 +111,8 @@
 }
 
 // Partners lists the other grants of the same gang, whatever their standing.
-func (b *Book) Partners(g *Grant) (list []*Grant) {
+func (b *Book) Partners(g *Grant) []*Grant {
+	var list []*Grant
 	j := b.Jobs[g.Ref.Job]
 	if !j.Spec.Steps[g.Ref.Step].Gang {
 		return nil
@@ -302,7 +303,7 @@
 
 // Hears tells whether an end reported under this grant is still news: the
 // grant is open, or was counted lost and its task has not ended.
-func (b *Book) Hears(name identifier.Runner, inc identifier.Inc, id identifier.Grant, ref identifier.Ref) (yes bool) {
+func (b *Book) Hears(name identifier.Runner, inc identifier.Inc, id identifier.Grant, ref identifier.Ref) bool {
 	if g := b.Grants[id]; g != nil {
 		return g.Runner == name && g.Inc == inc
 	}
--- a/internal/state/idhold.go
+++ b/internal/state/idhold.go
@@ -34,7 +34,7 @@
 }
 
 // heldFor is how long the id is yet held back, 0 where it is not.
-func (b *Book) heldFor(key identifier.Key) (span identifier.Span) {
+func (b *Book) heldFor(key identifier.Key) identifier.Span {
 	i, ok := b.held(key)
 	if !ok {
 		return 0
@@ -43,7 +43,7 @@
 }
 
 // holdBack answers a cancel that found no job.
-func (b *Book) holdBack(key identifier.Key) (r Result) {
+func (b *Book) holdBack(key identifier.Key) Result {
 	if b.Level >= ResendLevel && !b.hold(key) {
 		return Result{Status: 503, Code: "busy", Why: "too many ids are held back after cancels", Retry: 1000}
 	}
@@ -51,7 +51,7 @@
 }
 
 // hold keeps the id from now on; it fails when too many are held.
-func (b *Book) hold(key identifier.Key) (ok bool) {
+func (b *Book) hold(key identifier.Key) bool {
 	b.dropHolds()
 	if i, had := b.held(key); had {
 		b.IDHolds = append(b.IDHolds[:i], b.IDHolds[i+1:]...)
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -49,7 +49,7 @@
 
 // Task finds a task by step and number, nil when the job has no such task. The
 // job named in r is not compared.
-func (j *Job) Task(r identifier.Ref) (t *Task) {
+func (j *Job) Task(r identifier.Ref) *Task {
 	if r.Step < 0 || r.Step >= len(j.Steps) || r.Num < 0 || r.Num >= len(j.Steps[r.Step]) {
 		return nil
 	}
@@ -57,7 +57,7 @@
 }
 
 // Met tells whether every step that this one comes after has ended well.
-func (j *Job) Met(step int) (ok bool) {
+func (j *Job) Met(step int) bool {
 	for _, name := range j.Spec.Steps[step].After {
 		for i := range j.Spec.Steps {
 			if j.Spec.Steps[i].Name == name && j.count[i].well < len(j.Steps[i]) {
@@ -70,7 +70,7 @@
 
 // Ready tells whether the step has tasks to place now. A gang waits until
 // none of its members holds a grant, so that all start together.
-func (j *Job) Ready(step int) (ok bool) {
+func (j *Job) Ready(step int) bool {
 	c := j.count[step]
 	if c.wait == 0 || j.Cancel || j.Fail != "" {
 		return false
@@ -82,7 +82,8 @@
 }
 
 // Rest is the longest chain through the steps that are not done.
-func (j *Job) Rest() (span identifier.Span) {
+func (j *Job) Rest() identifier.Span {
+	var span identifier.Span
 	steps := j.Spec.Steps
 	if len(steps) == 1 {
 		return steps[0].Run
@@ -107,7 +108,8 @@
 }
 
 // Wait lists the numbers of the step's waiting tasks.
-func (j *Job) Wait(step int) (nums []int) {
+func (j *Job) Wait(step int) []int {
+	var nums []int
 	for i, t := range j.Steps[step] {
 		if t.State == Waiting {
 			nums = append(nums, i)
@@ -117,7 +119,7 @@
 }
 
 // State is the job's own standing in one word.
-func (j *Job) State() (word string) {
+func (j *Job) State() string {
 	switch {
 	case j.End != "":
 		return string(j.End)
--- a/internal/state/jobs.go
+++ b/internal/state/jobs.go
@@ -21,9 +21,9 @@
 const stamp = "2006-01-02T15:04:05.000Z07:00"
 
 // Stamp writes a site time as RFC 3339 in UTC, with milliseconds.
-func Stamp(at identifier.Millis) (text string) { return at.Time().Format(stamp) }
+func Stamp(at identifier.Millis) string { return at.Time().Format(stamp) }
 
-func (b *Book) submit(s *Submit) (r Result) {
+func (b *Book) submit(s *Submit) Result {
 	sum := s.Spec.Sum()
 	if j := b.Jobs[s.Key]; j != nil {
 		if j.Sum != sum {
@@ -80,7 +80,7 @@
 	b.index(j)
 }
 
-func (b *Book) cancel(c *Cancel) (r Result) {
+func (b *Book) cancel(c *Cancel) Result {
 	j := b.Jobs[c.Key]
 	if j == nil {
 		if m, ok := b.Known.get(c.Key); ok {
@@ -140,7 +140,7 @@
 	b.leaveQueue(j)
 }
 
-func (b *Book) change(c *limits.Change) (r Result) {
+func (b *Book) change(c *limits.Change) Result {
 	if cells := b.Table.Clash(c); len(cells) > 0 {
 		return Result{Status: 409, Code: "stale-base", Why: fmt.Sprintf("changed since epoch %d", c.Base),
 			Doc: map[string]any{"epoch": b.Table.Epoch, "cells": cells}}
--- a/internal/state/known.go
+++ b/internal/state/known.go
@@ -32,9 +32,10 @@
 	off  int
 }
 
-func newKnown() (k *Known) { return &Known{by: map[[12]byte]int{}} }
+func newKnown() *Known { return &Known{by: map[[12]byte]int{}} }
 
-func short(text string) (h [12]byte) {
+func short(text string) [12]byte {
+	var h [12]byte
 	full := sha256.Sum256([]byte(text))
 	copy(h[:], full[:12])
 	return h
@@ -53,7 +54,8 @@
 }
 
 // at unpacks the i-th record.
-func (k *Known) at(i int) (m mark) {
+func (k *Known) at(i int) mark {
+	var m mark
 	b := k.blob[i*markSize:]
 	copy(m.key[:], b)
 	copy(m.sum[:], b[12:])
@@ -72,7 +74,7 @@
 }
 
 // Len is the number of remembered jobs.
-func (k *Known) Len() (n int) { return len(k.blob) / markSize }
+func (k *Known) Len() int { return len(k.blob) / markSize }
 
 func (k *Known) drop(before identifier.Millis) {
 	for n := 0; n < 16 && k.Len() > 0; n++ {
@@ -97,9 +99,9 @@
 
 // UnmarshalJSON reads the first version's views, which had the records inside
 // the document.
-func (k *Known) UnmarshalJSON(text []byte) (err error) {
+func (k *Known) UnmarshalJSON(text []byte) error {
 	var blob []byte
-	if err = json.Unmarshal(text, &blob); err != nil {
+	if err := json.Unmarshal(text, &blob); err != nil {
 		return err
 	}
 	k.load(blob)
--- a/internal/state/lane.go
+++ b/internal/state/lane.go
@@ -15,7 +15,7 @@
 	aged   *treeset.Set
 }
 
-func byUrgency(a, b any) (order int) {
+func byUrgency(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if x.Terms != nil && y.Terms != nil {
 		return byTerms(x, y)
@@ -29,7 +29,7 @@
 	return byAge(a, b)
 }
 
-func byAge(a, b any) (order int) {
+func byAge(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	switch {
 	case x.Seq < y.Seq:
@@ -40,7 +40,7 @@
 	return 0
 }
 
-func byStart(a, b any) (order int) {
+func byStart(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if x.Start != y.Start {
 		if x.Start < y.Start {
@@ -51,7 +51,7 @@
 	return byAge(a, b)
 }
 
-func newLane() (l *lane) {
+func newLane() *lane {
 	return &lane{urgent: treeset.NewWith(byUrgency), aged: treeset.NewWith(byAge)}
 }
 
@@ -74,7 +74,7 @@
 }
 
 // Next returns the next job, each one once, or nil at the end.
-func (w *Walk) Next() (j *Job) {
+func (w *Walk) Next() *Job {
 	for {
 		it := &w.urgent
 		if w.n++; w.n%4 == 0 {
@@ -89,7 +89,7 @@
 				return nil
 			}
 		}
-		if j = it.Value().(*Job); !w.seen[j] {
+		if j := it.Value().(*Job); !w.seen[j] {
 			w.seen[j] = true
 			return j
 		}
@@ -97,7 +97,7 @@
 }
 
 // byTerms orders jobs of queues by rank, then by when they are due.
-func byTerms(x, y *Job) (order int) {
+func byTerms(x, y *Job) int {
 	switch {
 	case x.Terms.Rank != y.Terms.Rank:
 		return cmp.Compare(x.Terms.Rank, y.Terms.Rank)
--- a/internal/state/orders_test.go
+++ b/internal/state/orders_test.go
@@ -16,7 +16,8 @@
 
 // arrivals lists every order in which the copies can arrive: each of them a
 // different one, and those alike not told apart.
-func arrivals(copies []string) (list [][]string) {
+func arrivals(copies []string) [][]string {
+	var list [][]string
 	if len(copies) == 0 {
 		return [][]string{nil}
 	}
@@ -51,7 +52,8 @@
 
 // closed tells whether the domain is closed for good: a closing is in force that
 // is not on its way to being reopened.
-func (d *desk) closed() (yes bool) {
+func (d *desk) closed() bool {
+	var yes bool
 	for _, c := range d.b.Closings {
 		yes = yes || c.Domain == "north" && !c.Stage.Leaving()
 	}
@@ -111,13 +113,13 @@
 	}
 }
 
-func submission(key identifier.Key) (c *Command) {
+func submission(key identifier.Key) *Command {
 	steps := []job.Step{{Name: "one", Tasks: 1, Defects: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1}}
 	return &Command{Submit: &Submit{Key: key, Spec: job.Spec{Pending: "a", Steps: steps}}}
 }
 
 // jobOrder applies one copy and returns its status.
-func (d *desk) jobOrder(verb string, key identifier.Key) (status int) {
+func (d *desk) jobOrder(verb string, key identifier.Key) int {
 	if verb == put {
 		return d.b.Apply(submission(key)).Status
 	}
@@ -125,7 +127,7 @@
 }
 
 // mayRun tells whether the job has anything that could be placed.
-func (d *desk) mayRun(key identifier.Key) (yes bool) {
+func (d *desk) mayRun(key identifier.Key) bool {
 	d.place(key, 0, []int{0}, "r1")
 	return d.open(key) > 0
 }
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -25,7 +25,7 @@
 // mostWaiting bounds the tasks of queues that wait.
 const mostWaiting = 60_000
 
-func (b *Book) publish(c *catalog.Change) (r Result) {
+func (b *Book) publish(c *catalog.Change) Result {
 	was := b.catalogNow()
 	if was.Has(c) {
 		return Result{Status: 200, Doc: map[string]uint64{"version": c.Version}}
@@ -48,11 +48,11 @@
 }
 
 // catalogNow is the catalogue in force, an empty one while there is none.
-func (b *Book) catalogNow() (c *catalog.Catalog) {
+func (b *Book) catalogNow() *catalog.Catalog {
 	if b.Catalog != nil {
 		return b.Catalog
 	}
-	c = &catalog.Catalog{}
+	c := &catalog.Catalog{}
 	if b.Level >= ResendLevel {
 		c = c.Deduplicated()
 	}
@@ -60,7 +60,7 @@
 }
 
 // enqueue takes a job for a queue.
-func (b *Book) enqueue(s *Submit, sum string) (r Result) {
+func (b *Book) enqueue(s *Submit, sum string) Result {
 	if b.Catalog == nil {
 		return Result{Status: 503, Code: "no-catalog", Why: "there is no catalogue yet", Retry: 1000}
 	}
@@ -109,16 +109,16 @@
 }
 
 // Queued counts the unfinished jobs of a queue.
-func (b *Book) Queued(name string) (n int64) { return b.queued[name] }
+func (b *Book) Queued(name string) int64 { return b.queued[name] }
 
 // Find looks a job up by its key. The only time of a job that isn't repeated
 // may be named as its time 0.
-func (b *Book) Find(key identifier.Key) (j *Job) {
-	if j = b.Jobs[key]; j != nil {
+func (b *Book) Find(key identifier.Key) *Job {
+	if j := b.Jobs[key]; j != nil {
 		return j
 	}
 	if plain, ok := strings.CutSuffix(string(key), ".0"); ok {
-		if j = b.Jobs[identifier.Key(plain)]; j != nil && j.Spec.Repeat == nil {
+		if j := b.Jobs[identifier.Key(plain)]; j != nil && j.Spec.Repeat == nil {
 			return j
 		}
 	}
@@ -126,7 +126,7 @@
 }
 
 // Named is the name that agents know a task by: it always tells the time.
-func (b *Book) Named(ref identifier.Ref) (out identifier.Ref) {
+func (b *Book) Named(ref identifier.Ref) identifier.Ref {
 	if j := b.Jobs[ref.Job]; j != nil && j.Parent == "" {
 		ref.Job = timeKey(j.Key, 0)
 	}
@@ -157,7 +157,7 @@
 
 // Serves tells whether a runner belongs to the pool that the job's queue goes
 // to; jobs of pending rows run on those that belong to none.
-func (j *Job) Serves(r *Runner) (ok bool) {
+func (j *Job) Serves(r *Runner) bool {
 	if j.Terms == nil {
 		return r.Pool == ""
 	}
@@ -165,7 +165,7 @@
 }
 
 // root is the job that callers know.
-func (j *Job) root() (key identifier.Key) {
+func (j *Job) root() identifier.Key {
 	if j.Parent != "" {
 		return j.Parent
 	}
@@ -173,7 +173,8 @@
 }
 
 // Beside counts the tasks of a step that a runner holds, of all the job's times.
-func (b *Book) Beside(j *Job, step int, r *Runner) (n int64) {
+func (b *Book) Beside(j *Job, step int, r *Runner) int64 {
+	var n int64
 	for _, g := range r.grants {
 		if g.Ref.Step == step && b.Jobs[g.Ref.Job].root() == j.root() {
 			n++
--- a/internal/state/queue_test.go
+++ b/internal/state/queue_test.go
@@ -11,8 +11,8 @@
 
 // newQueues is a book with a catalogue, and four runners of its pool besides
 // one of another and the rows' own.
-func newQueues(t *testing.T) (d *desk) {
-	d = newDesk(t, `{"a.weight":1}`)
+func newQueues(t *testing.T) *desk {
+	d := newDesk(t, `{"a.weight":1}`)
 	d.b.Level = CatalogLevel
 	d.must(200, &Command{At: 2000, Catalog: &catalog.Change{Version: 3, Whole: true, Sum: "one",
 		Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Pool: "x", Tries: 2, Stretch: 2000, SetPoint: 1000, Timeout: 3000}},
@@ -43,7 +43,8 @@
 	d.must(201, &Command{Submit: &Submit{Key: key, Spec: spec}})
 }
 
-func (d *desk) open(key identifier.Key) (n int) {
+func (d *desk) open(key identifier.Key) int {
+	var n int
 	for _, g := range d.b.Grants {
 		if g.Ref.Job == key {
 			n++
@@ -263,7 +264,7 @@
 // again is known, whatever came after it; what is invalid changes nothing.
 func TestCatalogRace(t *testing.T) {
 	d := newQueues(t)
-	change := func(base, version uint64, sum string) (c *catalog.Change) {
+	change := func(base, version uint64, sum string) *catalog.Change {
 		return &catalog.Change{Base: base, Version: version, Sum: sum, Queues: []catalog.Queue{{Name: sum, Host: "h", Prefix: "/" + sum, Pool: "x", Timeout: 1}}}
 	}
 	d.must(200, &Command{Catalog: change(3, 7, "a")})
--- a/internal/state/report.go
+++ b/internal/state/report.go
@@ -6,7 +6,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-func (b *Book) report(p *Report) (r Result) {
+func (b *Book) report(p *Report) Result {
 	one := b.Runners[p.Runner]
 	switch {
 	case one == nil && len(b.Runners) >= MaxRunners:
--- a/internal/state/resend_test.go
+++ b/internal/state/resend_test.go
@@ -19,7 +19,8 @@
 )
 
 // changeTo is an operator's change from one version to another.
-func changeTo(t *testing.T, base, version uint64) (c *catalog.Change) {
+func changeTo(t *testing.T, base, version uint64) *catalog.Change {
+	var c *catalog.Change
 	t.Helper()
 	var f jsondoc.Faults
 	text := fmt.Sprintf(`{"base":%d,"version":%d,"put":{"pools":[{"name":"x"}]}}`, base, version)
@@ -38,12 +39,12 @@
 }
 
 // resend sends the change from version-1 to version again.
-func (d *desk) resend(version uint64) (r Result) {
+func (d *desk) resend(version uint64) Result {
 	return d.b.Apply(&Command{Catalog: changeTo(d.T, version-1, version)})
 }
 
-func newDeskAt(t *testing.T, level uint16) (d *desk) {
-	d = newDesk(t, `{"a.weight":1}`)
+func newDeskAt(t *testing.T, level uint16) *desk {
+	d := newDesk(t, `{"a.weight":1}`)
 	d.b.Level = level
 	return d
 }
--- a/internal/state/runner.go
+++ b/internal/state/runner.go
@@ -35,20 +35,20 @@
 }
 
 // Used is the room taken by the runner's open leases, revoked ones included.
-func (r *Runner) Used() (d job.Demand) { return r.used }
+func (r *Runner) Used() job.Demand { return r.used }
 
 // Free is the capacity less what open leases take. It can be negative when the
 // runner has reported a smaller capacity since.
-func (r *Runner) Free() (d job.Demand) { return r.Cap.Minus(r.used) }
+func (r *Runner) Free() job.Demand { return r.Cap.Minus(r.used) }
 
 // Fence is the id of the drain that cordons the runner, empty when none does.
-func (r *Runner) Fence() (closing string) { return r.fence }
+func (r *Runner) Fence() string { return r.fence }
 
 // Open is the number of open leases, revoked ones included.
-func (r *Runner) Open() (n int) { return len(r.grants) }
+func (r *Runner) Open() int { return len(r.grants) }
 
 // Was tells whether inc is one this runner has left behind.
-func (r *Runner) Was(inc identifier.Inc) (ok bool) {
+func (r *Runner) Was(inc identifier.Inc) bool {
 	for _, p := range r.Past {
 		if p == inc {
 			return true
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -25,7 +25,7 @@
 )
 
 // Ended tells whether the state is final.
-func (s State) Ended() (ok bool) { return s == Well || s == Failed || s == Cancelled }
+func (s State) Ended() bool { return s == Well || s == Failed || s == Cancelled }
 
 // Unplaced are the states that count as waiting in the row's limit.
-func (s State) Unplaced() (ok bool) { return s == Waiting || s == Held || s == Riding }
+func (s State) Unplaced() bool { return s == Waiting || s == Held || s == Riding }
--- a/internal/state/sum.go
+++ b/internal/state/sum.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func text(word string) (n uint64) {
+func text(word string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(word))
 	return h.Sum64()
--- a/internal/state/tally.go
+++ b/internal/state/tally.go
@@ -104,7 +104,8 @@
 }
 
 // Moved lists the jobs with displaced tasks, oldest first.
-func (b *Book) Moved() (out []*Job) {
+func (b *Book) Moved() []*Job {
+	var out []*Job
 	for _, v := range b.moved.Values() {
 		out = append(out, v.(*Job))
 	}
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -43,7 +43,7 @@
 }
 
 // recall takes a past grant off the list and tells whether it was there.
-func (t *Task) recall(g identifier.Grant) (ok bool) {
+func (t *Task) recall(g identifier.Grant) bool {
 	for i, p := range t.Past {
 		if p == g {
 			t.Past = append(append([]identifier.Grant(nil), t.Past[:i]...), t.Past[i+1:]...)
--- a/internal/state/times.go
+++ b/internal/state/times.go
@@ -12,14 +12,14 @@
 // mostSpawn bounds the times that one entry begins.
 const mostSpawn = 64
 
-func (j *Job) nextTime() (at identifier.Millis) { return j.Spec.Repeat.At(j.Times) }
+func (j *Job) nextTime() identifier.Millis { return j.Spec.Repeat.At(j.Times) }
 
 // timesOver tells whether every time has come and ended, or none is to come.
-func (j *Job) timesOver() (yes bool) {
+func (j *Job) timesOver() bool {
 	return j.kids == 0 && (j.Cancel || j.Times >= j.Spec.Repeat.Times)
 }
 
-func byDue(a, b any) (order int) {
+func byDue(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if m, n := x.nextTime(), y.nextTime(); m != n {
 		if m < n {
@@ -31,7 +31,7 @@
 }
 
 // timeKey names one time of a repeated job.
-func timeKey(parent identifier.Key, k int64) (key identifier.Key) {
+func timeKey(parent identifier.Key, k int64) identifier.Key {
 	return identifier.Key(string(parent) + "." + strconv.FormatInt(k, 10))
 }
 
--- a/internal/state/view_test.go
+++ b/internal/state/view_test.go
@@ -10,8 +10,8 @@
 
 // day is a book after a day at the usual rate: ids kept for a day, details
 // for ten minutes.
-func day(known, kept int) (b *Book) {
-	b = New()
+func day(known, kept int) *Book {
+	b := New()
 	for i := 0; i < known; i++ {
 		b.Known.add(&Job{Key: identifier.Key(fmt.Sprintf("gilde/j%d", i)), Sum: fmt.Sprint(i), End: Well}, 1000)
 	}
--- a/internal/transport/httpclient/call.go
+++ b/internal/transport/httpclient/call.go
@@ -35,7 +35,7 @@
 // New makes a caller that waits so long for each answer. Each request has a
 // connection of its own, so that nothing else that comes on it is taken for the
 // answer, and goes to the gate that was asked and no further.
-func New(gates []string, wait time.Duration) (c *Caller) {
+func New(gates []string, wait time.Duration) *Caller {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DisableKeepAlives = true
 	return newCaller(gates, wait, transport)
@@ -43,16 +43,16 @@
 
 // NewKeepAlive makes a caller whose requests share connections with those of
 // all other such callers, to see whether gates close them in an orderly way.
-func NewKeepAlive(gates []string, wait time.Duration) (c *Caller) {
+func NewKeepAlive(gates []string, wait time.Duration) *Caller {
 	return newCaller(gates, wait, http.DefaultTransport)
 }
 
-func newCaller(gates []string, wait time.Duration, transport http.RoundTripper) (c *Caller) {
+func newCaller(gates []string, wait time.Duration, transport http.RoundTripper) *Caller {
 	return &Caller{Gates: gates, Tries: 4, web: &http.Client{Timeout: wait, Transport: transport, CheckRedirect: dontFollow}}
 }
 
 // dontFollow has a redirection handed back as the answer that it is.
-func dontFollow(*http.Request, []*http.Request) (err error) { return http.ErrUseLastResponse }
+func dontFollow(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // Got is an answer. Gate says who gave it.
 type Got struct {
@@ -62,10 +62,10 @@
 }
 
 // OK tells whether the status is one of success (2xx).
-func (g Got) OK() (ok bool) { return g.Status >= 200 && g.Status < 300 }
+func (g Got) OK() bool { return g.Status >= 200 && g.Status < 300 }
 
 // Why is the error's own message, or the status.
-func (g Got) Why() (text string) {
+func (g Got) Why() string {
 	var e struct {
 		Error struct {
 			Code   string `json:"code"`
@@ -76,7 +76,7 @@
 	if json.Unmarshal(g.Body, &e) != nil || e.Error.Code == "" {
 		return "status " + strconv.Itoa(g.Status)
 	}
-	text = strconv.Itoa(g.Status) + " " + e.Error.Code + ": " + e.Error.Why
+	text := strconv.Itoa(g.Status) + " " + e.Error.Code + ": " + e.Error.Why
 	if e.Error.Faults != nil {
 		list, err := json.Marshal(e.Error.Faults)
 		if err == nil {
@@ -104,7 +104,8 @@
 // are waited out, a few times. A request that may have been carried out is sent
 // again only if it may be repeated; from then on no refusal tells what became of
 // it, so that the error is ErrUnknown.
-func (c *Caller) Do(ctx context.Context, verb, path string, body []byte) (got Got, err error) {
+func (c *Caller) Do(ctx context.Context, verb, path string, body []byte) (Got, error) {
+	var got Got
 	changes := verb != http.MethodGet
 	repeatable := gateway.Request{Verb: verb, Path: path}.Repeatable()
 	silent, unknown, most := 0, false, c.Tries*len(c.Gates)
@@ -130,7 +131,7 @@
 		default:
 			return got, nil
 		}
-		if err = sleep(ctx, min(one.pause, longestPause)); err != nil {
+		if err := sleep(ctx, min(one.pause, longestPause)); err != nil {
 			if unknown {
 				err = errors.Wrap(ErrUnknown, err.Error())
 			}
@@ -140,7 +141,7 @@
 }
 
 // sleep waits, or ends early with the context's error.
-func sleep(ctx context.Context, pause time.Duration) (err error) {
+func sleep(ctx context.Context, pause time.Duration) error {
 	t := time.NewTimer(pause)
 	defer t.Stop()
 	select {
@@ -153,7 +154,7 @@
 
 // BrokeOff tells an answer that broke off from a gate that isn't there or is
 // silent.
-func BrokeOff(err error) (yes bool) {
+func BrokeOff(err error) bool {
 	var op *net.OpError
 	var late net.Error
 	return !(errors.As(err, &op) && op.Op == "dial" || errors.As(err, &late) && late.Timeout())
@@ -175,7 +176,7 @@
 }
 
 // settles tells whether the answer is the last word on the request.
-func (a attempt) settles() (yes bool) {
+func (a attempt) settles() bool {
 	if a.err != nil {
 		return false
 	}
@@ -188,19 +189,20 @@
 
 // unknown tells whether it can't be said what became of the request if it was
 // sent.
-func (a attempt) unknown() (yes bool) {
+func (a attempt) unknown() bool {
 	return a.err != nil || a.Status == http.StatusGatewayTimeout
 }
 
 // last says what became of the attempt.
-func (a attempt) last() (text string) {
+func (a attempt) last() string {
 	if a.err != nil {
 		return a.err.Error()
 	}
 	return a.Why()
 }
 
-func (c *Caller) once(ctx context.Context, addr, verb, path string, body []byte) (a attempt) {
+func (c *Caller) once(ctx context.Context, addr, verb, path string, body []byte) attempt {
+	var a attempt
 	a.pause = unansweredPause
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.sent = true }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), verb, "http://"+addr+path, bytes.NewReader(body))
--- a/internal/transport/httpclient/call_test.go
+++ b/internal/transport/httpclient/call_test.go
@@ -26,13 +26,13 @@
 }
 
 // newStub listens until the test ends; answer is called for each whole request.
-func newStub(t *testing.T, answer func(conn *net.TCPConn, r *http.Request)) (s *stub) {
+func newStub(t *testing.T, answer func(conn *net.TCPConn, r *http.Request)) *stub {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s = &stub{ln: ln, answer: answer}
+	s := &stub{ln: ln, answer: answer}
 	c := lifecycle.New()
 	ctx, stop := context.WithCancel(context.Background())
 	c.Go(func(<-chan struct{}) {
@@ -71,27 +71,27 @@
 	}
 }
 
-func (s *stub) addr() (addr string) { return s.ln.Addr().String() }
+func (s *stub) addr() string { return s.ln.Addr().String() }
 
 // count is how many whole requests arrived.
-func (s *stub) count() (n int) {
+func (s *stub) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.got)
 }
 
 // answerOf writes an answer with a body.
-func answerOf(status int, body string) (text string) {
+func answerOf(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
 // always answers each request with the same text.
-func always(text string) (answer func(*net.TCPConn, *http.Request)) {
+func always(text string) func(*net.TCPConn, *http.Request) {
 	return func(conn *net.TCPConn, _ *http.Request) { _, _ = io.WriteString(conn, text) }
 }
 
 // cutOff answers with a text and resets the connection.
-func cutOff(text string) (answer func(*net.TCPConn, *http.Request)) {
+func cutOff(text string) func(*net.TCPConn, *http.Request) {
 	return func(conn *net.TCPConn, _ *http.Request) {
 		_, _ = io.WriteString(conn, text)
 		_ = conn.SetLinger(0)
--- a/internal/transport/httpserver/bare.go
+++ b/internal/transport/httpserver/bare.go
@@ -12,12 +12,12 @@
 
 // Bare listens on the address for a handler of the caller's own. The caller
 // may set Parting before the stop; Gin is nil.
-func Bare(addr string, h http.Handler) (s *Server, err error) {
+func Bare(addr string, h http.Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "http")
 	}
-	s = &Server{Gauge: NewGauges(), Parting: parting, ln: &limitListener{Listener: ln, most: mostConns}}
+	s := &Server{Gauge: NewGauges(), Parting: parting, ln: &limitListener{Listener: ln, most: mostConns}}
 	s.http = server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(&closingWriter{ResponseWriter: w, from: s}, r)
 	}))
@@ -46,7 +46,7 @@
 	c.ResponseWriter.WriteHeader(status)
 }
 
-func (c *closingWriter) Write(b []byte) (n int, err error) {
+func (c *closingWriter) Write(b []byte) (int, error) {
 	c.head()
 	return c.ResponseWriter.Write(b)
 }
@@ -57,4 +57,4 @@
 }
 
 // Unwrap lets http.ResponseController reach what this does not offer itself.
-func (c *closingWriter) Unwrap() (w http.ResponseWriter) { return c.ResponseWriter }
+func (c *closingWriter) Unwrap() http.ResponseWriter { return c.ResponseWriter }
--- a/internal/transport/httpserver/errands.go
+++ b/internal/transport/httpserver/errands.go
@@ -24,27 +24,27 @@
 }
 
 // NewErrands makes a ring for so many errands.
-func NewErrands[M any](size int) (e *Errands[M]) {
+func NewErrands[M any](size int) *Errands[M] {
 	return &Errands[M]{ring: lifecycle.NewRing[*Errand[M]](size), over: make(chan struct{})}
 }
 
 // Out is where the desk takes errands from.
-func (e *Errands[M]) Out() (c <-chan *Errand[M]) { return e.ring.Out() }
+func (e *Errands[M]) Out() <-chan *Errand[M] { return e.ring.Out() }
 
 // Over is closed once the desk takes no more errands.
-func (e *Errands[M]) Over() (c <-chan struct{}) { return e.over }
+func (e *Errands[M]) Over() <-chan struct{} { return e.over }
 
 // Close says that the desk has ended; the desk calls it once.
 func (e *Errands[M]) Close() { close(e.over) }
 
 // Offer hands an errand in and does not wait for it. A full ring refuses.
-func (e *Errands[M]) Offer(do func(m M)) (ok bool) {
+func (e *Errands[M]) Offer(do func(m M)) bool {
 	return e.ring.Offer(&Errand[M]{do: do, done: make(chan struct{})})
 }
 
 // Do waits until the errand is done. If it is not, because the ring is full,
 // the context ended or the desk did, it never will be.
-func (e *Errands[M]) Do(ctx context.Context, do func(m M)) (ok bool) {
+func (e *Errands[M]) Do(ctx context.Context, do func(m M)) bool {
 	x := &Errand[M]{do: do, done: make(chan struct{})}
 	if !e.ring.Offer(x) {
 		return false
--- a/internal/transport/httpserver/gauges.go
+++ b/internal/transport/httpserver/gauges.go
@@ -17,7 +17,7 @@
 }
 
 // NewGauges makes an empty set.
-func NewGauges() (g *Gauges) { return &Gauges{vals: map[string]float64{}} }
+func NewGauges() *Gauges { return &Gauges{vals: map[string]float64{}} }
 
 // Set gives a gauge its value; the first value creates it.
 func (g *Gauges) Set(name string, val float64) {
--- a/internal/transport/httpserver/limit.go
+++ b/internal/transport/httpserver/limit.go
@@ -29,7 +29,9 @@
 	from   *limitListener
 }
 
-func (l *limitListener) Accept() (conn net.Conn, err error) {
+func (l *limitListener) Accept() (net.Conn, error) {
+	var conn net.Conn
+	var err error
 	for {
 		conn, err = l.Listener.Accept()
 		if err != nil {
@@ -45,7 +47,7 @@
 	}
 }
 
-func (c *countedConn) Close() (err error) {
+func (c *countedConn) Close() error {
 	if c.closed.CompareAndSwap(false, true) {
 		c.from.open.Add(-1)
 	}
--- a/internal/transport/httpserver/serve.go
+++ b/internal/transport/httpserver/serve.go
@@ -34,13 +34,13 @@
 
 // New opens the address and sets up the common pages. The server is not ready,
 // and answers no request, until SetReady and Serve are called.
-func New(addr string) (s *Server, err error) {
+func New(addr string) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "http")
 	}
 	gin.SetMode(gin.ReleaseMode)
-	s = &Server{Gin: gin.New(), Gauge: NewGauges(), Parting: parting, ln: &limitListener{Listener: ln, most: mostConns}}
+	s := &Server{Gin: gin.New(), Gauge: NewGauges(), Parting: parting, ln: &limitListener{Listener: ln, most: mostConns}}
 	s.Gin.Use(func(c *gin.Context) {
 		if s.down.Load() {
 			c.Header("Connection", "close")
@@ -62,12 +62,12 @@
 	return s, nil
 }
 
-func server(h http.Handler) (x *http.Server) {
+func server(h http.Handler) *http.Server {
 	return &http.Server{Handler: h, ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 15 * time.Second, IdleTimeout: 60 * time.Second, MaxHeaderBytes: 16 << 10}
 }
 
 // Addr is the address in use, with the actual port when 0 was asked for.
-func (s *Server) Addr() (addr string) { return s.ln.Addr().String() }
+func (s *Server) Addr() string { return s.ln.Addr().String() }
 
 // SetReady is what the daemon says of itself; a stopping one is never ready.
 func (s *Server) SetReady(ok bool) { s.ready.Store(ok) }
@@ -89,7 +89,7 @@
 // Stop is polite: first this process is not ready and every answer says that
 // its connection closes, so that no caller sends on one that is about to go;
 // then the listener closes and the requests in hand are answered.
-func (s *Server) Stop(ctx context.Context) (err error) {
+func (s *Server) Stop(ctx context.Context) error {
 	s.down.Store(true)
 	t := time.NewTimer(s.Parting)
 	defer t.Stop()
@@ -110,7 +110,7 @@
 }
 
 // Stopping tells whether the polite stop has begun.
-func (s *Server) Stopping() (yes bool) { return s.down.Load() }
+func (s *Server) Stopping() bool { return s.down.Load() }
 
 // Ready is what SetReady last said.
-func (s *Server) Ready() (ok bool) { return s.ready.Load() }
+func (s *Server) Ready() bool { return s.ready.Load() }
--- a/internal/transport/httpserver/stream_test.go
+++ b/internal/transport/httpserver/stream_test.go
@@ -46,7 +46,7 @@
 }
 
 // account is what the answer to this very request says of it.
-func (h handled) account() (text string) {
+func (h handled) account() string {
 	if h.refused != 0 {
 		return fmt.Sprintf("%q refused with %d", h.method, h.refused)
 	}
@@ -76,7 +76,8 @@
 }
 
 // read takes a request in, as the product's handlers do.
-func read(w http.ResponseWriter, r *http.Request) (one handled) {
+func read(w http.ResponseWriter, r *http.Request) handled {
+	var one handled
 	one.executed = executed{method: r.Method, path: r.URL.Path, id: r.Header.Get(idHeader)}
 	if r.URL.Path == "/early" {
 		one.refused = http.StatusServiceUnavailable
@@ -97,7 +98,8 @@
 }
 
 // carriedOut leaves out what was refused.
-func carriedOut(calls []handled) (list []executed) {
+func carriedOut(calls []handled) []executed {
+	var list []executed
 	for _, one := range calls {
 		if one.refused == 0 {
 			list = append(list, one.executed)
@@ -107,10 +109,10 @@
 }
 
 // take hands over what came on a connection.
-func (e *echo) take(addr string) (list []handled) {
+func (e *echo) take(addr string) []handled {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	list = e.calls[addr]
+	list := e.calls[addr]
 	delete(e.calls, addr)
 	return list
 }
@@ -181,7 +183,8 @@
 
 // statuses checks that each answer of a handler is that of the request whose
 // turn it is, and lists the status of every answer.
-func statuses(t testing.TB, answers []byte, calls []handled, clean bool) (list []int) {
+func statuses(t testing.TB, answers []byte, calls []handled, clean bool) []int {
+	var list []int
 	t.Helper()
 	in, next := bufio.NewReader(bytes.NewReader(answers)), 0
 	for {
@@ -230,11 +233,11 @@
 }
 
 // request writes one request by hand.
-func request(method, path, id, more, body string) (text string) {
+func request(method, path, id, more, body string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + idHeader + ": " + id + "\r\n" + more + "\r\n" + body
 }
 
-func withLength(n int) (line string) { return fmt.Sprintf("Content-Length: %d\r\n", n) }
+func withLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
 
 const chunked = "Transfer-Encoding: chunked\r\n"
 
@@ -390,7 +393,7 @@
 var printable = regexp.MustCompile(`^[!-~]([ -~]*[!-~])?$`)
 
 // plain tells whether a request is beyond doubt one that must be carried out.
-func plain(r *http.Request, raw []byte, body []byte) (yes bool) {
+func plain(r *http.Request, raw []byte, body []byte) bool {
 	head, _, _ := bytes.Cut(raw, []byte("\r\n\r\n"))
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 || r.Close || !plainHost.MatchString(r.Host) || len(raw) > 4096 || len(body) > echoBodyMost || !slices.Contains(echoMethods, r.Method) {
 		return false
@@ -446,7 +449,7 @@
 
 // checkStream sends a stream and compares what was carried out with what stands
 // in it; certain is how many of its first requests had to be.
-func checkStream(t testing.TB, e *echo, addr string, stream []byte, piece int) (certain int) {
+func checkStream(t testing.TB, e *echo, addr string, stream []byte, piece int) int {
 	t.Helper()
 	answers, local, clean := exchange(t, addr, stream, piece)
 	calls := e.take(local)
@@ -475,7 +478,7 @@
 }
 
 // randomRequest writes a request that is mostly sound.
-func randomRequest(rnd *rand.Rand, id int) (text string) {
+func randomRequest(rnd *rand.Rand, id int) string {
 	method := []string{"GET", "PUT", "POST", "DELETE", "HEAD", "PATCH"}[rnd.Intn(6)]
 	path := []string{"/a", "/b/c", "/c", "/d", "/e?f=g", "/early"}[rnd.Intn(6)]
 	body := strings.Repeat("GET / HTTP/1.1\r\nHost: b\r\n\r\n", rnd.Intn(6)/2)
@@ -495,7 +498,8 @@
 
 // randomStream is a row of requests, often with some of its bytes changed, left
 // out, doubled or cut off.
-func randomStream(rnd *rand.Rand) (stream []byte) {
+func randomStream(rnd *rand.Rand) []byte {
+	var stream []byte
 	for i := rnd.Intn(4); i >= 0; i-- {
 		stream = append(stream, randomRequest(rnd, rnd.Intn(1000))...)
 	}
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -54,7 +54,7 @@
 )
 
 // Listen opens the address; frames come in once Serve is called.
-func Listen(addr string, c *lifecycle.Crew) (l *Link, err error) {
+func Listen(addr string, c *lifecycle.Crew) (*Link, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 }
 
 // Addr is the listening address, with the actual port when 0 was asked for.
-func (l *Link) Addr() (addr string) { return l.ln.Addr().String() }
+func (l *Link) Addr() string { return l.ln.Addr().String() }
 
 // Serve starts to accept connections and returns at once; it must be called
 // before the first Send. take is called from one goroutine for each connection,
@@ -217,7 +217,7 @@
 	}
 }
 
-func (l *Link) write(_ wire.Peer, x *line, conn net.Conn, stop <-chan struct{}) (idle bool) {
+func (l *Link) write(_ wire.Peer, x *line, conn net.Conn, stop <-chan struct{}) bool {
 	buf := bufio.NewWriterSize(conn, 64<<10)
 	enc := wire.NewEncoder(buf)
 	t := time.NewTimer(idleDrop)
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -42,9 +42,9 @@
 	return l, in
 }
 
-func ask(id uint64) (m wire.Msg) { return wire.Msg{Ask: &wire.Ask{ID: id, Verb: "GET", Path: "/"}} }
+func ask(id uint64) wire.Msg { return wire.Msg{Ask: &wire.Ask{ID: id, Verb: "GET", Path: "/"}} }
 
-func reply(id uint64) (m wire.Msg) { return wire.Msg{Reply: &wire.Reply{ID: id, Status: 200}} }
+func reply(id uint64) wire.Msg { return wire.Msg{Reply: &wire.Reply{ID: id, Status: 200}} }
 
 // far is a process at the other end of one connection.
 type far struct {
@@ -52,7 +52,7 @@
 	dec *wire.Decoder
 }
 
-func newFar(t *testing.T, conn net.Conn) (f *far) {
+func newFar(t *testing.T, conn net.Conn) *far {
 	t.Helper()
 	t.Cleanup(func() { conn.Close() })
 	_ = conn.SetDeadline(time.Now().Add(20 * time.Second))
@@ -60,7 +60,7 @@
 }
 
 // call dials a link and sends one request on the line.
-func call(t *testing.T, to *Link, id uint64) (f *far) {
+func call(t *testing.T, to *Link, id uint64) *far {
 	t.Helper()
 	conn, err := net.Dial("tcp", to.Addr())
 	if err != nil {
@@ -73,7 +73,7 @@
 }
 
 // count is how many lines a link has.
-func (l *Link) count() (n int) {
+func (l *Link) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.lines)
--- a/internal/transport/wire/codec.go
+++ b/internal/transport/wire/codec.go
@@ -22,11 +22,11 @@
 type Encoder struct{ w io.Writer }
 
 // NewEncoder makes an encoder that writes to w.
-func NewEncoder(w io.Writer) (e *Encoder) { return &Encoder{w} }
+func NewEncoder(w io.Writer) *Encoder { return &Encoder{w} }
 
 // Put writes one message as one frame. After an error the stream may end within
 // a frame and must not be written to again.
-func (e *Encoder) Put(m Msg) (err error) {
+func (e *Encoder) Put(m Msg) error {
 	msg, seg, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
 		return err
@@ -41,7 +41,7 @@
 	return capnp.NewEncoder(e.w).Encode(msg)
 }
 
-func fill(f frame.Frame, m Msg) (err error) {
+func fill(f frame.Frame, m Msg) error {
 	switch {
 	case m.Raft != nil:
 		r, err := f.NewRaft()
@@ -59,7 +59,7 @@
 	return nil
 }
 
-func putAsk(f frame.Frame, a *Ask) (err error) {
+func putAsk(f frame.Frame, a *Ask) error {
 	o, err := f.NewAsk()
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 	return first(o.SetVerb(a.Verb), o.SetPath(a.Path), o.SetQuery(a.Query), o.SetBody(a.Body))
 }
 
-func putReply(f frame.Frame, r *Reply) (err error) {
+func putReply(f frame.Frame, r *Reply) error {
 	o, err := f.NewReply()
 	if err != nil {
 		return err
@@ -90,7 +90,7 @@
 	return o.SetBody(r.Body)
 }
 
-func putTell(f frame.Frame, t *Tell) (err error) {
+func putTell(f frame.Frame, t *Tell) error {
 	o, err := f.NewTell()
 	if err != nil {
 		return err
@@ -122,7 +122,7 @@
 	return nil
 }
 
-func putMembers(allocate func(n int32) (frame.Member_List, error), list []raft.Member) (err error) {
+func putMembers(allocate func(n int32) (frame.Member_List, error), list []raft.Member) error {
 	if len(list) == 0 {
 		return nil
 	}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func putRaft(o frame.Raft, m *raft.Message) (err error) {
+func putRaft(o frame.Raft, m *raft.Message) error {
 	o.SetKind(uint8(m.Kind))
 	o.SetFrom(uint64(m.From))
 	o.SetTo(uint64(m.To))
@@ -181,13 +181,14 @@
 	o.SetViewTerm(uint64(m.View.Term))
 	o.SetViewOff(m.Off)
 	o.SetViewTotal(m.Total)
-	if err = putMembers(o.NewViewMembers, m.View.Members); err != nil {
+	if err := putMembers(o.NewViewMembers, m.View.Members); err != nil {
 		return err
 	}
 	return o.SetViewData(m.View.Data)
 }
 
-func first(errs ...error) (err error) {
+func first(errs ...error) error {
+	var err error
 	for _, err = range errs {
 		if err != nil {
 			return err
@@ -202,8 +203,8 @@
 
 // NewDecoder makes a decoder that reads from r and refuses frames larger than
 // MaxFrame bytes.
-func NewDecoder(r io.Reader) (d *Decoder) {
-	d = &Decoder{capnp.NewDecoder(r)}
+func NewDecoder(r io.Reader) *Decoder {
+	d := &Decoder{capnp.NewDecoder(r)}
 	d.d.MaxMessageSize = MaxFrame
 	return d
 }
@@ -212,7 +213,8 @@
 
 // Get reads the next message. Any error, the end of the stream included, means
 // that the stream cannot be read any further.
-func (d *Decoder) Get() (m Msg, err error) {
+func (d *Decoder) Get() (Msg, error) {
+	var m Msg
 	msg, err := d.d.Decode()
 	if err != nil {
 		return m, err
@@ -239,46 +241,46 @@
 // look reads texts one after another and keeps the first error.
 type look struct{ err error }
 
-func (l *look) text(s string, err error) (out string) {
+func (l *look) text(s string, err error) string {
 	l.err = first(l.err, err)
 	return s
 }
 
-func (l *look) data(b []byte, err error) (out []byte) {
+func (l *look) data(b []byte, err error) []byte {
 	l.err = first(l.err, err)
 	return append([]byte(nil), b...)
 }
 
-func getAsk(f frame.Frame) (a *Ask, err error) {
+func getAsk(f frame.Frame) (*Ask, error) {
 	o, err := f.Ask()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	a = &Ask{ID: o.Id(), Verb: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
+	a := &Ask{ID: o.Id(), Verb: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
 		Epoch: identifier.Epoch(o.Epoch()), Budget: identifier.Span(o.Budget()), Hops: o.Hops(),
 		Dated: o.Dated(), Known: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
 	return a, l.err
 }
 
-func getReply(f frame.Frame) (r *Reply, err error) {
+func getReply(f frame.Frame) (*Reply, error) {
 	o, err := f.Reply()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	r = &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: identifier.Span(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
+	r := &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: identifier.Span(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
 		Expired: o.Expired(), Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
 	return r, l.err
 }
 
-func getTell(f frame.Frame) (t *Tell, err error) {
+func getTell(f frame.Frame) (*Tell, error) {
 	o, err := f.Tell()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	t = &Tell{Ask: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
+	t := &Tell{Ask: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
 		HTTP: l.text(o.Http()), Founded: o.Founded(), Lead: identifier.Node(o.Lead()),
 		Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
 	t.Members = getMembers(&l, o.Members)
@@ -293,7 +295,8 @@
 	return t, l.err
 }
 
-func getMembers(l *look, get func() (frame.Member_List, error)) (list []raft.Member) {
+func getMembers(l *look, get func() (frame.Member_List, error)) []raft.Member {
+	var list []raft.Member
 	in, err := get()
 	l.err = first(l.err, err)
 	if err != nil {
@@ -306,13 +309,13 @@
 	return list
 }
 
-func getRaft(f frame.Frame) (m *raft.Message, err error) {
+func getRaft(f frame.Frame) (*raft.Message, error) {
 	o, err := f.Raft()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	m = &raft.Message{Kind: raft.Kind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
+	m := &raft.Message{Kind: raft.Kind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
 		Index: identifier.Index(o.Index()), LogTerm: identifier.Term(o.LogTerm()), Commit: identifier.Index(o.Commit()), No: o.No(), Force: o.Force(),
 		Hint: identifier.Index(o.Hint()), Stamp: identifier.Mono(o.Stamp()), Wall: identifier.Wall(o.Wall()), Met: identifier.Term(o.Met()), Site: identifier.Millis(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
 	list, err := o.Entries()
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -12,7 +12,7 @@
 type Peer string
 
 // Local tells whether the peer is a request that was made at this process.
-func (p Peer) Local() (yes bool) { return p != "" && p[0] == '@' }
+func (p Peer) Local() bool { return p != "" && p[0] == '@' }
 
 // Msg carries exactly one of these.
 type Msg struct {
@@ -30,7 +30,7 @@
 }
 
 // Later tells whether this reading was taken after another one.
-func (t LeaderTime) Later(than LeaderTime) (yes bool) {
+func (t LeaderTime) Later(than LeaderTime) bool {
 	return t.Term > than.Term || t.Term == than.Term && t.At > than.At
 }
 
@@ -52,7 +52,7 @@
 
 // Orders tells whether the request changes something: an order that its sender
 // has given up on must not be carried out later.
-func (a *Ask) Orders() (yes bool) {
+func (a *Ask) Orders() bool {
 	return a.Verb == "PUT" || a.Verb == "PATCH" || a.Verb == "DELETE"
 }
 
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/consensus/raft"
 )
 
-func full() (list []Msg) {
+func full() []Msg {
 	members := []raft.Member{{ID: 7, Addr: "127.0.0.1:1", Domain: "north", Voter: true}, {ID: 9, Addr: "127.0.0.1:2", Domain: "east"}}
 	return []Msg{
 		{Ask: &Ask{ID: 3, Verb: "PUT", Path: "/v1/jobs/a/b", Query: "x=1", Body: []byte("{}"), Epoch: 5, Budget: 900, Hops: 1}},
@@ -22,7 +22,7 @@
 }
 
 // dated are messages with what the first version did not have.
-func dated() (list []Msg) {
+func dated() []Msg {
 	reading := LeaderTime{Term: 9, At: -4}
 	return []Msg{
 		{Ask: &Ask{ID: 3, Verb: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: 900, Dated: true, Known: reading}},
@@ -32,7 +32,7 @@
 	}
 }
 
-func turn(t *testing.T, m Msg) (back Msg) {
+func turn(t *testing.T, m Msg) Msg {
 	t.Helper()
 	var buf bytes.Buffer
 	if err := NewEncoder(&buf).Put(m); err != nil {
--- a/tests/devcluster/fleet_test.go
+++ b/tests/devcluster/fleet_test.go
@@ -49,7 +49,7 @@
 }
 
 // port gives every name an address of its own, kept for the whole script.
-func (f *fleet) port(name string) (addr string) {
+func (f *fleet) port(name string) string {
 	if f.ports[name] == "" {
 		f.ports[name] = free()
 	}
@@ -64,7 +64,8 @@
 
 // free finds an address nobody listens on, below the range that the kernel
 // gives to outgoing connections: a process may be started on it much later.
-func free() (addr string) {
+func free() string {
+	var addr string
 	given.Lock()
 	defer given.Unlock()
 	for {
@@ -136,7 +137,7 @@
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir: "scripts",
-		Setup: func(e *testscript.Env) (err error) {
+		Setup: func(e *testscript.Env) error {
 			f := &fleet{dir: e.WorkDir, procs: map[string]*exec.Cmd{}, args: map[string][]string{}, ports: map[string]string{}}
 			f.plan(11)
 			e.Values["fleet"] = f
@@ -148,7 +149,7 @@
 			}
 			e.Setenv("RUNNERS", strings.Join(list, ","))
 			big := []byte(`{"pending":"` + strings.Repeat("x", 2<<20) + `"}`)
-			if err = os.WriteFile(filepath.Join(e.WorkDir, "big.json"), big, 0o644); err != nil {
+			if err := os.WriteFile(filepath.Join(e.WorkDir, "big.json"), big, 0o644); err != nil {
 				return err
 			}
 			for name, addr := range f.ports {
@@ -180,7 +181,8 @@
 }
 
 // names spreads "runner-1..11" out.
-func names(args []string) (out []string) {
+func names(args []string) []string {
+	var out []string
 	for _, a := range args {
 		kind, span, ok := strings.Cut(a, "-")
 		var low, high int
@@ -195,7 +197,7 @@
 	return out
 }
 
-func signal(sig os.Signal) (cmd func(ts *testscript.TestScript, neg bool, args []string)) {
+func signal(sig os.Signal) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range names(args) {
 			ts.Value("fleet").(*fleet).end(name, sig)
@@ -203,7 +205,7 @@
 	}
 }
 
-func tell(sig os.Signal) (cmd func(ts *testscript.TestScript, neg bool, args []string)) {
+func tell(sig os.Signal) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range names(args) {
 			ts.Check(ts.Value("fleet").(*fleet).procs[name].Process.Signal(sig))
--- a/tests/mutation/main.go
+++ b/tests/mutation/main.go
@@ -26,7 +26,7 @@
 type edit struct{ file, old, new string }
 
 // trial names one of the simulator's trials, by the beginning of its name.
-func trial(name string) (args []string) {
+func trial(name string) []string {
 	return []string{"./tests/simulation", "-run", "TestTrials/^(" + name + ")"}
 }
 
@@ -109,7 +109,8 @@
 }
 
 // all lists the mutations of every file of this program.
-func all() (list []wound) {
+func all() []wound {
+	var list []wound
 	for _, part := range [][]wound{wounds, agreementMutations, operatorMutations, requestMutations} {
 		list = append(list, part...)
 	}
@@ -173,4 +174,4 @@
 	return "failed, but not by " + w.want + ": " + tail(string(out)), false
 }
 
-func tail(text string) (end string) { return text[max(0, len(text)-300):] }
+func tail(text string) string { return text[max(0, len(text)-300):] }
--- a/tests/scale/catalogue.go
+++ b/tests/scale/catalogue.go
@@ -16,7 +16,7 @@
 	version uint64
 }
 
-func makeQueue(i int) (q catalog.Queue) {
+func makeQueue(i int) catalog.Queue {
 	return catalog.Queue{Name: fmt.Sprintf("q%d", i), Host: fmt.Sprintf("team-%d.jobs.example", i%280), Prefix: fmt.Sprintf("/queues/q%d/", i), Pool: pool, Rank: int64(i % 4), Tries: 3, Stretch: 2000, SetPoint: 60000, Timeout: 600000}
 }
 
@@ -53,7 +53,8 @@
 }
 
 // epochs is the table's epoch at each gate.
-func (k *catalogues) epochs() (list []float64) {
+func (k *catalogues) epochs() []float64 {
+	var list []float64
 	for _, front := range k.fleet.fronts {
 		vals, err := k.fleet.gauges(front)
 		if err != nil {
@@ -65,7 +66,8 @@
 }
 
 // timed makes a change and measures until every gate has it.
-func (k *catalogues) timed(phase string, n int, change func() (bytes int, err error)) (m measured, err error) {
+func (k *catalogues) timed(phase string, n int, change func() (bytes int, err error)) (measured, error) {
+	var m measured
 	was := k.epochs()
 	a, err := k.fleet.look()
 	if err != nil {
@@ -77,7 +79,7 @@
 		return m, err
 	}
 	taken := time.Since(sent)
-	err = k.fleet.wait(12*time.Second, "every gate has the change", func() (ok bool) {
+	err = k.fleet.wait(12*time.Second, "every gate has the change", func() bool {
 		for i, e := range k.epochs() {
 			if e <= was[i] {
 				return false
--- a/tests/scale/child.go
+++ b/tests/scale/child.go
@@ -27,8 +27,9 @@
 
 // start runs a program with so many processors at its call. It is killed when
 // the scale run dies; for that the caller must be on the main thread.
-func start(dir, name, program string, procs int, env []string, args ...string) (c *child, err error) {
-	c = &child{name: name}
+func start(dir, name, program string, procs int, env []string, args ...string) (*child, error) {
+	var err error
+	c := &child{name: name}
 	if c.log, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
 		return nil, err
 	}
@@ -42,7 +43,7 @@
 	return c, nil
 }
 
-func (c *child) pid() (pid int) { return c.cmd.Process.Pid }
+func (c *child) pid() int { return c.cmd.Process.Pid }
 
 // end stops the process and waits for it.
 func (c *child) end() {
@@ -59,12 +60,13 @@
 // 2 MiB for every small write into a large page of the cache.
 type use struct{ cpu, rss, read, written, gets, puts float64 }
 
-func (u use) minus(was use, secs float64) (rate use) {
+func (u use) minus(was use, secs float64) use {
 	return use{cpu: (u.cpu - was.cpu) / secs, rss: u.rss, read: (u.read - was.read) / secs, written: (u.written - was.written) / secs,
 		gets: (u.gets - was.gets) / secs, puts: (u.puts - was.puts) / secs}
 }
 
-func lookAt(pid int) (u use, err error) {
+func lookAt(pid int) (use, error) {
+	var u use
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
@@ -84,7 +86,8 @@
 }
 
 // cpuOf reads the seconds of processor time from a process's stat line.
-func cpuOf(stat string) (secs float64, err error) {
+func cpuOf(stat string) (float64, error) {
+	var secs float64
 	f := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	if len(f) < 13 {
 		return 0, errors.Errorf("stat %q", stat)
--- a/tests/scale/fleet.go
+++ b/tests/scale/fleet.go
@@ -56,10 +56,11 @@
 	return 0, errors.New("no free ports")
 }
 
-func here(port int) (addr string) { return fmt.Sprintf("127.0.0.1:%d", port) }
+func here(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-func newFleet(dir string) (f *fleet, err error) {
-	f = &fleet{dir: dir, crew: lifecycle.New(), clock: lifecycle.NewClock(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
+func newFleet(dir string) (*fleet, error) {
+	var err error
+	f := &fleet{dir: dir, crew: lifecycle.New(), clock: lifecycle.NewClock(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	if _, err = os.Stat("cmd/orchidward-server"); err != nil {
 		return nil, errors.Wrap(err, "run from the root of the repository")
 	}
@@ -72,7 +73,7 @@
 }
 
 // begin starts the processes; those that came up are ended by close.
-func (f *fleet) begin() (err error) {
+func (f *fleet) begin() error {
 	at, err := ports(50)
 	if err != nil {
 		return err
@@ -98,7 +99,7 @@
 		f.gate = append(f.gate, c)
 	}
 	f.crowd = newCrowd(f.crew, f.clock, f.addrs)
-	return f.wait(20*time.Second, "gates ready", func() (ok bool) {
+	return f.wait(20*time.Second, "gates ready", func() bool {
 		for _, front := range f.fronts {
 			if status, _, err := f.get("http://" + front + "/ready"); err != nil || status != 200 {
 				return false
@@ -128,7 +129,7 @@
 	}
 }
 
-func (f *fleet) wait(most time.Duration, what string, met func() (ok bool)) (err error) {
+func (f *fleet) wait(most time.Duration, what string, met func() (ok bool)) error {
 	for end := time.Now().Add(most); !met(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			return errors.Errorf("not within %v: %s", most, what)
@@ -156,12 +157,12 @@
 }
 
 // gauges reads a daemon's metrics page.
-func (f *fleet) gauges(addr string) (vals map[string]float64, err error) {
+func (f *fleet) gauges(addr string) (map[string]float64, error) {
 	_, body, err := f.get("http://" + addr + "/metrics")
 	if err != nil {
 		return nil, err
 	}
-	vals = map[string]float64{}
+	vals := map[string]float64{}
 	for s := bufio.NewScanner(strings.NewReader(string(body))); s.Scan(); {
 		key, val, _ := strings.Cut(s.Text(), " ")
 		if n, err := strconv.ParseFloat(val, 64); err == nil {
--- a/tests/scale/hollow.go
+++ b/tests/scale/hollow.go
@@ -47,7 +47,7 @@
 
 type tally struct{ n *atomic.Int64 }
 
-func (t tally) Write(b []byte) (n int, err error) {
+func (t tally) Write(b []byte) (int, error) {
 	t.n.Add(int64(len(b)))
 	return len(b), nil
 }
@@ -72,7 +72,7 @@
 	starts, ends, lapsed, sent, got, running atomic.Int64
 }
 
-func newCrowd(c *lifecycle.Crew, clock *lifecycle.Clock, seeds []string) (w *crowd) {
+func newCrowd(c *lifecycle.Crew, clock *lifecycle.Clock, seeds []string) *crowd {
 	return &crowd{crew: c, clock: clock, seeds: seeds, waits: hdrhistogram.New(1, slowest, 3)}
 }
 
@@ -85,7 +85,8 @@
 }
 
 // take hands over the waits since it was last called.
-func (w *crowd) waited() (h *hdrhistogram.Histogram) {
+func (w *crowd) waited() *hdrhistogram.Histogram {
+	var h *hdrhistogram.Histogram
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	h, w.waits = w.waits, hdrhistogram.New(1, slowest, 3)
@@ -93,10 +94,10 @@
 }
 
 // newRunner is the i-th runner of the fleet: one half of them has accelerators.
-func (w *crowd) newRunner(i int) (s *standIn) {
-	s = &standIn{inc: identifier.Inc(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: identifier.Domain(fmt.Sprintf("z%d", i%zones)), rack: identifier.Rack(fmt.Sprintf("rack-%d", i/perRack)), begun: w.begun}
+func (w *crowd) newRunner(i int) *standIn {
+	s := &standIn{inc: identifier.Inc(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: identifier.Domain(fmt.Sprintf("z%d", i%zones)), rack: identifier.Rack(fmt.Sprintf("rack-%d", i/perRack)), begun: w.begun}
 	rnd := rand.New(rand.NewPCG(uint64(i), 3))
-	s.vary = func(span identifier.Span) (actual identifier.Span) {
+	s.vary = func(span identifier.Span) identifier.Span {
 		return span*9/10 + identifier.Span(rnd.Int64N(int64(span)/5+1))
 	}
 	s.room = job.Demand{Milli: 24000, Mem: 64000}
@@ -107,7 +108,7 @@
 }
 
 // grow adds agents until there are so many.
-func (w *crowd) grow(to int) (err error) {
+func (w *crowd) grow(to int) error {
 	for len(w.list) < to {
 		g := &group{crowd: w, in: lifecycle.NewRing[frame](8192)}
 		for len(g.list) < groupSize && len(w.list) < to {
@@ -122,8 +123,9 @@
 	return nil
 }
 
-func (w *crowd) hollow(i int, g *group) (h *hollow, err error) {
-	h = &hollow{run: w.newRunner(i)}
+func (w *crowd) hollow(i int, g *group) (*hollow, error) {
+	var err error
+	h := &hollow{run: w.newRunner(i)}
 	if h.link, err = link.Listen("127.0.0.1:0", w.crew); err != nil {
 		return nil, err
 	}
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -32,8 +32,8 @@
 	odd map[int]int
 }
 
-func newLoad(f *fleet) (l *load) {
-	l = &load{fleet: f, jobs: lifecycle.NewRing[string](2048), odd: map[int]int{}}
+func newLoad(f *fleet) *load {
+	l := &load{fleet: f, jobs: lifecycle.NewRing[string](2048), odd: map[int]int{}}
 	for i := range posters {
 		f.crew.Go(func(stop <-chan struct{}) { l.post(f.fronts[i%len(f.fronts)], stop) })
 	}
@@ -59,7 +59,7 @@
 }
 
 // job is so many like tasks, whole as a gang if asked.
-func (l *load) job(tasks int, span identifier.Span, gang bool, gpus int) (body string) {
+func (l *load) job(tasks int, span identifier.Span, gang bool, gpus int) string {
 	return fmt.Sprintf(`{"queue":%q,"text":%q,"steps":[{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}]}`,
 		queue, note(span, l.fleet.clock.Now()), tasks, gang, gpus, span)
 }
@@ -77,10 +77,10 @@
 // start offers rate tasks a second until the returned function is called: one
 // gang every gangEvery, of the rate's size and at most gangMost, the rest in
 // jobs of at most jobTasks.
-func (l *load) start(rate int, seed uint64) (end func()) {
+func (l *load) start(rate int, seed uint64) func() {
 	over := make(chan struct{})
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	span := func() (s identifier.Span) { return shortSpan*2/3 + identifier.Span(rnd.Int64N(int64(shortSpan)*2/3)) }
+	span := func() identifier.Span { return shortSpan*2/3 + identifier.Span(rnd.Int64N(int64(shortSpan)*2/3)) }
 	gang := min(gangMost, rate)
 	plain := float64(rate) - float64(gang)/gangEvery.Seconds()
 	tasks := max(1, min(jobTasks, rate/2))
--- a/tests/scale/main.go
+++ b/tests/scale/main.go
@@ -56,7 +56,8 @@
 	}
 }
 
-func run(s settings) (err error) {
+func run(s settings) error {
+	var err error
 	if err = os.MkdirAll(s.out, 0o755); err != nil {
 		return err
 	}
--- a/tests/scale/measure.go
+++ b/tests/scale/measure.go
@@ -23,7 +23,9 @@
 	sampled                         float64
 }
 
-func (f *fleet) look() (l look, err error) {
+func (f *fleet) look() (look, error) {
+	var l look
+	var err error
 	l.at = time.Now()
 	for _, set := range []struct {
 		list []*child
@@ -65,7 +67,8 @@
 	"starts/s", "lapsed/s", "waitP50ms", "waitP99ms", "waitMaxms", "running", "cores"}
 
 // measure looks, waits, looks again.
-func (f *fleet) measure(phase string, x float64, window time.Duration) (m measured, err error) {
+func (f *fleet) measure(phase string, x float64, window time.Duration) (measured, error) {
+	var m measured
 	f.crowd.waited()
 	a, err := f.look()
 	if err != nil {
@@ -88,9 +91,9 @@
 	return m, nil
 }
 
-func between(a, b look) (v map[string]float64) {
+func between(a, b look) map[string]float64 {
 	secs := b.at.Sub(a.at).Seconds()
-	v = map[string]float64{}
+	v := map[string]float64{}
 	cores := b.self.minus(a.self, secs).cpu
 	put := func(name string, val float64, of int) { v[name] += val / float64(of) }
 	for i := range b.keep {
--- a/tests/scale/points.go
+++ b/tests/scale/points.go
@@ -42,7 +42,7 @@
 	heavy   bool
 }
 
-func (p *points) size(n int) (out int) {
+func (p *points) size(n int) int {
 	if p.small {
 		return max(1, n/10)
 	}
@@ -50,7 +50,7 @@
 }
 
 // may tells whether another point may begin, and says it where not.
-func (p *points) may(what string) (ok bool) {
+func (p *points) may(what string) bool {
 	switch {
 	case time.Since(p.begun) > p.limit:
 		p.report.say("not run, out of time: %s", what)
@@ -89,7 +89,7 @@
 	time.Sleep(shortSpan.Real())
 }
 
-func (p *points) wants(phase string) (yes bool) {
+func (p *points) wants(phase string) bool {
 	return strings.Contains(","+p.phases+",", ","+phase+",")
 }
 
@@ -122,7 +122,7 @@
 }
 
 // fleets lets the fleet grow, at rest and with a little work at each size.
-func (p *points) fleets() (ok bool) {
+func (p *points) fleets() bool {
 	sizes := []int{11, 100, 300, p.runners}
 	if !p.wants("fleet") {
 		sizes = sizes[3:]
@@ -146,9 +146,9 @@
 }
 
 // first gives the group its first catalogue, once all keepers know of such.
-func (p *points) first() (ok bool) {
+func (p *points) first() bool {
 	var last error
-	err := p.fleet.wait(20*time.Second, "first catalogue", func() (ok bool) {
+	err := p.fleet.wait(20*time.Second, "first catalogue", func() bool {
 		if _, last = p.changes.whole(3); last != nil {
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -185,7 +185,7 @@
 // running fills the site with tasks that run on, step by step.
 func (p *points) running() {
 	rnd, long := rand.New(rand.NewPCG(1, 2)), identifier.Span(p.long.Milliseconds())
-	err := p.fleet.wait(10*time.Second, "short tasks over", func() (ok bool) { return p.fleet.crowd.running.Load() == 0 })
+	err := p.fleet.wait(10*time.Second, "short tasks over", func() bool { return p.fleet.crowd.running.Load() == 0 })
 	if err != nil {
 		p.report.say("failed: %v", err)
 	}
@@ -204,7 +204,7 @@
 			p.load.offer(p.load.job(tasks, long*2/3+identifier.Span(rnd.Int64N(int64(long)*2/3)), false, gpus))
 			handed += tasks
 		}
-		err := p.fleet.wait(25*time.Second, "the tasks run", func() (ok bool) { return int(p.fleet.crowd.running.Load()) >= n })
+		err := p.fleet.wait(25*time.Second, "the tasks run", func() bool { return int(p.fleet.crowd.running.Load()) >= n })
 		now := p.fleet.crowd.running.Load()
 		p.report.say("placing: %d tasks more in %.1f s, %.0f a second, %d of %d run (%v)", now-was, time.Since(began).Seconds(), float64(now-was)/time.Since(began).Seconds(), now, n, err)
 		time.Sleep(settle)
--- a/tests/scale/report.go
+++ b/tests/scale/report.go
@@ -18,7 +18,7 @@
 	words []string
 }
 
-func newReport(s settings) (r *report) { return &report{settings: s} }
+func newReport(s settings) *report { return &report{settings: s} }
 
 func (r *report) say(format string, vals ...any) {
 	text := fmt.Sprintf(format, vals...)
@@ -50,7 +50,7 @@
 	return keys, vals
 }
 
-func (r *report) write(points, plot string) (err error) {
+func (r *report) write(points, plot string) error {
 	r.table()
 	r.slopes()
 	text, err := json.MarshalIndent(map[string]any{"points": r.list, "notes": r.words}, "", " ")
@@ -83,7 +83,7 @@
 	}
 }
 
-func place(name string) (i int) {
+func place(name string) int {
 	for i, one := range figures {
 		if one == name {
 			return i
@@ -93,7 +93,8 @@
 }
 
 // spots are one figure over what was varied.
-func (r *report) spots(phase, figure string) (list []spot) {
+func (r *report) spots(phase, figure string) []spot {
+	var list []spot
 	for _, m := range r.list {
 		if v, ok := m.Vals[figure]; ok && m.Phase == phase {
 			list = append(list, spot{m.X, v})
@@ -132,7 +133,8 @@
 	}
 }
 
-func values(list []spot) (vals []float64) {
+func values(list []spot) []float64 {
+	var vals []float64
 	for _, s := range list {
 		vals = append(vals, s.y)
 	}
@@ -140,7 +142,7 @@
 }
 
 // draw plots the leader's processor time over the share of the site's size.
-func (r *report) draw(path string) (err error) {
+func (r *report) draw(path string) error {
 	c := chart.Chart{Title: "leader: share of one core", Width: 760, Height: 420,
 		XAxis: chart.XAxis{Name: "share of the site's size"}, YAxis: chart.YAxis{Name: "% of a core"}}
 	for i, one := range []struct {
--- a/tests/scale/runner.go
+++ b/tests/scale/runner.go
@@ -47,7 +47,7 @@
 
 // note is the text that every job of a scale run bears: how long a task runs
 // and when the job was handed in, by the one clock of the run.
-func note(span identifier.Span, handed identifier.Mono) (text string) {
+func note(span identifier.Span, handed identifier.Mono) string {
 	return fmt.Sprintf("%d %d", span, handed)
 }
 
@@ -63,7 +63,7 @@
 
 // due lets time pass, and tells whether the runner would beat now. A run whose
 // hold is over has lapsed.
-func (s *standIn) due(now identifier.Mono) (yes bool) {
+func (s *standIn) due(now identifier.Mono) bool {
 	kept := s.runs[:0]
 	for _, w := range s.runs {
 		how := ""
@@ -89,9 +89,9 @@
 }
 
 // beat is what the runner says of itself.
-func (s *standIn) beat(now identifier.Mono) (b agent.Beat) {
+func (s *standIn) beat(now identifier.Mono) agent.Beat {
 	s.seq++
-	b = agent.Beat{Runner: s.inc, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Cap: s.room}
+	b := agent.Beat{Runner: s.inc, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Cap: s.room}
 	for _, w := range s.runs {
 		b.Active = append(b.Active, runnerapi.RunState{Task: w.task, Run: w.no, Percent: min(100, int64(now.Since(w.at)*100/w.span))})
 	}
@@ -122,7 +122,7 @@
 	}
 }
 
-func (s *standIn) find(task identifier.Ref, no uint64) (w *work) {
+func (s *standIn) find(task identifier.Ref, no uint64) *work {
 	for _, one := range s.runs {
 		if one.task == task && one.no == no {
 			return one
--- a/tests/scale/runner_test.go
+++ b/tests/scale/runner_test.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/api/runnerapi"
 )
 
-func startOf(num int, span identifier.Span) (s runnerapi.Start) {
+func startOf(num int, span identifier.Span) runnerapi.Start {
 	return runnerapi.Start{Task: identifier.Ref{Job: "q/00000000000000a1.0", Num: num}, No: 1, Text: note(span, 40)}
 }
 
@@ -88,7 +88,7 @@
 
 // TestStandInVaries: the percentage and the end go by how long a run really takes.
 func TestStandInVaries(t *testing.T) {
-	s := &standIn{vary: func(span identifier.Span) (actual identifier.Span) { return span * 2 }}
+	s := &standIn{vary: func(span identifier.Span) identifier.Span { return span * 2 }}
 	s.obey(agent.Orders{Hold: 6000, Start: []runnerapi.Start{startOf(0, 1000)}}, 0, 0)
 	s.due(1999)
 	if b := s.beat(1000); len(b.Active) != 1 || b.Active[0].Percent != 50 {
--- a/tests/scale/slope.go
+++ b/tests/scale/slope.go
@@ -10,7 +10,7 @@
 // 1 for all of it; it is NaN where nothing can be said of it.
 type line struct{ base, rate, fit float64 }
 
-func (l line) at(x float64) (y float64) { return l.base + l.rate*x }
+func (l line) at(x float64) float64 { return l.base + l.rate*x }
 
 // nearest is the line of least squares; ok is false unless the spots lie at two
 // places or more.
@@ -45,11 +45,11 @@
 	n               int
 }
 
-func spread(vals []float64) (s span) {
+func spread(vals []float64) span {
 	if len(vals) == 0 {
 		return span{mean: math.NaN(), low: math.NaN(), high: math.NaN()}
 	}
-	s = span{low: vals[0], high: vals[0], n: len(vals)}
+	s := span{low: vals[0], high: vals[0], n: len(vals)}
 	for _, v := range vals {
 		s.mean += v / float64(len(vals))
 		s.low, s.high = min(s.low, v), max(s.high, v)
--- a/tests/scale/slope_test.go
+++ b/tests/scale/slope_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func near(a, b float64) (yes bool) { return math.Abs(a-b) < 1e-9 }
+func near(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 
 func TestNearest(t *testing.T) {
 	l, ok := nearest([]spot{{11, 5.5}, {100, 50}, {300, 150}, {600, 300}})
--- a/tests/simulation/blow.go
+++ b/tests/simulation/blow.go
@@ -9,7 +9,8 @@
 )
 
 // inZone lists every process of a zone, in a steady order.
-func (w *World) inZone(zone string) (list []*node) {
+func (w *World) inZone(zone string) []*node {
+	var list []*node
 	for _, n := range w.nodes {
 		if n.zone == zone {
 			list = append(list, n)
@@ -20,7 +21,7 @@
 }
 
 // zonePower takes the power from all of a zone: keeper, gate and runners.
-func (w *World) zonePower(zone string) (undo func()) {
+func (w *World) zonePower(zone string) func() {
 	undos := []func(){}
 	for _, k := range w.keepers {
 		if k.zone == zone {
@@ -41,7 +42,7 @@
 }
 
 // zoneCut parts a zone from all the rest; inside it everything is in reach.
-func (w *World) zoneCut(zone string) (undo func()) {
+func (w *World) zoneCut(zone string) func() {
 	in := map[string]bool{}
 	for _, n := range w.inZone(zone) {
 		in[n.name] = true
@@ -64,7 +65,7 @@
 
 // zoneGone takes a zone's machines away for good: an empty keeper comes in
 // another place of the same zone, and runners under their old names with nothing.
-func (w *World) zoneGone(zone string) (undo func()) {
+func (w *World) zoneGone(zone string) func() {
 	if w.bereft {
 		return nil
 	}
@@ -79,7 +80,7 @@
 	return back
 }
 
-func (w *World) stopGate(g *edge) (undo func()) {
+func (w *World) stopGate(g *edge) func() {
 	if !g.up {
 		return nil
 	}
@@ -91,7 +92,7 @@
 	}
 }
 
-func (w *World) stopRunner(r *side) (undo func()) {
+func (w *World) stopRunner(r *side) func() {
 	if !r.up {
 		return nil
 	}
@@ -105,7 +106,7 @@
 
 // goneForGood takes a runner that never comes back; at most three of them, so
 // that what is left can still do all the work.
-func (w *World) goneForGood(r *side) (undo func()) {
+func (w *World) goneForGood(r *side) func() {
 	if r.gone || w.missing >= 3 {
 		return nil
 	}
@@ -116,7 +117,7 @@
 }
 
 // rackLeaves makes a whole rack say that it goes at short notice, and go.
-func (w *World) rackLeaves(rack string, departs int64) (undo func()) {
+func (w *World) rackLeaves(rack string, departs int64) func() {
 	undos := []func(){}
 	for _, r := range w.runners {
 		if r.racked != rack || !r.up || r.frozen || r.gone {
@@ -156,7 +157,7 @@
 
 // scramble has two operators close and reopen a zone at the same moment, and
 // one of them settle it in the end.
-func (w *World) scramble(zone string) (undo func()) {
+func (w *World) scramble(zone string) func() {
 	back := w.shut(zone)
 	w.after(50, func() {
 		c := w.callers
@@ -189,7 +190,7 @@
 }
 
 // returns brings many processes down and back at the same moment.
-func (w *World) returns() (undo func()) {
+func (w *World) returns() func() {
 	undos := []func(){}
 	for _, r := range w.runners {
 		undos = append(undos, w.stopRunner(r))
--- a/tests/simulation/callers.go
+++ b/tests/simulation/callers.go
@@ -29,13 +29,13 @@
 	Refused  map[int]int
 }
 
-func newCallers(w *World) (c *callers) {
-	c = &callers{w: w, node: w.add("out", "out"), rejected: map[int]bool{}, unsure: map[int]bool{}, Refused: map[int]int{}}
+func newCallers(w *World) *callers {
+	c := &callers{w: w, node: w.add("out", "out"), rejected: map[int]bool{}, unsure: map[int]bool{}, Refused: map[int]int{}}
 	c.node.up, c.node.life = true, 1
 	return c
 }
 
-func (c *callers) gate() (addr string) { return c.w.gates[c.w.rnd.Intn(len(c.w.gates))].addr }
+func (c *callers) gate() string { return c.w.gates[c.w.rnd.Intn(len(c.w.gates))].addr }
 
 func (c *callers) begin(from, stop int64) {
 	c.stop = stop
@@ -56,9 +56,9 @@
 	if c.w.Now >= c.stop {
 		return
 	}
-	pick := func(per int64) (n int) {
+	pick := func(per int64) int {
 		per = per * c.w.Site.Rate
-		n = int(per / 100)
+		n := int(per / 100)
 		if c.w.rnd.Int63n(100) < per%100 {
 			n++
 		}
@@ -118,7 +118,8 @@
 	c.w.at(j.Handed, func() { c.put(key, j, text) })
 }
 
-func stepDocs(steps []job.Step) (out []map[string]any) {
+func stepDocs(steps []job.Step) []map[string]any {
+	var out []map[string]any
 	for _, st := range steps {
 		out = append(out, map[string]any{"name": st.Name, "after": st.After, "tasks": st.Tasks, "gang": st.Gang, "cores": st.Demand.Cores,
 			"memMb": st.Demand.Mem, "labels": st.Labels, "allowedDefects": st.Defects, "spanMs": st.Run})
--- a/tests/simulation/clocks_test.go
+++ b/tests/simulation/clocks_test.go
@@ -19,7 +19,7 @@
 	{[3]int64{7200000, 7200000, 7200000}, -1000, 1000},
 }
 
-func (w *World) siteOff(t *testing.T) (off int64) {
+func (w *World) siteOff(t *testing.T) int64 {
 	k := w.leader()
 	if k == nil {
 		t.Fatal("no leader")
--- a/tests/simulation/cut_off_test.go
+++ b/tests/simulation/cut_off_test.go
@@ -52,7 +52,8 @@
 }
 
 // keeperAddrs lists the keepers, one of them first.
-func keeperAddrs(w *World, first string) (addrs []string) {
+func keeperAddrs(w *World, first string) []string {
+	var addrs []string
 	addrs = append(addrs, first)
 	for _, k := range w.keepers {
 		if k.addr != first {
@@ -63,7 +64,7 @@
 }
 
 // percentile of a list of times.
-func percentile(list []int64, percent int) (span int64) {
+func percentile(list []int64, percent int) int64 {
 	if len(list) == 0 {
 		return 0
 	}
@@ -74,21 +75,21 @@
 
 // cutOffWays are the ways in which one server loses the others.
 var cutOffWays = map[string]func(w *World, k *keep) (undo func()){
-	"both ways":        func(w *World, k *keep) (undo func()) { return w.coreCut(k, true, true) },
-	"it is not heard":  func(w *World, k *keep) (undo func()) { return w.coreCut(k, true, false) },
-	"it does not hear": func(w *World, k *keep) (undo func()) { return w.coreCut(k, false, true) },
-	"frozen":           func(w *World, k *keep) (undo func()) { return w.hold(k.node) },
-	"twice, a second between": func(w *World, k *keep) (undo func()) {
+	"both ways":        func(w *World, k *keep) func() { return w.coreCut(k, true, true) },
+	"it is not heard":  func(w *World, k *keep) func() { return w.coreCut(k, true, false) },
+	"it does not hear": func(w *World, k *keep) func() { return w.coreCut(k, false, true) },
+	"frozen":           func(w *World, k *keep) func() { return w.hold(k.node) },
+	"twice, a second between": func(w *World, k *keep) func() {
 		return w.again(k, 9000, 1000)
 	},
-	"healed while an election runs": func(w *World, k *keep) (undo func()) {
+	"healed while an election runs": func(w *World, k *keep) func() {
 		return w.again(k, 600, 250)
 	},
 }
 
 // again cuts a keeper from the others for a while and heals it for another, by
 // turns until undone.
-func (w *World) again(k *keep, cut, whole int64) (undo func()) {
+func (w *World) again(k *keep, cut, whole int64) func() {
 	over := false
 	var turn func()
 	turn = func() {
@@ -106,7 +107,7 @@
 }
 
 // coreCut cuts a keeper from the other keepers; callers and gates reach it.
-func (w *World) coreCut(k *keep, out, in bool) (undo func()) {
+func (w *World) coreCut(k *keep, out, in bool) func() {
 	undos := []func(){}
 	for _, other := range w.keepers {
 		if other != k && out {
@@ -198,7 +199,8 @@
 }
 
 // closedZone tells whether a list of closings says that a zone is closed.
-func closedZone(t *testing.T, body []byte) (yes bool) {
+func closedZone(t *testing.T, body []byte) bool {
+	var yes bool
 	var doc struct {
 		Closings []struct {
 			Stage state.Stage `json:"stage"`
--- a/tests/simulation/disk.go
+++ b/tests/simulation/disk.go
@@ -11,21 +11,21 @@
 	full  bool
 }
 
-func newDisk() (d *disk) { return &disk{files: map[string][]byte{}, tear: -1} }
+func newDisk() *disk { return &disk{files: map[string][]byte{}, tear: -1} }
 
 var errTorn = errors.New("power lost")
 var errFull = errors.New("no space left on the disk")
 
-func (d *disk) Read(name string) (data []byte, err error) {
+func (d *disk) Read(name string) ([]byte, error) {
 	return append([]byte(nil), d.files[name]...), nil
 }
 
-func (d *disk) Make(name string, size int) (err error) {
+func (d *disk) Make(name string, size int) error {
 	d.files[name] = make([]byte, size)
 	return nil
 }
 
-func (d *disk) Write(name string, off int, data []byte) (err error) {
+func (d *disk) Write(name string, off int, data []byte) error {
 	if d.full {
 		return errFull
 	}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (d *disk) Grow(name string, off int, data []byte) (err error) {
+func (d *disk) Grow(name string, off int, data []byte) error {
 	if d.full {
 		return errFull
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (d *disk) Settle(name string) (err error) {
+func (d *disk) Settle(name string) error {
 	if d.tear >= 0 {
 		return errTorn
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (d *disk) Swap(name string, data []byte) (err error) {
+func (d *disk) Swap(name string, data []byte) error {
 	if d.full {
 		return errFull
 	}
--- a/tests/simulation/edge.go
+++ b/tests/simulation/edge.go
@@ -15,8 +15,8 @@
 	next uint64
 }
 
-func (w *World) addGate(name, zone string) (g *edge) {
-	g = &edge{node: w.add(name, zone), w: w}
+func (w *World) addGate(name, zone string) *edge {
+	g := &edge{node: w.add(name, zone), w: w}
 	w.gates = append(w.gates, g)
 	return g
 }
--- a/tests/simulation/fault.go
+++ b/tests/simulation/fault.go
@@ -18,7 +18,7 @@
 	A, B    int
 }
 
-func (f Fault) String() (text string) {
+func (f Fault) String() string {
 	return fmt.Sprintf("{%d, %d, %q, %d, %d}", f.At, f.Dur, f.Kind, f.A, f.B)
 }
 
@@ -35,7 +35,8 @@
 }
 
 // Draw makes a schedule within a window.
-func Draw(seed int64, from, to int64, count int) (list []Fault) {
+func Draw(seed int64, from, to int64, count int) []Fault {
+	var list []Fault
 	rnd := rand.New(rand.NewSource(seed))
 	sum := 0
 	for _, k := range Kinds {
@@ -68,7 +69,8 @@
 	return list
 }
 
-func (w *World) leader() (k *keep) {
+func (w *World) leader() *keep {
+	var k *keep
 	for _, one := range w.keepers {
 		if one.leads() && (k == nil || one.mach.Raft().Term() > k.mach.Raft().Term()) {
 			k = one
@@ -92,7 +94,7 @@
 	})
 }
 
-func (w *World) cause(f Fault) (undo func()) {
+func (w *World) cause(f Fault) func() {
 	k := w.keepers[f.A%len(w.keepers)]
 	g := w.gates[f.A%len(w.gates)]
 	r := w.runners[f.A%len(w.runners)]
@@ -192,7 +194,7 @@
 	}
 }
 
-func all(list []func()) (do func()) {
+func all(list []func()) func() {
 	return func() {
 		for _, one := range list {
 			if one != nil {
@@ -202,7 +204,7 @@
 	}
 }
 
-func (w *World) stopKeeper(k *keep) (undo func()) {
+func (w *World) stopKeeper(k *keep) func() {
 	if !k.up {
 		return nil
 	}
@@ -214,7 +216,7 @@
 	}
 }
 
-func (w *World) hold(n *node) (undo func()) {
+func (w *World) hold(n *node) func() {
 	if !n.up || n.frozen {
 		return nil
 	}
@@ -228,7 +230,7 @@
 }
 
 // sever cuts a to b, and back as well when both is set.
-func (w *World) sever(a, b *node, both bool) (undo func()) {
+func (w *World) sever(a, b *node, both bool) func() {
 	if a == b {
 		return nil
 	}
@@ -243,7 +245,7 @@
 }
 
 // apart cuts a node off from all others, in either direction or both.
-func (w *World) apart(n *node, out, in bool) (undo func()) {
+func (w *World) apart(n *node, out, in bool) func() {
 	for _, other := range w.nodes {
 		if other == n {
 			continue
@@ -265,7 +267,7 @@
 
 // jump sets a keeper's clock wrong, back or forward by up to hours. Several may
 // be wrong at once, but no two alike: two that agree cannot be told from right.
-func (w *World) jump(k *keep, b int) (undo func()) {
+func (w *World) jump(k *keep, b int) func() {
 	by := int64(b%200-100) * 100_000
 	for _, one := range w.keepers {
 		if one != k && one.skew != 0 && by-one.skew < 60_000 && one.skew-by < 60_000 {
@@ -291,7 +293,7 @@
 	w.after(1000, fresh.begin)
 }
 
-func (w *World) leave(r *side, f Fault) (undo func()) {
+func (w *World) leave(r *side, f Fault) func() {
 	if !r.up || r.frozen {
 		return nil
 	}
@@ -310,7 +312,7 @@
 	}
 }
 
-func (w *World) shut(zone string) (undo func()) {
+func (w *World) shut(zone string) func() {
 	w.shuts[zone]++
 	turn := w.shuts[zone]
 	still := func() bool { return w.shuts[zone] == turn }
--- a/tests/simulation/founding_test.go
+++ b/tests/simulation/founding_test.go
@@ -16,7 +16,8 @@
 
 // leased counts the leaders that may act at this moment: of one group there is
 // never more than one, so that two are two groups.
-func (w *World) leased() (n int) {
+func (w *World) leased() int {
+	var n int
 	for _, k := range w.keepers {
 		if k.leads() && k.mach.Raft().Leased(w.mono(k.node)) {
 			n++
@@ -86,7 +87,8 @@
 	}
 }
 
-func founderHarm(w *World, rnd *rand.Rand) (undo func()) {
+func founderHarm(w *World, rnd *rand.Rand) func() {
+	var undo func()
 	k := w.keepers[rnd.Intn(len(w.keepers))]
 	other := w.keepers[rnd.Intn(len(w.keepers))]
 	wait := rnd.Int63n(2500)
--- a/tests/simulation/gang_test.go
+++ b/tests/simulation/gang_test.go
@@ -9,7 +9,8 @@
 )
 
 // partners finds a runner that works on a gang others work on too.
-func (w *World) partners() (r *side) {
+func (w *World) partners() *side {
+	var r *side
 	k := w.leader()
 	if k == nil {
 		return nil
--- a/tests/simulation/keep.go
+++ b/tests/simulation/keep.go
@@ -39,8 +39,8 @@
 	diskless bool
 }
 
-func (w *World) addKeeper(name, zone string) (k *keep) {
-	k = &keep{node: w.add(name, zone), w: w, disk: newDisk(), shape: wal.Shape{Files: 6, Bytes: 256 << 10}, seeds: w.seeds, level: state.Present}
+func (w *World) addKeeper(name, zone string) *keep {
+	k := &keep{node: w.add(name, zone), w: w, disk: newDisk(), shape: wal.Shape{Files: 6, Bytes: 256 << 10}, seeds: w.seeds, level: state.Present}
 	w.keepers = append(w.keepers, k)
 	return k
 }
@@ -235,6 +235,6 @@
 }
 
 // leads tells whether this keeper believes that it leads and may act on it.
-func (k *keep) leads() (ok bool) {
+func (k *keep) leads() bool {
 	return k.up && k.mach != nil && k.mach.Raft() != nil && k.mach.Raft().Role() == raft.Leader && !k.frozen
 }
--- a/tests/simulation/leave_test.go
+++ b/tests/simulation/leave_test.go
@@ -160,14 +160,15 @@
 }
 
 // joinEmpty adds a keeper with an empty disk in a zone, started at once.
-func (w *World) joinEmpty(name, zone string) (k *keep) {
-	k = w.addKeeper(name, zone)
+func (w *World) joinEmpty(name, zone string) *keep {
+	k := w.addKeeper(name, zone)
 	k.begin()
 	return k
 }
 
 // voter tells whether a keeper has a vote, as the leader has it.
-func (w *World) voter(k *keep) (yes bool) {
+func (w *World) voter(k *keep) bool {
+	var yes bool
 	list, _ := w.voters()
 	for _, mem := range list {
 		yes = yes || mem.Addr == k.addr
@@ -227,9 +228,9 @@
 
 // leaverLosses are the ways in which a server is lost while it leaves.
 var leaverLosses = map[string]func(w *World, k *keep) (undo func()){
-	"killed": func(w *World, k *keep) (undo func()) { return w.stopKeeper(k) },
-	"frozen": func(w *World, k *keep) (undo func()) { return w.hold(k.node) },
-	"alone":  func(w *World, k *keep) (undo func()) { return w.apart(k.node, true, true) },
+	"killed": func(w *World, k *keep) func() { return w.stopKeeper(k) },
+	"frozen": func(w *World, k *keep) func() { return w.hold(k.node) },
+	"alone":  func(w *World, k *keep) func() { return w.apart(k.node, true, true) },
 }
 
 // TestLeaverLost loses a server midway through its orderly stop, leader or
--- a/tests/simulation/outage_test.go
+++ b/tests/simulation/outage_test.go
@@ -10,8 +10,8 @@
 )
 
 // standing counts the tasks of each row that stand in each state.
-func (w *World) standing() (out map[identifier.Row]map[state.State]int) {
-	out = map[identifier.Row]map[state.State]int{}
+func (w *World) standing() map[identifier.Row]map[state.State]int {
+	out := map[identifier.Row]map[state.State]int{}
 	for _, j := range w.leader().mach.Book().Jobs {
 		row := j.Spec.Pending
 		if out[row] == nil {
--- a/tests/simulation/owed.go
+++ b/tests/simulation/owed.go
@@ -5,7 +5,7 @@
 package simulation
 
 // owed tells whether the machines as they stand owe service.
-func (w *World) owed() (ok bool) {
+func (w *World) owed() bool {
 	good, need := w.fit(), w.majority()
 	for _, g := range w.gates {
 		if !g.up || g.frozen || !w.talk(g.node, w.callers.node) {
@@ -25,10 +25,11 @@
 }
 
 // talk tells whether two processes reach each other, both ways.
-func (w *World) talk(a, b *node) (ok bool) { return a == b || !w.cut(a, b) && !w.cut(b, a) }
+func (w *World) talk(a, b *node) bool { return a == b || !w.cut(a, b) && !w.cut(b, a) }
 
 // fit lists the keepers that run, have a seat, and a disk that keeps up.
-func (w *World) fit() (list []*keep) {
+func (w *World) fit() []*keep {
+	var list []*keep
 	for _, k := range w.keepers {
 		if !k.up || k.frozen || k.slow > 0 || k.stall > w.Now || k.mach == nil || k.mach.Raft() == nil {
 			continue
@@ -41,7 +42,7 @@
 }
 
 // majority is how many keepers must agree, by the newest list any knows.
-func (w *World) majority() (n int) {
+func (w *World) majority() int {
 	voters, at := 0, uint64(0)
 	for _, k := range w.keepers {
 		if k.mach == nil || k.mach.Raft() == nil || uint64(k.mach.Raft().Last()) < at {
@@ -58,7 +59,7 @@
 }
 
 // circle tells whether need of the keepers all hear one another.
-func (w *World) circle(list []*keep, need int) (ok bool) {
+func (w *World) circle(list []*keep, need int) bool {
 	if need == 0 {
 		return true
 	}
--- a/tests/simulation/porter_test.go
+++ b/tests/simulation/porter_test.go
@@ -125,10 +125,10 @@
 	w := NewWorld(362, site)
 	w.callers.stop = 0
 	porter := w.keepers[3]
-	ask := func() (list []wire.Send) {
+	ask := func() []wire.Send {
 		m := porter.mach
 		m.Frame("@1", wire.Msg{Ask: &wire.Ask{ID: 9, Verb: "GET", Path: "/v1/table", Budget: 1000}}, w.mono(porter.node), w.wall(porter.node))
-		list = m.Take().Sends
+		list := m.Take().Sends
 		return list
 	}
 	w.Run(400)
--- a/tests/simulation/register_changes_test.go
+++ b/tests/simulation/register_changes_test.go
@@ -13,13 +13,13 @@
 )
 
 // pick draws one of a list.
-func pick[T any](rnd *rand.Rand, list ...T) (one T) { return list[rnd.Intn(len(list))] }
+func pick[T any](rnd *rand.Rand, list ...T) T { return list[rnd.Intn(len(list))] }
 
 // drawChange draws a change by someone who last read the version seen: mostly
 // sound, sometimes of a number that others use too, sometimes invalid, or valid
 // only on its own base.
-func drawChange(rnd *rand.Rand, number int, seen uint64) (c *change) {
-	c = &change{number: number, whole: rnd.Intn(3) == 0, base: seen, version: seen + 1, queues: map[string]string{}}
+func drawChange(rnd *rand.Rand, number int, seen uint64) *change {
+	c := &change{number: number, whole: rnd.Intn(3) == 0, base: seen, version: seen + 1, queues: map[string]string{}}
 	switch rnd.Intn(12) {
 	case 0:
 		c.version = seen + 2
@@ -72,8 +72,8 @@
 	verbless bool
 }
 
-func (p *proposals) draw(rnd *rand.Rand, seen uint64) (c *change) {
-	c = drawChange(rnd, len(p.list), seen)
+func (p *proposals) draw(rnd *rand.Rand, seen uint64) *change {
+	c := drawChange(rnd, len(p.list), seen)
 	verb, body := c.text()
 	text := string(body)
 	if !p.verbless {
@@ -129,15 +129,15 @@
 }
 
 // readRegister reads what GET /v1/catalog answers.
-func readRegister(body []byte) (r register, err error) {
+func readRegister(body []byte) (register, error) {
 	var doc struct {
 		Version uint64 `json:"version"`
 		Source  string `json:"source"`
 		Queues  []struct{ Name, Pool string }
 		Pools   []struct{ Name string }
 	}
-	r = newRegister()
-	if err = json.Unmarshal(body, &doc); err != nil {
+	r := newRegister()
+	if err := json.Unmarshal(body, &doc); err != nil {
 		return r, err
 	}
 	r.version, r.author = doc.Version, doc.Source
@@ -151,7 +151,7 @@
 }
 
 // listing prints a history for a failed test.
-func listing(calls []*exchange) (text string) {
+func listing(calls []*exchange) string {
 	lines := []string{}
 	for _, x := range calls {
 		lines = append(lines, x.String())
--- a/tests/simulation/register_exchange_test.go
+++ b/tests/simulation/register_exchange_test.go
@@ -101,14 +101,14 @@
 // newOperators sets a site up with its faults. In every third the keepers are of
 // the former level and are upgraded under way; in every second one views are
 // taken often, so that keepers that were away or empty are sent one.
-func newOperators(seed int64) (o *operators) {
+func newOperators(seed int64) *operators {
 	site := Gilde()
 	site.Runners = 1
 	if seed%2 == 0 {
 		site.Delay, site.Loss = 25, 10
 	}
 	w := NewWorld(seed, site)
-	o = &operators{w: w, rnd: rand.New(rand.NewSource(seed)), stop: operatorsBegin + operatorsWindow}
+	o := &operators{w: w, rnd: rand.New(rand.NewSource(seed)), stop: operatorsBegin + operatorsWindow}
 	for n := 0; n < 10; n++ {
 		f := Fault{At: operatorsBegin + o.rnd.Int63n(operatorsWindow-4000), Dur: 200 + o.rnd.Int63n(4000), Kind: pick(o.rnd, registerFaults...), A: o.rnd.Intn(1000), B: o.rnd.Intn(1000)}
 		w.at(f.At, func() { w.strike(f) })
--- a/tests/simulation/register_histories_test.go
+++ b/tests/simulation/register_histories_test.go
@@ -120,7 +120,8 @@
 	w.calls = append(w.calls, &exchange{begin: w.now, end: w.now, status: 200, content: r.String()})
 }
 
-func (w *replicated) register() (r register) {
+func (w *replicated) register() register {
+	var r register
 	shown := catalog.Catalog{}
 	if w.state.Catalog != nil {
 		shown = w.state.Catalog.Published()
@@ -209,8 +210,8 @@
 // newReplicated begins a history: every second one at the former level, of which
 // some raise it under way, and one in sixteen with a memory that forgets with
 // every change that is accepted.
-func newReplicated(seed int64, view []byte, oldest []*change) (w *replicated) {
-	w = &replicated{rnd: rand.New(rand.NewSource(seed)), state: state.New(), seen: make([]uint64, 3)}
+func newReplicated(seed int64, view []byte, oldest []*change) *replicated {
+	w := &replicated{rnd: rand.New(rand.NewSource(seed)), state: state.New(), seen: make([]uint64, 3)}
 	w.state.Level = state.ResendLevel
 	switch {
 	case seed%16 == 15:
--- a/tests/simulation/register_spec_test.go
+++ b/tests/simulation/register_spec_test.go
@@ -32,7 +32,7 @@
 	author  string
 }
 
-func newRegister() (r register) {
+func newRegister() register {
 	return register{queues: map[string]string{}, pools: map[string]bool{}}
 }
 
@@ -65,7 +65,7 @@
 }
 
 // String is the whole content, the same for registers that read the same.
-func (r register) String() (text string) {
+func (r register) String() string {
 	queues := []string{}
 	for name, pool := range r.queues {
 		queues = append(queues, name+":"+pool)
@@ -87,9 +87,9 @@
 	content    string // what a read showed
 }
 
-func (x *exchange) unclear() (yes bool) { return x.end == never }
+func (x *exchange) unclear() bool { return x.end == never }
 
-func (x *exchange) String() (text string) {
+func (x *exchange) String() string {
 	if x.change == nil {
 		return fmt.Sprintf("%d..%d read: %s", x.begin, x.end, x.content)
 	}
@@ -110,7 +110,7 @@
 	accepts
 )
 
-func (x *exchange) effect(r register, accepted map[*change]bool) (e effect) {
+func (x *exchange) effect(r register, accepted map[*change]bool) effect {
 	c := x.change
 	if c == nil {
 		if x.content == r.String() {
@@ -145,7 +145,7 @@
 
 // linearizable tells whether the register, from its first state, could have
 // answered all calls as they were answered. Some changes were accepted before.
-func linearizable(first register, before []*change, calls []*exchange) (ok bool) {
+func linearizable(first register, before []*change, calls []*exchange) bool {
 	s := &search{accepted: map[*change]bool{}, failed: map[string]bool{}}
 	for _, c := range before {
 		s.accepted[c] = true
@@ -168,7 +168,7 @@
 // from continues from a state in which some calls are done. A call that does
 // nothing to the register is done as soon as it can be; only which change comes
 // next is tried in turn.
-func (s *search) from(r register, done []bool) (ok bool) {
+func (s *search) from(r register, done []bool) bool {
 	done = slices.Clone(done)
 	var next []int
 	for again := true; again; {
@@ -208,8 +208,8 @@
 
 // firstEnd is when the first call ends that is not done: no other can have taken
 // effect before those that end earlier than it began.
-func (s *search) firstEnd(done []bool) (at int64) {
-	at = never
+func (s *search) firstEnd(done []bool) int64 {
+	at := never
 	for i, x := range s.calls {
 		if !done[i] {
 			at = min(at, x.end)
--- a/tests/simulation/run.go
+++ b/tests/simulation/run.go
@@ -36,8 +36,8 @@
 
 // NewWorld makes a cluster whose processes start at random within the first
 // second. Equal seeds and sites give equal runs.
-func NewWorld(seed int64, site Site) (w *World) {
-	w = &World{Site: site, rnd: rand.New(rand.NewSource(seed)), nodes: map[string]*node{}, cuts: map[[2]string]bool{}, stalled: map[[2]string][]func(){}, last: map[[2]string]int64{}, shuts: map[string]int{}, Struck: map[string]int{}}
+func NewWorld(seed int64, site Site) *World {
+	w := &World{Site: site, rnd: rand.New(rand.NewSource(seed)), nodes: map[string]*node{}, cuts: map[[2]string]bool{}, stalled: map[[2]string][]func(){}, last: map[[2]string]int64{}, shuts: map[string]int{}, Struck: map[string]int{}}
 	w.Watch = invariants.New(w)
 	for i := 0; i < min(site.Keepers, 3); i++ {
 		w.seeds = append(w.seeds, fmt.Sprintf("k%d", i+1))
@@ -69,8 +69,8 @@
 }
 
 // Run carries a plan out and returns the world for looking at.
-func Run(p Plan) (w *World) {
-	w = NewWorld(p.Seed, p.Site)
+func Run(p Plan) *World {
+	w := NewWorld(p.Seed, p.Site)
 	w.Trace = p.Trace
 	if p.Extra != nil {
 		p.Extra(w)
@@ -141,7 +141,8 @@
 	}
 }
 
-func sortedCuts(m map[[2]string]bool) (list [][2]string) {
+func sortedCuts(m map[[2]string]bool) [][2]string {
+	var list [][2]string
 	for k := range m {
 		list = append(list, k)
 	}
@@ -173,8 +174,8 @@
 const tries = 60
 
 // Shrink drops faults for as long as the run still fails in the same way.
-func Shrink(p Plan, fails func(w *World) bool) (small Plan) {
-	small = p
+func Shrink(p Plan, fails func(w *World) bool) Plan {
+	small := p
 	runs := 0
 	for n := len(small.Faults) / 2; n >= 1 && runs < tries; {
 		cut := false
--- a/tests/simulation/scene_test.go
+++ b/tests/simulation/scene_test.go
@@ -12,12 +12,12 @@
 )
 
 // play runs one scene with the usual load and judges it.
-func play(t *testing.T, p Plan) (w *World) {
+func play(t *testing.T, p Plan) *World {
 	t.Helper()
 	if p.Site.Keepers == 0 {
 		p.Site = Gilde()
 	}
-	w = Run(p)
+	w := Run(p)
 	if len(w.Watch.Breaches) > 0 {
 		t.Errorf("seed %d: %s", p.Seed, strings.Join(w.Watch.Breaches, "\n"))
 	}
@@ -27,14 +27,15 @@
 	return w
 }
 
-func worst(list []int64) (n int64) {
+func worst(list []int64) int64 {
+	var n int64
 	for _, v := range list {
 		n = max(n, v)
 	}
 	return n
 }
 
-func median(list []int64) (n int64) {
+func median(list []int64) int64 {
 	if len(list) == 0 {
 		return 0
 	}
--- a/tests/simulation/seats_test.go
+++ b/tests/simulation/seats_test.go
@@ -11,14 +11,14 @@
 )
 
 // The larger sites: of their core machines two may be lost at once, or a zone.
-func sixOf3() (s Site) {
-	s = Gilde()
+func sixOf3() Site {
+	s := Gilde()
 	s.Keepers = 6
 	return s
 }
 
-func eightOf4() (s Site) {
-	s = Gilde()
+func eightOf4() Site {
+	s := Gilde()
 	s.Keepers, s.Zones = 8, 4
 	return s
 }
@@ -46,7 +46,7 @@
 	return list, held
 }
 
-func (w *World) keeperOf(id identifier.Node) (k *keep) {
+func (w *World) keeperOf(id identifier.Node) *keep {
 	for _, one := range w.keepers {
 		if one.up && one.mach != nil && one.mach.Boot().ID == id {
 			return one
@@ -61,9 +61,9 @@
 
 // wary fails the test when a voter is found that did not have the log on its
 // disk when it became one.
-func wary(t *testing.T, w *World) (risen *int) {
+func wary(t *testing.T, w *World) *int {
 	known := map[identifier.Node]bool{}
-	risen = new(int)
+	risen := new(int)
 	var look func()
 	look = func() {
 		list, _ := w.voters()
@@ -189,7 +189,8 @@
 }
 
 // pair picks two voters, the leader one of them or not, of different zones.
-func (w *World) pair(lead bool) (list []*keep) {
+func (w *World) pair(lead bool) []*keep {
+	var list []*keep
 	voters, _ := w.voters()
 	for _, mem := range voters {
 		k := w.keeperOf(mem.ID)
@@ -263,7 +264,7 @@
 		play(t, Plan{Seed: 341, Site: site, Window: 45000, Settle: 30000, Extra: func(w *World) {
 			wary(t, w)
 			w.Site.Rate = 40
-			seed := func(k *keep) (yes bool) { return k != nil && strings.Contains(strings.Join(w.seeds, " "), k.name) }
+			seed := func(k *keep) bool { return k != nil && strings.Contains(strings.Join(w.seeds, " "), k.name) }
 			replace := func() {
 				for i, k := range w.keepers {
 					if k == w.leader() {
--- a/tests/simulation/secondloss_test.go
+++ b/tests/simulation/secondloss_test.go
@@ -42,7 +42,7 @@
 	started int64
 }
 
-func newSettler(seed int64, s settling) (x *settler) {
+func newSettler(seed int64, s settling) *settler {
 	site := s.site()
 	site.Elect, site.Runners, site.Gates = 250, 1, 1
 	if seed%2 == 1 {
@@ -72,7 +72,7 @@
 }
 
 // replace loses a machine for good and makes an empty one at a new address.
-func (x *settler) replace(k *keep) (begin func()) {
+func (x *settler) replace(k *keep) func() {
 	k.crash()
 	k.gone = true
 	fresh := x.addKeeper(k.name+"b", k.zone)
@@ -82,7 +82,8 @@
 
 // victims picks as many voters as the group is to bear, whoever they are but
 // for the leader, who is the first of them or none; turn varies the choice.
-func (x *settler) victims(leads bool, turn int) (out []*keep) {
+func (x *settler) victims(leads bool, turn int) []*keep {
+	var out []*keep
 	list, _ := x.voters()
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	for i := range list {
@@ -99,14 +100,14 @@
 }
 
 // serves tells whether a leader acts and has decided its term's first entry.
-func (x *settler) serves() (yes bool) {
+func (x *settler) serves() bool {
 	k := x.leader()
 	return k != nil && k.mach.Raft().Leased(x.mono(k.node)) && k.mach.Raft().Commit() >= k.mach.Raft().First()
 }
 
 // whole tells whether the group bears the loss it is promised to bear, whoever
 // goes: as its leader has it, and as its members' disks are.
-func (x *settler) whole() (yes bool) {
+func (x *settler) whole() bool {
 	k := x.leader()
 	if k == nil || k.mach.Raft().Commit() < k.mach.Raft().First() {
 		return false
@@ -151,7 +152,7 @@
 }
 
 // step is finer where service is promised.
-func step(offset, settleMs int64) (ms int64) {
+func step(offset, settleMs int64) int64 {
 	if offset < settleMs {
 		return 400
 	}
--- a/tests/simulation/side.go
+++ b/tests/simulation/side.go
@@ -22,9 +22,9 @@
 	seen func(e runner.Event)
 }
 
-func (w *World) addRunner(i int) (r *side) {
+func (w *World) addRunner(i int) *side {
 	rack := i / 3
-	r = &side{node: w.add(fmt.Sprintf("r%d", i+1), zones[rack%3]), w: w, racked: fmt.Sprintf("rack-%d", rack)}
+	r := &side{node: w.add(fmt.Sprintf("r%d", i+1), zones[rack%3]), w: w, racked: fmt.Sprintf("rack-%d", rack)}
 	r.boot = runner.Boot{Name: identifier.Runner(r.name), Cap: job.Demand{Cores: w.Site.Cores, Mem: w.Site.Mem}, Labels: []identifier.Label{"std"},
 		Domain: identifier.Domain(r.zone), Rack: identifier.Rack(r.racked)}
 	if i%2 == 1 {
--- a/tests/simulation/sim_test.go
+++ b/tests/simulation/sim_test.go
@@ -63,7 +63,7 @@
 }
 
 // alike tells whether a smaller run fails in a way the first one did.
-func alike(a, b *World) (yes bool) {
+func alike(a, b *World) bool {
 	for kind, n := range b.Watch.Counts {
 		if strings.HasPrefix(kind, "breach ") && n > 0 && a.Watch.Counts[kind] > 0 {
 			return true
@@ -73,8 +73,8 @@
 }
 
 // scene prints a plan as it can be pasted into a test.
-func scene(p Plan) (text string) {
-	text = fmt.Sprintf("Plan{Seed: %d, Window: %d, Settle: %d, Faults: []Fault{", p.Seed, p.Window, p.Settle)
+func scene(p Plan) string {
+	text := fmt.Sprintf("Plan{Seed: %d, Window: %d, Settle: %d, Faults: []Fault{", p.Seed, p.Window, p.Settle)
 	for _, f := range p.Faults {
 		text += f.String() + ", "
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func mixed(seed int64) (p Plan) {
+func mixed(seed int64) Plan {
 	site := Gilde()
 	if seed%2 == 0 {
 		site = Telmar()
--- a/tests/simulation/stale_order_test.go
+++ b/tests/simulation/stale_order_test.go
@@ -46,7 +46,8 @@
 }
 
 // gatesOf are the addresses of the gates.
-func gatesOf(w *World) (addrs []string) {
+func gatesOf(w *World) []string {
+	var addrs []string
 	for _, g := range w.gates {
 		addrs = append(addrs, g.addr)
 	}
@@ -54,7 +55,8 @@
 }
 
 // followerFirst are the addresses of the keepers, one that follows first.
-func followerFirst(w *World) (addrs []string) {
+func followerFirst(w *World) []string {
+	var addrs []string
 	for _, k := range w.keepers {
 		if k != w.leader() {
 			addrs = append(addrs, k.addr)
@@ -64,7 +66,7 @@
 }
 
 // leaderFirst are the addresses of the keepers, the leader's first.
-func leaderFirst(w *World) (addrs []string) {
+func leaderFirst(w *World) []string {
 	list := followerFirst(w)
 	return append(list[len(list)-1:], list[:len(list)-1]...)
 }
@@ -119,7 +121,7 @@
 }
 
 // linksInto stalls the gates' links into a keeper.
-func linksInto(w *World, k *keep) (undo func()) {
+func linksInto(w *World, k *keep) func() {
 	undos := []func(){}
 	for _, g := range w.gates {
 		undos = append(undos, w.stall(g.node, k.node))
@@ -133,26 +135,26 @@
 	at    func(w *World) (addrs []string)
 	delay func(w *World) (undo func())
 }{
-	{"asked at the leader, which is frozen", leaderFirst, func(w *World) (undo func()) { return w.hold(w.leader().node) }},
-	{"asked at a follower, which is frozen", followerFirst, func(w *World) (undo func()) { return w.hold(w.nodes[followerFirst(w)[0]]) }},
-	{"asked at a follower, its link to the leader stalled", followerFirst, func(w *World) (undo func()) {
+	{"asked at the leader, which is frozen", leaderFirst, func(w *World) func() { return w.hold(w.leader().node) }},
+	{"asked at a follower, which is frozen", followerFirst, func(w *World) func() { return w.hold(w.nodes[followerFirst(w)[0]]) }},
+	{"asked at a follower, its link to the leader stalled", followerFirst, func(w *World) func() {
 		return w.stall(w.nodes[followerFirst(w)[0]], w.leader().node)
 	}},
-	{"leader frozen", gatesOf, func(w *World) (undo func()) { return w.hold(w.leader().node) }},
-	{"leader cut off, links to it stalled", gatesOf, func(w *World) (undo func()) {
+	{"leader frozen", gatesOf, func(w *World) func() { return w.hold(w.leader().node) }},
+	{"leader cut off, links to it stalled", gatesOf, func(w *World) func() {
 		lead := w.leader()
 		return all([]func(){linksInto(w, lead), w.apart(lead.node, true, false)})
 	}},
-	{"links to the leader stalled", gatesOf, func(w *World) (undo func()) { return linksInto(w, w.leader()) }},
-	{"gate frozen", gatesOf, func(w *World) (undo func()) { return w.hold(w.gates[0].node) }},
-	{"links from one gate stalled", gatesOf, func(w *World) (undo func()) {
+	{"links to the leader stalled", gatesOf, func(w *World) func() { return linksInto(w, w.leader()) }},
+	{"gate frozen", gatesOf, func(w *World) func() { return w.hold(w.gates[0].node) }},
+	{"links from one gate stalled", gatesOf, func(w *World) func() {
 		undos := []func(){}
 		for _, k := range w.keepers {
 			undos = append(undos, w.stall(w.gates[0].node, k.node))
 		}
 		return all(undos)
 	}},
-	{"followers' links to the leader stalled, gates cut from it", gatesOf, func(w *World) (undo func()) {
+	{"followers' links to the leader stalled, gates cut from it", gatesOf, func(w *World) func() {
 		lead, undos := w.leader(), []func(){}
 		for _, k := range w.keepers {
 			if k != lead {
@@ -192,7 +194,7 @@
 // process or on a stalled link, comes free. The zone stays open.
 func TestStaleClosing(t *testing.T) {
 	t.Parallel()
-	eachStaleOrder(t, 2, func(t *testing.T, s staleOrder) (late bool) {
+	eachStaleOrder(t, 2, func(t *testing.T, s staleOrder) bool {
 		w, late := s.play("PUT", "/v1/closings/east", nil, "DELETE")
 		for _, c := range w.leader().mach.Book().Closings {
 			if late && c.Stage.Down() {
@@ -207,7 +209,7 @@
 // order to close: the zone stays closed.
 func TestStaleReopening(t *testing.T) {
 	t.Parallel()
-	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) (late bool) {
+	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) bool {
 		w, late := s.play("DELETE", "/v1/closings/east", nil, "PUT")
 		down := 0
 		for _, c := range w.leader().mach.Book().Closings {
@@ -230,7 +232,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) (late bool) {
+	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) bool {
 		w, late := s.playUnknown("PUT", "/v1/jobs/gilde/late", body)
 		j := w.leader().mach.Book().Jobs[identifier.MakeKey("gilde", "late")]
 		if late && j != nil && j.End != state.Cancelled {
--- a/tests/simulation/swap_test.go
+++ b/tests/simulation/swap_test.go
@@ -66,7 +66,7 @@
 	for seed := int64(1); seed <= 4; seed++ {
 		play(t, Plan{Seed: 200 + seed, Window: 32000, Settle: 30000, Extra: func(w *World) {
 			w.Site.Rate = 30
-			other := func(i int) (k *keep) { return w.keepers[(i+1)%3] }
+			other := func(i int) *keep { return w.keepers[(i+1)%3] }
 			at := 0
 			w.at(8000, func() {
 				for i, k := range w.keepers {
--- a/tests/simulation/trap_test.go
+++ b/tests/simulation/trap_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func (s *snare) try(k *keep) (yes bool) {
+func (s *snare) try(k *keep) bool {
 	if s.base == 0 || s.sprung || !k.leads() || uint64(k.mach.Raft().Last()) < s.base+uint64(s.n) {
 		return false
 	}
--- a/tests/simulation/trial_test.go
+++ b/tests/simulation/trial_test.go
@@ -39,7 +39,8 @@
 	}, enough: func(w *World) bool {
 		return w.Watch.Counts["ended cancelled"] >= 10
 	}},
-	{name: "little room, and runners that come and go", site: small, faults: func(n int64) (list []Fault) {
+	{name: "little room, and runners that come and go", site: small, faults: func(n int64) []Fault {
+		var list []Fault
 		for i := int64(0); i < 8; i++ {
 			list = append(list, Fault{8000 + i*1700 + n*19, 600 + i*400, "runner-crash", int(i), 0}, Fault{8800 + i*1700, 900, "runner-freeze", int(i) + 3, 0})
 		}
@@ -52,7 +53,8 @@
 		return []Fault{{8000 + n*37, 3000, "leader-crash", 0, 0}, {9000, 4000, "clock", 0, 160}, {9500, 6000, "clock", 1, 30}, {12000, 1200, "power", 0, 0}, {14000, 2000, "runner-crash", int(n), 0},
 			{15000, 2000, "runner-crash", int(n) + 4, 0}, {16000, 12000, "runner-cut", int(n) + 2, 0}, {19000, 4000, "leader-freeze", 0, 0}}
 	}, enough: func(w *World) bool { return w.Watch.Counts["event start"] > 600 }},
-	{name: "tables racing and storming while leaders change", faults: func(n int64) (list []Fault) {
+	{name: "tables racing and storming while leaders change", faults: func(n int64) []Fault {
+		var list []Fault
 		for i := int64(0); i < 6; i++ {
 			list = append(list, Fault{8000 + i*2500, 10, "race", 0, 0}, Fault{8010 + i*2500 + n*7, 1500, []string{"leader-crash", "leader-freeze", "leader-alone"}[i%3], 0, 0})
 		}
--- a/tests/simulation/versions_test.go
+++ b/tests/simulation/versions_test.go
@@ -19,7 +19,8 @@
 	})
 }
 
-func (w *World) levels() (list []uint16) {
+func (w *World) levels() []uint16 {
+	var list []uint16
 	for _, k := range w.keepers {
 		if k.mach != nil {
 			list = append(list, k.mach.Book().Level)
--- a/tests/simulation/world.go
+++ b/tests/simulation/world.go
@@ -25,13 +25,14 @@
 
 type queue []event
 
-func (q queue) Len() (n int) { return len(q) }
-func (q queue) Less(i, j int) (ok bool) {
+func (q queue) Len() int { return len(q) }
+func (q queue) Less(i, j int) bool {
 	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].seq < q[j].seq
 }
 func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *queue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *queue) Pop() (x any) {
+func (q *queue) Pop() any {
+	var x any
 	old := *q
 	x = old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -83,14 +84,15 @@
 }
 
 // coreZones are the zones that keepers stand in: gates and runners have three.
-func (s Site) coreZones() (list []string) {
+func (s Site) coreZones() []string {
+	var list []string
 	if s.Zones == 4 {
 		return append(append(list, zones...), "south")
 	}
 	return zones
 }
 
-func (s Site) timing() (t raft.Timing) {
+func (s Site) timing() raft.Timing {
 	if s.Elect == 0 {
 		return raft.Usual()
 	}
@@ -98,14 +100,14 @@
 }
 
 // Gilde is a site of small machines on a fast network without loss.
-func Gilde() (s Site) {
+func Gilde() Site {
 	return Site{Keepers: 3, Gates: 3, Runners: 11, Cores: 16, Mem: 65536, Delay: 3, Rate: 100, Faulty: 3}
 }
 
 // Telmar is a site of larger machines on a slower network that loses some
 // messages.
-func Telmar() (s Site) {
-	s = Gilde()
+func Telmar() Site {
+	s := Gilde()
 	s.Cores, s.Mem, s.Delay, s.Loss = 64, 131072, 25, 5
 	return s
 }
@@ -195,7 +197,7 @@
 	})
 }
 
-func (w *World) mono(n *node) (m identifier.Mono) {
+func (w *World) mono(n *node) identifier.Mono {
 	gone := w.Now - n.begun
 	if w.Dull {
 		gone -= n.slept
@@ -203,10 +205,10 @@
 	return identifier.Mono(float64(gone) * (1 + n.drift))
 }
 
-func (w *World) wall(n *node) (x identifier.Wall) { return identifier.Wall(epoch + w.Now + n.skew) }
+func (w *World) wall(n *node) identifier.Wall { return identifier.Wall(epoch + w.Now + n.skew) }
 
 // cut tells whether what a sends reaches b.
-func (w *World) cut(a, b *node) (yes bool) {
+func (w *World) cut(a, b *node) bool {
 	return w.cuts[[2]string{a.name, b.name}]
 }
 
@@ -280,8 +282,8 @@
 	}
 }
 
-func (w *World) add(name, zone string) (n *node) {
-	n = &node{name: name, addr: name, zone: zone, drift: float64(w.rnd.Int63n(41)-20) / 10000}
+func (w *World) add(name, zone string) *node {
+	n := &node{name: name, addr: name, zone: zone, drift: float64(w.rnd.Int63n(41)-20) / 10000}
 	w.nodes[n.addr] = n
 	return n
 }
@@ -305,7 +307,8 @@
 
 // interleave puts what waited at a process into an order in which it may read
 // its connections: each of them in order, among one another in any.
-func (w *World) interleave(list []parcel) (out []func()) {
+func (w *World) interleave(list []parcel) []func() {
+	var out []func()
 	queues, names := map[string][]func(){}, []string{}
 	for _, one := range list {
 		if queues[one.connection] == nil {
@@ -326,7 +329,7 @@
 
 // stall holds back all that is sent from one process to another until undone;
 // then it arrives, in order.
-func (w *World) stall(from, to *node) (undo func()) {
+func (w *World) stall(from, to *node) func() {
 	key := [2]string{from.name, to.name}
 	if _, ok := w.stalled[key]; ok {
 		return nil
@@ -351,19 +354,20 @@
 // What follows is the world as the observer sees it.
 
 // Time is the virtual time in milliseconds.
-func (w *World) Time() (ms int64) { return w.Now }
+func (w *World) Time() int64 { return w.Now }
 
 // Quiet tells whether all faults have been over for more than 15 seconds.
-func (w *World) Quiet() (yes bool) { return w.calm > 0 && w.Now-w.calm > 15000 }
+func (w *World) Quiet() bool { return w.calm > 0 && w.Now-w.calm > 15000 }
 
 // Calm tells whether the run has no faults at all, defective runs included.
-func (w *World) Calm() (yes bool) { return w.Site.Faulty == 0 && w.calm == 1 }
+func (w *World) Calm() bool { return w.Site.Faulty == 0 && w.calm == 1 }
 
 // Note adds a line to the trace of the run, if one is kept.
 func (w *World) Note(text string, args ...any) { w.note(text, args...) }
 
 // Place describes a runner by name; it is empty for an unknown one.
-func (w *World) Place(name string) (p invariants.Place) {
+func (w *World) Place(name string) invariants.Place {
+	var p invariants.Place
 	for _, r := range w.runners {
 		if r.name == name {
 			return invariants.Place{Zone: r.zone, Life: r.life, Live: r.up && !r.frozen, Labels: r.boot.Labels, Cap: r.boot.Cap}
