--- a/cmd/orchidward-runner/desk.go
+++ b/cmd/orchidward-runner/desk.go
@@ -20,6 +20,7 @@
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/daemon/logging"
@@ -33,7 +34,7 @@
 type desk struct {
 	log   *logging.Log
 	crew  *lifecycle.Crew
-	clock *lifecycle.Clock
+	clock *clock.System
 	link  *link.Link
 	http  *httpserver.Server
 	mach  *runner.Machine
@@ -43,7 +44,7 @@
 	seeds []string
 	self  wire.Tell
 	known []raft.Member
-	asked identifier.Mono
+	asked clock.Monotonic
 	note  *note
 	stop  fx.Shutdowner
 }
@@ -54,8 +55,8 @@
 	if _, err = rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	d := &desk{log: log, crew: c, clock: lifecycle.NewClock(), name: f.Name, in: lifecycle.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
-	set := runner.Boot{Name: identifier.Runner(f.Name), Inc: identifier.Inc(fmt.Sprintf("%x", b[:8])), Cap: job.Demand{Cores: f.Cores, Mem: f.MemMb},
+	d := &desk{log: log, crew: c, clock: clock.NewSystem(), name: f.Name, in: lifecycle.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
+	set := runner.Boot{Name: identifier.Runner(f.Name), Inc: identifier.Incarnation(fmt.Sprintf("%x", b[:8])), Cap: job.Demand{Cores: f.Cores, Mem: f.MemMb},
 		Domain: identifier.Domain(f.Domain), Rack: identifier.Rack(f.Rack), Seed: int64(binary.LittleEndian.Uint64(b[8:]) >> 1), Slow: f.Slow, Faulty: f.Faulty}
 	sort.Strings(f.Labels)
 	for _, l := range f.Labels {
@@ -105,7 +106,7 @@
 // seek asks seeds and members for gates: often while there are none that
 // answer, and now and then to keep the members known for others that ask.
 func (d *desk) seek() {
-	gap := identifier.Span(500)
+	gap := clock.Millis(500)
 	if d.http.Ready() {
 		gap = 5000
 	}
@@ -131,7 +132,7 @@
 }
 
 func (d *desk) run(stop <-chan struct{}) {
-	beat := time.NewTicker(runner.Tick.Real())
+	beat := time.NewTicker(runner.Tick.Duration())
 	defer beat.Stop()
 	for {
 		select {
@@ -162,7 +163,7 @@
 }
 
 func (d *desk) poll(p runner.Poll, stop <-chan struct{}) {
-	ctx, end := context.WithTimeout(context.Background(), p.Wait.Real())
+	ctx, end := context.WithTimeout(context.Background(), p.Wait.Duration())
 	defer end()
 	status, body := 0, []byte(nil)
 	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+p.Gate+"/v1/runners/"+d.name+"/poll", bytes.NewReader(p.Body))
@@ -199,9 +200,9 @@
 		return
 	}
 	mode := o.OneOf("mode", runnerapi.Active, runnerapi.Active, runnerapi.Draining)
-	departs := identifier.Span(o.Int("departsMs", 0, 0, 1<<40))
+	departs := clock.Millis(o.Int("departsMs", 0, 0, 1<<40))
 	slow, faulty := o.Int("slow", 0, 0, 100000), o.Int("faulty", 0, 0, 100)
-	cut := identifier.Span(o.Int("cutMs", 0, 0, 600000))
+	cut := clock.Millis(o.Int("cutMs", 0, 0, 600000))
 	o.Done()
 	if f.Any() {
 		c.Data(f.Status(), "application/json", f.Bad())
--- a/cmd/orchidward-runner/note.go
+++ b/cmd/orchidward-runner/note.go
@@ -9,7 +9,7 @@
 	"github.com/gin-gonic/gin"
 
 	"orchidward/internal/api/eventlog"
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/runner"
 	"orchidward/internal/transport/httpserver"
 )
@@ -26,7 +26,7 @@
 	return &note{page: eventlog.Page{Runner: set.Name, Inc: set.Inc, Domain: set.Domain, Labels: set.Labels, Cap: set.Cap}, next: 1}
 }
 
-func (n *note) add(at identifier.Mono, e runner.Event) {
+func (n *note) add(at clock.Monotonic, e runner.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.page.Events = append(n.page.Events, eventlog.Event{N: n.next, At: at, What: e.What, Grant: e.Grant, Task: e.Task, Cost: e.Cost})
@@ -43,7 +43,7 @@
 }
 
 // after copies what came after the given number.
-func (n *note) after(num uint64, now identifier.Mono) eventlog.Page {
+func (n *note) after(num uint64, now clock.Monotonic) eventlog.Page {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	p := n.page
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -6,6 +6,7 @@
 	"go.uber.org/fx"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/daemon/logging"
 	"orchidward/internal/daemon/serverd"
@@ -35,7 +36,7 @@
 }
 
 func (f *flags) settings() serverd.Settings {
-	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, Found: true, Elect: identifier.Span(f.ElectMs)}
+	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, Found: true, Elect: clock.Millis(f.ElectMs)}
 }
 
 func main() {
--- a/cmd/zone-drill/desk.go
+++ b/cmd/zone-drill/desk.go
@@ -20,6 +20,7 @@
 
 	"orchidward/internal/api/eventlog"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/invariants"
 	"orchidward/internal/runner"
@@ -32,7 +33,7 @@
 type desk struct {
 	f     *flags
 	crew  *lifecycle.Crew
-	clock *lifecycle.Clock
+	clock *clock.System
 	in    *lifecycle.Ring[func()]
 	watch *invariants.Watch
 	rnd   *rand.Rand
@@ -99,7 +100,7 @@
 }
 
 func newDesk(f *flags, c *lifecycle.Crew) *desk {
-	d := &desk{f: f, crew: c, clock: lifecycle.NewClock(), in: lifecycle.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
+	d := &desk{f: f, crew: c, clock: clock.NewSystem(), in: lifecycle.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
 		web: &http.Client{Timeout: 500 * time.Millisecond}, places: map[string]*place{}, ready: map[string]bool{}}
 	d.watch = invariants.New(d)
 	return d
@@ -245,7 +246,7 @@
 // follow reads one runner's diary.
 func (d *desk) follow(addr string, stop <-chan struct{}) {
 	last, bad, name := uint64(0), 0, ""
-	inc := identifier.Inc("")
+	inc := identifier.Incarnation("")
 	lifecycle.Every(60*time.Millisecond, stop, func() {
 		sent := int64(d.clock.Now())
 		page, ok := d.page(addr, last)
--- a/cmd/zone-drill/load.go
+++ b/cmd/zone-drill/load.go
@@ -13,7 +13,7 @@
 	"orchidward/internal/transport/httpclient"
 )
 
-const agentName identifier.Agent = "drill"
+const agentName identifier.Client = "drill"
 
 func (d *desk) load() {
 	for n := d.share(1); n > 0; n-- {
@@ -48,14 +48,14 @@
 	if f.Any() {
 		panic(fmt.Sprint(f.List))
 	}
-	key := identifier.MakeKey(agentName, identifier.JobID(fmt.Sprintf("%x-%d", d.begun^int64(d.rnd.Uint32()), d.asked)))
+	key := identifier.NewJobKey(agentName, identifier.JobID(fmt.Sprintf("%x-%d", d.begun^int64(d.rnd.Uint32()), d.asked)))
 	j := &invariants.Job{Spec: *spec, Handed: d.at}
 	d.watch.Jobs[key] = j
 	d.left++
 	d.put(key, j, text)
 }
 
-func (d *desk) put(key identifier.Key, j *invariants.Job, text []byte) {
+func (d *desk) put(key identifier.JobKey, j *invariants.Job, text []byte) {
 	d.ask("PUT", "/v1/jobs/"+string(key), text, func(got httpclient.Got, err error) {
 		switch {
 		case err == nil && got.OK():
@@ -78,7 +78,7 @@
 }
 
 // read reads a job until it has ended.
-func (d *desk) read(key identifier.Key, j *invariants.Job) {
+func (d *desk) read(key identifier.JobKey, j *invariants.Job) {
 	d.ask("GET", "/v1/jobs/"+string(key), nil, func(got httpclient.Got, err error) {
 		var doc struct {
 			State string `json:"state"`
@@ -97,7 +97,7 @@
 	})
 }
 
-func (d *desk) cancel(key identifier.Key, j *invariants.Job) {
+func (d *desk) cancel(key identifier.JobKey, j *invariants.Job) {
 	j.Asked = true
 	d.ask("DELETE", "/v1/jobs/"+string(key), nil, func(got httpclient.Got, err error) {
 		if err != nil || !got.OK() {
--- a/internal/agent/beat.go
+++ b/internal/agent/beat.go
@@ -9,6 +9,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/transport/wire"
 )
 
@@ -24,20 +25,20 @@
 	// those of former lives: microseconds since 1970 will do.
 	Seed int64
 	// HoldMost is the longest hold a runner takes, in milliseconds.
-	HoldMost identifier.Span
+	HoldMost clock.Millis
 	// HoldUsual is what a runner is given while all is well, 0 for HoldMost. The
 	// shorter it is, the sooner a runner that has crashed is known to be dead; it
 	// must outlast an agent that is started again.
-	HoldUsual identifier.Span
+	HoldUsual clock.Millis
 	// Pace is how long a runner should wait between heartbeats, in milliseconds.
-	Pace identifier.Span
+	Pace clock.Millis
 }
 
 // Beat is one heartbeat of the runner: who it is, what room it has in all, and
 // what runs or has ended on it. Departs is the least time it has left, and
 // counts only while Draining is set.
 type Beat struct {
-	Runner identifier.Inc
+	Runner identifier.Incarnation
 	// Seq rises with every heartbeat of one life: a late one is passed over.
 	Seq      uint64
 	Pool     string
@@ -46,7 +47,7 @@
 	Labels   []identifier.Label
 	Cap      job.Demand
 	Draining bool
-	Departs  identifier.Span
+	Departs  clock.Millis
 	Active   []runnerapi.RunState
 	Finished []runnerapi.RunEnd
 }
@@ -64,17 +65,17 @@
 }
 
 // Tick is how often an agent should be ticked.
-const Tick identifier.Span = 20
+const Tick clock.Millis = 20
 
 // Orders answer a heartbeat. Hold is how long everything that runs may run on,
 // counted from the sending of the heartbeat; 0 holds nothing and starts
 // nothing. Observed is the number up to which ends need not be told again.
 // Retry is when to beat again.
 type Orders struct {
-	Hold     identifier.Span
+	Hold     clock.Millis
 	Fence    uint64
 	Observed uint64
 	Start    []runnerapi.Start
 	Stop     []runnerapi.RunStop
-	Retry    identifier.Span
+	Retry    clock.Millis
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -8,6 +8,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/transport/wire"
 )
 
@@ -16,19 +17,19 @@
 // does no input or output and reads no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot Boot
-	now  identifier.Mono
+	now  clock.Monotonic
 	out  Out
 
 	beat   *Beat
-	beaten identifier.Mono
+	beaten clock.Monotonic
 	// held is when the last hold given to the runner, by this process or one
 	// before it, has run out on the slowest clock.
-	held identifier.Mono
+	held clock.Monotonic
 	down bool
 	// buried says that the core has been told that the runner is dead.
 	buried bool
-	past   map[identifier.Inc]bool
-	left   identifier.Mono
+	past   map[identifier.Incarnation]bool
+	left   clock.Monotonic
 	queue  map[run]*order
 	halts  map[run]bool
 	gone   map[run]bool
@@ -40,40 +41,40 @@
 	seq     uint64
 	open    *ask
 	// asked is when each of the last polls was sent.
-	asked   map[uint64]identifier.Mono
-	next    identifier.Mono
-	back    identifier.Span
+	asked   map[uint64]clock.Monotonic
+	next    clock.Monotonic
+	back    clock.Millis
 	news    bool
-	contact identifier.Mono
+	contact clock.Monotonic
 	touched bool
-	grant   identifier.Span
-	wait    identifier.Span
+	grant   clock.Millis
+	wait    clock.Millis
 	fence   uint64
 	// greeting is the number of the last question for a fence, greeted when it
 	// was asked.
 	greeting uint64
-	greeted  identifier.Mono
+	greeted  clock.Monotonic
 	odd      int
 }
 
 // run names an attempt.
 type run struct {
-	task identifier.Ref
+	task identifier.TaskRef
 	no   uint64
 }
 
 // order is a start on its way to the runner. Given says that an answer bore it.
 type order struct {
 	runnerapi.Start
-	until identifier.Mono
+	until clock.Monotonic
 	given bool
 }
 
 // ask is the poll under way.
 type ask struct {
 	seq  uint64
-	sent identifier.Mono
-	inc  identifier.Inc
+	sent clock.Monotonic
+	inc  identifier.Incarnation
 }
 
 const (
@@ -105,8 +106,8 @@
 // New makes an agent that has heard neither its runner nor the control plane. It
 // assumes that an agent before it has just given the runner the longest hold
 // there is.
-func New(boot Boot, now identifier.Mono) *Machine {
-	m := &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Inc]bool{}, asked: map[uint64]identifier.Mono{}}
+func New(boot Boot, now clock.Monotonic) *Machine {
+	m := &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Incarnation]bool{}, asked: map[uint64]clock.Monotonic{}}
 	if n := len(boot.Seeds); n > 0 {
 		m.at = int(uint64(boot.Seed) % uint64(n))
 	}
@@ -119,7 +120,7 @@
 // as long as may be.
 func (m *Machine) Stop() { m.down = true }
 
-func (m *Machine) usual() identifier.Span {
+func (m *Machine) usual() clock.Millis {
 	if m.boot.HoldUsual == 0 || m.down {
 		return m.boot.HoldMost
 	}
@@ -146,7 +147,7 @@
 func (m *Machine) Touched() bool { return m.touched && m.now.Since(m.contact) < m.grant }
 
 // Beat takes a heartbeat and answers it at once.
-func (m *Machine) Beat(b Beat, now identifier.Mono) Orders {
+func (m *Machine) Beat(b Beat, now clock.Monotonic) Orders {
 	var o Orders
 	m.now = max(m.now, now)
 	o.Retry = m.boot.Pace
@@ -193,7 +194,7 @@
 
 // renew notes that another life of the runner speaks: whatever the former one
 // ran is dead.
-func (m *Machine) renew(inc identifier.Inc) {
+func (m *Machine) renew(inc identifier.Incarnation) {
 	if m.beat != nil {
 		if len(m.past) >= pastKept {
 			clear(m.past)
@@ -235,19 +236,19 @@
 // has been told that it no longer does.
 type step struct {
 	percent int64
-	at      identifier.Mono
-	gap     identifier.Span
+	at      clock.Monotonic
+	gap     clock.Millis
 	told    bool
 	// speed is how far it came lately, in thousandths of the whole a second,
 	// measured from the mark.
 	speed int64
 	mark  int64
-	since identifier.Mono
+	since clock.Monotonic
 }
 
 // measure takes the speed once enough has been seen of it; slower tells whether
 // it has fallen by half or more.
-func (s *step) measure(percent int64, now identifier.Mono) bool {
+func (s *step) measure(percent int64, now clock.Monotonic) bool {
 	span := now.Since(s.since)
 	if percent >= 99 || span < speedLeast || percent-s.mark < 4 && span < speedMost {
 		return false
@@ -259,7 +260,7 @@
 }
 
 // late tells whether a run has stood still for far longer than it used to.
-func (s step) late(now identifier.Mono) bool { return now.Since(s.at) >= stillTold+4*s.gap }
+func (s step) late(now clock.Monotonic) bool { return now.Since(s.at) >= stillTold+4*s.gap }
 
 // progress notes when each run last moved.
 func (m *Machine) progress(b *Beat) {
@@ -321,7 +322,7 @@
 }
 
 // Leave hears that the runner says farewell.
-func (m *Machine) Leave(id identifier.Inc, now identifier.Mono) {
+func (m *Machine) Leave(id identifier.Incarnation, now clock.Monotonic) {
 	m.now = max(m.now, now)
 	if m.beat != nil && m.beat.Runner == id {
 		m.left = m.now
@@ -330,7 +331,7 @@
 
 // Tick passes in the time: it drops starts that have expired, reports a runner
 // that is dead, and polls when due.
-func (m *Machine) Tick(now identifier.Mono) {
+func (m *Machine) Tick(now clock.Monotonic) {
 	m.now = max(m.now, now)
 	m.greet()
 	for r, o := range m.queue {
@@ -352,7 +353,7 @@
 
 // patience is how long an open poll is waited for; whoever lost touch asks more
 // often, since the core answers its first poll at once.
-func (m *Machine) patience() identifier.Span {
+func (m *Machine) patience() clock.Millis {
 	if m.back > 0 && m.now.Since(m.contact) > lostAfter {
 		return seekWait
 	}
@@ -386,7 +387,7 @@
 func (m *Machine) fail() {
 	m.at++
 	m.back = min(max(50, m.back*2), backMost)
-	m.next = m.now.Add(m.back/2 + identifier.Span(m.seq*7919%uint64(m.back)))
+	m.next = m.now.Add(m.back/2 + clock.Millis(m.seq*7919%uint64(m.back)))
 }
 
 // dead tells whether the runner is silent and whatever it ran is over.
@@ -451,7 +452,7 @@
 }
 
 // Frame takes what a keeper says.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now identifier.Mono) {
+func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now clock.Monotonic) {
 	m.now = max(m.now, now)
 	if t := msg.Tell; t != nil && t.Node != 0 && t.Lead == t.Node {
 		m.follow(t)
--- a/internal/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -18,7 +18,7 @@
 func beat(seq uint64, tasks ...string) Beat {
 	b := Beat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Cap: job.Demand{Milli: 1000, Mem: 10}}
 	for _, t := range tasks {
-		b.Active = append(b.Active, runnerapi.RunState{Task: identifier.Ref{Job: identifier.Key(t)}, Run: 1})
+		b.Active = append(b.Active, runnerapi.RunState{Task: identifier.TaskRef{Job: identifier.JobKey(t)}, Run: 1})
 	}
 	return b
 }
@@ -57,7 +57,7 @@
 	if first.ID == second.ID {
 		t.Fatal("news did not replace the poll")
 	}
-	m.Frame("k1", answer(first.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.Ref{Job: "q/b.0"}, No: 1}}}), 1200)
+	m.Frame("k1", answer(first.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: "q/b.0"}, No: 1}}}), 1200)
 	o := m.Beat(beat(3, "q/a.0"), 1300)
 	if o.Hold != 4700 || len(o.Start) > 0 {
 		t.Errorf("held for %d, %d starts; want 4700 and none", o.Hold, len(o.Start))
@@ -80,7 +80,7 @@
 		m := begin()
 		m.Beat(beat(1), 1000)
 		_, a := asked(t, m)
-		m.Frame("k1", answer(a.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.Ref{Job: "q/b.0"}, No: 1}}}), 1100)
+		m.Frame("k1", answer(a.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: "q/b.0"}, No: 1}}}), 1100)
 		if o := next(m); (len(o.Start) == 1) != (name == "") {
 			t.Errorf("%q: %d starts", name, len(o.Start))
 		}
@@ -93,7 +93,7 @@
 	m := begin()
 	m.Beat(beat(5, "q/a.0"), 1000)
 	_, a := asked(t, m)
-	m.Frame("k1", answer(a.ID, runnerapi.Answer{Halts: []runnerapi.RunStop{{Task: identifier.Ref{Job: "q/a.0"}, Run: 1}}}), 1010)
+	m.Frame("k1", answer(a.ID, runnerapi.Answer{Halts: []runnerapi.RunStop{{Task: identifier.TaskRef{Job: "q/a.0"}, Run: 1}}}), 1010)
 	if o := m.Beat(beat(4), 1100); len(o.Stop) > 0 || o.Hold > 0 {
 		t.Errorf("a late heartbeat was answered %+v", o)
 	}
--- a/internal/api/admission/op.go
+++ b/internal/api/admission/op.go
@@ -1,4 +1,4 @@
-// Package rules compiles the table into short programs and runs them: the way
+// Package admission compiles the table into short programs and runs them: the way
 // of a job through a gate, and again through the leader where counts decide.
 package admission
 
--- a/internal/api/catalog/catalog.go
+++ b/internal/api/catalog/catalog.go
@@ -10,7 +10,7 @@
 	"sort"
 	"strings"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Queue is where callers hand jobs in. Rank 0 goes first. Tries is how many failed runs use up a task. The aim of a job is its
@@ -23,8 +23,8 @@
 	Rank     int64           `json:"rank"`
 	Tries    int64           `json:"tries"`
 	Stretch  int64           `json:"stretch"`
-	SetPoint identifier.Span `json:"setPointMs"`
-	Timeout  identifier.Span `json:"timeoutMs"`
+	SetPoint clock.Millis    `json:"setPointMs"`
+	Timeout  clock.Millis    `json:"timeoutMs"`
 	Source   json.RawMessage `json:"source,omitempty"`
 }
 
--- a/internal/api/identifier/ids.go
+++ b/internal/api/identifier/ids.go
@@ -1,4 +1,4 @@
-// Package ids holds the small types that name things: who asks, which job,
+// Package identifier holds the small types that name things: who asks, which job,
 // which runner, which grant, which epoch. Giving each its own type lets the
 // compiler refuse a runner's name where a job's is wanted.
 package identifier
@@ -10,15 +10,15 @@
 )
 
 type (
-	// Agent is the name of the client that submits a job.
-	Agent string
+	// Client is the name of the client that submits a job.
+	Client string
 	// JobID is the id that the client gave its job; it is unique for that
 	// client.
 	JobID string
 	// Runner is the name of a runner, the same after a restart.
 	Runner string
-	// Inc is one incarnation of a runner: a restart makes a new one.
-	Inc string
+	// Incarnation is one incarnation of a runner: a restart makes a new one.
+	Incarnation string
 	// Domain is a zone, which fails and is drained as a whole.
 	Domain string
 	// Rack is a rack within a zone.
@@ -27,8 +27,8 @@
 	Label string
 	// Row is the name of a pending row of the limits table.
 	Row string
-	// Grant is the id of a lease. Ids rise from 1 and are never used again.
-	Grant uint64
+	// LeaseID is the id of a lease. Ids rise from 1 and are never used again.
+	LeaseID uint64
 	// Epoch is the version of the routing table.
 	Epoch uint64
 	// Node is the id of a control-plane server; 0 is none.
@@ -39,17 +39,17 @@
 	Index uint64
 )
 
-// Key names a job everywhere: the agent's name, a slash, the agent's own id.
-type Key string
+// JobKey names a job everywhere: the agent's name, a slash, the agent's own id.
+type JobKey string
 
-// MakeKey joins a client's name and its own id for the job. Both must be plain
+// NewJobKey joins a client's name and its own id for the job. Both must be plain
 // names, so that Split finds them again.
-func MakeKey(agent Agent, id JobID) Key { return Key(string(agent) + "/" + string(id)) }
+func NewJobKey(agent Client, id JobID) JobKey { return JobKey(string(agent) + "/" + string(id)) }
 
 // Split takes a key apart at its first slash.
-func (k Key) Split() (agent Agent, id JobID) {
+func (k JobKey) Split() (agent Client, id JobID) {
 	a, b, _ := strings.Cut(string(k), "/")
-	return Agent(a), JobID(b)
+	return Client(a), JobID(b)
 }
 
 func (n Node) String() string { return fmt.Sprintf("%016x", uint64(n)) }
@@ -61,9 +61,9 @@
 	return Node(v), err == nil && v != 0
 }
 
-// Plain tells whether a name given from outside may be used: letters, digits,
+// ValidName tells whether a name given from outside may be used: letters, digits,
 // dot, dash and underscore, at most 64 of them.
-func Plain(text string) bool {
+func ValidName(text string) bool {
 	if text == "" || len(text) > 64 {
 		return false
 	}
--- a/internal/api/identifier/ref.go
+++ b/internal/api/identifier/ref.go
@@ -5,12 +5,12 @@
 
 import "fmt"
 
-// Ref identifies a task: its job, the index of its step and its number within
+// TaskRef identifies a task: its job, the index of its step and its number within
 // the step, both counted from 0.
-type Ref struct {
-	Job  Key `json:"job"`
-	Step int `json:"step"`
-	Num  int `json:"num"`
+type TaskRef struct {
+	Job  JobKey `json:"job"`
+	Step int    `json:"step"`
+	Num  int    `json:"num"`
 }
 
-func (r Ref) String() string { return fmt.Sprintf("%s/%d/%d", r.Job, r.Step, r.Num) }
+func (r TaskRef) String() string { return fmt.Sprintf("%s/%d/%d", r.Job, r.Step, r.Num) }
--- a/internal/api/job/read.go
+++ b/internal/api/job/read.go
@@ -11,6 +11,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
 )
 
 const (
@@ -66,14 +67,14 @@
 	if o.Has("notBefore") && o.Has("delayMs") {
 		o.Faults().Sense("delayMs", "give notBefore or delayMs, not both")
 	}
-	s.Delay = identifier.Span(o.Int("delayMs", 0, 0, maxSpan))
+	s.Delay = clock.Millis(o.Int("delayMs", 0, 0, maxSpan))
 	if text := o.Text("notBefore", ""); text != "" {
 		at, err := time.Parse(time.RFC3339, text)
 		if err != nil || at.UnixMilli() <= 0 {
 			o.Faults().Sense("notBefore", "want an RFC 3339 time")
 			return
 		}
-		s.NotBefore = identifier.Millis(at.UnixMilli())
+		s.NotBefore = clock.ClusterTime(at.UnixMilli())
 	}
 }
 
@@ -90,7 +91,7 @@
 		o.Faults().Sense("text", "at most %d bytes", MaxText)
 	}
 	if r := o.Sub("repeat"); r != nil {
-		s.Repeat = &Repeat{Times: r.Int("times", 1, 1, MaxTimes), First: identifier.Millis(r.Int("firstMs", 0, 0, 1<<45)), Every: identifier.Span(r.Int("everyMs", 0, 0, maxSpan))}
+		s.Repeat = &Repeat{Times: r.Int("times", 1, 1, MaxTimes), First: clock.ClusterTime(r.Int("firstMs", 0, 0, 1<<45)), Every: clock.Millis(r.Int("everyMs", 0, 0, maxSpan))}
 		r.Done()
 		if s.Repeat.Times > 1 && s.Repeat.Every == 0 {
 			r.Faults().Sense("repeat.everyMs", "want a span between two times")
@@ -128,7 +129,7 @@
 		s.Labels = append(s.Labels, identifier.Label(l))
 	}
 	s.Defects = o.Int("allowedDefects", 1, 1, 100)
-	s.Run = identifier.Span(o.Int("spanMs", 1000, 1, maxSpan))
+	s.Run = clock.Millis(o.Int("spanMs", 1000, 1, maxSpan))
 	o.Done()
 	return s
 }
--- a/internal/api/job/spec.go
+++ b/internal/api/job/spec.go
@@ -3,16 +3,19 @@
 // tasks.
 package job
 
-import "orchidward/internal/api/identifier"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
 
-// Spec is the checked content of a job. A job starts at NotBefore (site time) or
+// Spec is the checked content of a job. A job starts at NotBefore (cluster time) or
 // Delay milliseconds after it was accepted; when both are 0, as soon as there is
 // room. Higher Urgency goes first within a row.
 type Spec struct {
 	Pending   identifier.Row    `json:"pending"`
 	Urgency   int64             `json:"urgency"`
-	NotBefore identifier.Millis `json:"notBefore,omitempty"`
-	Delay     identifier.Span   `json:"delayMs,omitempty"`
+	NotBefore clock.ClusterTime `json:"notBefore,omitempty"`
+	Delay     clock.Millis      `json:"delayMs,omitempty"`
 	Steps     []Step            `json:"steps"`
 	// Queue names a queue of the catalogue in place of a pending row; Text is
 	// handed to whatever runs the tasks; Repeat runs the steps many times.
@@ -24,12 +27,12 @@
 // Repeat has the steps run Times times, the k-th due at First + k x Every.
 type Repeat struct {
 	Times int64             `json:"times"`
-	First identifier.Millis `json:"firstMs"`
-	Every identifier.Span   `json:"everyMs"`
+	First clock.ClusterTime `json:"firstMs"`
+	Every clock.Millis      `json:"everyMs"`
 }
 
 // At is when the k-th time is due.
-func (r *Repeat) At(k int64) identifier.Millis { return r.First.Add(identifier.Span(k) * r.Every) }
+func (r *Repeat) At(k int64) clock.ClusterTime { return r.First.Add(clock.Millis(k) * r.Every) }
 
 // Tasks is the number of tasks in all steps.
 func (s *Spec) Tasks() int64 {
@@ -53,12 +56,12 @@
 }
 
 // Chain is the longest chain of work through the steps, by their rough spans.
-func (s *Spec) Chain() identifier.Span {
-	var span identifier.Span
-	at := make([]identifier.Span, len(s.Steps))
+func (s *Spec) Chain() clock.Millis {
+	var span clock.Millis
+	at := make([]clock.Millis, len(s.Steps))
 	for range s.Steps {
 		for i, one := range s.Steps {
-			from := identifier.Span(0)
+			from := clock.Millis(0)
 			for _, name := range one.After {
 				for k, other := range s.Steps {
 					if other.Name == name {
--- a/internal/api/job/step.go
+++ b/internal/api/job/step.go
@@ -3,7 +3,10 @@
 
 package job
 
-import "orchidward/internal/api/identifier"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
 
 // Step is a number of equal tasks. They may start once every step named in After
 // has ended with success. Run is the expected duration of one task in
@@ -16,7 +19,7 @@
 	Demand  Demand             `json:"demand"`
 	Labels  []identifier.Label `json:"labels,omitempty"`
 	Defects int64              `json:"allowedDefects"`
-	Run     identifier.Span    `json:"spanMs"`
+	Run     clock.Millis       `json:"spanMs"`
 	// Near is the rack that holds the data; OneRack wants the members of a gang
 	// in one rack. Both cost time where they are missed, and neither forbids.
 	Near    identifier.Rack `json:"near,omitempty"`
--- a/internal/api/jsondoc/fault.go
+++ b/internal/api/jsondoc/fault.go
@@ -1,4 +1,4 @@
-// Package doc reads JSON from outside by hand: one strict pass over the text,
+// Package jsondoc reads JSON from outside by hand: one strict pass over the text,
 // then readers that fetch fields by name, remember the path, and gather every
 // fault instead of stopping at the first. A Shape fault is text that does not
 // say what its type should be (400); a Sense fault is well formed but means
--- a/internal/api/jsondoc/obj.go
+++ b/internal/api/jsondoc/obj.go
@@ -78,7 +78,7 @@
 	if _, is := o.vals[key].(string); !is && o.Has(key) {
 		return ""
 	}
-	if !identifier.Plain(out) {
+	if !identifier.ValidName(out) {
 		o.f.Sense(o.at(key), "want a name of 1 to 64 letters, digits, '.', '-' or '_'")
 	}
 	return out
@@ -176,7 +176,7 @@
 			o.f.Shape(fmt.Sprintf("%s[%d]", o.at(key), i), "want a string")
 			continue
 		}
-		if !identifier.Plain(text) {
+		if !identifier.ValidName(text) {
 			o.f.Sense(fmt.Sprintf("%s[%d]", o.at(key), i), "want a plain name")
 			continue
 		}
--- a/internal/api/jsondoc/trouble.go
+++ b/internal/api/jsondoc/trouble.go
@@ -5,17 +5,17 @@
 import (
 	"encoding/json"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Trouble is the body of an error response. Code names the error in one word for
 // programs and Why says it for people; Retry, when above 0, is after how many
 // milliseconds to try again.
 type Trouble struct {
-	Code   string          `json:"code"`
-	Why    string          `json:"message"`
-	Faults any             `json:"faults,omitempty"`
-	Retry  identifier.Span `json:"retryMs,omitempty"`
+	Code   string       `json:"code"`
+	Why    string       `json:"message"`
+	Faults any          `json:"faults,omitempty"`
+	Retry  clock.Millis `json:"retryMs,omitempty"`
 }
 
 // JSON is the response body: an object with the single field "error".
--- a/internal/api/limits/change.go
+++ b/internal/api/limits/change.go
@@ -107,7 +107,7 @@
 }
 
 func rowName(name string) bool {
-	return identifier.Plain(name) && !strings.Contains(name, ".") && name != string(SiteRow)
+	return identifier.ValidName(name) && !strings.Contains(name, ".") && name != string(SiteRow)
 }
 
 func readBase(o *jsondoc.Obj, c *Change) {
--- a/internal/api/limits/column.go
+++ b/internal/api/limits/column.go
@@ -1,4 +1,4 @@
-// Package table is the operators' one table: rows are the pending queues,
+// Package limits is the operators' one table: rows are the pending queues,
 // columns their weights and limits, and one more row, "site", has the few
 // cells that hold for the whole site. Cells are kept as text, as a spreadsheet
 // would, and every cell remembers the epoch that last changed it.
@@ -122,7 +122,7 @@
 		return "", "at most 16 labels"
 	}
 	for _, l := range list {
-		if l != "*" && !identifier.Plain(l) {
+		if l != "*" && !identifier.ValidName(l) {
 			return "", "want labels parted by spaces, or *"
 		}
 	}
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -10,6 +10,7 @@
 	"strings"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Table is the limits table in force. Epoch is its version; every change raises
@@ -57,7 +58,7 @@
 }
 
 // Site is a site-wide span in milliseconds.
-func (t *Table) Site(name string) identifier.Span { return identifier.Span(t.Num(SiteRow, name)) }
+func (t *Table) Site(name string) clock.Millis { return clock.Millis(t.Num(SiteRow, name)) }
 
 // Has tells whether the table has this pending row; SiteRow is none.
 func (t *Table) Has(row identifier.Row) bool {
--- a/internal/api/runnerapi/poll.go
+++ b/internal/api/runnerapi/poll.go
@@ -1,4 +1,4 @@
-// Package poll is the runners' published protocol: what a poll says and what
+// Package runnerapi is the runners' published protocol: what a poll says and what
 // its answer says. docs/runners.md is its description for others.
 package runnerapi
 
@@ -6,31 +6,32 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
 )
 
 // Ask is one poll. Seq grows with every poll of an incarnation.
 type Ask struct {
-	Inc     identifier.Inc     `json:"incarnation"`
-	Seq     uint64             `json:"seq"`
-	Cores   int64              `json:"cores"`
-	Mem     int64              `json:"memMb"`
-	Labels  []identifier.Label `json:"labels,omitempty"`
-	Domain  identifier.Domain  `json:"domain"`
-	Rack    identifier.Rack    `json:"rack"`
-	Mode    string             `json:"mode"`
-	Departs identifier.Span    `json:"departsMs,omitempty"`
-	Running []identifier.Grant `json:"running,omitempty"`
-	Ended   []End              `json:"ended,omitempty"`
+	Inc     identifier.Incarnation `json:"incarnation"`
+	Seq     uint64                 `json:"seq"`
+	Cores   int64                  `json:"cores"`
+	Mem     int64                  `json:"memMb"`
+	Labels  []identifier.Label     `json:"labels,omitempty"`
+	Domain  identifier.Domain      `json:"domain"`
+	Rack    identifier.Rack        `json:"rack"`
+	Mode    string                 `json:"mode"`
+	Departs clock.Millis           `json:"departsMs,omitempty"`
+	Running []identifier.LeaseID   `json:"running,omitempty"`
+	Ended   []End                  `json:"ended,omitempty"`
 	// What follows is said by agents, of the runner they stand beside. Milli are
 	// thousandths of a core beyond Cores.
-	Agent    bool            `json:"agent,omitempty"`
-	Milli    int64           `json:"milliCores,omitempty"`
-	GPUs     int64           `json:"gpus,omitempty"`
-	Pool     string          `json:"pool,omitempty"`
-	Addr     string          `json:"addr,omitempty"`
-	Silent   identifier.Span `json:"silentMs,omitempty"`
-	Active   []RunState      `json:"active,omitempty"`
-	Finished []RunEnd        `json:"finished,omitempty"`
+	Agent    bool         `json:"agent,omitempty"`
+	Milli    int64        `json:"milliCores,omitempty"`
+	GPUs     int64        `json:"gpus,omitempty"`
+	Pool     string       `json:"pool,omitempty"`
+	Addr     string       `json:"addr,omitempty"`
+	Silent   clock.Millis `json:"silentMs,omitempty"`
+	Active   []RunState   `json:"active,omitempty"`
+	Finished []RunEnd     `json:"finished,omitempty"`
 	// Gone are runs that were to stop and are certain never to run here again;
 	// Left says that the runner has ended in good order, Dead that it is silent
 	// and that every hold it was given has run out.
@@ -41,21 +42,21 @@
 
 // End is one attempt that ended, repeated until acknowledged.
 type End struct {
-	Grant identifier.Grant `json:"grant"`
-	Task  identifier.Ref   `json:"task"`
-	How   string           `json:"how"`
-	Saved string           `json:"-"`
+	Grant identifier.LeaseID `json:"grant"`
+	Task  identifier.TaskRef `json:"task"`
+	How   string             `json:"how"`
+	Saved string             `json:"-"`
 }
 
 // Start orders one attempt. It expires StartMs after the poll was sent.
 type Start struct {
-	Grant  identifier.Grant `json:"grant"`
-	Task   identifier.Ref   `json:"task"`
-	Demand job.Demand       `json:"demand"`
-	Run    identifier.Span  `json:"spanMs"`
+	Grant  identifier.LeaseID `json:"grant"`
+	Task   identifier.TaskRef `json:"task"`
+	Demand job.Demand         `json:"demand"`
+	Run    clock.Millis       `json:"spanMs"`
 	// Gang, when it is given, is how long the attempt may go on since the
 	// sending of the last poll whose answer called it whole.
-	Gang identifier.Span `json:"gangMs,omitempty"`
+	Gang clock.Millis `json:"gangMs,omitempty"`
 	// No, Text and Saved are for agents: the number of the run, the job's own
 	// text, and the progress to go on from.
 	No    uint64 `json:"run,omitempty"`
@@ -69,14 +70,14 @@
 // start may wait. Retired says that a newer incarnation of the runner has
 // reported, so that this one must stop.
 type Answer struct {
-	Starts  []Start            `json:"starts,omitempty"`
-	Stops   []identifier.Grant `json:"stops,omitempty"`
-	Acked   []identifier.Grant `json:"acked,omitempty"`
-	Whole   []identifier.Grant `json:"whole,omitempty"`
-	GrantMs identifier.Span    `json:"grantMs"`
-	StartMs identifier.Span    `json:"startMs"`
-	Gates   []string           `json:"gates,omitempty"`
-	Retired bool               `json:"retired,omitempty"`
+	Starts  []Start              `json:"starts,omitempty"`
+	Stops   []identifier.LeaseID `json:"stops,omitempty"`
+	Acked   []identifier.LeaseID `json:"acked,omitempty"`
+	Whole   []identifier.LeaseID `json:"whole,omitempty"`
+	GrantMs clock.Millis         `json:"grantMs"`
+	StartMs clock.Millis         `json:"startMs"`
+	Gates   []string             `json:"gates,omitempty"`
+	Retired bool                 `json:"retired,omitempty"`
 	// For agents: the fence of the leader that speaks, the number up to which
 	// ends are on record, runs to stop, the keepers, and the last number of a
 	// poll the leader has of this runner.
@@ -102,7 +103,7 @@
 	if o == nil {
 		return nil
 	}
-	a := &Ask{Inc: identifier.Inc(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
+	a := &Ask{Inc: identifier.Incarnation(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
 	low := int64(1)
 	if o.Has("agent") {
 		low = 0
@@ -118,15 +119,15 @@
 	}
 	a.Domain, a.Rack = identifier.Domain(o.Name("domain", true)), identifier.Rack(o.Name("rack", low > 0))
 	a.Mode = o.OneOf("mode", Active, Active, Draining)
-	a.Departs = identifier.Span(o.Int("departsMs", 0, 0, 1<<40))
+	a.Departs = clock.Millis(o.Int("departsMs", 0, 0, 1<<40))
 	if a.Agent = o.Bool("agent", false); a.Agent {
 		a.readAgent(o)
 	}
 	for _, n := range o.Ints("running", most) {
-		a.Running = append(a.Running, identifier.Grant(n))
+		a.Running = append(a.Running, identifier.LeaseID(n))
 	}
 	for _, one := range o.List("ended", most) {
-		e := End{Grant: identifier.Grant(one.Int("grant", 0, 1, 1<<53)), How: one.OneOf("how", "", "well", "defect", "stopped", "lapsed")}
+		e := End{Grant: identifier.LeaseID(one.Int("grant", 0, 1, 1<<53)), How: one.OneOf("how", "", "well", "defect", "stopped", "lapsed")}
 		e.Task = readTask(one)
 		one.Done()
 		a.Ended = append(a.Ended, e)
--- a/internal/api/runnerapi/run.go
+++ b/internal/api/runnerapi/run.go
@@ -7,17 +7,18 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
 )
 
 // RunState is a run that goes on. Saved is its saved progress, empty for none,
 // Percent how far it says it is.
 type RunState struct {
-	Task    identifier.Ref `json:"task"`
-	Run     uint64         `json:"run"`
-	Saved   string         `json:"saved,omitempty"`
-	Percent int64          `json:"percent,omitempty"`
+	Task    identifier.TaskRef `json:"task"`
+	Run     uint64             `json:"run"`
+	Saved   string             `json:"saved,omitempty"`
+	Percent int64              `json:"percent,omitempty"`
 	// Still is how long, in milliseconds, the percentage has not moved.
-	Still identifier.Span `json:"stillMs,omitempty"`
+	Still clock.Millis `json:"stillMs,omitempty"`
 	// Speed is how far it came lately, in thousandths of the whole a second; 0
 	// where that is not known.
 	Speed int64 `json:"speed,omitempty"`
@@ -26,17 +27,17 @@
 // RunEnd is a run that ended; N rises from 1 within each life of a runner.
 // How is one of the words below.
 type RunEnd struct {
-	N     uint64         `json:"n"`
-	Task  identifier.Ref `json:"task"`
-	Run   uint64         `json:"run"`
-	How   string         `json:"how"`
-	Saved string         `json:"saved,omitempty"`
+	N     uint64             `json:"n"`
+	Task  identifier.TaskRef `json:"task"`
+	Run   uint64             `json:"run"`
+	How   string             `json:"how"`
+	Saved string             `json:"saved,omitempty"`
 }
 
 // RunStop orders a run to end.
 type RunStop struct {
-	Task identifier.Ref `json:"task"`
-	Run  uint64         `json:"run"`
+	Task identifier.TaskRef `json:"task"`
+	Run  uint64             `json:"run"`
 }
 
 // How a run ended: well; by a defect, its own or its runner's; on order; past
@@ -59,10 +60,10 @@
 func (a *Ask) readAgent(o *jsondoc.Obj) {
 	a.Milli, a.GPUs = o.Int("milliCores", 0, 0, maxRoom), o.Int("gpus", 0, 0, maxRoom)
 	a.Pool, a.Addr = o.Text("pool", ""), o.Text("addr", "")
-	a.Silent = identifier.Span(o.Int("silentMs", 0, 0, 1<<40))
+	a.Silent = clock.Millis(o.Int("silentMs", 0, 0, 1<<40))
 	a.Left, a.Dead = o.Bool("left", false), o.Bool("dead", false)
 	for _, one := range o.List("active", most) {
-		s := RunState{Task: readTask(one), Run: readRun(one), Saved: readSaved(one), Percent: one.Int("percent", 0, 0, 1<<20), Still: identifier.Span(one.Int("stillMs", 0, 0, 1<<40)), Speed: one.Int("speed", 0, 0, 1<<30)}
+		s := RunState{Task: readTask(one), Run: readRun(one), Saved: readSaved(one), Percent: one.Int("percent", 0, 0, 1<<20), Still: clock.Millis(one.Int("stillMs", 0, 0, 1<<40)), Speed: one.Int("speed", 0, 0, 1<<30)}
 		one.Done()
 		a.Active = append(a.Active, s)
 	}
@@ -89,13 +90,13 @@
 	return text
 }
 
-func readTask(o *jsondoc.Obj) identifier.Ref {
-	var r identifier.Ref
+func readTask(o *jsondoc.Obj) identifier.TaskRef {
+	var r identifier.TaskRef
 	t := o.Sub("task")
 	if t == nil {
 		return r
 	}
-	r = identifier.Ref{Job: identifier.Key(t.Text("job", "")), Step: int(t.Int("step", 0, 0, 1<<20)), Num: int(t.Int("num", 0, 0, 1<<20))}
+	r = identifier.TaskRef{Job: identifier.JobKey(t.Text("job", "")), Step: int(t.Int("step", 0, 0, 1<<20)), Num: int(t.Int("num", 0, 0, 1<<20))}
 	t.Done()
 	return r
 }
--- a/internal/api/runnerapi/scan.go
+++ b/internal/api/runnerapi/scan.go
@@ -12,6 +12,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
 )
 
 // Read checks a poll and gathers its faults.
@@ -37,7 +38,7 @@
 	seen := s.object(askFields, func(i int) {
 		switch askFields[i] {
 		case "incarnation":
-			a.Inc = identifier.Inc(strings.Clone(s.name()))
+			a.Inc = identifier.Incarnation(strings.Clone(s.name()))
 		case "seq":
 			a.Seq = uint64(s.int(1, 1<<53))
 		case "cores":
@@ -53,9 +54,9 @@
 		case "mode":
 			a.Mode = s.word(Active, Draining)
 		case "departsMs":
-			a.Departs = identifier.Span(s.int(0, 1<<40))
+			a.Departs = clock.Millis(s.int(0, 1<<40))
 		case "running":
-			s.list(most, func() { a.Running = append(a.Running, identifier.Grant(s.int(0, 1<<53))) })
+			s.list(most, func() { a.Running = append(a.Running, identifier.LeaseID(s.int(0, 1<<53))) })
 		case "ended":
 			s.list(most, func() { a.Ended = append(a.Ended, s.end()) })
 		case "agent":
@@ -106,7 +107,7 @@
 	case "addr":
 		a.Addr = s.string()
 	case "silentMs":
-		a.Silent = identifier.Span(s.int(0, 1<<40))
+		a.Silent = clock.Millis(s.int(0, 1<<40))
 	case "active":
 		s.list(most, func() { a.Active = append(a.Active, s.runState()) })
 	case "finished":
@@ -125,7 +126,7 @@
 	seen := s.object(endFields, func(i int) {
 		switch endFields[i] {
 		case "grant":
-			e.Grant = identifier.Grant(s.int(1, 1<<53))
+			e.Grant = identifier.LeaseID(s.int(1, 1<<53))
 		case "task":
 			e.Task = s.task()
 		case "how":
@@ -149,7 +150,7 @@
 		case "percent":
 			r.Percent = s.int(0, 1<<20)
 		case "stillMs":
-			r.Still = identifier.Span(s.int(0, 1<<40))
+			r.Still = clock.Millis(s.int(0, 1<<40))
 		case "speed":
 			r.Speed = s.int(0, 1<<30)
 		}
@@ -190,12 +191,12 @@
 	return r
 }
 
-func (s *scanner) task() identifier.Ref {
-	var r identifier.Ref
+func (s *scanner) task() identifier.TaskRef {
+	var r identifier.TaskRef
 	s.object(taskFields, func(i int) {
 		switch taskFields[i] {
 		case "job":
-			r.Job = identifier.Key(s.string())
+			r.Job = identifier.JobKey(s.string())
 		case "step":
 			r.Step = int(s.int(0, 1<<20))
 		case "num":
@@ -315,7 +316,7 @@
 
 func (s *scanner) name() string {
 	out := s.string()
-	s.bad = s.bad || !identifier.Plain(out)
+	s.bad = s.bad || !identifier.ValidName(out)
 	return out
 }
 
--- a/internal/api/runnerapi/scan_test.go
+++ b/internal/api/runnerapi/scan_test.go
@@ -11,6 +11,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
 )
 
 // TestPlaces: the places that the scanner knows by number are those of the
@@ -30,22 +31,22 @@
 func sample(rnd *rand.Rand) Ask {
 	texts := []string{"", "x", "a b", "q\"uo\\te", "ünï", "\u2028<&>", "a\x01b", strings.Repeat("s", 40)}
 	some := func() string { return texts[rnd.Intn(len(texts))] }
-	task := func() identifier.Ref {
-		return identifier.Ref{Job: identifier.Key("q/" + some()), Step: rnd.Intn(3), Num: rnd.Intn(1 << 20)}
+	task := func() identifier.TaskRef {
+		return identifier.TaskRef{Job: identifier.JobKey("q/" + some()), Step: rnd.Intn(3), Num: rnd.Intn(1 << 20)}
 	}
-	a := Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: identifier.Span(rnd.Intn(3))}
+	a := Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: clock.Millis(rnd.Intn(3))}
 	for i := rnd.Intn(4); i > 0; i-- {
 		a.Labels = append(a.Labels, identifier.Label(fmt.Sprintf("l%d", rnd.Intn(9))))
-		a.Running = append(a.Running, identifier.Grant(rnd.Intn(3)))
-		a.Ended = append(a.Ended, End{identifier.Grant(1 + rnd.Intn(9)), task(), []string{Well, Defect, Stopped, Lapsed}[rnd.Intn(4)], ""})
+		a.Running = append(a.Running, identifier.LeaseID(rnd.Intn(3)))
+		a.Ended = append(a.Ended, End{identifier.LeaseID(1 + rnd.Intn(9)), task(), []string{Well, Defect, Stopped, Lapsed}[rnd.Intn(4)], ""})
 	}
 	if a.Agent = rnd.Intn(4) > 0; !a.Agent {
 		return a
 	}
-	a.Cores, a.Milli, a.GPUs, a.Pool, a.Addr, a.Silent = rnd.Int63n(2), rnd.Int63n(3), rnd.Int63n(2), some(), some(), identifier.Span(rnd.Intn(2))
+	a.Cores, a.Milli, a.GPUs, a.Pool, a.Addr, a.Silent = rnd.Int63n(2), rnd.Int63n(3), rnd.Int63n(2), some(), some(), clock.Millis(rnd.Intn(2))
 	a.Left, a.Dead = rnd.Intn(3) == 0, rnd.Intn(3) == 0
 	for i := rnd.Intn(5); i > 0; i-- {
-		a.Active = append(a.Active, RunState{task(), uint64(rnd.Intn(3)), some(), rnd.Int63n(100), identifier.Span(rnd.Intn(2) * 700), rnd.Int63n(2) * 9})
+		a.Active = append(a.Active, RunState{task(), uint64(rnd.Intn(3)), some(), rnd.Int63n(100), clock.Millis(rnd.Intn(2) * 700), rnd.Int63n(2) * 9})
 		a.Finished = append(a.Finished, RunEnd{1 + uint64(rnd.Intn(9)), task(), uint64(rnd.Intn(3)), []string{Well, Defect, Stopped, Lapsed, Broken, Alone, Refused}[rnd.Intn(7)], some()})
 		a.Gone = append(a.Gone, RunStop{task(), uint64(rnd.Intn(3))})
 	}
@@ -173,7 +174,7 @@
 func BenchmarkRead(b *testing.B) {
 	a := Ask{Inc: "i", Seq: 1, Mem: 1, Domain: "d", Rack: "r", Mode: Active, Agent: true, Milli: 4000, Pool: "x", Addr: "a:1"}
 	for i := range 14 {
-		a.Active = append(a.Active, RunState{Task: identifier.Ref{Job: identifier.Key(fmt.Sprintf("q/%016x.0", i)), Num: i}, Run: 1, Percent: 50, Still: 40, Speed: 9})
+		a.Active = append(a.Active, RunState{Task: identifier.TaskRef{Job: identifier.JobKey(fmt.Sprintf("q/%016x.0", i)), Num: i}, Run: 1, Percent: 50, Still: 40, Speed: 9})
 	}
 	text, err := json.Marshal(a)
 	if err != nil {
--- a/internal/daemon/lifecycle/clock_test.go
+++ b/internal/clock/system_test.go
@@ -1,4 +1,4 @@
-package lifecycle
+package clock
 
 import (
 	"testing"
@@ -13,7 +13,7 @@
 	if source != unix.CLOCK_BOOTTIME {
 		t.Errorf("the clock is number %d, and does not count suspend", source)
 	}
-	c := NewClock()
+	c := NewSystem()
 	for i := 0; i < 1000; i++ {
 		var low, high unix.Timespec
 		if unix.ClockGettime(unix.CLOCK_BOOTTIME, &low) != nil {
--- a/internal/consensus/raft/changes_test.go
+++ b/internal/consensus/raft/changes_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 const (
@@ -252,8 +253,8 @@
 	entry := Entry{Index: 2, Term: 3, Kind: Command, Data: []byte("x")}
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []Entry{entry}, Stamp: 1}, 10, 0)
 	write := r.Take().Write
-	last := identifier.Mono(0)
-	for now := identifier.Mono(200); now < 3600_000; now += 200 {
+	last := clock.Monotonic(0)
+	for now := clock.Monotonic(200); now < 3600_000; now += 200 {
 		last = now
 		r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 2, LogTerm: 3, Stamp: now}, now, 0)
 		r.Take()
--- a/internal/consensus/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // host is one member with its disk: what was synced outlives a crash, what was
@@ -212,8 +213,8 @@
 	}
 }
 
-func (g *group) mono(h *host) identifier.Mono {
-	return identifier.Mono(float64(g.now-h.born) * (1 + h.drift))
+func (g *group) mono(h *host) clock.Monotonic {
+	return clock.Monotonic(float64(g.now-h.born) * (1 + h.drift))
 }
 
 func (g *group) add(members []Member, at identifier.Index) *host {
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -5,6 +5,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 func (r *Raft) campaign(kind Kind, force bool) {
@@ -118,7 +119,7 @@
 }
 
 func (r *Raft) resetElectionWait() {
-	r.wait = r.tm.Elect + identifier.Span(r.rnd.Int63n(int64(r.tm.Elect)))
+	r.wait = r.tm.Elect + clock.Millis(r.rnd.Int63n(int64(r.tm.Elect)))
 }
 
 func (r *Raft) setHard(h HardState) {
--- a/internal/consensus/raft/lease.go
+++ b/internal/consensus/raft/lease.go
@@ -5,17 +5,17 @@
 import (
 	"sort"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Leased tells whether this leader may still act alone: a quorum answered
 // something it sent less than a lease ago, and no other can have been elected.
-func (r *Raft) Leased(now identifier.Mono) bool {
+func (r *Raft) Leased(now clock.Monotonic) bool {
 	return r.role == Leader && now.Since(r.quorumAck(now)) < r.tm.Lease
 }
 
-func (r *Raft) quorumAck(now identifier.Mono) identifier.Mono {
-	list := []identifier.Mono{}
+func (r *Raft) quorumAck(now clock.Monotonic) clock.Monotonic {
+	list := []clock.Monotonic{}
 	for _, m := range r.Members() {
 		switch {
 		case !m.Voter:
--- a/internal/consensus/raft/lease_test.go
+++ b/internal/consensus/raft/lease_test.go
@@ -5,11 +5,12 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // acknowledging is member 1 of three, which follows leader 2 of term 3
 // and has just acknowledged a message of its.
-func acknowledging(now identifier.Mono) *Raft {
+func acknowledging(now clock.Monotonic) *Raft {
 	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Stamp: 77}, now, 0)
 	r.Take()
@@ -36,7 +37,7 @@
 // renew the lease, since the stamp in it is of another life's clock.
 func TestOldMessageRenewsNoLease(t *testing.T) {
 	leader := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	deliver := func(r *Raft, m Message, now identifier.Mono) []Message {
+	deliver := func(r *Raft, m Message, now clock.Monotonic) []Message {
 		var out []Message
 		r.Step(m, now, 0)
 		for o := r.Take(); o.Write != nil || len(o.Msgs) > 0; o = r.Take() {
@@ -47,7 +48,7 @@
 		}
 		return out
 	}
-	now := identifier.Mono(0)
+	now := clock.Monotonic(0)
 	for leader.Role() != PreCandidate {
 		now += 100
 		leader.Tick(now, 0)
@@ -58,7 +59,7 @@
 		t.Fatalf("role %d", leader.Role())
 	}
 	follower := New(2, Usual(), 1, 0, HardState{Term: 4}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	for _, stamp := range []identifier.Mono{1_000_000, now + 1} {
+	for _, stamp := range []clock.Monotonic{1_000_000, now + 1} {
 		for _, m := range deliver(follower, Message{Kind: AppendEntries, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 1, Stamp: stamp}, 4000) {
 			deliver(leader, m, now+100)
 		}
@@ -131,7 +132,7 @@
 // members whose clocks run the other way, parted at some moment after a beat,
 // while a change of the members is logged by as many as spread members.
 type parting struct {
-	elect                identifier.Span
+	elect                clock.Millis
 	voters               int
 	slow                 bool
 	part, change, spread int
@@ -261,7 +262,7 @@
 // and changes of the members under way: whoever follows commits only after the
 // lease has ended. The least time between the two is the margin.
 func TestLeaseEndsFirst(t *testing.T) {
-	for _, elect := range []identifier.Span{250, 1000} {
+	for _, elect := range []clock.Millis{250, 1000} {
 		for _, voters := range []int{3, 5} {
 			t.Run(fmt.Sprintf("%d voters at %d ms", voters, elect), func(t *testing.T) {
 				t.Parallel()
@@ -288,7 +289,7 @@
 
 // partings lists the cases of one pace and size; two voters that bear no loss
 // are left out, since keepers never go there.
-func partings(elect identifier.Span, voters int) []parting {
+func partings(elect clock.Millis, voters int) []parting {
 	var list []parting
 	offsets := []int64{0, 10, 20, 30, 40, 50}
 	if elect == 1000 {
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -15,7 +15,7 @@
 	r.out.Msgs = append(r.out.Msgs, m)
 }
 
-// stampEvidence adds this keeper's evidence for site time as a message leaves.
+// stampEvidence adds this keeper's evidence for cluster time as a message leaves.
 func (r *Raft) stampEvidence(m *Message) {
 	m.Wall, m.Met, m.Site, m.Level, m.Leaving = r.wall, r.met, r.site, r.level, r.leaving
 	if m.Kind == AppendReply {
--- a/internal/consensus/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -4,24 +4,27 @@
 
 package raft
 
-import "orchidward/internal/api/identifier"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
 
 type peer struct {
 	next  identifier.Index
 	match identifier.Index
-	ack   identifier.Mono
-	heard identifier.Mono
-	wall  identifier.Wall
-	at    identifier.Mono
+	ack   clock.Monotonic
+	heard clock.Monotonic
+	wall  clock.WallTime
+	at    clock.Monotonic
 	met   identifier.Term
-	site  identifier.Millis
+	site  clock.ClusterTime
 	from  identifier.Term
 	probe bool
 	out   bool
 	prev  identifier.Index
 	load  *Snapshot
 	off   int64
-	sent  identifier.Mono
+	sent  clock.Monotonic
 	level uint16
 	// leaving is a member that has said that it stops soon.
 	leaving bool
@@ -30,7 +33,7 @@
 // hear takes what any answer of the peer says of it. Only an answer to what was
 // sent in this leadership renews the lease: a stamp from before may be of a
 // former life of this process, whose clock was another.
-func (p *peer) hear(m Message, rose, now identifier.Mono) {
+func (p *peer) hear(m Message, rose, now clock.Monotonic) {
 	if m.Stamp >= rose && m.Stamp <= now {
 		p.ack = max(p.ack, m.Stamp)
 	}
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -7,6 +7,7 @@
 	"math/rand"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Role is the part that a member plays in its current term.
@@ -33,7 +34,7 @@
 )
 
 // never is a time before all others.
-const never identifier.Mono = -1 << 40
+const never clock.Monotonic = -1 << 40
 
 type configuration struct {
 	index   identifier.Index
@@ -54,9 +55,9 @@
 	id    identifier.Node
 	tm    Timing
 	rnd   *rand.Rand
-	start identifier.Mono
-	now   identifier.Mono
-	wall  identifier.Wall
+	start clock.Monotonic
+	now   clock.Monotonic
+	wall  clock.WallTime
 
 	hard           HardState
 	role           Role
@@ -67,16 +68,16 @@
 	commit         identifier.Index
 	taken          identifier.Index
 
-	heard identifier.Mono
+	heard clock.Monotonic
 	// followed is when a leader was last heard, of whatever term.
-	followed      identifier.Mono
-	wait          identifier.Span
+	followed      clock.Monotonic
+	wait          clock.Millis
 	votes         map[identifier.Node]bool
 	peers         map[identifier.Node]*peer
-	beat          identifier.Mono
-	ledSince      identifier.Mono
+	beat          clock.Monotonic
+	ledSince      clock.Monotonic
 	met           identifier.Term
-	site          identifier.Millis
+	site          clock.ClusterTime
 	from          identifier.Term
 	basis         identifier.Term
 	first         identifier.Index
@@ -101,12 +102,12 @@
 type flight struct {
 	seq  uint64
 	last identifier.Index
-	at   identifier.Mono
+	at   clock.Monotonic
 }
 
 // New starts from what the disk gave: the hard state, the last view (nil for a
 // founding log, whose members are given), and the entries after it.
-func New(id identifier.Node, tm Timing, seed int64, now identifier.Mono, hard HardState, view *Snapshot, list []Entry) *Raft {
+func New(id identifier.Node, tm Timing, seed int64, now clock.Monotonic, hard HardState, view *Snapshot, list []Entry) *Raft {
 	r := &Raft{id: id, tm: tm, rnd: rand.New(rand.NewSource(seed)), start: now, now: now, hard: hard, heard: now, followed: never, tail: defaultTail}
 	r.log = log{base: view.Index, baseTerm: view.Term, view: view, list: list}
 	r.commit, r.taken = view.Index, view.Index
@@ -147,12 +148,12 @@
 }
 
 // Basis is the term of the last entry this leader found in its log: only a
-// site time carried on from that term counts beside its own.
+// cluster time carried on from that term counts beside its own.
 func (r *Raft) Basis() identifier.Term { return r.basis }
 
-// Carry takes the site time this keeper would go on from, and the term of the
+// Carry takes the cluster time this keeper would go on from, and the term of the
 // entry it has it from.
-func (r *Raft) Carry(site identifier.Millis, from identifier.Term) { r.site, r.from = site, from }
+func (r *Raft) Carry(site clock.ClusterTime, from identifier.Term) { r.site, r.from = site, from }
 
 // Met is the first term in which this process knew a leader, 0 before that.
 func (r *Raft) Met() identifier.Term { return r.met }
@@ -167,7 +168,7 @@
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
 // down when no quorum has answered it for two election timeouts; any other voter
 // starts a pre-vote once its election timeout has passed without a leader.
-func (r *Raft) Tick(now identifier.Mono, wall identifier.Wall) {
+func (r *Raft) Tick(now clock.Monotonic, wall clock.WallTime) {
 	r.now, r.wall = now, wall
 	if r.role == Leader {
 		r.tickLeader()
--- a/internal/consensus/raft/raft_test.go
+++ b/internal/consensus/raft/raft_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 func trio() []Member {
@@ -16,7 +17,7 @@
 
 // votes tells how an ask for a vote at this moment is answered, once all that
 // was written is on disk.
-func votes(r *Raft, term identifier.Term, now identifier.Mono) bool {
+func votes(r *Raft, term identifier.Term, now clock.Monotonic) bool {
 	var yes bool
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9}, now, 0)
 	o := r.Take()
@@ -53,7 +54,7 @@
 			r.Synced(o.Write.Seq)
 		}
 	}
-	now := identifier.Mono(0)
+	now := clock.Monotonic(0)
 	for r.Role() != PreCandidate {
 		now += 100
 		r.Tick(now, 0)
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -2,13 +2,16 @@
 
 package raft
 
-import "orchidward/internal/api/identifier"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
 
 // Step passes in one message from another member. Messages to another member or
 // of an older term change nothing; a stale leader is told of the newer term. A
 // message of a newer term makes this member a follower in it, except that a vote
 // request is ignored while a leader may still hold its lease.
-func (r *Raft) Step(m Message, now identifier.Mono, wall identifier.Wall) {
+func (r *Raft) Step(m Message, now clock.Monotonic, wall clock.WallTime) {
 	r.now, r.wall = now, wall
 	if m.To != r.id {
 		return
@@ -299,11 +302,11 @@
 type MemberStatus struct {
 	Member
 	Match identifier.Index
-	Quiet identifier.Span
-	Wall  identifier.Wall
-	At    identifier.Mono
+	Quiet clock.Millis
+	Wall  clock.WallTime
+	At    clock.Monotonic
 	Met   identifier.Term
-	Site  identifier.Millis
+	Site  clock.ClusterTime
 	From  identifier.Term
 	Level uint16
 	// Leaving is a member that has said that it stops soon.
--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -4,6 +4,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Member is one keeper of the group. A learner receives the log and does not
@@ -67,8 +68,8 @@
 
 // Message is what keepers say to one another. Stamp is the sender's own monotonic
 // time, handed back unchanged, so a lease is measured on one clock only. Wall
-// and Met are evidence for site time: Met is the first term in which the
-// sender, since it started, knew a leader; Site is the site time it carries.
+// and Met are evidence for cluster time: Met is the first term in which the
+// sender, since it started, knew a leader; Site is the cluster time it carries.
 // Level is the highest level of commands and rules that the sender knows;
 // Leaving says that the sender stops soon.
 type Message struct {
@@ -83,10 +84,10 @@
 	No      bool
 	Force   bool
 	Hint    identifier.Index
-	Stamp   identifier.Mono
-	Wall    identifier.Wall
+	Stamp   clock.Monotonic
+	Wall    clock.WallTime
 	Met     identifier.Term
-	Site    identifier.Millis
+	Site    clock.ClusterTime
 	Level   uint16
 	Leaving bool
 	View    *Snapshot
@@ -134,15 +135,15 @@
 // Timing in spans of the monotonic clock. Lease is shorter than Elect, the
 // least a follower waits, by what clocks may drift in that time.
 type Timing struct {
-	Beat  identifier.Span
-	Elect identifier.Span
-	Lease identifier.Span
+	Beat  clock.Millis
+	Elect clock.Millis
+	Lease clock.Millis
 }
 
 // Usual is the timing with an election timeout of one second.
 func Usual() Timing { return Paced(1000) }
 
 // Paced is the timing for a least election wait, in milliseconds.
-func Paced(elect identifier.Span) Timing {
+func Paced(elect clock.Millis) Timing {
 	return Timing{Beat: elect / 5, Elect: elect, Lease: elect * 4 / 5}
 }
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -6,6 +6,7 @@
 import (
 	"encoding/binary"
 	"hash/crc32"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/consensus/raft"
 
--- a/internal/controlplane/agents.go
+++ b/internal/controlplane/agents.go
@@ -10,6 +10,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
 
@@ -17,7 +18,7 @@
 type agentSide struct {
 	// runs is what the last poll said of runs that the book knows, list the same
 	// in the poll's order.
-	runs   map[identifier.Grant]*held
+	runs   map[identifier.LeaseID]*held
 	list   []*held
 	ends   []seenEnd
 	stray  []runnerapi.RunStop
@@ -26,11 +27,11 @@
 	// rate is how fast work goes here, in thousandths of what its estimates
 	// say; ill is until when nothing is placed here.
 	rate  int64
-	rated identifier.Mono
-	ill   identifier.Mono
+	rated clock.Monotonic
+	ill   clock.Monotonic
 	// doubt is until when no run of the last poll can have stood still for
 	// too long.
-	doubt identifier.Mono
+	doubt clock.Monotonic
 	// old is the last progress of what ran on the former life of the runner.
 	old []state.Save
 }
@@ -38,7 +39,7 @@
 // held is a run as agents name it, with the last progress told. seq is the
 // last poll that told of it.
 type held struct {
-	id    identifier.Grant
+	id    identifier.LeaseID
 	stop  runnerapi.RunStop
 	saved string
 	pace  *pace
@@ -48,8 +49,8 @@
 // seenEnd is an end the runner tells of; Grant is 0 for one nobody waits for.
 type seenEnd struct {
 	n     uint64
-	grant identifier.Grant
-	ref   identifier.Ref
+	grant identifier.LeaseID
+	ref   identifier.TaskRef
 }
 
 // turned is what is carried over to the contact with a new life of a runner.
@@ -61,7 +62,7 @@
 }
 
 func newAgentSide(old []state.Save) *agentSide {
-	return &agentSide{old: old, runs: map[identifier.Grant]*held{}, halted: map[runnerapi.RunStop]bool{}, rate: 1000}
+	return &agentSide{old: old, runs: map[identifier.LeaseID]*held{}, halted: map[runnerapi.RunStop]bool{}, rate: 1000}
 }
 
 // saves lists the progress last told of what still counts as running.
@@ -70,7 +71,7 @@
 		return nil
 	}
 	list := c.agent.old
-	ordered := []identifier.Grant{}
+	ordered := []identifier.LeaseID{}
 	for id := range c.agent.runs {
 		ordered = append(ordered, id)
 	}
@@ -145,7 +146,7 @@
 // again finds a run among those of the poll before, which mostly come in the
 // same order, at or after next. It holds as long as its grant is open: a
 // task's grant is the open one.
-func (m *Machine) again(name identifier.Runner, inc identifier.Inc, was []*held, next int, stop runnerapi.RunStop) (h *held, at int) {
+func (m *Machine) again(name identifier.Runner, inc identifier.Incarnation, was []*held, next int, stop runnerapi.RunStop) (h *held, at int) {
 	for i := next; i < len(was) && i < next+ahead; i++ {
 		if was[i].stop != stop {
 			continue
@@ -188,7 +189,7 @@
 
 // answerAgent answers an agent's open poll if there is something to tell that
 // it was not told, or the poll has been open for long enough.
-func (m *Machine) answerAgent(name identifier.Runner, c *contact, a *runnerapi.Answer, hold identifier.Span) {
+func (m *Machine) answerAgent(name identifier.Runner, c *contact, a *runnerapi.Answer, hold clock.Millis) {
 	s := c.agent
 	fresh := len(a.Starts) > 0
 	for _, id := range a.Stops {
--- a/internal/controlplane/agents_test.go
+++ b/internal/controlplane/agents_test.go
@@ -11,6 +11,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/state"
@@ -21,7 +22,7 @@
 // each, in virtual time: what the leader and the agents owe their runners.
 type site struct {
 	t      *testing.T
-	now    identifier.Mono
+	now    clock.Monotonic
 	keep   *controlplane.Machine
 	posts  []post
 	hands  []*hand
@@ -36,7 +37,7 @@
 
 // post is a message under way.
 type post struct {
-	at   identifier.Mono
+	at   clock.Monotonic
 	to   string
 	from string
 	msg  wire.Msg
@@ -49,7 +50,7 @@
 	inc   int
 	seq   uint64
 	room  job.Demand
-	next  identifier.Mono
+	next  clock.Monotonic
 	runs  []*running
 	ends  []runnerapi.RunEnd
 	n     uint64
@@ -58,18 +59,18 @@
 	// hung holds all its work still; cut keeps its agent from the core; frozen
 	// is until when the runner does nothing.
 	dead, mute, hung, cut bool
-	frozen                identifier.Mono
-	hold                  identifier.Span
+	frozen                clock.Monotonic
+	hold                  clock.Millis
 	// slow is how many times as long all work takes.
-	slow  identifier.Mono
-	until identifier.Mono
+	slow  clock.Monotonic
+	until clock.Monotonic
 	saves bool
 }
 
 type running struct {
 	runnerapi.Start
-	at, end identifier.Mono
-	stop    identifier.Mono
+	at, end clock.Monotonic
+	stop    clock.Monotonic
 	bad     bool
 }
 
@@ -128,7 +129,7 @@
 }
 
 // run lets time pass.
-func (s *site) run(ms identifier.Mono) {
+func (s *site) run(ms clock.Monotonic) {
 	for end := s.now + ms; s.now < end; s.now++ {
 		later := []post{}
 		for len(s.posts) > 0 {
@@ -144,7 +145,7 @@
 		}
 		s.posts = later
 		if s.now%20 == 0 {
-			s.keep.Tick(s.now, identifier.Wall(1_800_000_000_000+int64(s.now)))
+			s.keep.Tick(s.now, clock.WallTime(1_800_000_000_000+int64(s.now)))
 			s.out()
 			s.named()
 			for _, h := range s.hands {
@@ -177,7 +178,7 @@
 	}
 	switch {
 	case p.to == "k":
-		s.keep.Frame(wire.Peer(p.from), p.msg, s.now, identifier.Wall(1_800_000_000_000+int64(s.now)))
+		s.keep.Frame(wire.Peer(p.from), p.msg, s.now, clock.WallTime(1_800_000_000_000+int64(s.now)))
 		s.out()
 	case p.to == "op":
 		if p.msg.Reply != nil {
@@ -198,10 +199,10 @@
 		o := s.keep.Take()
 		more = false
 		for _, x := range o.Sends {
-			s.posts = append(s.posts, post{s.now + 1 + identifier.Mono(s.rnd.Intn(3)), string(x.To), "k", x.Msg})
+			s.posts = append(s.posts, post{s.now + 1 + clock.Monotonic(s.rnd.Intn(3)), string(x.To), "k", x.Msg})
 		}
 		for _, w := range o.Writes {
-			s.keep.Synced(w.Seq, s.now, identifier.Wall(1_800_000_000_000+int64(s.now)))
+			s.keep.Synced(w.Seq, s.now, clock.WallTime(1_800_000_000_000+int64(s.now)))
 			more = true
 		}
 	}
@@ -209,12 +210,12 @@
 
 func (s *site) sends(h *hand) {
 	for _, x := range h.mach.Take().Sends {
-		s.posts = append(s.posts, post{s.now + 1 + identifier.Mono(s.rnd.Intn(3)), string(x.To), h.name, x.Msg})
+		s.posts = append(s.posts, post{s.now + 1 + clock.Monotonic(s.rnd.Intn(3)), string(x.To), h.name, x.Msg})
 	}
 }
 
 // timed is a task's name as runners know it, which always tells the time.
-func timed(r identifier.Ref) identifier.Ref {
+func timed(r identifier.TaskRef) identifier.TaskRef {
 	if !strings.Contains(string(r.Job), ".") {
 		r.Job += ".0"
 	}
@@ -271,7 +272,7 @@
 
 func (s *site) beat(h *hand) {
 	h.seq++
-	b := agent.Beat{Runner: identifier.Inc(fmt.Sprintf("%s-%d", h.name, h.inc)), Seq: h.seq, Pool: "x", Domain: "a", Rack: "r1", Cap: h.room, Draining: h.drain, Departs: 60000}
+	b := agent.Beat{Runner: identifier.Incarnation(fmt.Sprintf("%s-%d", h.name, h.inc)), Seq: h.seq, Pool: "x", Domain: "a", Rack: "r1", Cap: h.room, Draining: h.drain, Departs: 60000}
 	for _, r := range h.runs {
 		far := 100 - int64(r.end-s.now)*100/int64(r.Run)
 		if h.hung {
@@ -282,7 +283,7 @@
 	b.Finished = append(b.Finished, h.ends...)
 	o := h.mach.Beat(b, s.now)
 	s.sends(h)
-	h.next = s.now + identifier.Mono(o.Retry)
+	h.next = s.now + clock.Monotonic(o.Retry)
 	if h.mute {
 		return
 	}
@@ -339,7 +340,7 @@
 		s.t.Errorf("%d: DRAIN: %s began on %s", s.now, name, h.name)
 	}
 	s.starts[name]++
-	h.runs = append(h.runs, &running{Start: x, at: s.now, end: s.now + identifier.Mono(x.Run)})
+	h.runs = append(h.runs, &running{Start: x, at: s.now, end: s.now + clock.Monotonic(x.Run)})
 }
 
 func (s *site) submit(id string, tasks int, span int) {
@@ -355,7 +356,7 @@
 		for i := 0; i < 30; i++ {
 			id := fmt.Sprintf("%016x", i)
 			s.submit(id, 1+s.rnd.Intn(8), 200+s.rnd.Intn(900))
-			s.run(identifier.Mono(s.rnd.Intn(250)))
+			s.run(clock.Monotonic(s.rnd.Intn(250)))
 			if s.rnd.Intn(2) == 0 {
 				s.must("DELETE", "/v1/jobs/q/"+id, "")
 			}
@@ -393,7 +394,7 @@
 		s.submit("00000000000000b1", 8, 30000)
 		s.run(2000)
 		s.hands[0].frozen = s.now + 5000
-		s.run(4900 + identifier.Mono(s.rnd.Intn(100)))
+		s.run(4900 + clock.Monotonic(s.rnd.Intn(100)))
 		s.run(90)
 		s.hands[0].cut = true
 		s.run(14000)
@@ -449,7 +450,7 @@
 		}
 		s.run(8000)
 		s.submit("00000000000000d1", 8, 5000)
-		s.run(1000 + identifier.Mono(s.rnd.Intn(300)))
+		s.run(1000 + clock.Monotonic(s.rnd.Intn(300)))
 		if s.rnd.Intn(2) == 0 {
 			s.hands[0].dead = true
 		} else {
@@ -491,7 +492,7 @@
 		s := newSite(t, seed, 2)
 		for i := 0; i < 6; i++ {
 			s.submit(fmt.Sprintf("%016x", i), 6, 400)
-			s.run(identifier.Mono(s.rnd.Intn(200)))
+			s.run(clock.Monotonic(s.rnd.Intn(200)))
 			if i == 3 {
 				s.hands[0].drain = true
 				s.beat(s.hands[0])
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -38,7 +38,7 @@
 	first := m.book.NextGrant
 	res := m.book.Apply(c)
 	if e.Term != m.seenTerm || m.book.Now > m.seen.site(m.now) {
-		m.seen, m.seenTerm = newClock(m.book.Now, at), e.Term
+		m.seen, m.seenTerm = newClusterClock(m.book.Now, at), e.Term
 	}
 	m.trackRouting()
 	m.sums.put(e.Index, m.book.Sum)
--- a/internal/controlplane/ask.go
+++ b/internal/controlplane/ask.go
@@ -127,7 +127,7 @@
 	case kind == "jobs" && n == 2 && a.Verb == "GET":
 		m.listJobs(c)
 	case kind == "states" && n == 4 && a.Verb == "GET":
-		m.showState(c, identifier.MakeKey(identifier.Agent(c.parts[2]), identifier.JobID(c.parts[3])))
+		m.showState(c, identifier.NewJobKey(identifier.Client(c.parts[2]), identifier.JobID(c.parts[3])))
 	case kind == "fence" && n == 2 && a.Verb == "GET":
 		m.replyDoc(from, a.ID, 200, runnerapi.Answer{Fence: uint64(m.term)})
 	case kind == "queues" && n == 3 && a.Verb == "GET":
@@ -135,7 +135,7 @@
 	case kind == "catalog" && n == 2:
 		m.routeCatalog(c)
 	case kind == "jobs" && n == 4:
-		m.routeJob(c, identifier.MakeKey(identifier.Agent(c.parts[2]), identifier.JobID(c.parts[3])))
+		m.routeJob(c, identifier.NewJobKey(identifier.Client(c.parts[2]), identifier.JobID(c.parts[3])))
 	case kind == "runners" && n == 2 && a.Verb == "GET":
 		m.replyDoc(from, a.ID, 200, m.showRunners())
 	case kind == "runners" && n == 4 && c.parts[3] == "poll" && a.Verb == "POST":
@@ -176,7 +176,7 @@
 	m.replyDoc(peer, id, res.Status, res.Doc)
 }
 
-func (m *Machine) routeJob(c *call, key identifier.Key) {
+func (m *Machine) routeJob(c *call, key identifier.JobKey) {
 	switch c.Verb {
 	case "PUT":
 		var f jsondoc.Faults
@@ -280,7 +280,7 @@
 				o.Done()
 			}
 		}
-		if !identifier.Plain(name) {
+		if !identifier.ValidName(name) {
 			f.Sense("domain", "not a name")
 		}
 		if f.Any() {
--- a/internal/controlplane/boot.go
+++ b/internal/controlplane/boot.go
@@ -4,6 +4,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/transport/wire"
 )
@@ -66,4 +67,4 @@
 )
 
 // Tick is how often a keeper should be ticked.
-const Tick identifier.Span = tickMs
+const Tick clock.Millis = tickMs
--- a/internal/controlplane/clock.go
+++ b/internal/controlplane/clock.go
@@ -1,4 +1,4 @@
-// Site time: what appointed starts are held against. It starts from what was
+// Cluster time: what appointed starts are held against. It starts from what was
 // last committed, carried forward by the keeper's own monotonic clock for as
 // long as it has known of it, advances by the leader's monotonic clock, never goes back,
 // and leans, by at most one part in twenty, towards what a majority of the
@@ -12,11 +12,12 @@
 	"sort"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
-type clock struct {
-	base identifier.Millis
-	at   identifier.Mono
+type clusterClock struct {
+	base clock.ClusterTime
+	at   clock.Monotonic
 	lean int64
 	// agreed is whether the clocks last agreed; set that they once did under
 	// this leader, after which it never steps.
@@ -32,20 +33,22 @@
 	coldGap  = 200
 	// alike is how far apart clocks may be that are said to agree.
 	alike = 1000
-	// unset is a site time that nobody ever set: no clock reads so little.
-	unset identifier.Millis = 946_684_800_000
+	// unset is a cluster time that nobody ever set: no clock reads so little.
+	unset clock.ClusterTime = 946_684_800_000
 )
 
-func newClock(base identifier.Millis, now identifier.Mono) clock {
-	return clock{base: base, at: now}
+func newClusterClock(base clock.ClusterTime, now clock.Monotonic) clusterClock {
+	return clusterClock{base: base, at: now}
 }
 
-func (c *clock) site(now identifier.Mono) identifier.Millis { return c.base.Add(now.Since(c.at)) }
+func (c *clusterClock) site(now clock.Monotonic) clock.ClusterTime {
+	return c.base.Add(now.Since(c.at))
+}
 
-// carried is the furthest that any voter in reach has carried site time from
+// carried is the furthest that any voter in reach has carried cluster time from
 // the last leader's term: a leader that was away itself must not set it back
 // for the others, and one that slept must not carry on from before that term.
-func (m *Machine) carried() identifier.Millis {
+func (m *Machine) carried() clock.ClusterTime {
 	at := max(m.book.Now, m.seen.site(m.now))
 	for _, s := range m.raft.MemberStatuses() {
 		if s.Voter && s.Site > 0 && s.From >= m.raft.Basis() {
@@ -58,7 +61,7 @@
 // got tells when the log came to reach an index.
 type got struct {
 	index identifier.Index
-	at    identifier.Mono
+	at    clock.Monotonic
 }
 
 // note keeps track of how far the log reaches and since when. What came in
@@ -77,7 +80,7 @@
 
 // came tells when an entry about to be applied came here, and forgets those
 // that came before it.
-func (m *Machine) came(i identifier.Index) identifier.Mono {
+func (m *Machine) came(i identifier.Index) clock.Monotonic {
 	n := 0
 	for n < len(m.gots) && m.gots[n].index < i {
 		n++
@@ -90,12 +93,12 @@
 
 // walls is the evidence: what the members' clocks claim at this moment.
 type walls struct {
-	list []identifier.Millis
+	list []clock.ClusterTime
 	need int
 	cold bool
 }
 
-func (c *clock) tick(now identifier.Mono, w walls) {
+func (c *clusterClock) tick(now clock.Monotonic, w walls) {
 	span := now.Since(c.at)
 	if span <= 0 {
 		return
@@ -117,14 +120,14 @@
 	c.lean += int64(span)
 	most := c.lean / leanPart
 	c.lean -= most * leanPart
-	c.base += identifier.Millis(max(-most, min(most, diff)))
+	c.base += clock.ClusterTime(max(-most, min(most, diff)))
 }
 
 // agree finds a majority of the clocks that lie within a second, the closest
 // such, and returns the middle one of them.
-func (w walls) agree() (at identifier.Millis, ok bool) {
+func (w walls) agree() (at clock.ClusterTime, ok bool) {
 	sort.Slice(w.list, func(i, j int) bool { return w.list[i] < w.list[j] })
-	low := identifier.Millis(alike + 1)
+	low := clock.ClusterTime(alike + 1)
 	for i := 0; w.need > 0 && i+w.need <= len(w.list); i++ {
 		if span := w.list[i+w.need-1] - w.list[i]; span < low {
 			low, at, ok = span, w.list[i+(w.need-1)/2], true
@@ -145,14 +148,14 @@
 			voters++
 		}
 		if mem.Voter && mem.ID == m.boot.ID {
-			w.list = append(w.list, identifier.Millis(m.wall))
+			w.list = append(w.list, clock.ClusterTime(m.wall))
 		}
 	}
 	for _, s := range m.raft.MemberStatuses() {
 		if !s.Voter || s.At == 0 || m.now.Since(s.At) > 2000 {
 			continue
 		}
-		w.list = append(w.list, identifier.Millis(s.Wall).Add(m.now.Since(s.At)))
+		w.list = append(w.list, clock.ClusterTime(s.Wall).Add(m.now.Since(s.At)))
 		w.cold = w.cold && s.Met == m.term
 	}
 	w.need = voters/2 + 1
--- a/internal/controlplane/deposed_test.go
+++ b/internal/controlplane/deposed_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/state"
@@ -12,13 +13,13 @@
 
 // deliver hands a keeper a frame and lets its disk sync at once; it returns all
 // that the keeper sends.
-func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now identifier.Mono) []wire.Send {
+func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now clock.Monotonic) []wire.Send {
 	m.Frame(from, msg, now, 0)
 	return synced(m, now)
 }
 
 // synced syncs what a keeper writes until it writes nothing more.
-func synced(m *controlplane.Machine, now identifier.Mono) []wire.Send {
+func synced(m *controlplane.Machine, now clock.Monotonic) []wire.Send {
 	var sends []wire.Send
 	for o := m.Take(); len(o.Writes) > 0 || len(o.Sends) > 0; o = m.Take() {
 		sends = append(sends, o.Sends...)
@@ -31,7 +32,7 @@
 
 // leaderOfThree is a keeper that leads two others, "k2" and "k3", which have
 // acknowledged all it has.
-func leaderOfThree(t *testing.T) (m *controlplane.Machine, now identifier.Mono) {
+func leaderOfThree(t *testing.T) (m *controlplane.Machine, now clock.Monotonic) {
 	t.Helper()
 	m = controlplane.New(controlplane.Boot{ID: 1, Addr: "k1", Domain: "a", Timing: raft.Usual(), Level: state.Present}, 0)
 	members := []raft.Member{{ID: 1, Addr: "k1", Domain: "a", Voter: true}, {ID: 2, Addr: "k2", Domain: "b", Voter: true}, {ID: 3, Addr: "k3", Domain: "c", Voter: true}}
@@ -50,7 +51,7 @@
 }
 
 // agree answers a keeper's messages as the others would.
-func agree(m *controlplane.Machine, sends []wire.Send, now identifier.Mono) {
+func agree(m *controlplane.Machine, sends []wire.Send, now clock.Monotonic) {
 	for len(sends) > 0 {
 		next := []wire.Send{}
 		for _, s := range sends {
@@ -62,7 +63,7 @@
 	}
 }
 
-func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now identifier.Mono) []wire.Send {
+func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now clock.Monotonic) []wire.Send {
 	back := raft.Message{From: r.To, To: r.From, Term: r.Term, Stamp: r.Stamp}
 	switch r.Kind {
 	case raft.RequestPreVote:
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -32,6 +32,6 @@
 // Begin with boot.go (configuration and output) and machine.go (inputs, applying
 // entries, gaining and losing leadership). ask.go and sync.go serve requests, order_age.go drops old orders, leave.go stops in order, polls.go and
 // agents.go runners, lead.go the leader's periodic work, find.go discovery,
-// seats.go and reseat.go membership, and clock.go site time. docs/design.md shows
+// seats.go and reseat.go membership, and clock.go cluster time. docs/design.md shows
 // how the parts fit together.
 package controlplane
--- a/internal/controlplane/find.go
+++ b/internal/controlplane/find.go
@@ -10,25 +10,26 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/state"
 	"orchidward/internal/transport/wire"
 )
 
 type find struct {
-	next  identifier.Mono
+	next  clock.Monotonic
 	empty map[string]raft.Member
-	seen  map[string]identifier.Mono
+	seen  map[string]clock.Monotonic
 	// porters are the seeds that have no disk, by their own word.
 	porters map[string]bool
 	begun   bool
 	// born is when this search began, stirred when a message among members of a
 	// group was last heard.
-	born, stirred identifier.Mono
+	born, stirred clock.Monotonic
 }
 
-func newFind(now identifier.Mono) *find {
-	return &find{born: now, empty: map[string]raft.Member{}, seen: map[string]identifier.Mono{}, porters: map[string]bool{}}
+func newFind(now clock.Monotonic) *find {
+	return &find{born: now, empty: map[string]raft.Member{}, seen: map[string]clock.Monotonic{}, porters: map[string]bool{}}
 }
 
 const (
@@ -99,7 +100,7 @@
 
 // still tells whether, for long enough for a leader to make itself heard, no
 // group was. Seeds without a disk forget at a restart that there is one.
-func (f *find) still(now identifier.Mono) bool {
+func (f *find) still(now clock.Monotonic) bool {
 	return now.Since(f.born) >= stillMs && (f.stirred == 0 || now.Since(f.stirred) >= stillMs)
 }
 
@@ -120,7 +121,7 @@
 }
 
 // Started says that the ring Out.Start asked for is on disk.
-func (m *Machine) Started(v *raft.Snapshot, now identifier.Mono, wall identifier.Wall) {
+func (m *Machine) Started(v *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
 	m.clock(now, wall)
 	if err := m.Resume(raft.HardState{}, v, nil); err != nil {
 		m.quit(err.Error())
--- a/internal/controlplane/gang.go
+++ b/internal/controlplane/gang.go
@@ -9,6 +9,7 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
 
@@ -18,7 +19,7 @@
 
 // gangSpan is how long a member may go on without word: less than a grant, and
 // longer than a change of leaders takes.
-func (m *Machine) gangSpan(g *state.Grant) identifier.Span {
+func (m *Machine) gangSpan(g *state.Grant) clock.Millis {
 	if m.book.Level < 1 || !spread(g, m.book.Partners(g)) {
 		return 0
 	}
@@ -76,7 +77,7 @@
 	if l.doubt > m.at {
 		return
 	}
-	var late []identifier.Grant
+	var late []identifier.LeaseID
 	span := silence * m.book.Table.Site("startMs")
 	for n, c := range l.runners {
 		r := m.book.Runners[n]
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -9,6 +9,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
 
@@ -17,7 +18,7 @@
 type pace struct {
 	from    int64
 	percent int64
-	still   identifier.Span
+	still   clock.Millis
 	// rate is how fast it goes, in thousandths of its estimate; 0 for unknown.
 	rate int64
 }
@@ -84,7 +85,7 @@
 const whole = 99
 
 // leastStill is the least time without a move that is held against a run.
-func leastStill(g *state.Grant) identifier.Span { return stillLeast + g.Run/8 }
+func leastStill(g *state.Grant) clock.Millis { return stillLeast + g.Run/8 }
 
 // still tells whether a run has not moved for longer than any sound one would,
 // a slow one included: a hundredth of a slow run is some hundredths of its span.
@@ -124,7 +125,7 @@
 		return
 	}
 	l.looked = m.now
-	var late, slow []identifier.Grant
+	var late, slow []identifier.LeaseID
 	room := map[identifier.Runner]job.Demand{}
 	for _, n := range m.book.RunnerNames() {
 		c := l.runners[n]
@@ -171,8 +172,8 @@
 	if c.agent.rate >= slowRate || p.rate == 0 || p.rate >= slowRate || st.Lasting || p.percent >= whole {
 		return false
 	}
-	left := g.Run * identifier.Span(100-p.percent) / 100
-	here, there := left*1000/identifier.Span(p.rate), g.Run
+	left := g.Run * clock.Millis(100-p.percent) / 100
+	here, there := left*1000/clock.Millis(p.rate), g.Run
 	if st.Saves {
 		there = min(there, left+restoring)
 	}
@@ -207,8 +208,8 @@
 
 // never lists what was placed on agents' runners that are leaving or closed and
 // has not begun there, and so never will.
-func (m *Machine) never() []identifier.Grant {
-	var list []identifier.Grant
+func (m *Machine) never() []identifier.LeaseID {
+	var list []identifier.LeaseID
 	for _, n := range m.book.RunnerNames() {
 		c, r := m.lead.runners[n], m.book.Runners[n]
 		if c == nil || c.agent == nil || !c.known || r.Inc != c.inc || !c.drain && r.Fence() == "" {
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -7,6 +7,7 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/scheduler"
 	"orchidward/internal/state"
 	"orchidward/internal/transport/wire"
@@ -14,55 +15,55 @@
 
 type lead struct {
 	runners map[identifier.Runner]*contact
-	placed  map[identifier.Grant]identifier.Mono
-	sure    map[identifier.Grant]bool
-	swept   identifier.Mono
+	placed  map[identifier.LeaseID]clock.Monotonic
+	sure    map[identifier.LeaseID]bool
+	swept   clock.Monotonic
 	duty    map[string]identifier.Index
 	entered map[string]entry
 	place   identifier.Index
 	losing  map[identifier.Runner]identifier.Index
 	doubt   identifier.Index
 	moving  identifier.Index
-	looked  identifier.Mono
+	looked  clock.Monotonic
 	raising identifier.Index
-	checked identifier.Mono
+	checked clock.Monotonic
 	hot     map[identifier.Runner]bool
 	line    []turn
 	dirty   bool
-	planned identifier.Mono
-	clock   clock
-	beat    identifier.Mono
+	planned clock.Monotonic
+	clock   clusterClock
+	beat    clock.Monotonic
 	// rose is when this lead began, enough when five members were last alive.
-	rose, enough identifier.Mono
+	rose, enough clock.Monotonic
 	// told is when the seeds that are no members were last told of the group.
-	told identifier.Mono
+	told clock.Monotonic
 }
 
 // contact is a runner as the leader has it in hand.
 type contact struct {
-	inc     identifier.Inc
+	inc     identifier.Incarnation
 	seq     uint64
-	heard   identifier.Mono
-	silent  identifier.Span
+	heard   clock.Monotonic
+	silent  clock.Millis
 	known   bool
 	drain   bool
-	running map[identifier.Grant]bool
+	running map[identifier.LeaseID]bool
 	// told are the runs that answers to this poll called whole; before, those
 	// that answers to the last one did.
-	told   map[identifier.Grant]bool
-	before map[identifier.Grant]bool
-	ended  map[identifier.Grant]runnerapi.End
+	told   map[identifier.LeaseID]bool
+	before map[identifier.LeaseID]bool
+	ended  map[identifier.LeaseID]runnerapi.End
 	open   bool
 	peer   wire.Peer
 	id     uint64
-	since  identifier.Mono
+	since  clock.Monotonic
 	facts  identifier.Index
 	ends   identifier.Index
 	agent  *agentSide
 }
 
 // quiet is how long nothing was heard of the runner itself.
-func (c *contact) quiet(now identifier.Mono) identifier.Span {
+func (c *contact) quiet(now clock.Monotonic) clock.Millis {
 	return now.Since(c.heard) + c.silent
 }
 
@@ -70,7 +71,7 @@
 // margin covers clocks that drift. An agent's runner holds by its own last
 // heartbeat, which the agent tells of while it polls; when the agent is silent
 // too, later heartbeats may have been answered, up to the end of its grant.
-func (c *contact) lapsed(now identifier.Mono, grant identifier.Span) bool {
+func (c *contact) lapsed(now clock.Monotonic, grant clock.Millis) bool {
 	if c.agent == nil {
 		return now.Since(c.heard) > grant+grant/10+1000
 	}
@@ -82,17 +83,17 @@
 type turn struct {
 	runner identifier.Runner
 	id     uint64
-	since  identifier.Mono
+	since  clock.Monotonic
 }
 
 // entry notes when, by this leader's clock, a closing came to its stage.
 type entry struct {
 	stage state.Stage
-	at    identifier.Mono
+	at    clock.Monotonic
 }
 
 func (m *Machine) rise() {
-	l := &lead{runners: map[identifier.Runner]*contact{}, placed: map[identifier.Grant]identifier.Mono{}, sure: map[identifier.Grant]bool{},
+	l := &lead{runners: map[identifier.Runner]*contact{}, placed: map[identifier.LeaseID]clock.Monotonic{}, sure: map[identifier.LeaseID]bool{},
 		duty: map[string]identifier.Index{}, entered: map[string]entry{}, losing: map[identifier.Runner]identifier.Index{}, hot: map[identifier.Runner]bool{}, dirty: true, planned: -planGap, rose: m.now, enough: m.now}
 	for _, n := range m.book.RunnerNames() {
 		l.runners[n] = &contact{inc: m.book.Runners[n].Inc, heard: m.now}
@@ -100,9 +101,9 @@
 	for id := range m.book.Grants {
 		l.placed[id] = m.now
 	}
-	l.clock = newClock(m.carried(), m.now)
+	l.clock = newClusterClock(m.carried(), m.now)
 	m.lead = l
-	m.reason = map[identifier.Key]map[int]string{}
+	m.reason = map[identifier.JobKey]map[int]string{}
 }
 
 // propose puts a command into the log. It is not decided until applied.
@@ -169,7 +170,7 @@
 func (m *Machine) unsure() {
 	l := m.lead
 	span := m.book.Table.Site("confirmMs")
-	var late []identifier.Grant
+	var late []identifier.LeaseID
 	for id, at := range l.placed {
 		g := m.book.Grants[id]
 		switch {
@@ -226,7 +227,7 @@
 	}
 }
 
-func (m *Machine) next(c *state.Closing, in identifier.Span) *state.Step {
+func (m *Machine) next(c *state.Closing, in clock.Millis) *state.Step {
 	s := &state.Step{ID: c.ID, From: c.Stage}
 	free, loose := m.book.Undone(c)
 	switch c.Stage {
@@ -255,7 +256,7 @@
 }
 
 // patience is how long post-drain waits for stops before it judges.
-func (m *Machine) patience(c *state.Closing) identifier.Span {
+func (m *Machine) patience(c *state.Closing) clock.Millis {
 	if c.Kind == state.KindRack {
 		return m.book.Table.Site("drainMs")
 	}
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -7,20 +7,20 @@
 package controlplane
 
 import (
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 )
 
 const (
 	// decideWait is how long a leader that leaves waits for what is under way,
 	// and leaveWait how long the whole may take, in milliseconds.
-	decideWait identifier.Span = 300
-	leaveWait  identifier.Span = 1500
+	decideWait clock.Millis = 300
+	leaveWait  clock.Millis = 1500
 )
 
 // leaving is an orderly stop under way.
 type leaving struct {
-	since identifier.Mono
+	since clock.Monotonic
 	// handed says that leadership was handed on, or need not be.
 	handed bool
 }
--- a/internal/controlplane/load_test.go
+++ b/internal/controlplane/load_test.go
@@ -12,6 +12,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/state"
@@ -23,7 +24,7 @@
 // all of the collector's.
 type load struct {
 	b      *testing.B
-	now    identifier.Mono
+	now    clock.Monotonic
 	keep   *controlplane.Machine
 	rnd    *rand.Rand
 	hollow []*hollow
@@ -56,13 +57,13 @@
 }
 
 type hollowRun struct {
-	task    identifier.Ref
+	task    identifier.TaskRef
 	no      uint64
-	at, end identifier.Mono
-	span    identifier.Span
+	at, end clock.Monotonic
+	span    clock.Millis
 }
 
-func clock(id int32) int64 {
+func clusterClock(id int32) int64 {
 	var t unix.Timespec
 	if err := unix.ClockGettime(id, &t); err != nil {
 		panic(err)
@@ -88,7 +89,7 @@
 	return l
 }
 
-func (l *load) wall() identifier.Wall { return identifier.Wall(1_800_000_000_000 + int64(l.now)) }
+func (l *load) wall() clock.WallTime { return clock.WallTime(1_800_000_000_000 + int64(l.now)) }
 
 func (l *load) request(verb, path, body string) {
 	l.ask++
@@ -101,7 +102,7 @@
 }
 
 // run lets time pass, with so many tasks a second handed in, three to a job.
-func (l *load) run(ms identifier.Mono, starts int) {
+func (l *load) run(ms clock.Monotonic, starts int) {
 	due := 0
 	for end := l.now + ms; l.now < end; l.now++ {
 		for due += starts; due >= 3000; due -= 3000 {
@@ -117,9 +118,9 @@
 				l.beat(h)
 			}
 		}
-		from := clock(unix.CLOCK_THREAD_CPUTIME_ID)
+		from := clusterClock(unix.CLOCK_THREAD_CPUTIME_ID)
 		sends := l.step(l.in[slot])
-		l.cpu += clock(unix.CLOCK_THREAD_CPUTIME_ID) - from
+		l.cpu += clusterClock(unix.CLOCK_THREAD_CPUTIME_ID) - from
 		l.in[slot] = l.in[slot][:0]
 		for _, x := range sends {
 			at := (int(l.now) + 1 + l.rnd.Intn(3)) % len(l.out)
@@ -180,9 +181,9 @@
 	}
 	h.ends = left
 	for _, s := range a.Starts {
-		run := hollowRun{task: s.Task, no: s.No, at: l.now, end: l.now + identifier.Mono(s.Run), span: s.Run}
+		run := hollowRun{task: s.Task, no: s.No, at: l.now, end: l.now + clock.Monotonic(s.Run), span: s.Run}
 		if l.first {
-			run.end = l.now + identifier.Mono(l.rnd.Int63n(int64(s.Run)))
+			run.end = l.now + clock.Monotonic(l.rnd.Int63n(int64(s.Run)))
 		}
 		h.runs, h.news = append(h.runs, run), true
 		l.begun++
@@ -223,7 +224,7 @@
 	for i, r := range h.runs {
 		text = append(text, [2]string{`,"active":[`, `,`}[min(i, 1)]...)
 		text = appendRun(text, "", r.task, r.no)
-		gap := identifier.Mono(max(1, r.span/100))
+		gap := clock.Monotonic(max(1, r.span/100))
 		text = append(text, `,"percent":`...)
 		text = strconv.AppendInt(text, int64(min(99, (l.now-r.at)/gap)), 10)
 		text = append(text, `,"stillMs":`...)
@@ -245,7 +246,7 @@
 	return append(text, '}')
 }
 
-func appendRun(text []byte, before string, task identifier.Ref, no uint64) []byte {
+func appendRun(text []byte, before string, task identifier.TaskRef, no uint64) []byte {
 	text = append(append(text, '{'), before...)
 	text = append(append(text, `"task":{"job":"`...), task.Job...)
 	text = strconv.AppendInt(append(text, `","step":`...), int64(task.Step), 10)
@@ -280,14 +281,14 @@
 			l.run(6000, one.starts)
 			l.cpu, l.begun, l.ended, l.polled, l.bad = 0, 0, 0, 0, 0
 			runtime.GC()
-			whole, own := clock(unix.CLOCK_PROCESS_CPUTIME_ID), clock(unix.CLOCK_THREAD_CPUTIME_ID)
+			whole, own := clusterClock(unix.CLOCK_PROCESS_CPUTIME_ID), clusterClock(unix.CLOCK_THREAD_CPUTIME_ID)
 			b.ResetTimer()
 			secs := 0
 			for b.Loop() {
 				l.run(1000, one.starts)
 				secs++
 			}
-			whole, own = clock(unix.CLOCK_PROCESS_CPUTIME_ID)-whole, clock(unix.CLOCK_THREAD_CPUTIME_ID)-own
+			whole, own = clusterClock(unix.CLOCK_PROCESS_CPUTIME_ID)-whole, clusterClock(unix.CLOCK_THREAD_CPUTIME_ID)-own
 			runs := 0
 			for _, h := range l.hollow {
 				runs += len(h.runs)
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -7,6 +7,7 @@
 	"github.com/go-faster/errors"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/scheduler"
 	"orchidward/internal/scheduler/policy"
@@ -19,13 +20,13 @@
 // reads no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot  Boot
-	now   identifier.Mono
-	wall  identifier.Wall
+	now   clock.Monotonic
+	wall  clock.WallTime
 	raft  *raft.Raft
 	book  *state.Book
 	at    identifier.Index
 	since int64
-	seen  clock
+	seen  clusterClock
 	// seenTerm is the term of the entry that seen goes on from.
 	seenTerm identifier.Term
 	// gots notes when entries came, for those not yet applied: an entry's time
@@ -46,16 +47,16 @@
 	follows wire.Peer
 	reach   reach
 	// reached is when this keeper last had a leader to go to.
-	reached identifier.Mono
+	reached clock.Monotonic
 	out     Out
 
 	founders []raft.Member
 	find     *find
 	porter   *porter
-	gates    map[string]identifier.Mono
+	gates    map[string]clock.Monotonic
 	// edge is where gates listen, and when each was last heard.
-	edge  map[string]identifier.Mono
-	alone identifier.Mono
+	edge  map[string]clock.Monotonic
+	alone clock.Monotonic
 
 	waits  map[identifier.Index]wait
 	tables int
@@ -65,7 +66,7 @@
 
 	term   identifier.Term
 	lead   *lead
-	reason map[identifier.Key]map[int]string
+	reason map[identifier.JobKey]map[int]string
 	shelf  *policy.Shelf
 	fared  scheduler.Policies
 	// Full tells how much of the write-ahead log is in use, in percent, so that
@@ -94,15 +95,15 @@
 	peer wire.Peer
 	id   uint64
 	to   wire.Peer
-	at   identifier.Mono
+	at   clock.Monotonic
 }
 
 // New makes a server without any state: one with a disk looks for a group to
 // join or, if told so, founds one; one without a disk only forwards requests to
 // the leader. Resume follows where the disk held state.
-func New(boot Boot, now identifier.Mono) *Machine {
-	m := &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]identifier.Mono{}, edge: map[string]identifier.Mono{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
-		find: newFind(now), alone: now, reached: now, reason: map[identifier.Key]map[int]string{}, book: state.New(), shelf: policy.NewShelf(), fared: scheduler.Policies{}, Full: func() int { return 0 }}
+func New(boot Boot, now clock.Monotonic) *Machine {
+	m := &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]clock.Monotonic{}, edge: map[string]clock.Monotonic{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
+		find: newFind(now), alone: now, reached: now, reason: map[identifier.JobKey]map[int]string{}, book: state.New(), shelf: policy.NewShelf(), fared: scheduler.Policies{}, Full: func() int { return 0 }}
 	if boot.Diskless {
 		m.find, m.porter = nil, &porter{}
 	}
@@ -152,7 +153,7 @@
 // Tick passes in the time and starts whatever is due: heartbeats, elections,
 // discovery, and the periodic work of a leader. It should come every Tick
 // milliseconds.
-func (m *Machine) Tick(now identifier.Mono, wall identifier.Wall) {
+func (m *Machine) Tick(now clock.Monotonic, wall clock.WallTime) {
 	if m.over {
 		return
 	}
@@ -181,7 +182,7 @@
 	m.settle()
 }
 
-func (m *Machine) clock(now identifier.Mono, wall identifier.Wall) {
+func (m *Machine) clock(now clock.Monotonic, wall clock.WallTime) {
 	m.now, m.wall = max(m.now, now), wall
 	if m.raft != nil && m.seen.base > 0 {
 		m.raft.Carry(m.seen.site(m.now), m.seenTerm)
@@ -190,7 +191,7 @@
 
 // Frame passes in one message from another process. from is where a reply goes;
 // it need not be the sender's listening address.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now identifier.Mono, wall identifier.Wall) {
+func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now clock.Monotonic, wall clock.WallTime) {
 	if m.over {
 		return
 	}
@@ -222,7 +223,7 @@
 
 // Synced reports that all writes up to and including seq are on disk, which lets
 // acknowledgements that waited for them go out.
-func (m *Machine) Synced(seq uint64, now identifier.Mono, wall identifier.Wall) {
+func (m *Machine) Synced(seq uint64, now clock.Monotonic, wall clock.WallTime) {
 	if m.over {
 		return
 	}
--- a/internal/controlplane/order_age.go
+++ b/internal/controlplane/order_age.go
@@ -9,7 +9,7 @@
 package controlplane
 
 import (
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/transport/wire"
 )
@@ -63,4 +63,4 @@
 }
 
 // expiredRetry is when a caller may come back whose order was too old, in ms.
-const expiredRetry identifier.Span = 200
+const expiredRetry clock.Millis = 200
--- a/internal/controlplane/polls.go
+++ b/internal/controlplane/polls.go
@@ -13,6 +13,7 @@
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/state"
 	"orchidward/internal/transport/wire"
 )
@@ -21,7 +22,7 @@
 // once, so that whoever was cut off knows that it no longer is.
 const away = 1000
 
-func sortGrants(list []identifier.Grant) {
+func sortGrants(list []identifier.LeaseID) {
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 }
 
@@ -66,7 +67,7 @@
 	c.seq, c.heard, c.silent, c.known, c.drain = p.Seq, m.now, p.Silent, true, p.Mode == runnerapi.Draining
 	c.open, c.peer, c.id, c.since = true, peer, id, m.now
 	if back {
-		c.since -= identifier.Mono(m.book.Table.Site("startMs"))
+		c.since -= clock.Monotonic(m.book.Table.Site("startMs"))
 	}
 	c.begin()
 	was := c.before
@@ -108,7 +109,7 @@
 // begin empties what a poll says anew; what was told before it is kept aside.
 func (c *contact) begin() {
 	if c.running == nil {
-		c.running, c.ended, c.told, c.before = map[identifier.Grant]bool{}, map[identifier.Grant]runnerapi.End{}, map[identifier.Grant]bool{}, map[identifier.Grant]bool{}
+		c.running, c.ended, c.told, c.before = map[identifier.LeaseID]bool{}, map[identifier.LeaseID]runnerapi.End{}, map[identifier.LeaseID]bool{}, map[identifier.LeaseID]bool{}
 		return
 	}
 	c.told, c.before = c.before, c.told
@@ -188,8 +189,8 @@
 	}
 }
 
-func (c *contact) order() []identifier.Grant {
-	var list []identifier.Grant
+func (c *contact) order() []identifier.LeaseID {
+	var list []identifier.LeaseID
 	for id := range c.ended {
 		list = append(list, id)
 	}
@@ -283,10 +284,10 @@
 	m.reply(peer, id, status, text, 0)
 }
 
-func (m *Machine) reply(peer wire.Peer, id uint64, status int, body []byte, retry identifier.Span) {
+func (m *Machine) reply(peer wire.Peer, id uint64, status int, body []byte, retry clock.Millis) {
 	m.send(peer, wire.Msg{Reply: &wire.Reply{ID: id, Status: status, Body: body, Retry: retry}})
 }
 
-func (m *Machine) refuse(peer wire.Peer, id uint64, status int, code, why string, retry identifier.Span) {
+func (m *Machine) refuse(peer wire.Peer, id uint64, status int, code, why string, retry clock.Millis) {
 	m.reply(peer, id, status, jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), retry)
 }
--- a/internal/controlplane/porter.go
+++ b/internal/controlplane/porter.go
@@ -8,18 +8,19 @@
 	"sort"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/transport/wire"
 )
 
 type porter struct {
-	next    identifier.Mono
+	next    clock.Monotonic
 	members []raft.Member
 	lead    identifier.Node
 	// heard is when a keeper last said that lead leads, own when that one did.
-	heard, own identifier.Mono
+	heard, own clock.Monotonic
 	// rumour is when a keeper was heard that is in a group, but has no leader.
-	rumour identifier.Mono
+	rumour clock.Monotonic
 }
 
 const (
@@ -32,7 +33,7 @@
 func (p *porter) knows() bool { return len(p.members) > 0 }
 
 // leader is the member that leads, by what the porter has heard lately.
-func (p *porter) leader(now identifier.Mono) (mem raft.Member, ok bool) {
+func (p *porter) leader(now clock.Monotonic) (mem raft.Member, ok bool) {
 	if p.lead == 0 || now.Since(p.heard) > vouchLife {
 		return mem, false
 	}
@@ -64,7 +65,7 @@
 
 // unsure tells whether this porter can say neither where the group is nor that
 // there is none: then it says nothing.
-func (p *porter) unsure(now identifier.Mono) bool {
+func (p *porter) unsure(now clock.Monotonic) bool {
 	return !p.knows() && p.rumour != 0 && now.Since(p.rumour) < stillMs
 }
 
--- a/internal/controlplane/reach.go
+++ b/internal/controlplane/reach.go
@@ -7,43 +7,43 @@
 package controlplane
 
 import (
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/transport/wire"
 )
 
 const (
 	// unreachedAfter is how long a leader may leave requests and pings without
 	// any answer, in milliseconds, before it counts as out of reach.
-	unreachedAfter identifier.Span = 400
+	unreachedAfter clock.Millis = 400
 	// pingAfter is how long it may be silent before it is asked for a sign of
 	// life, pingGap how often it then is, in milliseconds.
-	pingAfter identifier.Span = 150
-	pingGap   identifier.Span = 100
+	pingAfter clock.Millis = 150
+	pingGap   clock.Millis = 100
 )
 
 // reach is what a keeper knows of its way to the leader.
 type reach struct {
 	// waiting is since when some request has been passed on without a reply.
-	waiting identifier.Mono
+	waiting clock.Monotonic
 	// heard is when the leader last answered anything, pinged when it was last
 	// asked for a sign of life.
-	heard, pinged identifier.Mono
+	heard, pinged clock.Monotonic
 	lost          bool
 }
 
 // passed notes that a request goes to the leader; first says that none was
 // waiting for it.
-func (r *reach) passed(now identifier.Mono, first bool) {
+func (r *reach) passed(now clock.Monotonic, first bool) {
 	if first {
 		r.waiting = now
 	}
 }
 
 // answered notes a reply or a sign of life.
-func (r *reach) answered(now identifier.Mono) { r.heard, r.lost = now, false }
+func (r *reach) answered(now clock.Monotonic) { r.heard, r.lost = now, false }
 
 // silent is how long the leader has owed an answer.
-func (r *reach) silent(now identifier.Mono) identifier.Span {
+func (r *reach) silent(now clock.Monotonic) clock.Millis {
 	return now.Since(max(r.waiting, r.heard))
 }
 
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -6,6 +6,7 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/transport/wire"
@@ -23,7 +24,7 @@
 }
 
 // hear has a keeper say that it leads.
-func hear(m *controlplane.Machine, addr string, id identifier.Node, reading wire.LeaderTime, now identifier.Mono) {
+func hear(m *controlplane.Machine, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
 	members := []raft.Member{{ID: relayLeader, Addr: "k7", Voter: true}, {ID: 8, Addr: "k8", Voter: true}}
 	m.Frame(wire.Peer(addr), wire.Msg{Tell: &wire.Tell{Role: "keeper", Node: id, Addr: addr, Founded: true, Lead: id, Members: members, Leader: reading}}, now, 0)
 }
@@ -118,7 +119,7 @@
 func TestExpiredOrder(t *testing.T) {
 	s := newSite(t, 1, 0)
 	term := s.keep.Raft().Term()
-	ask := func(verb string, dated bool, known wire.LeaderTime, budget identifier.Span) *wire.Reply {
+	ask := func(verb string, dated bool, known wire.LeaderTime, budget clock.Millis) *wire.Reply {
 		var r *wire.Reply
 		s.ask++
 		order := &wire.Ask{ID: s.ask, Verb: verb, Path: "/v1/closings/nowhere", Budget: budget, Dated: dated, Known: known}
@@ -134,8 +135,8 @@
 		verb   string
 		dated  bool
 		term   identifier.Term
-		age    identifier.Span
-		budget identifier.Span
+		age    clock.Millis
+		budget clock.Millis
 		taken  bool
 	}{
 		{"fresh", "PUT", true, term, 100, 900, true},
--- a/internal/controlplane/reseat.go
+++ b/internal/controlplane/reseat.go
@@ -5,6 +5,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 )
 
@@ -13,7 +14,7 @@
 type seat struct {
 	raft.Member
 	self, live, dead, ready, idle bool
-	quiet                         identifier.Span
+	quiet                         clock.Millis
 }
 
 // seatTable is the group being weighed. Held counts a zone's voters but for the
--- a/internal/controlplane/show.go
+++ b/internal/controlplane/show.go
@@ -10,6 +10,7 @@
 	"strconv"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/state"
 )
@@ -17,15 +18,15 @@
 // JobDoc is a job as the API returns it. Times are RFC 3339 in UTC; Steps is
 // left out of lists. Why says why the job failed, if it did.
 type JobDoc struct {
-	Job       identifier.Key `json:"job"`
-	State     string         `json:"state"`
-	Pending   identifier.Row `json:"pending"`
-	Urgency   int64          `json:"urgency"`
-	Accepted  string         `json:"accepted"`
-	NotBefore string         `json:"notBefore,omitempty"`
-	Ended     string         `json:"ended,omitempty"`
-	Why       string         `json:"why,omitempty"`
-	Steps     []StepDoc      `json:"steps,omitempty"`
+	Job       identifier.JobKey `json:"job"`
+	State     string            `json:"state"`
+	Pending   identifier.Row    `json:"pending"`
+	Urgency   int64             `json:"urgency"`
+	Accepted  string            `json:"accepted"`
+	NotBefore string            `json:"notBefore,omitempty"`
+	Ended     string            `json:"ended,omitempty"`
+	Why       string            `json:"why,omitempty"`
+	Steps     []StepDoc         `json:"steps,omitempty"`
 }
 
 // StepDoc is one step of a job; Why says what its waiting tasks wait for.
@@ -39,11 +40,11 @@
 // start, and "stopping" while its lease is being revoked; Why then is the
 // reason.
 type TaskDoc struct {
-	State   string            `json:"state"`
-	Runner  identifier.Runner `json:"runner,omitempty"`
-	Grant   identifier.Grant  `json:"grant,omitempty"`
-	Defects int64             `json:"defects"`
-	Why     string            `json:"why,omitempty"`
+	State   string             `json:"state"`
+	Runner  identifier.Runner  `json:"runner,omitempty"`
+	Grant   identifier.LeaseID `json:"grant,omitempty"`
+	Defects int64              `json:"defects"`
+	Why     string             `json:"why,omitempty"`
 }
 
 func (m *Machine) jobDoc(j *state.Job, full bool) JobDoc {
@@ -97,7 +98,7 @@
 	return "behind other work of row " + string(j.Spec.Pending)
 }
 
-func (m *Machine) showJob(c *call, key identifier.Key) {
+func (m *Machine) showJob(c *call, key identifier.JobKey) {
 	if j := m.book.Jobs[key]; j != nil {
 		m.replyDoc(c.peer, c.ID, 200, m.jobDoc(j, true))
 		return
@@ -114,7 +115,7 @@
 	State string `json:"state"`
 }
 
-func (m *Machine) showState(c *call, key identifier.Key) {
+func (m *Machine) showState(c *call, key identifier.JobKey) {
 	if j := m.book.Jobs[key]; j != nil {
 		m.replyDoc(c.peer, c.ID, 200, StateDoc{j.State()})
 		return
@@ -164,7 +165,7 @@
 		Next string   `json:"next,omitempty"`
 	}{Jobs: []JobDoc{}}
 	looked := 0
-	m.book.Page(identifier.Key(q.Get("after")), func(j *state.Job) bool {
+	m.book.Page(identifier.JobKey(q.Get("after")), func(j *state.Job) bool {
 		agent, _ := j.Key.Split()
 		looked++
 		if match(q, "agent", string(agent)) && match(q, "pending", string(j.Spec.Pending)) && match(q, "state", j.State()) {
@@ -199,7 +200,7 @@
 	Mode   string             `json:"mode"`
 	Gone   bool               `json:"gone"`
 	Fence  string             `json:"fence,omitempty"`
-	Quiet  identifier.Span    `json:"quietMs"`
+	Quiet  clock.Millis       `json:"quietMs"`
 	Good   int64              `json:"well"`
 	Bad    int64              `json:"defects"`
 }
@@ -283,7 +284,7 @@
 	Name  string           `json:"name"`
 	Lead  bool             `json:"leads"`
 	Match identifier.Index `json:"match"`
-	Quiet identifier.Span  `json:"quietMs"`
+	Quiet clock.Millis     `json:"quietMs"`
 	Level uint16           `json:"level"`
 }
 
--- a/internal/daemon/agentd/desk.go
+++ b/internal/daemon/agentd/desk.go
@@ -1,4 +1,4 @@
-// Package agentdesk is the agent's main duty: it alone touches the machine.
+// Package agentd is the agent's main duty: it alone touches the machine.
 // Frames from the core come in on one ring, and what its runner says, by way
 // of whatever face the agent has, on another.
 package agentd
@@ -12,6 +12,7 @@
 
 	"orchidward/internal/agent"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/daemon/logging"
 	"orchidward/internal/transport/httpserver"
@@ -29,7 +30,7 @@
 // Desk runs an agent.Machine.
 type Desk struct {
 	log     *logging.Log
-	clock   *lifecycle.Clock
+	clock   *clock.System
 	link    *link.Link
 	mach    *agent.Machine
 	in      *lifecycle.Ring[input]
@@ -48,7 +49,7 @@
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d := &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*agent.Machine](1024)}
+	d := &Desk{log: log, clock: clock.NewSystem(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*agent.Machine](1024)}
 	d.mach = agent.New(s.Boot, d.clock.Now())
 	if d.link, err = link.Listen(s.Boot.Addr, c); err != nil {
 		return nil, err
@@ -66,7 +67,7 @@
 
 func (d *Desk) run(stop <-chan struct{}) {
 	defer d.errands.Close()
-	beat := time.NewTicker(agent.Tick.Real())
+	beat := time.NewTicker(agent.Tick.Duration())
 	defer beat.Stop()
 	for {
 		select {
@@ -101,7 +102,7 @@
 
 // Leave tells that a runner says good-bye. If not ok, the machine has not
 // heard of it and won't.
-func (d *Desk) Leave(ctx context.Context, id identifier.Inc) (ok bool) {
+func (d *Desk) Leave(ctx context.Context, id identifier.Incarnation) (ok bool) {
 	return d.errands.Do(ctx, func(m *agent.Machine) { m.Leave(id, d.clock.Now()) })
 }
 
--- a/internal/daemon/agentd/desk_test.go
+++ b/internal/daemon/agentd/desk_test.go
@@ -63,7 +63,7 @@
 			t.Fatal("the core was not told of the runner")
 		}
 	}
-	if !d.Leave(ctx, identifier.Inc("a")) || !d.Look(ctx, func(*agent.Machine) {}) {
+	if !d.Leave(ctx, identifier.Incarnation("a")) || !d.Look(ctx, func(*agent.Machine) {}) {
 		t.Error("the desk takes no errands")
 	}
 	if err = c.Stop(ctx); err != nil {
--- a/internal/daemon/gatewayd/desk.go
+++ b/internal/daemon/gatewayd/desk.go
@@ -13,6 +13,7 @@
 	"go.uber.org/fx"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/daemon/logging"
 	"orchidward/internal/gateway"
@@ -35,7 +36,7 @@
 // Desk runs a gateway.Machine.
 type Desk struct {
 	log     *logging.Log
-	clock   *lifecycle.Clock
+	clock   *clock.System
 	link    *link.Link
 	http    *httpserver.Server
 	gauges  *httpserver.Gauges
@@ -64,7 +65,7 @@
 	if name == "" {
 		name = s.Addr
 	}
-	d := &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
+	d := &Desk{log: log, clock: clock.NewSystem(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
 	d.mach = gateway.New(gateway.Boot{Addr: s.Addr, HTTP: name, Domain: s.Domain, Seeds: s.Seeds, Seed: rand.Int64()}, d.clock.Now())
 	if d.link, err = link.Listen(s.Addr, c); err != nil {
 		return nil, err
@@ -97,7 +98,7 @@
 
 func (d *Desk) run(stop <-chan struct{}) {
 	defer d.errands.Close()
-	beat := time.NewTicker(gateway.Tick.Real())
+	beat := time.NewTicker(gateway.Tick.Duration())
 	defer beat.Stop()
 	for {
 		select {
--- a/internal/daemon/gatewayd/web.go
+++ b/internal/daemon/gatewayd/web.go
@@ -10,7 +10,7 @@
 
 	"github.com/gin-gonic/gin"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/gateway"
 	"orchidward/internal/transport/httpserver"
 )
@@ -62,7 +62,7 @@
 			httpserver.Refuse(c, 400, "bad-request", budgetHead+" wants 50 to 30000")
 			return
 		}
-		r.Budget = identifier.Span(n)
+		r.Budget = clock.Millis(n)
 	}
 	a := d.Ask(c.Request.Context(), r)
 	if c.Request.Context().Err() != nil {
--- a/internal/daemon/lifecycle/crew.go
+++ b/internal/daemon/lifecycle/crew.go
@@ -1,4 +1,4 @@
-// Package crew is the one place where goroutines are started: a duty each,
+// Package lifecycle is the one place where goroutines are started: a duty each,
 // named, and all of them waited for at the stop.
 package lifecycle
 
--- a/internal/daemon/logging/logs.go
+++ b/internal/daemon/logging/logs.go
@@ -1,4 +1,4 @@
-// Package logs writes one key=value line for each event.
+// Package logging writes one key=value line for each event.
 package logging
 
 import (
--- a/internal/daemon/serverd/desk.go
+++ b/internal/daemon/serverd/desk.go
@@ -16,6 +16,7 @@
 	"go.uber.org/fx"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/consensus/wal"
 	"orchidward/internal/controlplane"
@@ -43,7 +44,7 @@
 	Memory int64
 	// Elect is the least time a keeper waits for word of a leader before it asks
 	// for an election, in milliseconds; 0 is the usual 1000.
-	Elect identifier.Span
+	Elect clock.Millis
 }
 
 func (s Settings) timing() raft.Timing {
@@ -56,7 +57,7 @@
 // Desk runs a controlplane.Machine.
 type Desk struct {
 	log     *logging.Log
-	clock   *lifecycle.Clock
+	clock   *clock.System
 	link    *link.Link
 	http    *httpserver.Server
 	gauges  *httpserver.Gauges
@@ -95,7 +96,7 @@
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d := &Desk{log: log, clock: lifecycle.NewClock(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*controlplane.Machine](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
+	d := &Desk{log: log, clock: clock.NewSystem(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*controlplane.Machine](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
 	boot := controlplane.Boot{Addr: s.Addr, Domain: s.Domain, Seeds: s.Seeds, Seed: int64(random() >> 1), Timing: s.timing(), Level: state.Present, Found: s.Found, Cells: s.Cells, Diskless: s.Data == ""}
 	if d.store, boot.ID, err = newStore(s); err != nil {
 		return nil, err
@@ -154,7 +155,7 @@
 
 func (d *Desk) run(stop <-chan struct{}) {
 	defer d.errands.Close()
-	beat := time.NewTicker(controlplane.Tick.Real())
+	beat := time.NewTicker(controlplane.Tick.Duration())
 	defer beat.Stop()
 	for {
 		if x := d.todo.Next(); x != nil {
--- a/internal/daemon/serverd/desk_test.go
+++ b/internal/daemon/serverd/desk_test.go
@@ -11,7 +11,7 @@
 
 	"go.uber.org/fx"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/daemon/logging"
@@ -167,7 +167,7 @@
 func TestAskAlone(t *testing.T) {
 	c, seeds := lifecycle.New(), free(3)
 	d, l := desk(t, c, seeds[0], seeds)
-	ask := func(budget identifier.Span) gateway.Answer {
+	ask := func(budget clock.Millis) gateway.Answer {
 		return d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: budget})
 	}
 	for i := 0; i < 4096; i++ {
--- a/internal/daemon/settings/boot.go
+++ b/internal/daemon/settings/boot.go
@@ -1,4 +1,4 @@
-// Package boot reads a program's settings: flags, and a JSON settings file
+// Package settings reads a program's settings: flags, and a JSON settings file
 // whose keys are the flags' names. Everything is checked before anything is
 // opened, and every fault is named with its key.
 package settings
@@ -147,7 +147,7 @@
 
 // Name wants a plain name, as ids.Plain defines it.
 func (c *Check) Name(key, val string) {
-	if !identifier.Plain(val) {
+	if !identifier.ValidName(val) {
 		c.Fault(key, "want 1 to 64 letters, digits, '.', '-' or '_', have %q", val)
 	}
 }
--- a/internal/gateway/boot.go
+++ b/internal/gateway/boot.go
@@ -7,6 +7,7 @@
 	"strings"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/stalldetector"
 	"orchidward/internal/transport/wire"
 )
@@ -31,7 +32,7 @@
 	Path   string
 	Query  string
 	Body   []byte
-	Budget identifier.Span
+	Budget clock.Millis
 }
 
 // Repeatable tells whether the request may be sent to a leader again when it
@@ -43,7 +44,7 @@
 }
 
 // patience is how long the caller waits, in milliseconds, where it doesn't say.
-func (r Request) patience() identifier.Span {
+func (r Request) patience() clock.Millis {
 	switch {
 	case r.Budget > 0:
 		return r.Budget
@@ -58,7 +59,7 @@
 	ID     uint64
 	Status int
 	Body   []byte
-	Retry  identifier.Span
+	Retry  clock.Millis
 }
 
 // Event is one line for the log: a name and alternating keys and values.
@@ -77,21 +78,21 @@
 
 const (
 	// Touch is how long a gate may be out of touch and still decide.
-	Touch identifier.Span = 1000
+	Touch clock.Millis = 1000
 	// Tick is how often a gate should be ticked.
-	Tick identifier.Span = 50
+	Tick clock.Millis = 50
 	// syncGap lies between two syncs with the leader, syncWait is how long the
 	// answer to one is waited for.
-	syncGap  identifier.Span = 200
-	syncWait identifier.Span = 400
+	syncGap  clock.Millis = 200
+	syncWait clock.Millis = 400
 	// tellGap lies between two words to the servers that this gate lives, lostGap
 	// while it is out of touch.
-	tellGap identifier.Span = 1000
-	lostGap identifier.Span = 200
+	tellGap clock.Millis = 1000
+	lostGap clock.Millis = 200
 	// usualUnnumbered is for orders without a number. With the longest pause that
 	// goes unnoticed it makes a second, after which callers send them again.
-	usualUnnumbered                 = 1000 - stalldetector.Limit
-	usual           identifier.Span = 5000
+	usualUnnumbered              = 1000 - stalldetector.Limit
+	usual           clock.Millis = 5000
 	// most and mostBytes bound the requests in hand and their bodies.
 	most      int = 4096
 	mostBytes int = 64 << 20
@@ -101,13 +102,13 @@
 	expiredMost int = 4
 	// tryWait is how long a try goes without an answer before another server is
 	// asked, shunned how long a server that failed is passed over.
-	tryWait identifier.Span = 1000
-	shunned identifier.Span = 3000
+	tryWait clock.Millis = 1000
+	shunned clock.Millis = 3000
 	// againGap lies between two tries of a request that met no leader.
-	againGap identifier.Span = 100
+	againGap clock.Millis = 100
 	// staleGap is when a request is tried again whose table is being updated,
 	// behindMost how long an update may take before what is not in the table may
 	// be in the next, in milliseconds.
-	staleGap   identifier.Span = 50
-	behindMost identifier.Span = 1000
+	staleGap   clock.Millis = 50
+	behindMost clock.Millis = 1000
 )
--- a/internal/gateway/machine.go
+++ b/internal/gateway/machine.go
@@ -8,6 +8,7 @@
 	"orchidward/internal/api/admission"
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/routing"
 	"orchidward/internal/stalldetector"
@@ -20,14 +21,14 @@
 // no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot Boot
-	now  identifier.Mono
+	now  clock.Monotonic
 	out  Out
 	// routes is the copy of the leader's routing table, rules its rows compiled.
 	routes routing.Replica
 	rules  *admission.Rules
 	// behind is since when the leader is known to have a newer table, 0 when this
 	// one is the newest that is known.
-	behind identifier.Mono
+	behind clock.Monotonic
 	// queues finds the queues of the catalogue, nil while there is none.
 	queues *catalog.Map
 
@@ -35,11 +36,11 @@
 	gates   []string
 	lead    identifier.Node
 	via     wire.Peer
-	bad     map[wire.Peer]identifier.Mono
-	touch   identifier.Mono
+	bad     map[wire.Peer]clock.Monotonic
+	touch   clock.Monotonic
 	sync    *asked
-	synced  identifier.Mono
-	told    identifier.Mono
+	synced  clock.Monotonic
+	told    clock.Monotonic
 
 	// leaderClock is the latest reading of the leader's clock that came here,
 	// paused finds out when this process stood still.
@@ -61,7 +62,7 @@
 // asked is the sync under way; after is the page that it asked for.
 type asked struct {
 	id    uint64
-	at    identifier.Mono
+	at    clock.Monotonic
 	to    wire.Peer
 	after string
 }
@@ -69,8 +70,8 @@
 // call is a request passed on and not yet answered.
 type call struct {
 	Request
-	until identifier.Mono
-	sent  identifier.Mono
+	until clock.Monotonic
+	sent  clock.Monotonic
 	to    wire.Peer
 	ask   uint64
 	stale int
@@ -82,18 +83,18 @@
 	// lost says that some keeper may have taken the request, and its answer is
 	// not known.
 	lost  bool
-	later identifier.Mono
+	later clock.Monotonic
 }
 
 // New makes a gateway that knows no table and no leader yet; it is not ready
 // until it has synced with a leader.
-func New(boot Boot, now identifier.Mono) *Machine {
-	return &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * Touch), told: now.Add(-tellGap), bad: map[wire.Peer]identifier.Mono{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
+func New(boot Boot, now clock.Monotonic) *Machine {
+	return &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * Touch), told: now.Add(-tellGap), bad: map[wire.Peer]clock.Monotonic{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
 }
 
 // Ready tells whether the gate has been in touch with the leader lately and
 // has a table to decide by.
-func (m *Machine) Ready(now identifier.Mono) bool {
+func (m *Machine) Ready(now clock.Monotonic) bool {
 	return m.rules != nil && now.Since(m.touch) < Touch
 }
 
@@ -147,7 +148,7 @@
 }
 
 // observe takes the time of an input.
-func (m *Machine) observe(now identifier.Mono) {
+func (m *Machine) observe(now clock.Monotonic) {
 	m.now = max(m.now, now)
 	m.paused.Observe(m.now)
 }
@@ -155,7 +156,7 @@
 // Tick passes in the time: it announces and syncs when due, retries requests
 // that may be repeated, and gives up those whose budget is used up. It should
 // come every Tick milliseconds.
-func (m *Machine) Tick(now identifier.Mono) {
+func (m *Machine) Tick(now clock.Monotonic) {
 	m.observe(now)
 	m.greet()
 	m.keepTouch()
@@ -187,7 +188,7 @@
 
 // Frame passes in a message from another server. A reply counts only when it
 // comes from the server that was asked last.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now identifier.Mono) {
+func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now clock.Monotonic) {
 	m.observe(now)
 	switch {
 	case msg.Tell != nil:
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -12,12 +12,13 @@
 	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/api/limits"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/transport/wire"
 )
 
 // Request takes one in. It is answered at once when it can't be passed on.
-func (m *Machine) Request(r Request, now identifier.Mono) {
+func (m *Machine) Request(r Request, now clock.Monotonic) {
 	m.observe(now)
 	m.Counts.Asked++
 	r.Budget = r.patience()
@@ -52,7 +53,7 @@
 	switch {
 	case c.Verb == "PUT" && len(parts) == 4 && parts[1] == "jobs":
 		for _, p := range parts[2:] {
-			if !identifier.Plain(p) {
+			if !identifier.ValidName(p) {
 				f.Sense("path", "agent and job id want 1 to 64 letters, digits, '.', '-' or '_'")
 			}
 		}
@@ -60,7 +61,7 @@
 			m.rules.Run(s, -1, &f)
 		}
 	case c.Verb == "POST" && len(parts) == 4 && parts[3] == "poll":
-		if !identifier.Plain(parts[2]) {
+		if !identifier.ValidName(parts[2]) {
 			f.Sense("path", "runner's name wants 1 to 64 letters, digits, '.', '-' or '_'")
 		}
 		runnerapi.Read(c.Body, &f)
@@ -169,7 +170,7 @@
 	m.refuse(id, 503, code, why, 1000)
 }
 
-func (m *Machine) refuse(id uint64, status int, code, why string, retry identifier.Span) {
+func (m *Machine) refuse(id uint64, status int, code, why string, retry clock.Millis) {
 	m.Counts.Refused++
 	m.settle(Answer{ID: id, Status: status, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), Retry: retry})
 }
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -9,6 +9,7 @@
 
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
@@ -20,7 +21,7 @@
 	m       *Machine
 	table   routing.Table
 	history *routing.History
-	now     identifier.Mono
+	now     clock.Monotonic
 	syncs   int
 	largest int
 }
@@ -80,7 +81,7 @@
 	return rest
 }
 
-func (l *leading) tick(ms identifier.Mono) Out {
+func (l *leading) tick(ms clock.Monotonic) Out {
 	var o Out
 	for end := l.now + ms; l.now < end; l.now += 50 {
 		l.m.Tick(l.now)
--- a/internal/gateway/touch.go
+++ b/internal/gateway/touch.go
@@ -12,6 +12,7 @@
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
@@ -80,7 +81,7 @@
 // choose prefers the leader, then whichever member failed least lately.
 func (m *Machine) choose() wire.Peer {
 	var p wire.Peer
-	low := identifier.Mono(0)
+	low := clock.Monotonic(0)
 	for _, mem := range m.members {
 		at, was := m.bad[wire.Peer(mem.Addr)]
 		if mem.ID == m.lead && (!was || m.now.Since(at) > shunned) {
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -1,4 +1,4 @@
-// Package pending keeps the requests that were made at one server of the
+// Package inflight keeps the requests that were made at one server of the
 // control plane until they have an answer. It is a pure state machine: requests,
 // replies and the time go in; dispatches and answers come out.
 //
@@ -12,20 +12,20 @@
 	"sort"
 	"strconv"
 
-	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
 	"orchidward/internal/gateway"
 	"orchidward/internal/stalldetector"
 	"orchidward/internal/transport/wire"
 )
 
 const (
-	usualBudget   identifier.Span = 2000
-	retryGap      identifier.Span = 100
-	noLeaderRetry identifier.Span = 500
-	mostRequests                  = 4096
-	mostBytes                     = 64 << 20
-	mostExpired                   = 4
+	usualBudget   clock.Millis = 2000
+	retryGap      clock.Millis = 100
+	noLeaderRetry clock.Millis = 500
+	mostRequests               = 4096
+	mostBytes                  = 64 << 20
+	mostExpired                = 4
 )
 
 // request is one that waits. While dispatched is set the machine has it; else
@@ -33,9 +33,9 @@
 type request struct {
 	gateway.Request
 	done       func(a gateway.Answer)
-	until      identifier.Mono
+	until      clock.Monotonic
 	dispatched bool
-	retryAt    identifier.Mono
+	retryAt    clock.Monotonic
 	// unknown says that an earlier dispatch may have been carried out.
 	unknown bool
 	// expired counts the dispatches that were refused as too old.
@@ -74,12 +74,12 @@
 }
 
 // Observe notes that the process runs; it is called at every input of it, first.
-func (r *Requests) Observe(now identifier.Mono) { r.paused.Observe(now) }
+func (r *Requests) Observe(now clock.Monotonic) { r.paused.Observe(now) }
 
 // Admit takes a request in. Done is called once with its answer, at once when
 // it can't be dispatched: connected tells whether the server knows a leader, or
 // did a moment ago. A budget of 0 is 2 s.
-func (r *Requests) Admit(q gateway.Request, done func(a gateway.Answer), now identifier.Mono, connected bool) {
+func (r *Requests) Admit(q gateway.Request, done func(a gateway.Answer), now clock.Monotonic, connected bool) {
 	r.Observe(now)
 	refuse := func(a gateway.Answer) {
 		a.ID = q.ID
@@ -105,14 +105,14 @@
 	r.dispatch(one, now)
 }
 
-func (r *Requests) dispatch(one *request, now identifier.Mono) {
+func (r *Requests) dispatch(one *request, now clock.Monotonic) {
 	one.dispatched = true
 	ask := &wire.Ask{ID: one.ID, Verb: one.Verb, Path: one.Path, Query: one.Query, Body: one.Body, Budget: one.until.Since(now)}
 	r.out = append(r.out, Dispatch{Peer(one.ID), ask})
 }
 
 // Complete takes the machine's reply to a dispatch.
-func (r *Requests) Complete(to wire.Peer, reply *wire.Reply, now identifier.Mono) {
+func (r *Requests) Complete(to wire.Peer, reply *wire.Reply, now clock.Monotonic) {
 	one := r.open[reply.ID]
 	if one == nil || to != Peer(reply.ID) || !one.dispatched {
 		return
@@ -136,7 +136,7 @@
 
 // Tick answers what is out of time or has no leader to go to, and dispatches
 // again what is due.
-func (r *Requests) Tick(now identifier.Mono, connected bool) {
+func (r *Requests) Tick(now clock.Monotonic, connected bool) {
 	r.Observe(now)
 	for _, id := range r.order() {
 		one := r.open[id]
@@ -184,7 +184,7 @@
 }
 
 // Refusal is an answer in the one shape that errors have.
-func Refusal(status int, code, why string, retry identifier.Span) gateway.Answer {
+func Refusal(status int, code, why string, retry clock.Millis) gateway.Answer {
 	return gateway.Answer{Status: status, Retry: retry, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON()}
 }
 
--- a/internal/inflight/requests_test.go
+++ b/internal/inflight/requests_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/gateway"
 	"orchidward/internal/transport/wire"
 )
@@ -14,7 +14,7 @@
 }
 
 // admitted is a set with one request in it, given to the machine at 1000 ms.
-func admitted(t *testing.T, budget identifier.Span) (h *Requests, back chan gateway.Answer) {
+func admitted(t *testing.T, budget clock.Millis) (h *Requests, back chan gateway.Answer) {
 	t.Helper()
 	return admittedAs(t, gateway.Request{ID: 7, Verb: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: budget})
 }
@@ -70,7 +70,7 @@
 // left of the budget; when all of them did, the caller is told to come back.
 func TestMoved(t *testing.T) {
 	h, back := admitted(t, 0)
-	for at := identifier.Mono(1000); at < 2900; at += 100 {
+	for at := clock.Monotonic(1000); at < 2900; at += 100 {
 		h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Moved: true}, at)
 		h.Tick(at+99, true)
 		if list := h.Take(); len(list) > 0 {
@@ -78,7 +78,7 @@
 		}
 		h.Tick(at+100, true)
 		list := h.Take()
-		if len(list) != 1 || list[0].Ask.Budget != identifier.Mono(3000).Since(at+100) {
+		if len(list) != 1 || list[0].Ask.Budget != clock.Monotonic(3000).Since(at+100) {
 			t.Fatalf("at %d given to the machine: %+v", at+100, list)
 		}
 		none(t, back)
@@ -208,10 +208,10 @@
 // the pause was long, so that no order is taken then; reads are.
 func TestWoken(t *testing.T) {
 	h := New()
-	for now := identifier.Mono(0); now <= 1000; now += 20 {
+	for now := clock.Monotonic(0); now <= 1000; now += 20 {
 		h.Tick(now, true)
 	}
-	ask := func(id uint64, verb string, now identifier.Mono) gateway.Answer {
+	ask := func(id uint64, verb string, now clock.Monotonic) gateway.Answer {
 		a := gateway.Answer{}
 		h.Admit(gateway.Request{ID: id, Verb: verb, Path: "/v1/closings/a", Budget: 900}, func(got gateway.Answer) { a = got }, now, true)
 		return a
@@ -222,7 +222,7 @@
 	if a := ask(2, "GET", 9000); a.Status != 0 || h.Len() != 1 {
 		t.Errorf("a read at the wake-up: %+v", a)
 	}
-	for now := identifier.Mono(9020); now < 9600; now += 20 {
+	for now := clock.Monotonic(9020); now < 9600; now += 20 {
 		h.Tick(now, true)
 	}
 	if a := ask(3, "PUT", 9600); a.Status != 0 || h.Len() != 2 {
--- a/internal/invariants/watch.go
+++ b/internal/invariants/watch.go
@@ -1,4 +1,4 @@
-// Package watch is the observer. It believes only what runners do and what
+// Package invariants is the observer. It believes only what runners do and what
 // callers and operators were told, and holds it against the promises. The
 // simulator and the drill judge by the same one.
 package invariants
@@ -38,17 +38,17 @@
 // are durations by name, in milliseconds.
 type Watch struct {
 	w        World
-	Jobs     map[identifier.Key]*Job
-	tasks    map[identifier.Ref]*taskSeen
+	Jobs     map[identifier.JobKey]*Job
+	tasks    map[identifier.TaskRef]*taskSeen
 	leaving  map[string]int64
 	closed   map[string]int64
-	ended    map[string]map[identifier.Grant]runner.Event
+	ended    map[string]map[identifier.LeaseID]runner.Event
 	used     map[string]job.Demand
 	gangs    map[[2]any]int64
 	Breaches []string
 	Counts   map[string]int
 	kinds    map[string]bool
-	bad      map[identifier.Ref]int
+	bad      map[identifier.TaskRef]int
 	heard    map[string]int64
 	unseen   bool
 	// Spans measured on the way, in ms.
@@ -81,14 +81,14 @@
 
 // spot is an attempt running somewhere.
 type spot struct {
-	grant identifier.Grant
+	grant identifier.LeaseID
 	since int64
 }
 
 // New makes a checker that has seen nothing yet.
 func New(w World) *Watch {
-	return &Watch{w: w, Jobs: map[identifier.Key]*Job{}, tasks: map[identifier.Ref]*taskSeen{}, leaving: map[string]int64{}, closed: map[string]int64{},
-		ended: map[string]map[identifier.Grant]runner.Event{}, used: map[string]job.Demand{}, gangs: map[[2]any]int64{}, Counts: map[string]int{}, kinds: map[string]bool{}, bad: map[identifier.Ref]int{}, heard: map[string]int64{}, Spans: map[string][]int64{}}
+	return &Watch{w: w, Jobs: map[identifier.JobKey]*Job{}, tasks: map[identifier.TaskRef]*taskSeen{}, leaving: map[string]int64{}, closed: map[string]int64{},
+		ended: map[string]map[identifier.LeaseID]runner.Event{}, used: map[string]job.Demand{}, gangs: map[[2]any]int64{}, Counts: map[string]int{}, kinds: map[string]bool{}, bad: map[identifier.TaskRef]int{}, heard: map[string]int64{}, Spans: map[string][]int64{}}
 }
 
 // Breach notes a violated invariant. All are counted; only the first of a kind
@@ -107,7 +107,7 @@
 // Span records a measured duration in milliseconds.
 func (x *Watch) Span(name string, ms int64) { x.Spans[name] = append(x.Spans[name], ms) }
 
-func (x *Watch) task(r identifier.Ref) *taskSeen {
+func (x *Watch) task(r identifier.TaskRef) *taskSeen {
 	t := x.tasks[r]
 	if t == nil {
 		t = &taskSeen{on: map[string]spot{}}
@@ -165,7 +165,7 @@
 	delete(t.on, name)
 	x.used[name] = x.used[name].Minus(e.Cost)
 	if x.ended[name] == nil {
-		x.ended[name] = map[identifier.Grant]runner.Event{}
+		x.ended[name] = map[identifier.LeaseID]runner.Event{}
 	}
 	x.ended[name][e.Grant] = e
 	if e.What == "defect" {
@@ -270,7 +270,7 @@
 	for _, name := range j.Spec.Steps[e.Task.Step].After {
 		for i, st := range j.Spec.Steps {
 			for n := 0; st.Name == name && n < int(st.Tasks); n++ {
-				if t := x.tasks[identifier.Ref{Job: e.Task.Job, Step: i, Num: n}]; t == nil || t.well == 0 {
+				if t := x.tasks[identifier.TaskRef{Job: e.Task.Job, Step: i, Num: n}]; t == nil || t.well == 0 {
 					if x.unseen {
 						x.Counts["unseen ends"]++
 						continue
@@ -289,7 +289,7 @@
 func (x *Watch) Touch(name string) { x.heard[name] = x.w.Time() }
 
 // acked hears that the core acknowledged an end.
-func (x *Watch) acked(name string, id identifier.Grant) {
+func (x *Watch) acked(name string, id identifier.LeaseID) {
 	e, ok := x.ended[name][id]
 	if !ok {
 		return
@@ -323,10 +323,10 @@
 }
 
 // running counts live attempts of a job.
-func (x *Watch) running(key identifier.Key, j *Job) string {
+func (x *Watch) running(key identifier.JobKey, j *Job) string {
 	for i, st := range j.Spec.Steps {
 		for n := 0; n < int(st.Tasks); n++ {
-			t := x.tasks[identifier.Ref{Job: key, Step: i, Num: n}]
+			t := x.tasks[identifier.TaskRef{Job: key, Step: i, Num: n}]
 			if t == nil {
 				continue
 			}
@@ -341,7 +341,7 @@
 }
 
 // State hears a caller being told of a job's state.
-func (x *Watch) State(key identifier.Key, status int, word string) {
+func (x *Watch) State(key identifier.JobKey, status int, word string) {
 	j := x.Jobs[key]
 	if status == 404 {
 		x.Breach("P9", "accepted job %s is not known", key)
@@ -369,10 +369,10 @@
 }
 
 // cause wants a task that used up its defects for a job said to have failed.
-func (x *Watch) cause(key identifier.Key, j *Job) {
+func (x *Watch) cause(key identifier.JobKey, j *Job) {
 	for i, st := range j.Spec.Steps {
 		for n := 0; n < int(st.Tasks); n++ {
-			if x.bad[identifier.Ref{Job: key, Step: i, Num: n}] >= int(st.Defects) {
+			if x.bad[identifier.TaskRef{Job: key, Step: i, Num: n}] >= int(st.Defects) {
 				return
 			}
 		}
@@ -427,10 +427,10 @@
 // that word may have been late, and the observer's own pace.
 const PartMost = 8700
 
-func (x *Watch) gang(key identifier.Key, step int, st job.Step) {
+func (x *Watch) gang(key identifier.JobKey, step int, st job.Step) {
 	run, rest := 0, 0
 	for n := 0; n < int(st.Tasks); n++ {
-		t := x.tasks[identifier.Ref{Job: key, Step: step, Num: n}]
+		t := x.tasks[identifier.TaskRef{Job: key, Step: step, Num: n}]
 		live := false
 		if t != nil {
 			for on := range t.on {
@@ -475,9 +475,9 @@
 }
 
 // Close judges what must have come about by the end.
-func (x *Watch) Close() []identifier.Key {
-	var stuck []identifier.Key
-	keys := []identifier.Key{}
+func (x *Watch) Close() []identifier.JobKey {
+	var stuck []identifier.JobKey
+	keys := []identifier.JobKey{}
 	for k := range x.Jobs {
 		keys = append(keys, k)
 	}
--- a/internal/runner/boot.go
+++ b/internal/runner/boot.go
@@ -6,13 +6,14 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 )
 
 // Boot is the configuration a runner starts with. Gates are the gateways it
 // polls, Cap its capacity, and Seed makes its random choices repeatable.
 type Boot struct {
 	Name   identifier.Runner
-	Inc    identifier.Inc
+	Inc    identifier.Incarnation
 	Cap    job.Demand
 	Labels []identifier.Label
 	Domain identifier.Domain
@@ -30,14 +31,14 @@
 	Gate string
 	Seq  uint64
 	Body []byte
-	Wait identifier.Span
+	Wait clock.Millis
 }
 
 // Event is what happened to an attempt here, for logs and for observers.
 type Event struct {
 	What  string
-	Grant identifier.Grant
-	Task  identifier.Ref
+	Grant identifier.LeaseID
+	Task  identifier.TaskRef
 	Cost  job.Demand
 }
 
@@ -50,10 +51,10 @@
 
 const (
 	// Tick is how often a runner should be ticked, in milliseconds.
-	Tick      identifier.Span = 20
-	firstWait identifier.Span = 1000
-	tombLife  identifier.Span = 60000
-	mostEnds                  = 512
-	endsFull                  = 4096
-	backMost  identifier.Span = 1000
+	Tick      clock.Millis = 20
+	firstWait clock.Millis = 1000
+	tombLife  clock.Millis = 60000
+	mostEnds               = 512
+	endsFull               = 4096
+	backMost  clock.Millis = 1000
 )
--- a/internal/runner/machine.go
+++ b/internal/runner/machine.go
@@ -11,6 +11,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 )
 
 // Machine is a runner as a pure state machine: it polls for orders, runs tasks
@@ -18,44 +19,44 @@
 // output and reads no clock. It is not safe for concurrent use.
 type Machine struct {
 	boot  Boot
-	now   identifier.Mono
+	now   clock.Monotonic
 	rnd   *rand.Rand
 	out   Out
 	gates []string
 	gate  int
 
 	seq     uint64
-	open    map[uint64]identifier.Mono
-	next    identifier.Mono
-	back    identifier.Span
-	contact identifier.Mono
-	grant   identifier.Span
-	start   identifier.Span
+	open    map[uint64]clock.Monotonic
+	next    clock.Monotonic
+	back    clock.Millis
+	contact clock.Monotonic
+	grant   clock.Millis
+	start   clock.Millis
 
-	tasks   map[identifier.Grant]*work
-	ended   map[identifier.Grant]runnerapi.End
-	tombs   map[identifier.Grant]identifier.Mono
+	tasks   map[identifier.LeaseID]*work
+	ended   map[identifier.LeaseID]runnerapi.End
+	tombs   map[identifier.LeaseID]clock.Monotonic
 	news    bool
 	mode    string
-	departs identifier.Mono
-	cut     identifier.Mono
+	departs clock.Monotonic
+	cut     clock.Monotonic
 	Retired bool
 }
 
 // work is one attempt under way.
 type work struct {
 	runnerapi.Start
-	end   identifier.Mono
-	whole identifier.Mono
+	end   clock.Monotonic
+	whole clock.Monotonic
 	bad   bool
 }
 
 // New makes a runner without tasks, which polls a random one of its gateways
 // first.
-func New(boot Boot, now identifier.Mono) *Machine {
+func New(boot Boot, now clock.Monotonic) *Machine {
 	m := &Machine{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gates, mode: runnerapi.Active,
-		open: map[uint64]identifier.Mono{}, contact: now, grant: 10000, start: firstWait,
-		tasks: map[identifier.Grant]*work{}, ended: map[identifier.Grant]runnerapi.End{}, tombs: map[identifier.Grant]identifier.Mono{}}
+		open: map[uint64]clock.Monotonic{}, contact: now, grant: 10000, start: firstWait,
+		tasks: map[identifier.LeaseID]*work{}, ended: map[identifier.LeaseID]runnerapi.End{}, tombs: map[identifier.LeaseID]clock.Monotonic{}}
 	if len(m.gates) > 0 {
 		m.gate = m.rnd.Intn(len(m.gates))
 	}
@@ -97,13 +98,13 @@
 }
 
 // Cut makes the stand-in deaf and mute for a while, running on.
-func (m *Machine) Cut(span identifier.Span) { m.cut = m.now.Add(span) }
+func (m *Machine) Cut(span clock.Millis) { m.cut = m.now.Add(span) }
 
 // Move goes over to another gate: this one says that it is about to stop.
 func (m *Machine) Move() { m.gate++ }
 
 // SetMode makes the runner say that it is leaving, or that it is not.
-func (m *Machine) SetMode(mode string, departs identifier.Span, now identifier.Mono) {
+func (m *Machine) SetMode(mode string, departs clock.Millis, now clock.Monotonic) {
 	m.clock(now)
 	m.mode, m.departs = mode, m.now.Add(departs)
 	m.news = true
@@ -115,13 +116,13 @@
 
 // Tick passes in the time: it stops tasks whose lease has lapsed, ends those
 // whose time is up, and polls when due.
-func (m *Machine) Tick(now identifier.Mono) {
+func (m *Machine) Tick(now clock.Monotonic) {
 	m.clock(now)
 	m.polls()
 }
 
-func (m *Machine) order() []identifier.Grant {
-	var list []identifier.Grant
+func (m *Machine) order() []identifier.LeaseID {
+	var list []identifier.LeaseID
 	for id := range m.tasks {
 		list = append(list, id)
 	}
@@ -130,7 +131,7 @@
 }
 
 // clock first kills what outlived its grant, then ends what has run its span.
-func (m *Machine) clock(now identifier.Mono) {
+func (m *Machine) clock(now clock.Monotonic) {
 	m.now = max(m.now, now)
 	lapsed := m.now.Since(m.contact) > m.grant
 	for _, id := range m.order() {
@@ -151,7 +152,7 @@
 	}
 }
 
-func (m *Machine) end(id identifier.Grant, how string) {
+func (m *Machine) end(id identifier.LeaseID, how string) {
 	w := m.tasks[id]
 	delete(m.tasks, id)
 	m.ended[id] = runnerapi.End{Grant: id, Task: w.Task, How: how}
@@ -187,7 +188,7 @@
 func (m *Machine) fail() {
 	m.gate++
 	m.back = min(max(50, m.back*2), backMost)
-	m.next = m.now.Add(m.back/2 + identifier.Span(m.rnd.Int63n(int64(m.back))))
+	m.next = m.now.Add(m.back/2 + clock.Millis(m.rnd.Int63n(int64(m.back))))
 }
 
 func (m *Machine) ask() runnerapi.Ask {
@@ -196,7 +197,7 @@
 	if m.mode == runnerapi.Draining {
 		a.Departs = max(0, m.departs.Since(m.now))
 	}
-	list := []identifier.Grant{}
+	list := []identifier.LeaseID{}
 	for id := range m.ended {
 		list = append(list, id)
 	}
@@ -208,7 +209,7 @@
 }
 
 // Answer takes the outcome of a poll; a status of 0 means that none came.
-func (m *Machine) Answer(seq uint64, status int, body []byte, now identifier.Mono) {
+func (m *Machine) Answer(seq uint64, status int, body []byte, now clock.Monotonic) {
 	m.clock(now)
 	sent, ok := m.open[seq]
 	if !ok {
@@ -234,7 +235,7 @@
 	m.polls()
 }
 
-func (m *Machine) obey(a runnerapi.Answer, seq uint64, sent identifier.Mono) {
+func (m *Machine) obey(a runnerapi.Answer, seq uint64, sent clock.Monotonic) {
 	if a.GrantMs > 0 && a.StartMs > 0 {
 		m.grant, m.start = a.GrantMs, a.StartMs
 	}
@@ -263,7 +264,7 @@
 
 // stop ends an attempt at once. One never heard of is marked, so that its
 // start, should it come yet, finds the grant used up.
-func (m *Machine) stop(id identifier.Grant) {
+func (m *Machine) stop(id identifier.LeaseID) {
 	if m.tasks[id] != nil {
 		m.end(id, "stopped")
 		return
@@ -277,7 +278,7 @@
 	}
 }
 
-func (m *Machine) begin(s runnerapi.Start, sent identifier.Mono) {
+func (m *Machine) begin(s runnerapi.Start, sent clock.Monotonic) {
 	if _, used := m.tombs[s.Grant]; used || m.tasks[s.Grant] != nil {
 		return
 	}
@@ -290,7 +291,7 @@
 	}
 	run := s.Run
 	if m.boot.Slow > 0 {
-		run += run * identifier.Span(m.boot.Slow) / 100
+		run += run * clock.Millis(m.boot.Slow) / 100
 	}
 	w := &work{Start: s, end: m.now.Add(run), whole: sent, bad: m.rnd.Int63n(100) < m.boot.Faulty}
 	m.tasks[s.Grant] = w
--- a/internal/runner/machine_test.go
+++ b/internal/runner/machine_test.go
@@ -7,6 +7,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 )
 
 func fresh() *Machine {
@@ -16,7 +17,7 @@
 }
 
 // answer hands the newest poll its answer and returns what came of it.
-func answer(t *testing.T, m *Machine, seq uint64, a runnerapi.Answer, now identifier.Mono) Out {
+func answer(t *testing.T, m *Machine, seq uint64, a runnerapi.Answer, now clock.Monotonic) Out {
 	t.Helper()
 	if a.GrantMs == 0 {
 		a.GrantMs, a.StartMs = 10000, 1000
@@ -37,8 +38,8 @@
 	return list
 }
 
-func begin(id identifier.Grant, gang identifier.Span) runnerapi.Start {
-	return runnerapi.Start{Grant: id, Task: identifier.Ref{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 60000, Gang: gang}
+func begin(id identifier.LeaseID, gang clock.Millis) runnerapi.Start {
+	return runnerapi.Start{Grant: id, Task: identifier.TaskRef{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 60000, Gang: gang}
 }
 
 // TestLateStarts: an answer past its span, or to a poll that another has
@@ -59,7 +60,7 @@
 		t.Errorf("an answer twice: %q", got)
 	}
 	m.SetMode(runnerapi.Draining, 5000, 140)
-	if got := what(answer(t, m, 2, runnerapi.Answer{Starts: []runnerapi.Start{begin(3, 0)}, Stops: []identifier.Grant{1}}, 150)); got != "stopped " {
+	if got := what(answer(t, m, 2, runnerapi.Answer{Starts: []runnerapi.Start{begin(3, 0)}, Stops: []identifier.LeaseID{1}}, 150)); got != "stopped " {
 		t.Errorf("to a poll that another replaced: %q", got)
 	}
 }
@@ -67,9 +68,9 @@
 // TestUsedGrants: a grant starts once, also when its stop came first.
 func TestUsedGrants(t *testing.T) {
 	m := fresh()
-	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}, Stops: []identifier.Grant{2}}, 100)
+	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}, Stops: []identifier.LeaseID{2}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0), begin(3, 0)}, Stops: []identifier.Grant{1}}, 200)); got != "stopped start " {
+	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0), begin(3, 0)}, Stops: []identifier.LeaseID{1}}, 200)); got != "stopped start " {
 		t.Errorf("used grants began again: %q", got)
 	}
 }
@@ -80,7 +81,7 @@
 	m := fresh()
 	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(2, 0)}, Whole: []identifier.Grant{1}}, 20000)); got != "lapsed " {
+	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(2, 0)}, Whole: []identifier.LeaseID{1}}, 20000)); got != "lapsed " {
 		t.Errorf("on waking: %q", got)
 	}
 }
@@ -89,16 +90,16 @@
 // poll's sending, and ends itself without; a leader of the former version, which
 // gives neither the span nor the word, changes nothing.
 func TestGangWord(t *testing.T) {
-	for _, gang := range []identifier.Span{0, 3000} {
+	for _, gang := range []clock.Millis{0, 3000} {
 		m := fresh()
 		answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, gang)}}, 100)
-		ended, now := "", identifier.Mono(100)
+		ended, now := "", clock.Monotonic(100)
 		for ; now < 12000 && ended == ""; now += 20 {
 			m.Tick(now)
 			ended = what(m.Take())
 			a := runnerapi.Answer{}
 			if now < 5000 && gang > 0 {
-				a.Whole = []identifier.Grant{1}
+				a.Whole = []identifier.LeaseID{1}
 			}
 			if now%500 == 0 {
 				ended += what(answer(t, m, m.seq, a, now+5))
--- a/internal/scheduler/bin.go
+++ b/internal/scheduler/bin.go
@@ -1,4 +1,4 @@
-// Package plan decides where work goes: it filters, scores, keeps rows to
+// Package scheduler decides where work goes: it filters, scores, keeps rows to
 // their weights, reserves room for the head that doesn't fit, and for work a
 // closing displaced finds what cheaper work would have to leave. It reads the
 // book and changes nothing; the book checks every placement again.
--- a/internal/scheduler/feasibility/pack.go
+++ b/internal/scheduler/feasibility/pack.go
@@ -1,4 +1,4 @@
-// Package pack answers one question for preflight and for placement: do these
+// Package feasibility answers one question for preflight and for placement: do these
 // lumps of work, gangs whole, go into these bins. It is first fit by falling
 // size, which never says yes wrongly; what it leaves over is the shortage.
 package feasibility
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -26,8 +26,8 @@
 // why each step it looked at still waits.
 type Out struct {
 	Puts []state.Put
-	Push []identifier.Grant
-	Why  map[identifier.Key]map[int]string
+	Push []identifier.LeaseID
+	Why  map[identifier.JobKey]map[int]string
 	// Policies tells how the rows' policies fared.
 	Policies Policies
 }
@@ -38,7 +38,7 @@
 	total job.Demand
 	use   map[identifier.Row]job.Demand
 	kept  bool
-	done  map[identifier.Ref]bool
+	done  map[identifier.TaskRef]bool
 	dull  map[shape]string
 	tasks int
 	shelf *policy.Shelf
@@ -87,7 +87,7 @@
 // placement again.
 func RoundWith(b *state.Book, v View, shelf *policy.Shelf) Out {
 	if !b.Bids() {
-		return Out{Why: map[identifier.Key]map[int]string{}, Policies: Policies{}}
+		return Out{Why: map[identifier.JobKey]map[int]string{}, Policies: Policies{}}
 	}
 	bins, pools := sortOut(take(b, v.Fresh))
 	for _, list := range pools {
@@ -95,8 +95,8 @@
 			n.pace = v.Pace(n.r.Name)
 		}
 	}
-	r := &round{b: b, shelf: shelf, bins: bins, pools: pools, total: b.Total(), use: map[identifier.Row]job.Demand{}, dull: map[shape]string{}, done: map[identifier.Ref]bool{}}
-	r.out.Why, r.out.Policies = map[identifier.Key]map[int]string{}, Policies{}
+	r := &round{b: b, shelf: shelf, bins: bins, pools: pools, total: b.Total(), use: map[identifier.Row]job.Demand{}, dull: map[shape]string{}, done: map[identifier.TaskRef]bool{}}
+	r.out.Why, r.out.Policies = map[identifier.JobKey]map[int]string{}, Policies{}
 	for _, row := range b.Table.Names() {
 		r.use[row] = b.InUse(row)
 	}
@@ -176,7 +176,7 @@
 }
 
 func (r *round) try(l *lump) (put, fresh bool) {
-	first := identifier.Ref{Job: l.j.Key, Step: l.step, Num: l.nums[0]}
+	first := identifier.TaskRef{Job: l.j.Key, Step: l.step, Num: l.nums[0]}
 	if r.done[first] {
 		return true, true
 	}
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -28,7 +28,7 @@
 	return b
 }
 
-func hand(t testing.TB, b *state.Book, key identifier.Key, row identifier.Row, urgency int64, s job.Step) {
+func hand(t testing.TB, b *state.Book, key identifier.JobKey, row identifier.Row, urgency int64, s job.Step) {
 	t.Helper()
 	s.Defects, s.Run, s.Demand.Mem = 1, 1, 1
 	if r := b.Apply(&state.Command{Submit: &state.Submit{Key: key, Spec: job.Spec{Pending: row, Urgency: urgency, Steps: []job.Step{s}}}}); !r.OK() {
@@ -47,7 +47,7 @@
 }
 
 func endAll(b *state.Book, keep func(g *state.Grant) bool) {
-	for id := identifier.Grant(1); id < b.NextGrant; id++ {
+	for id := identifier.LeaseID(1); id < b.NextGrant; id++ {
 		if g := b.Grants[id]; g != nil && !keep(g) {
 			b.Apply(&state.Command{Ends: &state.Ends{Runner: g.Runner, Inc: g.Inc, List: []state.End{{Grant: id, Ref: g.Ref, How: state.EndWell}}}})
 		}
@@ -60,7 +60,7 @@
 	b := site(t, 10, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 	for i := 0; i < 200; i++ {
 		for _, row := range []identifier.Row{"a", "b", "c"} {
-			hand(t, b, identifier.Key(fmt.Sprintf("x/%s%d", row, i)), row, 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+			hand(t, b, identifier.JobKey(fmt.Sprintf("x/%s%d", row, i)), row, 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 		}
 	}
 	place(b)
@@ -80,7 +80,7 @@
 	more := func() {
 		for i := 0; i < 40; i++ {
 			n++
-			hand(t, b, identifier.Key(fmt.Sprintf("x/s%d", n)), "small", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+			hand(t, b, identifier.JobKey(fmt.Sprintf("x/s%d", n)), "small", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 		}
 	}
 	more()
@@ -119,7 +119,7 @@
 	b := site(t, 1, `{"x.weight":1}`)
 	hand(t, b, "x/old", "default", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 	for i := 0; i < 50; i++ {
-		hand(t, b, identifier.Key(fmt.Sprintf("x/u%d", i)), "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+		hand(t, b, identifier.JobKey(fmt.Sprintf("x/u%d", i)), "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 	}
 	place(b)
 	if b.Jobs["x/old"].State() != "running" || b.Jobs["x/u0"].State() != "running" {
@@ -159,7 +159,7 @@
 }
 
 func stops(b *state.Book) {
-	for id := identifier.Grant(1); id < b.NextGrant; id++ {
+	for id := identifier.LeaseID(1); id < b.NextGrant; id++ {
 		if g := b.Grants[id]; g != nil && g.Stop != "" {
 			b.Apply(&state.Command{Ends: &state.Ends{Runner: g.Runner, Inc: g.Inc, List: []state.End{{Grant: id, Ref: g.Ref, How: state.EndStopped}}}})
 		}
@@ -222,7 +222,7 @@
 		bench.Run(fmt.Sprintf("runners=%d/backlog=%d", size.runners, size.backlog), func(bench *testing.B) {
 			b := site(bench, size.runners, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 			for i := 0; i < size.backlog; i++ {
-				hand(bench, b, identifier.Key(fmt.Sprintf("x/%d", i)), identifier.Row([]string{"a", "b", "c"}[i%3]), int64(i%4), job.Step{Name: "s", Tasks: 1 + int64(i%3), Demand: job.Demand{Cores: 1 + int64(i%5)}})
+				hand(bench, b, identifier.JobKey(fmt.Sprintf("x/%d", i)), identifier.Row([]string{"a", "b", "c"}[i%3]), int64(i%4), job.Step{Name: "s", Tasks: 1 + int64(i%3), Demand: job.Demand{Cores: 1 + int64(i%5)}})
 			}
 			bench.ReportAllocs()
 			for bench.Loop() {
--- a/internal/scheduler/push.go
+++ b/internal/scheduler/push.go
@@ -15,7 +15,7 @@
 
 // unit is what leaves together: one grant, or all of a gang's.
 type unit struct {
-	ids   []identifier.Grant
+	ids   []identifier.LeaseID
 	price int64
 	gain  job.Demand
 	cost  int64
@@ -49,11 +49,11 @@
 		}
 	}
 	st := l.j.Spec.Steps[l.step]
-	room, gone := map[identifier.Runner]job.Demand{}, map[identifier.Grant]bool{}
+	room, gone := map[identifier.Runner]job.Demand{}, map[identifier.LeaseID]bool{}
 	for _, n := range r.bins {
 		room[n.r.Name] = n.room
 	}
-	var out []identifier.Grant
+	var out []identifier.LeaseID
 	for range l.nums {
 		var pick *bin
 		var leave []unit
@@ -85,7 +85,7 @@
 
 // least finds the cheapest units whose leaving makes room on one runner, and
 // then spares each one that turns out not to be needed.
-func (r *round) least(n *bin, want, room job.Demand, price int64, gone map[identifier.Grant]bool) (out []unit, cost int64, ok bool) {
+func (r *round) least(n *bin, want, room job.Demand, price int64, gone map[identifier.LeaseID]bool) (out []unit, cost int64, ok bool) {
 	if want.Fits(room) {
 		return nil, 0, true
 	}
@@ -114,9 +114,9 @@
 	return out, cost, true
 }
 
-func (r *round) units(n *bin, price int64, gone map[identifier.Grant]bool) []unit {
+func (r *round) units(n *bin, price int64, gone map[identifier.LeaseID]bool) []unit {
 	var list []unit
-	seen := map[identifier.Grant]bool{}
+	seen := map[identifier.LeaseID]bool{}
 	for _, id := range n.r.GrantIDs() {
 		g := r.b.Grants[id]
 		j := r.b.Jobs[g.Ref.Job]
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -11,6 +11,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 	"orchidward/internal/scheduler/feasibility"
 	"orchidward/internal/state"
 )
@@ -60,7 +61,7 @@
 )
 
 // hope tells what a job may yet earn if its work goes on now.
-func hope(j *state.Job, now identifier.Millis) int {
+func hope(j *state.Job, now clock.ClusterTime) int {
 	end := now.Add(j.Rest())
 	switch {
 	case end <= j.Terms.Due:
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -7,6 +7,7 @@
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 	"orchidward/internal/scheduler/policy"
 	"orchidward/internal/state"
 )
@@ -28,13 +29,13 @@
 	return b
 }
 
-func submit(t *testing.T, b *state.Book, id, queue string, at identifier.Millis, s job.Step) {
+func submit(t *testing.T, b *state.Book, id, queue string, at clock.ClusterTime, s job.Step) {
 	t.Helper()
 	s.Defects, s.Name = 1, "s"
 	if s.Run == 0 {
 		s.Run = 1000
 	}
-	if r := b.Apply(&state.Command{At: at, Submit: &state.Submit{Key: identifier.Key("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
+	if r := b.Apply(&state.Command{At: at, Submit: &state.Submit{Key: identifier.JobKey("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
 		t.Fatal(r)
 	}
 }
@@ -47,7 +48,7 @@
 	submit(t, b, "late", "q0", 1000, job.Step{Tasks: 1, Demand: whole})
 	submit(t, b, "second", "q2", 60000, job.Step{Tasks: 1, Demand: whole})
 	submit(t, b, "first", "q1", 60001, job.Step{Tasks: 1, Demand: whole})
-	for _, want := range []identifier.Key{"q/first", "q/second", "q/late"} {
+	for _, want := range []identifier.JobKey{"q/first", "q/second", "q/late"} {
 		out := place(b)
 		if len(out.Puts) != 1 || out.Puts[0].Job != want {
 			t.Fatalf("want %s, placed %+v", want, out.Puts)
@@ -111,7 +112,7 @@
 		n := uint32(seed*7919 + 1)
 		rnd := func(k uint32) int64 { n = n*1664525 + 1013904223; return int64(n >> 8 % k) }
 		for i := 0; i < 40; i++ {
-			submit(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), identifier.Millis(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
+			submit(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), clock.ClusterTime(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
 				Apart: rnd(3), Near: identifier.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{Milli: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
 			if i%3 != 0 {
 				continue
--- a/internal/stalldetector/pause.go
+++ b/internal/stalldetector/pause.go
@@ -1,30 +1,30 @@
-// Package pause notices that a process stood still: it was frozen, suspended or
+// Package stalldetector notices that a process stood still: it was frozen, suspended or
 // starved of its processor. What is then read from its connections may have
 // waited there for as long as the pause lasted, so that its age is not known.
 package stalldetector
 
-import "orchidward/internal/api/identifier"
+import "orchidward/internal/clock"
 
 const (
 	// Limit is the longest gap between two observations, in milliseconds, that
 	// does not count as a pause.
-	Limit identifier.Span = 250
+	Limit clock.Millis = 250
 	// Drain is how long after a pause, in milliseconds, requests may still be
 	// read that had arrived during it.
-	Drain identifier.Span = 500
+	Drain clock.Millis = 500
 )
 
 // Detector finds pauses from the moments at which its process is seen to run.
 // The zero value has seen nothing.
 type Detector struct {
 	seen  bool
-	last  identifier.Mono
-	until identifier.Mono
+	last  clock.Monotonic
+	until clock.Monotonic
 }
 
 // Observe notes that the process runs. It must be called at every input of the
 // process, before the input is acted on, and at least every Limit.
-func (d *Detector) Observe(now identifier.Mono) {
+func (d *Detector) Observe(now clock.Monotonic) {
 	if d.seen && now.Since(d.last) > Limit {
 		d.until = now.Add(Drain)
 	}
@@ -34,4 +34,4 @@
 
 // Draining tells whether a request read at this moment may have arrived before
 // or during a pause.
-func (d *Detector) Draining(now identifier.Mono) bool { return d.seen && now < d.until }
+func (d *Detector) Draining(now clock.Monotonic) bool { return d.seen && now < d.until }
--- a/internal/stalldetector/pause_test.go
+++ b/internal/stalldetector/pause_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // TestDetector: gaps up to the limit are none; a longer one makes requests
@@ -13,15 +13,15 @@
 	if d.Draining(0) {
 		t.Error("draining before anything was seen")
 	}
-	for now := identifier.Mono(5000); now <= 10000; now = now.Add(Limit) {
+	for now := clock.Monotonic(5000); now <= 10000; now = now.Add(Limit) {
 		d.Observe(now)
 		if d.Draining(now) {
 			t.Fatalf("at %d draining without a pause", now)
 		}
 	}
-	woken := identifier.Mono(10000).Add(Limit + 1)
+	woken := clock.Monotonic(10000).Add(Limit + 1)
 	d.Observe(woken)
-	for after, want := range map[identifier.Span]bool{0: true, Drain - 1: true, Drain: false, 10 * Drain: false} {
+	for after, want := range map[clock.Millis]bool{0: true, Drain - 1: true, Drain: false, 10 * Drain: false} {
 		if got := d.Draining(woken.Add(after)); got != want {
 			t.Errorf("%d ms after the pause: draining %v, want %v", after, got, want)
 		}
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -6,7 +6,7 @@
 import (
 	"encoding/json"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Result is an outcome. Code names a refusal in one word.
@@ -15,7 +15,7 @@
 	Code   string
 	Why    string
 	Doc    any
-	Retry  identifier.Span
+	Retry  clock.Millis
 }
 
 // OK tells whether the command was accepted.
@@ -27,8 +27,8 @@
 
 // Apply carries out one command. It must be called with the commands of the log
 // in order. A refused command is not an error: the result bears a status of 400
-// or more, and only what is due by site time changes (appointed starts, records
-// whose time is up). Site time never goes back, whatever c.At says.
+// or more, and only what is due by cluster time changes (appointed starts, records
+// whose time is up). Cluster time never goes back, whatever c.At says.
 func (b *Book) Apply(c *Command) Result {
 	var r Result
 	b.Now = max(b.Now, c.At)
--- a/internal/state/book.go
+++ b/internal/state/book.go
@@ -18,6 +18,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
 )
 
 // Book is the replicated state: jobs, leases, runners, drains, the limits table
@@ -25,19 +26,19 @@
 // the running checksum, and Level the level of commands in use. It is not safe
 // for concurrent use, and only Apply may change it.
 type Book struct {
-	Now       identifier.Millis             `json:"now"`
-	NextGrant identifier.Grant              `json:"nextGrant"`
+	Now       clock.ClusterTime             `json:"now"`
+	NextGrant identifier.LeaseID            `json:"nextGrant"`
 	NextSeq   uint64                        `json:"nextSeq"`
 	NextClose uint64                        `json:"nextClosing"`
 	Table     *limits.Table                 `json:"table"`
-	Jobs      map[identifier.Key]*Job       `json:"jobs"`
-	Over      []identifier.Key              `json:"over"`
-	Grants    map[identifier.Grant]*Grant   `json:"grants"`
+	Jobs      map[identifier.JobKey]*Job    `json:"jobs"`
+	Over      []identifier.JobKey           `json:"over"`
+	Grants    map[identifier.LeaseID]*Grant `json:"grants"`
 	Runners   map[identifier.Runner]*Runner `json:"runners"`
 	Closings  map[string]*Closing           `json:"closings"`
 	Known     *Known                        `json:"known,omitempty"`
-	OldGrant  identifier.Span               `json:"oldGrantMs,omitempty"`
-	OldAt     identifier.Millis             `json:"oldGrantAt,omitempty"`
+	OldGrant  clock.Millis                  `json:"oldGrantMs,omitempty"`
+	OldAt     clock.ClusterTime             `json:"oldGrantAt,omitempty"`
 	Level     uint16                        `json:"level,omitempty"`
 	Sum       uint64                        `json:"sum,omitempty"`
 	Catalog   *catalog.Catalog              `json:"catalog,omitempty"`
@@ -71,7 +72,7 @@
 func New() *Book {
 	b := &Book{
 		NextGrant: 1, NextSeq: 1, NextClose: 1, Table: limits.First(),
-		Jobs: map[identifier.Key]*Job{}, Grants: map[identifier.Grant]*Grant{}, Runners: map[identifier.Runner]*Runner{},
+		Jobs: map[identifier.JobKey]*Job{}, Grants: map[identifier.LeaseID]*Grant{}, Runners: map[identifier.Runner]*Runner{},
 		Closings: map[string]*Closing{}, Known: newKnown(),
 	}
 	b.derive()
@@ -79,7 +80,7 @@
 }
 
 func byKey(x, y any) int {
-	a, b := x.(identifier.Key), y.(identifier.Key)
+	a, b := x.(identifier.JobKey), y.(identifier.JobKey)
 	switch {
 	case a < b:
 		return -1
@@ -101,7 +102,7 @@
 	b.order, b.hot = nil, map[identifier.Runner]bool{}
 	for _, r := range b.Runners {
 		b.enlist(r.Name)
-		r.used, r.grants, r.fence = job.Demand{}, map[identifier.Grant]*Grant{}, ""
+		r.used, r.grants, r.fence = job.Demand{}, map[identifier.LeaseID]*Grant{}, ""
 	}
 	for _, j := range b.Jobs {
 		j.count, j.open, j.moved, j.lane, j.kids = make([]count, len(j.Steps)), 0, 0, nil, 0
@@ -190,7 +191,7 @@
 
 // GrantSpan is how long a runner may yet be living on its last contact. After
 // the cell was lowered the longer span counts until nobody can hold it.
-func (b *Book) GrantSpan() identifier.Span {
+func (b *Book) GrantSpan() clock.Millis {
 	s := b.Table.Site("grantMs")
 	if b.OldGrant > s && b.Now < b.OldAt.Add(3*b.OldGrant) {
 		return b.OldGrant
@@ -229,7 +230,7 @@
 }
 
 // NextStart is the soonest appointed start still to come.
-func (b *Book) NextStart() (at identifier.Millis, ok bool) {
+func (b *Book) NextStart() (at clock.ClusterTime, ok bool) {
 	it := b.later.Iterator()
 	if it.Next() {
 		at, ok = it.Value().(*Job).Start, true
@@ -271,8 +272,8 @@
 }
 
 // GrantIDs lists the runner's open leases in ascending order.
-func (r *Runner) GrantIDs() []identifier.Grant {
-	out := make([]identifier.Grant, 0, len(r.grants))
+func (r *Runner) GrantIDs() []identifier.LeaseID {
+	out := make([]identifier.LeaseID, 0, len(r.grants))
 	for id := range r.grants {
 		out = append(out, id)
 	}
@@ -297,7 +298,7 @@
 }
 
 // Page lists jobs by key from after onward, as far as keep says to go on.
-func (b *Book) Page(after identifier.Key, keep func(j *Job) (more bool)) {
+func (b *Book) Page(after identifier.JobKey, keep func(j *Job) (more bool)) {
 	node, ok := b.names.Ceiling(after)
 	if !ok {
 		return
--- a/internal/state/book_test.go
+++ b/internal/state/book_test.go
@@ -9,6 +9,7 @@
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
 )
 
 // desk drives a book by hand.
@@ -36,7 +37,7 @@
 	return c
 }
 
-func (d *desk) report(i int, inc identifier.Inc, drain bool, depart identifier.Millis) *Report {
+func (d *desk) report(i int, inc identifier.Incarnation, drain bool, depart clock.ClusterTime) *Report {
 	return &Report{Runner: identifier.Runner(fmt.Sprintf("r%d", i)), Inc: inc, Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []identifier.Label{"std"},
 		Domain: identifier.Domain([]string{"north", "east"}[i%2]), Rack: identifier.Rack([]string{"k0", "k1"}[i%2]), Drain: drain, Depart: depart}
 }
@@ -48,7 +49,7 @@
 	}
 }
 
-func (d *desk) hand(key identifier.Key, row identifier.Row, steps ...job.Step) {
+func (d *desk) hand(key identifier.JobKey, row identifier.Row, steps ...job.Step) {
 	d.Helper()
 	for i := range steps {
 		if steps[i].Defects == 0 {
@@ -58,15 +59,15 @@
 	d.must(201, &Command{Submit: &Submit{Key: key, Spec: job.Spec{Pending: row, Steps: steps}}})
 }
 
-func (d *desk) place(key identifier.Key, step int, nums []int, on ...identifier.Runner) {
+func (d *desk) place(key identifier.JobKey, step int, nums []int, on ...identifier.Runner) {
 	d.b.Apply(&Command{Place: &Place{Puts: []Put{{Job: key, Step: step, Nums: nums, On: on}}}})
 }
 
-func (d *desk) end(on identifier.Runner, inc identifier.Inc, g identifier.Grant, ref identifier.Ref, how How) {
+func (d *desk) end(on identifier.Runner, inc identifier.Incarnation, g identifier.LeaseID, ref identifier.TaskRef, how How) {
 	d.b.Apply(&Command{Ends: &Ends{Runner: on, Inc: inc, List: []End{{Grant: g, Ref: ref, How: how}}}})
 }
 
-func (d *desk) state(key identifier.Key, want string) {
+func (d *desk) state(key identifier.JobKey, want string) {
 	d.Helper()
 	if have := d.b.Jobs[key].State(); have != want {
 		d.Fatalf("job %s is %s, want %s", key, have, want)
@@ -127,7 +128,7 @@
 // task, stops the attempt that replaced it, and a stranger's word counts not.
 func TestLateWord(t *testing.T) {
 	d := newDesk(t, `{"keep.onLoss":"hold"}`)
-	ref := identifier.Ref{Job: "a/x"}
+	ref := identifier.TaskRef{Job: "a/x"}
 	d.hand("a/x", "default", one(1))
 	d.place("a/x", 0, []int{0}, "r1")
 	d.b.Apply(&Command{Lost: &Lost{Runner: "r1", Inc: "a"}})
@@ -163,7 +164,7 @@
 	s := one(1)
 	s.Defects = 2
 	d.hand("a/x", "default", s)
-	ref, g := identifier.Ref{Job: "a/x"}, identifier.Grant(0)
+	ref, g := identifier.TaskRef{Job: "a/x"}, identifier.LeaseID(0)
 	for _, how := range []How{EndStopped, EndLapsed, EndDefect, EndStopped} {
 		g++
 		d.place("a/x", 0, []int{0}, "r1")
@@ -188,20 +189,20 @@
 		s.Defects = 5
 		d.hand("a/g", "default", s)
 		d.place("a/g", 0, []int{0, 1, 2}, "r1", "r2", "r3")
-		d.b.Apply(&Command{Recall: &Recall{Grants: []identifier.Grant{1}, Why: StopLate}})
-		for id := identifier.Grant(1); id <= 3; id++ {
+		d.b.Apply(&Command{Recall: &Recall{Grants: []identifier.LeaseID{1}, Why: StopLate}})
+		for id := identifier.LeaseID(1); id <= 3; id++ {
 			if d.b.Grants[id].Stop == "" {
 				t.Fatalf("%s: member %d goes on alone", how, id)
 			}
 		}
-		d.end("r1", "a", 1, identifier.Ref{Job: "a/g"}, how)
+		d.end("r1", "a", 1, identifier.TaskRef{Job: "a/g"}, how)
 		d.place("a/g", 0, []int{0}, "r1")
-		d.end("r2", "a", 2, identifier.Ref{Job: "a/g", Num: 1}, EndStopped)
+		d.end("r2", "a", 2, identifier.TaskRef{Job: "a/g", Num: 1}, EndStopped)
 		d.place("a/g", 0, []int{0, 1}, "r1", "r2")
 		if n := len(d.b.Grants); n != 1 {
 			t.Fatalf("%s: part of a gang was placed, %d grants", how, n)
 		}
-		d.end("r3", "a", 3, identifier.Ref{Job: "a/g", Num: 2}, EndWell)
+		d.end("r3", "a", 3, identifier.TaskRef{Job: "a/g", Num: 2}, EndWell)
 		d.place("a/g", 0, []int{0, 1}, "r1", "r2")
 		if n := len(d.b.Grants); n != 2 {
 			t.Fatalf("%s: the rest of the gang was not placed, %d grants", how, n)
@@ -214,8 +215,8 @@
 func TestRide(t *testing.T) {
 	d := newDesk(t, `{"ride.onOutage":"ride"}`)
 	for i := 1; i <= 4; i++ {
-		d.hand(identifier.Key(fmt.Sprintf("a/%d", i)), "ride", one(8))
-		d.place(identifier.Key(fmt.Sprintf("a/%d", i)), 0, []int{0}, identifier.Runner(fmt.Sprintf("r%d", i)))
+		d.hand(identifier.JobKey(fmt.Sprintf("a/%d", i)), "ride", one(8))
+		d.place(identifier.JobKey(fmt.Sprintf("a/%d", i)), 0, []int{0}, identifier.Runner(fmt.Sprintf("r%d", i)))
 	}
 	d.must(200, &Command{Close: &Close{Domain: "north", ID: "m1"}})
 	for _, s := range []Stage{Preflight, Predrain, Cordon} {
@@ -225,7 +226,7 @@
 	if c.Fits || c.Short.Cores != 16 || len(c.Displaced) != 2 || c.Stage != Postdrain {
 		t.Fatalf("closing %+v", c)
 	}
-	d.end("r2", "a", 2, identifier.Ref{Job: "a/2"}, EndStopped)
+	d.end("r2", "a", 2, identifier.TaskRef{Job: "a/2"}, EndStopped)
 	if s := d.b.Jobs["a/2"].Steps[0][0].State; s != Riding {
 		t.Fatalf("displaced work is %s", s)
 	}
@@ -315,7 +316,7 @@
 		t.Fatal(err)
 	}
 	for _, c := range []*Command{{Step: &Step{ID: "m", From: Preflight}}, {Step: &Step{ID: "m", From: Predrain}}, {Step: &Step{ID: "m", From: Cordon}},
-		{Ends: &Ends{Runner: "r2", Inc: "a", List: []End{{Grant: 2, Ref: identifier.Ref{Job: "a/g", Num: 1}, How: EndStopped}}}}, {At: 9000, Cancel: &Cancel{Key: "a/x"}}} {
+		{Ends: &Ends{Runner: "r2", Inc: "a", List: []End{{Grant: 2, Ref: identifier.TaskRef{Job: "a/g", Num: 1}, How: EndStopped}}}}, {At: 9000, Cancel: &Cancel{Key: "a/x"}}} {
 		d.b.Apply(c)
 		copied.Apply(c)
 		if a, b := d.b.Encode(), copied.Encode(); !bytes.Equal(a, b) {
--- a/internal/state/closing.go
+++ b/internal/state/closing.go
@@ -7,6 +7,7 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 )
 
 // Stage is how far a drain of a zone or rack has come.
@@ -57,7 +58,7 @@
 // Mark notes when a stage was entered.
 type Mark struct {
 	Stage Stage             `json:"stage"`
-	At    identifier.Millis `json:"at"`
+	At    clock.ClusterTime `json:"at"`
 }
 
 // Closing is one drain of a zone or a rack, from its start until it is open
@@ -66,21 +67,21 @@
 // elsewhere, and Short what is missing. Loose counts the stops that no runner
 // has confirmed, and Verdict is the outcome for operators.
 type Closing struct {
-	ID        string              `json:"id"`
-	Kind      string              `json:"kind"`
-	Domain    identifier.Domain   `json:"domain"`
-	Rack      identifier.Rack     `json:"rack,omitempty"`
-	Stage     Stage               `json:"stage"`
-	At        identifier.Millis   `json:"at"`
-	Scope     []identifier.Runner `json:"scope"`
-	Judged    bool                `json:"judged"`
-	Fits      bool                `json:"fits"`
-	Short     job.Demand          `json:"short"`
-	Displaced []identifier.Ref    `json:"displaced,omitempty"`
-	Gangs     int                 `json:"gangs"`
-	Verdict   string              `json:"verdict,omitempty"`
-	Loose     int                 `json:"loose"`
-	Marks     []Mark              `json:"marks"`
+	ID        string               `json:"id"`
+	Kind      string               `json:"kind"`
+	Domain    identifier.Domain    `json:"domain"`
+	Rack      identifier.Rack      `json:"rack,omitempty"`
+	Stage     Stage                `json:"stage"`
+	At        clock.ClusterTime    `json:"at"`
+	Scope     []identifier.Runner  `json:"scope"`
+	Judged    bool                 `json:"judged"`
+	Fits      bool                 `json:"fits"`
+	Short     job.Demand           `json:"short"`
+	Displaced []identifier.TaskRef `json:"displaced,omitempty"`
+	Gangs     int                  `json:"gangs"`
+	Verdict   string               `json:"verdict,omitempty"`
+	Loose     int                  `json:"loose"`
+	Marks     []Mark               `json:"marks"`
 }
 
 const (
@@ -92,7 +93,7 @@
 	marksKept = 64
 )
 
-func (c *Closing) enter(s Stage, now identifier.Millis) {
+func (c *Closing) enter(s Stage, now clock.ClusterTime) {
 	c.Stage = s
 	c.Marks = append(c.Marks, Mark{s, now})
 	if len(c.Marks) > marksKept {
--- a/internal/state/cmd.go
+++ b/internal/state/cmd.go
@@ -1,5 +1,5 @@
 // Commands are the entries of the log. Exactly one of the pointers is set; At
-// is the leader's site time when it proposed, and only ever moves Now forward.
+// is the leader's cluster time when it proposed, and only ever moves Now forward.
 
 package state
 
@@ -11,12 +11,13 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
 )
 
 // Command is one command of the replicated log. Exactly one of the pointers is set;
-// At is the leader's site time when it proposed the command.
+// At is the leader's cluster time when it proposed the command.
 type Command struct {
-	At     identifier.Millis `json:"at"`
+	At     clock.ClusterTime `json:"at"`
 	Submit *Submit           `json:"submit,omitempty"`
 	Cancel *Cancel           `json:"cancel,omitempty"`
 	Table  *limits.Change    `json:"table,omitempty"`
@@ -49,13 +50,13 @@
 // Submit accepts a job. A repeated one with the same content gets the same
 // answer.
 type Submit struct {
-	Key  identifier.Key `json:"key"`
-	Spec job.Spec       `json:"spec"`
+	Key  identifier.JobKey `json:"key"`
+	Spec job.Spec          `json:"spec"`
 }
 
 // Cancel ends a job and revokes its leases.
 type Cancel struct {
-	Key identifier.Key `json:"key"`
+	Key identifier.JobKey `json:"key"`
 }
 
 // Close starts the drain of a zone. ID, when given, names the operation, so that
@@ -75,23 +76,23 @@
 // Report is what a runner says of itself. A new incarnation ends all leases of
 // the one before as lost, after Saves have been recorded.
 type Report struct {
-	Runner identifier.Runner  `json:"runner"`
-	Inc    identifier.Inc     `json:"inc"`
-	Cap    job.Demand         `json:"cap"`
-	Labels []identifier.Label `json:"labels,omitempty"`
-	Domain identifier.Domain  `json:"domain"`
-	Rack   identifier.Rack    `json:"rack"`
-	Drain  bool               `json:"draining,omitempty"`
-	Depart identifier.Millis  `json:"departsAt,omitempty"`
-	Pool   string             `json:"pool,omitempty"`
-	Addr   string             `json:"addr,omitempty"`
-	Saves  []Save             `json:"saves,omitempty"`
+	Runner identifier.Runner      `json:"runner"`
+	Inc    identifier.Incarnation `json:"inc"`
+	Cap    job.Demand             `json:"cap"`
+	Labels []identifier.Label     `json:"labels,omitempty"`
+	Domain identifier.Domain      `json:"domain"`
+	Rack   identifier.Rack        `json:"rack"`
+	Drain  bool                   `json:"draining,omitempty"`
+	Depart clock.ClusterTime      `json:"departsAt,omitempty"`
+	Pool   string                 `json:"pool,omitempty"`
+	Addr   string                 `json:"addr,omitempty"`
+	Saves  []Save                 `json:"saves,omitempty"`
 }
 
 // Save is the last progress told of a run that is about to be counted lost.
 type Save struct {
-	Grant identifier.Grant `json:"grant"`
-	Saved string           `json:"saved"`
+	Grant identifier.LeaseID `json:"grant"`
+	Saved string             `json:"saved"`
 }
 
 // How an attempt ended.
@@ -119,23 +120,23 @@
 // End is the end of one attempt. Ref names the task again, for a lease that is
 // no longer known; Saved is the last progress, if any.
 type End struct {
-	Grant identifier.Grant `json:"grant"`
-	Ref   identifier.Ref   `json:"ref"`
-	How   How              `json:"how"`
-	Saved string           `json:"saved,omitempty"`
+	Grant identifier.LeaseID `json:"grant"`
+	Ref   identifier.TaskRef `json:"ref"`
+	How   How                `json:"how"`
+	Saved string             `json:"saved,omitempty"`
 }
 
 // Ends reports attempts that ended on one incarnation of a runner. Leases of
 // another incarnation are left alone.
 type Ends struct {
-	Runner identifier.Runner `json:"runner"`
-	Inc    identifier.Inc    `json:"inc"`
-	List   []End             `json:"list"`
+	Runner identifier.Runner      `json:"runner"`
+	Inc    identifier.Incarnation `json:"inc"`
+	List   []End                  `json:"list"`
 }
 
 // Put places tasks of one step; a gang's Nums and On cover it whole.
 type Put struct {
-	Job  identifier.Key      `json:"job"`
+	Job  identifier.JobKey   `json:"job"`
 	Step int                 `json:"step"`
 	Nums []int               `json:"nums"`
 	On   []identifier.Runner `json:"on"`
@@ -149,16 +150,16 @@
 
 // Recall revokes leases; unknown ones are passed over.
 type Recall struct {
-	Grants []identifier.Grant `json:"grants"`
-	Why    string             `json:"why"`
+	Grants []identifier.LeaseID `json:"grants"`
+	Why    string               `json:"why"`
 }
 
 // Lost counts an incarnation of a runner as lost and ends all its leases. It
 // does nothing when the runner has reported another incarnation.
 type Lost struct {
-	Runner identifier.Runner `json:"runner"`
-	Inc    identifier.Inc    `json:"inc"`
-	Saves  []Save            `json:"saves,omitempty"`
+	Runner identifier.Runner      `json:"runner"`
+	Inc    identifier.Incarnation `json:"inc"`
+	Saves  []Save                 `json:"saves,omitempty"`
 }
 
 // Step moves one closing on from one stage; Judge says that the time for
--- a/internal/state/duty.go
+++ b/internal/state/duty.go
@@ -10,6 +10,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 	"orchidward/internal/scheduler/feasibility"
 )
 
@@ -155,11 +156,11 @@
 
 // Due tells whether a runner's tasks are to be stopped now. In a domain they
 // are at once; in a rack they run on until a margin before the departure.
-func (b *Book) Due(c *Closing, n identifier.Runner, now identifier.Millis) bool {
+func (b *Book) Due(c *Closing, n identifier.Runner, now clock.ClusterTime) bool {
 	if c.Kind == KindDomain {
 		return true
 	}
-	at := identifier.Millis(0)
+	at := clock.ClusterTime(0)
 	for _, s := range c.Scope {
 		if r := b.Runners[s]; r != nil && r.Drain && (at == 0 || r.Depart < at) {
 			at = r.Depart
@@ -242,7 +243,7 @@
 	var lumps []feasibility.Lump
 	free, loose := b.Undone(c)
 	type step struct {
-		key identifier.Key
+		key identifier.JobKey
 		num int
 	}
 	gangs := map[step]bool{}
@@ -264,7 +265,7 @@
 		for i, t := range b.Jobs[g.Ref.Job].Steps[g.Ref.Step] {
 			if !t.State.Ended() {
 				n++
-				c.Displaced = append(c.Displaced, identifier.Ref{Job: g.Ref.Job, Step: g.Ref.Step, Num: i})
+				c.Displaced = append(c.Displaced, identifier.TaskRef{Job: g.Ref.Job, Step: g.Ref.Step, Num: i})
 			}
 		}
 		lumps = append(lumps, feasibility.Lump{Demand: st.Demand, Labels: st.Labels, Count: n})
@@ -318,7 +319,7 @@
 
 // release lets go of the tasks that were waiting out the closing.
 func (b *Book) release(c *Closing) {
-	b.each(func(j *Job, ref identifier.Ref, t *Task) {
+	b.each(func(j *Job, ref identifier.TaskRef, t *Task) {
 		if t.Closing != c.ID {
 			return
 		}
--- a/internal/state/grant.go
+++ b/internal/state/grant.go
@@ -7,6 +7,7 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 )
 
 // Grant is the lease of one attempt: this task, on this runner, in this
@@ -14,15 +15,15 @@
 // revoked lease stays open and keeps its room until the runner confirms the end
 // or is counted lost. Run is the expected duration in milliseconds.
 type Grant struct {
-	ID     identifier.Grant  `json:"id"`
-	Ref    identifier.Ref    `json:"ref"`
-	Runner identifier.Runner `json:"runner"`
-	Inc    identifier.Inc    `json:"inc"`
-	Row    identifier.Row    `json:"row"`
-	Demand job.Demand        `json:"demand"`
-	Run    identifier.Span   `json:"spanMs"`
-	At     identifier.Millis `json:"at"`
-	Stop   string            `json:"stop,omitempty"`
+	ID     identifier.LeaseID     `json:"id"`
+	Ref    identifier.TaskRef     `json:"ref"`
+	Runner identifier.Runner      `json:"runner"`
+	Inc    identifier.Incarnation `json:"inc"`
+	Row    identifier.Row         `json:"row"`
+	Demand job.Demand             `json:"demand"`
+	Run    clock.Millis           `json:"spanMs"`
+	At     clock.ClusterTime      `json:"at"`
+	Stop   string                 `json:"stop,omitempty"`
 	// No counts the runs of the task, from 1; the members of a gang share one.
 	No uint64 `json:"no,omitempty"`
 }
--- a/internal/state/grants.go
+++ b/internal/state/grants.go
@@ -37,7 +37,7 @@
 	sum := b.inUse[j.Spec.Pending]
 	held := map[identifier.Runner]int64{}
 	for i, n := range p.Nums {
-		t, r := j.Task(identifier.Ref{Job: p.Job, Step: p.Step, Num: n}), b.Runners[p.On[i]]
+		t, r := j.Task(identifier.TaskRef{Job: p.Job, Step: p.Step, Num: n}), b.Runners[p.On[i]]
 		if t == nil || seen[n] || t.State != Waiting || r == nil || r.Gone || r.fence != "" || !feasibility.Has(r.Labels, st.Labels) || !j.Serves(r) {
 			return false
 		}
@@ -67,7 +67,7 @@
 		shared = max(shared, j.Steps[p.Step][n].No+1)
 	}
 	for i, n := range p.Nums {
-		ref := identifier.Ref{Job: p.Job, Step: p.Step, Num: n}
+		ref := identifier.TaskRef{Job: p.Job, Step: p.Step, Num: n}
 		st, r := j.Spec.Steps[p.Step], b.Runners[p.On[i]]
 		g := &Grant{ID: b.NextGrant, Ref: ref, Runner: r.Name, Inc: r.Inc, Row: j.Spec.Pending, Demand: st.Demand, Run: st.Run, At: b.Now}
 		b.NextGrant++
@@ -259,7 +259,7 @@
 }
 
 // spend counts a reported defect against the task's allowance.
-func (b *Book) spend(j *Job, ref identifier.Ref, on identifier.Runner) {
+func (b *Book) spend(j *Job, ref identifier.TaskRef, on identifier.Runner) {
 	t := j.Task(ref)
 	t.Defects++
 	t.Shun = on
@@ -303,7 +303,7 @@
 
 // Hears tells whether an end reported under this grant is still news: the
 // grant is open, or was counted lost and its task has not ended.
-func (b *Book) Hears(name identifier.Runner, inc identifier.Inc, id identifier.Grant, ref identifier.Ref) bool {
+func (b *Book) Hears(name identifier.Runner, inc identifier.Incarnation, id identifier.LeaseID, ref identifier.TaskRef) bool {
 	if g := b.Grants[id]; g != nil {
 		return g.Runner == name && g.Inc == inc
 	}
--- a/internal/state/idhold.go
+++ b/internal/state/idhold.go
@@ -6,17 +6,20 @@
 
 package state
 
-import "orchidward/internal/api/identifier"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
 
 // IDHold is an id under which no job is accepted before its time is up.
 type IDHold struct {
-	Job   identifier.Key    `json:"job"`
-	Until identifier.Millis `json:"until"`
+	Job   identifier.JobKey `json:"job"`
+	Until clock.ClusterTime `json:"until"`
 }
 
 const (
 	// idHoldSpan is the longest budget of a request, and a second.
-	idHoldSpan identifier.Span = 31_000
+	idHoldSpan clock.Millis = 31_000
 	// idHoldsMost bounds the ids that are held back at once.
 	idHoldsMost int = 4096
 	// idHoldsDropped bounds the holds that one command drops.
@@ -24,7 +27,7 @@
 )
 
 // held finds the id's hold, whether its time is up or not.
-func (b *Book) held(key identifier.Key) (at int, ok bool) {
+func (b *Book) held(key identifier.JobKey) (at int, ok bool) {
 	for i := range b.IDHolds {
 		if b.IDHolds[i].Job == key {
 			return i, true
@@ -34,16 +37,16 @@
 }
 
 // heldFor is how long the id is yet held back, 0 where it is not.
-func (b *Book) heldFor(key identifier.Key) identifier.Span {
+func (b *Book) heldFor(key identifier.JobKey) clock.Millis {
 	i, ok := b.held(key)
 	if !ok {
 		return 0
 	}
-	return max(0, identifier.Span(b.IDHolds[i].Until-b.Now))
+	return max(0, clock.Millis(b.IDHolds[i].Until-b.Now))
 }
 
 // holdBack answers a cancel that found no job.
-func (b *Book) holdBack(key identifier.Key) Result {
+func (b *Book) holdBack(key identifier.JobKey) Result {
 	if b.Level >= ResendLevel && !b.hold(key) {
 		return Result{Status: 503, Code: "busy", Why: "too many ids are held back after cancels", Retry: 1000}
 	}
@@ -51,7 +54,7 @@
 }
 
 // hold keeps the id from now on; it fails when too many are held.
-func (b *Book) hold(key identifier.Key) bool {
+func (b *Book) hold(key identifier.JobKey) bool {
 	b.dropHolds()
 	if i, had := b.held(key); had {
 		b.IDHolds = append(b.IDHolds[:i], b.IDHolds[i+1:]...)
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -8,31 +8,32 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 )
 
 // Job is an accepted job and the state of each of its tasks, by step and number.
 // At is when it was accepted, Start the earliest time of its first placement (0
-// for at once) and Ended the time of its end, all in site time. Sum is the
+// for at once) and Ended the time of its end, all in cluster time. Sum is the
 // checksum of Spec. Cancel and Fail say that it is being ended; End is set once
 // it has ended.
 type Job struct {
-	Key    identifier.Key    `json:"key"`
+	Key    identifier.JobKey `json:"key"`
 	Seq    uint64            `json:"seq"`
-	At     identifier.Millis `json:"at"`
-	Start  identifier.Millis `json:"start,omitempty"`
+	At     clock.ClusterTime `json:"at"`
+	Start  clock.ClusterTime `json:"start,omitempty"`
 	Sum    string            `json:"sum"`
 	Spec   job.Spec          `json:"spec"`
 	Steps  [][]*Task         `json:"steps"`
 	Cancel bool              `json:"cancel,omitempty"`
 	Fail   string            `json:"fail,omitempty"`
 	End    State             `json:"end,omitempty"`
-	Ended  identifier.Millis `json:"ended,omitempty"`
+	Ended  clock.ClusterTime `json:"ended,omitempty"`
 	// Terms are those of the job's queue when it was accepted, nil for a job of
 	// a pending row. Times counts the times of a repeated job that have come;
 	// each is a job of its own, whose Parent is this one.
-	Terms  *Terms         `json:"terms,omitempty"`
-	Times  int64          `json:"times,omitempty"`
-	Parent identifier.Key `json:"parent,omitempty"`
+	Terms  *Terms            `json:"terms,omitempty"`
+	Times  int64             `json:"times,omitempty"`
+	Parent identifier.JobKey `json:"parent,omitempty"`
 	// kids counts the times that have come and not ended.
 	kids int
 
@@ -49,7 +50,7 @@
 
 // Task finds a task by step and number, nil when the job has no such task. The
 // job named in r is not compared.
-func (j *Job) Task(r identifier.Ref) *Task {
+func (j *Job) Task(r identifier.TaskRef) *Task {
 	if r.Step < 0 || r.Step >= len(j.Steps) || r.Num < 0 || r.Num >= len(j.Steps[r.Step]) {
 		return nil
 	}
@@ -82,19 +83,19 @@
 }
 
 // Rest is the longest chain through the steps that are not done.
-func (j *Job) Rest() identifier.Span {
-	var span identifier.Span
+func (j *Job) Rest() clock.Millis {
+	var span clock.Millis
 	steps := j.Spec.Steps
 	if len(steps) == 1 {
 		return steps[0].Run
 	}
-	at := make([]identifier.Span, len(steps))
+	at := make([]clock.Millis, len(steps))
 	for range steps {
 		for i := range steps {
 			if j.count[i].well == len(j.Steps[i]) {
 				continue
 			}
-			from := identifier.Span(0)
+			from := clock.Millis(0)
 			for k := range steps {
 				if at[k] > from && slices.Contains(steps[i].After, steps[k].Name) {
 					from = at[k]
--- a/internal/state/jobs.go
+++ b/internal/state/jobs.go
@@ -9,19 +9,20 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
 )
 
 // Ack is the answer to an accepted job; a resend gets the very same one.
 type Ack struct {
-	Job      identifier.Key `json:"job"`
-	Sum      string         `json:"sum"`
-	Accepted string         `json:"accepted"`
+	Job      identifier.JobKey `json:"job"`
+	Sum      string            `json:"sum"`
+	Accepted string            `json:"accepted"`
 }
 
 const stamp = "2006-01-02T15:04:05.000Z07:00"
 
-// Stamp writes a site time as RFC 3339 in UTC, with milliseconds.
-func Stamp(at identifier.Millis) string { return at.Time().Format(stamp) }
+// Stamp writes a cluster time as RFC 3339 in UTC, with milliseconds.
+func Stamp(at clock.ClusterTime) string { return at.Time().Format(stamp) }
 
 func (b *Book) submit(s *Submit) Result {
 	sum := s.Spec.Sum()
@@ -103,7 +104,7 @@
 		for n, t := range tasks {
 			switch {
 			case t.State.Unplaced():
-				b.set(j, identifier.Ref{Job: j.Key, Step: i, Num: n}, Cancelled)
+				b.set(j, identifier.TaskRef{Job: j.Key, Step: i, Num: n}, Cancelled)
 				t.Why = why
 			case t.State == Placed:
 				b.stop(b.Grants[t.Grant], why)
--- a/internal/state/known.go
+++ b/internal/state/known.go
@@ -11,13 +11,14 @@
 	"encoding/json"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 type mark struct {
 	key  [12]byte
 	sum  [12]byte
-	at   identifier.Millis
-	gone identifier.Millis
+	at   clock.ClusterTime
+	gone clock.ClusterTime
 	end  byte
 }
 
@@ -44,7 +45,7 @@
 var endCode = map[State]byte{Well: 1, Failed: 2, Cancelled: 3}
 var endState = map[byte]State{1: Well, 2: Failed, 3: Cancelled}
 
-func (k *Known) add(j *Job, now identifier.Millis) {
+func (k *Known) add(j *Job, now clock.ClusterTime) {
 	key, sum := short(string(j.Key)), short(j.Sum)
 	k.by[key] = k.off + k.Len()
 	k.blob = append(append(k.blob, key[:]...), sum[:]...)
@@ -59,13 +60,13 @@
 	b := k.blob[i*markSize:]
 	copy(m.key[:], b)
 	copy(m.sum[:], b[12:])
-	m.at = identifier.Millis(binary.LittleEndian.Uint64(b[24:]))
-	m.gone = identifier.Millis(binary.LittleEndian.Uint64(b[32:]))
+	m.at = clock.ClusterTime(binary.LittleEndian.Uint64(b[24:]))
+	m.gone = clock.ClusterTime(binary.LittleEndian.Uint64(b[32:]))
 	m.end = b[40]
 	return m
 }
 
-func (k *Known) get(key identifier.Key) (m mark, ok bool) {
+func (k *Known) get(key identifier.JobKey) (m mark, ok bool) {
 	i, ok := k.by[short(string(key))]
 	if !ok {
 		return m, false
@@ -76,7 +77,7 @@
 // Len is the number of remembered jobs.
 func (k *Known) Len() int { return len(k.blob) / markSize }
 
-func (k *Known) drop(before identifier.Millis) {
+func (k *Known) drop(before clock.ClusterTime) {
 	for n := 0; n < 16 && k.Len() > 0; n++ {
 		m := k.at(0)
 		if m.gone >= before {
@@ -109,7 +110,7 @@
 }
 
 // Past tells of a job that is only remembered by its id.
-func (b *Book) Past(key identifier.Key) (at identifier.Millis, end State, ok bool) {
+func (b *Book) Past(key identifier.JobKey) (at clock.ClusterTime, end State, ok bool) {
 	m, ok := b.Known.get(key)
 	return m.at, endState[m.end], ok
 }
--- a/internal/state/orders_test.go
+++ b/internal/state/orders_test.go
@@ -113,13 +113,13 @@
 	}
 }
 
-func submission(key identifier.Key) *Command {
+func submission(key identifier.JobKey) *Command {
 	steps := []job.Step{{Name: "one", Tasks: 1, Defects: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1}}
 	return &Command{Submit: &Submit{Key: key, Spec: job.Spec{Pending: "a", Steps: steps}}}
 }
 
 // jobOrder applies one copy and returns its status.
-func (d *desk) jobOrder(verb string, key identifier.Key) int {
+func (d *desk) jobOrder(verb string, key identifier.JobKey) int {
 	if verb == put {
 		return d.b.Apply(submission(key)).Status
 	}
@@ -127,7 +127,7 @@
 }
 
 // mayRun tells whether the job has anything that could be placed.
-func (d *desk) mayRun(key identifier.Key) bool {
+func (d *desk) mayRun(key identifier.JobKey) bool {
 	d.place(key, 0, []int{0}, "r1")
 	return d.open(key) > 0
 }
@@ -180,7 +180,7 @@
 	}
 
 	for i := 0; i < holdsMost; i++ {
-		d.must(404, &Command{Cancel: &Cancel{Key: identifier.Key(fmt.Sprintf("a/%d", i))}})
+		d.must(404, &Command{Cancel: &Cancel{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
 	}
 	d.must(503, &Command{Cancel: &Cancel{Key: "a/more"}})
 	d.must(404, &Command{Cancel: &Cancel{Key: "a/17"}})
