--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -8,6 +8,7 @@
 
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // Terms are a queue's, as they stood when the job was accepted. Due is when the
@@ -18,8 +19,8 @@
 	Pool  string            `json:"pool"`
 	Rank  int64             `json:"rank"`
 	Tries int64             `json:"tries"`
-	Aim   identifier.Span   `json:"aimMs"`
-	Due   identifier.Millis `json:"due"`
+	Aim   clock.Millis      `json:"aimMs"`
+	Due   clock.ClusterTime `json:"due"`
 }
 
 // mostWaiting bounds the tasks of queues that wait.
@@ -76,7 +77,7 @@
 	case len(b.Jobs)+b.Known.Len() >= MaxIDs:
 		return Result{Status: 503, Code: "ids-full", Why: "no room to remember another job id", Retry: 60000}
 	}
-	aim := s.Spec.Chain()*identifier.Span(q.Stretch)/1000 + q.SetPoint
+	aim := s.Spec.Chain()*clock.Millis(q.Stretch)/1000 + q.SetPoint
 	j := &Job{Key: s.Key, Seq: b.NextSeq, At: b.Now, Sum: sum, Spec: s.Spec}
 	j.Terms = &Terms{Queue: q.Name, Pool: q.Pool, Rank: q.Rank, Tries: max(1, q.Tries), Aim: aim, Due: b.Now.Add(aim)}
 	b.NextSeq++
@@ -113,12 +114,12 @@
 
 // Find looks a job up by its key. The only time of a job that isn't repeated
 // may be named as its time 0.
-func (b *Book) Find(key identifier.Key) *Job {
+func (b *Book) Find(key identifier.JobKey) *Job {
 	if j := b.Jobs[key]; j != nil {
 		return j
 	}
 	if plain, ok := strings.CutSuffix(string(key), ".0"); ok {
-		if j := b.Jobs[identifier.Key(plain)]; j != nil && j.Spec.Repeat == nil {
+		if j := b.Jobs[identifier.JobKey(plain)]; j != nil && j.Spec.Repeat == nil {
 			return j
 		}
 	}
@@ -126,7 +127,7 @@
 }
 
 // Named is the name that agents know a task by: it always tells the time.
-func (b *Book) Named(ref identifier.Ref) identifier.Ref {
+func (b *Book) Named(ref identifier.TaskRef) identifier.TaskRef {
 	if j := b.Jobs[ref.Job]; j != nil && j.Parent == "" {
 		ref.Job = timeKey(j.Key, 0)
 	}
@@ -134,7 +135,7 @@
 }
 
 // Resolve finds the grant that a run is held under, or was.
-func (b *Book) Resolve(name identifier.Runner, inc identifier.Inc, ref identifier.Ref, no uint64) (id identifier.Grant, at identifier.Ref, ok bool) {
+func (b *Book) Resolve(name identifier.Runner, inc identifier.Incarnation, ref identifier.TaskRef, no uint64) (id identifier.LeaseID, at identifier.TaskRef, ok bool) {
 	j := b.Find(ref.Job)
 	if j == nil {
 		return 0, ref, false
@@ -165,7 +166,7 @@
 }
 
 // root is the job that callers know.
-func (j *Job) root() identifier.Key {
+func (j *Job) root() identifier.JobKey {
 	if j.Parent != "" {
 		return j.Parent
 	}
@@ -253,12 +254,12 @@
 		if t.State.Ended() {
 			continue
 		}
-		b.set(j, identifier.Ref{Job: j.Key, Step: g.Ref.Step, Num: n}, Well)
+		b.set(j, identifier.TaskRef{Job: j.Key, Step: g.Ref.Step, Num: n}, Well)
 	}
 }
 
 // spendQueued counts a failed run; a gang's counts once, whoever tells of it.
-func (b *Book) spendQueued(j *Job, ref identifier.Ref, on identifier.Runner, no uint64) {
+func (b *Book) spendQueued(j *Job, ref identifier.TaskRef, on identifier.Runner, no uint64) {
 	t := j.Task(ref)
 	t.Shun = on
 	if j.Spec.Steps[ref.Step].Lasting {
--- a/internal/state/queue_test.go
+++ b/internal/state/queue_test.go
@@ -28,7 +28,7 @@
 	return d
 }
 
-func (d *desk) queue(key identifier.Key, spec job.Spec) {
+func (d *desk) queue(key identifier.JobKey, spec job.Spec) {
 	d.Helper()
 	spec.Queue = "q"
 	for i := range spec.Steps {
@@ -43,7 +43,7 @@
 	d.must(201, &Command{Submit: &Submit{Key: key, Spec: spec}})
 }
 
-func (d *desk) open(key identifier.Key) int {
+func (d *desk) open(key identifier.JobKey) int {
 	var n int
 	for _, g := range d.b.Grants {
 		if g.Ref.Job == key {
@@ -86,7 +86,7 @@
 func TestQueueBudget(t *testing.T) {
 	d := newQueues(t)
 	d.queue("q/j", job.Spec{Steps: []job.Step{{Tasks: 1}}})
-	ref := identifier.Ref{Job: "q/j"}
+	ref := identifier.TaskRef{Job: "q/j"}
 	for i, how := range []How{EndDefect, EndStopped, EndLapsed, EndRefused, EndAlone, EndBroken} {
 		d.place("q/j", 0, []int{0}, "r5")
 		g := d.b.Jobs["q/j"].Task(ref).Grant
@@ -112,8 +112,8 @@
 		if d.b.Grants[a].No != uint64(run) || d.b.Grants[b].No != uint64(run) {
 			t.Errorf("members of run %d are numbered %d and %d", run, d.b.Grants[a].No, d.b.Grants[b].No)
 		}
-		d.end("r5", "a", a, identifier.Ref{Job: "q/g"}, EndDefect)
-		d.end("r6", "a", b, identifier.Ref{Job: "q/g", Num: 1}, EndDefect)
+		d.end("r5", "a", a, identifier.TaskRef{Job: "q/g"}, EndDefect)
+		d.end("r6", "a", b, identifier.TaskRef{Job: "q/g", Num: 1}, EndDefect)
 		if run == 1 && j.Fail != "" {
 			t.Error("one failed run of a gang counted twice")
 		}
@@ -133,16 +133,16 @@
 		t.Fatalf("%d open, want the gang alone", d.open("q/g"))
 	}
 	b := j.Steps[0][1].Grant
-	d.end("r5", "a", j.Steps[0][0].Grant, identifier.Ref{Job: "q/g"}, EndWell)
+	d.end("r5", "a", j.Steps[0][0].Grant, identifier.TaskRef{Job: "q/g"}, EndWell)
 	if !j.Met(1) {
 		t.Error("a gang that ended well holds up what comes after it")
 	}
-	d.end("r6", "a", b, identifier.Ref{Job: "q/g", Num: 1}, EndBroken)
+	d.end("r6", "a", b, identifier.TaskRef{Job: "q/g", Num: 1}, EndBroken)
 	if s := j.Steps[0][1].State; s != Well {
 		t.Errorf("the other member is %s", s)
 	}
 	d.place("q/g", 1, []int{0}, "r5")
-	d.end("r5", "a", j.Steps[1][0].Grant, identifier.Ref{Job: "q/g", Step: 1}, EndWell)
+	d.end("r5", "a", j.Steps[1][0].Grant, identifier.TaskRef{Job: "q/g", Step: 1}, EndWell)
 	d.state("q/g", "well")
 }
 
@@ -180,10 +180,10 @@
 		t.Error("a time began after the cancel")
 	}
 	for k := 0; k < 3; k++ {
-		key := identifier.Key(fmt.Sprintf("q/r.%d", k))
+		key := identifier.JobKey(fmt.Sprintf("q/r.%d", k))
 		d.state("q/r", "running")
 		d.place(key, 0, []int{0}, "r5")
-		d.end("r5", "a", d.b.Jobs[key].Steps[0][0].Grant, identifier.Ref{Job: key}, EndWell)
+		d.end("r5", "a", d.b.Jobs[key].Steps[0][0].Grant, identifier.TaskRef{Job: key}, EndWell)
 	}
 	d.state("q/r", "well")
 	if n := d.b.Queued("q"); n != 0 {
@@ -201,7 +201,7 @@
 	d.queue("q/l", job.Spec{Steps: []job.Step{{Tasks: 1, Lasting: true}}})
 	for _, how := range []How{EndDefect, EndDefect, EndDefect, EndWell, EndLapsed} {
 		d.place("q/l", 0, []int{0}, "r5")
-		d.end("r5", "a", d.b.Jobs["q/l"].Steps[0][0].Grant, identifier.Ref{Job: "q/l"}, how)
+		d.end("r5", "a", d.b.Jobs["q/l"].Steps[0][0].Grant, identifier.TaskRef{Job: "q/l"}, how)
 		if s := d.b.Jobs["q/l"].Steps[0][0].State; s != Waiting {
 			t.Fatalf("after %s it is %s", how, s)
 		}
@@ -218,7 +218,7 @@
 	d.queue("q/s", job.Spec{Steps: []job.Step{{Tasks: 2, Saves: true}, {Tasks: 2, Saves: true, Gang: true}, {Tasks: 1}}})
 	j := d.b.Jobs["q/s"]
 	d.place("q/s", 0, []int{0}, "r5")
-	d.must(0, &Command{Ends: &Ends{Runner: "r5", Inc: "a", List: []End{{Grant: j.Steps[0][0].Grant, Ref: identifier.Ref{Job: "q/s"}, How: EndStopped, Saved: "half"}}}})
+	d.must(0, &Command{Ends: &Ends{Runner: "r5", Inc: "a", List: []End{{Grant: j.Steps[0][0].Grant, Ref: identifier.TaskRef{Job: "q/s"}, How: EndStopped, Saved: "half"}}}})
 	if j.Steps[0][0].Saved != "half" || j.Steps[0][1].Saved != "" {
 		t.Errorf("saved %q and %q", j.Steps[0][0].Saved, j.Steps[0][1].Saved)
 	}
@@ -228,7 +228,7 @@
 		t.Errorf("the gang has %q and %q", j.Steps[1][0].Saved, j.Steps[1][1].Saved)
 	}
 	d.place("q/s", 2, []int{0}, "r7")
-	d.must(0, &Command{Ends: &Ends{Runner: "r7", Inc: "a", List: []End{{Grant: j.Steps[2][0].Grant, Ref: identifier.Ref{Job: "q/s", Step: 2}, How: EndStopped, Saved: "odd"}}}})
+	d.must(0, &Command{Ends: &Ends{Runner: "r7", Inc: "a", List: []End{{Grant: j.Steps[2][0].Grant, Ref: identifier.TaskRef{Job: "q/s", Step: 2}, How: EndStopped, Saved: "odd"}}}})
 	if j.Steps[2][0].Saved != "" {
 		t.Error("progress is kept for a step that saves none")
 	}
@@ -239,12 +239,12 @@
 func TestLateWordOfARun(t *testing.T) {
 	d := newQueues(t)
 	d.queue("q/w", job.Spec{Steps: []job.Step{{Tasks: 1}}})
-	j, ref := d.b.Jobs["q/w"], identifier.Ref{Job: "q/w"}
+	j, ref := d.b.Jobs["q/w"], identifier.TaskRef{Job: "q/w"}
 	d.place("q/w", 0, []int{0}, "r5")
 	first := j.Steps[0][0].Grant
 	d.must(0, &Command{Lost: &Lost{Runner: "r5", Inc: "a"}})
 	d.place("q/w", 0, []int{0}, "r6")
-	if id, _, ok := d.b.Resolve("r5", "a", identifier.Ref{Job: "q/w.0"}, 1); !ok || id != first {
+	if id, _, ok := d.b.Resolve("r5", "a", identifier.TaskRef{Job: "q/w.0"}, 1); !ok || id != first {
 		t.Errorf("run 1 is grant %d %v, want %d", id, ok, first)
 	}
 	if !d.b.Hears("r5", "a", first, ref) {
@@ -296,8 +296,8 @@
 		c.Judged, c.Fits = true, false
 	}
 	g := d.b.Jobs["a/x"].Steps[0][0].Grant
-	d.must(0, &Command{Recall: &Recall{Grants: []identifier.Grant{g}, Why: StopPush}})
-	d.end("r1", "a", g, identifier.Ref{Job: "a/x"}, EndStopped)
+	d.must(0, &Command{Recall: &Recall{Grants: []identifier.LeaseID{g}, Why: StopPush}})
+	d.end("r1", "a", g, identifier.TaskRef{Job: "a/x"}, EndStopped)
 	if c := d.b.Jobs["a/x"].Steps[0][0].Closing; c == "" {
 		t.Error("what was pushed out has lost its right to push")
 	}
--- a/internal/state/report.go
+++ b/internal/state/report.go
@@ -12,7 +12,7 @@
 	case one == nil && len(b.Runners) >= MaxRunners:
 		return Result{Status: 503, Code: "runners-full", Why: "no room for another runner", Retry: 60000}
 	case one == nil:
-		one = &Runner{Name: p.Runner, Inc: p.Inc, grants: map[identifier.Grant]*Grant{}}
+		one = &Runner{Name: p.Runner, Inc: p.Inc, grants: map[identifier.LeaseID]*Grant{}}
 		b.Runners[p.Runner] = one
 		b.enlist(p.Runner)
 	case one.Was(p.Inc):
@@ -34,7 +34,7 @@
 // free lets tasks held for a runner go: its new incarnation has answered, and
 // remembers nothing.
 func (b *Book) free(name identifier.Runner) {
-	b.each(func(j *Job, ref identifier.Ref, t *Task) {
+	b.each(func(j *Job, ref identifier.TaskRef, t *Task) {
 		if t.State == Held && t.On == name {
 			b.set(j, ref, Waiting)
 			t.Why = ""
@@ -43,15 +43,15 @@
 }
 
 // each visits the tasks of every unfinished job in order of age of key.
-func (b *Book) each(do func(j *Job, ref identifier.Ref, t *Task)) {
+func (b *Book) each(do func(j *Job, ref identifier.TaskRef, t *Task)) {
 	for _, key := range b.names.Keys() {
-		j := b.Jobs[key.(identifier.Key)]
+		j := b.Jobs[key.(identifier.JobKey)]
 		if j.End != "" {
 			continue
 		}
 		for i, tasks := range j.Steps {
 			for n, t := range tasks {
-				do(j, identifier.Ref{Job: j.Key, Step: i, Num: n}, t)
+				do(j, identifier.TaskRef{Job: j.Key, Step: i, Num: n}, t)
 			}
 		}
 		b.settle(j)
--- a/internal/state/runner.go
+++ b/internal/state/runner.go
@@ -6,31 +6,32 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 )
 
 // Runner is what the state holds of one runner: its last report, the
 // incarnations it has left behind, and its recent successes and defects. Gone
 // runners were counted lost and have not reported since. Depart is when the
-// runner means to leave, in site time.
+// runner means to leave, in cluster time.
 type Runner struct {
-	Name   identifier.Runner  `json:"name"`
-	Inc    identifier.Inc     `json:"inc"`
-	Cap    job.Demand         `json:"cap"`
-	Labels []identifier.Label `json:"labels,omitempty"`
-	Domain identifier.Domain  `json:"domain"`
-	Rack   identifier.Rack    `json:"rack"`
-	Drain  bool               `json:"draining,omitempty"`
-	Depart identifier.Millis  `json:"departsAt,omitempty"`
-	Gone   bool               `json:"gone,omitempty"`
-	Past   []identifier.Inc   `json:"past,omitempty"`
-	Good   int64              `json:"good"`
-	Bad    int64              `json:"bad"`
-	Pool   string             `json:"pool,omitempty"`
+	Name   identifier.Runner        `json:"name"`
+	Inc    identifier.Incarnation   `json:"inc"`
+	Cap    job.Demand               `json:"cap"`
+	Labels []identifier.Label       `json:"labels,omitempty"`
+	Domain identifier.Domain        `json:"domain"`
+	Rack   identifier.Rack          `json:"rack"`
+	Drain  bool                     `json:"draining,omitempty"`
+	Depart clock.ClusterTime        `json:"departsAt,omitempty"`
+	Gone   bool                     `json:"gone,omitempty"`
+	Past   []identifier.Incarnation `json:"past,omitempty"`
+	Good   int64                    `json:"good"`
+	Bad    int64                    `json:"bad"`
+	Pool   string                   `json:"pool,omitempty"`
 	// Addr is where the agent that speaks for it listens, if one does.
 	Addr string `json:"addr,omitempty"`
 
 	used   job.Demand
-	grants map[identifier.Grant]*Grant
+	grants map[identifier.LeaseID]*Grant
 	fence  string
 }
 
@@ -48,7 +49,7 @@
 func (r *Runner) Open() int { return len(r.grants) }
 
 // Was tells whether inc is one this runner has left behind.
-func (r *Runner) Was(inc identifier.Inc) bool {
+func (r *Runner) Was(inc identifier.Incarnation) bool {
 	for _, p := range r.Past {
 		if p == inc {
 			return true
@@ -59,7 +60,7 @@
 
 const incKept = 16
 
-func (r *Runner) renew(inc identifier.Inc) {
+func (r *Runner) renew(inc identifier.Incarnation) {
 	r.Past = append(r.Past, r.Inc)
 	if len(r.Past) > incKept {
 		r.Past = r.Past[len(r.Past)-incKept:]
--- a/internal/state/tally.go
+++ b/internal/state/tally.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func (b *Book) set(j *Job, r identifier.Ref, s State) {
+func (b *Book) set(j *Job, r identifier.TaskRef, s State) {
 	t := j.Task(r)
 	b.tally(j, r.Step, t.State, -1)
 	t.State = s
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -10,14 +10,14 @@
 // that displaced it; On is the runner of its last lease; Past are the leases
 // counted lost, newest last, at most pastKept of them.
 type Task struct {
-	State   State              `json:"state"`
-	Defects int64              `json:"defects,omitempty"`
-	Grant   identifier.Grant   `json:"grant,omitempty"`
-	Shun    identifier.Runner  `json:"shun,omitempty"`
-	Closing string             `json:"closing,omitempty"`
-	Past    []identifier.Grant `json:"past,omitempty"`
-	On      identifier.Runner  `json:"on,omitempty"`
-	Why     string             `json:"why,omitempty"`
+	State   State                `json:"state"`
+	Defects int64                `json:"defects,omitempty"`
+	Grant   identifier.LeaseID   `json:"grant,omitempty"`
+	Shun    identifier.Runner    `json:"shun,omitempty"`
+	Closing string               `json:"closing,omitempty"`
+	Past    []identifier.LeaseID `json:"past,omitempty"`
+	On      identifier.Runner    `json:"on,omitempty"`
+	Why     string               `json:"why,omitempty"`
 	// No is the number of the last run, PastNo those of the grants in Past, Bad
 	// the last run that counted as a defect, Saved the progress to go on from.
 	No     uint64   `json:"no,omitempty"`
@@ -43,10 +43,10 @@
 }
 
 // recall takes a past grant off the list and tells whether it was there.
-func (t *Task) recall(g identifier.Grant) bool {
+func (t *Task) recall(g identifier.LeaseID) bool {
 	for i, p := range t.Past {
 		if p == g {
-			t.Past = append(append([]identifier.Grant(nil), t.Past[:i]...), t.Past[i+1:]...)
+			t.Past = append(append([]identifier.LeaseID(nil), t.Past[:i]...), t.Past[i+1:]...)
 			if i < len(t.PastNo) {
 				t.PastNo = append(append([]uint64(nil), t.PastNo[:i]...), t.PastNo[i+1:]...)
 			}
--- a/internal/state/times.go
+++ b/internal/state/times.go
@@ -7,12 +7,13 @@
 	"strconv"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 // mostSpawn bounds the times that one entry begins.
 const mostSpawn = 64
 
-func (j *Job) nextTime() identifier.Millis { return j.Spec.Repeat.At(j.Times) }
+func (j *Job) nextTime() clock.ClusterTime { return j.Spec.Repeat.At(j.Times) }
 
 // timesOver tells whether every time has come and ended, or none is to come.
 func (j *Job) timesOver() bool {
@@ -31,8 +32,8 @@
 }
 
 // timeKey names one time of a repeated job.
-func timeKey(parent identifier.Key, k int64) identifier.Key {
-	return identifier.Key(string(parent) + "." + strconv.FormatInt(k, 10))
+func timeKey(parent identifier.JobKey, k int64) identifier.JobKey {
+	return identifier.JobKey(string(parent) + "." + strconv.FormatInt(k, 10))
 }
 
 // spawn begins the times that have come.
--- a/internal/state/view_test.go
+++ b/internal/state/view_test.go
@@ -13,11 +13,11 @@
 func day(known, kept int) *Book {
 	b := New()
 	for i := 0; i < known; i++ {
-		b.Known.add(&Job{Key: identifier.Key(fmt.Sprintf("gilde/j%d", i)), Sum: fmt.Sprint(i), End: Well}, 1000)
+		b.Known.add(&Job{Key: identifier.JobKey(fmt.Sprintf("gilde/j%d", i)), Sum: fmt.Sprint(i), End: Well}, 1000)
 	}
 	for i := 0; i < kept; i++ {
 		s := job.Spec{Pending: "default", Steps: []job.Step{{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Defects: 1, Run: 100}}}
-		b.Apply(&Command{At: 1000, Submit: &Submit{Key: identifier.Key(fmt.Sprintf("gilde/k%d", i)), Spec: s}})
+		b.Apply(&Command{At: 1000, Submit: &Submit{Key: identifier.JobKey(fmt.Sprintf("gilde/k%d", i)), Spec: s}})
 	}
 	return b
 }
--- a/internal/transport/httpclient/call.go
+++ b/internal/transport/httpclient/call.go
@@ -1,4 +1,4 @@
-// Package call is an HTTP caller of gates: it tries them in turn, waits as
+// Package httpclient is an HTTP caller of gates: it tries them in turn, waits as
 // long as it is told to when the fleet is busy, and says which it tried. What
 // may have been carried out is sent again only if a repeat is known for one.
 package httpclient
--- a/internal/transport/httpserver/serve.go
+++ b/internal/transport/httpserver/serve.go
@@ -1,4 +1,4 @@
-// Package serve is the HTTP side that every daemon has: liveness, readiness,
+// Package httpserver is the HTTP side that every daemon has: liveness, readiness,
 // metrics, one error shape, and a stop that answers what is in hand.
 package httpserver
 
--- a/internal/transport/wire/codec.go
+++ b/internal/transport/wire/codec.go
@@ -10,6 +10,7 @@
 	"github.com/go-faster/errors"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/transport/wire/frame"
 )
@@ -258,8 +259,8 @@
 	}
 	var l look
 	a := &Ask{ID: o.Id(), Verb: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
-		Epoch: identifier.Epoch(o.Epoch()), Budget: identifier.Span(o.Budget()), Hops: o.Hops(),
-		Dated: o.Dated(), Known: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
+		Epoch: identifier.Epoch(o.Epoch()), Budget: clock.Millis(o.Budget()), Hops: o.Hops(),
+		Dated: o.Dated(), Known: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	return a, l.err
 }
 
@@ -269,8 +270,8 @@
 		return nil, err
 	}
 	var l look
-	r := &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: identifier.Span(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
-		Expired: o.Expired(), Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
+	r := &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: clock.Millis(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
+		Expired: o.Expired(), Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	return r, l.err
 }
 
@@ -282,7 +283,7 @@
 	var l look
 	t := &Tell{Ask: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
 		HTTP: l.text(o.Http()), Founded: o.Founded(), Lead: identifier.Node(o.Lead()),
-		Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: identifier.Mono(o.LeaderAt())}}
+		Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	t.Members = getMembers(&l, o.Members)
 	t.Founders = getMembers(&l, o.Founders)
 	gates, err := o.Gates()
@@ -317,7 +318,7 @@
 	var l look
 	m := &raft.Message{Kind: raft.Kind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
 		Index: identifier.Index(o.Index()), LogTerm: identifier.Term(o.LogTerm()), Commit: identifier.Index(o.Commit()), No: o.No(), Force: o.Force(),
-		Hint: identifier.Index(o.Hint()), Stamp: identifier.Mono(o.Stamp()), Wall: identifier.Wall(o.Wall()), Met: identifier.Term(o.Met()), Site: identifier.Millis(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
+		Hint: identifier.Index(o.Hint()), Stamp: clock.Monotonic(o.Stamp()), Wall: clock.WallTime(o.Wall()), Met: identifier.Term(o.Met()), Site: clock.ClusterTime(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
 	list, err := o.Entries()
 	if err != nil {
 		return nil, err
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -4,6 +4,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 )
 
@@ -26,7 +27,7 @@
 // it led. The zero value is no reading.
 type LeaderTime struct {
 	Term identifier.Term
-	At   identifier.Mono
+	At   clock.Monotonic
 }
 
 // Later tells whether this reading was taken after another one.
@@ -44,7 +45,7 @@
 	Query  string
 	Body   []byte
 	Epoch  identifier.Epoch
-	Budget identifier.Span
+	Budget clock.Millis
 	Hops   uint8
 	Dated  bool
 	Known  LeaderTime
@@ -64,7 +65,7 @@
 	ID      uint64
 	Status  int
 	Body    []byte
-	Retry   identifier.Span
+	Retry   clock.Millis
 	Moved   bool
 	Stale   bool
 	Expired bool
--- a/tests/scale/fleet.go
+++ b/tests/scale/fleet.go
@@ -18,6 +18,7 @@
 
 	"github.com/go-faster/errors"
 
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 )
 
@@ -30,7 +31,7 @@
 type fleet struct {
 	dir   string
 	crew  *lifecycle.Crew
-	clock *lifecycle.Clock
+	clock *clock.System
 	crowd *crowd
 	web   *http.Client
 
@@ -60,7 +61,7 @@
 
 func newFleet(dir string) (*fleet, error) {
 	var err error
-	f := &fleet{dir: dir, crew: lifecycle.New(), clock: lifecycle.NewClock(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
+	f := &fleet{dir: dir, crew: lifecycle.New(), clock: clock.NewSystem(), web: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
 	if _, err = os.Stat("cmd/orchidward-server"); err != nil {
 		return nil, errors.Wrap(err, "run from the root of the repository")
 	}
--- a/tests/scale/hold.go
+++ b/tests/scale/hold.go
@@ -10,25 +10,26 @@
 	"orchidward/internal/agent"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 	"orchidward/internal/transport/wire"
 )
 
 const (
-	holdSpan  identifier.Mono = 100_000
-	holdFrom  identifier.Mono = 10_000
-	holdGrant identifier.Span = 6000
-	holdOpen  identifier.Span = 600
+	holdSpan  clock.Monotonic = 100_000
+	holdFrom  clock.Monotonic = 10_000
+	holdGrant clock.Millis    = 6000
+	holdOpen  clock.Millis    = 600
 )
 
 // stub is the core of the trial: the poll it holds, and since when.
 type stub struct {
 	mach  *agent.Machine
 	open  uint64
-	since identifier.Mono
+	since clock.Monotonic
 	polls int
 }
 
-func (s *stub) answer(id uint64, now identifier.Mono) {
+func (s *stub) answer(id uint64, now clock.Monotonic) {
 	text, err := json.Marshal(runnerapi.Answer{GrantMs: holdGrant, StartMs: 1000})
 	if err != nil {
 		panic(err)
@@ -37,7 +38,7 @@
 }
 
 // step answers what is due and takes in what the agent sends.
-func (s *stub) step(now identifier.Mono) {
+func (s *stub) step(now clock.Monotonic) {
 	if s.open != 0 && now.Since(s.since) >= holdOpen {
 		id := s.open
 		s.open = 0
@@ -60,13 +61,13 @@
 
 // holdTrial has so many tasks of about such a span run on, out of step, and
 // counts the beats after the first ten seconds that were answered without a hold.
-func holdTrial(tasks int, span identifier.Span) (polls, bare, beats int) {
+func holdTrial(tasks int, span clock.Millis) (polls, bare, beats int) {
 	s := &standIn{inc: "a", domain: "n", rack: "r", until: 1 << 40}
 	c := &stub{mach: agent.New(agent.Boot{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, HoldMost: holdMost, Pace: beatGap}, 0)}
 	for i := range tasks {
-		s.runs = append(s.runs, &work{task: identifier.Ref{Job: "q/00000000000000a1.0", Num: i}, no: 1, span: span + identifier.Span(i)*span/97, at: identifier.Mono(-217 * i)})
+		s.runs = append(s.runs, &work{task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: i}, no: 1, span: span + clock.Millis(i)*span/97, at: clock.Monotonic(-217 * i)})
 	}
-	for now := identifier.Mono(0); now < holdSpan; now += identifier.Mono(agent.Tick) {
+	for now := clock.Monotonic(0); now < holdSpan; now += clock.Monotonic(agent.Tick) {
 		c.mach.Tick(now)
 		if s.due(now) {
 			o := c.mach.Beat(s.beat(now), now)
@@ -86,7 +87,7 @@
 func holdTrials() {
 	for _, one := range []struct {
 		tasks int
-		span  identifier.Span
+		span  clock.Millis
 	}{{1, 117_000}, {5, 117_000}, {14, 117_000}, {14, 300_000}, {24, 3_000_000}, {14, 30_000}, {14, 1 << 40}} {
 		polls, bare, beats := holdTrial(one.tasks, one.span)
 		fmt.Printf("%d tasks of %d s: %.2f polls/s, %d of %d beats without a hold\n", one.tasks, one.span/1000, float64(polls)/float64(holdSpan)*1000, bare, beats)
--- a/tests/scale/hollow.go
+++ b/tests/scale/hollow.go
@@ -15,6 +15,7 @@
 	"orchidward/internal/agent"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/transport/link"
 	"orchidward/internal/transport/wire"
@@ -62,7 +63,7 @@
 // crowd is all the hollow agents of a run.
 type crowd struct {
 	crew  *lifecycle.Crew
-	clock *lifecycle.Clock
+	clock *clock.System
 	seeds []string
 
 	mu    sync.Mutex
@@ -72,12 +73,12 @@
 	starts, ends, lapsed, sent, got, running atomic.Int64
 }
 
-func newCrowd(c *lifecycle.Crew, clock *lifecycle.Clock, seeds []string) *crowd {
+func newCrowd(c *lifecycle.Crew, clock *clock.System, seeds []string) *crowd {
 	return &crowd{crew: c, clock: clock, seeds: seeds, waits: hdrhistogram.New(1, slowest, 3)}
 }
 
 // begun notes how long a task of a job waited for its start.
-func (w *crowd) begun(handed, at identifier.Mono) {
+func (w *crowd) begun(handed, at clock.Monotonic) {
 	w.starts.Add(1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -95,10 +96,10 @@
 
 // newRunner is the i-th runner of the fleet: one half of them has accelerators.
 func (w *crowd) newRunner(i int) *standIn {
-	s := &standIn{inc: identifier.Inc(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: identifier.Domain(fmt.Sprintf("z%d", i%zones)), rack: identifier.Rack(fmt.Sprintf("rack-%d", i/perRack)), begun: w.begun}
+	s := &standIn{inc: identifier.Incarnation(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: identifier.Domain(fmt.Sprintf("z%d", i%zones)), rack: identifier.Rack(fmt.Sprintf("rack-%d", i/perRack)), begun: w.begun}
 	rnd := rand.New(rand.NewPCG(uint64(i), 3))
-	s.vary = func(span identifier.Span) identifier.Span {
-		return span*9/10 + identifier.Span(rnd.Int64N(int64(span)/5+1))
+	s.vary = func(span clock.Millis) clock.Millis {
+		return span*9/10 + clock.Millis(rnd.Int64N(int64(span)/5+1))
 	}
 	s.room = job.Demand{Milli: 24000, Mem: 64000}
 	if i%2 == 1 {
@@ -132,7 +133,7 @@
 	if i%sampleEach == 0 {
 		h.size = &sizes{}
 	}
-	h.run.next = w.clock.Now() + identifier.Mono(i%beatGap)
+	h.run.next = w.clock.Now() + clock.Monotonic(i%beatGap)
 	h.mach = agent.New(agent.Boot{Name: identifier.Runner(fmt.Sprintf("hollow-%d", i)), Addr: h.link.Addr(), Domain: h.run.domain, Seeds: w.seeds,
 		Seed: time.Now().UnixMicro() + int64(i), HoldMost: holdMost, Pace: beatGap}, w.clock.Now())
 	h.link.Serve(func(from wire.Peer, msg wire.Msg) { g.in.Offer(frame{h, from, msg}) })
@@ -164,7 +165,7 @@
 }
 
 func (g *group) live(stop <-chan struct{}) {
-	t := time.NewTicker(agent.Tick.Real())
+	t := time.NewTicker(agent.Tick.Duration())
 	defer t.Stop()
 	for {
 		select {
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 )
 
@@ -19,7 +19,7 @@
 	gangEvery = 4 * time.Second
 	posters   = 8
 	// shortSpan is the mean of the short tasks' spans.
-	shortSpan identifier.Span = 3000
+	shortSpan clock.Millis = 3000
 )
 
 type load struct {
@@ -59,7 +59,7 @@
 }
 
 // job is so many like tasks, whole as a gang if asked.
-func (l *load) job(tasks int, span identifier.Span, gang bool, gpus int) string {
+func (l *load) job(tasks int, span clock.Millis, gang bool, gpus int) string {
 	return fmt.Sprintf(`{"queue":%q,"text":%q,"steps":[{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}]}`,
 		queue, note(span, l.fleet.clock.Now()), tasks, gang, gpus, span)
 }
@@ -80,7 +80,7 @@
 func (l *load) start(rate int, seed uint64) func() {
 	over := make(chan struct{})
 	rnd := rand.New(rand.NewPCG(seed, 1))
-	span := func() identifier.Span { return shortSpan*2/3 + identifier.Span(rnd.Int64N(int64(shortSpan)*2/3)) }
+	span := func() clock.Millis { return shortSpan*2/3 + clock.Millis(rnd.Int64N(int64(shortSpan)*2/3)) }
 	gang := min(gangMost, rate)
 	plain := float64(rate) - float64(gang)/gangEvery.Seconds()
 	tasks := max(1, min(jobTasks, rate/2))
--- a/tests/scale/points.go
+++ b/tests/scale/points.go
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 )
 
 const (
@@ -83,10 +83,10 @@
 		return
 	}
 	end := p.load.start(rate, uint64(x)+uint64(rate))
-	time.Sleep(shortSpan.Real() + time.Second)
+	time.Sleep(shortSpan.Duration() + time.Second)
 	p.repeat(phase, x)
 	end()
-	time.Sleep(shortSpan.Real())
+	time.Sleep(shortSpan.Duration())
 }
 
 func (p *points) wants(phase string) bool {
@@ -184,7 +184,7 @@
 
 // running fills the site with tasks that run on, step by step.
 func (p *points) running() {
-	rnd, long := rand.New(rand.NewPCG(1, 2)), identifier.Span(p.long.Milliseconds())
+	rnd, long := rand.New(rand.NewPCG(1, 2)), clock.Millis(p.long.Milliseconds())
 	err := p.fleet.wait(10*time.Second, "short tasks over", func() bool { return p.fleet.crowd.running.Load() == 0 })
 	if err != nil {
 		p.report.say("failed: %v", err)
@@ -201,7 +201,7 @@
 			if k%8 == 7 {
 				gpus = 1
 			}
-			p.load.offer(p.load.job(tasks, long*2/3+identifier.Span(rnd.Int64N(int64(long)*2/3)), false, gpus))
+			p.load.offer(p.load.job(tasks, long*2/3+clock.Millis(rnd.Int64N(int64(long)*2/3)), false, gpus))
 			handed += tasks
 		}
 		err := p.fleet.wait(25*time.Second, "the tasks run", func() bool { return int(p.fleet.crowd.running.Load()) >= n })
--- a/tests/scale/runner.go
+++ b/tests/scale/runner.go
@@ -11,59 +11,60 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 )
 
 // stopping is how long a run takes to end on order, in milliseconds.
-const stopping identifier.Span = 150
+const stopping clock.Millis = 150
 
 type standIn struct {
-	inc    identifier.Inc
+	inc    identifier.Incarnation
 	domain identifier.Domain
 	rack   identifier.Rack
 	room   job.Demand
 
 	seq   uint64
-	next  identifier.Mono
-	until identifier.Mono
+	next  clock.Monotonic
+	until clock.Monotonic
 	runs  []*work
 	ends  []runnerapi.RunEnd
 	n     uint64
 	// lapses counts the runs whose hold was over.
 	lapses int64
 	// begun hears of every start: when the job was handed in, and when it began.
-	begun func(handed, at identifier.Mono)
+	begun func(handed, at clock.Monotonic)
 	// vary, if given, is how long a run of so long a span really takes.
-	vary func(span identifier.Span) (actual identifier.Span)
+	vary func(span clock.Millis) (actual clock.Millis)
 }
 
 // work is one run.
 type work struct {
-	task identifier.Ref
+	task identifier.TaskRef
 	no   uint64
-	span identifier.Span
-	at   identifier.Mono
-	stop identifier.Mono
+	span clock.Millis
+	at   clock.Monotonic
+	stop clock.Monotonic
 }
 
 // note is the text that every job of a scale run bears: how long a task runs
 // and when the job was handed in, by the one clock of the run.
-func note(span identifier.Span, handed identifier.Mono) string {
+func note(span clock.Millis, handed clock.Monotonic) string {
 	return fmt.Sprintf("%d %d", span, handed)
 }
 
-func readNote(text string) (span identifier.Span, handed identifier.Mono, ok bool) {
+func readNote(text string) (span clock.Millis, handed clock.Monotonic, ok bool) {
 	a, b, _ := strings.Cut(text, " ")
 	x, err := strconv.ParseInt(a, 10, 64)
 	if err != nil || x <= 0 {
 		return 0, 0, false
 	}
 	y, err := strconv.ParseInt(b, 10, 64)
-	return identifier.Span(x), identifier.Mono(y), err == nil
+	return clock.Millis(x), clock.Monotonic(y), err == nil
 }
 
 // due lets time pass, and tells whether the runner would beat now. A run whose
 // hold is over has lapsed.
-func (s *standIn) due(now identifier.Mono) bool {
+func (s *standIn) due(now clock.Monotonic) bool {
 	kept := s.runs[:0]
 	for _, w := range s.runs {
 		how := ""
@@ -89,7 +90,7 @@
 }
 
 // beat is what the runner says of itself.
-func (s *standIn) beat(now identifier.Mono) agent.Beat {
+func (s *standIn) beat(now clock.Monotonic) agent.Beat {
 	s.seq++
 	b := agent.Beat{Runner: s.inc, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Cap: s.room}
 	for _, w := range s.runs {
@@ -100,8 +101,8 @@
 }
 
 // obey takes the answer to a beat that was sent at the given time.
-func (s *standIn) obey(o agent.Orders, sent, now identifier.Mono) {
-	s.next = sent + identifier.Mono(max(1, o.Retry))
+func (s *standIn) obey(o agent.Orders, sent, now clock.Monotonic) {
+	s.next = sent + clock.Monotonic(max(1, o.Retry))
 	if o.Hold > 0 {
 		s.until = max(s.until, sent.Add(o.Hold))
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-func (s *standIn) find(task identifier.Ref, no uint64) *work {
+func (s *standIn) find(task identifier.TaskRef, no uint64) *work {
 	for _, one := range s.runs {
 		if one.task == task && one.no == no {
 			return one
@@ -132,7 +133,7 @@
 }
 
 // start turns away what bears no note, and takes the same start only once.
-func (s *standIn) start(x runnerapi.Start, now identifier.Mono) {
+func (s *standIn) start(x runnerapi.Start, now clock.Monotonic) {
 	if s.find(x.Task, x.No) != nil {
 		return
 	}
--- a/tests/scale/runner_test.go
+++ b/tests/scale/runner_test.go
@@ -6,18 +6,19 @@
 	"orchidward/internal/agent"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
 )
 
-func startOf(num int, span identifier.Span) runnerapi.Start {
-	return runnerapi.Start{Task: identifier.Ref{Job: "q/00000000000000a1.0", Num: num}, No: 1, Text: note(span, 40)}
+func startOf(num int, span clock.Millis) runnerapi.Start {
+	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, No: 1, Text: note(span, 40)}
 }
 
 // TestStandIn: a run begins on order and once, shows how far it is, ends well
 // after its span, and its end is told until it was observed.
 func TestStandIn(t *testing.T) {
-	var handed, began identifier.Mono
+	var handed, began clock.Monotonic
 	count := 0
-	s := &standIn{inc: "a", begun: func(h, at identifier.Mono) { handed, began, count = h, at, count+1 }}
+	s := &standIn{inc: "a", begun: func(h, at clock.Monotonic) { handed, began, count = h, at, count+1 }}
 	if !s.due(0) {
 		t.Fatal("no first beat")
 	}
@@ -88,7 +89,7 @@
 
 // TestStandInVaries: the percentage and the end go by how long a run really takes.
 func TestStandInVaries(t *testing.T) {
-	s := &standIn{vary: func(span identifier.Span) identifier.Span { return span * 2 }}
+	s := &standIn{vary: func(span clock.Millis) clock.Millis { return span * 2 }}
 	s.obey(agent.Orders{Hold: 6000, Start: []runnerapi.Start{startOf(0, 1000)}}, 0, 0)
 	s.due(1999)
 	if b := s.beat(1000); len(b.Active) != 1 || b.Active[0].Percent != 50 {
--- a/tests/simulation/callers.go
+++ b/tests/simulation/callers.go
@@ -9,6 +9,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 	"orchidward/internal/invariants"
 )
 
@@ -17,7 +18,7 @@
 	node *node
 	next int
 	stop int64
-	keys []identifier.Key
+	keys []identifier.JobKey
 
 	weight   int
 	ackedW   int
@@ -65,22 +66,22 @@
 		return n
 	}
 	for n := pick(1); n > 0; n-- {
-		c.hand("stock", job.Step{Name: "run", Tasks: 2 + c.w.rnd.Int63n(3), Gang: true, Demand: job.Demand{Cores: 2 + c.w.rnd.Int63n(3), Mem: 2048}, Run: identifier.Span(1000 + c.w.rnd.Int63n(4000))})
+		c.hand("stock", job.Step{Name: "run", Tasks: 2 + c.w.rnd.Int63n(3), Gang: true, Demand: job.Demand{Cores: 2 + c.w.rnd.Int63n(3), Mem: 2048}, Run: clock.Millis(1000 + c.w.rnd.Int63n(4000))})
 	}
 	if c.w.rnd.Intn(4) == 0 {
-		c.hand("stock", job.Step{Name: "sign", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 512}, Run: identifier.Span(15000 + c.w.rnd.Int63n(10000))})
+		c.hand("stock", job.Step{Name: "sign", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 512}, Run: clock.Millis(15000 + c.w.rnd.Int63n(10000))})
 	}
 	if c.w.rnd.Intn(6) == 0 {
-		c.hand("stock", job.Step{Name: "night", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 1, Mem: 512}, Run: identifier.Span(22000 + c.w.rnd.Int63n(4000))})
+		c.hand("stock", job.Step{Name: "night", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 1, Mem: 512}, Run: clock.Millis(22000 + c.w.rnd.Int63n(4000))})
 	}
 	for n := pick(2); n > 0; n-- {
-		st := job.Step{Name: "price", Tasks: 1 + c.w.rnd.Int63n(3), Demand: job.Demand{Cores: 1, Mem: 256}, Run: identifier.Span(100 + c.w.rnd.Int63n(400))}
+		st := job.Step{Name: "price", Tasks: 1 + c.w.rnd.Int63n(3), Demand: job.Demand{Cores: 1, Mem: 256}, Run: clock.Millis(100 + c.w.rnd.Int63n(400))}
 		two := st
 		two.Name, two.After = "plan", []string{"price"}
 		c.hand("push", st, two)
 	}
 	for n := pick(8); n > 0; n-- {
-		st := job.Step{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 128}, Run: identifier.Span(50 + c.w.rnd.Int63n(300))}
+		st := job.Step{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 128}, Run: clock.Millis(50 + c.w.rnd.Int63n(300))}
 		if c.w.rnd.Intn(4) == 0 {
 			st.Labels = []identifier.Label{"ssd"}
 		}
@@ -105,7 +106,7 @@
 		doc["delayMs"] = d
 		j.Start = j.Handed + d
 	case 1:
-		at := identifier.Millis(epoch + j.Handed + 1000 + c.w.rnd.Int63n(5000))
+		at := clock.ClusterTime(epoch + j.Handed + 1000 + c.w.rnd.Int63n(5000))
 		doc["notBefore"] = at.Time().Format("2006-01-02T15:04:05.000Z")
 		j.Start = int64(at) - epoch
 	}
@@ -113,7 +114,7 @@
 	if err != nil {
 		panic(err)
 	}
-	key := identifier.MakeKey("gilde", identifier.JobID(fmt.Sprintf("j%d", c.next)))
+	key := identifier.NewJobKey("gilde", identifier.JobID(fmt.Sprintf("j%d", c.next)))
 	c.w.Watch.Jobs[key] = j
 	c.w.at(j.Handed, func() { c.put(key, j, text) })
 }
@@ -128,7 +129,7 @@
 }
 
 // put hands a job in and, after silence or a refusal to be waited out, again.
-func (c *callers) put(key identifier.Key, j *invariants.Job, text []byte) {
+func (c *callers) put(key identifier.JobKey, j *invariants.Job, text []byte) {
 	c.w.http(c.node, c.gate(), "PUT", "/v1/jobs/"+string(key), text, 2000, func(status int, body []byte) {
 		switch {
 		case status == 200 || status == 201:
@@ -150,7 +151,7 @@
 
 // follow reads an accepted job through any gate, resends it now and then, and
 // sometimes cancels it.
-func (c *callers) follow(key identifier.Key, j *invariants.Job, text []byte) {
+func (c *callers) follow(key identifier.JobKey, j *invariants.Job, text []byte) {
 	c.w.after(c.w.rnd.Int63n(3000), func() { c.read(key) })
 	if c.w.rnd.Intn(10) == 0 {
 		c.w.after(c.w.rnd.Int63n(5000), func() { c.put(key, j, text) })
@@ -160,7 +161,7 @@
 	}
 }
 
-func (c *callers) read(key identifier.Key) {
+func (c *callers) read(key identifier.JobKey) {
 	c.w.http(c.node, c.gate(), "GET", "/v1/jobs/"+string(key), nil, 2000, func(status int, body []byte) {
 		if status != 200 && status != 404 {
 			c.w.after(500, func() { c.read(key) })
@@ -179,7 +180,7 @@
 	})
 }
 
-func (c *callers) cancel(key identifier.Key, j *invariants.Job) {
+func (c *callers) cancel(key identifier.JobKey, j *invariants.Job) {
 	j.Asked = true
 	c.w.http(c.node, c.gate(), "DELETE", "/v1/jobs/"+string(key), nil, 2000, func(status int, _ []byte) {
 		if status != 200 {
--- a/tests/simulation/clocks_test.go
+++ b/tests/simulation/clocks_test.go
@@ -6,7 +6,7 @@
 )
 
 // clockScenes are keepers' clocks, wrong in every way; most is how far ahead
-// site time may be after 18 s, least how far behind.
+// cluster time may be after 18 s, least how far behind.
 var clockScenes = []struct {
 	skews       [3]int64
 	least, most int64
@@ -28,7 +28,7 @@
 }
 
 // TestClocks: every keeper's clock jumps, forward and back by hours, leaders
-// change meanwhile. Clocks that all disagree move site time nowhere; a wrong
+// change meanwhile. Clocks that all disagree move cluster time nowhere; a wrong
 // majority moves it by a twentieth of the time it is wrong.
 func TestClocks(t *testing.T) {
 	for _, one := range clockScenes {
@@ -42,7 +42,7 @@
 				w.at(15000, func() { w.strike(Fault{Dur: 3000, Kind: "leader-freeze"}) })
 				w.at(24000, func() {
 					if off := w.siteOff(t); off > one.most || off < one.least {
-						t.Errorf("site time is off by %d ms after 18 s", off)
+						t.Errorf("cluster time is off by %d ms after 18 s", off)
 					}
 				})
 			}})
@@ -79,13 +79,13 @@
 				}
 				w.at(from+9500, func() {
 					if off := w.siteOff(t); off > 100 {
-						t.Errorf("site time is ahead by %d ms", off)
+						t.Errorf("cluster time is ahead by %d ms", off)
 					}
 					w.keepers[2].skew = 0
 				})
 				w.at(from+14000, func() {
 					if off := w.siteOff(t); off > 100 || off < -100 {
-						t.Errorf("site time is off by %d ms though two clocks agree", off)
+						t.Errorf("cluster time is off by %d ms though two clocks agree", off)
 					}
 				})
 			}})
@@ -95,7 +95,7 @@
 
 // TestLateEntry: a new leader's first entries reach one follower, and nothing
 // of it is decided before the leader is gone and the follower alone for many
-// seconds. Deciding them then must not set site time back to when they were made.
+// seconds. Deciding them then must not set cluster time back to when they were made.
 func TestLateEntry(t *testing.T) {
 	t.Parallel()
 	hit := false
@@ -130,7 +130,7 @@
 		})
 		w.at(25000, func() {
 			if off := w.siteOff(t); off < -1000 || off > 100 {
-				t.Errorf("site time is off by %d ms", off)
+				t.Errorf("cluster time is off by %d ms", off)
 			}
 		})
 	}})
--- a/tests/simulation/edge.go
+++ b/tests/simulation/edge.go
@@ -4,6 +4,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/gateway"
 )
 
@@ -66,7 +67,7 @@
 	if n == nil {
 		return
 	}
-	r := gateway.Request{Verb: verb, Path: path, Body: body, Budget: identifier.Span(wait)}
+	r := gateway.Request{Verb: verb, Path: path, Body: body, Budget: clock.Millis(wait)}
 	answer := func(status int, body []byte) {
 		w.fly(n, from, func() { settle(status, body) })
 	}
--- a/tests/simulation/run.go
+++ b/tests/simulation/run.go
@@ -151,7 +151,7 @@
 }
 
 // autopsy notes what the core has of a job that did not end.
-func (w *World) autopsy(key identifier.Key) {
+func (w *World) autopsy(key identifier.JobKey) {
 	lead := w.leader()
 	if lead == nil {
 		w.note("no leader")
--- a/tests/simulation/side.go
+++ b/tests/simulation/side.go
@@ -7,6 +7,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 	"orchidward/internal/runner"
 )
 
@@ -39,7 +40,7 @@
 	r.life++
 	r.up, r.begun = true, w.Now
 	set := r.boot
-	set.Inc, set.Seed, set.Faulty = identifier.Inc(fmt.Sprintf("%016x", w.rnd.Uint64())), w.rnd.Int63(), w.Site.Faulty+r.sick
+	set.Inc, set.Seed, set.Faulty = identifier.Incarnation(fmt.Sprintf("%016x", w.rnd.Uint64())), w.rnd.Int63(), w.Site.Faulty+r.sick
 	for _, g := range w.gates {
 		set.Gates = append(set.Gates, g.addr)
 	}
@@ -96,7 +97,7 @@
 	if !r.up || r.frozen {
 		return
 	}
-	r.mach.SetMode("draining", identifier.Span(departs), r.w.mono(r.node))
+	r.mach.SetMode("draining", clock.Millis(departs), r.w.mono(r.node))
 	r.out()
 }
 
--- a/tests/simulation/stale_order_test.go
+++ b/tests/simulation/stale_order_test.go
@@ -234,7 +234,7 @@
 	}
 	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) bool {
 		w, late := s.playUnknown("PUT", "/v1/jobs/gilde/late", body)
-		j := w.leader().mach.Book().Jobs[identifier.MakeKey("gilde", "late")]
+		j := w.leader().mach.Book().Jobs[identifier.NewJobKey("gilde", "late")]
 		if late && j != nil && j.End != state.Cancelled {
 			t.Errorf("seed %d, offset %d: the job that was cancelled is %s", s.seed, s.offset, fmt.Sprint(j.State()))
 		}
--- a/tests/simulation/world.go
+++ b/tests/simulation/world.go
@@ -1,4 +1,4 @@
-// Package sim runs a whole site in virtual time: the very machines the daemons
+// Package simulation runs a whole site in virtual time: the very machines the daemons
 // run, over a network that delays, loses and cuts, on disks that lose what was
 // not synced, by clocks that drift and jump. One seed gives one run, always
 // the same. An observer that watches only runners and callers judges it.
@@ -10,7 +10,7 @@
 	"fmt"
 	"math/rand"
 
-	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/invariants"
 	"orchidward/internal/transport/wire"
@@ -80,7 +80,7 @@
 	// Porters is how many keepers there are besides, without a disk.
 	Porters int
 	// Elect is the least wait before an election in ms, 0 for the usual.
-	Elect identifier.Span
+	Elect clock.Millis
 }
 
 // coreZones are the zones that keepers stand in: gates and runners have three.
@@ -197,15 +197,15 @@
 	})
 }
 
-func (w *World) mono(n *node) identifier.Mono {
+func (w *World) mono(n *node) clock.Monotonic {
 	gone := w.Now - n.begun
 	if w.Dull {
 		gone -= n.slept
 	}
-	return identifier.Mono(float64(gone) * (1 + n.drift))
+	return clock.Monotonic(float64(gone) * (1 + n.drift))
 }
 
-func (w *World) wall(n *node) identifier.Wall { return identifier.Wall(epoch + w.Now + n.skew) }
+func (w *World) wall(n *node) clock.WallTime { return clock.WallTime(epoch + w.Now + n.skew) }
 
 // cut tells whether what a sends reaches b.
 func (w *World) cut(a, b *node) bool {
