--- a/cmd/orchidctl/main.go
+++ b/cmd/orchidctl/main.go
@@ -36,14 +36,14 @@
 
 // desk is what every command works with.
 type desk struct {
-	call *httpclient.Caller
+	call *httpclient.Client
 	json bool
 }
 
 // refused is an answer of the fleet that is not a success.
-type refused struct{ got httpclient.Got }
+type refused struct{ got httpclient.Response }
 
-func (r refused) Error() string { return r.got.Why() }
+func (r refused) Error() string { return r.got.Message() }
 
 // ask sends a request and hands back the document of a success.
 func (d *desk) ask(verb, path string, body []byte) ([]byte, error) {
@@ -76,7 +76,7 @@
 
 func main() {
 	f := &flags{}
-	ctx := settings.Parse(f, "orchidctl", "Command line for callers and operators of orchidward.", func(c *settings.Check) {
+	ctx := settings.Parse(f, "orchidctl", "Command line for callers and operators of orchidward.", func(c *settings.Validator) {
 		c.Addrs("gates", f.Gates, 1)
 		c.Range("wait-ms", f.WaitMs, 100, 60000)
 	})
@@ -93,9 +93,9 @@
 	var no refused
 	var use usage
 	switch {
-	case errors.Is(err, httpclient.ErrReach):
+	case errors.Is(err, httpclient.ErrUnreachable):
 		return 3
-	case errors.Is(err, httpclient.ErrUnknown), errors.As(err, &no) && no.got.Status == http.StatusGatewayTimeout:
+	case errors.Is(err, httpclient.ErrOutcomeUnknown), errors.As(err, &no) && no.got.Status == http.StatusGatewayTimeout:
 		return 4
 	case errors.As(err, &no):
 		return 1
--- a/cmd/orchidctl/table.go
+++ b/cmd/orchidctl/table.go
@@ -61,7 +61,7 @@
 		}
 		out = append(out, rec)
 	}
-	for _, c := range limits.Site {
+	for _, c := range limits.SiteColumns {
 		out = append(out, []string{"site", c.Name, cell(s.Site[c.Name])})
 	}
 	return out
--- a/cmd/orchidward-gateway/main.go
+++ b/cmd/orchidward-gateway/main.go
@@ -22,7 +22,7 @@
 	BodyKb int64    `help:"Largest request body in KiB." default:"1024"`
 }
 
-func (f *flags) check(c *settings.Check) {
+func (f *flags) check(c *settings.Validator) {
 	c.Addr("addr", f.Addr)
 	c.Addr("http", f.HTTP)
 	c.Name("domain", f.Domain)
@@ -37,5 +37,5 @@
 func main() {
 	f := &flags{}
 	settings.Parse(f, "orchidward-gateway", "Stateless front end of orchidward.", f.check)
-	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(gatewayd.New), fx.Invoke(func(*gatewayd.Desk) {}))
+	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(gatewayd.New), fx.Invoke(func(*gatewayd.Daemon) {}))
 }
--- a/cmd/orchidward-runner/desk.go
+++ b/cmd/orchidward-runner/desk.go
@@ -32,32 +32,32 @@
 )
 
 type desk struct {
-	log   *logging.Log
-	crew  *lifecycle.Crew
+	log   *logging.Logger
+	crew  *lifecycle.Group
 	clock *clock.System
 	link  *link.Link
 	http  *httpserver.Server
-	mach  *runner.Machine
+	mach  *runner.Runner
 	name  string
-	in    *lifecycle.Ring[func()]
+	in    *lifecycle.Queue[func()]
 	web   *http.Client
 	seeds []string
-	self  wire.Tell
+	self  wire.Announcement
 	known []raft.Member
 	asked clock.Monotonic
 	note  *note
 	stop  fx.Shutdowner
 }
 
-func newDesk(f *flags, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (*desk, error) {
+func newDesk(f *flags, c *lifecycle.Group, log *logging.Logger, life fx.Lifecycle, stop fx.Shutdowner) (*desk, error) {
 	var err error
 	var b [16]byte
 	if _, err = rand.Read(b[:]); err != nil {
 		return nil, err
 	}
-	d := &desk{log: log, crew: c, clock: clock.NewSystem(), name: f.Name, in: lifecycle.NewRing[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
-	set := runner.Boot{Name: identifier.Runner(f.Name), Inc: identifier.Incarnation(fmt.Sprintf("%x", b[:8])), Cap: job.Demand{Cores: f.Cores, Mem: f.MemMb},
-		Domain: identifier.Domain(f.Domain), Rack: identifier.Rack(f.Rack), Seed: int64(binary.LittleEndian.Uint64(b[8:]) >> 1), Slow: f.Slow, Faulty: f.Faulty}
+	d := &desk{log: log, crew: c, clock: clock.NewSystem(), name: f.Name, in: lifecycle.NewQueue[func()](1024), web: &http.Client{}, seeds: f.Seeds, asked: -10000, stop: stop}
+	set := runner.Config{Name: identifier.Runner(f.Name), Incarnation: identifier.Incarnation(fmt.Sprintf("%x", b[:8])), Capacity: job.Demand{Cores: f.Cores, Mem: f.MemMb},
+		Domain: identifier.Domain(f.Domain), Rack: identifier.Rack(f.Rack), Seed: int64(binary.LittleEndian.Uint64(b[8:]) >> 1), SlowdownPercent: f.Slow, DefectPercent: f.Faulty}
 	sort.Strings(f.Labels)
 	for _, l := range f.Labels {
 		set.Labels = append(set.Labels, identifier.Label(l))
@@ -69,12 +69,12 @@
 	if d.http, err = httpserver.New(f.HTTP); err != nil {
 		return nil, err
 	}
-	d.self = wire.Tell{Role: "runner", Addr: f.Addr, Domain: set.Domain}
+	d.self = wire.Announcement{Role: "runner", Addr: f.Addr, Domain: set.Domain}
 	d.http.Gin.POST("/v1/stand-in", d.control)
 	d.http.Gin.GET("/v1/stand-in/events", d.events)
 	d.note = newNote(set)
-	log.Event("start", "program", "runner", "name", f.Name, "incarnation", set.Inc, "domain", f.Domain, "rack", f.Rack)
-	d.http.Life(life, c, log, "runner", func() {
+	log.Event("start", "program", "runner", "name", f.Name, "incarnation", set.Incarnation, "domain", f.Domain, "rack", f.Rack)
+	d.http.Run(life, c, log, "runner", func() {
 		d.link.Serve(d.take)
 		c.Go(d.run)
 	})
@@ -82,24 +82,24 @@
 }
 
 // take answers discovery, and learns gates and members from it.
-func (d *desk) take(from wire.Peer, msg wire.Msg) {
-	if t := msg.Tell; t != nil {
-		d.in.Offer(func() { d.tell(from, t) })
+func (d *desk) take(from wire.Peer, msg wire.Message) {
+	if t := msg.Announcement; t != nil {
+		d.in.TryPush(func() { d.tell(from, t) })
 	}
 }
 
-func (d *desk) tell(from wire.Peer, t *wire.Tell) {
-	if t.Ask {
+func (d *desk) tell(from wire.Peer, t *wire.Announcement) {
+	if t.WantReply {
 		back := d.self
-		back.Members, back.Gates, back.Founded = d.known, d.mach.Gates(), len(d.known) > 0
-		d.link.Send(from, wire.Msg{Tell: &back})
+		back.Members, back.Gateways, back.Founded = d.known, d.mach.Gateways(), len(d.known) > 0
+		d.link.Send(from, wire.Message{Announcement: &back})
 		return
 	}
 	if len(t.Members) > 0 {
 		d.known = t.Members
 	}
 	if !d.http.Ready() {
-		d.mach.Learn(t.Gates)
+		d.mach.LearnGateways(t.Gateways)
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 	d.asked = d.clock.Now()
 	ask := d.self
-	ask.Ask = true
+	ask.WantReply = true
 	to := map[string]bool{}
 	for _, m := range d.known {
 		to[m.Addr] = true
@@ -127,12 +127,12 @@
 	}
 	delete(to, d.self.Addr)
 	for a := range to {
-		d.link.Send(wire.Peer(a), wire.Msg{Tell: &ask})
+		d.link.Send(wire.Peer(a), wire.Message{Announcement: &ask})
 	}
 }
 
 func (d *desk) run(stop <-chan struct{}) {
-	beat := time.NewTicker(runner.Tick.Duration())
+	beat := time.NewTicker(runner.TickInterval.Duration())
 	defer beat.Stop()
 	for {
 		select {
@@ -142,18 +142,18 @@
 			do()
 		case <-beat.C:
 			d.mach.Tick(d.clock.Now())
-			d.http.SetReady(d.mach.InTouch())
+			d.http.SetReady(d.mach.InContact())
 			d.seek()
 			d.http.Gauge.Set("tasks", float64(d.mach.Running()))
 			if d.mach.Retired {
-				d.log.Fault("retired", "name", d.name, "why", "a newer process has this runner's name")
+				d.log.Error("retired", "name", d.name, "why", "a newer process has this runner's name")
 				d.stop.Shutdown(fx.ExitCode(1))
 				return
 			}
 		}
-		o := d.mach.Take()
+		o := d.mach.TakeOutput()
 		for _, e := range o.Events {
-			d.log.Event(e.What, "grant", e.Grant, "task", e.Task)
+			d.log.Event(e.Kind, "grant", e.Lease, "task", e.Task)
 			d.note.add(d.clock.Now(), e)
 		}
 		for _, p := range o.Polls {
@@ -163,16 +163,16 @@
 }
 
 func (d *desk) poll(p runner.Poll, stop <-chan struct{}) {
-	ctx, end := context.WithTimeout(context.Background(), p.Wait.Duration())
+	ctx, end := context.WithTimeout(context.Background(), p.Timeout.Duration())
 	defer end()
 	status, body := 0, []byte(nil)
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+p.Gate+"/v1/runners/"+d.name+"/poll", bytes.NewReader(p.Body))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+p.Gateway+"/v1/runners/"+d.name+"/poll", bytes.NewReader(p.Body))
 	if err == nil {
 		req.Header.Set("Content-Type", "application/json")
 		res, err := d.web.Do(req)
 		if err == nil {
 			if res.Close {
-				d.in.Push(func() { d.mach.Move() }, stop)
+				d.in.Push(func() { d.mach.SwitchGateway() }, stop)
 			}
 			if body, err = io.ReadAll(io.LimitReader(res.Body, 8<<20)); err == nil {
 				status = res.StatusCode
@@ -183,34 +183,34 @@
 			d.note.broke()
 		}
 	}
-	d.in.Push(func() { d.mach.Answer(p.Seq, status, body, d.clock.Now()) }, stop)
+	d.in.Push(func() { d.mach.HandlePollResponse(p.Seq, status, body, d.clock.Now()) }, stop)
 }
 
 // control lets an operator, or a drill, tell the stand-in how to behave.
 func (d *desk) control(c *gin.Context) {
 	text, err := io.ReadAll(io.LimitReader(c.Request.Body, 4096))
 	if err != nil {
-		httpserver.Refuse(c, 400, "bad-request", "the body could not be read")
+		httpserver.WriteError(c, 400, "bad-request", "the body could not be read")
 		return
 	}
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	o := jsondoc.Parse(text, &f)
 	if o == nil {
-		c.Data(f.Status(), "application/json", f.Bad())
+		c.Data(f.Status(), "application/json", f.ErrorBody())
 		return
 	}
-	mode := o.OneOf("mode", runnerapi.Active, runnerapi.Active, runnerapi.Draining)
+	mode := o.OneOf("mode", runnerapi.ModeActive, runnerapi.ModeActive, runnerapi.ModeDraining)
 	departs := clock.Millis(o.Int("departsMs", 0, 0, 1<<40))
 	slow, faulty := o.Int("slow", 0, 0, 100000), o.Int("faulty", 0, 0, 100)
 	cut := clock.Millis(o.Int("cutMs", 0, 0, 600000))
 	o.Done()
 	if f.Any() {
-		c.Data(f.Status(), "application/json", f.Bad())
+		c.Data(f.Status(), "application/json", f.ErrorBody())
 		return
 	}
-	d.in.Offer(func() {
+	d.in.TryPush(func() {
 		d.mach.SetFaults(slow, faulty)
-		d.mach.Cut(cut)
+		d.mach.Isolate(cut)
 		d.mach.SetMode(mode, departs, d.clock.Now())
 	})
 	c.JSON(200, gin.H{"mode": mode})
--- a/cmd/orchidward-runner/main.go
+++ b/cmd/orchidward-runner/main.go
@@ -25,7 +25,7 @@
 	Faulty int64    `help:"Share of runs that end in a defect, in percent." default:"0"`
 }
 
-func (f *flags) check(c *settings.Check) {
+func (f *flags) check(c *settings.Validator) {
 	c.Name("name", f.Name)
 	c.Addr("addr", f.Addr)
 	c.Addr("http", f.HTTP)
--- a/cmd/orchidward-runner/note.go
+++ b/cmd/orchidward-runner/note.go
@@ -22,14 +22,14 @@
 	next uint64
 }
 
-func newNote(set runner.Boot) *note {
-	return &note{page: eventlog.Page{Runner: set.Name, Inc: set.Inc, Domain: set.Domain, Labels: set.Labels, Cap: set.Cap}, next: 1}
+func newNote(set runner.Config) *note {
+	return &note{page: eventlog.Page{Runner: set.Name, Incarnation: set.Incarnation, Domain: set.Domain, Labels: set.Labels, Capacity: set.Capacity}, next: 1}
 }
 
 func (n *note) add(at clock.Monotonic, e runner.Event) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.page.Events = append(n.page.Events, eventlog.Event{N: n.next, At: at, What: e.What, Grant: e.Grant, Task: e.Task, Cost: e.Cost})
+	n.page.Events = append(n.page.Events, eventlog.Event{Seq: n.next, At: at, Kind: e.Kind, Lease: e.Lease, Task: e.Task, Demand: e.Demand})
 	n.next++
 	if len(n.page.Events) > noteMost {
 		n.page.Events = append([]eventlog.Event(nil), n.page.Events[len(n.page.Events)-noteMost/2:]...)
@@ -39,7 +39,7 @@
 func (n *note) broke() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.page.Broken++
+	n.page.BrokenResponses++
 }
 
 // after copies what came after the given number.
@@ -49,7 +49,7 @@
 	p := n.page
 	p.Now, p.Events = now, []eventlog.Event{}
 	for _, e := range n.page.Events {
-		if e.N > num {
+		if e.Seq > num {
 			p.Events = append(p.Events, e)
 		}
 	}
@@ -59,7 +59,7 @@
 func (d *desk) events(c *gin.Context) {
 	num, err := strconv.ParseUint(c.DefaultQuery("after", "0"), 10, 64)
 	if err != nil {
-		httpserver.Refuse(c, 400, "bad-request", "after wants a number")
+		httpserver.WriteError(c, 400, "bad-request", "after wants a number")
 		return
 	}
 	c.JSON(200, d.note.after(num, d.clock.Now()))
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -25,7 +25,7 @@
 	ElectMs int64    `help:"Least wait for word of a leader before an election, in ms; the same for all keepers." default:"1000"`
 }
 
-func (f *flags) check(c *settings.Check) {
+func (f *flags) check(c *settings.Validator) {
 	c.Addr("addr", f.Addr)
 	c.Addr("http", f.HTTP)
 	c.Name("domain", f.Domain)
@@ -42,5 +42,5 @@
 func main() {
 	f := &flags{}
 	settings.Parse(f, "orchidward-server", "Control-plane server of orchidward.", f.check)
-	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Desk, life fx.Lifecycle) { d.Depart(life) }))
+	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Daemon, life fx.Lifecycle) { d.LeaveOnStop(life) }))
 }
--- a/cmd/zone-drill/desk.go
+++ b/cmd/zone-drill/desk.go
@@ -32,10 +32,10 @@
 
 type desk struct {
 	f     *flags
-	crew  *lifecycle.Crew
+	crew  *lifecycle.Group
 	clock *clock.System
-	in    *lifecycle.Ring[func()]
-	watch *invariants.Watch
+	in    *lifecycle.Queue[func()]
+	watch *invariants.Checker
 	rnd   *rand.Rand
 	web   *http.Client
 	at    int64
@@ -99,31 +99,31 @@
 	d.dues = append(d.dues, rest...)
 }
 
-func newDesk(f *flags, c *lifecycle.Crew) *desk {
-	d := &desk{f: f, crew: c, clock: clock.NewSystem(), in: lifecycle.NewRing[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
+func newDesk(f *flags, c *lifecycle.Group) *desk {
+	d := &desk{f: f, crew: c, clock: clock.NewSystem(), in: lifecycle.NewQueue[func()](4096), rnd: rand.New(rand.NewSource(time.Now().UnixNano())),
 		web: &http.Client{Timeout: 500 * time.Millisecond}, places: map[string]*place{}, ready: map[string]bool{}}
 	d.watch = invariants.New(d)
 	return d
 }
 
-func (d *desk) Time() int64 { return d.at }
-func (d *desk) Quiet() bool { return false }
-func (d *desk) Calm() bool  { return false }
+func (d *desk) Time() int64       { return d.at }
+func (d *desk) Quiet() bool       { return false }
+func (d *desk) Undisturbed() bool { return false }
 
-// Note prints breaches as they are found; the rest is in the runners' logs.
-func (d *desk) Note(text string, args ...any) {
+// Logf prints breaches as they are found; the rest is in the runners' logs.
+func (d *desk) Logf(text string, args ...any) {
 	if strings.HasPrefix(text, "BREACH") {
 		fmt.Fprintf(os.Stderr, "zone-drill: "+text+"\n", args...)
 	}
 }
 
-func (d *desk) Place(name string) invariants.Place {
-	var p invariants.Place
+func (d *desk) Runner(name string) invariants.RunnerView {
+	var p invariants.RunnerView
 	one := d.places[name]
 	if one == nil {
 		return p
 	}
-	return invariants.Place{Zone: string(one.page.Domain), Life: one.life, Live: one.live && one.read >= d.at, Labels: one.page.Labels, Cap: one.page.Cap}
+	return invariants.RunnerView{Domain: string(one.page.Domain), Incarnation: one.life, Live: one.live && one.read >= d.at, Labels: one.page.Labels, Capacity: one.page.Capacity}
 }
 
 // gate picks one that says it is ready, as the platform before the edge does.
@@ -154,14 +154,14 @@
 
 // ask does one request on a caller of its own and hands the outcome to the
 // desk's own duty.
-func (d *desk) ask(verb, path string, body []byte, done func(got httpclient.Got, err error)) {
+func (d *desk) ask(verb, path string, body []byte, done func(got httpclient.Response, err error)) {
 	gate := d.gate()
 	d.asked++
 	d.crew.Go(func(stop <-chan struct{}) {
 		c := httpclient.NewKeepAlive([]string{gate}, 3*time.Second)
-		c.Tries = 1
+		c.Attempts = 1
 		got, err := c.Do(context.Background(), verb, path, body)
-		broken := c.Broken
+		broken := c.BrokenResponses
 		d.in.Push(func() {
 			if len(d.f.Pids) == 0 {
 				d.halves += broken
@@ -178,7 +178,7 @@
 		return err
 	}
 	if !got.OK() {
-		return errors.New(got.Why())
+		return errors.New(got.Message())
 	}
 	for _, addr := range d.f.Runners {
 		d.crew.Go(func(stop <-chan struct{}) { d.follow(addr, stop) })
@@ -228,7 +228,7 @@
 		}
 	}
 	d.flow(int64(d.clock.Now()))
-	d.watch.Close()
+	d.watch.Finish()
 	return nil
 }
 
@@ -259,8 +259,8 @@
 			return
 		}
 		bad = 0
-		if page.Inc != inc {
-			last, inc = 0, page.Inc
+		if page.Incarnation != inc {
+			last, inc = 0, page.Incarnation
 			sent = int64(d.clock.Now())
 			page, ok = d.page(addr, 0)
 			if got = int64(d.clock.Now()); !ok {
@@ -270,7 +270,7 @@
 		}
 		name = string(page.Runner)
 		for _, e := range page.Events {
-			last = max(last, e.N)
+			last = max(last, e.Seq)
 		}
 		d.in.Push(func() { d.turn(page, sent, got) }, stop)
 	})
@@ -293,7 +293,7 @@
 		one = &place{}
 		d.places[name] = one
 	}
-	if one.page.Inc != p.Inc {
+	if one.page.Incarnation != p.Incarnation {
 		if one.life > 0 {
 			d.dead(name)
 		}
@@ -303,8 +303,8 @@
 	if got-sent < one.rtt {
 		one.off, one.rtt = (sent+got)/2-int64(p.Now), got-sent
 	}
-	if one.page.Inc == p.Inc && len(d.f.Pids) == 0 {
-		d.halves += p.Broken - one.page.Broken
+	if one.page.Incarnation == p.Incarnation && len(d.f.Pids) == 0 {
+		d.halves += p.BrokenResponses - one.page.BrokenResponses
 	}
 	one.page, one.live, one.read = p, true, sent
 	for _, e := range p.Events {
@@ -312,10 +312,10 @@
 		if at < d.begun {
 			continue
 		}
-		if agent, _ := e.Task.Job.Split(); agent == agentName || e.What == "acked" {
+		if agent, _ := e.Task.Job.Split(); agent == agentName || e.Kind == "acked" {
 			d.later = append(d.later, seen{at, func() {
-				d.watch.Touch(name)
-				d.watch.Runner(name, runner.Event{What: e.What, Grant: e.Grant, Task: e.Task, Cost: e.Cost})
+				d.watch.PollAnswered(name)
+				d.watch.RunnerEvent(name, runner.Event{Kind: e.Kind, Lease: e.Lease, Task: e.Task, Demand: e.Demand})
 			}})
 		}
 	}
@@ -325,7 +325,7 @@
 	if one := d.places[name]; one != nil {
 		one.live = false
 	}
-	d.watch.Lost(name)
+	d.watch.RunnerLogLost(name)
 }
 
 // out takes the zone out: by closing it, or by killing what was named.
@@ -338,12 +338,12 @@
 		}
 		return
 	}
-	d.ask("PUT", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Got, err error) {
+	d.ask("PUT", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, d.out)
 			return
 		}
-		d.watch.Shut(d.f.Domain)
+		d.watch.DrainAcked(d.f.Domain)
 		d.shutAt = d.at
 		d.openAt = d.at + max(6500, d.f.LoadS*333)
 	})
@@ -353,8 +353,8 @@
 	if len(d.f.Pids) > 0 {
 		return
 	}
-	d.watch.Opens(d.f.Domain)
-	d.ask("DELETE", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Got, err error) {
+	d.watch.ReopenRequested(d.f.Domain)
+	d.ask("DELETE", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, d.back)
 		}
@@ -367,7 +367,7 @@
 	if len(d.epochs) > 0 {
 		floor = d.epochs[len(d.epochs)-1]
 	}
-	d.ask("GET", "/v1/table", nil, func(got httpclient.Got, err error) {
+	d.ask("GET", "/v1/table", nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			return
 		}
@@ -381,7 +381,7 @@
 			return
 		}
 		if t.Epoch < floor {
-			d.watch.Breach("P10", "table epoch went back from %d to %d", floor, t.Epoch)
+			d.watch.Violate("P10", "table epoch went back from %d to %d", floor, t.Epoch)
 		}
 		d.epochs = append(d.epochs, max(floor, t.Epoch))
 	})
--- a/cmd/zone-drill/load.go
+++ b/cmd/zone-drill/load.go
@@ -43,24 +43,24 @@
 	if err != nil {
 		panic(err)
 	}
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	spec := job.Read(text, &f)
 	if f.Any() {
 		panic(fmt.Sprint(f.List))
 	}
 	key := identifier.NewJobKey(agentName, identifier.JobID(fmt.Sprintf("%x-%d", d.begun^int64(d.rnd.Uint32()), d.asked)))
-	j := &invariants.Job{Spec: *spec, Handed: d.at}
+	j := &invariants.Job{Spec: *spec, SubmittedAt: d.at}
 	d.watch.Jobs[key] = j
 	d.left++
 	d.put(key, j, text)
 }
 
 func (d *desk) put(key identifier.JobKey, j *invariants.Job, text []byte) {
-	d.ask("PUT", "/v1/jobs/"+string(key), text, func(got httpclient.Got, err error) {
+	d.ask("PUT", "/v1/jobs/"+string(key), text, func(got httpclient.Response, err error) {
 		switch {
 		case err == nil && got.OK():
-			if j.Acked == 0 {
-				j.Acked = d.at
+			if j.AckedAt == 0 {
+				j.AckedAt = d.at
 				d.watch.Counts["acked"]++
 				d.read(key, j)
 				if d.rnd.Intn(12) == 0 {
@@ -71,7 +71,7 @@
 			d.lost++
 			d.after(300, func() { d.put(key, j, text) })
 		default:
-			d.watch.Breach("P9", "job %s refused: %s", key, got.Why())
+			d.watch.Violate("P9", "job %s refused: %s", key, got.Message())
 			d.left--
 		}
 	})
@@ -79,7 +79,7 @@
 
 // read reads a job until it has ended.
 func (d *desk) read(key identifier.JobKey, j *invariants.Job) {
-	d.ask("GET", "/v1/jobs/"+string(key), nil, func(got httpclient.Got, err error) {
+	d.ask("GET", "/v1/jobs/"+string(key), nil, func(got httpclient.Response, err error) {
 		var doc struct {
 			State string `json:"state"`
 		}
@@ -87,7 +87,7 @@
 			if got.OK() && json.Unmarshal(got.Body, &doc) != nil {
 				d.halves++
 			}
-			d.later = append(d.later, seen{d.at, func() { d.watch.State(key, got.Status, doc.State) }})
+			d.later = append(d.later, seen{d.at, func() { d.watch.JobStateReported(key, got.Status, doc.State) }})
 		}
 		if got.Status == 404 || doc.State == "well" || doc.State == "failed" || doc.State == "cancelled" {
 			d.left--
@@ -98,14 +98,14 @@
 }
 
 func (d *desk) cancel(key identifier.JobKey, j *invariants.Job) {
-	j.Asked = true
-	d.ask("DELETE", "/v1/jobs/"+string(key), nil, func(got httpclient.Got, err error) {
+	j.CancelSent = true
+	d.ask("DELETE", "/v1/jobs/"+string(key), nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, func() { d.cancel(key, j) })
 			return
 		}
-		if j.Cancelled == 0 {
-			j.Cancelled = d.at
+		if j.CancelledAt == 0 {
+			j.CancelledAt = d.at
 		}
 	})
 }
--- a/cmd/zone-drill/main.go
+++ b/cmd/zone-drill/main.go
@@ -30,7 +30,7 @@
 	Output  string   `help:"How to print: text or json." default:"text" enum:"text,json"`
 }
 
-func (f *flags) check(c *settings.Check) {
+func (f *flags) check(c *settings.Validator) {
 	c.Addrs("gates", f.Gates, 1)
 	c.Addrs("runners", f.Runners, 1)
 	c.Name("domain", f.Domain)
@@ -39,7 +39,7 @@
 	c.Range("rate-pct", f.RatePct, 10, 2000)
 	for _, p := range f.Pids {
 		if p <= 1 {
-			c.Fault("pids", "want process ids, have %d", p)
+			c.Invalid("pids", "want process ids, have %d", p)
 		}
 	}
 }
@@ -57,7 +57,7 @@
 	}
 	if err != nil {
 		fmt.Fprintf(os.Stderr, "zone-drill: %v\n", err)
-		if errors.Is(err, httpclient.ErrReach) {
+		if errors.Is(err, httpclient.ErrUnreachable) {
 			os.Exit(3)
 		}
 		os.Exit(1)
--- a/cmd/zone-drill/verdict.go
+++ b/cmd/zone-drill/verdict.go
@@ -29,7 +29,7 @@
 		if !enough {
 			v.Verdict = thin
 		}
-		for _, b := range d.watch.Breaches {
+		for _, b := range d.watch.Violations {
 			if strings.HasPrefix(b, name+" ") {
 				v.Verdict = broken
 				v.Figures += "; " + b
@@ -49,11 +49,11 @@
 	add("P9", "accepted jobs are known everywhere and end truly", n["acked"] > 20 && n["stuck"] == 0, "accepted %d, well %d, failed %d, cancelled %d, not ended %d", n["acked"], n["ended well"], n["ended failed"], n["ended cancelled"], n["stuck"])
 	add("P10", "the table's epoch never goes back", len(d.epochs) > 20, "reads %d", len(d.epochs))
 	if d.gap > 12000 {
-		d.watch.Breach("P11", "no answer for %d ms", d.gap)
+		d.watch.Violate("P11", "no answer for %d ms", d.gap)
 	}
 	add("P11", "service is back within 12 s", len(d.epochs) > 20, "longest time without an answer %d ms", d.gap)
 	if d.halves > 0 {
-		d.watch.Breach("P12", "%d answers broke off", d.halves)
+		d.watch.Violate("P12", "%d answers broke off", d.halves)
 	}
 	add("P12", "no answer breaks off half-way", d.asked > 50, "requests %d, to be asked again %d, half answers %d", d.asked, d.lost, d.halves)
 	sort.SliceStable(list, func(i, j int) bool { return len(list[i].Promise) < len(list[j].Promise) })
--- a/internal/agent/beat.go
+++ b/internal/agent/beat.go
@@ -13,10 +13,10 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Boot is what an agent is told at its start. Name is the name under which the
+// Config is what an agent is told at its start. Name is the name under which the
 // core knows the place this agent stands at; a runner that is started again
 // there is a new incarnation of it.
-type Boot struct {
+type Config struct {
 	Name   identifier.Runner
 	Addr   string
 	Domain identifier.Domain
@@ -24,58 +24,58 @@
 	// Seed is where the numbers of this life's polls begin. It must lie above
 	// those of former lives: microseconds since 1970 will do.
 	Seed int64
-	// HoldMost is the longest hold a runner takes, in milliseconds.
-	HoldMost clock.Millis
-	// HoldUsual is what a runner is given while all is well, 0 for HoldMost. The
+	// MaxLease is the longest hold a runner takes, in milliseconds.
+	MaxLease clock.Millis
+	// UsualLease is what a runner is given while all is well, 0 for MaxLease. The
 	// shorter it is, the sooner a runner that has crashed is known to be dead; it
 	// must outlast an agent that is started again.
-	HoldUsual clock.Millis
-	// Pace is how long a runner should wait between heartbeats, in milliseconds.
-	Pace clock.Millis
+	UsualLease clock.Millis
+	// HeartbeatInterval is how long a runner should wait between heartbeats, in milliseconds.
+	HeartbeatInterval clock.Millis
 }
 
-// Beat is one heartbeat of the runner: who it is, what room it has in all, and
+// Heartbeat is one heartbeat of the runner: who it is, what room it has in all, and
 // what runs or has ended on it. Departs is the least time it has left, and
 // counts only while Draining is set.
-type Beat struct {
+type Heartbeat struct {
 	Runner identifier.Incarnation
 	// Seq rises with every heartbeat of one life: a late one is passed over.
-	Seq      uint64
-	Pool     string
-	Domain   identifier.Domain
-	Rack     identifier.Rack
-	Labels   []identifier.Label
-	Cap      job.Demand
-	Draining bool
-	Departs  clock.Millis
-	Active   []runnerapi.RunState
-	Finished []runnerapi.RunEnd
+	Seq       uint64
+	Pool      string
+	Domain    identifier.Domain
+	Rack      identifier.Rack
+	Labels    []identifier.Label
+	Capacity  job.Demand
+	Draining  bool
+	DepartsIn clock.Millis
+	Active    []runnerapi.RunState
+	Finished  []runnerapi.RunEnd
 }
 
 // Event is one line for the log.
 type Event struct {
-	Name string
-	Vals []any
+	Name   string
+	Fields []any
 }
 
-// Out is what a step asks of the world.
-type Out struct {
-	Sends  []wire.Send
-	Events []Event
+// Output is what a step asks of the world.
+type Output struct {
+	Messages []wire.Envelope
+	Events   []Event
 }
 
-// Tick is how often an agent should be ticked.
-const Tick clock.Millis = 20
+// TickInterval is how often an agent should be ticked.
+const TickInterval clock.Millis = 20
 
 // Orders answer a heartbeat. Hold is how long everything that runs may run on,
 // counted from the sending of the heartbeat; 0 holds nothing and starts
 // nothing. Observed is the number up to which ends need not be told again.
 // Retry is when to beat again.
 type Orders struct {
-	Hold     clock.Millis
-	Fence    uint64
-	Observed uint64
-	Start    []runnerapi.Start
-	Stop     []runnerapi.RunStop
-	Retry    clock.Millis
+	Lease           clock.Millis
+	FencingToken    uint64
+	ObservedThrough uint64
+	Start           []runnerapi.Start
+	Stop            []runnerapi.RunStop
+	NextHeartbeat   clock.Millis
 }
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -12,15 +12,15 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Machine is the agent of one runner as a pure state machine. It answers the
+// Agent is the agent of one runner as a pure state machine. It answers the
 // runner's heartbeats with orders and polls the control plane on its behalf. It
 // does no input or output and reads no clock. It is not safe for concurrent use.
-type Machine struct {
-	boot Boot
+type Agent struct {
+	boot Config
 	now  clock.Monotonic
-	out  Out
+	out  Output
 
-	beat   *Beat
+	beat   *Heartbeat
 	beaten clock.Monotonic
 	// held is when the last hold given to the runner, by this process or one
 	// before it, has run out on the slowest clock.
@@ -106,51 +106,51 @@
 // New makes an agent that has heard neither its runner nor the control plane. It
 // assumes that an agent before it has just given the runner the longest hold
 // there is.
-func New(boot Boot, now clock.Monotonic) *Machine {
-	m := &Machine{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Incarnation]bool{}, asked: map[uint64]clock.Monotonic{}}
+func New(boot Config, now clock.Monotonic) *Agent {
+	m := &Agent{boot: boot, now: now, keepers: boot.Seeds, seq: uint64(boot.Seed), wait: pollWait, past: map[identifier.Incarnation]bool{}, asked: map[uint64]clock.Monotonic{}}
 	if n := len(boot.Seeds); n > 0 {
 		m.at = int(uint64(boot.Seed) % uint64(n))
 	}
 	m.forget()
-	m.held = now.Add(boot.HoldMost + boot.HoldMost/50)
+	m.held = now.Add(boot.MaxLease + boot.MaxLease/50)
 	return m
 }
 
-// Stop says that this agent is about to end: from now on its runner is held for
+// PrepareToStop says that this agent is about to end: from now on its runner is held for
 // as long as may be.
-func (m *Machine) Stop() { m.down = true }
+func (m *Agent) PrepareToStop() { m.down = true }
 
-func (m *Machine) usual() clock.Millis {
-	if m.boot.HoldUsual == 0 || m.down {
-		return m.boot.HoldMost
+func (m *Agent) usual() clock.Millis {
+	if m.boot.UsualLease == 0 || m.down {
+		return m.boot.MaxLease
 	}
-	return min(m.boot.HoldUsual, m.boot.HoldMost)
+	return min(m.boot.UsualLease, m.boot.MaxLease)
 }
 
-func (m *Machine) forget() {
+func (m *Agent) forget() {
 	m.queue, m.halts, m.gone, m.seen = map[run]*order{}, map[run]bool{}, map[run]bool{}, 0
 	m.moved = map[run]step{}
 }
 
-// Take returns the output so far and clears it.
-func (m *Machine) Take() Out {
+// TakeOutput returns the output so far and clears it.
+func (m *Agent) TakeOutput() Output {
 	out := m.out
-	m.out = Out{}
+	m.out = Output{}
 	return out
 }
 
-func (m *Machine) event(name string, vals ...any) {
+func (m *Agent) event(name string, vals ...any) {
 	m.out.Events = append(m.out.Events, Event{name, vals})
 }
 
-// Touched tells whether the core has answered within the life of a grant.
-func (m *Machine) Touched() bool { return m.touched && m.now.Since(m.contact) < m.grant }
+// InContact tells whether the core has answered within the life of a grant.
+func (m *Agent) InContact() bool { return m.touched && m.now.Since(m.contact) < m.grant }
 
-// Beat takes a heartbeat and answers it at once.
-func (m *Machine) Beat(b Beat, now clock.Monotonic) Orders {
+// HandleHeartbeat takes a heartbeat and answers it at once.
+func (m *Agent) HandleHeartbeat(b Heartbeat, now clock.Monotonic) Orders {
 	var o Orders
 	m.now = max(m.now, now)
-	o.Retry = m.boot.Pace
+	o.NextHeartbeat = m.boot.HeartbeatInterval
 	switch {
 	case m.past[b.Runner]:
 		return o
@@ -162,19 +162,19 @@
 	m.look(&b)
 	m.progress(&b)
 	m.beat, m.beaten, m.left, m.buried = &b, m.now, 0, false
-	o.Fence, o.Observed = m.fence, m.seen
+	o.FencingToken, o.ObservedThrough = m.fence, m.seen
 	if hold := m.grant - m.now.Since(m.contact); m.touched && hold > 0 {
-		o.Hold = min(hold, m.usual())
-		m.held = max(m.held, m.now.Add(o.Hold+o.Hold/50))
+		o.Lease = min(hold, m.usual())
+		m.held = max(m.held, m.now.Add(o.Lease+o.Lease/50))
 		m.hand(&o)
 	}
 	for r := range m.halts {
 		if !m.gone[r] {
-			o.Stop = append(o.Stop, runnerapi.RunStop{Task: r.task, Run: r.no})
+			o.Stop = append(o.Stop, runnerapi.RunStop{Task: r.task, Attempt: r.no})
 		}
 	}
 	sort.Slice(o.Stop, func(i, j int) bool {
-		return less(run{o.Stop[i].Task, o.Stop[i].Run}, run{o.Stop[j].Task, o.Stop[j].Run})
+		return less(run{o.Stop[i].Task, o.Stop[i].Attempt}, run{o.Stop[j].Task, o.Stop[j].Attempt})
 	})
 	m.polls()
 	return o
@@ -194,7 +194,7 @@
 
 // renew notes that another life of the runner speaks: whatever the former one
 // ran is dead.
-func (m *Machine) renew(inc identifier.Incarnation) {
+func (m *Agent) renew(inc identifier.Incarnation) {
 	if m.beat != nil {
 		if len(m.past) >= pastKept {
 			clear(m.past)
@@ -208,13 +208,13 @@
 }
 
 // look compares a heartbeat with the one before it, and with what was ordered.
-func (m *Machine) look(b *Beat) {
+func (m *Agent) look(b *Heartbeat) {
 	there := map[run]bool{}
 	for _, a := range b.Active {
-		there[run{a.Task, a.Run}] = true
+		there[run{a.Task, a.Attempt}] = true
 	}
 	for _, e := range b.Finished {
-		there[run{e.Task, e.Run}] = true
+		there[run{e.Task, e.Attempt}] = true
 	}
 	m.news = m.news || m.differs(b, there)
 	for r, o := range m.queue {
@@ -263,47 +263,47 @@
 func (s step) late(now clock.Monotonic) bool { return now.Since(s.at) >= stillTold+4*s.gap }
 
 // progress notes when each run last moved.
-func (m *Machine) progress(b *Beat) {
+func (m *Agent) progress(b *Heartbeat) {
 	was := m.moved
 	m.moved = make(map[run]step, len(b.Active))
 	for _, a := range b.Active {
-		r := run{a.Task, a.Run}
+		r := run{a.Task, a.Attempt}
 		s, ok := was[r]
 		switch {
 		case !ok:
-			s = step{percent: a.Percent, at: m.now, mark: a.Percent, since: m.now}
-		case s.percent != a.Percent:
-			s.percent, s.gap, s.at, s.told = a.Percent, m.now.Since(s.at), m.now, false
+			s = step{percent: a.ProgressPercent, at: m.now, mark: a.ProgressPercent, since: m.now}
+		case s.percent != a.ProgressPercent:
+			s.percent, s.gap, s.at, s.told = a.ProgressPercent, m.now.Since(s.at), m.now, false
 		case !s.told && s.late(m.now):
 			s.told = true
 			m.news = true
 		}
-		if s.measure(a.Percent, m.now) {
+		if s.measure(a.ProgressPercent, m.now) {
 			m.news = true
 		}
 		m.moved[r] = s
 	}
 }
 
-func (m *Machine) differs(b *Beat, there map[run]bool) bool {
+func (m *Agent) differs(b *Heartbeat, there map[run]bool) bool {
 	var yes bool
 	was := m.beat
-	if was == nil || was.Draining != b.Draining || was.Cap != b.Cap || was.Pool != b.Pool ||
+	if was == nil || was.Draining != b.Draining || was.Capacity != b.Capacity || was.Pool != b.Pool ||
 		len(was.Active) != len(b.Active) || len(was.Finished) != len(b.Finished) {
 		return true
 	}
 	for _, a := range was.Active {
-		yes = yes || !there[run{a.Task, a.Run}]
+		yes = yes || !there[run{a.Task, a.Attempt}]
 	}
 	for i := range was.Finished {
-		yes = yes || was.Finished[i].N != b.Finished[i].N
+		yes = yes || was.Finished[i].Seq != b.Finished[i].Seq
 	}
 	return yes
 }
 
 // hand puts the starts that wait into the answer; the next heartbeat shows
 // whether they arrived.
-func (m *Machine) hand(o *Orders) {
+func (m *Agent) hand(o *Orders) {
 	for _, x := range m.waiting() {
 		if !x.given && m.now <= x.until {
 			x.given = true
@@ -312,17 +312,17 @@
 	}
 }
 
-func (m *Machine) waiting() []*order {
+func (m *Agent) waiting() []*order {
 	var list []*order
 	for _, x := range m.queue {
 		list = append(list, x)
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i].Grant < list[j].Grant })
+	sort.Slice(list, func(i, j int) bool { return list[i].Lease < list[j].Lease })
 	return list
 }
 
-// Leave hears that the runner says farewell.
-func (m *Machine) Leave(id identifier.Incarnation, now clock.Monotonic) {
+// RunnerLeft hears that the runner says farewell.
+func (m *Agent) RunnerLeft(id identifier.Incarnation, now clock.Monotonic) {
 	m.now = max(m.now, now)
 	if m.beat != nil && m.beat.Runner == id {
 		m.left = m.now
@@ -331,7 +331,7 @@
 
 // Tick passes in the time: it drops starts that have expired, reports a runner
 // that is dead, and polls when due.
-func (m *Machine) Tick(now clock.Monotonic) {
+func (m *Agent) Tick(now clock.Monotonic) {
 	m.now = max(m.now, now)
 	m.greet()
 	for r, o := range m.queue {
@@ -353,51 +353,51 @@
 
 // patience is how long an open poll is waited for; whoever lost touch asks more
 // often, since the core answers its first poll at once.
-func (m *Machine) patience() clock.Millis {
+func (m *Agent) patience() clock.Millis {
 	if m.back > 0 && m.now.Since(m.contact) > lostAfter {
 		return seekWait
 	}
 	return m.wait
 }
 
-// Fence is the highest fence this agent knows of, 0 for none.
-func (m *Machine) Fence() uint64 { return m.fence }
+// FencingToken is the highest fence this agent knows of, 0 for none.
+func (m *Agent) FencingToken() uint64 { return m.fence }
 
 // greet asks the core for its fence before there is a heartbeat to tell of: a
 // runner that obeyed a former process takes nothing from a lower one.
-func (m *Machine) greet() {
+func (m *Agent) greet() {
 	if m.beat != nil || m.fence > 0 || len(m.keepers) == 0 || m.now < m.greeted.Add(greetGap) {
 		return
 	}
 	m.greeted = m.now
 	m.seq++
 	m.greeting = m.seq
-	m.out.Sends = append(m.out.Sends, wire.Send{To: wire.Peer(m.keepers[m.at%len(m.keepers)]), Msg: wire.Msg{Ask: &wire.Ask{ID: m.seq, Verb: "GET", Path: "/v1/fence", Budget: greetGap}}})
+	m.out.Messages = append(m.out.Messages, wire.Envelope{To: wire.Peer(m.keepers[m.at%len(m.keepers)]), Message: wire.Message{Request: &wire.Request{ID: m.seq, Method: "GET", Path: "/v1/fence", Budget: greetGap}}})
 	m.at++
 }
 
 // welcome takes the fence.
-func (m *Machine) welcome(r *wire.Reply) {
-	var a runnerapi.Answer
-	if !r.Moved && r.Status == 200 && json.Unmarshal(r.Body, &a) == nil {
-		m.fence = max(m.fence, a.Fence)
+func (m *Agent) welcome(r *wire.Response) {
+	var a runnerapi.PollResponse
+	if !r.NotLeader && r.Status == 200 && json.Unmarshal(r.Body, &a) == nil {
+		m.fence = max(m.fence, a.FencingToken)
 	}
 }
 
-func (m *Machine) fail() {
+func (m *Agent) fail() {
 	m.at++
 	m.back = min(max(50, m.back*2), backMost)
 	m.next = m.now.Add(m.back/2 + clock.Millis(m.seq*7919%uint64(m.back)))
 }
 
 // dead tells whether the runner is silent and whatever it ran is over.
-func (m *Machine) dead() bool {
+func (m *Agent) dead() bool {
 	return m.beat != nil && m.now > m.held.Add(deadSlack) && m.now.Since(m.beaten) > deadSilence
 }
 
 // polls keeps one poll open at the core; news goes out in a new one that takes
 // its place.
-func (m *Machine) polls() {
+func (m *Agent) polls() {
 	if m.beat == nil || len(m.keepers) == 0 || m.now < m.next {
 		return
 	}
@@ -418,47 +418,47 @@
 		panic(err)
 	}
 	to := wire.Peer(m.keepers[m.at%len(m.keepers)])
-	m.out.Sends = append(m.out.Sends, wire.Send{To: to, Msg: wire.Msg{Ask: &wire.Ask{ID: m.seq, Verb: "POST",
+	m.out.Messages = append(m.out.Messages, wire.Envelope{To: to, Message: wire.Message{Request: &wire.Request{ID: m.seq, Method: "POST",
 		Path: "/v1/runners/" + string(m.boot.Name) + "/poll", Body: body, Budget: pollWait}}})
 }
 
-func (m *Machine) ask() runnerapi.Ask {
+func (m *Agent) ask() runnerapi.PollRequest {
 	b := m.beat
-	a := runnerapi.Ask{Agent: true, Inc: b.Runner, Seq: m.seq, Cores: b.Cap.Cores, Milli: b.Cap.Milli, Mem: b.Cap.Mem, GPUs: b.Cap.GPUs, Pool: b.Pool, Addr: m.boot.Addr,
-		Labels: b.Labels, Domain: b.Domain, Rack: b.Rack, Mode: runnerapi.Active, Silent: m.now.Since(m.beaten), Finished: b.Finished}
+	a := runnerapi.PollRequest{Agent: true, Incarnation: b.Runner, Seq: m.seq, Cores: b.Capacity.Cores, MilliCores: b.Capacity.MilliCores, Mem: b.Capacity.Mem, GPUs: b.Capacity.GPUs, Pool: b.Pool, AgentAddr: m.boot.Addr,
+		Labels: b.Labels, Domain: b.Domain, Rack: b.Rack, Mode: runnerapi.ModeActive, SilentFor: m.now.Since(m.beaten), Finished: b.Finished}
 	if b.Draining {
-		a.Mode, a.Departs = runnerapi.Draining, max(0, b.Departs-m.now.Since(m.beaten))
+		a.Mode, a.DepartsIn = runnerapi.ModeDraining, max(0, b.DepartsIn-m.now.Since(m.beaten))
 	}
 	for _, x := range b.Active {
-		s := m.moved[run{x.Task, x.Run}]
+		s := m.moved[run{x.Task, x.Attempt}]
 		if s.late(m.now) {
-			x.Still = m.now.Since(s.at)
+			x.StalledFor = m.now.Since(s.at)
 		}
-		x.Speed = s.speed
+		x.ProgressRate = s.speed
 		a.Active = append(a.Active, x)
 	}
-	a.Dead = m.dead()
-	a.Left = m.left > 0 && m.now.Since(m.left) > leaveLag
+	a.PresumedDead = m.dead()
+	a.LeftInOrder = m.left > 0 && m.now.Since(m.left) > leaveLag
 	for _, x := range m.waiting() {
-		a.Active = append(a.Active, runnerapi.RunState{Task: x.Task, Run: x.No})
+		a.Active = append(a.Active, runnerapi.RunState{Task: x.Task, Attempt: x.Attempt})
 	}
 	for r := range m.gone {
-		a.Gone = append(a.Gone, runnerapi.RunStop{Task: r.task, Run: r.no})
+		a.Cleared = append(a.Cleared, runnerapi.RunStop{Task: r.task, Attempt: r.no})
 	}
-	sort.Slice(a.Gone, func(i, j int) bool {
-		return less(run{a.Gone[i].Task, a.Gone[i].Run}, run{a.Gone[j].Task, a.Gone[j].Run})
+	sort.Slice(a.Cleared, func(i, j int) bool {
+		return less(run{a.Cleared[i].Task, a.Cleared[i].Attempt}, run{a.Cleared[j].Task, a.Cleared[j].Attempt})
 	})
 	return a
 }
 
-// Frame takes what a keeper says.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now clock.Monotonic) {
+// HandleMessage takes what a keeper says.
+func (m *Agent) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	m.now = max(m.now, now)
-	if t := msg.Tell; t != nil && t.Node != 0 && t.Lead == t.Node {
+	if t := msg.Announcement; t != nil && t.Node != 0 && t.LeaderID == t.Node {
 		m.follow(t)
 		return
 	}
-	r := msg.Reply
+	r := msg.Response
 	if r == nil {
 		return
 	}
@@ -473,9 +473,9 @@
 	open := m.open
 	m.open = nil
 	delete(m.asked, open.seq)
-	var a runnerapi.Answer
-	if r.Moved || r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
-		if !r.Moved && r.Status != m.odd {
+	var a runnerapi.PollResponse
+	if r.NotLeader || r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
+		if !r.NotLeader && r.Status != m.odd {
 			m.odd = r.Status
 			m.event("poll-refused", "status", r.Status, "body", string(r.Body), "via", from)
 		}
@@ -483,7 +483,7 @@
 		return
 	}
 	m.back, m.next, m.odd = 0, m.now, 0
-	if !m.Touched() {
+	if !m.InContact() {
 		m.event("in-touch", "via", from)
 	}
 	m.contact, m.touched = max(m.contact, open.sent), true
@@ -494,25 +494,25 @@
 // stale hears an answer to a poll that another has replaced or that was given
 // up: what it orders is passed over, since the core says it again, but it shows
 // that the core has heard this agent since the poll was sent.
-func (m *Machine) stale(r *wire.Reply) {
+func (m *Agent) stale(r *wire.Response) {
 	sent, ok := m.asked[r.ID]
 	if !ok {
 		return
 	}
 	delete(m.asked, r.ID)
-	var a runnerapi.Answer
-	if r.Moved || r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
+	var a runnerapi.PollResponse
+	if r.NotLeader || r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
 		return
 	}
 	m.contact, m.touched = max(m.contact, sent), true
-	if a.GrantMs > 0 {
-		m.grant = a.GrantMs
+	if a.Lease > 0 {
+		m.grant = a.Lease
 	}
-	m.fence = max(m.fence, a.Fence)
+	m.fence = max(m.fence, a.FencingToken)
 }
 
 // follow hears a new leader say that it leads, and turns to it at once.
-func (m *Machine) follow(t *wire.Tell) {
+func (m *Agent) follow(t *wire.Announcement) {
 	if len(m.keepers) > 0 && m.keepers[m.at%len(m.keepers)] == t.Addr && m.open != nil {
 		return
 	}
@@ -526,25 +526,25 @@
 	m.polls()
 }
 
-func (m *Machine) obey(a *runnerapi.Answer, open *ask) {
-	if a.GrantMs > 0 {
-		m.grant = a.GrantMs
+func (m *Agent) obey(a *runnerapi.PollResponse, open *ask) {
+	if a.Lease > 0 {
+		m.grant = a.Lease
 	}
-	if a.StartMs > 0 {
-		m.wait = a.StartMs*6/10 + slack
+	if a.StartTimeout > 0 {
+		m.wait = a.StartTimeout*6/10 + slack
 	}
-	m.fence = max(m.fence, a.Fence)
+	m.fence = max(m.fence, a.FencingToken)
 	m.seq = max(m.seq, a.Seq)
-	if len(a.Keepers) > 0 {
-		m.keepers, m.at = a.Keepers, 0
+	if len(a.Servers) > 0 {
+		m.keepers, m.at = a.Servers, 0
 	}
 	if m.beat == nil || m.beat.Runner != open.inc {
 		return
 	}
-	m.seen = max(m.seen, a.Observed)
+	m.seen = max(m.seen, a.ObservedThrough)
 	halts := map[run]bool{}
-	for _, s := range a.Halts {
-		r := run{s.Task, s.Run}
+	for _, s := range a.StopRuns {
+		r := run{s.Task, s.Attempt}
 		halts[r] = true
 		delete(m.queue, r)
 		if !m.halts[r] {
@@ -561,22 +561,22 @@
 		return
 	}
 	for _, s := range a.Starts {
-		r := run{s.Task, s.No}
+		r := run{s.Task, s.Attempt}
 		if m.queue[r] == nil && !halts[r] && !m.runs(r) {
-			m.queue[r] = &order{Start: s, until: open.sent.Add(a.StartMs)}
+			m.queue[r] = &order{Start: s, until: open.sent.Add(a.StartTimeout)}
 			m.news = true
 		}
 	}
 }
 
 // runs tells whether the last heartbeat showed this run.
-func (m *Machine) runs(r run) bool {
+func (m *Agent) runs(r run) bool {
 	var yes bool
 	for _, a := range m.beat.Active {
-		yes = yes || run{a.Task, a.Run} == r
+		yes = yes || run{a.Task, a.Attempt} == r
 	}
 	for _, e := range m.beat.Finished {
-		yes = yes || run{e.Task, e.Run} == r
+		yes = yes || run{e.Task, e.Attempt} == r
 	}
 	return yes
 }
--- a/internal/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -11,24 +11,24 @@
 	"orchidward/internal/transport/wire"
 )
 
-func begin() *Machine {
-	return New(Boot{Name: "m", Addr: "me", Domain: "d", Seeds: []string{"k1", "k2"}, Seed: 100, HoldMost: 6000, Pace: 100}, 0)
+func begin() *Agent {
+	return New(Config{Name: "m", Addr: "me", Domain: "d", Seeds: []string{"k1", "k2"}, Seed: 100, MaxLease: 6000, HeartbeatInterval: 100}, 0)
 }
 
-func beat(seq uint64, tasks ...string) Beat {
-	b := Beat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Cap: job.Demand{Milli: 1000, Mem: 10}}
+func beat(seq uint64, tasks ...string) Heartbeat {
+	b := Heartbeat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Capacity: job.Demand{MilliCores: 1000, Mem: 10}}
 	for _, t := range tasks {
-		b.Active = append(b.Active, runnerapi.RunState{Task: identifier.TaskRef{Job: identifier.JobKey(t)}, Run: 1})
+		b.Active = append(b.Active, runnerapi.RunState{Task: identifier.TaskRef{Job: identifier.JobKey(t)}, Attempt: 1})
 	}
 	return b
 }
 
 // asked is the one poll that went out.
-func asked(t *testing.T, m *Machine) (to wire.Peer, a *wire.Ask) {
+func asked(t *testing.T, m *Agent) (to wire.Peer, a *wire.Request) {
 	t.Helper()
-	for _, s := range m.Take().Sends {
-		if s.Msg.Ask != nil {
-			to, a = s.To, s.Msg.Ask
+	for _, s := range m.TakeOutput().Messages {
+		if s.Message.Request != nil {
+			to, a = s.To, s.Message.Request
 		}
 	}
 	if a == nil {
@@ -37,50 +37,50 @@
 	return to, a
 }
 
-func answer(id uint64, a runnerapi.Answer) wire.Msg {
-	a.GrantMs, a.StartMs = 5000, 1000
+func answer(id uint64, a runnerapi.PollResponse) wire.Message {
+	a.Lease, a.StartTimeout = 5000, 1000
 	text, err := json.Marshal(a)
 	if err != nil {
 		panic(err)
 	}
-	return wire.Msg{Reply: &wire.Reply{ID: id, Status: 200, Body: text}}
+	return wire.Message{Response: &wire.Response{ID: id, Status: 200, Body: text}}
 }
 
 // TestReplacedPoll: news replaces an open poll; the answer to the one replaced
 // orders nothing, but the work is held from when that one was sent.
 func TestReplacedPoll(t *testing.T) {
 	m := begin()
-	m.Beat(beat(1), 1000)
+	m.HandleHeartbeat(beat(1), 1000)
 	_, first := asked(t, m)
-	m.Beat(beat(2, "q/a.0"), 1100)
+	m.HandleHeartbeat(beat(2, "q/a.0"), 1100)
 	_, second := asked(t, m)
 	if first.ID == second.ID {
 		t.Fatal("news did not replace the poll")
 	}
-	m.Frame("k1", answer(first.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: "q/b.0"}, No: 1}}}), 1200)
-	o := m.Beat(beat(3, "q/a.0"), 1300)
-	if o.Hold != 4700 || len(o.Start) > 0 {
-		t.Errorf("held for %d, %d starts; want 4700 and none", o.Hold, len(o.Start))
+	m.HandleMessage("k1", answer(first.ID, runnerapi.PollResponse{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: "q/b.0"}, Attempt: 1}}}), 1200)
+	o := m.HandleHeartbeat(beat(3, "q/a.0"), 1300)
+	if o.Lease != 4700 || len(o.Start) > 0 {
+		t.Errorf("held for %d, %d starts; want 4700 and none", o.Lease, len(o.Start))
 	}
-	m.Frame("k1", answer(first.ID, runnerapi.Answer{}), 1400)
-	if o = m.Beat(beat(4, "q/a.0"), 2300); o.Hold != 3700 {
-		t.Errorf("an answer counted twice: held for %d", o.Hold)
+	m.HandleMessage("k1", answer(first.ID, runnerapi.PollResponse{}), 1400)
+	if o = m.HandleHeartbeat(beat(4, "q/a.0"), 2300); o.Lease != 3700 {
+		t.Errorf("an answer counted twice: held for %d", o.Lease)
 	}
 }
 
 // TestStartExpires: a start that no heartbeat fetched within its time is never
 // handed over, nor one for a runner that has begun to drain or another life.
 func TestStartExpires(t *testing.T) {
-	for name, next := range map[string]func(m *Machine) Orders{
-		"late":     func(m *Machine) Orders { m.Tick(2001); return m.Beat(beat(2), 2002) },
-		"draining": func(m *Machine) Orders { b := beat(2); b.Draining = true; return m.Beat(b, 1200) },
-		"new life": func(m *Machine) Orders { b := beat(1); b.Runner = "i-2"; return m.Beat(b, 1200) },
-		"":         func(m *Machine) Orders { return m.Beat(beat(2), 1200) },
+	for name, next := range map[string]func(m *Agent) Orders{
+		"late":     func(m *Agent) Orders { m.Tick(2001); return m.HandleHeartbeat(beat(2), 2002) },
+		"draining": func(m *Agent) Orders { b := beat(2); b.Draining = true; return m.HandleHeartbeat(b, 1200) },
+		"new life": func(m *Agent) Orders { b := beat(1); b.Runner = "i-2"; return m.HandleHeartbeat(b, 1200) },
+		"":         func(m *Agent) Orders { return m.HandleHeartbeat(beat(2), 1200) },
 	} {
 		m := begin()
-		m.Beat(beat(1), 1000)
+		m.HandleHeartbeat(beat(1), 1000)
 		_, a := asked(t, m)
-		m.Frame("k1", answer(a.ID, runnerapi.Answer{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: "q/b.0"}, No: 1}}}), 1100)
+		m.HandleMessage("k1", answer(a.ID, runnerapi.PollResponse{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: "q/b.0"}, Attempt: 1}}}), 1100)
 		if o := next(m); (len(o.Start) == 1) != (name == "") {
 			t.Errorf("%q: %d starts", name, len(o.Start))
 		}
@@ -91,19 +91,19 @@
 // nothing and is ordered nothing.
 func TestOldBeats(t *testing.T) {
 	m := begin()
-	m.Beat(beat(5, "q/a.0"), 1000)
+	m.HandleHeartbeat(beat(5, "q/a.0"), 1000)
 	_, a := asked(t, m)
-	m.Frame("k1", answer(a.ID, runnerapi.Answer{Halts: []runnerapi.RunStop{{Task: identifier.TaskRef{Job: "q/a.0"}, Run: 1}}}), 1010)
-	if o := m.Beat(beat(4), 1100); len(o.Stop) > 0 || o.Hold > 0 {
+	m.HandleMessage("k1", answer(a.ID, runnerapi.PollResponse{StopRuns: []runnerapi.RunStop{{Task: identifier.TaskRef{Job: "q/a.0"}, Attempt: 1}}}), 1010)
+	if o := m.HandleHeartbeat(beat(4), 1100); len(o.Stop) > 0 || o.Lease > 0 {
 		t.Errorf("a late heartbeat was answered %+v", o)
 	}
-	if o := m.Beat(beat(6, "q/a.0"), 1200); len(o.Stop) != 1 {
+	if o := m.HandleHeartbeat(beat(6, "q/a.0"), 1200); len(o.Stop) != 1 {
 		t.Errorf("the stop is gone: %+v", o)
 	}
 	b := beat(1)
 	b.Runner = "i-2"
-	m.Beat(b, 1300)
-	if o := m.Beat(beat(7, "q/a.0"), 1400); o.Hold > 0 || len(o.Start)+len(o.Stop) > 0 {
+	m.HandleHeartbeat(b, 1300)
+	if o := m.HandleHeartbeat(beat(7, "q/a.0"), 1400); o.Lease > 0 || len(o.Start)+len(o.Stop) > 0 {
 		t.Errorf("a life that is over was answered %+v", o)
 	}
 }
@@ -111,16 +111,16 @@
 // TestNewLeader: a leader that says so is polled at once, whoever was before.
 func TestNewLeader(t *testing.T) {
 	m := begin()
-	m.Beat(beat(1), 1000)
+	m.HandleHeartbeat(beat(1), 1000)
 	if to, _ := asked(t, m); to == "k9" {
 		t.Fatal("who told it of k9")
 	}
-	m.Frame("k9", wire.Msg{Tell: &wire.Tell{Role: "keeper", Node: 9, Lead: 9, Addr: "k9", Members: []raft.Member{{ID: 9, Addr: "k9"}, {ID: 2, Addr: "k2"}}}}, 1050)
+	m.HandleMessage("k9", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: 9, LeaderID: 9, Addr: "k9", Members: []raft.Member{{ID: 9, Addr: "k9"}, {ID: 2, Addr: "k2"}}}}, 1050)
 	if to, _ := asked(t, m); to != "k9" {
 		t.Errorf("polls %s", to)
 	}
-	m.Frame("k2", wire.Msg{Tell: &wire.Tell{Role: "keeper", Node: 2, Lead: 9, Addr: "k2"}}, 1060)
-	if n := len(m.Take().Sends); n > 0 {
+	m.HandleMessage("k2", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: 2, LeaderID: 9, Addr: "k2"}}, 1060)
+	if n := len(m.TakeOutput().Messages); n > 0 {
 		t.Error("a keeper that only knows the leader was followed")
 	}
 }
@@ -134,18 +134,18 @@
 	if a.Path != "/v1/fence" {
 		t.Fatalf("asked for %s", a.Path)
 	}
-	m.Frame(to, wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 503, Moved: true}}, 1010)
+	m.HandleMessage(to, wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, NotLeader: true}}, 1010)
 	m.Tick(1400)
 	next, a := asked(t, m)
 	if next == to {
 		t.Error("the same keeper was asked again")
 	}
-	m.Frame(next, answer(a.ID, runnerapi.Answer{Fence: 9}), 1410)
-	if m.Fence() != 9 {
-		t.Errorf("fence %d", m.Fence())
+	m.HandleMessage(next, answer(a.ID, runnerapi.PollResponse{FencingToken: 9}), 1410)
+	if m.FencingToken() != 9 {
+		t.Errorf("fence %d", m.FencingToken())
 	}
 	m.Tick(1800)
-	if n := len(m.Take().Sends); n > 0 {
+	if n := len(m.TakeOutput().Messages); n > 0 {
 		t.Error("asked on")
 	}
 }
--- a/internal/api/admission/rules.go
+++ b/internal/api/admission/rules.go
@@ -22,7 +22,7 @@
 // Compile makes the programs of a checked table.
 func Compile(t *limits.Table) *Rules {
 	r := &Rules{Epoch: t.Epoch, rows: map[identifier.Row][]Line{}}
-	for _, name := range t.Names() {
+	for _, name := range t.RowNames() {
 		r.rows[name] = compile(t, name)
 	}
 	return r
@@ -31,7 +31,7 @@
 func compile(t *limits.Table, row identifier.Row) []Line {
 	var prog []Line
 	limit := func(f Field, col, path, what string) {
-		prog = append(prog, Line{Op: Cap, Field: f, Limit: t.Num(row, col), Path: path, Why: what + " over the row's " + col})
+		prog = append(prog, Line{Op: Cap, Field: f, Limit: t.Int(row, col), Path: path, Why: what + " over the row's " + col})
 	}
 	limit(Tasks, "maxTasks", "steps", "tasks in the job")
 	limit(Cores, "taskCores", "steps", "cores of a task")
@@ -44,40 +44,40 @@
 		}
 		prog = append(prog, Line{Op: Only, Set: only, Path: "steps", Why: "label not allowed in the row"})
 	}
-	prog = append(prog, Line{Op: Room, Limit: t.Num(row, "maxWaiting"), Why: "row is full"}, Line{Op: Pass})
+	prog = append(prog, Line{Op: Room, Limit: t.Int(row, "maxWaiting"), Why: "row is full"}, Line{Op: Pass})
 	return prog
 }
 
 // Verdict of one run: faults (422), or full (429), or neither.
 type Verdict struct {
-	Full bool
+	QueueFull bool
 }
 
-// Run passes a job through its row's program. used is the number of tasks
+// Check passes a job through its row's program. used is the number of tasks
 // waiting in the row, or negative where that isn't known.
-func (r *Rules) Run(s *job.Spec, used int64, f *jsondoc.Faults) Verdict {
+func (r *Rules) Check(s *job.Spec, used int64, f *jsondoc.FieldErrors) Verdict {
 	var v Verdict
-	prog, ok := r.rows[s.Pending]
+	prog, ok := r.rows[s.Row]
 	if !ok {
-		f.Sense("pending", "no such row in the table")
+		f.Invalid("pending", "no such row in the table")
 		return v
 	}
 	for _, l := range prog {
 		switch l.Op {
 		case Cap:
 			if n := measure(s, l.Field); n > l.Limit {
-				f.Sense(l.Path, "%s: %d, limit %d", l.Why, n, l.Limit)
+				f.Invalid(l.Path, "%s: %d, limit %d", l.Why, n, l.Limit)
 			}
 		case Only:
 			for _, st := range s.Steps {
 				for _, one := range st.Labels {
 					if !l.Set[one] {
-						f.Sense(l.Path, "%s: %s", l.Why, one)
+						f.Invalid(l.Path, "%s: %s", l.Why, one)
 					}
 				}
 			}
 		case Room:
-			v.Full = used >= 0 && used+s.Tasks() > l.Limit
+			v.QueueFull = used >= 0 && used+s.TaskCount() > l.Limit
 		case Pass:
 			return v
 		}
@@ -89,7 +89,7 @@
 	var n int64
 	switch field {
 	case Tasks:
-		return s.Tasks()
+		return s.TaskCount()
 	case Urgency:
 		return s.Urgency
 	}
--- a/internal/api/admission/rules_test.go
+++ b/internal/api/admission/rules_test.go
@@ -13,12 +13,12 @@
 // TestRun: each limit of a row holds at its edge and refuses one past it, by
 // name, and a full row is told from a faulty job.
 func TestRun(t *testing.T) {
-	now := limits.First()
+	now := limits.Default()
 	row := now.Rows["default"]
 	row["maxTasks"], row["taskCores"], row["taskMemMb"], row["maxUrgency"], row["labels"], row["maxWaiting"] = "4", "2", "100", "3", "ssd std", "10"
 	r := Compile(now)
 	spec := func(change func(s *job.Spec)) *job.Spec {
-		s := &job.Spec{Pending: "default", Urgency: 3, Steps: []job.Step{
+		s := &job.Spec{Row: "default", Urgency: 3, Steps: []job.Step{
 			{Name: "a", Tasks: 3, Demand: job.Demand{Cores: 2, Mem: 100}, Labels: []identifier.Label{"ssd"}}, {Name: "b", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}}}}
 		change(s)
 		return s
@@ -37,12 +37,12 @@
 		"memory":               {func(s *job.Spec) { s.Steps[0].Demand.Mem = 101 }, 0, "taskMemMb: 101, limit 100", false},
 		"urgency":              {func(s *job.Spec) { s.Urgency = 4 }, 0, "maxUrgency: 4, limit 3", false},
 		"label":                {func(s *job.Spec) { s.Steps[1].Labels = []identifier.Label{"gpu"} }, 0, "not allowed in the row: gpu", false},
-		"row":                  {func(s *job.Spec) { s.Pending = "other" }, 0, "no such row", false},
+		"row":                  {func(s *job.Spec) { s.Row = "other" }, 0, "no such row", false},
 	} {
-		var f jsondoc.Faults
-		v := r.Run(spec(one.change), one.used, &f)
-		if v.Full != one.full || f.Any() != (one.fault != "") || f.Any() && !strings.Contains(string(f.Bad()), one.fault) {
-			t.Errorf("%s: full %v, %s", name, v.Full, f.Bad())
+		var f jsondoc.FieldErrors
+		v := r.Check(spec(one.change), one.used, &f)
+		if v.QueueFull != one.full || f.Any() != (one.fault != "") || f.Any() && !strings.Contains(string(f.ErrorBody()), one.fault) {
+			t.Errorf("%s: full %v, %s", name, v.QueueFull, f.ErrorBody())
 		}
 	}
 }
--- a/internal/api/catalog/catalog.go
+++ b/internal/api/catalog/catalog.go
@@ -14,27 +14,27 @@
 )
 
 // Queue is where callers hand jobs in. Rank 0 goes first. Tries is how many failed runs use up a task. The aim of a job is its
-// longest chain of work times Stretch, in thousandths, plus SetPoint.
+// longest chain of work times Stretch, in thousandths, plus LatencyTarget.
 type Queue struct {
-	Name     string          `json:"name"`
-	Host     string          `json:"host"`
-	Prefix   string          `json:"prefix"`
-	Pool     string          `json:"pool"`
-	Rank     int64           `json:"rank"`
-	Tries    int64           `json:"tries"`
-	Stretch  int64           `json:"stretch"`
-	SetPoint clock.Millis    `json:"setPointMs"`
-	Timeout  clock.Millis    `json:"timeoutMs"`
-	Source   json.RawMessage `json:"source,omitempty"`
+	Name          string          `json:"name"`
+	Host          string          `json:"host"`
+	Prefix        string          `json:"prefix"`
+	Pool          string          `json:"pool"`
+	Priority      int64           `json:"rank"`
+	MaxAttempts   int64           `json:"tries"`
+	LatencyFactor int64           `json:"stretch"`
+	LatencyTarget clock.Millis    `json:"setPointMs"`
+	Timeout       clock.Millis    `json:"timeoutMs"`
+	Source        json.RawMessage `json:"source,omitempty"`
 }
 
 // Pool is the runners that serve some queues. Guards says that they turn away
 // what does not fit; Look is the path at which they say whether they are well.
 type Pool struct {
-	Name   string          `json:"name"`
-	Guards bool            `json:"guards,omitempty"`
-	Look   string          `json:"look,omitempty"`
-	Source json.RawMessage `json:"source,omitempty"`
+	Name            string          `json:"name"`
+	RejectsOverload bool            `json:"guards,omitempty"`
+	HealthPath      string          `json:"look,omitempty"`
+	Source          json.RawMessage `json:"source,omitempty"`
 }
 
 // Catalog is one version of the configuration of queues and pools. It is not
@@ -44,17 +44,17 @@
 	Queues  []Queue         `json:"queues"`
 	Pools   []Pool          `json:"pools"`
 	Source  json.RawMessage `json:"source,omitempty"`
-	// Former are the last accepted changes while Dedup is nil.
-	Former []FormerRecord `json:"taken,omitempty"`
+	// LegacyRecords are the last accepted changes while Dedup is nil.
+	LegacyRecords []LegacyRecord `json:"taken,omitempty"`
 	// Dedup remembers accepted changes, from the level on that has it.
 	Dedup *Dedup `json:"dedup,omitempty"`
 }
 
 const (
-	// MostQueues bounds the queues of a catalogue.
-	MostQueues = 16384
-	// MostPools bounds the pools of a catalogue.
-	MostPools = 1024
+	// MaxQueues bounds the queues of a catalogue.
+	MaxQueues = 16384
+	// MaxPools bounds the pools of a catalogue.
+	MaxPools = 1024
 )
 
 // Deduplicated is the same catalogue with a Dedup in place of former records.
@@ -63,14 +63,14 @@
 		return c
 	}
 	next := *c
-	next.Former, next.Dedup = nil, newDedup(c.Former)
+	next.LegacyRecords, next.Dedup = nil, newDedup(c.LegacyRecords)
 	return &next
 }
 
 // Published is what operators read: the catalogue without its memory of changes.
 func (c *Catalog) Published() Catalog {
 	out := *c
-	out.Former, out.Dedup = nil, nil
+	out.LegacyRecords, out.Dedup = nil, nil
 	return out
 }
 
@@ -80,8 +80,8 @@
 	if c.Dedup != nil {
 		return c.Dedup.has(ch)
 	}
-	for _, record := range c.Former {
-		yes = yes || record.Version == ch.Version && record.Sum == ch.Sum
+	for _, record := range c.LegacyRecords {
+		yes = yes || record.Version == ch.Version && record.Checksum == ch.Checksum
 	}
 	return yes
 }
@@ -128,9 +128,9 @@
 		c.Dedup = was.Dedup.with(ch)
 		return
 	}
-	c.Former = append(slices.Clone(was.Former), FormerRecord{ch.Version, ch.Sum})
-	if n := len(c.Former); n > formerMost {
-		c.Former = c.Former[n-formerMost:]
+	c.LegacyRecords = append(slices.Clone(was.LegacyRecords), LegacyRecord{ch.Version, ch.Checksum})
+	if n := len(c.LegacyRecords); n > formerMost {
+		c.LegacyRecords = c.LegacyRecords[n-formerMost:]
 	}
 }
 
@@ -168,7 +168,7 @@
 	if c.Version <= was {
 		return "the version is not above the current one"
 	}
-	if len(c.Queues) > MostQueues || len(c.Pools) > MostPools {
+	if len(c.Queues) > MaxQueues || len(c.Pools) > MaxPools {
 		return "too many queues or pools"
 	}
 	pools, names, places := map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -193,31 +193,31 @@
 	return ""
 }
 
-// Map finds queues by the place a request was sent to.
-type Map struct {
+// RouteMap finds queues by the place a request was sent to.
+type RouteMap struct {
 	Version uint64
-	hosts   map[string][]Place
+	hosts   map[string][]Route
 }
 
-// Place is a queue as the edge knows it.
-type Place struct {
-	Name   string `json:"name"`
+// Route is a queue as the edge knows it.
+type Route struct {
+	Queue  string `json:"name"`
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
 }
 
-// Places lists what the edge must know.
-func (c *Catalog) Places() []Place {
-	var list []Place
+// Routes lists what the edge must know.
+func (c *Catalog) Routes() []Route {
+	var list []Route
 	for _, q := range c.Queues {
-		list = append(list, Place{q.Name, strings.ToLower(q.Host), q.Prefix})
+		list = append(list, Route{q.Name, strings.ToLower(q.Host), q.Prefix})
 	}
 	return list
 }
 
-// NewMap orders the places so that the longest prefix is met first.
-func NewMap(version uint64, list []Place) *Map {
-	m := &Map{Version: version, hosts: map[string][]Place{}}
+// NewRouteMap orders the places so that the longest prefix is met first.
+func NewRouteMap(version uint64, list []Route) *RouteMap {
+	m := &RouteMap{Version: version, hosts: map[string][]Route{}}
 	for _, p := range list {
 		m.hosts[p.Host] = append(m.hosts[p.Host], p)
 	}
@@ -228,14 +228,14 @@
 }
 
 // Find looks a request's host and path up; rest is what follows the prefix.
-func (m *Map) Find(host, path string) (name, rest string, ok bool) {
+func (m *RouteMap) Find(host, path string) (name, rest string, ok bool) {
 	host = strings.ToLower(host)
 	if i := strings.LastIndexByte(host, ':'); i > 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	for _, p := range m.hosts[host] {
 		if rest, ok = strings.CutPrefix(path, p.Prefix); ok {
-			return p.Name, rest, true
+			return p.Queue, rest, true
 		}
 	}
 	return "", "", false
--- a/internal/api/catalog/catalog_test.go
+++ b/internal/api/catalog/catalog_test.go
@@ -22,7 +22,7 @@
 		"no path":       strings.Replace(good, `"/a/"`, `"a"`, 1),
 		"wrong type":    strings.Replace(good, `"pool":"x"`, `"pool":4`, 1),
 	} {
-		var f jsondoc.Faults
+		var f jsondoc.FieldErrors
 		if ReadWhole([]byte(text), &f); !f.Any() {
 			t.Errorf("%s passed", name)
 		}
@@ -32,7 +32,7 @@
 // TestNamed: named items are replaced in place, added at the end and dropped;
 // the rest, and what came along with it, stays as it was.
 func TestNamed(t *testing.T) {
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	first, why := (&Catalog{}).With(ReadWhole([]byte(good), &f))
 	if f.Any() || why != "" {
 		t.Fatal(f.List, why)
@@ -48,7 +48,7 @@
 	if len(first.Queues) != 1 || first.Queues[0].Timeout != 1 {
 		t.Errorf("the former catalogue changed: %+v", first)
 	}
-	if !next.Has(p) || !next.Has(ReadWhole([]byte(good), &f)) || next.Has(&Change{Version: 5, Sum: "x"}) {
+	if !next.Has(p) || !next.Has(ReadWhole([]byte(good), &f)) || next.Has(&Change{Version: 5, Checksum: "x"}) {
 		t.Error("changes taken are not known again")
 	}
 	if _, why = next.With(&Change{Version: 9, DropPools: []string{"y"}}); why == "" {
@@ -58,7 +58,7 @@
 
 // TestFind: the longest prefix under the host, whatever its case and port.
 func TestFind(t *testing.T) {
-	m := NewMap(4, []Place{{"a", "h.example", "/x/"}, {"b", "h.example", "/x/y/"}, {"c", "other", "/"}})
+	m := NewRouteMap(4, []Route{{"a", "h.example", "/x/"}, {"b", "h.example", "/x/y/"}, {"c", "other", "/"}})
 	for _, c := range []struct{ host, path, name, rest string }{
 		{"h.example", "/x/1", "a", "1"}, {"H.Example:80", "/x/y/2", "b", "2"}, {"h.example", "/x/y", "a", "y"},
 		{"h.example", "/z", "", ""}, {"nobody", "/x/1", "", ""}, {"other:1", "/q", "c", "q"},
--- a/internal/api/catalog/change.go
+++ b/internal/api/catalog/change.go
@@ -23,7 +23,7 @@
 	DropQueues []string        `json:"dropQueues,omitempty"`
 	DropPools  []string        `json:"dropPools,omitempty"`
 	Source     json.RawMessage `json:"source,omitempty"`
-	Sum        string          `json:"sum"`
+	Checksum   string          `json:"sum"`
 }
 
 type whole struct {
@@ -51,22 +51,22 @@
 	Rest json.RawMessage `json:"rest"`
 }
 
-func decode(text []byte, into any, f *jsondoc.Faults) bool {
+func decode(text []byte, into any, f *jsondoc.FieldErrors) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		f.Shape("", "not a catalogue: %s", err)
+		f.Malformed("", "not a catalogue: %s", err)
 		return false
 	}
 	if _, err := d.Token(); err != io.EOF {
-		f.Shape("", "data after the JSON value")
+		f.Malformed("", "data after the JSON value")
 		return false
 	}
 	return true
 }
 
 // ReadWhole reads a whole catalogue.
-func ReadWhole(text []byte, f *jsondoc.Faults) *Change {
+func ReadWhole(text []byte, f *jsondoc.FieldErrors) *Change {
 	var w whole
 	if !decode(text, &w, f) {
 		return nil
@@ -76,7 +76,7 @@
 }
 
 // ReadPatch reads a change of named items.
-func ReadPatch(text []byte, f *jsondoc.Faults) *Change {
+func ReadPatch(text []byte, f *jsondoc.FieldErrors) *Change {
 	var p patch
 	if !decode(text, &p, f) {
 		return nil
@@ -85,9 +85,9 @@
 	return c.finish(p.Base, p.Version, text, f)
 }
 
-func (c *Change) finish(base, version *uint64, text []byte, f *jsondoc.Faults) *Change {
+func (c *Change) finish(base, version *uint64, text []byte, f *jsondoc.FieldErrors) *Change {
 	if base == nil || version == nil {
-		f.Sense("base", "base and version must be given")
+		f.Invalid("base", "base and version must be given")
 		return nil
 	}
 	c.Base, c.Version = *base, *version
@@ -96,11 +96,11 @@
 	}
 	for _, p := range c.Pools {
 		if p.Name == "" || len(p.Name) > maxName {
-			f.Sense("pools", "want a name of 1 to %d bytes", maxName)
+			f.Invalid("pools", "want a name of 1 to %d bytes", maxName)
 		}
 	}
 	sum := sha256.Sum256(text)
-	c.Sum = hex.EncodeToString(sum[:12])
+	c.Checksum = hex.EncodeToString(sum[:12])
 	return c
 }
 
@@ -111,18 +111,18 @@
 	maxNumber = 1 << 40
 )
 
-func (q *Queue) check(f *jsondoc.Faults) {
+func (q *Queue) check(f *jsondoc.FieldErrors) {
 	bad := func(ok bool, key, why string) {
 		if !ok {
-			f.Sense("queues."+q.Name+"."+key, "%s", why)
+			f.Invalid("queues."+q.Name+"."+key, "%s", why)
 		}
 	}
 	bad(q.Name != "" && len(q.Name) <= maxName, "name", "want 1 to 128 bytes")
 	bad(q.Host != "" && len(q.Host) <= maxPlace, "host", "must be given")
 	bad(len(q.Prefix) > 0 && len(q.Prefix) <= maxPlace && q.Prefix[0] == '/', "prefix", "want a path")
 	bad(q.Timeout > 0 && q.Timeout < maxNumber, "timeoutMs", "want a span above 0")
-	bad(q.SetPoint >= 0 && q.SetPoint < maxNumber, "setPointMs", "want a span")
-	bad(q.Rank >= 0 && q.Rank < maxNumber, "rank", "want a number from 0")
-	bad(q.Tries >= 0 && q.Tries <= maxTries, "tries", "want 0 to 1000")
-	bad(q.Stretch >= 0 && q.Stretch < maxNumber, "stretch", "want a number from 0")
+	bad(q.LatencyTarget >= 0 && q.LatencyTarget < maxNumber, "setPointMs", "want a span")
+	bad(q.Priority >= 0 && q.Priority < maxNumber, "rank", "want a number from 0")
+	bad(q.MaxAttempts >= 0 && q.MaxAttempts <= maxTries, "tries", "want 0 to 1000")
+	bad(q.LatencyFactor >= 0 && q.LatencyFactor < maxNumber, "stretch", "want a number from 0")
 }
--- a/internal/api/catalog/dedup.go
+++ b/internal/api/catalog/dedup.go
@@ -33,10 +33,10 @@
 	Horizon uint64 `json:"horizon,omitempty"`
 }
 
-// FormerRecord is an accepted change as it was remembered before Dedup.
-type FormerRecord struct {
-	Version uint64 `json:"version"`
-	Sum     string `json:"sum"`
+// LegacyRecord is an accepted change as it was remembered before Dedup.
+type LegacyRecord struct {
+	Version  uint64 `json:"version"`
+	Checksum string `json:"sum"`
 }
 
 type digest [digestSize]byte
@@ -64,10 +64,10 @@
 }
 
 // newDedup takes over what a former program remembered.
-func newDedup(former []FormerRecord) *Dedup {
+func newDedup(former []LegacyRecord) *Dedup {
 	d := &Dedup{}
 	for _, record := range former {
-		d.add(record.Version, makeDigest(kindFormer, record.Sum))
+		d.add(record.Version, makeDigest(kindFormer, record.Checksum))
 	}
 	if len(former) >= formerMost {
 		d.Horizon = former[0].Version - 1
@@ -109,7 +109,7 @@
 		return false
 	}
 	known := d.digest(i)
-	return known == makeDigest(ch.kind(), ch.Sum) || known == makeDigest(kindFormer, ch.Sum)
+	return known == makeDigest(ch.kind(), ch.Checksum) || known == makeDigest(kindFormer, ch.Checksum)
 }
 
 // mayHaveForgotten tells whether the change can have been accepted and
@@ -122,7 +122,7 @@
 // stays as it is.
 func (d *Dedup) with(ch *Change) *Dedup {
 	out := &Dedup{Records: slices.Clone(d.Records), Horizon: d.Horizon}
-	out.add(ch.Version, makeDigest(ch.kind(), ch.Sum))
+	out.add(ch.Version, makeDigest(ch.kind(), ch.Checksum))
 	return out
 }
 
--- a/internal/api/eventlog/diary.go
+++ b/internal/api/eventlog/diary.go
@@ -12,24 +12,24 @@
 // Page is the event log of one incarnation of a runner. Now is in milliseconds
 // on the runner's monotonic clock.
 type Page struct {
-	Runner identifier.Runner      `json:"runner"`
-	Inc    identifier.Incarnation `json:"incarnation"`
-	Domain identifier.Domain      `json:"domain"`
-	Labels []identifier.Label     `json:"labels"`
-	Cap    job.Demand             `json:"cap"`
-	Now    clock.Monotonic        `json:"now"`
-	// Broken counts polls whose answer broke off.
-	Broken int     `json:"broken"`
-	Events []Event `json:"events"`
+	Runner      identifier.Runner      `json:"runner"`
+	Incarnation identifier.Incarnation `json:"incarnation"`
+	Domain      identifier.Domain      `json:"domain"`
+	Labels      []identifier.Label     `json:"labels"`
+	Capacity    job.Demand             `json:"cap"`
+	Now         clock.Monotonic        `json:"now"`
+	// BrokenResponses counts polls whose answer broke off.
+	BrokenResponses int     `json:"broken"`
+	Events          []Event `json:"events"`
 }
 
 // Event is one thing that happened to an attempt. N numbers the events, and At
 // is in milliseconds on the same clock as the page's Now.
 type Event struct {
-	N     uint64             `json:"n"`
-	At    clock.Monotonic    `json:"at"`
-	What  string             `json:"what"`
-	Grant identifier.LeaseID `json:"grant"`
-	Task  identifier.TaskRef `json:"task"`
-	Cost  job.Demand         `json:"cost"`
+	Seq    uint64             `json:"n"`
+	At     clock.Monotonic    `json:"at"`
+	Kind   string             `json:"what"`
+	Lease  identifier.LeaseID `json:"grant"`
+	Task   identifier.TaskRef `json:"task"`
+	Demand job.Demand         `json:"cost"`
 }
--- a/internal/api/job/demand.go
+++ b/internal/api/job/demand.go
@@ -7,14 +7,14 @@
 // Demand is an amount of resources: asked for, in use or free. Mem is in
 // mebibytes, Milli in thousandths of a core. A difference may be negative.
 type Demand struct {
-	Cores int64 `json:"cores"`
-	Mem   int64 `json:"memMb"`
-	Milli int64 `json:"milliCores,omitempty"`
-	GPUs  int64 `json:"gpus,omitempty"`
+	Cores      int64 `json:"cores"`
+	Mem        int64 `json:"memMb"`
+	MilliCores int64 `json:"milliCores,omitempty"`
+	GPUs       int64 `json:"gpus,omitempty"`
 }
 
 // CPU is the processor asked for, in thousandths of a core.
-func (d Demand) CPU() int64 { return d.Cores*1000 + d.Milli }
+func (d Demand) CPU() int64 { return d.Cores*1000 + d.MilliCores }
 
 // Fits tells whether d is no more than room in processor, memory and
 // accelerators.
@@ -22,19 +22,19 @@
 	return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs
 }
 
-// Under tells whether d keeps within a limit that says nothing of accelerators.
-func (d Demand) Under(limit Demand) bool {
+// WithinLimit tells whether d keeps within a limit that says nothing of accelerators.
+func (d Demand) WithinLimit(limit Demand) bool {
 	return d.CPU() <= limit.CPU() && d.Mem <= limit.Mem
 }
 
 // Plus adds field by field.
 func (d Demand) Plus(b Demand) Demand {
-	return Demand{d.Cores + b.Cores, d.Mem + b.Mem, d.Milli + b.Milli, d.GPUs + b.GPUs}
+	return Demand{d.Cores + b.Cores, d.Mem + b.Mem, d.MilliCores + b.MilliCores, d.GPUs + b.GPUs}
 }
 
 // Minus subtracts field by field; it does not stop at zero.
 func (d Demand) Minus(b Demand) Demand {
-	return Demand{d.Cores - b.Cores, d.Mem - b.Mem, d.Milli - b.Milli, d.GPUs - b.GPUs}
+	return Demand{d.Cores - b.Cores, d.Mem - b.Mem, d.MilliCores - b.MilliCores, d.GPUs - b.GPUs}
 }
 
 // Share is the largest of the shares of whole, in millionths.
--- a/internal/api/job/read.go
+++ b/internal/api/job/read.go
@@ -19,26 +19,26 @@
 	MaxSteps = 32
 	// MaxTasks bounds the tasks of all steps together.
 	MaxTasks = 4096
-	// MaxText bounds the text that a job hands to its tasks, in bytes.
-	MaxText = 16 << 10
-	// MaxName bounds the name of a queue, in bytes.
-	MaxName = 128
-	// MaxTimes bounds how often a repeated job runs.
-	MaxTimes = 1 << 20
-	maxRoom  = 1 << 30
-	maxSpan  = int64(30 * 24 * time.Hour / time.Millisecond)
+	// MaxPayloadBytes bounds the text that a job hands to its tasks, in bytes.
+	MaxPayloadBytes = 16 << 10
+	// MaxQueueNameBytes bounds the name of a queue, in bytes.
+	MaxQueueNameBytes = 128
+	// MaxRepeats bounds how often a repeated job runs.
+	MaxRepeats = 1 << 20
+	maxRoom    = 1 << 30
+	maxSpan    = int64(30 * 24 * time.Hour / time.Millisecond)
 )
 
 // Read reads and checks the JSON of a job. Faults are added to f; the result is
 // nil when the text is not one JSON object, and must not be used when there are
 // any faults.
-func Read(text []byte, f *jsondoc.Faults) *Spec {
+func Read(text []byte, f *jsondoc.FieldErrors) *Spec {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
 	queued := o.Has("queue")
-	s := &Spec{Pending: identifier.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
+	s := &Spec{Row: identifier.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
 	if queued {
 		readQueued(o, s)
 	}
@@ -47,31 +47,31 @@
 	for i, one := range o.List("steps", MaxSteps) {
 		st := readStep(one, queued)
 		if _, dup := names[st.Name]; dup {
-			f.Sense(one.Path("name"), "step name used twice")
+			f.Invalid(one.Path("name"), "step name used twice")
 		}
 		names[st.Name] = i
 		s.Steps = append(s.Steps, st)
 	}
 	if len(s.Steps) == 0 && !f.Any() {
-		f.Sense("steps", "want at least one step")
+		f.Invalid("steps", "want at least one step")
 	}
-	if s.Tasks() > MaxTasks {
-		f.Sense("steps", "at most %d tasks in a job", MaxTasks)
+	if s.TaskCount() > MaxTasks {
+		f.Invalid("steps", "at most %d tasks in a job", MaxTasks)
 	}
 	o.Done()
 	order(s, names, f)
 	return s
 }
 
-func readStart(o *jsondoc.Obj, s *Spec) {
+func readStart(o *jsondoc.Object, s *Spec) {
 	if o.Has("notBefore") && o.Has("delayMs") {
-		o.Faults().Sense("delayMs", "give notBefore or delayMs, not both")
+		o.Errors().Invalid("delayMs", "give notBefore or delayMs, not both")
 	}
 	s.Delay = clock.Millis(o.Int("delayMs", 0, 0, maxSpan))
 	if text := o.Text("notBefore", ""); text != "" {
 		at, err := time.Parse(time.RFC3339, text)
 		if err != nil || at.UnixMilli() <= 0 {
-			o.Faults().Sense("notBefore", "want an RFC 3339 time")
+			o.Errors().Invalid("notBefore", "want an RFC 3339 time")
 			return
 		}
 		s.NotBefore = clock.ClusterTime(at.UnixMilli())
@@ -79,41 +79,41 @@
 }
 
 // readQueued reads what only a job for a queue of the catalogue may bear.
-func readQueued(o *jsondoc.Obj, s *Spec) {
+func readQueued(o *jsondoc.Object, s *Spec) {
 	s.Queue = o.Text("queue", "")
 	switch {
-	case s.Queue == "" || len(s.Queue) > MaxName:
-		o.Faults().Sense("queue", "want a name of 1 to %d bytes", MaxName)
-	case s.Pending != "":
-		o.Faults().Sense("queue", "give pending or queue, not both")
+	case s.Queue == "" || len(s.Queue) > MaxQueueNameBytes:
+		o.Errors().Invalid("queue", "want a name of 1 to %d bytes", MaxQueueNameBytes)
+	case s.Row != "":
+		o.Errors().Invalid("queue", "give pending or queue, not both")
 	}
-	if s.Text = o.Text("text", ""); len(s.Text) > MaxText {
-		o.Faults().Sense("text", "at most %d bytes", MaxText)
+	if s.Payload = o.Text("text", ""); len(s.Payload) > MaxPayloadBytes {
+		o.Errors().Invalid("text", "at most %d bytes", MaxPayloadBytes)
 	}
-	if r := o.Sub("repeat"); r != nil {
-		s.Repeat = &Repeat{Times: r.Int("times", 1, 1, MaxTimes), First: clock.ClusterTime(r.Int("firstMs", 0, 0, 1<<45)), Every: clock.Millis(r.Int("everyMs", 0, 0, maxSpan))}
+	if r := o.Object("repeat"); r != nil {
+		s.Repeat = &Repeat{Count: r.Int("times", 1, 1, MaxRepeats), First: clock.ClusterTime(r.Int("firstMs", 0, 0, 1<<45)), Every: clock.Millis(r.Int("everyMs", 0, 0, maxSpan))}
 		r.Done()
-		if s.Repeat.Times > 1 && s.Repeat.Every == 0 {
-			r.Faults().Sense("repeat.everyMs", "want a span between two times")
+		if s.Repeat.Count > 1 && s.Repeat.Every == 0 {
+			r.Errors().Invalid("repeat.everyMs", "want a span between two times")
 		}
 	}
 }
 
 // readPlace reads where a step's tasks would best stand, and how they end.
-func readPlace(o *jsondoc.Obj, s *Step) {
+func readPlace(o *jsondoc.Object, s *Step) {
 	s.Demand.Cores = o.Int("cores", 0, 0, maxRoom)
-	s.Demand.Milli = o.Int("milliCores", 0, 0, maxRoom)
+	s.Demand.MilliCores = o.Int("milliCores", 0, 0, maxRoom)
 	s.Demand.Mem = o.Int("memMb", 0, 0, maxRoom)
 	s.Demand.GPUs = o.Int("gpus", 0, 0, maxRoom)
-	s.Near = identifier.Rack(o.Text("near", ""))
+	s.PreferredRack = identifier.Rack(o.Text("near", ""))
 	s.OneRack = o.Bool("oneRack", false)
-	s.Apart = o.Int("apart", 0, 0, MaxTasks)
-	s.Copies = o.Bool("copies", false)
-	s.Lasting = o.Bool("lasting", false)
-	s.Saves = o.Bool("saves", false)
+	s.MaxPerRunner = o.Int("apart", 0, 0, MaxTasks)
+	s.AllowDuplicates = o.Bool("copies", false)
+	s.Service = o.Bool("lasting", false)
+	s.Checkpoints = o.Bool("saves", false)
 }
 
-func readStep(o *jsondoc.Obj, queued bool) Step {
+func readStep(o *jsondoc.Object, queued bool) Step {
 	var s Step
 	s.Name = o.Name("name", true)
 	s.After = o.Names("after", MaxSteps)
@@ -128,14 +128,14 @@
 	for _, l := range o.Names("labels", 16) {
 		s.Labels = append(s.Labels, identifier.Label(l))
 	}
-	s.Defects = o.Int("allowedDefects", 1, 1, 100)
-	s.Run = clock.Millis(o.Int("spanMs", 1000, 1, maxSpan))
+	s.MaxDefects = o.Int("allowedDefects", 1, 1, 100)
+	s.ExpectedRun = clock.Millis(o.Int("spanMs", 1000, 1, maxSpan))
 	o.Done()
 	return s
 }
 
 // order refuses unknown steps and cycles.
-func order(s *Spec, names map[string]int, f *jsondoc.Faults) {
+func order(s *Spec, names map[string]int, f *jsondoc.FieldErrors) {
 	need := make([]int, len(s.Steps))
 	next := make([][]int, len(s.Steps))
 	for i, st := range s.Steps {
@@ -144,9 +144,9 @@
 			j, ok := names[a]
 			switch {
 			case !ok:
-				f.Sense("steps", "step %q comes after unknown step %q", st.Name, a)
+				f.Invalid("steps", "step %q comes after unknown step %q", st.Name, a)
 			case a == last:
-				f.Sense("steps", "step %q names %q twice", st.Name, a)
+				f.Invalid("steps", "step %q names %q twice", st.Name, a)
 			default:
 				need[i]++
 				next[j] = append(next[j], i)
@@ -170,12 +170,12 @@
 		}
 	}
 	if done < len(s.Steps) {
-		f.Sense("steps", "steps wait for one another in a ring")
+		f.Invalid("steps", "steps wait for one another in a ring")
 	}
 }
 
-// Sum identifies the content: the hash of the normal form.
-func (s *Spec) Sum() string {
+// Checksum identifies the content: the hash of the normal form.
+func (s *Spec) Checksum() string {
 	text, err := json.Marshal(s)
 	if err != nil {
 		panic(err)
--- a/internal/api/job/read_test.go
+++ b/internal/api/job/read_test.go
@@ -35,7 +35,7 @@
 		"bad name":       {`{"pending":"a b","steps":[{"name":"x"}]}`, 422, "pending"},
 		"too many tasks": {`{"pending":"a","steps":[{"name":"x","tasks":4096},{"name":"y","tasks":1}]}`, 422, "steps"},
 	} {
-		var f jsondoc.Faults
+		var f jsondoc.FieldErrors
 		Read([]byte(c.text), &f)
 		if !f.Any() || f.Status() != c.status {
 			t.Errorf("%s: want %d, have %v", name, c.status, f.List)
@@ -49,21 +49,21 @@
 
 // TestSameSum: the same job in other words is the same job.
 func TestSameSum(t *testing.T) {
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	a := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p","q"]}]}`), &f)
 	b := Read([]byte(` {"steps":[{"labels":["q","p"],"tasks":1,"cores":1,"name":"x"}],"urgency":0,"pending":"a"}`), &f)
 	c := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p"]}]}`), &f)
-	if f.Any() || a.Sum() != b.Sum() || a.Sum() == c.Sum() {
-		t.Errorf("sums %s %s %s, faults %v", a.Sum(), b.Sum(), c.Sum(), f.List)
+	if f.Any() || a.Checksum() != b.Checksum() || a.Checksum() == c.Checksum() {
+		t.Errorf("sums %s %s %s, faults %v", a.Checksum(), b.Checksum(), c.Checksum(), f.List)
 	}
 }
 
 func FuzzJob(f *testing.F) {
 	f.Add([]byte(`{"pending":"a","steps":[{"name":"x","after":["y"]},{"name":"y"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		var faults jsondoc.Faults
+		var faults jsondoc.FieldErrors
 		if s := Read(text, &faults); s != nil && !faults.Any() {
-			if len(s.Steps) == 0 || s.Tasks() < 1 || s.Tasks() > MaxTasks {
+			if len(s.Steps) == 0 || s.TaskCount() < 1 || s.TaskCount() > MaxTasks {
 				t.Errorf("passed %+v", s)
 			}
 		}
--- a/internal/api/job/spec.go
+++ b/internal/api/job/spec.go
@@ -12,30 +12,30 @@
 // Delay milliseconds after it was accepted; when both are 0, as soon as there is
 // room. Higher Urgency goes first within a row.
 type Spec struct {
-	Pending   identifier.Row    `json:"pending"`
+	Row       identifier.Row    `json:"pending"`
 	Urgency   int64             `json:"urgency"`
 	NotBefore clock.ClusterTime `json:"notBefore,omitempty"`
 	Delay     clock.Millis      `json:"delayMs,omitempty"`
 	Steps     []Step            `json:"steps"`
 	// Queue names a queue of the catalogue in place of a pending row; Text is
 	// handed to whatever runs the tasks; Repeat runs the steps many times.
-	Queue  string  `json:"queue,omitempty"`
-	Text   string  `json:"text,omitempty"`
-	Repeat *Repeat `json:"repeat,omitempty"`
+	Queue   string  `json:"queue,omitempty"`
+	Payload string  `json:"text,omitempty"`
+	Repeat  *Repeat `json:"repeat,omitempty"`
 }
 
 // Repeat has the steps run Times times, the k-th due at First + k x Every.
 type Repeat struct {
-	Times int64             `json:"times"`
+	Count int64             `json:"times"`
 	First clock.ClusterTime `json:"firstMs"`
 	Every clock.Millis      `json:"everyMs"`
 }
 
-// At is when the k-th time is due.
-func (r *Repeat) At(k int64) clock.ClusterTime { return r.First.Add(clock.Millis(k) * r.Every) }
+// DueAt is when the k-th time is due.
+func (r *Repeat) DueAt(k int64) clock.ClusterTime { return r.First.Add(clock.Millis(k) * r.Every) }
 
-// Tasks is the number of tasks in all steps.
-func (s *Spec) Tasks() int64 {
+// TaskCount is the number of tasks in all steps.
+func (s *Spec) TaskCount() int64 {
 	var sum int64
 	for _, one := range s.Steps {
 		sum += one.Tasks
@@ -43,20 +43,20 @@
 	return sum
 }
 
-// Timed tells whether the job has an appointed start.
-func (s *Spec) Timed() bool { return s.NotBefore > 0 || s.Delay > 0 || s.Repeat != nil }
+// HasStartTime tells whether the job has an appointed start.
+func (s *Spec) HasStartTime() bool { return s.NotBefore > 0 || s.Delay > 0 || s.Repeat != nil }
 
-// Lasts tells whether some of it goes on until the job is cancelled.
-func (s *Spec) Lasts() bool {
+// HasServices tells whether some of it goes on until the job is cancelled.
+func (s *Spec) HasServices() bool {
 	var yes bool
 	for _, one := range s.Steps {
-		yes = yes || one.Lasting
+		yes = yes || one.Service
 	}
 	return yes
 }
 
-// Chain is the longest chain of work through the steps, by their rough spans.
-func (s *Spec) Chain() clock.Millis {
+// CriticalPath is the longest chain of work through the steps, by their rough spans.
+func (s *Spec) CriticalPath() clock.Millis {
 	var span clock.Millis
 	at := make([]clock.Millis, len(s.Steps))
 	for range s.Steps {
@@ -69,7 +69,7 @@
 					}
 				}
 			}
-			at[i] = from + one.Run
+			at[i] = from + one.ExpectedRun
 			span = max(span, at[i])
 		}
 	}
--- a/internal/api/job/step.go
+++ b/internal/api/job/step.go
@@ -12,23 +12,23 @@
 // has ended with success. Run is the expected duration of one task in
 // milliseconds, and Defects the number of reported defects that use up a task.
 type Step struct {
-	Name    string             `json:"name"`
-	After   []string           `json:"after,omitempty"`
-	Tasks   int64              `json:"tasks"`
-	Gang    bool               `json:"gang,omitempty"`
-	Demand  Demand             `json:"demand"`
-	Labels  []identifier.Label `json:"labels,omitempty"`
-	Defects int64              `json:"allowedDefects"`
-	Run     clock.Millis       `json:"spanMs"`
-	// Near is the rack that holds the data; OneRack wants the members of a gang
+	Name        string             `json:"name"`
+	After       []string           `json:"after,omitempty"`
+	Tasks       int64              `json:"tasks"`
+	Gang        bool               `json:"gang,omitempty"`
+	Demand      Demand             `json:"demand"`
+	Labels      []identifier.Label `json:"labels,omitempty"`
+	MaxDefects  int64              `json:"allowedDefects"`
+	ExpectedRun clock.Millis       `json:"spanMs"`
+	// PreferredRack is the rack that holds the data; OneRack wants the members of a gang
 	// in one rack. Both cost time where they are missed, and neither forbids.
-	Near    identifier.Rack `json:"near,omitempty"`
-	OneRack bool            `json:"oneRack,omitempty"`
-	// Apart is how many tasks of the step one runner may hold, 0 for any number.
-	Apart int64 `json:"apart,omitempty"`
-	// Copies may run side by side; Lasting tasks are started again however they
+	PreferredRack identifier.Rack `json:"near,omitempty"`
+	OneRack       bool            `json:"oneRack,omitempty"`
+	// MaxPerRunner is how many tasks of the step one runner may hold, 0 for any number.
+	MaxPerRunner int64 `json:"apart,omitempty"`
+	// AllowDuplicates may run side by side; Lasting tasks are started again however they
 	// end; Saves says that progress is kept.
-	Copies  bool `json:"copies,omitempty"`
-	Lasting bool `json:"lasting,omitempty"`
-	Saves   bool `json:"saves,omitempty"`
+	AllowDuplicates bool `json:"copies,omitempty"`
+	Service         bool `json:"lasting,omitempty"`
+	Checkpoints     bool `json:"saves,omitempty"`
 }
--- a/internal/api/jsondoc/obj.go
+++ b/internal/api/jsondoc/obj.go
@@ -11,39 +11,39 @@
 	"orchidward/internal/api/identifier"
 )
 
-// Obj is a JSON object that is read field by field. Faults found on the way are
+// Object is a JSON object that is read field by field. Faults found on the way are
 // added to the list that was given to Parse. A field with the value null counts
 // as missing.
-type Obj struct {
+type Object struct {
 	vals map[string]any
 	path string
 	seen map[string]bool
-	f    *Faults
+	f    *FieldErrors
 }
 
-func (o *Obj) at(key string) string { return join(o.path, key) }
+func (o *Object) at(key string) string { return join(o.path, key) }
 
 // Path is the path of a field from the top of the document, for faults.
-func (o *Obj) Path(key string) string { return o.at(key) }
+func (o *Object) Path(key string) string { return o.at(key) }
 
-// Faults is the list that this object's faults go to.
-func (o *Obj) Faults() *Faults { return o.f }
+// Errors is the list that this object's faults go to.
+func (o *Object) Errors() *FieldErrors { return o.f }
 
 // Has tells whether the field is there and not null. It does not mark it as
 // read.
-func (o *Obj) Has(key string) bool {
+func (o *Object) Has(key string) bool {
 	v, ok := o.vals[key]
 	return ok && v != nil
 }
 
-func (o *Obj) take(key string) (val any, ok bool) {
+func (o *Object) take(key string) (val any, ok bool) {
 	o.seen[key] = true
 	val, ok = o.vals[key]
 	return val, ok && val != nil
 }
 
 // Keys lists the fields in alphabetical order, null ones included.
-func (o *Obj) Keys() []string {
+func (o *Object) Keys() []string {
 	var keys []string
 	for k := range o.vals {
 		keys = append(keys, k)
@@ -54,7 +54,7 @@
 
 // Text reads a string, or returns def when the field is missing or, with a
 // fault, of another type.
-func (o *Obj) Text(key, def string) string {
+func (o *Object) Text(key, def string) string {
 	var out string
 	val, ok := o.take(key)
 	if !ok {
@@ -62,7 +62,7 @@
 	}
 	out, ok = val.(string)
 	if !ok {
-		o.f.Shape(o.at(key), "want a string")
+		o.f.Malformed(o.at(key), "want a string")
 		return def
 	}
 	return out
@@ -70,7 +70,7 @@
 
 // Name reads a string that must be a plain name; need makes it a fault to
 // leave it out.
-func (o *Obj) Name(key string, need bool) string {
+func (o *Object) Name(key string, need bool) string {
 	out := o.Text(key, "")
 	if out == "" && !need && !o.Has(key) {
 		return ""
@@ -79,14 +79,14 @@
 		return ""
 	}
 	if !identifier.ValidName(out) {
-		o.f.Sense(o.at(key), "want a name of 1 to 64 letters, digits, '.', '-' or '_'")
+		o.f.Invalid(o.at(key), "want a name of 1 to 64 letters, digits, '.', '-' or '_'")
 	}
 	return out
 }
 
 // Int reads a whole number from low to high, or returns def when the field is
 // missing or, with a fault, not such a number. def itself is not checked.
-func (o *Obj) Int(key string, def, low, high int64) int64 {
+func (o *Object) Int(key string, def, low, high int64) int64 {
 	val, ok := o.take(key)
 	if !ok {
 		return def
@@ -94,23 +94,23 @@
 	return o.num(val, o.at(key), def, low, high)
 }
 
-func (o *Obj) num(val any, path string, def, low, high int64) int64 {
+func (o *Object) num(val any, path string, def, low, high int64) int64 {
 	n, ok := val.(json.Number)
 	if !ok {
-		o.f.Shape(path, "want a whole number")
+		o.f.Malformed(path, "want a whole number")
 		return def
 	}
 	out, err := n.Int64()
 	if err != nil {
 		if _, ferr := n.Float64(); ferr == nil && !whole(string(n)) {
-			o.f.Shape(path, "want a whole number")
+			o.f.Malformed(path, "want a whole number")
 			return def
 		}
-		o.f.Sense(path, "number out of range, want %d to %d", low, high)
+		o.f.Invalid(path, "number out of range, want %d to %d", low, high)
 		return def
 	}
 	if out < low || out > high {
-		o.f.Sense(path, "want %d to %d", low, high)
+		o.f.Invalid(path, "want %d to %d", low, high)
 		return def
 	}
 	return out
@@ -127,7 +127,7 @@
 
 // Bool reads true or false, or returns def when the field is missing or, with a
 // fault, of another type.
-func (o *Obj) Bool(key string, def bool) bool {
+func (o *Object) Bool(key string, def bool) bool {
 	var out bool
 	val, ok := o.take(key)
 	if !ok {
@@ -135,27 +135,27 @@
 	}
 	out, ok = val.(bool)
 	if !ok {
-		o.f.Shape(o.at(key), "want true or false")
+		o.f.Malformed(o.at(key), "want true or false")
 		return def
 	}
 	return out
 }
 
 // OneOf reads a word out of a short list.
-func (o *Obj) OneOf(key, def string, words ...string) string {
+func (o *Object) OneOf(key, def string, words ...string) string {
 	out := o.Text(key, def)
 	for _, w := range words {
 		if out == w {
 			return out
 		}
 	}
-	o.f.Sense(o.at(key), "want one of %v", words)
+	o.f.Invalid(o.at(key), "want one of %v", words)
 	return def
 }
 
 // Names reads a list of at most limit plain names and returns them sorted. Entries
 // that are no plain name are left out, with a fault each.
-func (o *Obj) Names(key string, limit int) []string {
+func (o *Object) Names(key string, limit int) []string {
 	var out []string
 	val, ok := o.take(key)
 	if !ok {
@@ -163,21 +163,21 @@
 	}
 	list, ok := val.([]any)
 	if !ok {
-		o.f.Shape(o.at(key), "want a list of names")
+		o.f.Malformed(o.at(key), "want a list of names")
 		return nil
 	}
 	if len(list) > limit {
-		o.f.Sense(o.at(key), "at most %d", limit)
+		o.f.Invalid(o.at(key), "at most %d", limit)
 		return nil
 	}
 	for i, one := range list {
 		text, ok := one.(string)
 		if !ok {
-			o.f.Shape(fmt.Sprintf("%s[%d]", o.at(key), i), "want a string")
+			o.f.Malformed(fmt.Sprintf("%s[%d]", o.at(key), i), "want a string")
 			continue
 		}
 		if !identifier.ValidName(text) {
-			o.f.Sense(fmt.Sprintf("%s[%d]", o.at(key), i), "want a plain name")
+			o.f.Invalid(fmt.Sprintf("%s[%d]", o.at(key), i), "want a plain name")
 			continue
 		}
 		out = append(out, text)
@@ -187,62 +187,62 @@
 }
 
 // List hands out the objects of a list, each with its own path.
-func (o *Obj) List(key string, limit int) []*Obj {
-	var out []*Obj
+func (o *Object) List(key string, limit int) []*Object {
+	var out []*Object
 	val, ok := o.take(key)
 	if !ok {
 		return nil
 	}
 	list, ok := val.([]any)
 	if !ok {
-		o.f.Shape(o.at(key), "want a list")
+		o.f.Malformed(o.at(key), "want a list")
 		return nil
 	}
 	if len(list) > limit {
-		o.f.Sense(o.at(key), "at most %d", limit)
+		o.f.Invalid(o.at(key), "at most %d", limit)
 		return nil
 	}
 	for i, one := range list {
 		path := fmt.Sprintf("%s[%d]", o.at(key), i)
 		m, ok := one.(map[string]any)
 		if !ok {
-			o.f.Shape(path, "want an object")
+			o.f.Malformed(path, "want an object")
 			continue
 		}
-		out = append(out, &Obj{vals: m, path: path, seen: map[string]bool{}, f: o.f})
+		out = append(out, &Object{vals: m, path: path, seen: map[string]bool{}, f: o.f})
 	}
 	return out
 }
 
-// Sub reads an object within this one, nil when the field is missing or, with a
+// Object reads an object within this one, nil when the field is missing or, with a
 // fault, of another type.
-func (o *Obj) Sub(key string) *Obj {
+func (o *Object) Object(key string) *Object {
 	val, ok := o.take(key)
 	if !ok {
 		return nil
 	}
 	m, ok := val.(map[string]any)
 	if !ok {
-		o.f.Shape(o.at(key), "want an object")
+		o.f.Malformed(o.at(key), "want an object")
 		return nil
 	}
-	return &Obj{vals: m, path: o.at(key), seen: map[string]bool{}, f: o.f}
+	return &Object{vals: m, path: o.at(key), seen: map[string]bool{}, f: o.f}
 }
 
 // Done names every field that no getter asked for.
-func (o *Obj) Done() {
+func (o *Object) Done() {
 	for _, k := range o.Keys() {
 		if !o.seen[k] {
-			o.f.Shape(o.at(k), "unknown field")
+			o.f.Malformed(o.at(k), "unknown field")
 		}
 	}
 }
 
 // Scalar reads a number or a string as text, for cells that may be either.
-func (o *Obj) Scalar(key string) (text string, ok bool) {
+func (o *Object) Scalar(key string) (text string, ok bool) {
 	val, ok := o.take(key)
 	if !ok {
-		o.f.Shape(o.at(key), "want a number or a string")
+		o.f.Malformed(o.at(key), "want a number or a string")
 		return "", false
 	}
 	switch v := val.(type) {
@@ -251,15 +251,15 @@
 	case json.Number:
 		return string(v), true
 	}
-	o.f.Shape(o.at(key), "want a number or a string")
+	o.f.Malformed(o.at(key), "want a number or a string")
 	return "", false
 }
 
 // Skip marks a field as dealt with.
-func (o *Obj) Skip(key string) { o.seen[key] = true }
+func (o *Object) Skip(key string) { o.seen[key] = true }
 
 // Ints reads a list of whole numbers from 0 up.
-func (o *Obj) Ints(key string, limit int) []int64 {
+func (o *Object) Ints(key string, limit int) []int64 {
 	var out []int64
 	val, ok := o.take(key)
 	if !ok {
@@ -267,11 +267,11 @@
 	}
 	list, ok := val.([]any)
 	if !ok {
-		o.f.Shape(o.at(key), "want a list of numbers")
+		o.f.Malformed(o.at(key), "want a list of numbers")
 		return nil
 	}
 	if len(list) > limit {
-		o.f.Sense(o.at(key), "at most %d", limit)
+		o.f.Invalid(o.at(key), "at most %d", limit)
 		return nil
 	}
 	for i, one := range list {
--- a/internal/api/jsondoc/parse.go
+++ b/internal/api/jsondoc/parse.go
@@ -15,24 +15,24 @@
 // Parse reads one JSON object. It returns nil, with a fault in f, when the text
 // is not valid JSON, has a key twice, is nested deeper than 16 levels, is no
 // object, or is followed by other data.
-func Parse(text []byte, f *Faults) *Obj {
+func Parse(text []byte, f *FieldErrors) *Object {
 	dec := json.NewDecoder(bytes.NewReader(text))
 	dec.UseNumber()
 	val, err := read(dec, "", 0)
 	if err != nil {
-		f.Shape("", "not JSON: %s", err)
+		f.Malformed("", "not JSON: %s", err)
 		return nil
 	}
 	if _, err = dec.Token(); err != io.EOF {
-		f.Shape("", "data after the JSON value")
+		f.Malformed("", "data after the JSON value")
 		return nil
 	}
 	m, ok := val.(map[string]any)
 	if !ok {
-		f.Shape("", "want an object")
+		f.Malformed("", "want an object")
 		return nil
 	}
-	return &Obj{vals: m, seen: map[string]bool{}, f: f}
+	return &Object{vals: m, seen: map[string]bool{}, f: f}
 }
 
 func read(dec *json.Decoder, path string, depth int) (any, error) {
--- a/internal/api/limits/change.go
+++ b/internal/api/limits/change.go
@@ -39,29 +39,29 @@
 // ReadWhole reads a change that replaces the whole table. Faults are added to f;
 // the result is nil when the text is not one JSON object, and must not be
 // applied when there are any faults.
-func ReadWhole(text []byte, f *jsondoc.Faults) *Change {
+func ReadWhole(text []byte, f *jsondoc.FieldErrors) *Change {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
 	c := &Change{Whole: true, Rows: map[identifier.Row]map[string]string{}}
 	readBase(o, c)
-	c.Rows[SiteRow] = readRow(o.Sub("site"), SiteRow)
-	rows := o.Sub("rows")
+	c.Rows[SiteRow] = readRow(o.Object("site"), SiteRow)
+	rows := o.Object("rows")
 	if rows == nil {
 		if !f.Any() {
-			f.Sense("rows", "want the table's rows")
+			f.Invalid("rows", "want the table's rows")
 		}
 		return c
 	}
 	for _, name := range rows.Keys() {
 		if !rowName(name) {
-			f.Sense(rows.Path(name), "not a row name")
+			f.Invalid(rows.Path(name), "not a row name")
 		}
-		c.Rows[identifier.Row(name)] = readRow(rows.Sub(name), identifier.Row(name))
+		c.Rows[identifier.Row(name)] = readRow(rows.Object(name), identifier.Row(name))
 	}
 	if len(c.Rows) > maxRows+1 {
-		f.Sense("rows", "at most %d rows", maxRows)
+		f.Invalid("rows", "at most %d rows", maxRows)
 	}
 	o.Done()
 	return c
@@ -70,7 +70,7 @@
 // ReadPatch reads a change of single cells and rows. Faults are added to f; the
 // result is nil when the text is not one JSON object, and must not be applied
 // when there are any faults.
-func ReadPatch(text []byte, f *jsondoc.Faults) *Change {
+func ReadPatch(text []byte, f *jsondoc.FieldErrors) *Change {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
@@ -79,19 +79,19 @@
 	readBase(o, c)
 	for _, r := range o.Names("drop", maxRows) {
 		if r == string(SiteRow) {
-			f.Sense("drop", "the site row cannot be dropped")
+			f.Invalid("drop", "the site row cannot be dropped")
 		}
 		c.Drop[identifier.Row(r)] = true
 	}
-	if cells := o.Sub("cells"); cells != nil {
+	if cells := o.Object("cells"); cells != nil {
 		for _, name := range cells.Keys() {
 			row, col, ok := strings.Cut(name, ".")
 			if !ok || !rowName(row) && row != string(SiteRow) {
-				f.Sense(cells.Path(name), "want row.column")
+				f.Invalid(cells.Path(name), "want row.column")
 				continue
 			}
 			if c.Drop[identifier.Row(row)] {
-				f.Sense(cells.Path(name), "row is dropped by the same change")
+				f.Invalid(cells.Path(name), "row is dropped by the same change")
 			}
 			if c.Rows[identifier.Row(row)] == nil {
 				c.Rows[identifier.Row(row)] = map[string]string{}
@@ -100,7 +100,7 @@
 		}
 	}
 	if len(c.Rows) == 0 && len(c.Drop) == 0 && !f.Any() {
-		f.Sense("cells", "the change names no cell")
+		f.Invalid("cells", "the change names no cell")
 	}
 	o.Done()
 	return c
@@ -110,14 +110,14 @@
 	return identifier.ValidName(name) && !strings.Contains(name, ".") && name != string(SiteRow)
 }
 
-func readBase(o *jsondoc.Obj, c *Change) {
+func readBase(o *jsondoc.Object, c *Change) {
 	if !o.Has("base") {
-		o.Faults().Sense("base", "want the epoch the change was made against")
+		o.Errors().Invalid("base", "want the epoch the change was made against")
 	}
 	c.Base = identifier.Epoch(o.Int("base", 0, 0, 1<<53))
 }
 
-func readRow(o *jsondoc.Obj, row identifier.Row) map[string]string {
+func readRow(o *jsondoc.Object, row identifier.Row) map[string]string {
 	cells := map[string]string{}
 	if o == nil {
 		return cells
@@ -131,10 +131,10 @@
 	return cells
 }
 
-func readCell(o *jsondoc.Obj, key string, row identifier.Row, name string, into map[string]string) {
-	col, ok := Find(row, name)
+func readCell(o *jsondoc.Object, key string, row identifier.Row, name string, into map[string]string) {
+	col, ok := FindColumn(row, name)
 	if !ok {
-		o.Faults().Shape(o.Path(key), "unknown column")
+		o.Errors().Malformed(o.Path(key), "unknown column")
 		o.Skip(key)
 		return
 	}
@@ -142,16 +142,16 @@
 	if !ok {
 		return
 	}
-	text, why := col.Check(text)
+	text, why := col.Normalize(text)
 	if why != "" {
-		o.Faults().Sense(o.Path(key), "%s", why)
+		o.Errors().Invalid(o.Path(key), "%s", why)
 		return
 	}
 	into[name] = text
 }
 
-// Policies tells whether the change touches a policy cell.
-func (c *Change) Policies() bool {
+// TouchesPolicies tells whether the change touches a policy cell.
+func (c *Change) TouchesPolicies() bool {
 	var yes bool
 	for r, cells := range c.Rows {
 		for k := range cells {
@@ -164,10 +164,10 @@
 // JSON shows the table as the whole-table form reads it back.
 func (t *Table) JSON() []byte {
 	rows := map[string]map[string]any{}
-	for _, r := range t.Names() {
+	for _, r := range t.RowNames() {
 		rows[string(r)] = show(Columns, t.Rows[r])
 	}
-	out := map[string]any{"epoch": t.Epoch, "site": show(Site, t.Rows[SiteRow]), "rows": rows}
+	out := map[string]any{"epoch": t.Epoch, "site": show(SiteColumns, t.Rows[SiteRow]), "rows": rows}
 	text, err := json.Marshal(out)
 	if err != nil {
 		panic(err)
@@ -179,7 +179,7 @@
 	out := map[string]any{}
 	for _, c := range cols {
 		text := row[c.Name]
-		if n, err := strconv.ParseInt(text, 10, 64); err == nil && c.Words == nil && !c.Set && !c.Source {
+		if n, err := strconv.ParseInt(text, 10, 64); err == nil && c.Enum == nil && !c.LabelSet && !c.Policy {
 			out[c.Name] = n
 			continue
 		}
--- a/internal/api/limits/column.go
+++ b/internal/api/limits/column.go
@@ -15,15 +15,15 @@
 // Column says what a cell may hold: a number between two bounds, one of some
 // words, or a set of labels ("*" for any).
 type Column struct {
-	Name  string
-	Def   string
-	Low   int64
-	High  int64
-	Words []string
-	Set   bool
-	// Source marks a cell that holds a policy. It stands in a row only when it
+	Name     string
+	Default  string
+	Min      int64
+	Max      int64
+	Enum     []string
+	LabelSet bool
+	// Policy marks a cell that holds a policy. It stands in a row only when it
 	// is given: a table without one is the same as it was before there were any.
-	Source bool
+	Policy bool
 }
 
 const big = 1 << 40
@@ -31,43 +31,43 @@
 // Columns are the cells of a pending row, with their defaults and bounds. Cores
 // are whole cores, memory is in mebibytes.
 var Columns = []Column{
-	{Name: "weight", Def: "1", Low: 1, High: 10000},
-	{Name: "maxCores", Def: "1000000", Low: 0, High: big},
-	{Name: "maxMemMb", Def: "1000000000", Low: 0, High: big},
-	{Name: "maxWaiting", Def: "20000", Low: 0, High: 1000000},
-	{Name: "maxTasks", Def: "1024", Low: 1, High: 4096},
-	{Name: "taskCores", Def: "1024", Low: 1, High: big},
-	{Name: "taskMemMb", Def: "1048576", Low: 1, High: big},
-	{Name: "maxUrgency", Def: "10", Low: 0, High: 1000},
-	{Name: "labels", Def: "*", Set: true},
-	{Name: "onOutage", Def: "wait", Words: []string{"push", "wait", "ride"}},
-	{Name: "onLoss", Def: "replace", Words: []string{"replace", "hold"}},
-	{Name: "policy", Source: true},
+	{Name: "weight", Default: "1", Min: 1, Max: 10000},
+	{Name: "maxCores", Default: "1000000", Min: 0, Max: big},
+	{Name: "maxMemMb", Default: "1000000000", Min: 0, Max: big},
+	{Name: "maxWaiting", Default: "20000", Min: 0, Max: 1000000},
+	{Name: "maxTasks", Default: "1024", Min: 1, Max: 4096},
+	{Name: "taskCores", Default: "1024", Min: 1, Max: big},
+	{Name: "taskMemMb", Default: "1048576", Min: 1, Max: big},
+	{Name: "maxUrgency", Default: "10", Min: 0, Max: 1000},
+	{Name: "labels", Default: "*", LabelSet: true},
+	{Name: "onOutage", Default: "wait", Enum: []string{"push", "wait", "ride"}},
+	{Name: "onLoss", Default: "replace", Enum: []string{"replace", "hold"}},
+	{Name: "policy", Policy: true},
 }
 
-// Site are the cells that hold for the whole site. Names that end in Ms are in
+// SiteColumns are the cells that hold for the whole site. Names that end in Ms are in
 // milliseconds, those that end in Pct in percent.
-var Site = []Column{
-	{Name: "evacMs", Def: "5000", Low: 1000, High: 600000},
-	{Name: "drainMs", Def: "2000", Low: 500, High: 600000},
-	{Name: "departMarginMs", Def: "3000", Low: 500, High: 600000},
-	{Name: "grantMs", Def: "10000", Low: 3000, High: 600000},
-	{Name: "startMs", Def: "1000", Low: 300, High: 1500},
-	{Name: "confirmMs", Def: "3000", Low: 1000, High: 60000},
-	{Name: "thresholdPct", Def: "10", Low: 0, High: 100},
-	{Name: "retainMs", Def: "600000", Low: 1000, High: 86400000},
-	{Name: "knownMs", Def: "86400000", Low: 60000, High: 604800000},
+var SiteColumns = []Column{
+	{Name: "evacMs", Default: "5000", Min: 1000, Max: 600000},
+	{Name: "drainMs", Default: "2000", Min: 500, Max: 600000},
+	{Name: "departMarginMs", Default: "3000", Min: 500, Max: 600000},
+	{Name: "grantMs", Default: "10000", Min: 3000, Max: 600000},
+	{Name: "startMs", Default: "1000", Min: 300, Max: 1500},
+	{Name: "confirmMs", Default: "3000", Min: 1000, Max: 60000},
+	{Name: "thresholdPct", Default: "10", Min: 0, Max: 100},
+	{Name: "retainMs", Default: "600000", Min: 1000, Max: 86400000},
+	{Name: "knownMs", Default: "86400000", Min: 60000, Max: 604800000},
 }
 
 // SiteRow is the row name under which the site-wide cells are addressed.
 const SiteRow identifier.Row = "site"
 
-// Find looks up a column by name, in Site for the row SiteRow and in Columns for
+// FindColumn looks up a column by name, in Site for the row SiteRow and in Columns for
 // any other; the row need not exist.
-func Find(row identifier.Row, name string) (col Column, ok bool) {
+func FindColumn(row identifier.Row, name string) (col Column, ok bool) {
 	list := Columns
 	if row == SiteRow {
-		list = Site
+		list = SiteColumns
 	}
 	for _, c := range list {
 		if c.Name == name {
@@ -79,29 +79,29 @@
 
 // source tells whether a cell holds a policy.
 func source(row identifier.Row, name string) bool {
-	col, _ := Find(row, name)
-	return col.Source
+	col, _ := FindColumn(row, name)
+	return col.Policy
 }
 
-// Check puts a cell's text in normal form, or says why it cannot stand.
-func (c Column) Check(text string) (out string, why string) {
+// Normalize puts a cell's text in normal form, or says why it cannot stand.
+func (c Column) Normalize(text string) (out string, why string) {
 	text = strings.TrimSpace(text)
 	switch {
-	case c.Set:
+	case c.LabelSet:
 		return checkSet(text)
-	case c.Source:
+	case c.Policy:
 		return checkSource(text)
-	case c.Words != nil:
-		for _, w := range c.Words {
+	case c.Enum != nil:
+		for _, w := range c.Enum {
 			if w == text {
 				return text, ""
 			}
 		}
-		return "", "want one of " + strings.Join(c.Words, ", ")
+		return "", "want one of " + strings.Join(c.Enum, ", ")
 	}
 	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n < c.Low || n > c.High {
-		return "", "want a whole number from " + strconv.FormatInt(c.Low, 10) + " to " + strconv.FormatInt(c.High, 10)
+	if err != nil || n < c.Min || n > c.Max {
+		return "", "want a whole number from " + strconv.FormatInt(c.Min, 10) + " to " + strconv.FormatInt(c.Max, 10)
 	}
 	return strconv.FormatInt(n, 10), ""
 }
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -18,18 +18,18 @@
 // last changed a cell ("row.column") or a whole row ("row"). A change based on a
 // version below Floor is refused, since marks that old may have been dropped.
 type Table struct {
-	Epoch identifier.Epoch                     `json:"epoch"`
-	Rows  map[identifier.Row]map[string]string `json:"rows"`
-	Marks map[string]identifier.Epoch          `json:"marks"`
-	Floor identifier.Epoch                     `json:"floor"`
+	Epoch      identifier.Epoch                     `json:"epoch"`
+	Rows       map[identifier.Row]map[string]string `json:"rows"`
+	ChangedAt  map[string]identifier.Epoch          `json:"marks"`
+	OldestBase identifier.Epoch                     `json:"floor"`
 }
 
 const maxRows = 512
 
-// First is the table of a site that has configured nothing yet: one row.
-func First() *Table {
-	t := &Table{Epoch: 1, Rows: map[identifier.Row]map[string]string{}, Marks: map[string]identifier.Epoch{}}
-	t.Rows[SiteRow] = fill(Site, nil)
+// Default is the table of a site that has configured nothing yet: one row.
+func Default() *Table {
+	t := &Table{Epoch: 1, Rows: map[identifier.Row]map[string]string{}, ChangedAt: map[string]identifier.Epoch{}}
+	t.Rows[SiteRow] = fill(SiteColumns, nil)
 	t.Rows["default"] = fill(Columns, nil)
 	return t
 }
@@ -41,8 +41,8 @@
 		switch {
 		case ok:
 			row[c.Name] = text
-		case !c.Source:
-			row[c.Name] = c.Def
+		case !c.Policy:
+			row[c.Name] = c.Default
 		}
 	}
 	return row
@@ -51,23 +51,23 @@
 // Cell is the text of a cell, empty when there is no such cell.
 func (t *Table) Cell(row identifier.Row, name string) string { return t.Rows[row][name] }
 
-// Num is the value of a numeric cell, 0 when it is missing or no number.
-func (t *Table) Num(row identifier.Row, name string) int64 {
+// Int is the value of a numeric cell, 0 when it is missing or no number.
+func (t *Table) Int(row identifier.Row, name string) int64 {
 	n, _ := strconv.ParseInt(t.Rows[row][name], 10, 64)
 	return n
 }
 
-// Site is a site-wide span in milliseconds.
-func (t *Table) Site(name string) clock.Millis { return clock.Millis(t.Num(SiteRow, name)) }
+// SiteMillis is a site-wide span in milliseconds.
+func (t *Table) SiteMillis(name string) clock.Millis { return clock.Millis(t.Int(SiteRow, name)) }
 
-// Has tells whether the table has this pending row; SiteRow is none.
-func (t *Table) Has(row identifier.Row) bool {
+// HasRow tells whether the table has this pending row; SiteRow is none.
+func (t *Table) HasRow(row identifier.Row) bool {
 	_, ok := t.Rows[row]
 	return ok && row != SiteRow
 }
 
-// Names lists the pending rows in order, the site row left out.
-func (t *Table) Names() []identifier.Row {
+// RowNames lists the pending rows in order, the site row left out.
+func (t *Table) RowNames() []identifier.Row {
 	var out []identifier.Row
 	for r := range t.Rows {
 		if r != SiteRow {
@@ -78,13 +78,13 @@
 	return out
 }
 
-// Clash names the cells of the change that were changed after its base.
-func (t *Table) Clash(c *Change) []string {
+// Conflicts names the cells of the change that were changed after its base.
+func (t *Table) Conflicts(c *Change) []string {
 	var cells []string
-	if c.Base < t.Floor || c.Base > t.Epoch {
+	if c.Base < t.OldestBase || c.Base > t.Epoch {
 		return []string{"*"}
 	}
-	for name, at := range t.Marks {
+	for name, at := range t.ChangedAt {
 		if at > c.Base && (c.Whole || c.names(name)) {
 			cells = append(cells, name)
 		}
@@ -96,7 +96,7 @@
 // Dropped lists the rows that the change would take away.
 func (t *Table) Dropped(c *Change) []identifier.Row {
 	var rows []identifier.Row
-	for _, r := range t.Names() {
+	for _, r := range t.RowNames() {
 		if _, kept := c.Rows[r]; c.Drop[r] || (c.Whole && !kept) {
 			rows = append(rows, r)
 		}
@@ -119,16 +119,16 @@
 	t.Epoch++
 	for _, r := range t.Dropped(c) {
 		delete(t.Rows, r)
-		t.Marks[string(r)] = t.Epoch
+		t.ChangedAt[string(r)] = t.Epoch
 	}
 	for r, cells := range c.Rows {
 		old, had := t.Rows[r]
 		cols := Columns
 		if r == SiteRow {
-			cols = Site
+			cols = SiteColumns
 		}
 		if !had {
-			t.Marks[string(r)] = t.Epoch
+			t.ChangedAt[string(r)] = t.Epoch
 		}
 		row := fill(cols, old)
 		if c.Whole {
@@ -142,12 +142,12 @@
 		}
 		for k := range old {
 			if _, kept := row[k]; !kept {
-				t.Marks[string(r)+"."+k] = t.Epoch
+				t.ChangedAt[string(r)+"."+k] = t.Epoch
 			}
 		}
 		for k, v := range row {
 			if old[k] != v || (!c.Whole && cells[k] != "") {
-				t.Marks[string(r)+"."+k] = t.Epoch
+				t.ChangedAt[string(r)+"."+k] = t.Epoch
 			}
 		}
 		t.Rows[r] = row
@@ -160,16 +160,16 @@
 // is too old to be judged.
 func (t *Table) prune() {
 	const keep = 4096
-	if len(t.Marks) <= keep+len(t.Rows)*(len(Columns)+1) {
+	if len(t.ChangedAt) <= keep+len(t.Rows)*(len(Columns)+1) {
 		return
 	}
-	for name, at := range t.Marks {
+	for name, at := range t.ChangedAt {
 		row, _, _ := strings.Cut(name, ".")
 		if _, ok := t.Rows[identifier.Row(row)]; !ok {
-			if at > t.Floor {
-				t.Floor = at
+			if at > t.OldestBase {
+				t.OldestBase = at
 			}
-			delete(t.Marks, name)
+			delete(t.ChangedAt, name)
 		}
 	}
 }
--- a/internal/api/runnerapi/poll.go
+++ b/internal/api/runnerapi/poll.go
@@ -9,101 +9,101 @@
 	"orchidward/internal/clock"
 )
 
-// Ask is one poll. Seq grows with every poll of an incarnation.
-type Ask struct {
-	Inc     identifier.Incarnation `json:"incarnation"`
-	Seq     uint64                 `json:"seq"`
-	Cores   int64                  `json:"cores"`
-	Mem     int64                  `json:"memMb"`
-	Labels  []identifier.Label     `json:"labels,omitempty"`
-	Domain  identifier.Domain      `json:"domain"`
-	Rack    identifier.Rack        `json:"rack"`
-	Mode    string                 `json:"mode"`
-	Departs clock.Millis           `json:"departsMs,omitempty"`
-	Running []identifier.LeaseID   `json:"running,omitempty"`
-	Ended   []End                  `json:"ended,omitempty"`
+// PollRequest is one poll. Seq grows with every poll of an incarnation.
+type PollRequest struct {
+	Incarnation identifier.Incarnation `json:"incarnation"`
+	Seq         uint64                 `json:"seq"`
+	Cores       int64                  `json:"cores"`
+	Mem         int64                  `json:"memMb"`
+	Labels      []identifier.Label     `json:"labels,omitempty"`
+	Domain      identifier.Domain      `json:"domain"`
+	Rack        identifier.Rack        `json:"rack"`
+	Mode        string                 `json:"mode"`
+	DepartsIn   clock.Millis           `json:"departsMs,omitempty"`
+	Running     []identifier.LeaseID   `json:"running,omitempty"`
+	Ended       []End                  `json:"ended,omitempty"`
 	// What follows is said by agents, of the runner they stand beside. Milli are
 	// thousandths of a core beyond Cores.
-	Agent    bool         `json:"agent,omitempty"`
-	Milli    int64        `json:"milliCores,omitempty"`
-	GPUs     int64        `json:"gpus,omitempty"`
-	Pool     string       `json:"pool,omitempty"`
-	Addr     string       `json:"addr,omitempty"`
-	Silent   clock.Millis `json:"silentMs,omitempty"`
-	Active   []RunState   `json:"active,omitempty"`
-	Finished []RunEnd     `json:"finished,omitempty"`
-	// Gone are runs that were to stop and are certain never to run here again;
+	Agent      bool         `json:"agent,omitempty"`
+	MilliCores int64        `json:"milliCores,omitempty"`
+	GPUs       int64        `json:"gpus,omitempty"`
+	Pool       string       `json:"pool,omitempty"`
+	AgentAddr  string       `json:"addr,omitempty"`
+	SilentFor  clock.Millis `json:"silentMs,omitempty"`
+	Active     []RunState   `json:"active,omitempty"`
+	Finished   []RunEnd     `json:"finished,omitempty"`
+	// Cleared are runs that were to stop and are certain never to run here again;
 	// Left says that the runner has ended in good order, Dead that it is silent
 	// and that every hold it was given has run out.
-	Gone []RunStop `json:"gone,omitempty"`
-	Left bool      `json:"left,omitempty"`
-	Dead bool      `json:"dead,omitempty"`
+	Cleared      []RunStop `json:"gone,omitempty"`
+	LeftInOrder  bool      `json:"left,omitempty"`
+	PresumedDead bool      `json:"dead,omitempty"`
 }
 
 // End is one attempt that ended, repeated until acknowledged.
 type End struct {
-	Grant identifier.LeaseID `json:"grant"`
-	Task  identifier.TaskRef `json:"task"`
-	How   string             `json:"how"`
-	Saved string             `json:"-"`
+	Lease      identifier.LeaseID `json:"grant"`
+	Task       identifier.TaskRef `json:"task"`
+	Outcome    string             `json:"how"`
+	Checkpoint string             `json:"-"`
 }
 
-// Start orders one attempt. It expires StartMs after the poll was sent.
+// Start orders one attempt. It expires StartTimeout after the poll was sent.
 type Start struct {
-	Grant  identifier.LeaseID `json:"grant"`
-	Task   identifier.TaskRef `json:"task"`
-	Demand job.Demand         `json:"demand"`
-	Run    clock.Millis       `json:"spanMs"`
+	Lease       identifier.LeaseID `json:"grant"`
+	Task        identifier.TaskRef `json:"task"`
+	Demand      job.Demand         `json:"demand"`
+	ExpectedRun clock.Millis       `json:"spanMs"`
 	// Gang, when it is given, is how long the attempt may go on since the
 	// sending of the last poll whose answer called it whole.
-	Gang clock.Millis `json:"gangMs,omitempty"`
+	GangLease clock.Millis `json:"gangMs,omitempty"`
 	// No, Text and Saved are for agents: the number of the run, the job's own
 	// text, and the progress to go on from.
-	No    uint64 `json:"run,omitempty"`
-	Text  string `json:"text,omitempty"`
-	Saved string `json:"saved,omitempty"`
+	Attempt    uint64 `json:"run,omitempty"`
+	Payload    string `json:"text,omitempty"`
+	Checkpoint string `json:"saved,omitempty"`
 }
 
-// Answer is the reply to a poll: attempts to start and stop, ends that are
-// recorded (Acked), and gangs whose members all run (Whole). GrantMs is how long
-// the runner's leases last from the sending of the poll, StartMs how long a
+// PollResponse is the reply to a poll: attempts to start and stop, ends that are
+// recorded (Acked), and gangs whose members all run (Whole). Lease is how long
+// the runner's leases last from the sending of the poll, StartTimeout how long a
 // start may wait. Retired says that a newer incarnation of the runner has
 // reported, so that this one must stop.
-type Answer struct {
-	Starts  []Start              `json:"starts,omitempty"`
-	Stops   []identifier.LeaseID `json:"stops,omitempty"`
-	Acked   []identifier.LeaseID `json:"acked,omitempty"`
-	Whole   []identifier.LeaseID `json:"whole,omitempty"`
-	GrantMs clock.Millis         `json:"grantMs"`
-	StartMs clock.Millis         `json:"startMs"`
-	Gates   []string             `json:"gates,omitempty"`
-	Retired bool                 `json:"retired,omitempty"`
+type PollResponse struct {
+	Starts        []Start              `json:"starts,omitempty"`
+	Stops         []identifier.LeaseID `json:"stops,omitempty"`
+	AckedEnds     []identifier.LeaseID `json:"acked,omitempty"`
+	CompleteGangs []identifier.LeaseID `json:"whole,omitempty"`
+	Lease         clock.Millis         `json:"grantMs"`
+	StartTimeout  clock.Millis         `json:"startMs"`
+	Gateways      []string             `json:"gates,omitempty"`
+	Retired       bool                 `json:"retired,omitempty"`
 	// For agents: the fence of the leader that speaks, the number up to which
 	// ends are on record, runs to stop, the keepers, and the last number of a
 	// poll the leader has of this runner.
-	Fence    uint64    `json:"fence,omitempty"`
-	Observed uint64    `json:"observed,omitempty"`
-	Halts    []RunStop `json:"halts,omitempty"`
-	Keepers  []string  `json:"keepers,omitempty"`
-	Seq      uint64    `json:"seq,omitempty"`
+	FencingToken    uint64    `json:"fence,omitempty"`
+	ObservedThrough uint64    `json:"observed,omitempty"`
+	StopRuns        []RunStop `json:"halts,omitempty"`
+	Servers         []string  `json:"keepers,omitempty"`
+	Seq             uint64    `json:"seq,omitempty"`
 }
 
 const (
-	// Active is the mode of a runner that takes work.
-	Active = "active"
-	// Draining is the mode of a runner that is about to leave.
-	Draining = "draining"
-	most     = 4096
-	maxRoom  = 1 << 30
+	// ModeActive is the mode of a runner that takes work.
+	ModeActive = "active"
+	// ModeDraining is the mode of a runner that is about to leave.
+	ModeDraining = "draining"
+	most         = 4096
+	maxRoom      = 1 << 30
 )
 
 // readSlowly reads any poll, and names each of its faults.
-func readSlowly(text []byte, f *jsondoc.Faults) *Ask {
+func readSlowly(text []byte, f *jsondoc.FieldErrors) *PollRequest {
 	o := jsondoc.Parse(text, f)
 	if o == nil {
 		return nil
 	}
-	a := &Ask{Inc: identifier.Incarnation(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
+	a := &PollRequest{Incarnation: identifier.Incarnation(o.Name("incarnation", true)), Seq: uint64(o.Int("seq", 0, 1, 1<<53))}
 	low := int64(1)
 	if o.Has("agent") {
 		low = 0
@@ -111,15 +111,15 @@
 	a.Cores, a.Mem = o.Int("cores", 0, low, maxRoom), o.Int("memMb", 0, low, maxRoom)
 	for _, key := range []string{"seq", "cores", "memMb"} {
 		if !o.Has(key) {
-			f.Sense(key, "must be given")
+			f.Invalid(key, "must be given")
 		}
 	}
 	for _, l := range o.Names("labels", 64) {
 		a.Labels = append(a.Labels, identifier.Label(l))
 	}
 	a.Domain, a.Rack = identifier.Domain(o.Name("domain", true)), identifier.Rack(o.Name("rack", low > 0))
-	a.Mode = o.OneOf("mode", Active, Active, Draining)
-	a.Departs = clock.Millis(o.Int("departsMs", 0, 0, 1<<40))
+	a.Mode = o.OneOf("mode", ModeActive, ModeActive, ModeDraining)
+	a.DepartsIn = clock.Millis(o.Int("departsMs", 0, 0, 1<<40))
 	if a.Agent = o.Bool("agent", false); a.Agent {
 		a.readAgent(o)
 	}
@@ -127,7 +127,7 @@
 		a.Running = append(a.Running, identifier.LeaseID(n))
 	}
 	for _, one := range o.List("ended", most) {
-		e := End{Grant: identifier.LeaseID(one.Int("grant", 0, 1, 1<<53)), How: one.OneOf("how", "", "well", "defect", "stopped", "lapsed")}
+		e := End{Lease: identifier.LeaseID(one.Int("grant", 0, 1, 1<<53)), Outcome: one.OneOf("how", "", "well", "defect", "stopped", "lapsed")}
 		e.Task = readTask(one)
 		one.Done()
 		a.Ended = append(a.Ended, e)
--- a/internal/api/runnerapi/scan.go
+++ b/internal/api/runnerapi/scan.go
@@ -16,7 +16,7 @@
 )
 
 // Read checks a poll and gathers its faults.
-func Read(text []byte, f *jsondoc.Faults) *Ask {
+func Read(text []byte, f *jsondoc.FieldErrors) *PollRequest {
 	if a := scan(text); a != nil {
 		return a
 	}
@@ -32,13 +32,13 @@
 }
 
 // scan reads a sound poll, or gives nil.
-func scan(text []byte) *Ask {
+func scan(text []byte) *PollRequest {
 	s := &scanner{text: string(text)}
-	a := &Ask{Mode: Active}
+	a := &PollRequest{Mode: ModeActive}
 	seen := s.object(askFields, func(i int) {
 		switch askFields[i] {
 		case "incarnation":
-			a.Inc = identifier.Incarnation(strings.Clone(s.name()))
+			a.Incarnation = identifier.Incarnation(strings.Clone(s.name()))
 		case "seq":
 			a.Seq = uint64(s.int(1, 1<<53))
 		case "cores":
@@ -52,9 +52,9 @@
 		case "rack":
 			a.Rack = identifier.Rack(s.name())
 		case "mode":
-			a.Mode = s.word(Active, Draining)
+			a.Mode = s.word(ModeActive, ModeDraining)
 		case "departsMs":
-			a.Departs = clock.Millis(s.int(0, 1<<40))
+			a.DepartsIn = clock.Millis(s.int(0, 1<<40))
 		case "running":
 			s.list(most, func() { a.Running = append(a.Running, identifier.LeaseID(s.int(0, 1<<53))) })
 		case "ended":
@@ -96,28 +96,28 @@
 	mustAsk given = 1<<0 | 1<<1 | 1<<2 | 1<<3 | 1<<5
 )
 
-func (s *scanner) agentField(a *Ask, name string) {
+func (s *scanner) agentField(a *PollRequest, name string) {
 	switch name {
 	case "milliCores":
-		a.Milli = s.int(0, maxRoom)
+		a.MilliCores = s.int(0, maxRoom)
 	case "gpus":
 		a.GPUs = s.int(0, maxRoom)
 	case "pool":
 		a.Pool = s.string()
 	case "addr":
-		a.Addr = s.string()
+		a.AgentAddr = s.string()
 	case "silentMs":
-		a.Silent = clock.Millis(s.int(0, 1<<40))
+		a.SilentFor = clock.Millis(s.int(0, 1<<40))
 	case "active":
 		s.list(most, func() { a.Active = append(a.Active, s.runState()) })
 	case "finished":
 		s.list(most, func() { a.Finished = append(a.Finished, s.runEnd()) })
 	case "gone":
-		s.list(most, func() { a.Gone = append(a.Gone, s.runStop()) })
+		s.list(most, func() { a.Cleared = append(a.Cleared, s.runStop()) })
 	case "left":
-		a.Left = s.bool()
+		a.LeftInOrder = s.bool()
 	case "dead":
-		a.Dead = s.bool()
+		a.PresumedDead = s.bool()
 	}
 }
 
@@ -126,11 +126,11 @@
 	seen := s.object(endFields, func(i int) {
 		switch endFields[i] {
 		case "grant":
-			e.Grant = identifier.LeaseID(s.int(1, 1<<53))
+			e.Lease = identifier.LeaseID(s.int(1, 1<<53))
 		case "task":
 			e.Task = s.task()
 		case "how":
-			e.How = s.word(Well, Defect, Stopped, Lapsed)
+			e.Outcome = s.word(OutcomeSuccess, OutcomeDefect, OutcomeStopped, OutcomeLeaseLapsed)
 		}
 	})
 	s.bad = s.bad || !seen.has(2)
@@ -144,15 +144,15 @@
 		case "task":
 			r.Task = s.task()
 		case "run":
-			r.Run = uint64(s.int(0, 1<<53))
+			r.Attempt = uint64(s.int(0, 1<<53))
 		case "saved":
-			r.Saved = s.saved()
+			r.Checkpoint = s.saved()
 		case "percent":
-			r.Percent = s.int(0, 1<<20)
+			r.ProgressPercent = s.int(0, 1<<20)
 		case "stillMs":
-			r.Still = clock.Millis(s.int(0, 1<<40))
+			r.StalledFor = clock.Millis(s.int(0, 1<<40))
 		case "speed":
-			r.Speed = s.int(0, 1<<30)
+			r.ProgressRate = s.int(0, 1<<30)
 		}
 	})
 	return r
@@ -163,15 +163,15 @@
 	seen := s.object(overFields, func(i int) {
 		switch overFields[i] {
 		case "n":
-			e.N = uint64(s.int(1, 1<<53))
+			e.Seq = uint64(s.int(1, 1<<53))
 		case "task":
 			e.Task = s.task()
 		case "run":
-			e.Run = uint64(s.int(0, 1<<53))
+			e.Attempt = uint64(s.int(0, 1<<53))
 		case "how":
-			e.How = s.word(Well, Defect, Stopped, Lapsed, Broken, Alone, Refused)
+			e.Outcome = s.word(OutcomeSuccess, OutcomeDefect, OutcomeStopped, OutcomeLeaseLapsed, OutcomeGangBroken, OutcomeGangIncomplete, OutcomeRejected)
 		case "saved":
-			e.Saved = s.saved()
+			e.Checkpoint = s.saved()
 		}
 	})
 	s.bad = s.bad || !seen.has(3)
@@ -185,7 +185,7 @@
 		case "task":
 			r.Task = s.task()
 		case "run":
-			r.Run = uint64(s.int(0, 1<<53))
+			r.Attempt = uint64(s.int(0, 1<<53))
 		}
 	})
 	return r
@@ -322,7 +322,7 @@
 
 func (s *scanner) saved() string {
 	out := s.string()
-	s.bad = s.bad || len(out) > MaxSaved
+	s.bad = s.bad || len(out) > MaxCheckpointBytes
 	return out
 }
 
--- a/internal/api/runnerapi/scan_test.go
+++ b/internal/api/runnerapi/scan_test.go
@@ -28,27 +28,27 @@
 }
 
 // sample is a sound poll, most of whose fields are left out at random.
-func sample(rnd *rand.Rand) Ask {
+func sample(rnd *rand.Rand) PollRequest {
 	texts := []string{"", "x", "a b", "q\"uo\\te", "ünï", "\u2028<&>", "a\x01b", strings.Repeat("s", 40)}
 	some := func() string { return texts[rnd.Intn(len(texts))] }
 	task := func() identifier.TaskRef {
 		return identifier.TaskRef{Job: identifier.JobKey("q/" + some()), Step: rnd.Intn(3), Num: rnd.Intn(1 << 20)}
 	}
-	a := Ask{Inc: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{Active, Draining}[rnd.Intn(2)], Departs: clock.Millis(rnd.Intn(3))}
+	a := PollRequest{Incarnation: "i-1", Seq: 1 + uint64(rnd.Int63n(1<<53)), Cores: 1 + rnd.Int63n(64), Mem: 1 + rnd.Int63n(maxRoom), Domain: "d", Rack: "r.1", Mode: []string{ModeActive, ModeDraining}[rnd.Intn(2)], DepartsIn: clock.Millis(rnd.Intn(3))}
 	for i := rnd.Intn(4); i > 0; i-- {
 		a.Labels = append(a.Labels, identifier.Label(fmt.Sprintf("l%d", rnd.Intn(9))))
 		a.Running = append(a.Running, identifier.LeaseID(rnd.Intn(3)))
-		a.Ended = append(a.Ended, End{identifier.LeaseID(1 + rnd.Intn(9)), task(), []string{Well, Defect, Stopped, Lapsed}[rnd.Intn(4)], ""})
+		a.Ended = append(a.Ended, End{identifier.LeaseID(1 + rnd.Intn(9)), task(), []string{OutcomeSuccess, OutcomeDefect, OutcomeStopped, OutcomeLeaseLapsed}[rnd.Intn(4)], ""})
 	}
 	if a.Agent = rnd.Intn(4) > 0; !a.Agent {
 		return a
 	}
-	a.Cores, a.Milli, a.GPUs, a.Pool, a.Addr, a.Silent = rnd.Int63n(2), rnd.Int63n(3), rnd.Int63n(2), some(), some(), clock.Millis(rnd.Intn(2))
-	a.Left, a.Dead = rnd.Intn(3) == 0, rnd.Intn(3) == 0
+	a.Cores, a.MilliCores, a.GPUs, a.Pool, a.AgentAddr, a.SilentFor = rnd.Int63n(2), rnd.Int63n(3), rnd.Int63n(2), some(), some(), clock.Millis(rnd.Intn(2))
+	a.LeftInOrder, a.PresumedDead = rnd.Intn(3) == 0, rnd.Intn(3) == 0
 	for i := rnd.Intn(5); i > 0; i-- {
 		a.Active = append(a.Active, RunState{task(), uint64(rnd.Intn(3)), some(), rnd.Int63n(100), clock.Millis(rnd.Intn(2) * 700), rnd.Int63n(2) * 9})
-		a.Finished = append(a.Finished, RunEnd{1 + uint64(rnd.Intn(9)), task(), uint64(rnd.Intn(3)), []string{Well, Defect, Stopped, Lapsed, Broken, Alone, Refused}[rnd.Intn(7)], some()})
-		a.Gone = append(a.Gone, RunStop{task(), uint64(rnd.Intn(3))})
+		a.Finished = append(a.Finished, RunEnd{1 + uint64(rnd.Intn(9)), task(), uint64(rnd.Intn(3)), []string{OutcomeSuccess, OutcomeDefect, OutcomeStopped, OutcomeLeaseLapsed, OutcomeGangBroken, OutcomeGangIncomplete, OutcomeRejected}[rnd.Intn(7)], some()})
+		a.Cleared = append(a.Cleared, RunStop{task(), uint64(rnd.Intn(3))})
 	}
 	return a
 }
@@ -100,7 +100,7 @@
 	rnd := rand.New(rand.NewSource(1))
 	sound, taken := 0, 0
 	both := func(text string, must bool) {
-		var f jsondoc.Faults
+		var f jsondoc.FieldErrors
 		slow, quick := readSlowly([]byte(text), &f), scan([]byte(text))
 		if !f.Any() {
 			sound++
@@ -116,7 +116,7 @@
 			t.Fatalf("%s\nquick %+v\nslow  %+v", text, quick, slow)
 		}
 		taken++
-		var g jsondoc.Faults
+		var g jsondoc.FieldErrors
 		if a := Read([]byte(text), &g); !reflect.DeepEqual(a, slow) || g.Any() {
 			t.Fatalf("Read differs: %s", text)
 		}
@@ -146,7 +146,7 @@
 		{`"labels":[` + long(64, `"l"`) + `]`, `"labels":[` + long(65, `"l"`) + `]`},
 		{`"active":[` + long(most, "{}") + `]`, `"active":[` + long(most+1, "{}") + `]`},
 		{`"gone":[` + long(most, "{}") + `]`, `"gone":[` + long(most+1, "{}") + `]`},
-		{`"active":[{"saved":"` + strings.Repeat("s", MaxSaved) + `"}]`, `"active":[{"saved":"` + strings.Repeat("s", MaxSaved+1) + `"}]`},
+		{`"active":[{"saved":"` + strings.Repeat("s", MaxCheckpointBytes) + `"}]`, `"active":[{"saved":"` + strings.Repeat("s", MaxCheckpointBytes+1) + `"}]`},
 		{`"running":[9007199254740992]`, `"running":[9007199254740993]`},
 		{`"gpus":1073741824`, `"gpus":1073741825`},
 		{`"active":[{"speed":1073741824}]`, `"active":[{"speed":1073741825}]`},
@@ -157,12 +157,12 @@
 		{`"left":true`, `"left":true,"left":true`},
 		{`"left":false`, `"left":0`},
 	} {
-		var f, g jsondoc.Faults
+		var f, g jsondoc.FieldErrors
 		a, b := Read([]byte(base+c.in+"}"), &f), readSlowly([]byte(base+c.in+"}"), &g)
 		if f.Any() || g.Any() || scan([]byte(base+c.in+"}")) == nil || !reflect.DeepEqual(a, b) {
 			t.Errorf("%.40s: %v %v", c.in, f.List, g.List)
 		}
-		f, g = jsondoc.Faults{}, jsondoc.Faults{}
+		f, g = jsondoc.FieldErrors{}, jsondoc.FieldErrors{}
 		Read([]byte(base+c.past+"}"), &f)
 		readSlowly([]byte(base+c.past+"}"), &g)
 		if !f.Any() || !reflect.DeepEqual(f, g) {
@@ -172,18 +172,18 @@
 }
 
 func BenchmarkRead(b *testing.B) {
-	a := Ask{Inc: "i", Seq: 1, Mem: 1, Domain: "d", Rack: "r", Mode: Active, Agent: true, Milli: 4000, Pool: "x", Addr: "a:1"}
+	a := PollRequest{Incarnation: "i", Seq: 1, Mem: 1, Domain: "d", Rack: "r", Mode: ModeActive, Agent: true, MilliCores: 4000, Pool: "x", AgentAddr: "a:1"}
 	for i := range 14 {
-		a.Active = append(a.Active, RunState{Task: identifier.TaskRef{Job: identifier.JobKey(fmt.Sprintf("q/%016x.0", i)), Num: i}, Run: 1, Percent: 50, Still: 40, Speed: 9})
+		a.Active = append(a.Active, RunState{Task: identifier.TaskRef{Job: identifier.JobKey(fmt.Sprintf("q/%016x.0", i)), Num: i}, Attempt: 1, ProgressPercent: 50, StalledFor: 40, ProgressRate: 9})
 	}
 	text, err := json.Marshal(a)
 	if err != nil {
 		b.Fatal(err)
 	}
-	for name, read := range map[string]func([]byte, *jsondoc.Faults) *Ask{"read": Read, "slowly": readSlowly} {
+	for name, read := range map[string]func([]byte, *jsondoc.FieldErrors) *PollRequest{"read": Read, "slowly": readSlowly} {
 		b.Run(name, func(b *testing.B) {
 			for b.Loop() {
-				if read(text, &jsondoc.Faults{}) == nil {
+				if read(text, &jsondoc.FieldErrors{}) == nil {
 					b.Fatal("not read")
 				}
 			}
--- a/internal/consensus/raft/backlog.go
+++ b/internal/consensus/raft/backlog.go
@@ -34,7 +34,7 @@
 	}
 	one := *b.list[0]
 	w, size, n := &one, one.size(), 1
-	for ; n < len(b.list) && w.View == nil && b.list[n].View == nil && size < lotBytes; n++ {
+	for ; n < len(b.list) && w.Snapshot == nil && b.list[n].Snapshot == nil && size < lotBytes; n++ {
 		size += b.list[n].size()
 		w.take(b.list[n])
 	}
@@ -46,8 +46,8 @@
 // take adds a later write to this one: its entries replace a tail.
 func (w *Write) take(next *Write) {
 	w.Seq = next.Seq
-	if next.Hard != nil {
-		w.Hard = next.Hard
+	if next.HardState != nil {
+		w.HardState = next.HardState
 	}
 	if len(next.Entries) == 0 {
 		return
@@ -64,8 +64,8 @@
 	for _, e := range w.Entries {
 		n += e.size()
 	}
-	if w.View != nil {
-		n += len(w.View.Data)
+	if w.Snapshot != nil {
+		n += len(w.Snapshot.Data)
 	}
 	return n
 }
--- a/internal/consensus/raft/changes_test.go
+++ b/internal/consensus/raft/changes_test.go
@@ -223,25 +223,25 @@
 // TestLateLoad: a snapshot that arrives late, after the entries it stands for
 // and more were acknowledged, must not take any of them away.
 func TestLateLoad(t *testing.T) {
-	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	m := Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Commit: 1}
 	for i := identifier.Index(2); i <= 100; i++ {
-		m.Entries = append(m.Entries, Entry{Index: i, Term: 3, Kind: Command})
+		m.Entries = append(m.Entries, Entry{Index: i, Term: 3, Kind: EntryCommand})
 	}
 	r.Step(m, 10, 0)
-	o := r.Take()
+	o := r.TakeOutput()
 	r.Synced(o.Write.Seq)
-	if o = r.Take(); len(o.Msgs) != 1 || o.Msgs[0].Index != 100 {
-		t.Fatalf("acknowledged: %+v", o.Msgs)
+	if o = r.TakeOutput(); len(o.Messages) != 1 || o.Messages[0].Index != 100 {
+		t.Fatalf("acknowledged: %+v", o.Messages)
 	}
 	late := &Snapshot{Index: 80, Term: 3, Members: trio(), Data: []byte("late")}
-	r.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, View: late, Total: 4, Commit: 80}, 20, 0)
-	o = r.Take()
-	if r.Last() != 100 {
-		t.Errorf("entries to 100 were acknowledged; after a late snapshot at 80 the log ends at %d", r.Last())
+	r.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, Snapshot: late, Total: 4, Commit: 80}, 20, 0)
+	o = r.TakeOutput()
+	if r.LastIndex() != 100 {
+		t.Errorf("entries to 100 were acknowledged; after a late snapshot at 80 the log ends at %d", r.LastIndex())
 	}
-	if r.Commit() < 80 || len(o.Commit) != int(r.Commit()-1) {
-		t.Errorf("commit %d, %d entries handed out", r.Commit(), len(o.Commit))
+	if r.CommitIndex() < 80 || len(o.Committed) != int(r.CommitIndex()-1) {
+		t.Errorf("commit %d, %d entries handed out", r.CommitIndex(), len(o.Committed))
 	}
 }
 
@@ -249,27 +249,27 @@
 // heartbeats for an hour; the acknowledgements that wait for its disk must not
 // pile up, and the one given in the end is for the newest heartbeat.
 func TestStalledDiskHoldsLittle(t *testing.T) {
-	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	entry := Entry{Index: 2, Term: 3, Kind: Command, Data: []byte("x")}
-	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []Entry{entry}, Stamp: 1}, 10, 0)
-	write := r.Take().Write
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	entry := Entry{Index: 2, Term: 3, Kind: EntryCommand, Data: []byte("x")}
+	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []Entry{entry}, SentAt: 1}, 10, 0)
+	write := r.TakeOutput().Write
 	last := clock.Monotonic(0)
 	for now := clock.Monotonic(200); now < 3600_000; now += 200 {
 		last = now
-		r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 2, LogTerm: 3, Stamp: now}, now, 0)
-		r.Take()
+		r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 2, LogTerm: 3, SentAt: now}, now, 0)
+		r.TakeOutput()
 	}
 	if len(r.pendingMessages) > 2 {
 		t.Errorf("%d messages wait for the disk", len(r.pendingMessages))
 	}
 	r.Synced(write.Seq)
 	best := Message{}
-	for _, m := range r.Take().Msgs {
-		if m.Index >= best.Index && m.Stamp >= best.Stamp {
+	for _, m := range r.TakeOutput().Messages {
+		if m.Index >= best.Index && m.SentAt >= best.SentAt {
 			best = m
 		}
 	}
-	if best.Index != 2 || best.Stamp != last {
-		t.Errorf("after the sync entry %d is acknowledged, for the message of %d, want 2 for that of %d", best.Index, best.Stamp, last)
+	if best.Index != 2 || best.SentAt != last {
+		t.Errorf("after the sync entry %d is acknowledged, for the message of %d, want 2 for that of %d", best.Index, best.SentAt, last)
 	}
 }
--- a/internal/consensus/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -174,7 +174,7 @@
 		}
 		lists := [][]Member{h.view.Members}
 		for _, e := range h.list {
-			if e.Kind == Config {
+			if e.Kind == EntryConfig {
 				lists = append(lists, read(e))
 			}
 		}
@@ -237,18 +237,18 @@
 
 // save puts a write on a host's disk.
 func (h *host) save(w *Write) {
-	if w.Hard != nil {
-		h.hard = *w.Hard
+	if w.HardState != nil {
+		h.hard = *w.HardState
 	}
-	if w.View != nil {
-		h.view = w.View
+	if w.Snapshot != nil {
+		h.view = w.Snapshot
 		kept := []Entry{}
 		for _, e := range h.list {
-			if e.Index > w.View.Index {
+			if e.Index > w.Snapshot.Index {
 				kept = append(kept, e)
 			}
 		}
-		if len(kept) > 0 && kept[0].Index != w.View.Index+1 {
+		if len(kept) > 0 && kept[0].Index != w.Snapshot.Index+1 {
 			kept = nil
 		}
 		h.list = kept
@@ -277,13 +277,13 @@
 
 // out carries out what a host's last input led to, and judges it.
 func (g *group) out(h *host) {
-	o := h.r.Take()
-	if o.Load != nil {
+	o := h.r.TakeOutput()
+	if o.InstalledSnapshot != nil {
 		g.loaded++
-		h.restore(o.Load)
-		h.at = o.Load.Index
+		h.restore(o.InstalledSnapshot)
+		h.at = o.InstalledSnapshot.Index
 	}
-	for _, m := range o.Msgs {
+	for _, m := range o.Messages {
 		if g.prompt {
 			g.air = append(g.air, flightMsg{g.now + 1, m})
 			continue
@@ -295,17 +295,17 @@
 			}
 		}
 	}
-	h.keepsWord(g, o.Msgs)
-	if o.Draft != nil {
-		h.draft = o.Draft
+	h.keepsWord(g, o.Messages)
+	if o.LocalSnapshot != nil {
+		h.draft = o.LocalSnapshot
 	}
 	if o.Write != nil {
 		h.todo.Add(o.Write)
-		if o.Write.Hard != nil && o.Write.Hard.Vote != 0 && g.wild && g.rnd.Intn(6) == 0 {
+		if o.Write.HardState != nil && o.Write.HardState.Vote != 0 && g.wild && g.rnd.Intn(6) == 0 {
 			g.in(0, func() { g.bounce(h) })
 		}
 	}
-	for _, e := range o.Commit {
+	for _, e := range o.Committed {
 		if e.Index != h.at+1 {
 			g.fail("host %d hands out entry %d after %d", h.id, e.Index, h.at)
 		}
@@ -326,7 +326,7 @@
 // for as long as that leader's term lasts.
 func (h *host) keepsWord(g *group, msgs []Message) {
 	for _, m := range msgs {
-		if m.Kind != AppendReply || m.No {
+		if m.Kind != AppendReply || m.Reject {
 			continue
 		}
 		if m.Term > h.ackedTerm {
@@ -334,8 +334,8 @@
 		}
 		h.acked = max(h.acked, m.Index)
 	}
-	if h.r.Term() == h.ackedTerm && h.r.Last() < h.acked {
-		g.fail("host %d acknowledged entry %d of term %d, and its log ends at %d", h.id, h.acked, h.ackedTerm, h.r.Last())
+	if h.r.Term() == h.ackedTerm && h.r.LastIndex() < h.acked {
+		g.fail("host %d acknowledged entry %d of term %d, and its log ends at %d", h.id, h.acked, h.ackedTerm, h.r.LastIndex())
 	}
 }
 
@@ -352,8 +352,8 @@
 	if g.wild && g.rnd.Intn(3) == 0 {
 		g.in(g.rnd.Int63n(80), func() { g.bounce(h) })
 	}
-	if h.r.Last() < g.top {
-		g.fail("leader %d of term %d ends at %d, committed is %d", h.id, h.r.Term(), h.r.Last(), g.top)
+	if h.r.LastIndex() < g.top {
+		g.fail("leader %d of term %d ends at %d, committed is %d", h.id, h.r.Term(), h.r.LastIndex(), g.top)
 	}
 	for _, e := range h.r.log.list {
 		if word, ok := g.done[e.Index]; ok && word != stamp(e) {
@@ -366,17 +366,17 @@
 func (g *group) leased() {
 	n := 0
 	for _, h := range g.hosts {
-		if h.up && h.r.Leased(g.mono(h)) {
+		if h.up && h.r.HasLease(g.mono(h)) {
 			n++
 		}
 	}
 	for _, h := range g.hosts {
-		if h.up && h.r.Role() == Leader && h.r.Commit() >= h.r.First() {
+		if h.up && h.r.Role() == Leader && h.r.CommitIndex() >= h.r.TermStart() {
 			g.decided = max(g.decided, h.r.Term())
 		}
 	}
 	for _, h := range g.hosts {
-		if h.up && h.r.Leased(g.mono(h)) && h.r.Term() < g.decided {
+		if h.up && h.r.HasLease(g.mono(h)) && h.r.Term() < g.decided {
 			g.fail("leader %d of term %d holds a lease, term %d has committed", h.id, h.r.Term(), g.decided)
 		}
 	}
@@ -437,7 +437,7 @@
 		}
 		if h.draft != nil && g.rnd.Intn(4*g.disk) == 0 {
 			if h.draft.Index > h.view.Index {
-				h.save(&Write{View: h.draft})
+				h.save(&Write{Snapshot: h.draft})
 			}
 			h.draft = nil
 		}
@@ -559,7 +559,7 @@
 		g.begin(fresh)
 	case learner != 0:
 		p := k.r.peers[learner]
-		if p == nil || p.match < k.r.First() || p.match+64 < k.r.Commit() {
+		if p == nil || p.match < k.r.TermStart() || p.match+64 < k.r.CommitIndex() {
 			return
 		}
 		for i := range list {
@@ -650,7 +650,7 @@
 
 func weather(seed int64) *group {
 	return &group{rnd: rand.New(rand.NewSource(seed)), cuts: map[[2]identifier.Node]bool{}, leads: map[identifier.Term]identifier.Node{}, done: map[identifier.Index]string{},
-		disk: []int{2, 6, 25}[seed%3], size: []int{4, 50 << 10}[seed/3%2], mild: []int{2, 4, 8, 16}[seed%4], later: map[int64][]func(){}, proposeEvery: 40, drift: 20, lateMs: 900, timing: Usual(), sums: map[identifier.Index]uint64{}}
+		disk: []int{2, 6, 25}[seed%3], size: []int{4, 50 << 10}[seed/3%2], mild: []int{2, 4, 8, 16}[seed%4], later: map[int64][]func(){}, proposeEvery: 40, drift: 20, lateMs: 900, timing: DefaultTiming(), sums: map[identifier.Index]uint64{}}
 }
 
 // lagMs is how far behind a member of a mended group may be, in ms of proposals.
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/clock"
 )
 
-func (r *Raft) campaign(kind Kind, force bool) {
+func (r *Raft) campaign(kind MessageKind, force bool) {
 	r.heard = r.now
 	r.resetElectionWait()
 	r.lead = 0
@@ -22,7 +22,7 @@
 	}
 	for _, m := range r.Members() {
 		if m.Voter && m.ID != r.id {
-			msg := Message{Kind: kind, To: m.ID, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), Force: force}
+			msg := Message{Kind: kind, To: m.ID, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), LeaderTransfer: force}
 			if kind == RequestPreVote {
 				r.send(msg)
 			} else {
@@ -62,7 +62,7 @@
 	r.peers = map[identifier.Node]*peer{}
 	r.addPeers()
 	r.beat, r.ledSince = r.now, r.now
-	r.first = r.append(Blank, nil)
+	r.first = r.append(EntryBlank, nil)
 	for _, m := range r.Members() {
 		r.replicateTo(m.ID, false)
 	}
@@ -84,7 +84,7 @@
 	best := identifier.Node(0)
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
-		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.heard) > r.tm.Elect {
+		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.heard) > r.tm.ElectionTimeout {
 			continue
 		}
 		if best == 0 || p.match > r.peers[best].match {
@@ -99,16 +99,16 @@
 	return true
 }
 
-// Leave makes this member one that stops soon: it asks for no election, takes
+// PrepareToLeave makes this member one that stops soon: it asks for no election, takes
 // no leadership that is handed to it, and says so to the leader.
-func (r *Raft) Leave() { r.leaving = true }
+func (r *Raft) PrepareToLeave() { r.leaving = true }
 
 // Replicated tells whether every other voter that this leader hears has the
 // whole log on its disk.
 func (r *Raft) Replicated() bool {
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
-		if !m.Voter || p == nil || r.now.Since(p.heard) > r.tm.Elect {
+		if !m.Voter || p == nil || r.now.Since(p.heard) > r.tm.ElectionTimeout {
 			continue
 		}
 		if p.match < r.log.last() {
@@ -119,11 +119,11 @@
 }
 
 func (r *Raft) resetElectionWait() {
-	r.wait = r.tm.Elect + clock.Millis(r.rnd.Int63n(int64(r.tm.Elect)))
+	r.wait = r.tm.ElectionTimeout + clock.Millis(r.rnd.Int63n(int64(r.tm.ElectionTimeout)))
 }
 
 func (r *Raft) setHard(h HardState) {
 	r.hard = h
-	r.write.Hard = &h
+	r.write.HardState = &h
 	r.hardSeq = r.seq + 1
 }
--- a/internal/consensus/raft/lease.go
+++ b/internal/consensus/raft/lease.go
@@ -8,10 +8,10 @@
 	"orchidward/internal/clock"
 )
 
-// Leased tells whether this leader may still act alone: a quorum answered
+// HasLease tells whether this leader may still act alone: a quorum answered
 // something it sent less than a lease ago, and no other can have been elected.
-func (r *Raft) Leased(now clock.Monotonic) bool {
-	return r.role == Leader && now.Since(r.quorumAck(now)) < r.tm.Lease
+func (r *Raft) HasLease(now clock.Monotonic) bool {
+	return r.role == Leader && now.Since(r.quorumAck(now)) < r.tm.LeaseDuration
 }
 
 func (r *Raft) quorumAck(now clock.Monotonic) clock.Monotonic {
--- a/internal/consensus/raft/lease_test.go
+++ b/internal/consensus/raft/lease_test.go
@@ -11,9 +11,9 @@
 // acknowledging is member 1 of three, which follows leader 2 of term 3
 // and has just acknowledged a message of its.
 func acknowledging(now clock.Monotonic) *Raft {
-	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Stamp: 77}, now, 0)
-	r.Take()
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, SentAt: 77}, now, 0)
+	r.TakeOutput()
 	return r
 }
 
@@ -22,8 +22,8 @@
 // meanwhile: the leader's lease rests on that.
 func TestTermDoesNotFreeAVoter(t *testing.T) {
 	r := acknowledging(5000)
-	r.Step(Message{Kind: PreVoteReply, From: 3, To: 1, Term: 6, No: true}, 5010, 0)
-	r.Take()
+	r.Step(Message{Kind: PreVoteReply, From: 3, To: 1, Term: 6, Reject: true}, 5010, 0)
+	r.TakeOutput()
 	if votes(r, 7, 5100) {
 		t.Error("100 ms after it acknowledged a leader it helped to elect another")
 	}
@@ -36,12 +36,12 @@
 // started anew reaches a follower late; what the follower answers must not
 // renew the lease, since the stamp in it is of another life's clock.
 func TestOldMessageRenewsNoLease(t *testing.T) {
-	leader := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	leader := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	deliver := func(r *Raft, m Message, now clock.Monotonic) []Message {
 		var out []Message
 		r.Step(m, now, 0)
-		for o := r.Take(); o.Write != nil || len(o.Msgs) > 0; o = r.Take() {
-			out = append(out, o.Msgs...)
+		for o := r.TakeOutput(); o.Write != nil || len(o.Messages) > 0; o = r.TakeOutput() {
+			out = append(out, o.Messages...)
 			if o.Write != nil {
 				r.Synced(o.Write.Seq)
 			}
@@ -58,12 +58,12 @@
 	if leader.Role() != Leader {
 		t.Fatalf("role %d", leader.Role())
 	}
-	follower := New(2, Usual(), 1, 0, HardState{Term: 4}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	follower := New(2, DefaultTiming(), 1, 0, HardState{Term: 4}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	for _, stamp := range []clock.Monotonic{1_000_000, now + 1} {
-		for _, m := range deliver(follower, Message{Kind: AppendEntries, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 1, Stamp: stamp}, 4000) {
+		for _, m := range deliver(follower, Message{Kind: AppendEntries, From: 1, To: 2, Term: 3, Index: 1, LogTerm: 1, SentAt: stamp}, 4000) {
 			deliver(leader, m, now+100)
 		}
-		if leader.Leased(now + 100) {
+		if leader.HasLease(now + 100) {
 			t.Errorf("a message of a former life, stamped %d, renewed the lease at %d", stamp, now+100)
 		}
 	}
@@ -149,7 +149,7 @@
 
 func newEager(p parting) *eager {
 	g := weather(1)
-	g.disk, g.size, g.prompt, g.timing, g.proposeEvery = 1, 4, true, Paced(p.elect), 1<<30
+	g.disk, g.size, g.prompt, g.timing, g.proposeEvery = 1, 4, true, NewTiming(p.elect), 1<<30
 	e := &eager{group: g}
 	list := []Member{}
 	for i := 1; i <= p.voters; i++ {
@@ -177,7 +177,7 @@
 			case h.r.role == PreCandidate:
 				h.r.wait = 10
 			case h.r.role == Follower:
-				h.r.wait = h.r.tm.Elect
+				h.r.wait = h.r.tm.ElectionTimeout
 			}
 			if h.id > 1 && e.leads[1] == 0 {
 				h.r.wait = 1 << 30
@@ -208,7 +208,7 @@
 	e.part(p, leader)
 	ended := e.now
 	for from := e.now; e.now < from+6*int64(p.elect) && e.failed == ""; {
-		if leader.r.Leased(e.mono(leader)) && leader.r.Term() == 1 {
+		if leader.r.HasLease(e.mono(leader)) && leader.r.Term() == 1 {
 			ended = e.now
 		}
 		if e.decided > 1 {
--- a/internal/consensus/raft/membership.go
+++ b/internal/consensus/raft/membership.go
@@ -10,7 +10,7 @@
 )
 
 func (r *Raft) learnConfiguration(e Entry) {
-	if e.Kind != Config {
+	if e.Kind != EntryConfig {
 		return
 	}
 	var list []Member
@@ -58,7 +58,7 @@
 	if err != nil {
 		panic(err)
 	}
-	r.append(Config, data)
+	r.append(EntryConfig, data)
 	r.addPeers()
 	return true
 }
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -8,16 +8,16 @@
 	if m.Term == 0 {
 		m.Term = r.hard.Term
 	}
-	if m.Stamp == 0 {
-		m.Stamp = r.now
+	if m.SentAt == 0 {
+		m.SentAt = r.now
 	}
 	r.stampEvidence(&m)
-	r.out.Msgs = append(r.out.Msgs, m)
+	r.out.Messages = append(r.out.Messages, m)
 }
 
 // stampEvidence adds this keeper's evidence for cluster time as a message leaves.
 func (r *Raft) stampEvidence(m *Message) {
-	m.Wall, m.Met, m.Site, m.Level, m.Leaving = r.wall, r.met, r.site, r.level, r.leaving
+	m.Wall, m.FirstKnownTerm, m.ClusterTime, m.Level, m.Leaving = r.wall, r.met, r.site, r.level, r.leaving
 	if m.Kind == AppendReply {
 		m.LogTerm = r.from
 	}
@@ -29,8 +29,8 @@
 	if m.Term == 0 {
 		m.Term = r.hard.Term
 	}
-	if m.Stamp == 0 {
-		m.Stamp = r.now
+	if m.SentAt == 0 {
+		m.SentAt = r.now
 	}
 	seq := r.seq
 	if !r.write.empty() {
@@ -46,17 +46,17 @@
 // those to a leader's heartbeats don't pile up while the disk stands still.
 func (h *pendingMessage) absorb(seq uint64, m Message) bool {
 	was := h.msg
-	acks := !h.own && was.Kind == AppendReply && m.Kind == AppendReply && !was.No && !m.No
+	acks := !h.own && was.Kind == AppendReply && m.Kind == AppendReply && !was.Reject && !m.Reject
 	if !acks || h.seq != seq || was.To != m.To || was.Term != m.Term {
 		return false
 	}
-	m.Index, m.Stamp = max(m.Index, was.Index), max(m.Stamp, was.Stamp)
+	m.Index, m.SentAt = max(m.Index, was.Index), max(m.SentAt, was.SentAt)
 	h.msg = m
 	return true
 }
 
-// Take hands over what the inputs so far led to.
-func (r *Raft) Take() Output {
+// TakeOutput hands over what the inputs so far led to.
+func (r *Raft) TakeOutput() Output {
 	if !r.write.empty() {
 		r.seq++
 		w := r.write
@@ -68,7 +68,7 @@
 	}
 	r.releasePending()
 	if r.commit > r.taken {
-		r.out.Commit = append(r.out.Commit, r.log.list[r.taken-r.log.base:r.commit-r.log.base]...)
+		r.out.Committed = append(r.out.Committed, r.log.list[r.taken-r.log.base:r.commit-r.log.base]...)
 		r.taken = r.commit
 	}
 	out := r.out
@@ -107,7 +107,7 @@
 			continue
 		}
 		r.stampEvidence(&h.msg)
-		r.out.Msgs = append(r.out.Msgs, h.msg)
+		r.out.Messages = append(r.out.Messages, h.msg)
 	}
 	r.pendingMessages = kept
 }
--- a/internal/consensus/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -34,9 +34,9 @@
 // sent in this leadership renews the lease: a stamp from before may be of a
 // former life of this process, whose clock was another.
 func (p *peer) hear(m Message, rose, now clock.Monotonic) {
-	if m.Stamp >= rose && m.Stamp <= now {
-		p.ack = max(p.ack, m.Stamp)
+	if m.SentAt >= rose && m.SentAt <= now {
+		p.ack = max(p.ack, m.SentAt)
 	}
-	p.heard, p.wall, p.at, p.met, p.site, p.level = now, m.Wall, now, m.Met, m.Site, m.Level
+	p.heard, p.wall, p.at, p.met, p.site, p.level = now, m.Wall, now, m.FirstKnownTerm, m.ClusterTime, m.Level
 	p.leaving = m.Leaving
 }
--- a/internal/consensus/raft/progress_test.go
+++ b/internal/consensus/raft/progress_test.go
@@ -134,7 +134,7 @@
 			s.lost = i
 		case gone:
 			s.lostOther = i
-		case !m.Voter && p != nil && p.match >= k.r.First() && p.match+64 >= k.r.Commit():
+		case !m.Voter && p != nil && p.match >= k.r.TermStart() && p.match+64 >= k.r.CommitIndex():
 			s.ready = i
 		}
 		if m.Voter {
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -123,47 +123,49 @@
 // Role is the part this member plays in its current term.
 func (r *Raft) Role() Role { return r.role }
 
-// Lead is the leader of the current term as far as this member knows, 0 for
+// Leader is the leader of the current term as far as this member knows, 0 for
 // none.
-func (r *Raft) Lead() identifier.Node { return r.lead }
+func (r *Raft) Leader() identifier.Node { return r.lead }
 
 // Term is the current term. It may not have been synced to disk yet.
 func (r *Raft) Term() identifier.Term { return r.hard.Term }
 
-// Commit is the highest index known to be committed.
-func (r *Raft) Commit() identifier.Index { return r.commit }
+// CommitIndex is the highest index known to be committed.
+func (r *Raft) CommitIndex() identifier.Index { return r.commit }
 
-// Last is the index of the last entry in the log, committed or not.
-func (r *Raft) Last() identifier.Index { return r.log.last() }
+// LastIndex is the index of the last entry in the log, committed or not.
+func (r *Raft) LastIndex() identifier.Index { return r.log.last() }
 
 // SetLevel sets the level this member says it knows.
 func (r *Raft) SetLevel(level uint16) { r.level = level }
 
-// Truncated tells the lowest index whose entry another has replaced since it was
+// TakeTruncatedFrom tells the lowest index whose entry another has replaced since it was
 // last asked; 0 for none.
-func (r *Raft) Truncated() identifier.Index {
+func (r *Raft) TakeTruncatedFrom() identifier.Index {
 	var i identifier.Index
 	i, r.truncatedFrom = r.truncatedFrom, 0
 	return i
 }
 
-// Basis is the term of the last entry this leader found in its log: only a
+// ClusterTimeTerm is the term of the last entry this leader found in its log: only a
 // cluster time carried on from that term counts beside its own.
-func (r *Raft) Basis() identifier.Term { return r.basis }
+func (r *Raft) ClusterTimeTerm() identifier.Term { return r.basis }
 
-// Carry takes the cluster time this keeper would go on from, and the term of the
+// CarryClusterTime takes the cluster time this keeper would go on from, and the term of the
 // entry it has it from.
-func (r *Raft) Carry(site clock.ClusterTime, from identifier.Term) { r.site, r.from = site, from }
+func (r *Raft) CarryClusterTime(site clock.ClusterTime, from identifier.Term) {
+	r.site, r.from = site, from
+}
 
-// Met is the first term in which this process knew a leader, 0 before that.
-func (r *Raft) Met() identifier.Term { return r.met }
+// FirstKnownTerm is the first term in which this process knew a leader, 0 before that.
+func (r *Raft) FirstKnownTerm() identifier.Term { return r.met }
 
 // SnapshotIndex is the index that the newest snapshot covers.
 func (r *Raft) SnapshotIndex() identifier.Index { return r.log.view.Index }
 
-// First is the index of the blank entry a leader opens its term with: once
+// TermStart is the index of the blank entry a leader opens its term with: once
 // that is applied the leader's state holds all that was ever acknowledged.
-func (r *Raft) First() identifier.Index { return r.first }
+func (r *Raft) TermStart() identifier.Index { return r.first }
 
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
 // down when no quorum has answered it for two election timeouts; any other voter
@@ -180,7 +182,7 @@
 }
 
 func (r *Raft) tickLeader() {
-	if r.now.Since(max(r.ledSince, r.quorumAck(r.now))) >= 2*r.tm.Elect {
+	if r.now.Since(max(r.ledSince, r.quorumAck(r.now))) >= 2*r.tm.ElectionTimeout {
 		r.becomeFollower(r.hard.Term, 0)
 		return
 	}
@@ -188,7 +190,7 @@
 		r.TransferLeadership()
 		return
 	}
-	if r.now.Since(r.beat) >= r.tm.Beat {
+	if r.now.Since(r.beat) >= r.tm.HeartbeatInterval {
 		r.beat = r.now
 		for _, m := range r.Members() {
 			r.replicateTo(m.ID, true)
@@ -199,7 +201,7 @@
 // slow tells whether this leader's own disk holds the group up: a write of its
 // own is long overdue while a quorum of the others has synced past it.
 func (r *Raft) slow() bool {
-	if len(r.inFlight) == 0 || r.now.Since(r.inFlight[0].at) < r.tm.Elect {
+	if len(r.inFlight) == 0 || r.now.Since(r.inFlight[0].at) < r.tm.ElectionTimeout {
 		return false
 	}
 	ahead := 0
--- a/internal/consensus/raft/raft_test.go
+++ b/internal/consensus/raft/raft_test.go
@@ -20,14 +20,14 @@
 func votes(r *Raft, term identifier.Term, now clock.Monotonic) bool {
 	var yes bool
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9}, now, 0)
-	o := r.Take()
-	msgs := o.Msgs
+	o := r.TakeOutput()
+	msgs := o.Messages
 	if o.Write != nil {
 		r.Synced(o.Write.Seq)
-		msgs = append(msgs, r.Take().Msgs...)
+		msgs = append(msgs, r.TakeOutput().Messages...)
 	}
 	for _, m := range msgs {
-		yes = yes || m.Kind == VoteReply && !m.No
+		yes = yes || m.Kind == VoteReply && !m.Reject
 	}
 	return yes
 }
@@ -35,7 +35,7 @@
 // TestYoungVotesForNobody: a process just started may have heard a leader a
 // moment before it stopped, whose lease still stands.
 func TestYoungVotesForNobody(t *testing.T) {
-	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	if votes(r, 4, 700) {
 		t.Error("700 ms after its start it helped to elect another")
 	}
@@ -48,9 +48,9 @@
 // majority's disks; only an entry of the leader's own term decides it.
 func TestOlderTermByCount(t *testing.T) {
 	view := &Snapshot{Index: 1, Term: 1, Members: trio()}
-	r := New(1, Usual(), 1, 0, HardState{Term: 3}, view, []Entry{{Index: 2, Term: 2, Kind: Command, Data: []byte("x")}})
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, view, []Entry{{Index: 2, Term: 2, Kind: EntryCommand, Data: []byte("x")}})
 	sync := func() {
-		for o := r.Take(); o.Write != nil; o = r.Take() {
+		for o := r.TakeOutput(); o.Write != nil; o = r.TakeOutput() {
 			r.Synced(o.Write.Seq)
 		}
 	}
@@ -63,16 +63,16 @@
 	sync()
 	r.Step(Message{Kind: VoteReply, From: 2, To: 1, Term: 4}, now, 0)
 	sync()
-	if r.Role() != Leader || r.Last() != 3 {
-		t.Fatalf("role %d, last %d", r.Role(), r.Last())
+	if r.Role() != Leader || r.LastIndex() != 3 {
+		t.Fatalf("role %d, last %d", r.Role(), r.LastIndex())
 	}
-	r.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 4, Index: 2, Stamp: now}, now, 0)
-	if r.Commit() != 1 {
-		t.Errorf("an entry of term 2 was committed by count under term 4: commit %d", r.Commit())
+	r.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 4, Index: 2, SentAt: now}, now, 0)
+	if r.CommitIndex() != 1 {
+		t.Errorf("an entry of term 2 was committed by count under term 4: commit %d", r.CommitIndex())
 	}
-	r.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 4, Index: 3, Stamp: now}, now, 0)
-	if r.Commit() != 3 {
-		t.Errorf("an entry of the leader's own term did not decide: commit %d", r.Commit())
+	r.Step(Message{Kind: AppendReply, From: 2, To: 1, Term: 4, Index: 3, SentAt: now}, now, 0)
+	if r.CommitIndex() != 3 {
+		t.Errorf("an entry of the leader's own term did not decide: commit %d", r.CommitIndex())
 	}
 }
 
@@ -87,16 +87,16 @@
 		}
 		return out
 	}
-	b.Add(&Write{Seq: 1, Hard: &HardState{Term: 1}, Entries: e(1, 2, 3)})
+	b.Add(&Write{Seq: 1, HardState: &HardState{Term: 1}, Entries: e(1, 2, 3)})
 	b.Add(&Write{Seq: 2, Entries: e(3, 4)})
-	b.Add(&Write{Seq: 3, Hard: &HardState{Term: 2}})
-	b.Add(&Write{Seq: 4, View: &Snapshot{Index: 3, Data: []byte("v")}})
+	b.Add(&Write{Seq: 3, HardState: &HardState{Term: 2}})
+	b.Add(&Write{Seq: 4, Snapshot: &Snapshot{Index: 3, Data: []byte("v")}})
 	b.Add(&Write{Seq: 5, Entries: e(5)})
 	one, two, three := b.Next(), b.Next(), b.Next()
-	if one.Seq != 3 || one.Hard.Term != 2 || len(one.Entries) != 4 || one.Entries[2].Term != 2 || one.Entries[1].Term != 1 {
+	if one.Seq != 3 || one.HardState.Term != 2 || len(one.Entries) != 4 || one.Entries[2].Term != 2 || one.Entries[1].Term != 1 {
 		t.Errorf("first %+v", one)
 	}
-	if two.Seq != 4 || two.View == nil || three.Seq != 5 || b.Next() != nil || b.Bytes() != 0 {
+	if two.Seq != 4 || two.Snapshot == nil || three.Seq != 5 || b.Next() != nil || b.Bytes() != 0 {
 		t.Errorf("then %+v, %+v, %d bytes left", two, three, b.Bytes())
 	}
 }
@@ -104,14 +104,14 @@
 // TestVoteIsOnDisk: a vote is told only once it is synced; one told before and
 // lost with the power could be given twice.
 func TestVoteIsOnDisk(t *testing.T) {
-	r := New(1, Usual(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: 4, Index: 9, LogTerm: 9}, 1100, 0)
-	o := r.Take()
-	if o.Write == nil || o.Write.Hard == nil || o.Write.Hard.Vote != 2 || len(o.Msgs) > 0 {
+	o := r.TakeOutput()
+	if o.Write == nil || o.Write.HardState == nil || o.Write.HardState.Vote != 2 || len(o.Messages) > 0 {
 		t.Fatalf("before the sync: %+v", o)
 	}
 	r.Synced(o.Write.Seq)
-	if o = r.Take(); len(o.Msgs) != 1 || o.Msgs[0].No {
-		t.Errorf("after the sync: %+v", o.Msgs)
+	if o = r.TakeOutput(); len(o.Messages) != 1 || o.Messages[0].Reject {
+		t.Errorf("after the sync: %+v", o.Messages)
 	}
 }
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -22,7 +22,7 @@
 	if r.role != Leader {
 		return 0, false
 	}
-	return r.append(Command, data), true
+	return r.append(EntryCommand, data), true
 }
 
 // Flush sends what has been appended since, without waiting for a beat.
@@ -71,7 +71,7 @@
 		p.load, p.off, p.sent = r.log.view, 0, 0
 	}
 	end := min(p.off+chunk, int64(len(p.load.Data)))
-	if p.sent != 0 && r.now.Since(p.sent) < r.tm.Elect {
+	if p.sent != 0 && r.now.Since(p.sent) < r.tm.ElectionTimeout {
 		if !beat {
 			return
 		}
@@ -80,7 +80,7 @@
 		p.sent = r.now
 	}
 	part := &Snapshot{Index: p.load.Index, Term: p.load.Term, Members: p.load.Members, Data: p.load.Data[p.off:end]}
-	r.send(Message{Kind: InstallSnapshot, To: to, View: part, Off: p.off, Total: int64(len(p.load.Data)), Commit: r.commit})
+	r.send(Message{Kind: InstallSnapshot, To: to, Snapshot: part, Offset: p.off, Total: int64(len(p.load.Data)), Commit: r.commit})
 }
 
 func (r *Raft) advanceCommit() {
@@ -124,7 +124,7 @@
 
 // silent tells whether a peer has not been heard for so long that a load to it
 // may as well begin anew.
-func (r *Raft) silent(p *peer) bool { return r.now.Since(p.heard) > 2*r.tm.Elect }
+func (r *Raft) silent(p *peer) bool { return r.now.Since(p.heard) > 2*r.tm.ElectionTimeout }
 
 // Compact takes a view of the state at an applied index.
 func (r *Raft) Compact(index identifier.Index, data []byte) {
@@ -139,7 +139,7 @@
 		}
 	}
 	r.log.view = v
-	r.out.Draft = v
+	r.out.LocalSnapshot = v
 	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestLoad()))
 	for len(r.configurations) > 1 && r.configurations[1].index <= index {
 		r.configurations = r.configurations[1:]
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -21,21 +21,21 @@
 		r.handlePreVoteRequest(m)
 		return
 	case RequestVote:
-		if !m.Force && r.busy() {
+		if !m.LeaderTransfer && r.busy() {
 			return
 		}
 	case PreVoteReply:
-		if m.No && m.Term > r.hard.Term {
+		if m.Reject && m.Term > r.hard.Term {
 			r.becomeFollower(m.Term, 0)
 		}
-		if r.role == PreCandidate && !m.No && m.Term == r.hard.Term+1 {
+		if r.role == PreCandidate && !m.Reject && m.Term == r.hard.Term+1 {
 			r.countVote(m.From)
 		}
 		return
 	}
 	if m.Term < r.hard.Term {
 		if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
-			r.sendAfterSync(Message{Kind: AppendReply, To: m.From, No: true, Hint: r.log.last(), Stamp: never})
+			r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, NextHint: r.log.last(), SentAt: never})
 		}
 		return
 	}
@@ -56,7 +56,7 @@
 	case RequestVote:
 		r.handleVoteRequest(m)
 	case VoteReply:
-		if r.role == Candidate && !m.No {
+		if r.role == Candidate && !m.Reject {
 			r.countVote(m.From)
 		}
 	case AppendReply:
@@ -76,13 +76,13 @@
 // A process just started counts as having heard one: before it stopped it may
 // have, and that leader's lease may still stand.
 func (r *Raft) busy() bool {
-	if r.now.Since(r.start) < r.tm.Elect {
+	if r.now.Since(r.start) < r.tm.ElectionTimeout {
 		return true
 	}
 	if r.role == Leader {
-		return r.Leased(r.now)
+		return r.HasLease(r.now)
 	}
-	return r.now.Since(r.followed) < r.tm.Elect
+	return r.now.Since(r.followed) < r.tm.ElectionTimeout
 }
 
 func (r *Raft) upToDate(m Message) bool {
@@ -98,13 +98,13 @@
 	} else if no {
 		return
 	}
-	r.send(Message{Kind: PreVoteReply, To: m.From, Term: term, No: no})
+	r.send(Message{Kind: PreVoteReply, To: m.From, Term: term, Reject: no})
 }
 
 func (r *Raft) handleVoteRequest(m Message) {
 	ok := (r.hard.Vote == 0 || r.hard.Vote == m.From) && r.upToDate(m) && r.role == Follower && r.log.last() > 0
 	if !ok {
-		r.sendAfterSync(Message{Kind: VoteReply, To: m.From, No: true})
+		r.sendAfterSync(Message{Kind: VoteReply, To: m.From, Reject: true})
 		return
 	}
 	if r.hard.Vote == 0 {
@@ -141,7 +141,7 @@
 	}
 	if t, ok := r.log.term(m.Index); !ok || t != m.LogTerm {
 		hint := min(r.log.last(), m.Index-1)
-		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, No: true, Index: m.Index, Hint: max(hint, r.commit), Stamp: m.Stamp})
+		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, Index: m.Index, NextHint: max(hint, r.commit), SentAt: m.SentAt})
 		return
 	}
 	match := m.Index + identifier.Index(len(m.Entries))
@@ -193,7 +193,7 @@
 // never looks like a lost link, and the rest when it is synced.
 func (r *Raft) acknowledge(m Message, match identifier.Index) {
 	now := min(match, r.synced)
-	back := Message{Kind: AppendReply, To: m.From, Index: now, Stamp: m.Stamp}
+	back := Message{Kind: AppendReply, To: m.From, Index: now, SentAt: m.SentAt}
 	if r.hardSeq > r.done {
 		back.Index = match
 		r.sendAfterSync(back)
@@ -213,11 +213,11 @@
 	}
 	p.hear(m, r.ledSince, r.now)
 	p.from = m.LogTerm
-	if m.No {
+	if m.Reject {
 		if p.probe && m.Index != p.prev || m.Index < p.match {
 			return
 		}
-		p.next = max(p.match+1, min(m.Hint+1, r.log.last()+1))
+		p.next = max(p.match+1, min(m.NextHint+1, r.log.last()+1))
 		p.probe, p.out = true, false
 		r.replicateTo(m.From, false)
 		return
@@ -242,12 +242,12 @@
 // already only tells that this entry is committed: entries behind it may have
 // been acknowledged, and must stay.
 func (r *Raft) handleSnapshot(m Message) {
-	v := m.View
+	v := m.Snapshot
 	if v == nil {
 		return
 	}
 	if v.Index <= r.commit {
-		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: r.commit, Stamp: m.Stamp})
+		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: r.commit, SentAt: m.SentAt})
 		return
 	}
 	if term, ok := r.log.term(v.Index); ok && term == v.Term {
@@ -259,17 +259,17 @@
 		r.receivingFrom = m.From
 		r.receiving = &Snapshot{Index: v.Index, Term: v.Term, Members: v.Members}
 	}
-	if m.Off == int64(len(r.receiving.Data)) {
+	if m.Offset == int64(len(r.receiving.Data)) {
 		r.receiving.Data = append(r.receiving.Data, v.Data...)
 	}
 	if int64(len(r.receiving.Data)) < m.Total {
-		r.send(Message{Kind: SnapshotReply, To: m.From, Index: v.Index, Off: int64(len(r.receiving.Data)), Stamp: m.Stamp})
+		r.send(Message{Kind: SnapshotReply, To: m.From, Index: v.Index, Offset: int64(len(r.receiving.Data)), SentAt: m.SentAt})
 		return
 	}
 	whole := r.receiving
 	r.receiving = nil
 	r.replaceLog(whole)
-	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: whole.Index, Stamp: m.Stamp})
+	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: whole.Index, SentAt: m.SentAt})
 }
 
 // replaceLog goes on from a snapshot of the leader's: all of the log is either
@@ -282,8 +282,8 @@
 		r.inFlight[i].last = 0
 	}
 	r.write.Entries = nil
-	r.write.View = whole
-	r.out.Commit, r.out.Load = nil, whole
+	r.write.Snapshot = whole
+	r.out.Committed, r.out.InstalledSnapshot = nil, whole
 }
 
 func (r *Raft) handleSnapshotReply(m Message) {
@@ -292,8 +292,8 @@
 		return
 	}
 	p.hear(m, r.ledSince, r.now)
-	if p.load != nil && p.load.Index == m.Index && m.Off != p.off {
-		p.off, p.sent = m.Off, 0
+	if p.load != nil && p.load.Index == m.Index && m.Offset != p.off {
+		p.off, p.sent = m.Offset, 0
 		r.sendSnapshot(m.From, p, true)
 	}
 }
@@ -301,14 +301,14 @@
 // MemberStatus is what the leader can tell of one member.
 type MemberStatus struct {
 	Member
-	Match identifier.Index
-	Quiet clock.Millis
-	Wall  clock.WallTime
-	At    clock.Monotonic
-	Met   identifier.Term
-	Site  clock.ClusterTime
-	From  identifier.Term
-	Level uint16
+	Match           identifier.Index
+	SilentFor       clock.Millis
+	WallTime        clock.WallTime
+	WallTimeReadAt  clock.Monotonic
+	FirstKnownTerm  identifier.Term
+	ClusterTime     clock.ClusterTime
+	ClusterTimeTerm identifier.Term
+	Level           uint16
 	// Leaving is a member that has said that it stops soon.
 	Leaving bool
 }
@@ -318,7 +318,7 @@
 	var out []MemberStatus
 	for _, m := range r.Members() {
 		if p := r.peers[m.ID]; p != nil {
-			out = append(out, MemberStatus{Member: m, Match: p.match, Quiet: r.now.Since(p.heard), Wall: p.wall, At: p.at, Met: p.met, Site: p.site, From: p.from, Level: p.level, Leaving: p.leaving})
+			out = append(out, MemberStatus{Member: m, Match: p.match, SilentFor: r.now.Since(p.heard), WallTime: p.wall, WallTimeReadAt: p.at, FirstKnownTerm: p.met, ClusterTime: p.site, ClusterTimeTerm: p.from, Level: p.level, Leaving: p.leaving})
 		}
 	}
 	return out
--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -20,13 +20,13 @@
 type EntryKind uint8
 
 const (
-	// Blank is the empty entry with which a leader opens its term.
-	Blank EntryKind = iota
-	// Command carries a command for the replicated state machine.
-	Command
-	// Config carries the whole member list as JSON; it is in force as soon as it
+	// EntryBlank is the empty entry with which a leader opens its term.
+	EntryBlank EntryKind = iota
+	// EntryCommand carries a command for the replicated state machine.
+	EntryCommand
+	// EntryConfig carries the whole member list as JSON; it is in force as soon as it
 	// is in a member's log.
-	Config
+	EntryConfig
 )
 
 // Entry is one position of the replicated log. Index and Term together identify
@@ -38,12 +38,12 @@
 	Data  []byte
 }
 
-// Kind says what a message is and which of the fields of Message it uses.
-type Kind uint8
+// MessageKind says what a message is and which of the fields of Message it uses.
+type MessageKind uint8
 
 const (
 	// AppendEntries carries entries after Index and LogTerm, or none as a heartbeat.
-	AppendEntries Kind = iota + 1
+	AppendEntries MessageKind = iota + 1
 	// AppendReply answers AppendEntries: Index is synced to disk, or No is set and Hint is
 	// where the leader should try next. It also acknowledges a whole snapshot.
 	AppendReply
@@ -73,26 +73,26 @@
 // Level is the highest level of commands and rules that the sender knows;
 // Leaving says that the sender stops soon.
 type Message struct {
-	Kind    Kind
-	From    identifier.Node
-	To      identifier.Node
-	Term    identifier.Term
-	Index   identifier.Index
-	LogTerm identifier.Term
-	Commit  identifier.Index
-	Entries []Entry
-	No      bool
-	Force   bool
-	Hint    identifier.Index
-	Stamp   clock.Monotonic
-	Wall    clock.WallTime
-	Met     identifier.Term
-	Site    clock.ClusterTime
-	Level   uint16
-	Leaving bool
-	View    *Snapshot
-	Off     int64
-	Total   int64
+	Kind           MessageKind
+	From           identifier.Node
+	To             identifier.Node
+	Term           identifier.Term
+	Index          identifier.Index
+	LogTerm        identifier.Term
+	Commit         identifier.Index
+	Entries        []Entry
+	Reject         bool
+	LeaderTransfer bool
+	NextHint       identifier.Index
+	SentAt         clock.Monotonic
+	Wall           clock.WallTime
+	FirstKnownTerm identifier.Term
+	ClusterTime    clock.ClusterTime
+	Level          uint16
+	Leaving        bool
+	Snapshot       *Snapshot
+	Offset         int64
+	Total          int64
 }
 
 // Snapshot is the state up to and with Index, by which older entries may go.
@@ -112,38 +112,38 @@
 // Write goes to the disk as one batch. Entries replace whatever is kept from
 // the first one's index on. Seq comes back in Synced.
 type Write struct {
-	Seq     uint64
-	Hard    *HardState
-	Entries []Entry
-	View    *Snapshot
+	Seq       uint64
+	HardState *HardState
+	Entries   []Entry
+	Snapshot  *Snapshot
 }
 
-func (w *Write) empty() bool { return w.Hard == nil && len(w.Entries) == 0 && w.View == nil }
+func (w *Write) empty() bool { return w.HardState == nil && len(w.Entries) == 0 && w.Snapshot == nil }
 
 // Output is what one step asks for. Load is set when a view from the leader
 // replaces the state; Commit lists entries to apply, in order.
 type Output struct {
-	Msgs   []Message
-	Write  *Write
-	Load   *Snapshot
-	Commit []Entry
-	// Draft is a view this member took itself. Nothing waits for it: it may be
+	Messages          []Message
+	Write             *Write
+	InstalledSnapshot *Snapshot
+	Committed         []Entry
+	// LocalSnapshot is a view this member took itself. Nothing waits for it: it may be
 	// written whenever the disk has time.
-	Draft *Snapshot
+	LocalSnapshot *Snapshot
 }
 
 // Timing in spans of the monotonic clock. Lease is shorter than Elect, the
 // least a follower waits, by what clocks may drift in that time.
 type Timing struct {
-	Beat  clock.Millis
-	Elect clock.Millis
-	Lease clock.Millis
+	HeartbeatInterval clock.Millis
+	ElectionTimeout   clock.Millis
+	LeaseDuration     clock.Millis
 }
 
-// Usual is the timing with an election timeout of one second.
-func Usual() Timing { return Paced(1000) }
+// DefaultTiming is the timing with an election timeout of one second.
+func DefaultTiming() Timing { return NewTiming(1000) }
 
-// Paced is the timing for a least election wait, in milliseconds.
-func Paced(elect clock.Millis) Timing {
-	return Timing{Beat: elect / 5, Elect: elect, Lease: elect * 4 / 5}
+// NewTiming is the timing for a least election wait, in milliseconds.
+func NewTiming(elect clock.Millis) Timing {
+	return Timing{HeartbeatInterval: elect / 5, ElectionTimeout: elect, LeaseDuration: elect * 4 / 5}
 }
--- a/internal/consensus/wal/chores.go
+++ b/internal/consensus/wal/chores.go
@@ -7,12 +7,12 @@
 
 import "orchidward/internal/consensus/raft"
 
-// Chore is one thing for the disk: exactly one of the pointers is set.
-type Chore struct {
-	Start *raft.Snapshot
-	Write *raft.Write
-	Draft *Draft
-	over  bool
+// Operation is one thing for the disk: exactly one of the pointers is set.
+type Operation struct {
+	Create   *raft.Snapshot
+	Write    *raft.Write
+	Snapshot *SnapshotWriter
+	over     bool
 	// full is how full the ring was afterwards, in percent.
 	full int
 }
@@ -21,13 +21,13 @@
 // half down goes before all writes: only it frees the ring.
 const draftFirst = 50
 
-// Chores schedules the work of one disk: creating the log, writing batches, and
+// WriteQueue schedules the work of one disk: creating the log, writing batches, and
 // writing a snapshot in chunks between them. At most one operation is under way.
 // Its zero value has nothing to do.
-type Chores struct {
+type WriteQueue struct {
 	start *raft.Snapshot
 	todo  raft.Backlog
-	draft *Draft
+	draft *SnapshotWriter
 	next  *raft.Snapshot
 	wrote bool
 	busy  bool
@@ -35,7 +35,7 @@
 }
 
 // Add takes what one step of a keeper asks for.
-func (c *Chores) Add(start *raft.Snapshot, writes []*raft.Write, draft *raft.Snapshot) {
+func (c *WriteQueue) Add(start *raft.Snapshot, writes []*raft.Write, draft *raft.Snapshot) {
 	if start != nil {
 		c.start = start
 	}
@@ -49,32 +49,32 @@
 
 // Bytes is the size of the batches that wait to be written, snapshots in the
 // background not included.
-func (c *Chores) Bytes() int { return c.todo.Bytes() }
+func (c *WriteQueue) Bytes() int { return c.todo.Bytes() }
 
 // Next is what to do now, or nil while something is under way or nothing waits.
-func (c *Chores) Next() *Chore {
-	var x *Chore
+func (c *WriteQueue) Next() *Operation {
+	var x *Operation
 	if c.draft == nil && c.next != nil {
-		c.draft, c.next = NewDraft(c.next), nil
+		c.draft, c.next = NewSnapshotWriter(c.next), nil
 	}
 	switch {
 	case c.busy:
 		return nil
 	case c.start != nil:
-		x, c.start = &Chore{Start: c.start}, nil
+		x, c.start = &Operation{Create: c.start}, nil
 	case c.draft != nil && (c.wrote || c.todo.Len() == 0 || c.full >= draftFirst):
-		x = &Chore{Draft: c.draft}
+		x = &Operation{Snapshot: c.draft}
 	case c.todo.Len() > 0:
-		x = &Chore{Write: c.todo.Next()}
+		x = &Operation{Write: c.todo.Next()}
 	default:
 		return nil
 	}
-	c.busy, c.wrote = true, x.Draft == nil
+	c.busy, c.wrote = true, x.Snapshot == nil
 	return x
 }
 
 // Done hears that the chore under way is over with.
-func (c *Chores) Done(x *Chore) {
+func (c *WriteQueue) Done(x *Operation) {
 	c.busy, c.full = false, x.full
 	if x.over {
 		c.draft = nil
@@ -82,23 +82,23 @@
 }
 
 // Do carries a chore out. A founding makes the ring, which is returned.
-func (x *Chore) Do(d Disk, shape Shape, r *Ring) (*Ring, error) {
-	var out *Ring
+func (x *Operation) Do(d Disk, shape Layout, r *Log) (*Log, error) {
+	var out *Log
 	var err error
 	if out, err = x.carryOut(d, shape, r); out != nil {
-		x.full = out.Full()
+		x.full = out.PercentUsed()
 	}
 	return out, err
 }
 
-func (x *Chore) carryOut(d Disk, shape Shape, r *Ring) (*Ring, error) {
+func (x *Operation) carryOut(d Disk, shape Layout, r *Log) (*Log, error) {
 	var err error
 	switch {
-	case x.Start != nil:
-		return Start(d, shape, x.Start)
+	case x.Create != nil:
+		return Create(d, shape, x.Create)
 	case x.Write != nil:
 		return r, r.Save(x.Write)
 	}
-	x.over, err = r.Slice(x.Draft)
+	x.over, err = r.WriteChunk(x.Snapshot)
 	return r, err
 }
--- a/internal/consensus/wal/disk.go
+++ b/internal/consensus/wal/disk.go
@@ -14,17 +14,17 @@
 type Disk interface {
 	// Read returns a file whole, or nil when there is none.
 	Read(name string) ([]byte, error)
-	// Make creates a file of so many zero bytes, synced, folder too.
-	Make(name string, size int) error
+	// Create creates a file of so many zero bytes, synced, folder too.
+	Create(name string, size int) error
 	// Write writes at a place and syncs.
 	Write(name string, off int, data []byte) error
-	// Swap puts a whole new file in a name's place, synced, folder too.
-	Swap(name string, data []byte) error
-	// Grow writes a part of what is to take a name's place, synced; a part at
+	// Replace puts a whole new file in a name's place, synced, folder too.
+	Replace(name string, data []byte) error
+	// AppendReplacement writes a part of what is to take a name's place, synced; a part at
 	// 0 begins it anew.
-	Grow(name string, off int, data []byte) error
-	// Settle puts what has grown in the name's place, synced, folder too.
-	Settle(name string) error
+	AppendReplacement(name string, off int, data []byte) error
+	// CommitReplacement puts what has grown in the name's place, synced, folder too.
+	CommitReplacement(name string) error
 }
 
 // Folder is the real disk: one data folder, locked while it is open.
@@ -65,10 +65,10 @@
 	return data, err
 }
 
-// Make creates a file of zero bytes, or replaces the one of that name, and syncs
+// Create creates a file of zero bytes, or replaces the one of that name, and syncs
 // it and the folder.
-func (d *Folder) Make(name string, size int) error {
-	return d.Swap(name, make([]byte, size))
+func (d *Folder) Create(name string, size int) error {
+	return d.Replace(name, make([]byte, size))
 }
 
 func (d *Folder) file(name string) (file, error) {
@@ -103,9 +103,9 @@
 	return f.syncData()
 }
 
-// Swap replaces a file as a whole: after a crash either the old content is there
+// Replace replaces a file as a whole: after a crash either the old content is there
 // or all of the new.
-func (d *Folder) Swap(name string, data []byte) error {
+func (d *Folder) Replace(name string, data []byte) error {
 	if err := d.put(name+fresh, 0, data); err != nil {
 		return err
 	}
@@ -119,15 +119,15 @@
 	grown = ".part"
 )
 
-// Grow writes a part of a replacement file and syncs it, without touching the
+// AppendReplacement writes a part of a replacement file and syncs it, without touching the
 // file it is to replace. A part at offset 0 starts it anew.
-func (d *Folder) Grow(name string, off int, data []byte) error {
+func (d *Folder) AppendReplacement(name string, off int, data []byte) error {
 	return d.put(name+grown, off, data)
 }
 
-// Settle puts the replacement file that Grow wrote in the place of the named
+// CommitReplacement puts the replacement file that Grow wrote in the place of the named
 // one, and syncs the folder.
-func (d *Folder) Settle(name string) error { return d.rename(name+grown, name) }
+func (d *Folder) CommitReplacement(name string) error { return d.rename(name+grown, name) }
 
 // put writes into a file that may not be there yet, synced; what is written at
 // its beginning begins it anew.
--- a/internal/consensus/wal/draft.go
+++ b/internal/consensus/wal/draft.go
@@ -13,20 +13,20 @@
 // sliceBytes is how much of a draft goes down between entries.
 const sliceBytes = 512 << 10
 
-// Draft is a snapshot that is written in the background, a chunk at a time.
-type Draft struct {
+// SnapshotWriter is a snapshot that is written in the background, a chunk at a time.
+type SnapshotWriter struct {
 	view *raft.Snapshot
 	body []byte
 	off  int
 }
 
-// NewDraft begins with nothing written. The snapshot must not be changed while
+// NewSnapshotWriter begins with nothing written. The snapshot must not be changed while
 // the draft is in use.
-func NewDraft(v *raft.Snapshot) *Draft { return &Draft{view: v} }
+func NewSnapshotWriter(v *raft.Snapshot) *SnapshotWriter { return &SnapshotWriter{view: v} }
 
-// Slice writes the next part of a draft and tells whether that was all of it.
+// WriteChunk writes the next part of a draft and tells whether that was all of it.
 // A draft that a later view has overtaken is dropped.
-func (r *Ring) Slice(d *Draft) (over bool, err error) {
+func (r *Log) WriteChunk(d *SnapshotWriter) (over bool, err error) {
 	if d.view.Index <= r.view {
 		return true, nil
 	}
@@ -34,13 +34,13 @@
 		d.body = pack(d.view)
 	}
 	end := min(d.off+sliceBytes, len(d.body))
-	if err = r.disk.Grow(viewName, d.off, d.body[d.off:end]); err != nil {
+	if err = r.disk.AppendReplacement(viewName, d.off, d.body[d.off:end]); err != nil {
 		return false, errors.Wrap(err, "view")
 	}
 	if d.off = end; end < len(d.body) {
 		return false, nil
 	}
-	if err = r.disk.Settle(viewName); err != nil {
+	if err = r.disk.CommitReplacement(viewName); err != nil {
 		return false, errors.Wrap(err, "view")
 	}
 	r.view = d.view.Index
--- a/internal/consensus/wal/fill_test.go
+++ b/internal/consensus/wal/fill_test.go
@@ -20,19 +20,19 @@
 	)
 	for _, stateMB := range []int{4, 12} {
 		t.Run(fmt.Sprintf("%d MB", stateMB), func(t *testing.T) {
-			m, shape := memory{}, Shape{Files: 6, Bytes: 4 << 20}
-			r, err := Start(m, shape, &raft.Snapshot{Index: 1, Term: 1})
+			m, shape := memory{}, Layout{Files: 6, Bytes: 4 << 20}
+			r, err := Create(m, shape, &raft.Snapshot{Index: 1, Term: 1})
 			if err != nil {
 				t.Fatal(err)
 			}
 			state, data := bytes.Repeat([]byte("s"), stateMB<<20), bytes.Repeat([]byte("c"), changeBytes)
-			var c Chores
+			var c WriteQueue
 			last, since, drafts := identifier.Index(1), 0, 0
 			for last < 160 {
 				for c.Bytes() < 2<<20 {
 					last++
 					since += changeBytes
-					c.Add(nil, []*raft.Write{{Entries: []raft.Entry{{Index: last, Term: 1, Kind: raft.Command, Data: data}}}}, nil)
+					c.Add(nil, []*raft.Write{{Entries: []raft.Entry{{Index: last, Term: 1, Kind: raft.EntryCommand, Data: data}}}}, nil)
 				}
 				if since >= snapshotEvery {
 					c.Add(nil, nil, &raft.Snapshot{Index: last - 8, Term: 1, Data: state})
@@ -40,7 +40,7 @@
 				}
 				x := c.Next()
 				if _, err := x.Do(m, shape, r); err != nil {
-					t.Fatalf("entry %d, %d%% full: %v", last, r.Full(), err)
+					t.Fatalf("entry %d, %d%% full: %v", last, r.PercentUsed(), err)
 				}
 				if x.over {
 					drafts++
--- a/internal/consensus/wal/former_test.go
+++ b/internal/consensus/wal/former_test.go
@@ -47,14 +47,14 @@
 func TestFormerFolder(t *testing.T) {
 	m := former(t)
 	r, f := reopen(t, m)
-	if f.Hard != (raft.HardState{Term: 4, Vote: 5}) || f.View.Index != 3 || len(f.List) != 2 {
-		t.Fatalf("hard %v, view at %d, %d entries", f.Hard, f.View.Index, len(f.List))
+	if f.HardState != (raft.HardState{Term: 4, Vote: 5}) || f.Snapshot.Index != 3 || len(f.Entries) != 2 {
+		t.Fatalf("hard %v, view at %d, %d entries", f.HardState, f.Snapshot.Index, len(f.Entries))
 	}
-	b, err := state.Decode(f.View.Data)
+	b, err := state.Decode(f.Snapshot.Data)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range f.List {
+	for _, e := range f.Entries {
 		c, err := state.DecodeCommand(e.Data)
 		if err != nil {
 			t.Fatal(err)
@@ -63,11 +63,11 @@
 			t.Fatalf("entry %d: %+v", e.Index, res)
 		}
 	}
-	if j := b.Jobs["gilde/old"]; j == nil || len(j.Steps) != 2 || b.Table.Num("stock", "weight") != 3 || b.Closings["m1"] == nil {
+	if j := b.Jobs["gilde/old"]; j == nil || len(j.Steps) != 2 || b.Limits.Int("stock", "weight") != 3 || b.Drains["m1"] == nil {
 		t.Fatalf("the former version's book reads as %s", b.Encode())
 	}
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(6, 4)}})
-	if _, f = reopen(t, m); len(f.List) != 3 || !bytes.Equal(f.List[2].Data, entry(6, 4).Data) {
-		t.Fatalf("after going on: %d entries", len(f.List))
+	if _, f = reopen(t, m); len(f.Entries) != 3 || !bytes.Equal(f.Entries[2].Data, entry(6, 4).Data) {
+		t.Fatalf("after going on: %d entries", len(f.Entries))
 	}
 }
--- a/internal/consensus/wal/powerloss_test.go
+++ b/internal/consensus/wal/powerloss_test.go
@@ -227,7 +227,7 @@
 	t       *testing.T
 	disk    *fragile
 	folder  *Folder
-	ring    *Ring
+	ring    *Log
 	named   bool
 	founded bool
 	hard    []raft.HardState
@@ -238,7 +238,7 @@
 	doing   string
 }
 
-var smallShape = Shape{Files: 4, Bytes: 4096}
+var smallShape = Layout{Files: 4, Bytes: 4096}
 
 const folderOwner identifier.Node = 77
 
@@ -270,15 +270,15 @@
 		}
 		return
 	}
-	last := found.View.Index + identifier.Index(len(found.List))
-	if found.View.Index < h.view || last < h.last || last > h.asked {
-		h.t.Fatalf("%s: view %d of %d, entries to %d, acknowledged %d, asked %d", h.doing, found.View.Index, h.view, last, h.last, h.asked)
+	last := found.Snapshot.Index + identifier.Index(len(found.Entries))
+	if found.Snapshot.Index < h.view || last < h.last || last > h.asked {
+		h.t.Fatalf("%s: view %d of %d, entries to %d, acknowledged %d, asked %d", h.doing, found.Snapshot.Index, h.view, last, h.last, h.asked)
 	}
-	if !slices.Contains(h.hard, found.Hard) {
-		h.t.Fatalf("%s: hard state %v, want one of %v", h.doing, found.Hard, h.hard)
+	if !slices.Contains(h.hard, found.HardState) {
+		h.t.Fatalf("%s: hard state %v, want one of %v", h.doing, found.HardState, h.hard)
 	}
-	for i, e := range found.List {
-		if want := entry(int(found.View.Index)+1+i, 1); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
+	for i, e := range found.Entries {
+		if want := entry(int(found.Snapshot.Index)+1+i, 1); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
 			h.t.Fatalf("%s: entry %d reads as %d %q", h.doing, want.Index, e.Index, e.Data)
 		}
 	}
@@ -286,20 +286,20 @@
 }
 
 // goOn writes on in what a power loss left, and reads it back.
-func (h *history) goOn(d *Folder, r *Ring, kept Shape, last identifier.Index) {
-	if r.Full() >= 75 {
+func (h *history) goOn(d *Folder, r *Log, kept Layout, last identifier.Index) {
+	if r.PercentUsed() >= 75 {
 		return
 	}
 	hard := raft.HardState{Term: 999, Vote: 3}
-	if err := r.Save(&raft.Write{Hard: &hard, Entries: []raft.Entry{entry(int(last)+1, 1)}}); err != nil {
+	if err := r.Save(&raft.Write{HardState: &hard, Entries: []raft.Entry{entry(int(last)+1, 1)}}); err != nil {
 		h.t.Fatalf("%s: going on: %v", h.doing, err)
 	}
 	_, found, err := Open(d, kept)
 	if err != nil {
 		h.t.Fatalf("%s: after going on: %v", h.doing, err)
 	}
-	if end := found.View.Index + identifier.Index(len(found.List)); end != last+1 || found.Hard != hard {
-		h.t.Fatalf("%s: went on to %d, reads to %d, hard state %v", h.doing, last+1, end, found.Hard)
+	if end := found.Snapshot.Index + identifier.Index(len(found.Entries)); end != last+1 || found.HardState != hard {
+		h.t.Fatalf("%s: went on to %d, reads to %d, hard state %v", h.doing, last+1, end, found.HardState)
 	}
 }
 
@@ -319,7 +319,7 @@
 	h.named, h.asked = true, 1
 	h.do("founding", func() error {
 		var err error
-		h.ring, err = Start(h.folder, smallShape, powerView(1))
+		h.ring, err = Create(h.folder, smallShape, powerView(1))
 		return err
 	})
 	h.founded, h.last, h.view = true, 1, 1
@@ -333,11 +333,11 @@
 func (h *history) save(entries int, term identifier.Term, at identifier.Index) {
 	w := raft.Write{}
 	if at > 0 {
-		w.View = powerView(at)
+		w.Snapshot = powerView(at)
 	}
 	if term > 0 {
-		w.Hard = &raft.HardState{Term: term, Vote: 9}
-		h.hard = append(h.hard, *w.Hard)
+		w.HardState = &raft.HardState{Term: term, Vote: 9}
+		h.hard = append(h.hard, *w.HardState)
 	}
 	for i := 0; i < entries; i++ {
 		h.asked++
@@ -355,12 +355,12 @@
 
 // draft writes a view in slices, with entries saved between them.
 func (h *history) draft(at identifier.Index) {
-	d := NewDraft(powerView(at))
+	d := NewSnapshotWriter(powerView(at))
 	d.view.Data = bytes.Repeat([]byte("d"), sliceBytes+100)
 	for over := false; !over; {
 		h.do(fmt.Sprintf("draft of view %d", at), func() error {
 			var err error
-			over, err = h.ring.Slice(d)
+			over, err = h.ring.WriteChunk(d)
 			return err
 		})
 		if !over {
@@ -386,9 +386,9 @@
 		switch {
 		case n%40 == 25:
 			h.jump()
-		case h.ring.Full() >= 50 && n%30 == 11:
+		case h.ring.PercentUsed() >= 50 && n%30 == 11:
 			h.draft(h.last - 3)
-		case h.ring.Full() >= 50:
+		case h.ring.PercentUsed() >= 50:
 			h.save(n%3, 0, h.last-2)
 		}
 	}
