--- a/internal/consensus/wal/ring.go
+++ b/internal/consensus/wal/ring.go
@@ -15,35 +15,35 @@
 	"github.com/go-faster/errors"
 )
 
-// Shape is how many files of what size the ring has.
-type Shape struct {
+// Layout is how many files of what size the ring has.
+type Layout struct {
 	Files int
 	Bytes int
 }
 
-// Ring is the write-ahead log of one member on disk: a fixed number of
+// Log is the write-ahead log of one member on disk: a fixed number of
 // preallocated files, written in rotation, and a file that holds the newest
 // snapshot. It is not safe for concurrent use, and after an error from its disk
 // it must be opened anew.
-type Ring struct {
+type Log struct {
 	disk  Disk
-	shape Shape
+	shape Layout
 	seq   uint64
 	at    int
 	off   int
 	high  []identifier.Index
 	hard  raft.HardState
 	view  identifier.Index
-	Who   identifier.Node
+	Node  identifier.Node
 }
 
-// Found is what the disk held.
-type Found struct {
-	Hard raft.HardState
-	View *raft.Snapshot
-	List []raft.Entry
-	// Cut tells that a torn last record was dropped.
-	Cut bool
+// Recovered is what the disk held.
+type Recovered struct {
+	HardState raft.HardState
+	Snapshot  *raft.Snapshot
+	Entries   []raft.Entry
+	// TornTail tells that a torn last record was dropped.
+	TornTail bool
 }
 
 // paper is the identity file: who this folder is, and that it was founded.
@@ -61,7 +61,7 @@
 func fileName(i int) string { return fmt.Sprintf("ring-%02d", i) }
 
 // Identity reads the folder's identity, or gives it the one offered.
-func Identity(d Disk, offer identifier.Node, shape Shape) (who identifier.Node, kept Shape, err error) {
+func Identity(d Disk, offer identifier.Node, shape Layout) (who identifier.Node, kept Layout, err error) {
 	data, err := d.Read(whoName)
 	if err != nil {
 		return 0, shape, errors.Wrap(err, "identity")
@@ -71,7 +71,7 @@
 		if err != nil {
 			panic(err)
 		}
-		if err = d.Swap(whoName, data); err != nil {
+		if err = d.Replace(whoName, data); err != nil {
 			return 0, shape, errors.Wrap(err, "identity")
 		}
 		return offer, shape, nil
@@ -84,14 +84,14 @@
 	if !ok || p.Files < 2 || p.Bytes < 4096 {
 		return 0, shape, errors.New("identity file is damaged")
 	}
-	return who, Shape{p.Files, p.Bytes}, nil
+	return who, Layout{p.Files, p.Bytes}, nil
 }
 
-// Start lays out a new ring with the founding view.
-func Start(d Disk, shape Shape, v *raft.Snapshot) (*Ring, error) {
-	r := &Ring{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), seq: 1}
+// Create lays out a new ring with the founding view.
+func Create(d Disk, shape Layout, v *raft.Snapshot) (*Log, error) {
+	r := &Log{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), seq: 1}
 	for i := 0; i < shape.Files; i++ {
-		if err := d.Make(fileName(i), shape.Bytes); err != nil {
+		if err := d.Create(fileName(i), shape.Bytes); err != nil {
 			return nil, errors.Wrap(err, "ring")
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // Open reads a ring back; found is nil when the folder holds none.
-func Open(d Disk, shape Shape) (r *Ring, found *Found, err error) {
+func Open(d Disk, shape Layout) (r *Log, found *Recovered, err error) {
 	data, err := d.Read(viewName)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "view")
@@ -111,8 +111,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	r = &Ring{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), view: v.Index}
-	found = &Found{View: v}
+	r = &Log{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), view: v.Index}
+	found = &Recovered{Snapshot: v}
 	files := make([][]byte, shape.Files)
 	for i := range files {
 		if files[i], err = d.Read(fileName(i)); err != nil {
@@ -133,7 +133,7 @@
 
 // read walks the records in the order of their numbers and stops at the first
 // gap; whatever valid lies behind a gap proves damage, not a torn tail.
-func (r *Ring) read(files [][]byte, found *Found) error {
+func (r *Log) read(files [][]byte, found *Recovered) error {
 	all := []spot{}
 	for i, buf := range files {
 		for off := 0; off+head <= len(buf); {
@@ -168,7 +168,7 @@
 		if err != nil {
 			return errors.Wrapf(err, "%s at %d", fileName(s.file), s.off)
 		}
-		found.Hard = h
+		found.HardState = h
 		for _, e := range list {
 			r.high[s.file] = max(r.high[s.file], e.Index)
 			if err = found.add(e); err != nil {
@@ -177,15 +177,15 @@
 		}
 		r.seq, r.at, r.off = s.seq+1, s.file, s.off+pad(head+len(s.body))
 	}
-	r.hard = found.Hard
-	found.Cut = r.torn(files[r.at])
+	r.hard = found.HardState
+	found.TornTail = r.torn(files[r.at])
 	return nil
 }
 
 // gap judges a hole in the numbers. Records of a file's former lap are
 // overwritten from its front, so a hole is sound only if the view covers all
 // that stands before it.
-func (r *Ring) gap(old []spot, next spot) error {
+func (r *Log) gap(old []spot, next spot) error {
 	for _, s := range old {
 		_, list, err := decode(s.body)
 		if err != nil {
@@ -202,7 +202,7 @@
 
 // torn tells whether the next record was begun: its number stands there, but
 // the record does not hold. What a former lap left there has an older number.
-func (r *Ring) torn(buf []byte) bool {
+func (r *Log) torn(buf []byte) bool {
 	if r.off+head > len(buf) || binary.LittleEndian.Uint32(buf[r.off:]) != magic {
 		return false
 	}
@@ -212,28 +212,28 @@
 // add puts an entry where it belongs; a later record replaces a tail. Terms
 // never fall along a log: an entry older than the view belongs to a tail that
 // a view from the leader has replaced.
-func (f *Found) add(e raft.Entry) error {
-	base := f.View.Index
+func (f *Recovered) add(e raft.Entry) error {
+	base := f.Snapshot.Index
 	switch {
 	case e.Index <= base:
-		f.List = nil
+		f.Entries = nil
 		return nil
-	case e.Term < f.View.Term:
+	case e.Term < f.Snapshot.Term:
 		return nil
 	}
 	at := int(e.Index - base - 1)
-	if at > len(f.List) {
-		return errors.Errorf("ring: entry %d is missing", base+identifier.Index(len(f.List))+1)
+	if at > len(f.Entries) {
+		return errors.Errorf("ring: entry %d is missing", base+identifier.Index(len(f.Entries))+1)
 	}
-	f.List = append(f.List[:at], e)
+	f.Entries = append(f.Entries[:at], e)
 	return nil
 }
 
 func pad(n int) int { return (n + 7) &^ 7 }
 
-// Full tells how much of the ring holds entries the view doesn't cover, in
+// PercentUsed tells how much of the ring holds entries the view doesn't cover, in
 // percent; the keeper takes a view in time.
-func (r *Ring) Full() int {
+func (r *Log) PercentUsed() int {
 	n := 0
 	for _, h := range r.high {
 		if h > r.view {
@@ -244,14 +244,14 @@
 }
 
 // Save makes one batch last. The view goes first: entries may rest on it.
-func (r *Ring) Save(w *raft.Write) error {
-	if w.View != nil {
-		if err := r.saveView(w.View); err != nil {
+func (r *Log) Save(w *raft.Write) error {
+	if w.Snapshot != nil {
+		if err := r.saveView(w.Snapshot); err != nil {
 			return err
 		}
 	}
-	if w.Hard != nil {
-		r.hard = *w.Hard
+	if w.HardState != nil {
+		r.hard = *w.HardState
 	}
 	list := w.Entries
 	for first := true; first || len(list) > 0; first = false {
@@ -268,7 +268,7 @@
 	return nil
 }
 
-func (r *Ring) put(list []raft.Entry) error {
+func (r *Log) put(list []raft.Entry) error {
 	body := encode(r.hard, list)
 	if pad(head+len(body)) > r.shape.Bytes {
 		return errors.Errorf("ring: a batch of %d bytes is larger than a file", len(body))
--- a/internal/consensus/wal/ring_test.go
+++ b/internal/consensus/wal/ring_test.go
@@ -13,7 +13,7 @@
 type memory map[string][]byte
 
 func (m memory) Read(name string) ([]byte, error) { return bytes.Clone(m[name]), nil }
-func (m memory) Make(name string, size int) error {
+func (m memory) Create(name string, size int) error {
 	m[name] = make([]byte, size)
 	return nil
 }
@@ -21,27 +21,27 @@
 	copy(m[name][off:], data)
 	return nil
 }
-func (m memory) Swap(name string, data []byte) error {
+func (m memory) Replace(name string, data []byte) error {
 	m[name] = bytes.Clone(data)
 	return nil
 }
 
-func (m memory) Grow(name string, off int, data []byte) error {
+func (m memory) AppendReplacement(name string, off int, data []byte) error {
 	m[name+".part"] = append(m[name+".part"][:off:off], data...)
 	return nil
 }
-func (m memory) Settle(name string) error {
+func (m memory) CommitReplacement(name string) error {
 	m[name] = m[name+".part"]
 	delete(m, name+".part")
 	return nil
 }
 
-var shape = Shape{Files: 4, Bytes: 4096}
+var shape = Layout{Files: 4, Bytes: 4096}
 
-func start(t *testing.T) (m memory, r *Ring) {
+func start(t *testing.T) (m memory, r *Log) {
 	t.Helper()
 	m = memory{}
-	r, err := Start(m, shape, &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: []byte("founding")})
+	r, err := Create(m, shape, &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: []byte("founding")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,17 +49,17 @@
 }
 
 func entry(i int, term identifier.Term) raft.Entry {
-	return raft.Entry{Index: identifier.Index(i), Term: term, Kind: raft.Command, Data: []byte(fmt.Sprintf("entry %d of term %d", i, term))}
+	return raft.Entry{Index: identifier.Index(i), Term: term, Kind: raft.EntryCommand, Data: []byte(fmt.Sprintf("entry %d of term %d", i, term))}
 }
 
-func save(t *testing.T, r *Ring, w raft.Write) {
+func save(t *testing.T, r *Log, w raft.Write) {
 	t.Helper()
 	if err := r.Save(&w); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func reopen(t *testing.T, m memory) (r *Ring, f *Found) {
+func reopen(t *testing.T, m memory) (r *Log, f *Recovered) {
 	t.Helper()
 	r, f, err := Open(m, shape)
 	if err != nil {
@@ -73,7 +73,7 @@
 func TestRoundAndRound(t *testing.T) {
 	m, r := start(t)
 	hard := raft.HardState{Term: 3, Vote: 5}
-	save(t, r, raft.Write{Hard: &hard})
+	save(t, r, raft.Write{HardState: &hard})
 	at := 1
 	for n := 0; n < 300; n++ {
 		w := raft.Write{}
@@ -81,17 +81,17 @@
 			at++
 			w.Entries = append(w.Entries, entry(at, 3))
 		}
-		if r.Full() >= 50 {
-			w.View = &raft.Snapshot{Index: identifier.Index(at - 6), Term: 3, Data: []byte("view")}
+		if r.PercentUsed() >= 50 {
+			w.Snapshot = &raft.Snapshot{Index: identifier.Index(at - 6), Term: 3, Data: []byte("view")}
 		}
 		save(t, r, w)
 		_, f := reopen(t, m)
-		last := f.View.Index + identifier.Index(len(f.List))
-		if f.Hard != hard || last != identifier.Index(at) || f.Cut {
-			t.Fatalf("batch %d: hard %v, last entry %d of %d, cut %v", n, f.Hard, last, at, f.Cut)
+		last := f.Snapshot.Index + identifier.Index(len(f.Entries))
+		if f.HardState != hard || last != identifier.Index(at) || f.TornTail {
+			t.Fatalf("batch %d: hard %v, last entry %d of %d, cut %v", n, f.HardState, last, at, f.TornTail)
 		}
-		for i, e := range f.List {
-			if want := entry(int(f.View.Index)+1+i, 3); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
+		for i, e := range f.Entries {
+			if want := entry(int(f.Snapshot.Index)+1+i, 3); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
 				t.Fatalf("batch %d: entry %d reads %q", n, e.Index, e.Data)
 			}
 		}
@@ -102,7 +102,7 @@
 // stays, and nothing of the torn one is taken.
 func TestTornTail(t *testing.T) {
 	m, r := start(t)
-	save(t, r, raft.Write{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2), entry(3, 2)}})
+	save(t, r, raft.Write{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2), entry(3, 2)}})
 	from := r.off
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(4, 2)}})
 	for cut := from; cut < r.off; cut++ {
@@ -113,14 +113,14 @@
 		clear(torn[fileName(0)][cut:])
 		again, f := reopen(t, torn)
 		whole := bytes.Equal(torn[fileName(0)], m[fileName(0)])
-		if n := len(f.List); n != 2 && !whole {
+		if n := len(f.Entries); n != 2 && !whole {
 			t.Fatalf("cut at %d: %d entries", cut, n)
 		}
-		if f.Hard.Term != 2 || (cut >= from+16 && !whole && !f.Cut) {
-			t.Fatalf("cut at %d: hard %v, cut %v", cut, f.Hard, f.Cut)
+		if f.HardState.Term != 2 || (cut >= from+16 && !whole && !f.TornTail) {
+			t.Fatalf("cut at %d: hard %v, cut %v", cut, f.HardState, f.TornTail)
 		}
 		save(t, again, raft.Write{Entries: []raft.Entry{entry(4, 3)}})
-		if _, f = reopen(t, torn); len(f.List) != 3 || f.List[2].Term != 3 && !whole {
+		if _, f = reopen(t, torn); len(f.Entries) != 3 || f.Entries[2].Term != 3 && !whole {
 			t.Fatalf("cut at %d: the ring does not go on", cut)
 		}
 	}
@@ -139,7 +139,7 @@
 	for i := from; i < to && i < from+size; i++ {
 		m[fileName(0)][i] ^= 0x41
 		if _, f, err := Open(m, shape); err == nil {
-			t.Fatalf("byte %d damaged, and it opens with %d entries", i, len(f.List))
+			t.Fatalf("byte %d damaged, and it opens with %d entries", i, len(f.Entries))
 		}
 		m[fileName(0)][i] ^= 0x41
 	}
@@ -153,9 +153,9 @@
 func TestRewrite(t *testing.T) {
 	m, r := start(t)
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(2, 1), entry(3, 1), entry(4, 1)}})
-	save(t, r, raft.Write{Hard: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(3, 2)}})
-	if _, f := reopen(t, m); len(f.List) != 2 || f.List[1].Term != 2 {
-		t.Fatalf("after a rewrite: %+v", f.List)
+	save(t, r, raft.Write{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(3, 2)}})
+	if _, f := reopen(t, m); len(f.Entries) != 2 || f.Entries[1].Term != 2 {
+		t.Fatalf("after a rewrite: %+v", f.Entries)
 	}
 }
 
@@ -163,8 +163,8 @@
 	_, r := start(t)
 	for i := 2; ; i++ {
 		if err := r.Save(&raft.Write{Entries: []raft.Entry{entry(i, 1)}}); err != nil {
-			if r.Full() < 100 {
-				t.Fatalf("refused at %d%%: %v", r.Full(), err)
+			if r.PercentUsed() < 100 {
+				t.Fatalf("refused at %d%%: %v", r.PercentUsed(), err)
 			}
 			return
 		}
@@ -195,11 +195,11 @@
 	for i := 2; i <= 20; i++ {
 		save(t, r, raft.Write{Entries: []raft.Entry{entry(i, 1)}})
 	}
-	d := NewDraft(&raft.Snapshot{Index: 15, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 3*sliceBytes)})
+	d := NewSnapshotWriter(&raft.Snapshot{Index: 15, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 3*sliceBytes)})
 	slices := 0
 	for over := false; !over; slices++ {
 		var err error
-		if over, err = r.Slice(d); err != nil {
+		if over, err = r.WriteChunk(d); err != nil {
 			t.Fatal(err)
 		}
 		save(t, r, raft.Write{Entries: []raft.Entry{entry(21+slices, 1)}})
@@ -208,23 +208,23 @@
 		if over {
 			want = 15
 		}
-		if f.View.Index != want || int(f.View.Index)+len(f.List) != last {
-			t.Fatalf("after slice %d: view %d and %d entries, want view %d and entries to %d", slices, f.View.Index, len(f.List), want, last)
+		if f.Snapshot.Index != want || int(f.Snapshot.Index)+len(f.Entries) != last {
+			t.Fatalf("after slice %d: view %d and %d entries, want view %d and entries to %d", slices, f.Snapshot.Index, len(f.Entries), want, last)
 		}
 	}
 	if slices != 4 {
 		t.Errorf("%d slices", slices)
 	}
-	old := NewDraft(&raft.Snapshot{Index: 18, Term: 1, Data: bytes.Repeat([]byte("o"), 2*sliceBytes)})
-	if over, err := r.Slice(old); over || err != nil {
+	old := NewSnapshotWriter(&raft.Snapshot{Index: 18, Term: 1, Data: bytes.Repeat([]byte("o"), 2*sliceBytes)})
+	if over, err := r.WriteChunk(old); over || err != nil {
 		t.Fatal(over, err)
 	}
-	save(t, r, raft.Write{View: &raft.Snapshot{Index: 30, Term: 2, Data: []byte("new")}})
-	if over, err := r.Slice(old); !over || err != nil {
+	save(t, r, raft.Write{Snapshot: &raft.Snapshot{Index: 30, Term: 2, Data: []byte("new")}})
+	if over, err := r.WriteChunk(old); !over || err != nil {
 		t.Fatal(over, err)
 	}
-	if _, f := reopen(t, m); f.View.Index != 30 || string(f.View.Data) != "new" {
-		t.Errorf("a draft overtaken took the place of view 30: %d", f.View.Index)
+	if _, f := reopen(t, m); f.Snapshot.Index != 30 || string(f.Snapshot.Data) != "new" {
+		t.Errorf("a draft overtaken took the place of view 30: %d", f.Snapshot.Index)
 	}
 }
 
@@ -233,7 +233,7 @@
 // that many views never keep each other from the disk.
 func TestChores(t *testing.T) {
 	m, r := start(t)
-	var c Chores
+	var c WriteQueue
 	view := func(i identifier.Index) *raft.Snapshot {
 		return &raft.Snapshot{Index: i, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 2*sliceBytes)}
 	}
@@ -253,8 +253,8 @@
 			t.Fatal(err)
 		}
 		c.Done(x)
-		if x.Draft != nil {
-			order += fmt.Sprint("v", x.Draft.view.Index, " ")
+		if x.Snapshot != nil {
+			order += fmt.Sprint("v", x.Snapshot.view.Index, " ")
 		} else {
 			order += fmt.Sprint("w", x.Write.Seq, " ")
 		}
--- a/internal/consensus/wal/view.go
+++ b/internal/consensus/wal/view.go
@@ -12,8 +12,8 @@
 	"github.com/go-faster/errors"
 )
 
-func (r *Ring) saveView(v *raft.Snapshot) error {
-	if err := r.disk.Swap(viewName, pack(v)); err != nil {
+func (r *Log) saveView(v *raft.Snapshot) error {
+	if err := r.disk.Replace(viewName, pack(v)); err != nil {
 		return errors.Wrap(err, "view")
 	}
 	r.view = v.Index
--- a/internal/controlplane/agents.go
+++ b/internal/controlplane/agents.go
@@ -33,7 +33,7 @@
 	// too long.
 	doubt clock.Monotonic
 	// old is the last progress of what ran on the former life of the runner.
-	old []state.Save
+	old []state.Checkpoint
 }
 
 // held is a run as agents name it, with the last progress told. seq is the
@@ -54,19 +54,19 @@
 }
 
 // turned is what is carried over to the contact with a new life of a runner.
-func (m *Machine) turned(c *contact) *agentSide {
+func (m *Server) turned(c *contact) *agentSide {
 	if c.agent == nil {
 		return nil
 	}
 	return newAgentSide(m.saves(c))
 }
 
-func newAgentSide(old []state.Save) *agentSide {
+func newAgentSide(old []state.Checkpoint) *agentSide {
 	return &agentSide{old: old, runs: map[identifier.LeaseID]*held{}, halted: map[runnerapi.RunStop]bool{}, rate: 1000}
 }
 
 // saves lists the progress last told of what still counts as running.
-func (m *Machine) saves(c *contact) []state.Save {
+func (m *Server) saves(c *contact) []state.Checkpoint {
 	if c.agent == nil {
 		return nil
 	}
@@ -77,21 +77,21 @@
 	}
 	sortGrants(ordered)
 	for _, id := range ordered {
-		if text := c.agent.runs[id].saved; text != "" && m.book.Grants[id] != nil {
-			list = append(list[:len(list):len(list)], state.Save{Grant: id, Saved: text})
+		if text := c.agent.runs[id].saved; text != "" && m.state.Leases[id] != nil {
+			list = append(list[:len(list):len(list)], state.Checkpoint{Lease: id, Data: text})
 		}
 	}
 	return list
 }
 
 // agentSays takes an agent's poll into the terms of the book.
-func (m *Machine) agentSays(name identifier.Runner, c *contact, p *runnerapi.Ask) {
+func (m *Server) agentSays(name identifier.Runner, c *contact, p *runnerapi.PollRequest) {
 	a := c.agent
 	if a == nil {
 		a = newAgentSide(nil)
 		c.agent = a
 	}
-	if r := m.book.Runners[name]; r != nil && r.Inc == c.inc {
+	if r := m.state.Runners[name]; r != nil && r.Incarnation == c.inc {
 		a.old = nil
 	}
 	a.doubt = math.MaxInt64
@@ -99,10 +99,10 @@
 	was, next := a.list, 0
 	a.list = make([]*held, 0, len(p.Active))
 	for _, one := range p.Active {
-		stop := runnerapi.RunStop{Task: one.Task, Run: one.Run}
+		stop := runnerapi.RunStop{Task: one.Task, Attempt: one.Attempt}
 		var h *held
-		if h, next = m.again(name, p.Inc, was, next, stop); h == nil {
-			id, _, ok := m.book.Resolve(name, p.Inc, one.Task, one.Run)
+		if h, next = m.again(name, p.Incarnation, was, next, stop); h == nil {
+			id, _, ok := m.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt)
 			if !ok {
 				a.stray = append(a.stray, stop)
 				continue
@@ -112,7 +112,7 @@
 				a.runs[id] = h
 			}
 		}
-		h.stop, h.saved, h.seq = stop, one.Saved, p.Seq
+		h.stop, h.saved, h.seq = stop, one.Checkpoint, p.Seq
 		a.list = append(a.list, h)
 		p.Running = append(p.Running, h.id)
 		m.progress(a, h, one)
@@ -124,18 +124,18 @@
 	}
 	m.rated(a)
 	for _, one := range p.Finished {
-		id, ref, ok := m.book.Resolve(name, p.Inc, one.Task, one.Run)
+		id, ref, ok := m.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt)
 		if !ok {
 			id = 0
 		} else {
-			p.Ended = append(p.Ended, runnerapi.End{Grant: id, Task: ref, How: one.How, Saved: one.Saved})
+			p.Ended = append(p.Ended, runnerapi.End{Lease: id, Task: ref, Outcome: one.Outcome, Checkpoint: one.Checkpoint})
 		}
-		a.ends = append(a.ends, seenEnd{one.N, id, ref})
+		a.ends = append(a.ends, seenEnd{one.Seq, id, ref})
 	}
 	sort.Slice(a.ends, func(i, j int) bool { return a.ends[i].n < a.ends[j].n })
-	for _, one := range p.Gone {
-		if id, ref, ok := m.book.Resolve(name, p.Inc, one.Task, one.Run); ok {
-			p.Ended = append(p.Ended, runnerapi.End{Grant: id, Task: ref, How: runnerapi.Stopped})
+	for _, one := range p.Cleared {
+		if id, ref, ok := m.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt); ok {
+			p.Ended = append(p.Ended, runnerapi.End{Lease: id, Task: ref, Outcome: runnerapi.OutcomeStopped})
 		}
 	}
 }
@@ -146,12 +146,12 @@
 // again finds a run among those of the poll before, which mostly come in the
 // same order, at or after next. It holds as long as its grant is open: a
 // task's grant is the open one.
-func (m *Machine) again(name identifier.Runner, inc identifier.Incarnation, was []*held, next int, stop runnerapi.RunStop) (h *held, at int) {
+func (m *Server) again(name identifier.Runner, inc identifier.Incarnation, was []*held, next int, stop runnerapi.RunStop) (h *held, at int) {
 	for i := next; i < len(was) && i < next+ahead; i++ {
 		if was[i].stop != stop {
 			continue
 		}
-		if g := m.book.Grants[was[i].id]; g == nil || g.No != stop.Run || g.Runner != name || g.Inc != inc {
+		if g := m.state.Leases[was[i].id]; g == nil || g.Attempt != stop.Attempt || g.Runner != name || g.Incarnation != inc {
 			return nil, i + 1
 		}
 		return was[i], i + 1
@@ -161,25 +161,25 @@
 
 // present tells whether the runner itself is there to be reported on. One that
 // has said farewell is counted lost at once.
-func (m *Machine) present(name identifier.Runner, c *contact, p *runnerapi.Ask) bool {
+func (m *Server) present(name identifier.Runner, c *contact, p *runnerapi.PollRequest) bool {
 	if c.agent == nil {
 		return true
 	}
-	r := m.book.Runners[name]
-	if !p.Left && !p.Dead {
-		return p.Silent < 2*m.book.Table.Site("startMs")
+	r := m.state.Runners[name]
+	if !p.LeftInOrder && !p.PresumedDead {
+		return p.SilentFor < 2*m.state.Limits.SiteMillis("startMs")
 	}
-	if r != nil && r.Inc == p.Inc && !r.Gone && m.lead.losing[name] <= m.at {
-		m.lead.losing[name] = m.propose(&state.Command{Lost: &state.Lost{Runner: name, Inc: p.Inc, Saves: m.saves(c)}})
+	if r != nil && r.Incarnation == p.Incarnation && !r.Gone && m.lead.losing[name] <= m.at {
+		m.lead.losing[name] = m.propose(&state.Command{LoseRunner: &state.LoseRunner{Runner: name, Incarnation: p.Incarnation, Checkpoints: m.saves(c)}})
 	}
 	return false
 }
 
 // observed is the number up to which every end is on record.
-func (m *Machine) observed(name identifier.Runner, c *contact) uint64 {
+func (m *Server) observed(name identifier.Runner, c *contact) uint64 {
 	n := c.agent.told
 	for _, e := range c.agent.ends {
-		if e.grant != 0 && m.book.Hears(name, c.inc, e.grant, e.ref) {
+		if e.grant != 0 && m.state.AcceptsEnd(name, c.inc, e.grant, e.ref) {
 			return n
 		}
 		n = max(n, e.n)
@@ -189,54 +189,54 @@
 
 // answerAgent answers an agent's open poll if there is something to tell that
 // it was not told, or the poll has been open for long enough.
-func (m *Machine) answerAgent(name identifier.Runner, c *contact, a *runnerapi.Answer, hold clock.Millis) {
+func (m *Server) answerAgent(name identifier.Runner, c *contact, a *runnerapi.PollResponse, hold clock.Millis) {
 	s := c.agent
 	fresh := len(a.Starts) > 0
 	for _, id := range a.Stops {
 		stop := runnerapi.RunStop{}
 		if h := s.runs[id]; h != nil {
 			stop = h.stop
-		} else if g := m.book.Grants[id]; g != nil {
-			stop = runnerapi.RunStop{Task: m.book.Named(g.Ref), Run: g.No}
+		} else if g := m.state.Leases[id]; g != nil {
+			stop = runnerapi.RunStop{Task: m.state.AgentTaskRef(g.Task), Attempt: g.Attempt}
 		}
-		a.Halts = append(a.Halts, stop)
+		a.StopRuns = append(a.StopRuns, stop)
 	}
-	a.Halts = append(a.Halts, s.stray...)
+	a.StopRuns = append(a.StopRuns, s.stray...)
 	a.Stops = nil
-	for _, stop := range a.Halts {
+	for _, stop := range a.StopRuns {
 		fresh = fresh || !s.halted[stop]
 	}
-	a.Observed = m.observed(name, c)
-	if !fresh && a.Observed <= s.told && m.now.Since(c.since) < hold {
+	a.ObservedThrough = m.observed(name, c)
+	if !fresh && a.ObservedThrough <= s.told && m.now.Since(c.since) < hold {
 		return
 	}
 	c.open = false
-	s.told = a.Observed
+	s.told = a.ObservedThrough
 	clear(s.halted)
-	for _, stop := range a.Halts {
+	for _, stop := range a.StopRuns {
 		s.halted[stop] = true
 	}
 	for i := range a.Starts {
 		m.fill(&a.Starts[i])
 	}
 	bare := m.bare(c)
-	a.GrantMs, a.StartMs, a.Fence, a.Keepers = bare.GrantMs, bare.StartMs, bare.Fence, bare.Keepers
+	a.Lease, a.StartTimeout, a.FencingToken, a.Servers = bare.Lease, bare.StartTimeout, bare.FencingToken, bare.Servers
 	m.replyDoc(c.peer, c.id, 200, a)
 }
 
 // fill adds what a start bears from its job.
-func (m *Machine) fill(s *runnerapi.Start) {
-	if j := m.book.Jobs[s.Task.Job]; j != nil {
-		s.Text, s.Saved = j.Spec.Text, j.Task(s.Task).Saved
-		s.Task = m.book.Named(s.Task)
+func (m *Server) fill(s *runnerapi.Start) {
+	if j := m.state.Jobs[s.Task.Job]; j != nil {
+		s.Payload, s.Checkpoint = j.Spec.Payload, j.Task(s.Task).Checkpoint
+		s.Task = m.state.AgentTaskRef(s.Task)
 	}
 }
 
 // keepers lists the addresses of the keepers, this leader first.
-func (m *Machine) keepers() []string {
-	list := []string{m.boot.Addr}
+func (m *Server) keepers() []string {
+	list := []string{m.config.Addr}
 	for _, mem := range m.raft.Members() {
-		if mem.ID != m.boot.ID {
+		if mem.ID != m.config.ID {
 			list = append(list, mem.Addr)
 		}
 	}
--- a/internal/controlplane/agents_test.go
+++ b/internal/controlplane/agents_test.go
@@ -23,11 +23,11 @@
 type site struct {
 	t      *testing.T
 	now    clock.Monotonic
-	keep   *controlplane.Machine
+	keep   *controlplane.Server
 	posts  []post
 	hands  []*hand
 	ask    uint64
-	got    map[uint64]*wire.Reply
+	got    map[uint64]*wire.Response
 	rnd    *rand.Rand
 	done   map[string]bool
 	starts map[string]int
@@ -40,13 +40,13 @@
 	at   clock.Monotonic
 	to   string
 	from string
-	msg  wire.Msg
+	msg  wire.Message
 }
 
 // hand is an agent and its runner.
 type hand struct {
 	name  string
-	mach  *agent.Machine
+	mach  *agent.Agent
 	inc   int
 	seq   uint64
 	room  job.Demand
@@ -75,14 +75,14 @@
 }
 
 func newSite(t *testing.T, seed int64, hands int) *site {
-	s := &site{t: t, rnd: rand.New(rand.NewSource(seed)), got: map[uint64]*wire.Reply{}, done: map[string]bool{}, starts: map[string]int{}}
-	s.keep = controlplane.New(controlplane.Boot{ID: 1, Addr: "k", Domain: "a", Timing: raft.Usual(), Level: state.Present, Found: true}, 0)
+	s := &site{t: t, rnd: rand.New(rand.NewSource(seed)), got: map[uint64]*wire.Response{}, done: map[string]bool{}, starts: map[string]int{}}
+	s.keep = controlplane.New(controlplane.Config{ID: 1, Addr: "k", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel, MayFound: true}, 0)
 	v := &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 1, Addr: "k", Domain: "a", Voter: true}}, Data: state.New().Encode()}
 	if err := s.keep.Resume(raft.HardState{}, v, nil); err != nil {
 		t.Fatal(err)
 	}
 	for i := 0; i < hands; i++ {
-		h := &hand{name: fmt.Sprintf("m%d", i), room: job.Demand{Milli: 4000, Mem: 4000}}
+		h := &hand{name: fmt.Sprintf("m%d", i), room: job.Demand{MilliCores: 4000, Mem: 4000}}
 		h.mach = s.agent(h)
 		s.hands = append(s.hands, h)
 	}
@@ -92,15 +92,15 @@
 	return s
 }
 
-func (s *site) agent(h *hand) *agent.Machine {
-	return agent.New(agent.Boot{Name: identifier.Runner(h.name), Addr: h.name, Domain: "a", Seeds: []string{"k"}, Seed: int64(s.now) * 1000, HoldMost: 6000, HoldUsual: h.hold, Pace: 100}, s.now)
+func (s *site) agent(h *hand) *agent.Agent {
+	return agent.New(agent.Config{Name: identifier.Runner(h.name), Addr: h.name, Domain: "a", Seeds: []string{"k"}, Seed: int64(s.now) * 1000, MaxLease: 6000, UsualLease: h.hold, HeartbeatInterval: 100}, s.now)
 }
 
 // request asks the keeper and waits for its answer.
-func (s *site) request(verb, path, body string) *wire.Reply {
+func (s *site) request(verb, path, body string) *wire.Response {
 	s.ask++
 	id := s.ask
-	s.posts = append(s.posts, post{s.now, "k", "op", wire.Msg{Ask: &wire.Ask{ID: id, Verb: verb, Path: path, Body: []byte(body), Budget: 2000}}})
+	s.posts = append(s.posts, post{s.now, "k", "op", wire.Message{Request: &wire.Request{ID: id, Method: verb, Path: path, Body: []byte(body), Budget: 2000}}})
 	for end := s.now.Add(3000); s.now < end; {
 		if r := s.got[id]; r != nil {
 			return r
@@ -111,8 +111,8 @@
 	return nil
 }
 
-func (s *site) must(verb, path, body string) *wire.Reply {
-	var r *wire.Reply
+func (s *site) must(verb, path, body string) *wire.Response {
+	var r *wire.Response
 	if r = s.request(verb, path, body); r.Status >= 300 {
 		s.t.Fatalf("%s %s: %d %s", verb, path, r.Status, r.Body)
 	}
@@ -162,10 +162,10 @@
 // named checks that every open grant is the one that its run's name leads to:
 // the keeper remembers what a name led to for as long as that grant is open.
 func (s *site) named() {
-	b := s.keep.Book()
-	for id, g := range b.Grants {
-		if at, ref, ok := b.Resolve(g.Runner, g.Inc, b.Named(g.Ref), g.No); !ok || at != id || ref != g.Ref {
-			s.t.Errorf("%d: %v, run %d, leads to %d, not to its open grant %d", s.now, g.Ref, g.No, at, id)
+	b := s.keep.State()
+	for id, g := range b.Leases {
+		if at, ref, ok := b.ResolveRun(g.Runner, g.Incarnation, b.AgentTaskRef(g.Task), g.Attempt); !ok || at != id || ref != g.Task {
+			s.t.Errorf("%d: %v, run %d, leads to %d, not to its open grant %d", s.now, g.Task, g.Attempt, at, id)
 		}
 	}
 }
@@ -178,16 +178,16 @@
 	}
 	switch {
 	case p.to == "k":
-		s.keep.Frame(wire.Peer(p.from), p.msg, s.now, clock.WallTime(1_800_000_000_000+int64(s.now)))
+		s.keep.HandleMessage(wire.Peer(p.from), p.msg, s.now, clock.WallTime(1_800_000_000_000+int64(s.now)))
 		s.out()
 	case p.to == "op":
-		if p.msg.Reply != nil {
-			s.got[p.msg.Reply.ID] = p.msg.Reply
+		if p.msg.Response != nil {
+			s.got[p.msg.Response.ID] = p.msg.Response
 		}
 	default:
 		for _, h := range s.hands {
 			if h.name == p.to {
-				h.mach.Frame("k", p.msg, s.now)
+				h.mach.HandleMessage("k", p.msg, s.now)
 				s.sends(h)
 			}
 		}
@@ -196,10 +196,10 @@
 
 func (s *site) out() {
 	for more := true; more; {
-		o := s.keep.Take()
+		o := s.keep.TakeOutput()
 		more = false
-		for _, x := range o.Sends {
-			s.posts = append(s.posts, post{s.now + 1 + clock.Monotonic(s.rnd.Intn(3)), string(x.To), "k", x.Msg})
+		for _, x := range o.Messages {
+			s.posts = append(s.posts, post{s.now + 1 + clock.Monotonic(s.rnd.Intn(3)), string(x.To), "k", x.Message})
 		}
 		for _, w := range o.Writes {
 			s.keep.Synced(w.Seq, s.now, clock.WallTime(1_800_000_000_000+int64(s.now)))
@@ -209,8 +209,8 @@
 }
 
 func (s *site) sends(h *hand) {
-	for _, x := range h.mach.Take().Sends {
-		s.posts = append(s.posts, post{s.now + 1 + clock.Monotonic(s.rnd.Intn(3)), string(x.To), h.name, x.Msg})
+	for _, x := range h.mach.TakeOutput().Messages {
+		s.posts = append(s.posts, post{s.now + 1 + clock.Monotonic(s.rnd.Intn(3)), string(x.To), h.name, x.Message})
 	}
 }
 
@@ -236,27 +236,27 @@
 		how := ""
 		switch {
 		case s.now > h.until:
-			how = runnerapi.Lapsed
+			how = runnerapi.OutcomeLeaseLapsed
 		case r.stop > 0 && s.now >= r.stop:
-			how = runnerapi.Stopped
+			how = runnerapi.OutcomeStopped
 		case h.hung:
 		case s.now >= r.end && r.bad:
-			how = runnerapi.Defect
+			how = runnerapi.OutcomeDefect
 		case s.now >= r.end:
-			how = runnerapi.Well
+			how = runnerapi.OutcomeSuccess
 		}
 		if how == "" {
 			kept = append(kept, r)
 			continue
 		}
 		ended = true
-		if how == runnerapi.Lapsed {
+		if how == runnerapi.OutcomeLeaseLapsed {
 			s.lapses++
 		}
 		h.n++
-		e := runnerapi.RunEnd{N: h.n, Task: r.Task, Run: r.No, How: how}
-		if h.saves && how != runnerapi.Well {
-			e.Saved = fmt.Sprintf("%d", s.now-r.at)
+		e := runnerapi.RunEnd{Seq: h.n, Task: r.Task, Attempt: r.Attempt, Outcome: how}
+		if h.saves && how != runnerapi.OutcomeSuccess {
+			e.Checkpoint = fmt.Sprintf("%d", s.now-r.at)
 		}
 		h.ends = append(h.ends, e)
 	}
@@ -272,37 +272,37 @@
 
 func (s *site) beat(h *hand) {
 	h.seq++
-	b := agent.Beat{Runner: identifier.Incarnation(fmt.Sprintf("%s-%d", h.name, h.inc)), Seq: h.seq, Pool: "x", Domain: "a", Rack: "r1", Cap: h.room, Draining: h.drain, Departs: 60000}
+	b := agent.Heartbeat{Runner: identifier.Incarnation(fmt.Sprintf("%s-%d", h.name, h.inc)), Seq: h.seq, Pool: "x", Domain: "a", Rack: "r1", Capacity: h.room, Draining: h.drain, DepartsIn: 60000}
 	for _, r := range h.runs {
-		far := 100 - int64(r.end-s.now)*100/int64(r.Run)
+		far := 100 - int64(r.end-s.now)*100/int64(r.ExpectedRun)
 		if h.hung {
 			far = 0
 		}
-		b.Active = append(b.Active, runnerapi.RunState{Task: r.Task, Run: r.No, Percent: far})
+		b.Active = append(b.Active, runnerapi.RunState{Task: r.Task, Attempt: r.Attempt, ProgressPercent: far})
 	}
 	b.Finished = append(b.Finished, h.ends...)
-	o := h.mach.Beat(b, s.now)
+	o := h.mach.HandleHeartbeat(b, s.now)
 	s.sends(h)
-	h.next = s.now + clock.Monotonic(o.Retry)
+	h.next = s.now + clock.Monotonic(o.NextHeartbeat)
 	if h.mute {
 		return
 	}
-	if o.Hold > 0 {
-		h.until = max(h.until, s.now.Add(o.Hold))
+	if o.Lease > 0 {
+		h.until = max(h.until, s.now.Add(o.Lease))
 	}
 	left := h.ends[:0]
 	for _, e := range h.ends {
-		if e.N > o.Observed {
+		if e.Seq > o.ObservedThrough {
 			left = append(left, e)
 			continue
 		}
-		s.done[fmt.Sprint(e.Task)] = s.done[fmt.Sprint(e.Task)] || e.How == runnerapi.Well
+		s.done[fmt.Sprint(e.Task)] = s.done[fmt.Sprint(e.Task)] || e.Outcome == runnerapi.OutcomeSuccess
 	}
 	h.ends = left
 	for _, x := range o.Stop {
 		x.Task = timed(x.Task)
 		for _, r := range h.runs {
-			if r.Task == x.Task && r.No == x.Run && r.stop == 0 {
+			if r.Task == x.Task && r.Attempt == x.Attempt && r.stop == 0 {
 				r.stop = s.now + 150
 			}
 		}
@@ -318,7 +318,7 @@
 	used := x.Demand
 	for _, r := range h.runs {
 		used = used.Plus(r.Demand)
-		if r.Task == x.Task && r.No == x.No {
+		if r.Task == x.Task && r.Attempt == x.Attempt {
 			return
 		}
 	}
@@ -340,7 +340,7 @@
 		s.t.Errorf("%d: DRAIN: %s began on %s", s.now, name, h.name)
 	}
 	s.starts[name]++
-	h.runs = append(h.runs, &running{Start: x, at: s.now, end: s.now + clock.Monotonic(x.Run)})
+	h.runs = append(h.runs, &running{Start: x, at: s.now, end: s.now + clock.Monotonic(x.ExpectedRun)})
 }
 
 func (s *site) submit(id string, tasks int, span int) {
@@ -468,7 +468,7 @@
 func TestLongWork(t *testing.T) {
 	s := newSite(t, 5, 3)
 	for _, h := range s.hands {
-		h.room = job.Demand{Milli: 20000, Mem: 20000}
+		h.room = job.Demand{MilliCores: 20000, Mem: 20000}
 		h.hold = 3500
 		h.mach = s.agent(h)
 	}
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -13,12 +13,12 @@
 	"orchidward/internal/transport/wire"
 )
 
-func (m *Machine) apply(e raft.Entry) {
+func (m *Server) apply(e raft.Entry) {
 	m.at = e.Index
 	at := m.came(e.Index)
 	m.since += int64(len(e.Data))
-	if e.Kind != raft.Command {
-		if e.Kind == raft.Config {
+	if e.Kind != raft.EntryCommand {
+		if e.Kind == raft.EntryConfig {
 			m.event("members", "list", m.raft.Members())
 		}
 		return
@@ -28,29 +28,29 @@
 		m.quit("an entry that this program does not know", "index", e.Index, "error", err)
 		return
 	}
-	if c.Raise != nil && c.Raise.Level > m.boot.Level {
-		m.quit("the group's level is above this program's", "level", c.Raise.Level)
+	if c.RaiseLevel != nil && c.RaiseLevel.Level > m.config.Level {
+		m.quit("the group's level is above this program's", "level", c.RaiseLevel.Level)
 		return
 	}
-	if c.Check != nil && m.parted(c.Check) {
+	if c.VerifyChecksum != nil && m.parted(c.VerifyChecksum) {
 		return
 	}
-	first := m.book.NextGrant
-	res := m.book.Apply(c)
-	if e.Term != m.seenTerm || m.book.Now > m.seen.site(m.now) {
-		m.seen, m.seenTerm = newClusterClock(m.book.Now, at), e.Term
+	first := m.state.NextLease
+	res := m.state.Apply(c)
+	if e.Term != m.seenTerm || m.state.Now > m.seen.site(m.now) {
+		m.seen, m.seenTerm = newClusterClock(m.state.Now, at), e.Term
 	}
 	m.trackRouting()
-	m.sums.put(e.Index, m.book.Sum)
+	m.sums.put(e.Index, m.state.Checksum)
 	m.logged(c, res)
-	m.book.Cool(func(n identifier.Runner) {
+	m.state.TakeChangedRunners(func(n identifier.Runner) {
 		if m.lead != nil {
 			m.lead.hot[n] = true
 		}
 	})
 	if m.lead != nil {
 		m.lead.dirty = true
-		for id := first; id < m.book.NextGrant; id++ {
+		for id := first; id < m.state.NextLease; id++ {
 			m.lead.placed[id] = m.now
 		}
 	}
@@ -67,7 +67,7 @@
 }
 
 // waiting lists the proposals under way in the order they were made.
-func (m *Machine) waiting() []identifier.Index {
+func (m *Server) waiting() []identifier.Index {
 	var list []identifier.Index
 	for i := range m.waits {
 		list = append(list, i)
@@ -76,7 +76,7 @@
 	return list
 }
 
-func (m *Machine) drop(i identifier.Index) {
+func (m *Server) drop(i identifier.Index) {
 	if m.waits[i].table {
 		m.tables--
 	}
@@ -86,53 +86,53 @@
 
 // view bounds the ring: by entries, by bytes, and by how full the disk says
 // the ring has become.
-func (m *Machine) view() {
+func (m *Server) view() {
 	n := m.at - m.raft.SnapshotIndex()
-	if n < viewEvery && m.since < viewBytes && (m.Full() < 50 || n < 256) {
+	if n < viewEvery && m.since < viewBytes && (m.LogPercentUsed() < 50 || n < 256) {
 		return
 	}
 	m.since = 0
-	m.raft.Compact(m.at, m.book.Encode())
+	m.raft.Compact(m.at, m.state.Encode())
 	m.event("view", "index", m.at)
 }
 
-func (m *Machine) carry(out raft.Output) bool {
-	if out.Load != nil {
-		b, err := state.Decode(out.Load.Data)
+func (m *Server) carry(out raft.Output) bool {
+	if out.InstalledSnapshot != nil {
+		b, err := state.Decode(out.InstalledSnapshot.Data)
 		if err != nil {
 			panic(fmt.Sprintf("keeper: view from the leader does not decode: %v", err))
 		}
-		if b.Level > m.boot.Level {
+		if b.Level > m.config.Level {
 			m.quit("the group's level is above this program's", "level", b.Level)
 			return false
 		}
-		m.book, m.at, m.since = b, out.Load.Index, 0
+		m.state, m.at, m.since = b, out.InstalledSnapshot.Index, 0
 		m.forgetRouting()
-		m.event("view-loaded", "index", out.Load.Index)
+		m.event("view-loaded", "index", out.InstalledSnapshot.Index)
 	}
-	for _, msg := range out.Msgs {
+	for _, msg := range out.Messages {
 		mem, ok := m.raft.Member(msg.To)
 		switch {
 		case ok:
-			m.send(wire.Peer(mem.Addr), wire.Msg{Raft: &msg})
+			m.send(wire.Peer(mem.Addr), wire.Message{Raft: &msg})
 		case msg.To == m.voice.id:
-			m.send(m.voice.peer, wire.Msg{Raft: &msg})
+			m.send(m.voice.peer, wire.Message{Raft: &msg})
 		}
 	}
 	if out.Write != nil {
 		m.out.Writes = append(m.out.Writes, out.Write)
 	}
-	if out.Draft != nil {
-		m.out.Draft = out.Draft
+	if out.LocalSnapshot != nil {
+		m.out.Snapshot = out.LocalSnapshot
 	}
-	for _, e := range out.Commit {
+	for _, e := range out.Committed {
 		if m.apply(e); m.over {
 			return false
 		}
 	}
-	if len(out.Commit) > 0 {
+	if len(out.Committed) > 0 {
 		m.view()
 	}
 	m.turn()
-	return len(out.Commit) > 0 && m.lead != nil
+	return len(out.Committed) > 0 && m.lead != nil
 }
--- a/internal/controlplane/boot.go
+++ b/internal/controlplane/boot.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Boot is what a keeper is told at its start.
-type Boot struct {
+// Config is what a keeper is told at its start.
+type Config struct {
 	ID     identifier.Node
 	Addr   string
 	Domain identifier.Domain
@@ -21,25 +21,25 @@
 	Level uint16
 	// Diskless makes it a porter: it has no identity and keeps nothing.
 	Diskless bool
-	// Found lets an empty keeper found a group.
-	Found bool
-	// Cells are the cells of the table's first row that a founder sets.
-	Cells map[string]string
+	// MayFound lets an empty keeper found a group.
+	MayFound bool
+	// InitialLimits are the cells of the table's first row that a founder sets.
+	InitialLimits map[string]string
 }
 
 // Event is one line for the log.
 type Event struct {
-	Name string
-	Vals []any
+	Name   string
+	Fields []any
 }
 
-// Out is what a step asks of the world. Start lays out a new ring.
-type Out struct {
-	Sends  []wire.Send
-	Start  *raft.Snapshot
-	Writes []*raft.Write
-	Draft  *raft.Snapshot
-	Events []Event
+// Output is what a step asks of the world. Start lays out a new ring.
+type Output struct {
+	Messages  []wire.Envelope
+	CreateLog *raft.Snapshot
+	Writes    []*raft.Write
+	Snapshot  *raft.Snapshot
+	Events    []Event
 	// Quit says why this keeper must step aside; it takes no further input.
 	Quit string
 }
@@ -66,5 +66,5 @@
 	leaderChangedRetry = 200
 )
 
-// Tick is how often a keeper should be ticked.
-const Tick clock.Millis = tickMs
+// TickInterval is how often a keeper should be ticked.
+const TickInterval clock.Millis = tickMs
--- a/internal/controlplane/clock.go
+++ b/internal/controlplane/clock.go
@@ -48,11 +48,11 @@
 // carried is the furthest that any voter in reach has carried cluster time from
 // the last leader's term: a leader that was away itself must not set it back
 // for the others, and one that slept must not carry on from before that term.
-func (m *Machine) carried() clock.ClusterTime {
-	at := max(m.book.Now, m.seen.site(m.now))
+func (m *Server) carried() clock.ClusterTime {
+	at := max(m.state.Now, m.seen.site(m.now))
 	for _, s := range m.raft.MemberStatuses() {
-		if s.Voter && s.Site > 0 && s.From >= m.raft.Basis() {
-			at = max(at, s.Site.Add(m.now.Since(s.At)))
+		if s.Voter && s.ClusterTime > 0 && s.ClusterTimeTerm >= m.raft.ClusterTimeTerm() {
+			at = max(at, s.ClusterTime.Add(m.now.Since(s.WallTimeReadAt)))
 		}
 	}
 	return at
@@ -66,9 +66,9 @@
 
 // note keeps track of how far the log reaches and since when. What came in
 // place of a torn tail came now, not when the tail did.
-func (m *Machine) note() {
-	last, n := m.raft.Last(), len(m.gots)
-	torn := m.raft.Truncated()
+func (m *Server) note() {
+	last, n := m.raft.LastIndex(), len(m.gots)
+	torn := m.raft.TakeTruncatedFrom()
 	for n > 0 && (m.gots[n-1].index > last || torn > 0 && m.gots[n-1].index >= torn) {
 		n--
 	}
@@ -80,7 +80,7 @@
 
 // came tells when an entry about to be applied came here, and forgets those
 // that came before it.
-func (m *Machine) came(i identifier.Index) clock.Monotonic {
+func (m *Server) came(i identifier.Index) clock.Monotonic {
 	n := 0
 	for n < len(m.gots) && m.gots[n].index < i {
 		n++
@@ -139,24 +139,24 @@
 // walls gathers the voters' clocks, each carried forward from when it was
 // told. The core is cold while no voter in reach has known an earlier leader since it
 // started: nobody carried time on.
-func (m *Machine) walls() walls {
+func (m *Server) walls() walls {
 	var w walls
-	w.cold = m.raft.Met() == m.term
+	w.cold = m.raft.FirstKnownTerm() == m.term
 	voters := 0
 	for _, mem := range m.raft.Members() {
 		if mem.Voter {
 			voters++
 		}
-		if mem.Voter && mem.ID == m.boot.ID {
+		if mem.Voter && mem.ID == m.config.ID {
 			w.list = append(w.list, clock.ClusterTime(m.wall))
 		}
 	}
 	for _, s := range m.raft.MemberStatuses() {
-		if !s.Voter || s.At == 0 || m.now.Since(s.At) > 2000 {
+		if !s.Voter || s.WallTimeReadAt == 0 || m.now.Since(s.WallTimeReadAt) > 2000 {
 			continue
 		}
-		w.list = append(w.list, clock.ClusterTime(s.Wall).Add(m.now.Since(s.At)))
-		w.cold = w.cold && s.Met == m.term
+		w.list = append(w.list, clock.ClusterTime(s.WallTime).Add(m.now.Since(s.WallTimeReadAt)))
+		w.cold = w.cold && s.FirstKnownTerm == m.term
 	}
 	w.need = voters/2 + 1
 	return w
--- a/internal/controlplane/deposed_test.go
+++ b/internal/controlplane/deposed_test.go
@@ -13,16 +13,16 @@
 
 // deliver hands a keeper a frame and lets its disk sync at once; it returns all
 // that the keeper sends.
-func deliver(m *controlplane.Machine, from wire.Peer, msg wire.Msg, now clock.Monotonic) []wire.Send {
-	m.Frame(from, msg, now, 0)
+func deliver(m *controlplane.Server, from wire.Peer, msg wire.Message, now clock.Monotonic) []wire.Envelope {
+	m.HandleMessage(from, msg, now, 0)
 	return synced(m, now)
 }
 
 // synced syncs what a keeper writes until it writes nothing more.
-func synced(m *controlplane.Machine, now clock.Monotonic) []wire.Send {
-	var sends []wire.Send
-	for o := m.Take(); len(o.Writes) > 0 || len(o.Sends) > 0; o = m.Take() {
-		sends = append(sends, o.Sends...)
+func synced(m *controlplane.Server, now clock.Monotonic) []wire.Envelope {
+	var sends []wire.Envelope
+	for o := m.TakeOutput(); len(o.Writes) > 0 || len(o.Messages) > 0; o = m.TakeOutput() {
+		sends = append(sends, o.Messages...)
 		for _, w := range o.Writes {
 			m.Synced(w.Seq, now, 0)
 		}
@@ -32,9 +32,9 @@
 
 // leaderOfThree is a keeper that leads two others, "k2" and "k3", which have
 // acknowledged all it has.
-func leaderOfThree(t *testing.T) (m *controlplane.Machine, now clock.Monotonic) {
+func leaderOfThree(t *testing.T) (m *controlplane.Server, now clock.Monotonic) {
 	t.Helper()
-	m = controlplane.New(controlplane.Boot{ID: 1, Addr: "k1", Domain: "a", Timing: raft.Usual(), Level: state.Present}, 0)
+	m = controlplane.New(controlplane.Config{ID: 1, Addr: "k1", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel}, 0)
 	members := []raft.Member{{ID: 1, Addr: "k1", Domain: "a", Voter: true}, {ID: 2, Addr: "k2", Domain: "b", Voter: true}, {ID: 3, Addr: "k3", Domain: "c", Voter: true}}
 	if err := m.Resume(raft.HardState{}, &raft.Snapshot{Index: 1, Term: 1, Members: members, Data: state.New().Encode()}, nil); err != nil {
 		t.Fatal(err)
@@ -42,7 +42,7 @@
 	for now = 100; now < 20000; now += 20 {
 		m.Tick(now, 0)
 		agree(m, synced(m, now), now)
-		if m.Raft().Role() == raft.Leader && m.Raft().Leased(now) && m.Raft().Replicated() {
+		if m.Raft().Role() == raft.Leader && m.Raft().HasLease(now) && m.Raft().Replicated() {
 			return m, now
 		}
 	}
@@ -51,11 +51,11 @@
 }
 
 // agree answers a keeper's messages as the others would.
-func agree(m *controlplane.Machine, sends []wire.Send, now clock.Monotonic) {
+func agree(m *controlplane.Server, sends []wire.Envelope, now clock.Monotonic) {
 	for len(sends) > 0 {
-		next := []wire.Send{}
+		next := []wire.Envelope{}
 		for _, s := range sends {
-			if r := s.Msg.Raft; r != nil {
+			if r := s.Message.Raft; r != nil {
 				next = append(next, answerTo(m, s.To, r, now)...)
 			}
 		}
@@ -63,8 +63,8 @@
 	}
 }
 
-func answerTo(m *controlplane.Machine, from wire.Peer, r *raft.Message, now clock.Monotonic) []wire.Send {
-	back := raft.Message{From: r.To, To: r.From, Term: r.Term, Stamp: r.Stamp}
+func answerTo(m *controlplane.Server, from wire.Peer, r *raft.Message, now clock.Monotonic) []wire.Envelope {
+	back := raft.Message{From: r.To, To: r.From, Term: r.Term, SentAt: r.SentAt}
 	switch r.Kind {
 	case raft.RequestPreVote:
 		back.Kind, back.Term = raft.PreVoteReply, r.Term
@@ -75,7 +75,7 @@
 	default:
 		return nil
 	}
-	return deliver(m, from, wire.Msg{Raft: &back}, now)
+	return deliver(m, from, wire.Message{Raft: &back}, now)
 }
 
 // TestDeposed: a leader that loses its place with a proposal under way says that
@@ -83,20 +83,20 @@
 // that another leads: the entry may yet be committed.
 func TestDeposed(t *testing.T) {
 	m, now := leaderOfThree(t)
-	order := &wire.Ask{ID: 5, Verb: "PUT", Path: "/v1/jobs/a/1", Body: []byte(`{"pending":"stock","steps":[{"name":"s"}]}`), Budget: 3000}
-	sends := deliver(m, "#1", wire.Msg{Ask: order}, now)
+	order := &wire.Request{ID: 5, Method: "PUT", Path: "/v1/jobs/a/1", Body: []byte(`{"pending":"stock","steps":[{"name":"s"}]}`), Budget: 3000}
+	sends := deliver(m, "#1", wire.Message{Request: order}, now)
 	for _, s := range sends {
-		if s.Msg.Reply != nil {
-			t.Fatalf("answered before it is decided: %+v", s.Msg.Reply)
+		if s.Message.Response != nil {
+			t.Fatalf("answered before it is decided: %+v", s.Message.Response)
 		}
 	}
 	term := m.Raft().Term()
-	sends = deliver(m, "k2", wire.Msg{Raft: &raft.Message{Kind: raft.AppendEntries, From: 2, To: 1, Term: term + 1, Index: 1, LogTerm: 1, Stamp: 10}}, now+10)
+	sends = deliver(m, "k2", wire.Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 2, To: 1, Term: term + 1, Index: 1, LogTerm: 1, SentAt: 10}}, now+10)
 	found := 0
 	for _, s := range sends {
-		if r := s.Msg.Reply; r != nil && s.To == "#1" && r.ID == 5 {
+		if r := s.Message.Response; r != nil && s.To == "#1" && r.ID == 5 {
 			found++
-			if r.Status != 504 || r.Moved || r.Expired {
+			if r.Status != 504 || r.NotLeader || r.Expired {
 				t.Errorf("deposed, it answered %+v", r)
 			}
 		}
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -2,13 +2,13 @@
 // (package raft), the replicated state (package state), and the work that the
 // leader alone does.
 //
-// A server is a pure state machine, [Machine]. It starts no goroutine, does no
+// A server is a pure state machine, [Server]. It starts no goroutine, does no
 // input or output and reads no clock: package serverd runs it as a daemon, and
 // package sim in virtual time.
 //
 // New makes one and Resume gives it what its disk held. From then on its inputs
 // are the time (Tick), messages of other processes (Frame) and finished work of
-// its disk (Started, Synced). After any of them Take returns an [Out]: messages to
+// its disk (Started, Synced). After any of them Take returns an [Output]: messages to
 // send, a log to create, batches and a snapshot to write, and events to log. Quit
 // says that the server must stop, for example because it met a command that this
 // version does not know.
--- a/internal/controlplane/find.go
+++ b/internal/controlplane/find.go
@@ -41,31 +41,31 @@
 	reportGap = 1000
 )
 
-func (m *Machine) self(ask bool) *wire.Tell {
-	t := &wire.Tell{Ask: ask, Role: "keeper", Node: m.boot.ID, Addr: m.boot.Addr, Domain: m.boot.Domain, Gates: m.liveGates()}
+func (m *Server) self(ask bool) *wire.Announcement {
+	t := &wire.Announcement{WantReply: ask, Role: "keeper", Node: m.config.ID, Addr: m.config.Addr, Domain: m.config.Domain, Gateways: m.liveGates()}
 	if p := m.porter; p != nil {
 		t.Role, t.Node, t.Founded, t.Members = "porter", 0, p.knows(), p.members
 		if mem, ok := p.leader(m.now); ok {
-			t.Lead = mem.ID
+			t.LeaderID = mem.ID
 		}
 	}
 	if m.raft != nil {
-		t.Founded, t.Lead, t.Members, t.Founders = true, m.raft.Lead(), m.raft.Members(), m.founders
+		t.Founded, t.LeaderID, t.Members, t.Founders = true, m.raft.Leader(), m.raft.Members(), m.founders
 		if m.leads() {
-			t.Leader = m.leaderTime()
+			t.LeaderTime = m.leaderTime()
 		}
 	}
 	return t
 }
 
-func (m *Machine) seek() {
+func (m *Server) seek() {
 	f := m.find
 	if m.now < f.next || f.begun {
 		return
 	}
 	f.next = m.now.Add(seekGap)
-	for _, s := range m.boot.Seeds {
-		m.send(wire.Peer(s), wire.Msg{Tell: m.self(true)})
+	for _, s := range m.config.Seeds {
+		m.send(wire.Peer(s), wire.Message{Announcement: m.self(true)})
 	}
 	m.found()
 }
@@ -73,13 +73,13 @@
 // found lays the first view when every seed has lately said that it is an empty
 // keeper, this one among them, or that it has no disk. Who has none is fixed, and
 // all have the same seeds at the first start, so that all come to the same group.
-func (m *Machine) found() {
-	if !m.boot.Found {
+func (m *Server) found() {
+	if !m.config.MayFound {
 		return
 	}
 	list, own := []raft.Member{}, false
 	names := map[identifier.Node]bool{}
-	for _, s := range m.boot.Seeds {
+	for _, s := range m.config.Seeds {
 		if at, ok := m.find.seen[s]; !ok || m.now.Since(at) > seekLife {
 			return
 		}
@@ -87,11 +87,11 @@
 			continue
 		}
 		mem := m.find.empty[s]
-		own = own || mem.ID == m.boot.ID
+		own = own || mem.ID == m.config.ID
 		names[mem.ID] = true
 		list = append(list, mem)
 	}
-	if !own || len(list) == 0 || len(names) != len(list) || len(list) < len(m.boot.Seeds) && !m.find.still(m.now) {
+	if !own || len(list) == 0 || len(names) != len(list) || len(list) < len(m.config.Seeds) && !m.find.still(m.now) {
 		return
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
@@ -104,43 +104,43 @@
 	return now.Since(f.born) >= stillMs && (f.stirred == 0 || now.Since(f.stirred) >= stillMs)
 }
 
-func (m *Machine) begin(list []raft.Member, at identifier.Index) {
+func (m *Server) begin(list []raft.Member, at identifier.Index) {
 	m.find.begun = true
 	v := &raft.Snapshot{Index: at, Term: identifier.Term(at), Members: list, Data: m.first().Encode()}
-	m.out.Start = v
+	m.out.CreateLog = v
 	m.event("begin", "founder", at == 1, "members", list)
 }
 
 // first is the book a group begins with.
-func (m *Machine) first() *state.Book {
+func (m *Server) first() *state.Store {
 	b := state.New()
-	for name, text := range m.boot.Cells {
-		b.Table.Rows[limits.SiteRow][name] = text
+	for name, text := range m.config.InitialLimits {
+		b.Limits.Rows[limits.SiteRow][name] = text
 	}
 	return b
 }
 
-// Started says that the ring Out.Start asked for is on disk.
-func (m *Machine) Started(v *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
+// LogCreated says that the ring Out.CreateLog asked for is on disk.
+func (m *Server) LogCreated(v *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
 	m.clock(now, wall)
 	if err := m.Resume(raft.HardState{}, v, nil); err != nil {
 		m.quit(err.Error())
 	}
 }
 
-func (m *Machine) tell(from wire.Peer, t *wire.Tell) {
+func (m *Server) tell(from wire.Peer, t *wire.Announcement) {
 	if t.Role == "gate" {
 		m.gateSeen(t.HTTP)
 		if _, known := m.edge[t.Addr]; known || len(m.edge) < mostGates {
 			m.edge[t.Addr] = m.now
 		}
 	}
-	if t.Ask && m.porter != nil && m.porter.unsure(m.now) {
+	if t.WantReply && m.porter != nil && m.porter.unsure(m.now) {
 		m.learn(t)
 		return
 	}
-	if t.Ask {
-		m.send(from, wire.Msg{Tell: m.self(false)})
+	if t.WantReply {
+		m.send(from, wire.Message{Announcement: m.self(false)})
 		if m.find == nil || !t.Founded {
 			return
 		}
@@ -157,7 +157,7 @@
 	}
 	if t.Founded {
 		for _, one := range t.Founders {
-			if one.ID == m.boot.ID {
+			if one.ID == m.config.ID {
 				m.begin(t.Founders, 1)
 				return
 			}
@@ -184,16 +184,16 @@
 
 // join asks for a place as a learner: whoever told of the group, if that was a
 // keeper, or else the keepers that a gate told of.
-func (m *Machine) join(from wire.Peer, t *wire.Tell) {
+func (m *Server) join(from wire.Peer, t *wire.Announcement) {
 	for _, one := range t.Members {
-		if one.ID == m.boot.ID && one.Addr == m.boot.Addr {
+		if one.ID == m.config.ID && one.Addr == m.config.Addr {
 			if m.raft == nil {
 				m.begin(t.Members, 0)
 			}
 			return
 		}
 	}
-	body, err := json.Marshal(joinBody{m.boot.ID.String(), m.boot.Addr, m.boot.Domain, m.boot.Level})
+	body, err := json.Marshal(joinBody{m.config.ID.String(), m.config.Addr, m.config.Domain, m.config.Level})
 	if err != nil {
 		panic(err)
 	}
@@ -206,36 +206,36 @@
 	}
 	for _, peer := range to {
 		m.nextID++
-		m.send(peer, wire.Msg{Ask: &wire.Ask{ID: m.nextID, Verb: "JOIN", Path: "/", Body: body, Budget: seekLife}})
+		m.send(peer, wire.Message{Request: &wire.Request{ID: m.nextID, Method: "JOIN", Path: "/", Body: body, Budget: seekLife}})
 	}
 }
 
 // rejoin asks for a place again when this keeper, long without a leader,
 // hears of a group that has given its seat away or has an old address of it.
-func (m *Machine) rejoin(from wire.Peer, t *wire.Tell) {
-	if t.Founded && t.Lead != 0 && t.Node != m.boot.ID {
+func (m *Server) rejoin(from wire.Peer, t *wire.Announcement) {
+	if t.Founded && t.LeaderID != 0 && t.Node != m.config.ID {
 		m.join(from, t)
 	}
 }
 
 // stray keeps asking the seeds and members when no leader is heard.
-func (m *Machine) stray() {
+func (m *Server) stray() {
 	if m.now.Since(m.alone) < deadMs/2 || int64(m.now)%(seekGap*4) >= tickMs {
 		return
 	}
-	for _, s := range m.boot.Seeds {
-		m.send(wire.Peer(s), wire.Msg{Tell: m.self(true)})
+	for _, s := range m.config.Seeds {
+		m.send(wire.Peer(s), wire.Message{Announcement: m.self(true)})
 	}
 	for _, mem := range m.raft.Members() {
-		if mem.ID != m.boot.ID {
-			m.send(wire.Peer(mem.Addr), wire.Msg{Tell: m.self(true)})
+		if mem.ID != m.config.ID {
+			m.send(wire.Peer(mem.Addr), wire.Message{Announcement: m.self(true)})
 		}
 	}
 }
 
 // herald tells gates and agents that this keeper leads, so that none of them
 // waits on the one before it.
-func (m *Machine) herald() {
+func (m *Server) herald() {
 	t := m.self(false)
 	list := []string{}
 	for addr, at := range m.edge {
@@ -243,20 +243,20 @@
 			list = append(list, addr)
 		}
 	}
-	for _, n := range m.book.RunnerNames() {
-		if r := m.book.Runners[n]; r.Addr != "" && !r.Gone {
-			list = append(list, r.Addr)
+	for _, n := range m.state.RunnerNames() {
+		if r := m.state.Runners[n]; r.AgentAddr != "" && !r.Gone {
+			list = append(list, r.AgentAddr)
 		}
 	}
 	sort.Strings(list)
 	for _, addr := range list {
-		m.send(wire.Peer(addr), wire.Msg{Tell: t})
+		m.send(wire.Peer(addr), wire.Message{Announcement: t})
 	}
 }
 
 // report tells seeds that are no members where the group is: porters, which
 // forget it, and machines that have come back empty.
-func (m *Machine) report() {
+func (m *Server) report() {
 	if m.now.Since(m.lead.told) < reportGap {
 		return
 	}
@@ -265,21 +265,21 @@
 	for _, mem := range m.raft.Members() {
 		members[mem.Addr] = true
 	}
-	for _, s := range m.boot.Seeds {
+	for _, s := range m.config.Seeds {
 		if !members[s] {
-			m.send(wire.Peer(s), wire.Msg{Tell: m.self(false)})
+			m.send(wire.Peer(s), wire.Message{Announcement: m.self(false)})
 		}
 	}
 }
 
 // gateSeen notes that a gate lives; past the bound no more are taken in.
-func (m *Machine) gateSeen(http string) {
+func (m *Server) gateSeen(http string) {
 	if _, known := m.gates[http]; known || http != "" && len(m.gates) < mostGates {
 		m.gates[http] = m.now
 	}
 }
 
-func (m *Machine) liveGates() []string {
+func (m *Server) liveGates() []string {
 	var out []string
 	for g, at := range m.gates {
 		if m.now.Since(at) < gateLife {
--- a/internal/controlplane/gang.go
+++ b/internal/controlplane/gang.go
@@ -19,16 +19,16 @@
 
 // gangSpan is how long a member may go on without word: less than a grant, and
 // longer than a change of leaders takes.
-func (m *Machine) gangSpan(g *state.Grant) clock.Millis {
-	if m.book.Level < 1 || !spread(g, m.book.Partners(g)) {
+func (m *Server) gangSpan(g *state.Lease) clock.Millis {
+	if m.state.Level < 1 || !spread(g, m.state.Partners(g)) {
 		return 0
 	}
-	return m.book.Table.Site("grantMs") * 7 / 10
+	return m.state.Limits.SiteMillis("grantMs") * 7 / 10
 }
 
 // spread tells whether the grant is a gang member's whose partners hold grants
 // on other runners.
-func spread(g *state.Grant, partners []*state.Grant) bool {
+func spread(g *state.Lease, partners []*state.Lease) bool {
 	for _, p := range partners {
 		if p.Runner != g.Runner {
 			return true
@@ -39,9 +39,9 @@
 
 // runs tells whether a grant is seen running, or ended, on a runner that has
 // not missed a poll: word given on older news would outlive a dead partner.
-func (m *Machine) runs(g *state.Grant) bool {
+func (m *Server) runs(g *state.Lease) bool {
 	c := m.lead.runners[g.Runner]
-	if c == nil || !c.known || c.inc != g.Inc || g.Stop != "" || c.quiet(m.now) > m.book.Table.Site("startMs")*3/2 {
+	if c == nil || !c.known || c.inc != g.Incarnation || g.RevokeReason != "" || c.quiet(m.now) > m.state.Limits.SiteMillis("startMs")*3/2 {
 		return false
 	}
 	_, over := c.ended[g.ID]
@@ -50,42 +50,42 @@
 
 // wholes names the members running here whose partners all run. It says
 // whether there is one that the runner has not been told of since it began.
-func (m *Machine) wholes(c *contact, a *runnerapi.Answer) bool {
+func (m *Server) wholes(c *contact, a *runnerapi.PollResponse) bool {
 	var word bool
 	for id := range c.running {
-		g := m.book.Grants[id]
-		if g == nil || g.Stop != "" {
+		g := m.state.Leases[id]
+		if g == nil || g.RevokeReason != "" {
 			continue
 		}
-		partners := m.book.Partners(g)
+		partners := m.state.Partners(g)
 		whole := spread(g, partners)
 		for _, p := range partners {
 			whole = whole && m.runs(p)
 		}
 		if whole {
-			a.Whole = append(a.Whole, id)
+			a.CompleteGangs = append(a.CompleteGangs, id)
 			word = word || !c.told[id]
 		}
 	}
-	sortGrants(a.Whole)
+	sortGrants(a.CompleteGangs)
 	return word
 }
 
 // doubts calls back the gangs of runners that have been silent for too long.
-func (m *Machine) doubts() {
+func (m *Server) doubts() {
 	l := m.lead
 	if l.doubt > m.at {
 		return
 	}
 	var late []identifier.LeaseID
-	span := silence * m.book.Table.Site("startMs")
+	span := silence * m.state.Limits.SiteMillis("startMs")
 	for n, c := range l.runners {
-		r := m.book.Runners[n]
-		if r == nil || r.Gone || r.Open() == 0 || c.quiet(m.now) <= span {
+		r := m.state.Runners[n]
+		if r == nil || r.Gone || r.OpenLeases() == 0 || c.quiet(m.now) <= span {
 			continue
 		}
-		for _, id := range r.GrantIDs() {
-			if g := m.book.Grants[id]; g.Stop == "" && spread(g, m.book.Partners(g)) {
+		for _, id := range r.LeaseIDs() {
+			if g := m.state.Leases[id]; g.RevokeReason == "" && spread(g, m.state.Partners(g)) {
 				late = append(late, id)
 			}
 		}
@@ -95,5 +95,5 @@
 	}
 	sortGrants(late)
 	m.event("gang-in-doubt", "grants", len(late))
-	l.doubt = m.propose(&state.Command{Recall: &state.Recall{Grants: late, Why: state.StopSilent}})
+	l.doubt = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeGangMemberSilent}})
 }
--- a/internal/controlplane/health.go
+++ b/internal/controlplane/health.go
@@ -42,20 +42,20 @@
 )
 
 // progress takes what a run says of itself.
-func (m *Machine) progress(a *agentSide, h *held, s runnerapi.RunState) {
-	p, g := h.pace, m.book.Grants[h.id]
+func (m *Server) progress(a *agentSide, h *held, s runnerapi.RunState) {
+	p, g := h.pace, m.state.Leases[h.id]
 	if g == nil {
 		return
 	}
-	if s.Still > 0 {
-		a.doubt = min(a.doubt, m.now.Add(leastStill(g)-s.Still))
+	if s.StalledFor > 0 {
+		a.doubt = min(a.doubt, m.now.Add(leastStill(g)-s.StalledFor))
 	}
 	if p == nil {
-		h.pace = &pace{from: s.Percent, percent: s.Percent, still: s.Still}
+		h.pace = &pace{from: s.ProgressPercent, percent: s.ProgressPercent, still: s.StalledFor}
 		return
 	}
-	p.still, p.percent = s.Still, s.Percent
-	if p.rate = s.Speed * int64(g.Run) / 1000; s.Percent >= whole {
+	p.still, p.percent = s.StalledFor, s.ProgressPercent
+	if p.rate = s.ProgressRate * int64(g.ExpectedRun) / 1000; s.ProgressPercent >= whole {
 		p.rate = 0
 	}
 }
@@ -63,11 +63,11 @@
 // rated takes the rate of a runner from those of its runs that tell one. Members
 // of a gang that stands on several runners go as fast as the slowest of them,
 // and say nothing of their own. Old evidence is forgotten.
-func (m *Machine) rated(a *agentSide) {
+func (m *Server) rated(a *agentSide) {
 	sum, n := int64(0), int64(0)
 	for id, h := range a.runs {
-		p, g := h.pace, m.book.Grants[id]
-		if p != nil && p.rate > 0 && g != nil && !spread(g, m.book.Partners(g)) {
+		p, g := h.pace, m.state.Leases[id]
+		if p != nil && p.rate > 0 && g != nil && !spread(g, m.state.Partners(g)) {
 			sum += min(p.rate, 2000)
 			n++
 		}
@@ -85,20 +85,20 @@
 const whole = 99
 
 // leastStill is the least time without a move that is held against a run.
-func leastStill(g *state.Grant) clock.Millis { return stillLeast + g.Run/8 }
+func leastStill(g *state.Lease) clock.Millis { return stillLeast + g.ExpectedRun/8 }
 
 // still tells whether a run has not moved for longer than any sound one would,
 // a slow one included: a hundredth of a slow run is some hundredths of its span.
-func (m *Machine) still(c *contact, p *pace, g *state.Grant) bool {
-	j := m.book.Jobs[g.Ref.Job]
-	st := j.Spec.Steps[g.Ref.Step]
+func (m *Server) still(c *contact, p *pace, g *state.Lease) bool {
+	j := m.state.Jobs[g.Task.Job]
+	st := j.Spec.Steps[g.Task.Step]
 	span := leastStill(g)
 	switch {
-	case p.still == 0 || st.Lasting:
+	case p.still == 0 || st.Service:
 		return false
 	case p.percent >= whole:
-		span = 2 * (stillLeast + g.Run)
-	case p.percent == p.from && j.Task(g.Ref).Saved != "":
+		span = 2 * (stillLeast + g.ExpectedRun)
+	case p.percent == p.from && j.Task(g.Task).Checkpoint != "":
 		span += restoring
 	}
 	if p.percent == 0 && st.Gang && !m.gathered(g) {
@@ -108,8 +108,8 @@
 }
 
 // gathered tells whether all members of a run's gang are there.
-func (m *Machine) gathered(g *state.Grant) bool {
-	for _, p := range m.book.Partners(g) {
+func (m *Server) gathered(g *state.Lease) bool {
+	for _, p := range m.state.Partners(g) {
 		c := m.lead.runners[p.Runner]
 		if c == nil || !c.running[p.ID] {
 			return false
@@ -119,7 +119,7 @@
 }
 
 // health calls back what stands still.
-func (m *Machine) health() {
+func (m *Server) health() {
 	l := m.lead
 	if l.moving > m.at || m.now.Since(l.looked) < healthGap {
 		return
@@ -127,7 +127,7 @@
 	l.looked = m.now
 	var late, slow []identifier.LeaseID
 	room := map[identifier.Runner]job.Demand{}
-	for _, n := range m.book.RunnerNames() {
+	for _, n := range m.state.RunnerNames() {
 		c := l.runners[n]
 		if c == nil || c.agent == nil || c.silent > 400 || m.now.Since(c.heard) > 1000 {
 			continue
@@ -135,9 +135,9 @@
 		if m.now <= c.agent.doubt && c.agent.rate >= slowRate {
 			continue
 		}
-		for _, id := range m.book.Runners[n].GrantIDs() {
-			h, g := c.agent.runs[id], m.book.Grants[id]
-			if h == nil || h.pace == nil || g.Stop != "" || len(late)+len(slow) >= mostMoves {
+		for _, id := range m.state.Runners[n].LeaseIDs() {
+			h, g := c.agent.runs[id], m.state.Leases[id]
+			if h == nil || h.pace == nil || g.RevokeReason != "" || len(late)+len(slow) >= mostMoves {
 				continue
 			}
 			if !m.still(c, h.pace, g) {
@@ -148,33 +148,33 @@
 			}
 			late = append(late, id)
 			c.agent.ill = m.now.Add(illSpan)
-			m.event("stands-still", "runner", n, "task", g.Ref, "run", g.No, "percent", h.pace.percent)
+			m.event("stands-still", "runner", n, "task", g.Task, "run", g.Attempt, "percent", h.pace.percent)
 		}
 	}
 	if len(slow) > 0 {
 		sortGrants(slow)
 		m.event("slow", "grants", len(slow))
-		l.moving = m.propose(&state.Command{Recall: &state.Recall{Grants: slow, Why: state.StopSlow}})
+		l.moving = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: slow, Reason: state.RevokeSlow}})
 	}
 	if never := m.never(); len(never) > 0 {
-		l.moving = m.propose(&state.Command{Recall: &state.Recall{Grants: never, Why: state.StopLate}})
+		l.moving = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: never, Reason: state.RevokeStartUnconfirmed}})
 	}
 	if len(late) > 0 {
 		sortGrants(late)
-		l.moving = m.propose(&state.Command{Recall: &state.Recall{Grants: late, Why: state.StopStill}})
+		l.moving = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeStalled}})
 	}
 }
 
 // slower tells whether a run on a slow runner would be done sooner if it began
 // elsewhere, with what progress is saved.
-func (m *Machine) slower(c *contact, p *pace, g *state.Grant) bool {
-	st := m.book.Jobs[g.Ref.Job].Spec.Steps[g.Ref.Step]
-	if c.agent.rate >= slowRate || p.rate == 0 || p.rate >= slowRate || st.Lasting || p.percent >= whole {
+func (m *Server) slower(c *contact, p *pace, g *state.Lease) bool {
+	st := m.state.Jobs[g.Task.Job].Spec.Steps[g.Task.Step]
+	if c.agent.rate >= slowRate || p.rate == 0 || p.rate >= slowRate || st.Service || p.percent >= whole {
 		return false
 	}
-	left := g.Run * clock.Millis(100-p.percent) / 100
-	here, there := left*1000/clock.Millis(p.rate), g.Run
-	if st.Saves {
+	left := g.ExpectedRun * clock.Millis(100-p.percent) / 100
+	here, there := left*1000/clock.Millis(p.rate), g.ExpectedRun
+	if st.Checkpoints {
 		there = min(there, left+restoring)
 	}
 	return here > there+there/4+moveCost
@@ -182,13 +182,13 @@
 
 // roomElsewhere takes room for a run, or for its whole gang, on other runners of
 // the pool that are well; room is what was taken before.
-func (m *Machine) roomElsewhere(from identifier.Runner, g *state.Grant, room map[identifier.Runner]job.Demand) bool {
-	need := 1 + len(m.book.Partners(g))
-	pool, fresh := m.book.Runners[from].Pool, m.fresh()
+func (m *Server) roomElsewhere(from identifier.Runner, g *state.Lease, room map[identifier.Runner]job.Demand) bool {
+	need := 1 + len(m.state.Partners(g))
+	pool, fresh := m.state.Runners[from].Pool, m.fresh()
 	var at []identifier.Runner
-	for _, n := range m.book.RunnerNames() {
-		r, c := m.book.Runners[n], m.lead.runners[n]
-		if n == from || r.Pool != pool || r.Gone || r.Fence() != "" || c == nil || c.agent == nil || c.agent.rate < slowRate || !fresh(n) {
+	for _, n := range m.state.RunnerNames() {
+		r, c := m.state.Runners[n], m.lead.runners[n]
+		if n == from || r.Pool != pool || r.Gone || r.CordonedBy() != "" || c == nil || c.agent == nil || c.agent.rate < slowRate || !fresh(n) {
 			continue
 		}
 		free := r.Free().Minus(room[n])
@@ -208,15 +208,15 @@
 
 // never lists what was placed on agents' runners that are leaving or closed and
 // has not begun there, and so never will.
-func (m *Machine) never() []identifier.LeaseID {
+func (m *Server) never() []identifier.LeaseID {
 	var list []identifier.LeaseID
-	for _, n := range m.book.RunnerNames() {
-		c, r := m.lead.runners[n], m.book.Runners[n]
-		if c == nil || c.agent == nil || !c.known || r.Inc != c.inc || !c.drain && r.Fence() == "" {
+	for _, n := range m.state.RunnerNames() {
+		c, r := m.lead.runners[n], m.state.Runners[n]
+		if c == nil || c.agent == nil || !c.known || r.Incarnation != c.inc || !c.drain && r.CordonedBy() == "" {
 			continue
 		}
-		for _, id := range r.GrantIDs() {
-			if _, over := c.ended[id]; !over && !c.running[id] && m.book.Grants[id].Stop == "" {
+		for _, id := range r.LeaseIDs() {
+			if _, over := c.ended[id]; !over && !c.running[id] && m.state.Leases[id].RevokeReason == "" {
 				list = append(list, id)
 			}
 		}
@@ -225,10 +225,10 @@
 }
 
 // ill tells whether nothing should be placed on a runner for now.
-func (m *Machine) ill(c *contact) bool { return c.agent != nil && m.now < c.agent.ill }
+func (m *Server) ill(c *contact) bool { return c.agent != nil && m.now < c.agent.ill }
 
 // pace is how fast work goes on a runner, in thousandths of its estimates.
-func (m *Machine) pace(n identifier.Runner) int64 {
+func (m *Server) pace(n identifier.Runner) int64 {
 	if c := m.lead.runners[n]; c != nil && c.agent != nil {
 		return c.agent.rate
 	}
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -92,13 +92,13 @@
 	at    clock.Monotonic
 }
 
-func (m *Machine) rise() {
+func (m *Server) rise() {
 	l := &lead{runners: map[identifier.Runner]*contact{}, placed: map[identifier.LeaseID]clock.Monotonic{}, sure: map[identifier.LeaseID]bool{},
 		duty: map[string]identifier.Index{}, entered: map[string]entry{}, losing: map[identifier.Runner]identifier.Index{}, hot: map[identifier.Runner]bool{}, dirty: true, planned: -planGap, rose: m.now, enough: m.now}
-	for _, n := range m.book.RunnerNames() {
-		l.runners[n] = &contact{inc: m.book.Runners[n].Inc, heard: m.now}
+	for _, n := range m.state.RunnerNames() {
+		l.runners[n] = &contact{inc: m.state.Runners[n].Incarnation, heard: m.now}
 	}
-	for id := range m.book.Grants {
+	for id := range m.state.Leases {
 		l.placed[id] = m.now
 	}
 	l.clock = newClusterClock(m.carried(), m.now)
@@ -107,7 +107,7 @@
 }
 
 // propose puts a command into the log. It is not decided until applied.
-func (m *Machine) propose(c *state.Command) identifier.Index {
+func (m *Server) propose(c *state.Command) identifier.Index {
 	c.At = m.lead.clock.site(m.now)
 	i, ok := m.raft.Propose(c.Encode())
 	if !ok {
@@ -117,7 +117,7 @@
 }
 
 // work is everything the leader does after each input.
-func (m *Machine) work() {
+func (m *Server) work() {
 	if !m.leads() {
 		return
 	}
@@ -127,7 +127,7 @@
 }
 
 // duties run with the clock alone.
-func (m *Machine) duties() {
+func (m *Server) duties() {
 	if !m.leads() {
 		return
 	}
@@ -145,7 +145,7 @@
 	m.report()
 	m.raise()
 	m.check()
-	if at, ok := m.book.NextStart(); ok && l.clock.site(m.now) >= at || m.now.Since(l.beat) > 10000 {
+	if at, ok := m.state.NextScheduledStart(); ok && l.clock.site(m.now) >= at || m.now.Since(l.beat) > 10000 {
 		l.beat = m.now
 		m.propose(&state.Command{})
 	}
@@ -153,28 +153,28 @@
 
 // lapses counts a runner lost when it has been silent for longer than its
 // grant can have lasted on its own clock.
-func (m *Machine) lapses() {
+func (m *Server) lapses() {
 	l := m.lead
-	grant := m.book.GrantSpan()
-	for _, n := range m.book.RunnerNames() {
-		r, c := m.book.Runners[n], l.runners[n]
+	grant := m.state.LeaseSpan()
+	for _, n := range m.state.RunnerNames() {
+		r, c := m.state.Runners[n], l.runners[n]
 		if c == nil || r.Gone || !c.lapsed(m.now, grant) || l.losing[n] > m.at {
 			continue
 		}
 		m.event("runner-lost", "runner", n, "quietMs", c.quiet(m.now))
-		l.losing[n] = m.propose(&state.Command{Lost: &state.Lost{Runner: n, Inc: r.Inc, Saves: m.saves(c)}})
+		l.losing[n] = m.propose(&state.Command{LoseRunner: &state.LoseRunner{Runner: n, Incarnation: r.Incarnation, Checkpoints: m.saves(c)}})
 	}
 }
 
 // unsure calls back grants whose start nobody confirmed in time.
-func (m *Machine) unsure() {
+func (m *Server) unsure() {
 	l := m.lead
-	span := m.book.Table.Site("confirmMs")
+	span := m.state.Limits.SiteMillis("confirmMs")
 	var late []identifier.LeaseID
 	for id, at := range l.placed {
-		g := m.book.Grants[id]
+		g := m.state.Leases[id]
 		switch {
-		case g == nil || g.Stop != "" || l.sure[id]:
+		case g == nil || g.RevokeReason != "" || l.sure[id]:
 			delete(l.placed, id)
 			if g == nil {
 				delete(l.sure, id)
@@ -187,30 +187,30 @@
 	m.sweep()
 	if len(late) > 0 {
 		sortGrants(late)
-		m.propose(&state.Command{Recall: &state.Recall{Grants: late, Why: state.StopLate}})
+		m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeStartUnconfirmed}})
 	}
 }
 
 // sweep forgets, now and then, that grants which are no more were sure: nobody
 // asks for those, and their numbers never come again.
-func (m *Machine) sweep() {
+func (m *Server) sweep() {
 	l := m.lead
 	if m.now.Since(l.swept) < sweepGap {
 		return
 	}
 	l.swept = m.now
 	for id := range l.sure {
-		if m.book.Grants[id] == nil {
+		if m.state.Leases[id] == nil {
 			delete(l.sure, id)
 		}
 	}
 }
 
 // closings moves each closing on as far as the book allows.
-func (m *Machine) closings() {
+func (m *Server) closings() {
 	l := m.lead
-	for _, id := range m.book.ClosingIDs() {
-		c := m.book.Closings[id]
+	for _, id := range m.state.DrainIDs() {
+		c := m.state.Drains[id]
 		if l.duty[id] > m.at {
 			continue
 		}
@@ -222,33 +222,33 @@
 			continue
 		}
 		if step := m.next(c, m.now.Since(l.entered[id].at)); step != nil {
-			l.duty[id] = m.propose(&state.Command{Step: step})
+			l.duty[id] = m.propose(&state.Command{AdvanceDrain: step})
 		}
 	}
 }
 
-func (m *Machine) next(c *state.Closing, in clock.Millis) *state.Step {
-	s := &state.Step{ID: c.ID, From: c.Stage}
-	free, loose := m.book.Undone(c)
+func (m *Server) next(c *state.Drain, in clock.Millis) *state.AdvanceDrain {
+	s := &state.AdvanceDrain{ID: c.ID, From: c.Stage}
+	free, loose := m.state.OpenLeases(c)
 	switch c.Stage {
 	case state.Cordon:
 		site, due, all := m.lead.clock.site(m.now), false, true
 		for _, n := range c.Scope {
-			all = all && m.book.Due(c, n, site)
+			all = all && m.state.StopDue(c, n, site)
 		}
 		for _, g := range free {
-			due = due || m.book.Due(c, g.Runner, site)
+			due = due || m.state.StopDue(c, g.Runner, site)
 		}
 		if !due && !all {
 			return nil
 		}
 	case state.Postdrain:
-		s.Judge = in > m.patience(c)
-		if len(loose) > 0 && !s.Judge && len(free) == 0 {
+		s.JudgeNow = in > m.patience(c)
+		if len(loose) > 0 && !s.JudgeNow && len(free) == 0 {
 			return nil
 		}
 	case state.Closed:
-		if len(free) == 0 && len(loose) == c.Loose {
+		if len(free) == 0 && len(loose) == c.UnconfirmedStops {
 			return nil
 		}
 	}
@@ -256,38 +256,38 @@
 }
 
 // patience is how long post-drain waits for stops before it judges.
-func (m *Machine) patience(c *state.Closing) clock.Millis {
+func (m *Server) patience(c *state.Drain) clock.Millis {
 	if c.Kind == state.KindRack {
-		return m.book.Table.Site("drainMs")
+		return m.state.Limits.SiteMillis("drainMs")
 	}
-	return m.book.Table.Site("evacMs")
+	return m.state.Limits.SiteMillis("evacMs")
 }
 
 // plan places what waits, one round under way at a time.
-func (m *Machine) plan() {
+func (m *Server) plan() {
 	l := m.lead
 	if !l.dirty || l.place > m.at || m.now.Since(l.planned) < planGap {
 		return
 	}
 	l.dirty, l.planned = false, m.now
-	out := scheduler.RoundWith(m.book, scheduler.View{Fresh: m.fresh(), Pace: m.pace}, m.shelf)
-	m.reason = out.Why
+	out := scheduler.Schedule(m.state, scheduler.RunnerView{Fresh: m.fresh(), Pace: m.pace}, m.shelf)
+	m.reason = out.Reasons
 	m.fare(out.Policies)
-	if len(out.Push) > 0 {
-		m.event("push", "grants", len(out.Push))
-		l.place = m.propose(&state.Command{Recall: &state.Recall{Grants: out.Push, Why: state.StopPush}})
+	if len(out.Preemptions) > 0 {
+		m.event("push", "grants", len(out.Preemptions))
+		l.place = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: out.Preemptions, Reason: state.RevokePreempted}})
 	}
-	if len(out.Puts) > 0 {
-		l.place = m.propose(&state.Command{Place: &state.Place{Puts: out.Puts}})
+	if len(out.Placements) > 0 {
+		l.place = m.propose(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
 	}
 }
 
 // fresh gives a test of whether a runner has polled lately under its present
 // incarnation and is not on its way out.
-func (m *Machine) fresh() func(n identifier.Runner) (ok bool) {
-	span := 2 * m.book.Table.Site("startMs")
+func (m *Server) fresh() func(n identifier.Runner) (ok bool) {
+	span := 2 * m.state.Limits.SiteMillis("startMs")
 	return func(n identifier.Runner) bool {
 		c := m.lead.runners[n]
-		return c != nil && c.known && !c.drain && c.inc == m.book.Runners[n].Inc && c.quiet(m.now) < span && !m.ill(c)
+		return c != nil && c.known && !c.drain && c.inc == m.state.Runners[n].Incarnation && c.quiet(m.now) < span && !m.ill(c)
 	}
 }
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -27,14 +27,14 @@
 
 // Leave begins the orderly stop; the machine must go on being run until Left
 // says that it may end. Asking again does nothing.
-func (m *Machine) Leave() {
+func (m *Server) Leave() {
 	if m.leave != nil {
 		return
 	}
 	m.leave = &leaving{since: m.now}
 	m.event("leaving")
 	if m.raft != nil {
-		m.raft.Leave()
+		m.raft.PrepareToLeave()
 	}
 	m.handOn()
 	m.settle()
@@ -42,19 +42,19 @@
 
 // Left tells whether the process may end: another leads, nobody does and this
 // keeper can't change that, or it has taken too long.
-func (m *Machine) Left() bool {
+func (m *Server) Left() bool {
 	if m.leave == nil {
 		return false
 	}
 	if m.raft == nil || m.over || m.now.Since(m.leave.since) > leaveWait {
 		return true
 	}
-	lead := m.raft.Lead()
-	return m.raft.Role() == raft.Follower && lead != 0 && lead != m.boot.ID && len(m.relays) == 0
+	lead := m.raft.Leader()
+	return m.raft.Role() == raft.Follower && lead != 0 && lead != m.config.ID && len(m.relays) == 0
 }
 
 // handOn hands leadership to another voter once nothing is lost by it.
-func (m *Machine) handOn() {
+func (m *Server) handOn() {
 	l := m.leave
 	if l == nil || l.handed || m.raft == nil || m.raft.Role() != raft.Leader {
 		return
@@ -70,7 +70,7 @@
 }
 
 // handOnNow is handOn after an input that may have decided the last request.
-func (m *Machine) handOnNow() {
+func (m *Server) handOnNow() {
 	if m.leave == nil || m.leave.handed || m.over {
 		return
 	}
--- a/internal/controlplane/level.go
+++ b/internal/controlplane/level.go
@@ -26,7 +26,7 @@
 }
 
 // quit steps aside: what was handed out so far still goes, nothing more does.
-func (m *Machine) quit(why string, vals ...any) {
+func (m *Server) quit(why string, vals ...any) {
 	if m.over {
 		return
 	}
@@ -36,9 +36,9 @@
 }
 
 // parted tells whether this keeper's book differs from the leader's.
-func (m *Machine) parted(c *state.Check) bool {
+func (m *Server) parted(c *state.VerifyChecksum) bool {
 	sum, ok := m.sums.get(c.Index)
-	if !ok || sum == c.Sum {
+	if !ok || sum == c.Checksum {
 		return false
 	}
 	m.quit("this keeper's book differs from the leader's", "index", c.Index)
@@ -46,30 +46,30 @@
 }
 
 // raise lifts the level once all members know a higher one.
-func (m *Machine) raise() {
+func (m *Server) raise() {
 	l := m.lead
-	to := m.boot.Level
-	if l.raising > m.at || m.book.Level >= to || len(m.raft.MemberStatuses())+1 < len(m.raft.Members()) {
+	to := m.config.Level
+	if l.raising > m.at || m.state.Level >= to || len(m.raft.MemberStatuses())+1 < len(m.raft.Members()) {
 		return
 	}
 	for _, s := range m.raft.MemberStatuses() {
-		if s.Quiet > 2000 || s.Level <= m.book.Level {
+		if s.SilentFor > 2000 || s.Level <= m.state.Level {
 			return
 		}
 		to = min(to, s.Level)
 	}
-	m.event("level", "from", m.book.Level, "to", to)
-	l.raising = m.propose(&state.Command{Raise: &state.Raise{Level: to}})
+	m.event("level", "from", m.state.Level, "to", to)
+	l.raising = m.propose(&state.Command{RaiseLevel: &state.RaiseLevel{Level: to}})
 }
 
 // check lets the members compare their books.
-func (m *Machine) check() {
+func (m *Server) check() {
 	l := m.lead
-	if m.book.Level < 1 || m.now.Since(l.checked) < checkGap {
+	if m.state.Level < 1 || m.now.Since(l.checked) < checkGap {
 		return
 	}
 	l.checked = m.now
 	if sum, ok := m.sums.get(m.at); ok {
-		m.propose(&state.Command{Check: &state.Check{Index: m.at, Sum: sum}})
+		m.propose(&state.Command{VerifyChecksum: &state.VerifyChecksum{Index: m.at, Checksum: sum}})
 	}
 }
--- a/internal/controlplane/load_test.go
+++ b/internal/controlplane/load_test.go
@@ -25,7 +25,7 @@
 type load struct {
 	b      *testing.B
 	now    clock.Monotonic
-	keep   *controlplane.Machine
+	keep   *controlplane.Server
 	rnd    *rand.Rand
 	hollow []*hollow
 	by     map[string]*hollow
@@ -73,7 +73,7 @@
 
 func newLoad(b *testing.B, agents int, span func(first bool) int) *load {
 	l := &load{b: b, rnd: rand.New(rand.NewSource(1)), by: map[string]*hollow{}, span: span}
-	l.keep = controlplane.New(controlplane.Boot{ID: 1, Addr: "k", Domain: "a", Timing: raft.Usual(), Level: state.Present, Found: true}, 0)
+	l.keep = controlplane.New(controlplane.Config{ID: 1, Addr: "k", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel, MayFound: true}, 0)
 	v := &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 1, Addr: "k", Domain: "a", Voter: true}}, Data: state.New().Encode()}
 	if err := l.keep.Resume(raft.HardState{}, v, nil); err != nil {
 		b.Fatal(err)
@@ -93,7 +93,7 @@
 
 func (l *load) request(verb, path, body string) {
 	l.ask++
-	l.post(post{from: "op", msg: wire.Msg{Ask: &wire.Ask{ID: l.ask, Verb: verb, Path: path, Body: []byte(body), Budget: 2000}}})
+	l.post(post{from: "op", msg: wire.Message{Request: &wire.Request{ID: l.ask, Method: verb, Path: path, Body: []byte(body), Budget: 2000}}})
 }
 
 func (l *load) post(p post) {
@@ -124,27 +124,27 @@
 		l.in[slot] = l.in[slot][:0]
 		for _, x := range sends {
 			at := (int(l.now) + 1 + l.rnd.Intn(3)) % len(l.out)
-			l.out[at] = append(l.out[at], post{to: string(x.To), msg: x.Msg})
+			l.out[at] = append(l.out[at], post{to: string(x.To), msg: x.Message})
 		}
 	}
 }
 
 // step is a millisecond of the keeper's.
-func (l *load) step(list []post) []wire.Send {
-	var sends []wire.Send
+func (l *load) step(list []post) []wire.Envelope {
+	var sends []wire.Envelope
 	for _, p := range list {
-		l.keep.Frame(wire.Peer(p.from), p.msg, l.now, l.wall())
+		l.keep.HandleMessage(wire.Peer(p.from), p.msg, l.now, l.wall())
 	}
 	if l.now%20 == 0 {
 		l.keep.Tick(l.now, l.wall())
 	}
 	for more := true; more; {
-		o := l.keep.Take()
+		o := l.keep.TakeOutput()
 		more = len(o.Writes) > 0
 		for _, w := range o.Writes {
 			l.keep.Synced(w.Seq, l.now, l.wall())
 		}
-		sends = append(sends, o.Sends...)
+		sends = append(sends, o.Messages...)
 	}
 	return sends
 }
@@ -155,7 +155,7 @@
 }
 
 func (l *load) deliver(p post) {
-	r := p.msg.Reply
+	r := p.msg.Response
 	h := l.by[p.to]
 	if r == nil || h == nil {
 		if r != nil && r.Status >= 300 {
@@ -166,7 +166,7 @@
 	if r.Status != 200 {
 		l.b.Fatalf("%s: %d %s", h.name, r.Status, r.Body)
 	}
-	var a runnerapi.Answer
+	var a runnerapi.PollResponse
 	if err := json.Unmarshal(r.Body, &a); err != nil {
 		l.b.Fatal(err)
 	}
@@ -175,15 +175,15 @@
 	}
 	left := h.ends[:0]
 	for _, e := range h.ends {
-		if e.N > a.Observed {
+		if e.Seq > a.ObservedThrough {
 			left = append(left, e)
 		}
 	}
 	h.ends = left
 	for _, s := range a.Starts {
-		run := hollowRun{task: s.Task, no: s.No, at: l.now, end: l.now + clock.Monotonic(s.Run), span: s.Run}
+		run := hollowRun{task: s.Task, no: s.Attempt, at: l.now, end: l.now + clock.Monotonic(s.ExpectedRun), span: s.ExpectedRun}
 		if l.first {
-			run.end = l.now + clock.Monotonic(l.rnd.Int63n(int64(s.Run)))
+			run.end = l.now + clock.Monotonic(l.rnd.Int63n(int64(s.ExpectedRun)))
 		}
 		h.runs, h.news = append(h.runs, run), true
 		l.begun++
@@ -200,7 +200,7 @@
 			continue
 		}
 		h.n++
-		h.ends, h.news = append(h.ends, runnerapi.RunEnd{N: h.n, Task: r.task, Run: r.no, How: runnerapi.Well}), true
+		h.ends, h.news = append(h.ends, runnerapi.RunEnd{Seq: h.n, Task: r.task, Attempt: r.no, Outcome: runnerapi.OutcomeSuccess}), true
 		l.ended++
 	}
 	h.runs = kept
@@ -212,7 +212,7 @@
 	l.ask++
 	l.polled++
 	h.open = l.ask
-	l.post(post{from: h.name, msg: wire.Msg{Ask: &wire.Ask{ID: l.ask, Verb: "POST", Path: "/v1/runners/" + h.name + "/poll", Body: l.body(h), Budget: 2000}}})
+	l.post(post{from: h.name, msg: wire.Message{Request: &wire.Request{ID: l.ask, Method: "POST", Path: "/v1/runners/" + h.name + "/poll", Body: l.body(h), Budget: 2000}}})
 }
 
 // body is what package agent would send.
@@ -237,7 +237,7 @@
 	}
 	for i, e := range h.ends {
 		text = append(text, [2]string{`,"finished":[`, `,`}[min(i, 1)]...)
-		text = appendRun(text, `"n":`+strconv.FormatUint(e.N, 10)+`,`, e.Task, e.Run)
+		text = appendRun(text, `"n":`+strconv.FormatUint(e.Seq, 10)+`,`, e.Task, e.Attempt)
 		text = append(text, `,"how":"well"}`...)
 	}
 	if len(h.ends) > 0 {
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -15,18 +15,18 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Machine is a control-plane server as a pure state machine: consensus, the
+// Server is a control-plane server as a pure state machine: consensus, the
 // replicated state, and the work of the leader. It does no input or output and
 // reads no clock. It is not safe for concurrent use.
-type Machine struct {
-	boot  Boot
-	now   clock.Monotonic
-	wall  clock.WallTime
-	raft  *raft.Raft
-	book  *state.Book
-	at    identifier.Index
-	since int64
-	seen  clusterClock
+type Server struct {
+	config Config
+	now    clock.Monotonic
+	wall   clock.WallTime
+	raft   *raft.Raft
+	state  *state.Store
+	at     identifier.Index
+	since  int64
+	seen   clusterClock
 	// seenTerm is the term of the entry that seen goes on from.
 	seenTerm identifier.Term
 	// gots notes when entries came, for those not yet applied: an entry's time
@@ -48,7 +48,7 @@
 	reach   reach
 	// reached is when this keeper last had a leader to go to.
 	reached clock.Monotonic
-	out     Out
+	out     Output
 
 	founders []raft.Member
 	find     *find
@@ -67,11 +67,11 @@
 	term   identifier.Term
 	lead   *lead
 	reason map[identifier.JobKey]map[int]string
-	shelf  *policy.Shelf
-	fared  scheduler.Policies
-	// Full tells how much of the write-ahead log is in use, in percent, so that
+	shelf  *policy.Cache
+	fared  scheduler.PolicyResults
+	// LogPercentUsed tells how much of the write-ahead log is in use, in percent, so that
 	// a snapshot is taken before it is full. The owner of the disk replaces it.
-	Full func() int
+	LogPercentUsed func() int
 }
 
 // wait is a request whose proposal is under way.
@@ -101,9 +101,9 @@
 // New makes a server without any state: one with a disk looks for a group to
 // join or, if told so, founds one; one without a disk only forwards requests to
 // the leader. Resume follows where the disk held state.
-func New(boot Boot, now clock.Monotonic) *Machine {
-	m := &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]clock.Monotonic{}, edge: map[string]clock.Monotonic{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
-		find: newFind(now), alone: now, reached: now, reason: map[identifier.JobKey]map[int]string{}, book: state.New(), shelf: policy.NewShelf(), fared: scheduler.Policies{}, Full: func() int { return 0 }}
+func New(boot Config, now clock.Monotonic) *Server {
+	m := &Server{config: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]clock.Monotonic{}, edge: map[string]clock.Monotonic{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
+		find: newFind(now), alone: now, reached: now, reason: map[identifier.JobKey]map[int]string{}, state: state.New(), shelf: policy.NewCache(), fared: scheduler.PolicyResults{}, LogPercentUsed: func() int { return 0 }}
 	if boot.Diskless {
 		m.find, m.porter = nil, &porter{}
 	}
@@ -112,48 +112,48 @@
 
 // Resume starts from what the disk held. A view that doesn't decode is damage
 // that no keeper should run over.
-func (m *Machine) Resume(hard raft.HardState, view *raft.Snapshot, list []raft.Entry) error {
+func (m *Server) Resume(hard raft.HardState, view *raft.Snapshot, list []raft.Entry) error {
 	b, err := state.Decode(view.Data)
 	if err != nil {
 		return err
 	}
-	if b.Level > m.boot.Level {
-		return errors.Errorf("the folder is of level %d, and this program knows %d: start one at least as new as before", b.Level, m.boot.Level)
+	if b.Level > m.config.Level {
+		return errors.Errorf("the folder is of level %d, and this program knows %d: start one at least as new as before", b.Level, m.config.Level)
 	}
-	m.book, m.at = b, view.Index
+	m.state, m.at = b, view.Index
 	m.forgetRouting()
 	m.founders = view.Members
-	m.raft = raft.New(m.boot.ID, m.boot.Timing, m.boot.Seed, m.now, hard, view, list)
-	m.raft.SetLevel(m.boot.Level)
+	m.raft = raft.New(m.config.ID, m.config.Timing, m.config.Seed, m.now, hard, view, list)
+	m.raft.SetLevel(m.config.Level)
 	m.find = nil
 	return nil
 }
 
-// Boot is the configuration that the server was started with.
-func (m *Machine) Boot() Boot { return m.boot }
+// Config is the configuration that the server was started with.
+func (m *Server) Config() Config { return m.config }
 
-// Book is the replicated state as applied so far. Callers must not change it.
-func (m *Machine) Book() *state.Book { return m.book }
+// State is the replicated state as applied so far. Callers must not change it.
+func (m *Server) State() *state.Store { return m.state }
 
 // Raft is the member of the consensus group, nil until this server belongs to
 // one.
-func (m *Machine) Raft() *raft.Raft { return m.raft }
+func (m *Server) Raft() *raft.Raft { return m.raft }
 
-func (m *Machine) event(name string, vals ...any) {
+func (m *Server) event(name string, vals ...any) {
 	m.out.Events = append(m.out.Events, Event{name, vals})
 }
 
-func (m *Machine) send(to wire.Peer, msg wire.Msg) {
-	if msg.Reply != nil && m.leads() {
-		msg.Reply.Leader = m.leaderTime()
+func (m *Server) send(to wire.Peer, msg wire.Message) {
+	if msg.Response != nil && m.leads() {
+		msg.Response.LeaderTime = m.leaderTime()
 	}
-	m.out.Sends = append(m.out.Sends, wire.Send{To: to, Msg: msg})
+	m.out.Messages = append(m.out.Messages, wire.Envelope{To: to, Message: msg})
 }
 
 // Tick passes in the time and starts whatever is due: heartbeats, elections,
 // discovery, and the periodic work of a leader. It should come every Tick
 // milliseconds.
-func (m *Machine) Tick(now clock.Monotonic, wall clock.WallTime) {
+func (m *Server) Tick(now clock.Monotonic, wall clock.WallTime) {
 	if m.over {
 		return
 	}
@@ -182,26 +182,26 @@
 	m.settle()
 }
 
-func (m *Machine) clock(now clock.Monotonic, wall clock.WallTime) {
+func (m *Server) clock(now clock.Monotonic, wall clock.WallTime) {
 	m.now, m.wall = max(m.now, now), wall
 	if m.raft != nil && m.seen.base > 0 {
-		m.raft.Carry(m.seen.site(m.now), m.seenTerm)
+		m.raft.CarryClusterTime(m.seen.site(m.now), m.seenTerm)
 	}
 }
 
-// Frame passes in one message from another process. from is where a reply goes;
+// HandleMessage passes in one message from another process. from is where a reply goes;
 // it need not be the sender's listening address.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now clock.Monotonic, wall clock.WallTime) {
+func (m *Server) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic, wall clock.WallTime) {
 	if m.over {
 		return
 	}
 	m.clock(now, wall)
-	if from == m.follows && (msg.Tell != nil || msg.Reply != nil) {
+	if from == m.follows && (msg.Announcement != nil || msg.Response != nil) {
 		m.reach.answered(m.now)
 	}
 	switch {
-	case msg.Tell != nil:
-		m.tell(from, msg.Tell)
+	case msg.Announcement != nil:
+		m.tell(from, msg.Announcement)
 	case msg.Raft != nil && m.find != nil:
 		m.find.stirred = m.now
 	case msg.Raft != nil && m.raft != nil:
@@ -210,11 +210,11 @@
 			m.heardAppend(msg.Raft)
 		}
 		m.raft.Step(*msg.Raft, m.now, wall)
-	case msg.Ask != nil:
+	case msg.Request != nil:
 		m.turn()
-		m.ask(from, msg.Ask)
-	case msg.Reply != nil:
-		m.passBack(from, msg.Reply)
+		m.ask(from, msg.Request)
+	case msg.Response != nil:
+		m.passBack(from, msg.Response)
 	}
 	m.turn()
 	m.settle()
@@ -223,7 +223,7 @@
 
 // Synced reports that all writes up to and including seq are on disk, which lets
 // acknowledgements that waited for them go out.
-func (m *Machine) Synced(seq uint64, now clock.Monotonic, wall clock.WallTime) {
+func (m *Server) Synced(seq uint64, now clock.Monotonic, wall clock.WallTime) {
 	if m.over {
 		return
 	}
@@ -235,15 +235,15 @@
 	m.handOnNow()
 }
 
-// Take hands over the output so far.
-func (m *Machine) Take() Out {
+// TakeOutput hands over the output so far.
+func (m *Server) TakeOutput() Output {
 	out := m.out
-	m.out = Out{}
+	m.out = Output{}
 	return out
 }
 
 // settle carries out what agreement decided until nothing more comes of it.
-func (m *Machine) settle() {
+func (m *Server) settle() {
 	if m.raft == nil {
 		return
 	}
@@ -253,16 +253,16 @@
 		}
 		m.raft.Flush()
 		m.note()
-		more = m.carry(m.raft.Take())
+		more = m.carry(m.raft.TakeOutput())
 	}
 }
 
 // turn notices that leadership has come or gone.
-func (m *Machine) turn() {
+func (m *Server) turn() {
 	if m.raft == nil {
 		return
 	}
-	if m.raft.Lead() != 0 {
+	if m.raft.Leader() != 0 {
 		m.alone = m.now
 	}
 	leads := m.raft.Role() == raft.Leader
@@ -274,7 +274,7 @@
 			m.drop(i)
 		}
 	}
-	if leads && m.lead == nil && m.at >= m.raft.First() && m.raft.Leased(m.now) {
+	if leads && m.lead == nil && m.at >= m.raft.TermStart() && m.raft.HasLease(m.now) {
 		m.term = m.raft.Term()
 		m.rise()
 		m.herald()
@@ -283,10 +283,10 @@
 }
 
 // leads tells whether this keeper may act as the leader at this moment.
-func (m *Machine) leads() bool {
-	return m.leave == nil && m.lead != nil && m.raft.Leased(m.now)
+func (m *Server) leads() bool {
+	return m.leave == nil && m.lead != nil && m.raft.HasLease(m.now)
 }
 
-func (m *Machine) giveUp(w wait) {
+func (m *Server) giveUp(w wait) {
 	m.refuse(w.peer, w.id, 504, "leader-changed", "the outcome is not known here; ask again", leaderChangedRetry)
 }
--- a/internal/controlplane/order_age.go
+++ b/internal/controlplane/order_age.go
@@ -18,48 +18,48 @@
 const driftPart = 50
 
 // leaderTime is a reading of this leader's clock.
-func (m *Machine) leaderTime() wire.LeaderTime {
+func (m *Server) leaderTime() wire.LeaderTime {
 	return wire.LeaderTime{Term: m.raft.Term(), At: m.now}
 }
 
 // expired tells whether an order may have come later than its sender waits. An
 // order without a reading comes from a program of a former version, or from
 // this process itself, and is not judged.
-func (m *Machine) expired(a *wire.Ask) bool {
-	if !a.Dated || !a.Orders() {
+func (m *Server) expired(a *wire.Request) bool {
+	if !a.HasLeaderTime || !a.IsOrder() {
 		return false
 	}
-	if a.Known.Term != m.raft.Term() {
+	if a.LeaderTime.Term != m.raft.Term() {
 		return true
 	}
-	age := m.now.Since(a.Known.At)
+	age := m.now.Since(a.LeaderTime.At)
 	return age+age/driftPart > a.Budget
 }
 
 // heardLeader notes a reading of the leader's clock that came with a message.
-func (m *Machine) heardLeader(t wire.LeaderTime) {
+func (m *Server) heardLeader(t wire.LeaderTime) {
 	if t.Later(m.leaderClock) {
 		m.leaderClock = t
 	}
 }
 
 // heardAppend takes the reading that the leader's own messages carry.
-func (m *Machine) heardAppend(msg *raft.Message) {
-	m.heardLeader(wire.LeaderTime{Term: msg.Term, At: msg.Stamp})
+func (m *Server) heardAppend(msg *raft.Message) {
+	m.heardLeader(wire.LeaderTime{Term: msg.Term, At: msg.SentAt})
 }
 
 // date adds to an order that was made at this process what it knows of the
 // leader's clock. One that came from elsewhere keeps what its sender knew.
-func (m *Machine) date(from wire.Peer, a *wire.Ask) {
+func (m *Server) date(from wire.Peer, a *wire.Request) {
 	if from.Local() {
-		a.Dated, a.Known = true, m.leaderClock
+		a.HasLeaderTime, a.LeaderTime = true, m.leaderClock
 	}
 }
 
 // refuseExpired answers an order whose age can't be told: it was not taken, and
 // the reading that goes with the answer lets its sender try again at once.
-func (m *Machine) refuseExpired(from wire.Peer, id uint64) {
-	m.send(from, wire.Msg{Reply: &wire.Reply{ID: id, Status: 503, Expired: true, Retry: expiredRetry}})
+func (m *Server) refuseExpired(from wire.Peer, id uint64) {
+	m.send(from, wire.Message{Response: &wire.Response{ID: id, Status: 503, Expired: true, RetryAfter: expiredRetry}})
 }
 
 // expiredRetry is when a caller may come back whose order was too old, in ms.
--- a/internal/controlplane/policies.go
+++ b/internal/controlplane/policies.go
@@ -16,40 +16,40 @@
 	Last   string         `json:"lastFailure,omitempty"`
 }
 
-func (m *Machine) fare(list scheduler.Policies) {
+func (m *Server) fare(list scheduler.PolicyResults) {
 	for row := range m.fared {
-		if m.book.Table.Cell(row, "policy") == "" {
+		if m.state.Limits.Cell(row, "policy") == "" {
 			delete(m.fared, row)
 		}
 	}
 	if len(list) == 0 {
 		return
 	}
-	for _, row := range m.book.Table.Names() {
+	for _, row := range m.state.Limits.RowNames() {
 		one, ok := list[row]
 		if !ok {
 			continue
 		}
 		was := m.fared[row]
-		if one.Failed > 0 && was.Last != one.Last {
-			m.event("policy-failed", "row", row, "why", one.Last)
+		if one.Failed > 0 && was.LastFailure != one.LastFailure {
+			m.event("policy-failed", "row", row, "why", one.LastFailure)
 		}
 		was.Used, was.Failed = was.Used+one.Used, was.Failed+one.Failed
 		if one.Failed > 0 {
-			was.Last = one.Last
+			was.LastFailure = one.LastFailure
 		}
 		m.fared[row] = was
 	}
 }
 
-func (m *Machine) showPolicies() []PolicyDoc {
+func (m *Server) showPolicies() []PolicyDoc {
 	list := []PolicyDoc{}
-	for _, row := range m.book.Table.Names() {
-		if m.book.Table.Cell(row, "policy") == "" {
+	for _, row := range m.state.Limits.RowNames() {
+		if m.state.Limits.Cell(row, "policy") == "" {
 			continue
 		}
 		one := m.fared[row]
-		list = append(list, PolicyDoc{row, one.Used, one.Failed, one.Last})
+		list = append(list, PolicyDoc{row, one.Used, one.Failed, one.LastFailure})
 	}
 	return list
 }
--- a/internal/controlplane/polls.go
+++ b/internal/controlplane/polls.go
@@ -26,22 +26,22 @@
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 }
 
-func (m *Machine) poll(peer wire.Peer, id uint64, name identifier.Runner, body []byte) {
-	var f jsondoc.Faults
+func (m *Server) poll(peer wire.Peer, id uint64, name identifier.Runner, body []byte) {
+	var f jsondoc.FieldErrors
 	p := runnerapi.Read(body, &f)
 	if f.Any() {
-		m.reply(peer, id, f.Status(), f.Bad(), 0)
+		m.reply(peer, id, f.Status(), f.ErrorBody(), 0)
 		return
 	}
-	if p.Agent && m.book.Level < state.CatalogLevel {
+	if p.Agent && m.state.Level < state.CatalogLevel {
 		m.refuse(peer, id, 503, "level", "agents wait until every keeper has been upgraded", 500)
 		return
 	}
 	l := m.lead
-	r := m.book.Runners[name]
+	r := m.state.Runners[name]
 	c := l.runners[name]
-	if r != nil && r.Was(p.Inc) {
-		m.replyDoc(peer, id, 200, runnerapi.Answer{Retired: true})
+	if r != nil && r.WasIncarnation(p.Incarnation) {
+		m.replyDoc(peer, id, 200, runnerapi.PollResponse{Retired: true})
 		return
 	}
 	if c == nil && len(l.runners) >= state.MaxRunners {
@@ -52,9 +52,9 @@
 		c = &contact{}
 		l.runners[name] = c
 	}
-	if c.inc != p.Inc {
+	if c.inc != p.Incarnation {
 		m.shut(c)
-		*c = contact{inc: p.Inc, heard: m.now, agent: m.turned(c)}
+		*c = contact{inc: p.Incarnation, heard: m.now, agent: m.turned(c)}
 	}
 	if p.Seq <= c.seq {
 		a := m.bare(c)
@@ -64,10 +64,10 @@
 	}
 	m.shut(c)
 	back := !c.known || m.now.Since(c.heard) > away
-	c.seq, c.heard, c.silent, c.known, c.drain = p.Seq, m.now, p.Silent, true, p.Mode == runnerapi.Draining
+	c.seq, c.heard, c.silent, c.known, c.drain = p.Seq, m.now, p.SilentFor, true, p.Mode == runnerapi.ModeDraining
 	c.open, c.peer, c.id, c.since = true, peer, id, m.now
 	if back {
-		c.since -= clock.Monotonic(m.book.Table.Site("startMs"))
+		c.since -= clock.Monotonic(m.state.Limits.SiteMillis("startMs"))
 	}
 	c.begin()
 	was := c.before
@@ -81,7 +81,7 @@
 		if was[g] {
 			c.told[g] = true
 		}
-		one := m.book.Grants[g]
+		one := m.state.Leases[g]
 		if one == nil {
 			continue
 		}
@@ -89,14 +89,14 @@
 		if was[g] {
 			continue
 		}
-		for _, p := range m.book.Partners(one) {
+		for _, p := range m.state.Partners(one) {
 			l.hot[p.Runner] = true
 		}
 	}
 	for _, e := range p.Ended {
-		c.ended[e.Grant] = e
-		if m.book.Grants[e.Grant] != nil {
-			l.sure[e.Grant] = true
+		c.ended[e.Lease] = e
+		if m.state.Leases[e.Lease] != nil {
+			l.sure[e.Lease] = true
 		}
 	}
 	if m.present(name, c, p) {
@@ -119,45 +119,45 @@
 }
 
 // shut answers a poll that a later one has replaced.
-func (m *Machine) shut(c *contact) {
+func (m *Server) shut(c *contact) {
 	if c.open {
 		c.open = false
 		m.replyDoc(c.peer, c.id, 200, m.bare(c))
 	}
 }
 
-func (m *Machine) bare(c *contact) runnerapi.Answer {
-	a := runnerapi.Answer{GrantMs: m.book.Table.Site("grantMs"), StartMs: m.book.Table.Site("startMs")}
+func (m *Server) bare(c *contact) runnerapi.PollResponse {
+	a := runnerapi.PollResponse{Lease: m.state.Limits.SiteMillis("grantMs"), StartTimeout: m.state.Limits.SiteMillis("startMs")}
 	if c.agent == nil {
-		a.Gates = m.liveGates()
+		a.Gateways = m.liveGates()
 		return a
 	}
-	a.Fence, a.Keepers = uint64(m.term), m.keepers()
+	a.FencingToken, a.Servers = uint64(m.term), m.keepers()
 	return a
 }
 
 // facts commits what the runner says of itself when it differs from the book.
-func (m *Machine) facts(name identifier.Runner, c *contact, p *runnerapi.Ask) {
+func (m *Server) facts(name identifier.Runner, c *contact, p *runnerapi.PollRequest) {
 	if c.facts > m.at {
 		return
 	}
-	rep := &state.Report{Runner: name, Inc: p.Inc, Cap: job.Demand{Cores: p.Cores, Mem: p.Mem, Milli: p.Milli, GPUs: p.GPUs}, Labels: p.Labels, Pool: p.Pool, Addr: p.Addr,
-		Domain: p.Domain, Rack: p.Rack, Drain: p.Mode == runnerapi.Draining}
-	if rep.Drain {
-		rep.Depart = m.lead.clock.site(m.now).Add(p.Departs)
+	rep := &state.ReportRunner{Runner: name, Incarnation: p.Incarnation, Capacity: job.Demand{Cores: p.Cores, Mem: p.Mem, MilliCores: p.MilliCores, GPUs: p.GPUs}, Labels: p.Labels, Pool: p.Pool, AgentAddr: p.AgentAddr,
+		Domain: p.Domain, Rack: p.Rack, Draining: p.Mode == runnerapi.ModeDraining}
+	if rep.Draining {
+		rep.DepartsAt = m.lead.clock.site(m.now).Add(p.DepartsIn)
 	}
-	r := m.book.Runners[name]
-	if r != nil && r.Drain && rep.Drain && p.Departs == 0 {
-		rep.Depart = r.Depart
+	r := m.state.Runners[name]
+	if r != nil && r.Draining && rep.Draining && p.DepartsIn == 0 {
+		rep.DepartsAt = r.DepartsAt
 	}
-	if r != nil && r.Inc == p.Inc && !r.Gone && r.Cap == rep.Cap && r.Pool == p.Pool && r.Addr == p.Addr && same(r.Labels, p.Labels) &&
-		r.Domain == p.Domain && r.Rack == p.Rack && r.Drain == rep.Drain {
-		if gap := rep.Depart - r.Depart; gap < 1000 && gap > -1000 {
+	if r != nil && r.Incarnation == p.Incarnation && !r.Gone && r.Capacity == rep.Capacity && r.Pool == p.Pool && r.AgentAddr == p.AgentAddr && same(r.Labels, p.Labels) &&
+		r.Domain == p.Domain && r.Rack == p.Rack && r.Draining == rep.Draining {
+		if gap := rep.DepartsAt - r.DepartsAt; gap < 1000 && gap > -1000 {
 			return
 		}
 	}
-	rep.Saves = m.saves(c)
-	c.facts = m.propose(&state.Command{Report: rep})
+	rep.Checkpoints = m.saves(c)
+	c.facts = m.propose(&state.Command{ReportRunner: rep})
 }
 
 func same(a, b []identifier.Label) bool {
@@ -173,19 +173,19 @@
 }
 
 // news commits the ends the book has yet to hear of.
-func (m *Machine) news(name identifier.Runner, c *contact) {
+func (m *Server) news(name identifier.Runner, c *contact) {
 	if c.ends > m.at {
 		return
 	}
-	e := &state.Ends{Runner: name, Inc: c.inc}
+	e := &state.ReportEnds{Runner: name, Incarnation: c.inc}
 	for _, id := range c.order() {
 		one := c.ended[id]
-		if m.book.Hears(name, c.inc, one.Grant, one.Task) {
-			e.List = append(e.List, state.End{Grant: one.Grant, Ref: one.Task, How: state.How(one.How), Saved: one.Saved})
+		if m.state.AcceptsEnd(name, c.inc, one.Lease, one.Task) {
+			e.Ends = append(e.Ends, state.End{Lease: one.Lease, Task: one.Task, Outcome: state.Outcome(one.Outcome), Checkpoint: one.Checkpoint})
 		}
 	}
-	if len(e.List) > 0 {
-		c.ends = m.propose(&state.Command{Ends: e})
+	if len(e.Ends) > 0 {
+		c.ends = m.propose(&state.Command{ReportEnds: e})
 	}
 }
 
@@ -201,9 +201,9 @@
 // polls answers the open polls that have something to hear, or have been open
 // long enough. Starts go out only for grants in the book as it now stands. Only
 // those are visited whose runner something happened to, or whose time has come.
-func (m *Machine) polls() {
+func (m *Server) polls() {
 	l := m.lead
-	hold := m.book.Table.Site("startMs") * 6 / 10
+	hold := m.state.Limits.SiteMillis("startMs") * 6 / 10
 	for len(l.line) > 0 && m.now.Since(l.line[0].since) >= hold {
 		if c := l.runners[l.line[0].runner]; c != nil && c.open && c.id == l.line[0].id {
 			l.hot[l.line[0].runner] = true
@@ -216,7 +216,7 @@
 			continue
 		}
 		m.news(n, c)
-		a := runnerapi.Answer{}
+		a := runnerapi.PollResponse{}
 		m.orders(n, c, &a)
 		if c.agent != nil {
 			m.answerAgent(n, c, &a, hold)
@@ -224,25 +224,25 @@
 		}
 		word := m.wholes(c, &a)
 		for _, id := range c.order() {
-			if one := c.ended[id]; !m.book.Hears(n, c.inc, one.Grant, one.Task) {
-				a.Acked = append(a.Acked, id)
+			if one := c.ended[id]; !m.state.AcceptsEnd(n, c.inc, one.Lease, one.Task) {
+				a.AckedEnds = append(a.AckedEnds, id)
 			}
 		}
-		if !word && len(a.Starts)+len(a.Stops)+len(a.Acked) == 0 && m.now.Since(c.since) < hold {
+		if !word && len(a.Starts)+len(a.Stops)+len(a.AckedEnds) == 0 && m.now.Since(c.since) < hold {
 			continue
 		}
 		c.open = false
-		for _, id := range a.Whole {
+		for _, id := range a.CompleteGangs {
 			c.told[id] = true
 		}
 		bare := m.bare(c)
-		a.GrantMs, a.StartMs, a.Gates = bare.GrantMs, bare.StartMs, bare.Gates
+		a.Lease, a.StartTimeout, a.Gateways = bare.Lease, bare.StartTimeout, bare.Gateways
 		m.replyDoc(c.peer, c.id, 200, a)
 	}
 }
 
 // heated takes the runners to look at, in order.
-func (m *Machine) heated() []identifier.Runner {
+func (m *Server) heated() []identifier.Runner {
 	var list []identifier.Runner
 	for n := range m.lead.hot {
 		list = append(list, n)
@@ -252,31 +252,31 @@
 	return list
 }
 
-func (m *Machine) orders(n identifier.Runner, c *contact, a *runnerapi.Answer) {
-	r := m.book.Runners[n]
-	if r == nil || r.Inc != c.inc {
+func (m *Server) orders(n identifier.Runner, c *contact, a *runnerapi.PollResponse) {
+	r := m.state.Runners[n]
+	if r == nil || r.Incarnation != c.inc {
 		return
 	}
-	r.Visit(func(g *state.Grant) {
+	r.EachLease(func(g *state.Lease) {
 		_, over := c.ended[g.ID]
 		switch {
 		case over:
-		case g.Stop != "":
+		case g.RevokeReason != "":
 			a.Stops = append(a.Stops, g.ID)
-		case !c.running[g.ID] && !c.drain && r.Fence() == "":
-			a.Starts = append(a.Starts, runnerapi.Start{Grant: g.ID, Task: g.Ref, Demand: g.Demand, Run: g.Run, Gang: m.gangSpan(g), No: g.No})
+		case !c.running[g.ID] && !c.drain && r.CordonedBy() == "":
+			a.Starts = append(a.Starts, runnerapi.Start{Lease: g.ID, Task: g.Task, Demand: g.Demand, ExpectedRun: g.ExpectedRun, GangLease: m.gangSpan(g), Attempt: g.Attempt})
 		}
 	})
-	slices.SortFunc(a.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Grant, y.Grant) })
+	slices.SortFunc(a.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Lease, y.Lease) })
 	for id := range c.running {
-		if m.book.Grants[id] == nil {
+		if m.state.Leases[id] == nil {
 			a.Stops = append(a.Stops, id)
 		}
 	}
 	sortGrants(a.Stops)
 }
 
-func (m *Machine) replyDoc(peer wire.Peer, id uint64, status int, doc any) {
+func (m *Server) replyDoc(peer wire.Peer, id uint64, status int, doc any) {
 	text, err := json.Marshal(doc)
 	if err != nil {
 		panic(err)
@@ -284,10 +284,10 @@
 	m.reply(peer, id, status, text, 0)
 }
 
-func (m *Machine) reply(peer wire.Peer, id uint64, status int, body []byte, retry clock.Millis) {
-	m.send(peer, wire.Msg{Reply: &wire.Reply{ID: id, Status: status, Body: body, Retry: retry}})
+func (m *Server) reply(peer wire.Peer, id uint64, status int, body []byte, retry clock.Millis) {
+	m.send(peer, wire.Message{Response: &wire.Response{ID: id, Status: status, Body: body, RetryAfter: retry}})
 }
 
-func (m *Machine) refuse(peer wire.Peer, id uint64, status int, code, why string, retry clock.Millis) {
-	m.reply(peer, id, status, jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), retry)
+func (m *Server) refuse(peer wire.Peer, id uint64, status int, code, why string, retry clock.Millis) {
+	m.reply(peer, id, status, jsondoc.ErrorBody{Code: code, Message: why, RetryAfter: retry}.JSON(), retry)
 }
--- a/internal/controlplane/porter.go
+++ b/internal/controlplane/porter.go
@@ -46,19 +46,19 @@
 }
 
 // round asks the leader whether it still leads, or everybody who does.
-func (m *Machine) round() {
+func (m *Server) round() {
 	p := m.porter
 	if m.now < p.next {
 		return
 	}
 	p.next = m.now.Add(seekGap)
 	if mem, ok := p.leader(m.now); ok && m.now.Since(p.own) < ownLife {
-		m.send(wire.Peer(mem.Addr), wire.Msg{Tell: m.self(true)})
+		m.send(wire.Peer(mem.Addr), wire.Message{Announcement: m.self(true)})
 		return
 	}
-	for _, addr := range p.known(m.boot.Seeds) {
-		if addr != m.boot.Addr {
-			m.send(wire.Peer(addr), wire.Msg{Tell: m.self(true)})
+	for _, addr := range p.known(m.config.Seeds) {
+		if addr != m.config.Addr {
+			m.send(wire.Peer(addr), wire.Message{Announcement: m.self(true)})
 		}
 	}
 }
@@ -88,17 +88,17 @@
 
 // learn takes what a group's keeper says of it. Others are believed only where
 // the porter knows nothing yet, as they know it no better.
-func (m *Machine) learn(t *wire.Tell) {
+func (m *Server) learn(t *wire.Announcement) {
 	p := m.porter
 	if !t.Founded || len(t.Members) == 0 {
 		return
 	}
-	own := t.Role == "keeper" && t.Node != 0 && t.Node == t.Lead
+	own := t.Role == "keeper" && t.Node != 0 && t.Node == t.LeaderID
 	switch {
 	case own:
 		p.own = m.now
-		m.heardLeader(t.Leader)
-	case t.Role == "keeper" && t.Lead != 0:
+		m.heardLeader(t.LeaderTime)
+	case t.Role == "keeper" && t.LeaderID != 0:
 		if _, ok := p.leader(m.now); ok && m.now.Since(p.own) < ownLife {
 			return
 		}
@@ -111,27 +111,27 @@
 		}
 		return
 	}
-	if p.lead != t.Lead {
-		m.event("leader-known", "node", t.Lead, "members", t.Members)
+	if p.lead != t.LeaderID {
+		m.event("leader-known", "node", t.LeaderID, "members", t.Members)
 	}
-	p.members, p.lead, p.heard = t.Members, t.Lead, m.now
+	p.members, p.lead, p.heard = t.Members, t.LeaderID, m.now
 }
 
 // leader is who leads, as far as this keeper knows: another, or itself.
-func (m *Machine) leader() (mem raft.Member, ok bool) {
+func (m *Server) leader() (mem raft.Member, ok bool) {
 	switch {
 	case m.porter != nil:
 		return m.porter.leader(m.now)
-	case m.raft == nil || m.raft.Lead() == 0:
+	case m.raft == nil || m.raft.Leader() == 0:
 		return mem, false
 	}
-	return m.raft.Member(m.raft.Lead())
+	return m.raft.Member(m.raft.Leader())
 }
 
-// Led tells whether this keeper knows who leads.
-func (m *Machine) Led() bool {
+// KnowsLeader tells whether this keeper knows who leads.
+func (m *Server) KnowsLeader() bool {
 	if m.raft != nil {
-		return m.raft.Lead() != 0
+		return m.raft.Leader() != 0
 	}
 	_, yes := m.leader()
 	return yes
@@ -139,7 +139,7 @@
 
 // noteLeader keeps track of when this keeper last had a leader to go to: itself
 // while its lease stands, or another that it has heard.
-func (m *Machine) noteLeader() {
+func (m *Server) noteLeader() {
 	if m.reaches() {
 		m.reached = m.now
 	}
@@ -151,15 +151,15 @@
 	m.abandon(m.follows)
 }
 
-func (m *Machine) reaches() bool {
+func (m *Server) reaches() bool {
 	if m.raft != nil && m.raft.Role() == raft.Leader {
-		return m.raft.Leased(m.now)
+		return m.raft.HasLease(m.now)
 	}
-	return m.Led() && !m.reach.lost
+	return m.KnowsLeader() && !m.reach.lost
 }
 
 // Connected tells whether this keeper has a leader to go to, or had one until
 // so short a time ago that the next one may be about to be elected.
-func (m *Machine) Connected() bool {
-	return !m.reach.lost && m.now.Since(m.reached) <= 2*m.boot.Timing.Elect
+func (m *Server) Connected() bool {
+	return !m.reach.lost && m.now.Since(m.reached) <= 2*m.config.Timing.ElectionTimeout
 }
--- a/internal/controlplane/reach.go
+++ b/internal/controlplane/reach.go
@@ -49,14 +49,14 @@
 
 // reachLeader asks a leader that owes answers for a sign of life, and gives up
 // the requests passed to it when there has been none for too long.
-func (m *Machine) reachLeader() {
+func (m *Server) reachLeader() {
 	if m.follows == "" || len(m.relays) == 0 && !m.reach.lost {
 		return
 	}
 	silent := m.reach.silent(m.now)
 	if silent > pingAfter && m.now.Since(m.reach.pinged) >= pingGap {
 		m.reach.pinged = m.now
-		m.send(m.follows, wire.Msg{Tell: m.self(true)})
+		m.send(m.follows, wire.Message{Announcement: m.self(true)})
 	}
 	if silent > unreachedAfter && !m.reach.lost {
 		m.reach.lost = true
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -15,35 +15,35 @@
 const relayLeader identifier.Node = 7
 
 // forwarder is a keeper without a disk that knows of a leader at "k7".
-func forwarder(t *testing.T) *controlplane.Machine {
+func forwarder(t *testing.T) *controlplane.Server {
 	t.Helper()
-	m := controlplane.New(controlplane.Boot{Addr: "p", Domain: "north", Seeds: []string{"k7"}, Timing: raft.Usual(), Diskless: true}, 0)
+	m := controlplane.New(controlplane.Config{Addr: "p", Domain: "north", Seeds: []string{"k7"}, Timing: raft.DefaultTiming(), Diskless: true}, 0)
 	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 40}, 100)
-	m.Take()
+	m.TakeOutput()
 	return m
 }
 
 // hear has a keeper say that it leads.
-func hear(m *controlplane.Machine, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
+func hear(m *controlplane.Server, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
 	members := []raft.Member{{ID: relayLeader, Addr: "k7", Voter: true}, {ID: 8, Addr: "k8", Voter: true}}
-	m.Frame(wire.Peer(addr), wire.Msg{Tell: &wire.Tell{Role: "keeper", Node: id, Addr: addr, Founded: true, Lead: id, Members: members, Leader: reading}}, now, 0)
+	m.HandleMessage(wire.Peer(addr), wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: id, Addr: addr, Founded: true, LeaderID: id, Members: members, LeaderTime: reading}}, now, 0)
 }
 
 // forwarded is the request that was passed on, and to whom.
-func forwarded(o controlplane.Out) (to wire.Peer, a *wire.Ask) {
-	for _, s := range o.Sends {
-		if s.Msg.Ask != nil {
-			return s.To, s.Msg.Ask
+func forwarded(o controlplane.Output) (to wire.Peer, a *wire.Request) {
+	for _, s := range o.Messages {
+		if s.Message.Request != nil {
+			return s.To, s.Message.Request
 		}
 	}
 	return "", nil
 }
 
 // replies lists the replies in an output.
-func replies(o controlplane.Out) []wire.Send {
-	var list []wire.Send
-	for _, s := range o.Sends {
-		if s.Msg.Reply != nil {
+func replies(o controlplane.Output) []wire.Envelope {
+	var list []wire.Envelope
+	for _, s := range o.Messages {
+		if s.Message.Response != nil {
 			list = append(list, s)
 		}
 	}
@@ -54,21 +54,21 @@
 // from the one it was passed to, and only once.
 func TestReplyFromAnother(t *testing.T) {
 	m := forwarder(t)
-	m.Frame("#1", wire.Msg{Ask: &wire.Ask{ID: 5, Verb: "GET", Path: "/v1/table", Budget: 1000}}, 110, 0)
-	to, a := forwarded(m.Take())
+	m.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: "GET", Path: "/v1/table", Budget: 1000}}, 110, 0)
+	to, a := forwarded(m.TakeOutput())
 	if to != "k7" || a.Hops != 1 || a.ID == 5 {
 		t.Fatalf("passed to %s: %+v", to, a)
 	}
-	m.Frame("k8", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 200, Body: []byte("another's")}}, 120, 0)
-	if list := replies(m.Take()); len(list) != 0 {
+	m.HandleMessage("k8", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("another's")}}, 120, 0)
+	if list := replies(m.TakeOutput()); len(list) != 0 {
 		t.Errorf("took the reply of one that was not asked: %+v", list)
 	}
-	m.Frame("k7", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 200, Body: []byte("own")}}, 130, 0)
-	if list := replies(m.Take()); len(list) != 1 || list[0].To != "#1" || list[0].Msg.Reply.ID != 5 || string(list[0].Msg.Reply.Body) != "own" {
+	m.HandleMessage("k7", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("own")}}, 130, 0)
+	if list := replies(m.TakeOutput()); len(list) != 1 || list[0].To != "#1" || list[0].Message.Response.ID != 5 || string(list[0].Message.Response.Body) != "own" {
 		t.Errorf("the reply came back as %+v", list)
 	}
-	m.Frame("k7", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 500}}, 140, 0)
-	if list := replies(m.Take()); len(list) != 0 {
+	m.HandleMessage("k7", wire.Message{Response: &wire.Response{ID: a.ID, Status: 500}}, 140, 0)
+	if list := replies(m.TakeOutput()); len(list) != 0 {
 		t.Errorf("a second reply was passed back: %+v", list)
 	}
 }
@@ -77,21 +77,21 @@
 // reading of that leader's clock; one that came from elsewhere keeps its own.
 func TestDated(t *testing.T) {
 	m := forwarder(t)
-	order := &wire.Ask{ID: 5, Verb: "PUT", Path: "/v1/closings/east", Budget: 900}
-	m.Frame("@1", wire.Msg{Ask: order}, 110, 0)
-	if _, a := forwarded(m.Take()); !a.Dated || a.Known != (wire.LeaderTime{Term: 3, At: 40}) {
+	order := &wire.Request{ID: 5, Method: "PUT", Path: "/v1/closings/east", Budget: 900}
+	m.HandleMessage("@1", wire.Message{Request: order}, 110, 0)
+	if _, a := forwarded(m.TakeOutput()); !a.HasLeaderTime || a.LeaderTime != (wire.LeaderTime{Term: 3, At: 40}) {
 		t.Errorf("an order made here goes as %+v", a)
 	}
 	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 400}, 500)
 	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 90}, 510)
-	m.Take()
-	m.Frame("@2", wire.Msg{Ask: order}, 520, 0)
-	if _, a := forwarded(m.Take()); a.Known.At != 400 {
+	m.TakeOutput()
+	m.HandleMessage("@2", wire.Message{Request: order}, 520, 0)
+	if _, a := forwarded(m.TakeOutput()); a.LeaderTime.At != 400 {
 		t.Errorf("after a later reading it goes as %+v", a)
 	}
-	sent := &wire.Ask{ID: 6, Verb: "PUT", Path: "/v1/closings/east", Budget: 900, Dated: true, Known: wire.LeaderTime{Term: 2, At: 9}}
-	m.Frame("#1", wire.Msg{Ask: sent}, 530, 0)
-	if _, a := forwarded(m.Take()); !a.Dated || a.Known != sent.Known {
+	sent := &wire.Request{ID: 6, Method: "PUT", Path: "/v1/closings/east", Budget: 900, HasLeaderTime: true, LeaderTime: wire.LeaderTime{Term: 2, At: 9}}
+	m.HandleMessage("#1", wire.Message{Request: sent}, 530, 0)
+	if _, a := forwarded(m.TakeOutput()); !a.HasLeaderTime || a.LeaderTime != sent.LeaderTime {
 		t.Errorf("an order from elsewhere goes as %+v", a)
 	}
 }
@@ -101,14 +101,14 @@
 func TestAbandoned(t *testing.T) {
 	m := forwarder(t)
 	m.Tick(120, 0)
-	m.Frame("#1", wire.Msg{Ask: &wire.Ask{ID: 5, Verb: "PUT", Path: "/v1/closings/east", Budget: 3000}}, 130, 0)
-	if to, _ := forwarded(m.Take()); to != "k7" {
+	m.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: "PUT", Path: "/v1/closings/east", Budget: 3000}}, 130, 0)
+	if to, _ := forwarded(m.TakeOutput()); to != "k7" {
 		t.Fatalf("passed to %s", to)
 	}
 	hear(m, "k8", 8, wire.LeaderTime{Term: 4, At: 10}, 1100)
 	m.Tick(1120, 0)
-	list := replies(m.Take())
-	if len(list) != 1 || list[0].Msg.Reply.ID != 5 || list[0].Msg.Reply.Status != 504 || list[0].Msg.Reply.Retry == 0 {
+	list := replies(m.TakeOutput())
+	if len(list) != 1 || list[0].Message.Response.ID != 5 || list[0].Message.Response.Status != 504 || list[0].Message.Response.RetryAfter == 0 {
 		t.Errorf("with a new leader, 2 s before its time: %+v", list)
 	}
 }
@@ -119,11 +119,11 @@
 func TestExpiredOrder(t *testing.T) {
 	s := newSite(t, 1, 0)
 	term := s.keep.Raft().Term()
-	ask := func(verb string, dated bool, known wire.LeaderTime, budget clock.Millis) *wire.Reply {
-		var r *wire.Reply
+	ask := func(verb string, dated bool, known wire.LeaderTime, budget clock.Millis) *wire.Response {
+		var r *wire.Response
 		s.ask++
-		order := &wire.Ask{ID: s.ask, Verb: verb, Path: "/v1/closings/nowhere", Budget: budget, Dated: dated, Known: known}
-		s.posts = append(s.posts, post{s.now, "k", "op", wire.Msg{Ask: order}})
+		order := &wire.Request{ID: s.ask, Method: verb, Path: "/v1/closings/nowhere", Budget: budget, HasLeaderTime: dated, LeaderTime: known}
+		s.posts = append(s.posts, post{s.now, "k", "op", wire.Message{Request: order}})
 		for i := 0; i < 50 && r == nil; i++ {
 			s.run(1)
 			r = s.got[order.ID]
@@ -153,8 +153,8 @@
 			t.Errorf("%s: %+v, want it taken: %v", one.name, r, one.taken)
 			continue
 		}
-		if r.Leader.Term != term || s.now.Since(r.Leader.At) > 100 {
-			t.Errorf("%s: the reply's reading is %+v at %d", one.name, r.Leader, s.now)
+		if r.LeaderTime.Term != term || s.now.Since(r.LeaderTime.At) > 100 {
+			t.Errorf("%s: the reply's reading is %+v at %d", one.name, r.LeaderTime, s.now)
 		}
 	}
 }
@@ -163,14 +163,14 @@
 // stay under 8 MiB, which the log on disk has room for; more is turned away.
 func TestUndecidedIsBounded(t *testing.T) {
 	s := newSite(t, 1, 0)
-	s.keep.Take()
+	s.keep.TakeOutput()
 	body := append([]byte(`{"pending":"default","steps":[{"name":"s"}]}`), bytes.Repeat([]byte(" "), 300<<10)...)
 	taken, refused := 0, 0
 	for i := uint64(1); i <= 64; i++ {
-		s.keep.Frame("op", wire.Msg{Ask: &wire.Ask{ID: i, Verb: "PUT", Path: fmt.Sprintf("/v1/jobs/a/j%d", i), Body: body, Budget: 900}}, s.now, 0)
+		s.keep.HandleMessage("op", wire.Message{Request: &wire.Request{ID: i, Method: "PUT", Path: fmt.Sprintf("/v1/jobs/a/j%d", i), Body: body, Budget: 900}}, s.now, 0)
 		taken++
-		for _, one := range replies(s.keep.Take()) {
-			if one.Msg.Reply.Status == 503 && one.Msg.Reply.Retry > 0 {
+		for _, one := range replies(s.keep.TakeOutput()) {
+			if one.Message.Response.Status == 503 && one.Message.Response.RetryAfter > 0 {
 				refused++
 				taken--
 			}
--- a/internal/controlplane/seats.go
+++ b/internal/controlplane/seats.go
@@ -23,7 +23,7 @@
 )
 
 // seats changes the group by one member when there is reason to.
-func (m *Machine) seats() {
+func (m *Server) seats() {
 	list := m.seatList()
 	calm := m.now.Since(m.lead.rose) > silentMs
 	if next := reseat(list, m.wanted(list), calm); next != nil {
@@ -34,7 +34,7 @@
 // wanted is how many voters there should be. Five become three only when fewer
 // than five have been alive for long; on the way up or down, with four, there
 // is no reason to linger.
-func (m *Machine) wanted(list []seat) int {
+func (m *Server) wanted(list []seat) int {
 	live, voters := 0, 0
 	for _, s := range list {
 		if s.live {
@@ -56,7 +56,7 @@
 
 // seatList is the group as this leader sees it. Whoever it has not heard in
 // its own term is neither live nor ready.
-func (m *Machine) seatList() []seat {
+func (m *Server) seatList() []seat {
 	var out []seat
 	list, seen := m.raft.Members(), map[identifier.Node]raft.MemberStatus{}
 	for _, s := range m.raft.MemberStatuses() {
@@ -69,13 +69,13 @@
 			continue
 		}
 		gone := outlived(list, mem)
-		quiet := s.Quiet
+		quiet := s.SilentFor
 		if gone {
 			quiet = max(quiet, deadMs) * 2
 		}
-		heard := s.At != 0 && quiet < silentMs && !s.Leaving
+		heard := s.WallTimeReadAt != 0 && quiet < silentMs && !s.Leaving
 		out = append(out, seat{Member: mem, quiet: quiet, live: heard, dead: mem.Voter && (quiet > silentMs || s.Leaving), idle: !mem.Voter && quiet > deadMs,
-			ready: !mem.Voter && heard && quiet < silentMs/2 && s.Match >= m.raft.First() && s.Match+readyGap >= m.raft.Commit()})
+			ready: !mem.Voter && heard && quiet < silentMs/2 && s.Match >= m.raft.TermStart() && s.Match+readyGap >= m.raft.CommitIndex()})
 	}
 	return out
 }
--- a/internal/controlplane/show.go
+++ b/internal/controlplane/show.go
@@ -25,15 +25,15 @@
 	Accepted  string            `json:"accepted"`
 	NotBefore string            `json:"notBefore,omitempty"`
 	Ended     string            `json:"ended,omitempty"`
-	Why       string            `json:"why,omitempty"`
+	Reason    string            `json:"why,omitempty"`
 	Steps     []StepDoc         `json:"steps,omitempty"`
 }
 
 // StepDoc is one step of a job; Why says what its waiting tasks wait for.
 type StepDoc struct {
-	Name  string    `json:"name"`
-	Why   string    `json:"why,omitempty"`
-	Tasks []TaskDoc `json:"tasks"`
+	Name   string    `json:"name"`
+	Reason string    `json:"why,omitempty"`
+	Tasks  []TaskDoc `json:"tasks"`
 }
 
 // TaskDoc is one task. State is "running" only when the runner has confirmed the
@@ -42,34 +42,34 @@
 type TaskDoc struct {
 	State   string             `json:"state"`
 	Runner  identifier.Runner  `json:"runner,omitempty"`
-	Grant   identifier.LeaseID `json:"grant,omitempty"`
+	Lease   identifier.LeaseID `json:"grant,omitempty"`
 	Defects int64              `json:"defects"`
-	Why     string             `json:"why,omitempty"`
+	Reason  string             `json:"why,omitempty"`
 }
 
-func (m *Machine) jobDoc(j *state.Job, full bool) JobDoc {
-	d := JobDoc{Job: j.Key, State: j.State(), Pending: j.Spec.Pending, Urgency: j.Spec.Urgency, Accepted: state.Stamp(j.At), Why: j.Fail}
-	if j.Start > 0 {
-		d.NotBefore = state.Stamp(j.Start)
+func (m *Server) jobDoc(j *state.Job, full bool) JobDoc {
+	d := JobDoc{Job: j.Key, State: j.State(), Pending: j.Spec.Row, Urgency: j.Spec.Urgency, Accepted: state.FormatTime(j.AcceptedAt), Reason: j.Failure}
+	if j.StartAt > 0 {
+		d.NotBefore = state.FormatTime(j.StartAt)
 	}
-	if j.End != "" {
-		d.Ended = state.Stamp(j.Ended)
+	if j.EndState != "" {
+		d.Ended = state.FormatTime(j.EndedAt)
 	}
 	if !full {
 		return d
 	}
 	for i, tasks := range j.Steps {
 		s := StepDoc{Name: j.Spec.Steps[i].Name, Tasks: []TaskDoc{}}
-		if len(j.Wait(i)) > 0 {
-			s.Why = m.why(j, i)
+		if len(j.WaitingTasks(i)) > 0 {
+			s.Reason = m.why(j, i)
 		}
 		for _, t := range tasks {
-			one := TaskDoc{State: string(t.State), Runner: t.On, Defects: t.Defects, Why: t.Why}
-			if g := m.book.Grants[t.Grant]; g != nil && t.State == state.Placed {
-				one.Grant = g.ID
-				one.Why = g.Stop
+			one := TaskDoc{State: string(t.State), Runner: t.LastRunner, Defects: t.Defects, Reason: t.Reason}
+			if g := m.state.Leases[t.Lease]; g != nil && t.State == state.Placed {
+				one.Lease = g.ID
+				one.Reason = g.RevokeReason
 				switch {
-				case g.Stop != "":
+				case g.RevokeReason != "":
 					one.State = "stopping"
 				case m.lead.sure[g.ID]:
 					one.State = "running"
@@ -83,11 +83,11 @@
 }
 
 // why says what the step's waiting tasks wait for.
-func (m *Machine) why(j *state.Job, step int) string {
+func (m *Server) why(j *state.Job, step int) string {
 	switch {
-	case j.Start > m.lead.clock.site(m.now):
-		return "not before " + state.Stamp(j.Start)
-	case !j.Met(step):
+	case j.StartAt > m.lead.clock.site(m.now):
+		return "not before " + state.FormatTime(j.StartAt)
+	case !j.DependenciesMet(step):
 		return fmt.Sprintf("after %v", j.Spec.Steps[step].After)
 	case !j.Ready(step):
 		return "gang waits for its members to be free"
@@ -95,16 +95,16 @@
 	if text := m.reason[j.Key][step]; text != "" {
 		return text
 	}
-	return "behind other work of row " + string(j.Spec.Pending)
+	return "behind other work of row " + string(j.Spec.Row)
 }
 
-func (m *Machine) showJob(c *call, key identifier.JobKey) {
-	if j := m.book.Jobs[key]; j != nil {
+func (m *Server) showJob(c *call, key identifier.JobKey) {
+	if j := m.state.Jobs[key]; j != nil {
 		m.replyDoc(c.peer, c.ID, 200, m.jobDoc(j, true))
 		return
 	}
-	if at, end, ok := m.book.Past(key); ok {
-		m.replyDoc(c.peer, c.ID, 200, JobDoc{Job: key, State: string(end), Accepted: state.Stamp(at), Why: "details no longer kept"})
+	if at, end, ok := m.state.RememberedJob(key); ok {
+		m.replyDoc(c.peer, c.ID, 200, JobDoc{Job: key, State: string(end), Accepted: state.FormatTime(at), Reason: "details no longer kept"})
 		return
 	}
 	m.refuse(c.peer, c.ID, 404, "no-job", "no such job", 0)
@@ -115,32 +115,32 @@
 	State string `json:"state"`
 }
 
-func (m *Machine) showState(c *call, key identifier.JobKey) {
-	if j := m.book.Jobs[key]; j != nil {
+func (m *Server) showState(c *call, key identifier.JobKey) {
+	if j := m.state.Jobs[key]; j != nil {
 		m.replyDoc(c.peer, c.ID, 200, StateDoc{j.State()})
 		return
 	}
-	if _, end, ok := m.book.Past(key); ok {
+	if _, end, ok := m.state.RememberedJob(key); ok {
 		m.replyDoc(c.peer, c.ID, 200, StateDoc{string(end)})
 		return
 	}
 	m.refuse(c.peer, c.ID, 404, "no-job", "no such job", 0)
 }
 
-func (m *Machine) showQueue(c *call, name string) {
-	if m.book.Catalog == nil || m.book.Catalog.Queue(name) == nil {
+func (m *Server) showQueue(c *call, name string) {
+	if m.state.Catalog == nil || m.state.Catalog.Queue(name) == nil {
 		m.refuse(c.peer, c.ID, 404, "no-queue", "no such queue", 0)
 		return
 	}
-	m.replyDoc(c.peer, c.ID, 200, map[string]any{"queue": name, "waiting": m.book.Queued(name)})
+	m.replyDoc(c.peer, c.ID, 200, map[string]any{"queue": name, "waiting": m.state.QueuedJobs(name)})
 }
 
-func (m *Machine) showCatalog(c *call) {
-	if m.book.Catalog == nil {
+func (m *Server) showCatalog(c *call) {
+	if m.state.Catalog == nil {
 		m.refuse(c.peer, c.ID, 404, "no-catalog", "there is no catalogue yet", 0)
 		return
 	}
-	doc := m.book.Catalog.Published()
+	doc := m.state.Catalog.Published()
 	m.replyDoc(c.peer, c.ID, 200, &doc)
 }
 
@@ -150,7 +150,7 @@
 	pageLook  = 20000
 )
 
-func (m *Machine) listJobs(c *call) {
+func (m *Server) listJobs(c *call) {
 	q, err := url.ParseQuery(c.Query)
 	limit := pageUsual
 	if text := q.Get("limit"); text != "" && err == nil {
@@ -165,10 +165,10 @@
 		Next string   `json:"next,omitempty"`
 	}{Jobs: []JobDoc{}}
 	looked := 0
-	m.book.Page(identifier.JobKey(q.Get("after")), func(j *state.Job) bool {
+	m.state.JobsAfter(identifier.JobKey(q.Get("after")), func(j *state.Job) bool {
 		agent, _ := j.Key.Split()
 		looked++
-		if match(q, "agent", string(agent)) && match(q, "pending", string(j.Spec.Pending)) && match(q, "state", j.State()) {
+		if match(q, "agent", string(agent)) && match(q, "pending", string(j.Spec.Row)) && match(q, "state", j.State()) {
 			out.Jobs = append(out.Jobs, m.jobDoc(j, false))
 		}
 		if len(out.Jobs) >= limit || looked >= pageLook {
@@ -189,48 +189,48 @@
 // poll in milliseconds, Fence the drain operation that cordons it, Good and Bad
 // recent successes and defects.
 type RunnerDoc struct {
-	Runner identifier.Runner  `json:"runner"`
-	Domain identifier.Domain  `json:"domain"`
-	Rack   identifier.Rack    `json:"rack"`
-	Labels []identifier.Label `json:"labels"`
-	Cores  int64              `json:"cores"`
-	Mem    int64              `json:"memMb"`
-	Used   any                `json:"used"`
-	Tasks  int                `json:"tasks"`
-	Mode   string             `json:"mode"`
-	Gone   bool               `json:"gone"`
-	Fence  string             `json:"fence,omitempty"`
-	Quiet  clock.Millis       `json:"quietMs"`
-	Good   int64              `json:"well"`
-	Bad    int64              `json:"defects"`
+	Runner     identifier.Runner  `json:"runner"`
+	Domain     identifier.Domain  `json:"domain"`
+	Rack       identifier.Rack    `json:"rack"`
+	Labels     []identifier.Label `json:"labels"`
+	Cores      int64              `json:"cores"`
+	Mem        int64              `json:"memMb"`
+	Used       any                `json:"used"`
+	Tasks      int                `json:"tasks"`
+	Mode       string             `json:"mode"`
+	Gone       bool               `json:"gone"`
+	CordonedBy string             `json:"fence,omitempty"`
+	SilentFor  clock.Millis       `json:"quietMs"`
+	Successes  int64              `json:"well"`
+	Defects    int64              `json:"defects"`
 }
 
-func (m *Machine) showRunners() map[string]any {
+func (m *Server) showRunners() map[string]any {
 	list := []RunnerDoc{}
-	for _, n := range m.book.RunnerNames() {
-		r := m.book.Runners[n]
-		d := RunnerDoc{Runner: n, Domain: r.Domain, Rack: r.Rack, Labels: r.Labels, Cores: r.Cap.Cores, Mem: r.Cap.Mem, Used: r.Used(),
-			Tasks: r.Open(), Mode: "active", Gone: r.Gone, Fence: r.Fence(), Good: r.Good, Bad: r.Bad}
-		if r.Drain {
+	for _, n := range m.state.RunnerNames() {
+		r := m.state.Runners[n]
+		d := RunnerDoc{Runner: n, Domain: r.Domain, Rack: r.Rack, Labels: r.Labels, Cores: r.Capacity.Cores, Mem: r.Capacity.Mem, Used: r.Used(),
+			Tasks: r.OpenLeases(), Mode: "active", Gone: r.Gone, CordonedBy: r.CordonedBy(), Successes: r.Successes, Defects: r.Defects}
+		if r.Draining {
 			d.Mode = "draining"
 		}
 		if c := m.lead.runners[n]; c != nil {
-			d.Quiet = m.now.Since(c.heard)
+			d.SilentFor = m.now.Since(c.heard)
 		}
 		list = append(list, d)
 	}
 	return map[string]any{"runners": list}
 }
 
-func (m *Machine) showClosings() map[string]any {
+func (m *Server) showClosings() map[string]any {
 	list := []any{}
-	for _, id := range m.book.ClosingIDs() {
-		list = append(list, m.closingDoc(m.book.Closings[id]))
+	for _, id := range m.state.DrainIDs() {
+		list = append(list, m.closingDoc(m.state.Drains[id]))
 	}
 	return map[string]any{"closings": list}
 }
 
-func (m *Machine) closingDoc(c *state.Closing) map[string]any {
+func (m *Server) closingDoc(c *state.Drain) map[string]any {
 	var out map[string]any
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -240,14 +240,14 @@
 		panic(err)
 	}
 	fence := []identifier.Runner{}
-	for _, n := range m.book.RunnerNames() {
-		if c.Stage.Down() && m.book.Runners[n].Fence() != "" && has(c.Scope, n) {
+	for _, n := range m.state.RunnerNames() {
+		if c.Stage.Cordons() && m.state.Runners[n].CordonedBy() != "" && has(c.Scope, n) {
 			fence = append(fence, n)
 		}
 	}
-	free, loose := m.book.Undone(c)
+	free, loose := m.state.OpenLeases(c)
 	out["fence"], out["running"], out["stopping"] = fence, len(free), len(loose)
-	out["since"] = state.Stamp(c.At)
+	out["since"] = state.FormatTime(c.StartedAt)
 	return out
 }
 
@@ -260,11 +260,11 @@
 	return false
 }
 
-func (m *Machine) showClosing(c *call, name string) {
-	found := m.book.Closings[name]
+func (m *Server) showClosing(c *call, name string) {
+	found := m.state.Drains[name]
 	if found == nil {
-		for _, id := range m.book.ClosingIDs() {
-			if one := m.book.Closings[id]; one.Kind == state.KindDomain && string(one.Domain) == name {
+		for _, id := range m.state.DrainIDs() {
+			if one := m.state.Drains[id]; one.Kind == state.KindDomain && string(one.Domain) == name {
 				found = one
 			}
 		}
@@ -276,25 +276,25 @@
 	m.replyDoc(c.peer, c.ID, 200, m.closingDoc(found))
 }
 
-// KeeperDoc is a member as the leader sees it.
+// ServerDoc is a member as the leader sees it.
 //
 //revive:disable-next-line:exported Doc alone would not tell it from the other documents here.
-type KeeperDoc struct {
+type ServerDoc struct {
 	raft.Member
-	Name  string           `json:"name"`
-	Lead  bool             `json:"leads"`
-	Match identifier.Index `json:"match"`
-	Quiet clock.Millis     `json:"quietMs"`
-	Level uint16           `json:"level"`
+	Name      string           `json:"name"`
+	Lead      bool             `json:"leads"`
+	Match     identifier.Index `json:"match"`
+	SilentFor clock.Millis     `json:"quietMs"`
+	Level     uint16           `json:"level"`
 }
 
-func (m *Machine) showKeepers() map[string]any {
-	list := []KeeperDoc{}
-	self, _ := m.raft.Member(m.boot.ID)
-	list = append(list, KeeperDoc{Member: self, Name: self.ID.String(), Lead: true, Match: m.raft.Last(), Level: m.boot.Level})
+func (m *Server) showKeepers() map[string]any {
+	list := []ServerDoc{}
+	self, _ := m.raft.Member(m.config.ID)
+	list = append(list, ServerDoc{Member: self, Name: self.ID.String(), Lead: true, Match: m.raft.LastIndex(), Level: m.config.Level})
 	for _, s := range m.raft.MemberStatuses() {
-		list = append(list, KeeperDoc{Member: s.Member, Name: s.ID.String(), Match: s.Match, Quiet: s.Quiet, Level: s.Level})
+		list = append(list, ServerDoc{Member: s.Member, Name: s.ID.String(), Match: s.Match, SilentFor: s.SilentFor, Level: s.Level})
 	}
-	return map[string]any{"keepers": list, "term": m.term, "commit": m.raft.Commit(), "view": m.raft.SnapshotIndex(),
-		"gates": m.liveGates(), "siteTime": state.Stamp(m.lead.clock.site(m.now)), "level": m.book.Level, "policies": m.showPolicies(), "clocksAgree": m.lead.clock.agreed}
+	return map[string]any{"keepers": list, "term": m.term, "commit": m.raft.CommitIndex(), "view": m.raft.SnapshotIndex(),
+		"gates": m.liveGates(), "siteTime": state.FormatTime(m.lead.clock.site(m.now)), "level": m.state.Level, "policies": m.showPolicies(), "clocksAgree": m.lead.clock.agreed}
 }
--- a/internal/daemon/agentd/desk.go
+++ b/internal/daemon/agentd/desk.go
@@ -23,33 +23,33 @@
 // Settings are what an agent is started with. Memory is in bytes; 0 sets no
 // limit.
 type Settings struct {
-	Boot   agent.Boot
+	Boot   agent.Config
 	Memory int64
 }
 
-// Desk runs an agent.Machine.
-type Desk struct {
-	log     *logging.Log
+// Daemon runs an agent.Agent.
+type Daemon struct {
+	log     *logging.Logger
 	clock   *clock.System
 	link    *link.Link
-	mach    *agent.Machine
-	in      *lifecycle.Ring[input]
-	errands *httpserver.Errands[*agent.Machine]
+	mach    *agent.Agent
+	in      *lifecycle.Queue[input]
+	errands *httpserver.CallQueue[*agent.Agent]
 }
 
 // input is one frame.
 type input struct {
 	from wire.Peer
-	msg  wire.Msg
+	msg  wire.Message
 }
 
 // New opens the agent's address; it begins with the process's life.
-func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (*Desk, error) {
+func New(s Settings, c *lifecycle.Group, log *logging.Logger, life fx.Lifecycle) (*Daemon, error) {
 	var err error
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d := &Desk{log: log, clock: clock.NewSystem(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*agent.Machine](1024)}
+	d := &Daemon{log: log, clock: clock.NewSystem(), in: lifecycle.NewQueue[input](8192), errands: httpserver.NewCallQueue[*agent.Agent](1024)}
 	d.mach = agent.New(s.Boot, d.clock.Now())
 	if d.link, err = link.Listen(s.Boot.Addr, c); err != nil {
 		return nil, err
@@ -63,63 +63,63 @@
 	return d, nil
 }
 
-func (d *Desk) take(from wire.Peer, msg wire.Msg) { d.in.Offer(input{from, msg}) }
+func (d *Daemon) take(from wire.Peer, msg wire.Message) { d.in.TryPush(input{from, msg}) }
 
-func (d *Desk) run(stop <-chan struct{}) {
+func (d *Daemon) run(stop <-chan struct{}) {
 	defer d.errands.Close()
-	beat := time.NewTicker(agent.Tick.Duration())
+	beat := time.NewTicker(agent.TickInterval.Duration())
 	defer beat.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case x := <-d.in.Out():
-			d.mach.Frame(x.from, x.msg, d.clock.Now())
+			d.mach.HandleMessage(x.from, x.msg, d.clock.Now())
 		case x := <-d.errands.Out():
 			x.Run(d.mach)
 		case <-beat.C:
 			d.mach.Tick(d.clock.Now())
 		}
-		d.out(d.mach.Take())
+		d.out(d.mach.TakeOutput())
 	}
 }
 
-func (d *Desk) out(o agent.Out) {
+func (d *Daemon) out(o agent.Output) {
 	for _, e := range o.Events {
-		d.log.Event(e.Name, e.Vals...)
+		d.log.Event(e.Name, e.Fields...)
 	}
-	for _, s := range o.Sends {
-		d.link.Send(s.To, s.Msg)
+	for _, s := range o.Messages {
+		d.link.Send(s.To, s.Message)
 	}
 }
 
-// Beat answers a heartbeat of the runner. If not ok, the machine has not heard
+// Heartbeat answers a heartbeat of the runner. If not ok, the machine has not heard
 // of it and won't.
-func (d *Desk) Beat(ctx context.Context, b agent.Beat) (o agent.Orders, ok bool) {
-	ok = d.errands.Do(ctx, func(m *agent.Machine) { o = m.Beat(b, d.clock.Now()) })
+func (d *Daemon) Heartbeat(ctx context.Context, b agent.Heartbeat) (o agent.Orders, ok bool) {
+	ok = d.errands.Do(ctx, func(m *agent.Agent) { o = m.HandleHeartbeat(b, d.clock.Now()) })
 	return o, ok
 }
 
-// Leave tells that a runner says good-bye. If not ok, the machine has not
+// RunnerLeft tells that a runner says good-bye. If not ok, the machine has not
 // heard of it and won't.
-func (d *Desk) Leave(ctx context.Context, id identifier.Incarnation) (ok bool) {
-	return d.errands.Do(ctx, func(m *agent.Machine) { m.Leave(id, d.clock.Now()) })
+func (d *Daemon) RunnerLeft(ctx context.Context, id identifier.Incarnation) (ok bool) {
+	return d.errands.Do(ctx, func(m *agent.Agent) { m.RunnerLeft(id, d.clock.Now()) })
 }
 
-// Fence is the highest fence the agent knows of, 0 for none.
-func (d *Desk) Fence(ctx context.Context) uint64 {
+// FencingToken is the highest fence the agent knows of, 0 for none.
+func (d *Daemon) FencingToken(ctx context.Context) uint64 {
 	var fence uint64
-	d.errands.Do(ctx, func(m *agent.Machine) { fence = m.Fence() })
+	d.errands.Do(ctx, func(m *agent.Agent) { fence = m.FencingToken() })
 	return fence
 }
 
-// Stop says that the agent is about to end. It comes before the parting from
+// PrepareToStop says that the agent is about to end. It comes before the parting from
 // the runner, whose last heartbeats are then answered with the longest hold.
-func (d *Desk) Stop(ctx context.Context) bool {
-	return d.errands.Do(ctx, func(m *agent.Machine) { m.Stop() })
+func (d *Daemon) PrepareToStop(ctx context.Context) bool {
+	return d.errands.Do(ctx, func(m *agent.Agent) { m.PrepareToStop() })
 }
 
-// Look runs f on the desk's own duty. If not ok, f has not run and won't.
-func (d *Desk) Look(ctx context.Context, f func(m *agent.Machine)) (ok bool) {
+// Inspect runs f on the desk's own duty. If not ok, f has not run and won't.
+func (d *Daemon) Inspect(ctx context.Context, f func(m *agent.Agent)) (ok bool) {
 	return d.errands.Do(ctx, f)
 }
--- a/internal/daemon/agentd/desk_test.go
+++ b/internal/daemon/agentd/desk_test.go
@@ -30,15 +30,15 @@
 		t.Fatal(err)
 	}
 	var told atomic.Int64
-	core.Serve(func(_ wire.Peer, msg wire.Msg) {
-		if msg.Ask != nil {
+	core.Serve(func(_ wire.Peer, msg wire.Message) {
+		if msg.Request != nil {
 			told.Add(1)
 		}
 	})
 	log := logging.New()
 	log.Quiet()
 	l := &life{}
-	d, err := New(Settings{Boot: agent.Boot{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, HoldMost: 10000, Pace: 500}}, c, log, l)
+	d, err := New(Settings{Boot: agent.Config{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, MaxLease: 10000, HeartbeatInterval: 500}}, c, log, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -46,7 +46,7 @@
 	defer end()
 	left, leave := context.WithCancel(ctx)
 	leave()
-	if _, ok := d.Beat(left, agent.Beat{Runner: "x"}); ok {
+	if _, ok := d.Heartbeat(left, agent.Heartbeat{Runner: "x"}); ok {
 		t.Error("a heartbeat was answered before the desk began")
 	}
 	for _, h := range l.hooks {
@@ -54,8 +54,8 @@
 			t.Fatal(err)
 		}
 	}
-	o, ok := d.Beat(ctx, agent.Beat{Runner: "a", Domain: "north", Rack: "k", Cap: job.Demand{Cores: 4, Mem: 1024}})
-	if !ok || o.Hold != 0 || len(o.Start) > 0 || o.Retry != 500 {
+	o, ok := d.Heartbeat(ctx, agent.Heartbeat{Runner: "a", Domain: "north", Rack: "k", Capacity: job.Demand{Cores: 4, Mem: 1024}})
+	if !ok || o.Lease != 0 || len(o.Start) > 0 || o.NextHeartbeat != 500 {
 		t.Errorf("without a core: %v %+v", ok, o)
 	}
 	for told.Load() == 0 {
@@ -63,13 +63,13 @@
 			t.Fatal("the core was not told of the runner")
 		}
 	}
-	if !d.Leave(ctx, identifier.Incarnation("a")) || !d.Look(ctx, func(*agent.Machine) {}) {
+	if !d.RunnerLeft(ctx, identifier.Incarnation("a")) || !d.Inspect(ctx, func(*agent.Agent) {}) {
 		t.Error("the desk takes no errands")
 	}
 	if err = c.Stop(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok = d.Beat(ctx, agent.Beat{Runner: "a"}); ok {
+	if _, ok = d.Heartbeat(ctx, agent.Heartbeat{Runner: "a"}); ok {
 		t.Error("a desk that ended answered a heartbeat")
 	}
 }
--- a/internal/daemon/agentd/given_up_test.go
+++ b/internal/daemon/agentd/given_up_test.go
@@ -25,17 +25,17 @@
 	}
 	var mu sync.Mutex
 	told := ""
-	core.Serve(func(_ wire.Peer, msg wire.Msg) {
-		if msg.Ask != nil {
+	core.Serve(func(_ wire.Peer, msg wire.Message) {
+		if msg.Request != nil {
 			mu.Lock()
-			told += string(msg.Ask.Body)
+			told += string(msg.Request.Body)
 			mu.Unlock()
 		}
 	})
 	log := logging.New()
 	log.Quiet()
 	l := &life{}
-	d, err := New(Settings{Boot: agent.Boot{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, HoldMost: 10000, Pace: 500}}, c, log, l)
+	d, err := New(Settings{Boot: agent.Config{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, MaxLease: 10000, HeartbeatInterval: 500}}, c, log, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	left, leave := context.WithCancel(ctx)
 	leave()
 	room := job.Demand{Cores: 4, Mem: 1024}
-	if _, ok := d.Beat(left, agent.Beat{Runner: "given-up", Domain: "north", Rack: "k", Cap: room}); ok {
+	if _, ok := d.Heartbeat(left, agent.Heartbeat{Runner: "given-up", Domain: "north", Rack: "k", Capacity: room}); ok {
 		t.Error("a heartbeat was answered before the desk began")
 	}
 	for _, h := range l.hooks {
@@ -59,7 +59,7 @@
 	}
 	until := time.Now().Add(15 * time.Second)
 	for seq := uint64(1); !heard("the-next"); seq++ {
-		if _, ok := d.Beat(ctx, agent.Beat{Runner: "the-next", Seq: seq, Domain: "north", Rack: "k", Cap: room}); !ok || time.Now().After(until) {
+		if _, ok := d.Heartbeat(ctx, agent.Heartbeat{Runner: "the-next", Seq: seq, Domain: "north", Rack: "k", Capacity: room}); !ok || time.Now().After(until) {
 			t.Fatal("the core was not told of the next life")
 		}
 	}
@@ -68,7 +68,7 @@
 	}
 	// Had it been heard of, its life would now be a former one for good.
 	for seq := uint64(1); !heard("given-up"); seq++ {
-		if _, ok := d.Beat(ctx, agent.Beat{Runner: "given-up", Seq: seq, Domain: "north", Rack: "k", Cap: room}); !ok || time.Now().After(until) {
+		if _, ok := d.Heartbeat(ctx, agent.Heartbeat{Runner: "given-up", Seq: seq, Domain: "north", Rack: "k", Capacity: room}); !ok || time.Now().After(until) {
 			t.Fatal("a heartbeat that was given up was heard of: its life counts as past")
 		}
 	}
--- a/internal/daemon/gatewayd/ask.go
+++ b/internal/daemon/gatewayd/ask.go
@@ -10,15 +10,15 @@
 	"orchidward/internal/gateway"
 )
 
-// Ask has the gate settle a request. A caller whose context ends is forgotten,
+// Do has the gate settle a request. A caller whose context ends is forgotten,
 // and gets a 504 in case it still looks.
-func (d *Desk) Ask(ctx context.Context, r gateway.Request) gateway.Answer {
-	var a gateway.Answer
+func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
+	var a gateway.Response
 	r.ID = d.next.Add(1)
-	back := make(chan gateway.Answer, 1)
-	if !d.errands.Offer(func(m *gateway.Machine) {
+	back := make(chan gateway.Response, 1)
+	if !d.errands.Offer(func(m *gateway.Gateway) {
 		d.back[r.ID] = back
-		m.Request(r, d.clock.Now())
+		m.HandleRequest(r, d.clock.Now())
 	}) {
 		return full()
 	}
@@ -26,26 +26,26 @@
 	case a = <-back:
 		return a
 	case <-ctx.Done():
-		d.errands.Offer(func(m *gateway.Machine) {
-			m.Drop(r.ID)
+		d.errands.Offer(func(m *gateway.Gateway) {
+			m.Forget(r.ID)
 			delete(d.back, r.ID)
 		})
-		return gateway.Answer{Status: 504, Body: jsondoc.Trouble{Code: "no-answer", Why: "the caller left; the outcome is not known"}.JSON()}
+		return gateway.Response{Status: 504, Body: jsondoc.ErrorBody{Code: "no-answer", Message: "the caller left; the outcome is not known"}.JSON()}
 	case <-d.errands.Over():
 	}
 	select {
 	case a = <-back:
 		return a
 	default:
-		return gateway.Answer{Status: 504, Retry: 1000, Body: jsondoc.Trouble{Code: "stopping", Why: "this gate has stopped; the outcome is not known", Retry: 1000}.JSON()}
+		return gateway.Response{Status: 504, RetryAfter: 1000, Body: jsondoc.ErrorBody{Code: "stopping", Message: "this gate has stopped; the outcome is not known", RetryAfter: 1000}.JSON()}
 	}
 }
 
-// Look runs f on the desk's own duty. If not ok, f has not run and won't.
-func (d *Desk) Look(ctx context.Context, f func(m *gateway.Machine)) (ok bool) {
+// Inspect runs f on the desk's own duty. If not ok, f has not run and won't.
+func (d *Daemon) Inspect(ctx context.Context, f func(m *gateway.Gateway)) (ok bool) {
 	return d.errands.Do(ctx, f)
 }
 
-func full() gateway.Answer {
-	return gateway.Answer{Status: 503, Retry: 1000, Body: jsondoc.Trouble{Code: "busy", Why: "this gate is full"}.JSON()}
+func full() gateway.Response {
+	return gateway.Response{Status: 503, RetryAfter: 1000, Body: jsondoc.ErrorBody{Code: "busy", Message: "this gate is full"}.JSON()}
 }
--- a/internal/daemon/gatewayd/desk.go
+++ b/internal/daemon/gatewayd/desk.go
@@ -33,18 +33,18 @@
 	Memory int64
 }
 
-// Desk runs a gateway.Machine.
-type Desk struct {
-	log     *logging.Log
+// Daemon runs a gateway.Gateway.
+type Daemon struct {
+	log     *logging.Logger
 	clock   *clock.System
 	link    *link.Link
 	http    *httpserver.Server
 	gauges  *httpserver.Gauges
 	ready   atomic.Bool
-	mach    *gateway.Machine
-	in      *lifecycle.Ring[input]
-	errands *httpserver.Errands[*gateway.Machine]
-	back    map[uint64]chan<- gateway.Answer
+	mach    *gateway.Gateway
+	in      *lifecycle.Queue[input]
+	errands *httpserver.CallQueue[*gateway.Gateway]
+	back    map[uint64]chan<- gateway.Response
 	next    atomic.Uint64
 	size    int64
 }
@@ -52,11 +52,11 @@
 // input is one frame.
 type input struct {
 	from wire.Peer
-	msg  wire.Msg
+	msg  wire.Message
 }
 
 // New opens the gate's addresses; it begins with the process's life.
-func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle) (*Desk, error) {
+func New(s Settings, c *lifecycle.Group, log *logging.Logger, life fx.Lifecycle) (*Daemon, error) {
 	var err error
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
@@ -65,8 +65,8 @@
 	if name == "" {
 		name = s.Addr
 	}
-	d := &Desk{log: log, clock: clock.NewSystem(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*gateway.Machine](4096), back: map[uint64]chan<- gateway.Answer{}, size: s.BodyKb << 10}
-	d.mach = gateway.New(gateway.Boot{Addr: s.Addr, HTTP: name, Domain: s.Domain, Seeds: s.Seeds, Seed: rand.Int64()}, d.clock.Now())
+	d := &Daemon{log: log, clock: clock.NewSystem(), in: lifecycle.NewQueue[input](8192), errands: httpserver.NewCallQueue[*gateway.Gateway](4096), back: map[uint64]chan<- gateway.Response{}, size: s.BodyKb << 10}
+	d.mach = gateway.New(gateway.Config{Addr: s.Addr, HTTP: name, Domain: s.Domain, Seeds: s.Seeds, Seed: rand.Int64()}, d.clock.Now())
 	if d.link, err = link.Listen(s.Addr, c); err != nil {
 		return nil, err
 	}
@@ -90,40 +90,40 @@
 	d.gauges = d.http.Gauge
 	d.routes()
 	log.Event("start", "program", "gateway", "addr", s.Addr, "http", s.HTTP, "domain", s.Domain)
-	d.http.Life(life, c, log, "gateway", begin)
+	d.http.Run(life, c, log, "gateway", begin)
 	return d, nil
 }
 
-func (d *Desk) take(from wire.Peer, msg wire.Msg) { d.in.Offer(input{from, msg}) }
+func (d *Daemon) take(from wire.Peer, msg wire.Message) { d.in.TryPush(input{from, msg}) }
 
-func (d *Desk) run(stop <-chan struct{}) {
+func (d *Daemon) run(stop <-chan struct{}) {
 	defer d.errands.Close()
-	beat := time.NewTicker(gateway.Tick.Duration())
+	beat := time.NewTicker(gateway.TickInterval.Duration())
 	defer beat.Stop()
 	for {
 		select {
 		case <-stop:
 			return
 		case x := <-d.in.Out():
-			d.mach.Frame(x.from, x.msg, d.clock.Now())
+			d.mach.HandleMessage(x.from, x.msg, d.clock.Now())
 		case x := <-d.errands.Out():
 			x.Run(d.mach)
 		case <-beat.C:
 			d.mach.Tick(d.clock.Now())
 			d.gauge()
 		}
-		d.out(d.mach.Take())
+		d.out(d.mach.TakeOutput())
 	}
 }
 
-func (d *Desk) out(o gateway.Out) {
+func (d *Daemon) out(o gateway.Output) {
 	for _, e := range o.Events {
-		d.log.Event(e.Name, e.Vals...)
+		d.log.Event(e.Name, e.Fields...)
 	}
-	for _, s := range o.Sends {
-		d.link.Send(s.To, s.Msg)
+	for _, s := range o.Messages {
+		d.link.Send(s.To, s.Message)
 	}
-	for _, a := range o.Answers {
+	for _, a := range o.Responses {
 		if c := d.back[a.ID]; c != nil {
 			c <- a
 			delete(d.back, a.ID)
@@ -132,12 +132,12 @@
 }
 
 // Ready tells whether this gate is in touch with the leader.
-func (d *Desk) Ready() bool { return d.ready.Load() }
+func (d *Daemon) Ready() bool { return d.ready.Load() }
 
 // Gauges are this gate's numbers, for a face that shows them.
-func (d *Desk) Gauges() *httpserver.Gauges { return d.gauges }
+func (d *Daemon) Gauges() *httpserver.Gauges { return d.gauges }
 
-func (d *Desk) gauge() {
+func (d *Daemon) gauge() {
 	ready := d.mach.Ready(d.clock.Now())
 	d.ready.Store(ready)
 	if d.http != nil {
@@ -145,12 +145,12 @@
 	}
 	g, n := d.gauges, d.mach.Counts
 	g.Set("table_epoch", float64(d.mach.Epoch()))
-	g.Set("requests_in_hand", float64(d.mach.Waiting()))
-	g.Set("requests", float64(n.Asked))
+	g.Set("requests_in_hand", float64(d.mach.InFlight()))
+	g.Set("requests", float64(n.Forwarded))
 	g.Set("requests_refused_here", float64(n.Refused))
 	g.Set("requests_returned_stale", float64(n.Stale))
-	g.Set("requests_moved", float64(n.Moved))
-	out, lost := d.link.Counts()
+	g.Set("requests_moved", float64(n.Redirected))
+	out, lost := d.link.FrameCounts()
 	g.Set("frames_sent", float64(out))
 	g.Set("frames_dropped", float64(lost))
 }
--- a/internal/daemon/gatewayd/desk_test.go
+++ b/internal/daemon/gatewayd/desk_test.go
@@ -27,7 +27,7 @@
 
 // core plays the leader: it answers discovery and syncs, answers reads of the
 // table, and keeps silent about all else, which it counts.
-func core(t *testing.T, c *lifecycle.Crew) (addr string, silent *atomic.Int64) {
+func core(t *testing.T, c *lifecycle.Group) (addr string, silent *atomic.Int64) {
 	t.Helper()
 	l, err := link.Listen("127.0.0.1:0", c)
 	if err != nil {
@@ -35,18 +35,18 @@
 	}
 	silent = &atomic.Int64{}
 	members := []raft.Member{{ID: 7, Addr: l.Addr(), Voter: true}}
-	text, err := json.Marshal(controlplane.Sync{Epoch: 1, Table: &controlplane.Sheet{Epoch: 1, Rows: limits.First().Rows}, Lead: identifier.Node(7).String(), Members: members})
+	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: limits.Default().Rows}, Lead: identifier.Node(7).String(), Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Serve(func(from wire.Peer, msg wire.Msg) {
-		switch a := msg.Ask; {
-		case msg.Tell != nil && msg.Tell.Ask:
-			l.Send(from, wire.Msg{Tell: &wire.Tell{Role: "keeper", Node: 7, Founded: true, Lead: 7, Members: members}})
-		case a != nil && a.Verb == "SYNC":
-			l.Send(from, wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 200, Body: text}})
+	l.Serve(func(from wire.Peer, msg wire.Message) {
+		switch a := msg.Request; {
+		case msg.Announcement != nil && msg.Announcement.WantReply:
+			l.Send(from, wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: 7, Founded: true, LeaderID: 7, Members: members}})
+		case a != nil && a.Method == "SYNC":
+			l.Send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: text}})
 		case a != nil && a.Path == "/v1/table":
-			l.Send(from, wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 200, Body: []byte("the table")}})
+			l.Send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("the table")}})
 		case a != nil:
 			silent.Add(1)
 		}
@@ -54,7 +54,7 @@
 	return l.Addr(), silent
 }
 
-func desk(t *testing.T, c *lifecycle.Crew, seed string) (d *Desk, l *life) {
+func desk(t *testing.T, c *lifecycle.Group, seed string) (d *Daemon, l *life) {
 	t.Helper()
 	log := logging.New()
 	log.Quiet()
@@ -93,19 +93,19 @@
 	d, l := desk(t, c, addr)
 	l.start(t)
 	until(t, "never in touch", d.Ready)
-	a := d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table"})
+	a := d.Do(context.Background(), gateway.Request{Method: "GET", Path: "/v1/table"})
 	if a.Status != 200 || string(a.Body) != "the table" {
 		t.Errorf("got %d %s", a.Status, a.Body)
 	}
 	ctx, leave := context.WithCancel(context.Background())
-	got := make(chan gateway.Answer, 1)
+	got := make(chan gateway.Response, 1)
 	c.Go(func(<-chan struct{}) {
-		got <- d.Ask(ctx, gateway.Request{Verb: "GET", Path: "/v1/jobs", Budget: 30000})
+		got <- d.Do(ctx, gateway.Request{Method: "GET", Path: "/v1/jobs", Budget: 30000})
 	})
 	until(t, "the request did not reach the leader", func() bool { return silent.Load() > 0 })
 	waiting := func() int {
 		var n int
-		if !d.Look(context.Background(), func(m *gateway.Machine) { n = m.Waiting() + len(d.back) }) {
+		if !d.Inspect(context.Background(), func(m *gateway.Gateway) { n = m.InFlight() + len(d.back) }) {
 			t.Fatal("no look at the machine")
 		}
 		return n
@@ -124,16 +124,16 @@
 func TestAskRefused(t *testing.T) {
 	c := lifecycle.New()
 	d, l := desk(t, c, "127.0.0.1:1")
-	for d.errands.Offer(func(*gateway.Machine) {}) {
+	for d.errands.Offer(func(*gateway.Gateway) {}) {
 	}
-	ask := func() gateway.Answer {
-		return d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: 30000})
+	ask := func() gateway.Response {
+		return d.Do(context.Background(), gateway.Request{Method: "GET", Path: "/v1/table", Budget: 30000})
 	}
-	if a := ask(); a.Status != 503 || a.Retry == 0 || !strings.Contains(string(a.Body), "busy") {
+	if a := ask(); a.Status != 503 || a.RetryAfter == 0 || !strings.Contains(string(a.Body), "busy") {
 		t.Errorf("a full desk answered %d %s", a.Status, a.Body)
 	}
 	l.start(t)
-	until(t, "the desk does not come to its errands", func() bool { return d.Look(context.Background(), func(*gateway.Machine) {}) })
+	until(t, "the desk does not come to its errands", func() bool { return d.Inspect(context.Background(), func(*gateway.Gateway) {}) })
 	if a := ask(); a.Status != 503 || !strings.Contains(string(a.Body), "out-of-touch") {
 		t.Errorf("out of touch: %d %s", a.Status, a.Body)
 	}
--- a/internal/daemon/gatewayd/web.go
+++ b/internal/daemon/gatewayd/web.go
@@ -17,7 +17,7 @@
 
 const budgetHead = "Budget-Ms"
 
-func (d *Desk) routes() {
+func (d *Daemon) routes() {
 	d.http.Gin.GET("/v1/members", d.members)
 	for _, path := range []string{"/v1/jobs", "/v1/runners", "/v1/table", "/v1/closings", "/v1/keepers",
 		"/v1/states/:agent/:id", "/v1/queues/:name", "/v1/catalog",
@@ -28,14 +28,14 @@
 
 // members shows what this gate knows of the fleet, for runners that look for
 // other gates; it needs no leader.
-func (d *Desk) members(c *gin.Context) {
+func (d *Daemon) members(c *gin.Context) {
 	var shown gin.H
-	ok := d.Look(c.Request.Context(), func(m *gateway.Machine) {
+	ok := d.Inspect(c.Request.Context(), func(m *gateway.Gateway) {
 		list := []gin.H{}
 		for _, one := range m.Members() {
 			list = append(list, gin.H{"node": one.ID.String(), "addr": one.Addr, "domain": one.Domain, "voter": one.Voter})
 		}
-		shown = gin.H{"keepers": list, "gates": m.Gates(), "epoch": m.Epoch()}
+		shown = gin.H{"keepers": list, "gates": m.Gateways(), "epoch": m.Epoch()}
 	})
 	switch {
 	case ok:
@@ -45,26 +45,26 @@
 	}
 }
 
-func (d *Desk) serve(c *gin.Context) {
+func (d *Daemon) serve(c *gin.Context) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, d.size))
 	if err != nil {
 		if _, big := err.(*http.MaxBytesError); big {
-			httpserver.Refuse(c, 413, "too-large", "the body is over "+strconv.FormatInt(d.size, 10)+" bytes")
+			httpserver.WriteError(c, 413, "too-large", "the body is over "+strconv.FormatInt(d.size, 10)+" bytes")
 			return
 		}
-		httpserver.Refuse(c, 400, "bad-request", "the body could not be read")
+		httpserver.WriteError(c, 400, "bad-request", "the body could not be read")
 		return
 	}
-	r := gateway.Request{Verb: c.Request.Method, Path: c.Request.URL.Path, Query: c.Request.URL.RawQuery, Body: body}
+	r := gateway.Request{Method: c.Request.Method, Path: c.Request.URL.Path, Query: c.Request.URL.RawQuery, Body: body}
 	if text := c.GetHeader(budgetHead); text != "" {
 		n, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || n < 50 || n > 30000 {
-			httpserver.Refuse(c, 400, "bad-request", budgetHead+" wants 50 to 30000")
+			httpserver.WriteError(c, 400, "bad-request", budgetHead+" wants 50 to 30000")
 			return
 		}
 		r.Budget = clock.Millis(n)
 	}
-	a := d.Ask(c.Request.Context(), r)
+	a := d.Do(c.Request.Context(), r)
 	if c.Request.Context().Err() != nil {
 		return
 	}
@@ -74,9 +74,9 @@
 	reply(c, a)
 }
 
-func reply(c *gin.Context, a gateway.Answer) {
-	if a.Retry > 0 {
-		c.Header("Retry-After", strconv.FormatInt(int64(a.Retry+999)/1000, 10))
+func reply(c *gin.Context, a gateway.Response) {
+	if a.RetryAfter > 0 {
+		c.Header("Retry-After", strconv.FormatInt(int64(a.RetryAfter+999)/1000, 10))
 	}
 	c.Data(a.Status, "application/json", a.Body)
 }
--- a/internal/daemon/lifecycle/crew.go
+++ b/internal/daemon/lifecycle/crew.go
@@ -10,19 +10,19 @@
 	"go.uber.org/fx"
 )
 
-// Crew supervises the goroutines of a process: it starts them, signals all of
+// Group supervises the goroutines of a process: it starts them, signals all of
 // them to end and waits for them.
-type Crew struct {
+type Group struct {
 	wg   sync.WaitGroup
 	once sync.Once
 	stop chan struct{}
 }
 
 // New makes a crew without goroutines.
-func New() *Crew { return &Crew{stop: make(chan struct{})} }
+func New() *Group { return &Group{stop: make(chan struct{})} }
 
 // Go starts a duty. It should return soon after stop is closed.
-func (c *Crew) Go(duty func(stop <-chan struct{})) {
+func (c *Group) Go(duty func(stop <-chan struct{})) {
 	c.wg.Add(1)
 	go func() {
 		defer c.wg.Done()
@@ -31,7 +31,7 @@
 }
 
 // Stop tells all duties to end and waits for them as long as ctx allows.
-func (c *Crew) Stop(ctx context.Context) error {
+func (c *Group) Stop(ctx context.Context) error {
 	c.once.Do(func() { close(c.stop) })
 	done := make(chan struct{})
 	go func() {
@@ -61,6 +61,6 @@
 }
 
 // Module provides a Crew that is stopped with the program.
-var Module = fx.Module("crew", fx.Provide(New), fx.Invoke(func(life fx.Lifecycle, c *Crew) {
+var Module = fx.Module("crew", fx.Provide(New), fx.Invoke(func(life fx.Lifecycle, c *Group) {
 	life.Append(fx.Hook{OnStop: c.Stop})
 }))
--- a/internal/daemon/lifecycle/ring.go
+++ b/internal/daemon/lifecycle/ring.go
@@ -3,14 +3,14 @@
 
 package lifecycle
 
-// Ring is a bounded queue between goroutines.
-type Ring[T any] struct{ c chan T }
+// Queue is a bounded queue between goroutines.
+type Queue[T any] struct{ c chan T }
 
-// NewRing makes an empty queue for size values.
-func NewRing[T any](size int) *Ring[T] { return &Ring[T]{make(chan T, size)} }
+// NewQueue makes an empty queue for size values.
+func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{make(chan T, size)} }
 
-// Offer adds a value without waiting; ok is false when the queue is full.
-func (r *Ring[T]) Offer(v T) (ok bool) {
+// TryPush adds a value without waiting; ok is false when the queue is full.
+func (r *Queue[T]) TryPush(v T) (ok bool) {
 	select {
 	case r.c <- v:
 		return true
@@ -20,7 +20,7 @@
 }
 
 // Push waits for room, or for the stop.
-func (r *Ring[T]) Push(v T, stop <-chan struct{}) bool {
+func (r *Queue[T]) Push(v T, stop <-chan struct{}) bool {
 	select {
 	case r.c <- v:
 		return true
@@ -30,10 +30,10 @@
 }
 
 // In lets a select offer to the ring among other cases.
-func (r *Ring[T]) In() chan<- T { return r.c }
+func (r *Queue[T]) In() chan<- T { return r.c }
 
 // Out is the channel to receive from. It is never closed.
-func (r *Ring[T]) Out() <-chan T { return r.c }
+func (r *Queue[T]) Out() <-chan T { return r.c }
 
 // Len is the number of values that wait.
-func (r *Ring[T]) Len() int { return len(r.c) }
+func (r *Queue[T]) Len() int { return len(r.c) }
--- a/internal/daemon/logging/logs.go
+++ b/internal/daemon/logging/logs.go
@@ -15,15 +15,15 @@
 	"go.uber.org/fx/fxevent"
 )
 
-// Log writes to standard error. It is safe for concurrent use.
-type Log struct{ l *logrus.Logger }
+// Logger writes to standard error. It is safe for concurrent use.
+type Logger struct{ l *logrus.Logger }
 
 // New makes a log that writes both events and faults.
-func New() *Log {
+func New() *Logger {
 	out := logrus.New()
 	out.SetOutput(os.Stderr)
 	out.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: "2006-01-02T15:04:05.000Z07:00"})
-	return &Log{out}
+	return &Logger{out}
 }
 
 func fields(vals []any) logrus.Fields {
@@ -42,13 +42,13 @@
 
 // Event writes a line of the level info. vals are alternating keys and values; a
 // key without a value is left out.
-func (l *Log) Event(name string, vals ...any) { l.l.WithFields(fields(vals)).Info(name) }
+func (l *Logger) Event(name string, vals ...any) { l.l.WithFields(fields(vals)).Info(name) }
 
-// Fault writes a line of the level error, with keys and values as in Event.
-func (l *Log) Fault(name string, vals ...any) { l.l.WithFields(fields(vals)).Error(name) }
+// Error writes a line of the level error, with keys and values as in Event.
+func (l *Logger) Error(name string, vals ...any) { l.l.WithFields(fields(vals)).Error(name) }
 
 // Quiet leaves out the events from now on; faults are still written.
-func (l *Log) Quiet() { l.l.SetLevel(logrus.ErrorLevel) }
+func (l *Logger) Quiet() { l.l.SetLevel(logrus.ErrorLevel) }
 
 // Module provides a Log.
 var Module = fx.Module("logs", fx.Provide(New))
@@ -64,21 +64,21 @@
 	ctx, end := context.WithTimeout(context.Background(), stopWait)
 	defer end()
 	if err := app.Start(ctx); err != nil {
-		log.Fault("cannot-start", "error", dig.RootCause(err).Error())
+		log.Error("cannot-start", "error", dig.RootCause(err).Error())
 		os.Exit(1)
 	}
 	told := wait(log, app.Wait(), hangups)
 	ctx, end = context.WithTimeout(context.Background(), stopWait)
 	defer end()
 	if err := app.Stop(ctx); err != nil {
-		log.Fault("stopped-late", "error", err)
+		log.Error("stopped-late", "error", err)
 		os.Exit(1)
 	}
 	os.Exit(told.ExitCode)
 }
 
 // wait waits until the daemon is told to stop.
-func wait(log *Log, stop <-chan fx.ShutdownSignal, hangups <-chan os.Signal) fx.ShutdownSignal {
+func wait(log *Logger, stop <-chan fx.ShutdownSignal, hangups <-chan os.Signal) fx.ShutdownSignal {
 	var told fx.ShutdownSignal
 	for {
 		select {
--- a/internal/daemon/logging/logs_test.go
+++ b/internal/daemon/logging/logs_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) {
 	if os.Getenv(daemonEnv) != "" {
-		Run(fx.Invoke(func(l *Log, life fx.Lifecycle) {
+		Run(fx.Invoke(func(l *Logger, life fx.Lifecycle) {
 			life.Append(fx.Hook{OnStart: func(context.Context) error {
 				l.Event("begun")
 				return nil
@@ -72,7 +72,7 @@
 	l.Event("first")
 	l.Quiet()
 	l.Event("second")
-	l.Fault("third")
+	l.Error("third")
 	if s := text.String(); !strings.Contains(s, "first") || strings.Contains(s, "second") || !strings.Contains(s, "third") {
 		t.Errorf("wrote %q", s)
 	}
--- a/internal/daemon/serverd/ask.go
+++ b/internal/daemon/serverd/ask.go
@@ -11,25 +11,25 @@
 	"orchidward/internal/inflight"
 )
 
-// Ask has the leader settle a request, wherever it is, within the request's
+// Do has the leader settle a request, wherever it is, within the request's
 // budget, by default 2 s. Where no leader has been known for a while it is a 503
 // at once, with when to come back; a 504 means that the outcome is not known. A caller whose context ends is forgotten, and
 // gets a 504 in case it still looks.
-func (d *Desk) Ask(ctx context.Context, r gateway.Request) gateway.Answer {
-	var a gateway.Answer
+func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
+	var a gateway.Response
 	r.ID = d.next.Add(1)
-	back := make(chan gateway.Answer, 1)
-	admit := func(m *controlplane.Machine) {
-		d.pending.Admit(r, func(a gateway.Answer) { back <- a }, d.clock.Now(), m.Connected())
+	back := make(chan gateway.Response, 1)
+	admit := func(m *controlplane.Server) {
+		d.pending.Admit(r, func(a gateway.Response) { back <- a }, d.clock.Now(), m.Connected())
 	}
 	if !d.errands.Offer(admit) {
-		return inflight.Full()
+		return inflight.Overloaded()
 	}
 	select {
 	case a = <-back:
 		return a
 	case <-ctx.Done():
-		d.errands.Offer(func(*controlplane.Machine) { d.pending.Forget(r.ID) })
+		d.errands.Offer(func(*controlplane.Server) { d.pending.Forget(r.ID) })
 		return inflight.Refusal(504, "no-answer", "the caller left; the outcome is not known", 0)
 	case <-d.errands.Over():
 	}
@@ -41,7 +41,7 @@
 	}
 }
 
-// Look runs f on the desk's own duty. If not ok, f has not run and won't.
-func (d *Desk) Look(ctx context.Context, f func(m *controlplane.Machine)) (ok bool) {
+// Inspect runs f on the desk's own duty. If not ok, f has not run and won't.
+func (d *Daemon) Inspect(ctx context.Context, f func(m *controlplane.Server)) (ok bool) {
 	return d.errands.Do(ctx, f)
 }
--- a/internal/daemon/serverd/depart.go
+++ b/internal/daemon/serverd/depart.go
@@ -11,17 +11,17 @@
 	"orchidward/internal/controlplane"
 )
 
-// Depart has this server leave its group in order when the process is told to
+// LeaveOnStop has this server leave its group in order when the process is told to
 // stop. Hooks run in reverse at the stop: it is to be called after the faces
 // that bring requests, so that they still serve meanwhile.
-func (d *Desk) Depart(life fx.Lifecycle) {
+func (d *Daemon) LeaveOnStop(life fx.Lifecycle) {
 	life.Append(fx.Hook{OnStop: d.depart})
 }
 
 // depart waits until the machine has left or the context ends; what could not be
 // done in time is left to an election.
-func (d *Desk) depart(ctx context.Context) error {
-	if !d.errands.Offer(func(m *controlplane.Machine) { m.Leave() }) {
+func (d *Daemon) depart(ctx context.Context) error {
+	if !d.errands.Offer(func(m *controlplane.Server) { m.Leave() }) {
 		return nil
 	}
 	select {
--- a/internal/daemon/serverd/depart_test.go
+++ b/internal/daemon/serverd/depart_test.go
@@ -14,17 +14,17 @@
 // TestDepart: a leader that is told to stop hands on before its hook returns;
 // requests made at it meanwhile and after are settled by the next leader.
 func TestDepart(t *testing.T) {
-	c, seeds, list, lives := lifecycle.New(), free(3), []*Desk{}, []*life{}
+	c, seeds, list, lives := lifecycle.New(), free(3), []*Daemon{}, []*life{}
 	defer c.Stop(context.Background())
 	for _, addr := range seeds {
 		d, l := desk(t, c, addr, seeds)
-		d.Depart(l)
+		d.LeaveOnStop(l)
 		l.start(t)
 		list, lives = append(list, d), append(lives, l)
 	}
 	ctx, end := context.WithTimeout(context.Background(), 60*time.Second)
 	defer end()
-	job := gateway.Request{Verb: "PUT", Path: "/v1/jobs/a/j", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)}
+	job := gateway.Request{Method: "PUT", Path: "/v1/jobs/a/j", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)}
 	if a := settled(ctx, list[0], job); a.Status != 201 && a.Status != 200 {
 		t.Fatalf("before: %d %s", a.Status, a.Body)
 	}
@@ -47,9 +47,9 @@
 	}
 }
 
-func role(ctx context.Context, d *Desk) raft.Role {
+func role(ctx context.Context, d *Daemon) raft.Role {
 	var r raft.Role
-	d.Look(ctx, func(m *controlplane.Machine) {
+	d.Inspect(ctx, func(m *controlplane.Server) {
 		if m.Raft() != nil {
 			r = m.Raft().Role()
 		}
@@ -58,7 +58,7 @@
 }
 
 // leading is which of them leads, -1 when none does before the context ends.
-func leading(ctx context.Context, list []*Desk) int {
+func leading(ctx context.Context, list []*Daemon) int {
 	for ctx.Err() == nil {
 		for i, d := range list {
 			if role(ctx, d) == raft.Leader {
--- a/internal/daemon/serverd/desk.go
+++ b/internal/daemon/serverd/desk.go
@@ -49,26 +49,26 @@
 
 func (s Settings) timing() raft.Timing {
 	if s.Elect == 0 {
-		return raft.Usual()
+		return raft.DefaultTiming()
 	}
-	return raft.Paced(s.Elect)
+	return raft.NewTiming(s.Elect)
 }
 
-// Desk runs a controlplane.Machine.
-type Desk struct {
-	log     *logging.Log
+// Daemon runs a controlplane.Server.
+type Daemon struct {
+	log     *logging.Logger
 	clock   *clock.System
 	link    *link.Link
 	http    *httpserver.Server
 	gauges  *httpserver.Gauges
 	ready   atomic.Bool
-	mach    *controlplane.Machine
+	mach    *controlplane.Server
 	store   *store
-	in      *lifecycle.Ring[input]
-	errands *httpserver.Errands[*controlplane.Machine]
+	in      *lifecycle.Queue[input]
+	errands *httpserver.CallQueue[*controlplane.Server]
 	pending *inflight.Requests
 	next    atomic.Uint64
-	todo    wal.Chores
+	todo    wal.WriteQueue
 	stop    fx.Shutdowner
 	// left is closed once the machine has left its group in order.
 	left     chan struct{}
@@ -78,7 +78,7 @@
 // input is one frame.
 type input struct {
 	from wire.Peer
-	msg  wire.Msg
+	msg  wire.Message
 }
 
 func random() uint64 {
@@ -91,27 +91,27 @@
 
 // New opens the keeper's folder and addresses; it begins with the process's
 // life, and ends the process when it must step aside.
-func New(s Settings, c *lifecycle.Crew, log *logging.Log, life fx.Lifecycle, stop fx.Shutdowner) (*Desk, error) {
+func New(s Settings, c *lifecycle.Group, log *logging.Logger, life fx.Lifecycle, stop fx.Shutdowner) (*Daemon, error) {
 	var err error
 	if s.Memory > 0 {
 		debug.SetMemoryLimit(s.Memory / 10 * 8)
 	}
-	d := &Desk{log: log, clock: clock.NewSystem(), in: lifecycle.NewRing[input](8192), errands: httpserver.NewErrands[*controlplane.Machine](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
-	boot := controlplane.Boot{Addr: s.Addr, Domain: s.Domain, Seeds: s.Seeds, Seed: int64(random() >> 1), Timing: s.timing(), Level: state.Present, Found: s.Found, Cells: s.Cells, Diskless: s.Data == ""}
+	d := &Daemon{log: log, clock: clock.NewSystem(), in: lifecycle.NewQueue[input](8192), errands: httpserver.NewCallQueue[*controlplane.Server](4096), pending: inflight.New(), stop: stop, left: make(chan struct{})}
+	boot := controlplane.Config{Addr: s.Addr, Domain: s.Domain, Seeds: s.Seeds, Seed: int64(random() >> 1), Timing: s.timing(), Level: state.SupportedLevel, MayFound: s.Found, InitialLimits: s.Cells, Diskless: s.Data == ""}
 	if d.store, boot.ID, err = newStore(s); err != nil {
 		return nil, err
 	}
 	d.mach = controlplane.New(boot, d.clock.Now())
-	d.mach.Full = d.store.full
+	d.mach.LogPercentUsed = d.store.full
 	found, err := d.store.open()
 	if err != nil {
 		return nil, err
 	}
 	if found != nil {
-		if err = d.mach.Resume(found.Hard, found.View, found.List); err != nil {
+		if err = d.mach.Resume(found.HardState, found.Snapshot, found.Entries); err != nil {
 			return nil, errors.Wrap(err, "view")
 		}
-		log.Event("resume", "view", found.View.Index, "entries", len(found.List), "term", found.Hard.Term, "tornTail", found.Cut)
+		log.Event("resume", "view", found.Snapshot.Index, "entries", len(found.Entries), "term", found.HardState.Term, "tornTail", found.TornTail)
 	}
 	if d.link, err = link.Listen(s.Addr, c); err != nil {
 		return nil, err
@@ -125,7 +125,7 @@
 
 // begin hooks the duties into the process's life, by way of the HTTP side if
 // there is one.
-func (d *Desk) begin(s Settings, c *lifecycle.Crew, life fx.Lifecycle, id identifier.Node) error {
+func (d *Daemon) begin(s Settings, c *lifecycle.Group, life fx.Lifecycle, id identifier.Node) error {
 	var err error
 	begin := func() {
 		d.link.Serve(d.take)
@@ -140,7 +140,7 @@
 	}
 	d.log.Event("start", "program", "server", "node", id, "addr", s.Addr, "domain", s.Domain)
 	if d.http != nil {
-		d.http.Life(life, c, d.log, "server", begin)
+		d.http.Run(life, c, d.log, "server", begin)
 		return nil
 	}
 	d.gauges = httpserver.NewGauges()
@@ -151,22 +151,22 @@
 	return nil
 }
 
-func (d *Desk) take(from wire.Peer, msg wire.Msg) { d.in.Offer(input{from, msg}) }
+func (d *Daemon) take(from wire.Peer, msg wire.Message) { d.in.TryPush(input{from, msg}) }
 
-func (d *Desk) run(stop <-chan struct{}) {
+func (d *Daemon) run(stop <-chan struct{}) {
 	defer d.errands.Close()
-	beat := time.NewTicker(controlplane.Tick.Duration())
+	beat := time.NewTicker(controlplane.TickInterval.Duration())
 	defer beat.Stop()
 	for {
 		if x := d.todo.Next(); x != nil {
-			d.store.in.Offer(x)
+			d.store.in.TryPush(x)
 		}
 		select {
 		case <-stop:
 			return
 		case x := <-d.in.Out():
 			d.pending.Observe(d.clock.Now())
-			d.mach.Frame(x.from, x.msg, d.clock.Now(), d.clock.Wall())
+			d.mach.HandleMessage(x.from, x.msg, d.clock.Now(), d.clock.Wall())
 		case x := <-d.errands.Out():
 			d.pending.Observe(d.clock.Now())
 			x.Run(d.mach)
@@ -177,19 +177,19 @@
 		case r := <-d.store.out.Out():
 			d.todo.Done(r.chore)
 			if r.err != nil {
-				d.log.Fault("disk-failed", "error", r.err, "action", "stepping aside")
+				d.log.Error("disk-failed", "error", r.err, "action", "stepping aside")
 				d.stop.Shutdown(fx.ExitCode(1))
 				return
 			}
 			switch x := r.chore; {
-			case x.Start != nil:
-				d.mach.Started(x.Start, d.clock.Now(), d.clock.Wall())
+			case x.Create != nil:
+				d.mach.LogCreated(x.Create, d.clock.Now(), d.clock.Wall())
 			case x.Write != nil:
 				d.mach.Synced(x.Write.Seq, d.clock.Now(), d.clock.Wall())
 			}
 		}
 		d.dispatch()
-		d.out(d.mach.Take())
+		d.out(d.mach.TakeOutput())
 		if d.mach.Left() {
 			d.leftOnce.Do(func() { close(d.left) })
 		}
@@ -197,34 +197,34 @@
 }
 
 // dispatch gives the machine the requests that wait for it.
-func (d *Desk) dispatch() {
-	for _, one := range d.pending.Take() {
-		d.mach.Frame(one.Peer, wire.Msg{Ask: one.Ask}, d.clock.Now(), d.clock.Wall())
+func (d *Daemon) dispatch() {
+	for _, one := range d.pending.TakeDispatches() {
+		d.mach.HandleMessage(one.Peer, wire.Message{Request: one.Request}, d.clock.Now(), d.clock.Wall())
 	}
 }
 
-func (d *Desk) out(o controlplane.Out) {
+func (d *Daemon) out(o controlplane.Output) {
 	for _, e := range o.Events {
-		d.log.Event(e.Name, e.Vals...)
+		d.log.Event(e.Name, e.Fields...)
 	}
-	d.todo.Add(o.Start, o.Writes, o.Draft)
+	d.todo.Add(o.CreateLog, o.Writes, o.Snapshot)
 	if o.Quit != "" {
-		d.log.Fault("step-aside", "why", o.Quit)
+		d.log.Error("step-aside", "why", o.Quit)
 		d.stop.Shutdown(fx.ExitCode(1))
 	}
-	for _, s := range o.Sends {
+	for _, s := range o.Messages {
 		if !s.To.Local() {
-			d.link.Send(s.To, s.Msg)
+			d.link.Send(s.To, s.Message)
 			continue
 		}
-		if s.Msg.Reply != nil {
-			d.pending.Complete(s.To, s.Msg.Reply, d.clock.Now())
+		if s.Message.Response != nil {
+			d.pending.Complete(s.To, s.Message.Response, d.clock.Now())
 		}
 	}
 }
 
 // Ready tells whether this keeper knows who leads.
-func (d *Desk) Ready() bool { return d.ready.Load() }
+func (d *Daemon) Ready() bool { return d.ready.Load() }
 
 // Gauges are this keeper's numbers, for a face that shows them.
-func (d *Desk) Gauges() *httpserver.Gauges { return d.gauges }
+func (d *Daemon) Gauges() *httpserver.Gauges { return d.gauges }
--- a/internal/daemon/serverd/desk_test.go
+++ b/internal/daemon/serverd/desk_test.go
@@ -61,7 +61,7 @@
 }
 
 // desk makes a keeper without an HTTP side of its own.
-func desk(t *testing.T, c *lifecycle.Crew, addr string, seeds []string) (d *Desk, l *life) {
+func desk(t *testing.T, c *lifecycle.Group, addr string, seeds []string) (d *Daemon, l *life) {
 	t.Helper()
 	log := logging.New()
 	log.Quiet()
@@ -76,7 +76,7 @@
 // TestAskAtKeepers: a request made at any keeper, leading or not, is settled
 // by the leader, and what one accepted all of them know.
 func TestAskAtKeepers(t *testing.T) {
-	c, seeds, list := lifecycle.New(), free(3), []*Desk{}
+	c, seeds, list := lifecycle.New(), free(3), []*Daemon{}
 	defer c.Stop(context.Background())
 	for _, addr := range seeds {
 		d, l := desk(t, c, addr, seeds)
@@ -86,20 +86,20 @@
 	ctx, end := context.WithTimeout(context.Background(), 60*time.Second)
 	defer end()
 	for i, d := range list {
-		a := settled(ctx, d, gateway.Request{Verb: "PUT", Path: fmt.Sprintf("/v1/jobs/a/j%d", i), Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)})
+		a := settled(ctx, d, gateway.Request{Method: "PUT", Path: fmt.Sprintf("/v1/jobs/a/j%d", i), Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)})
 		if a.Status != 201 && a.Status != 200 {
 			t.Fatalf("keeper %d answered %d %s", i, a.Status, a.Body)
 		}
 	}
 	for i, d := range list {
-		a := settled(ctx, d, gateway.Request{Verb: "GET", Path: "/v1/jobs"})
+		a := settled(ctx, d, gateway.Request{Method: "GET", Path: "/v1/jobs"})
 		for j := range list {
 			if !strings.Contains(string(a.Body), fmt.Sprintf("a/j%d", j)) {
 				t.Errorf("keeper %d does not know job %d: %d %s", i, j, a.Status, a.Body)
 			}
 		}
 		members := 0
-		if !d.Look(ctx, func(m *controlplane.Machine) { members = len(m.Raft().Members()) }) || members != 3 {
+		if !d.Inspect(ctx, func(m *controlplane.Server) { members = len(m.Raft().Members()) }) || members != 3 {
 			t.Errorf("keeper %d shows %d members", i, members)
 		}
 		for !d.Ready() {
@@ -114,7 +114,7 @@
 // request made at it is settled by the leader all the same.
 func TestPorter(t *testing.T) {
 	c, addrs := lifecycle.New(), free(4)
-	seeds, list := addrs[:3], []*Desk{}
+	seeds, list := addrs[:3], []*Daemon{}
 	defer c.Stop(context.Background())
 	log := logging.New()
 	log.Quiet()
@@ -124,7 +124,7 @@
 		t.Fatal(err)
 	}
 	l.start(t)
-	if a := porter.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: 300}); a.Status != 503 || !strings.Contains(string(a.Body), "no-leader") {
+	if a := porter.Do(context.Background(), gateway.Request{Method: "GET", Path: "/v1/table", Budget: 300}); a.Status != 503 || !strings.Contains(string(a.Body), "no-leader") {
 		t.Errorf("before there is a group: %d %s", a.Status, a.Body)
 	}
 	for _, addr := range seeds {
@@ -134,28 +134,28 @@
 	}
 	ctx, end := context.WithTimeout(context.Background(), 60*time.Second)
 	defer end()
-	a := settled(ctx, porter, gateway.Request{Verb: "PUT", Path: "/v1/jobs/a/j", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)})
+	a := settled(ctx, porter, gateway.Request{Method: "PUT", Path: "/v1/jobs/a/j", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)})
 	if a.Status != 201 && a.Status != 200 {
 		t.Fatalf("the porter answered %d %s", a.Status, a.Body)
 	}
-	if a = settled(ctx, list[0], gateway.Request{Verb: "GET", Path: "/v1/jobs"}); !strings.Contains(string(a.Body), "a/j") {
+	if a = settled(ctx, list[0], gateway.Request{Method: "GET", Path: "/v1/jobs"}); !strings.Contains(string(a.Body), "a/j") {
 		t.Errorf("a keeper does not know the porter's job: %d %s", a.Status, a.Body)
 	}
 	alone := false
-	if !porter.Look(ctx, func(m *controlplane.Machine) { alone = m.Raft() == nil }) || !alone || !porter.Ready() {
+	if !porter.Inspect(ctx, func(m *controlplane.Server) { alone = m.Raft() == nil }) || !alone || !porter.Ready() {
 		t.Errorf("the porter has a log: %v, is ready: %v", !alone, porter.Ready())
 	}
 	members := 0
-	if !list[0].Look(ctx, func(m *controlplane.Machine) { members = len(m.Raft().Members()) }) || members != 3 {
+	if !list[0].Inspect(ctx, func(m *controlplane.Server) { members = len(m.Raft().Members()) }) || members != 3 {
 		t.Errorf("%d members", members)
 	}
 }
 
 // settled asks until a leader has settled it, as a caller would.
-func settled(ctx context.Context, d *Desk, r gateway.Request) gateway.Answer {
-	var a gateway.Answer
+func settled(ctx context.Context, d *Daemon, r gateway.Request) gateway.Response {
+	var a gateway.Response
 	for ctx.Err() == nil {
-		if a = d.Ask(ctx, r); a.Status != 503 && a.Status != 504 {
+		if a = d.Do(ctx, r); a.Status != 503 && a.Status != 504 {
 			return a
 		}
 	}
@@ -167,34 +167,34 @@
 func TestAskAlone(t *testing.T) {
 	c, seeds := lifecycle.New(), free(3)
 	d, l := desk(t, c, seeds[0], seeds)
-	ask := func(budget clock.Millis) gateway.Answer {
-		return d.Ask(context.Background(), gateway.Request{Verb: "GET", Path: "/v1/table", Budget: budget})
+	ask := func(budget clock.Millis) gateway.Response {
+		return d.Do(context.Background(), gateway.Request{Method: "GET", Path: "/v1/table", Budget: budget})
 	}
 	for i := 0; i < 4096; i++ {
-		if !d.errands.Offer(func(*controlplane.Machine) {}) {
+		if !d.errands.Offer(func(*controlplane.Server) {}) {
 			t.Fatalf("full after %d", i)
 		}
 	}
-	if a := ask(0); a.Status != 503 || a.Retry == 0 {
+	if a := ask(0); a.Status != 503 || a.RetryAfter == 0 {
 		t.Errorf("a full desk answered %d %s", a.Status, a.Body)
 	}
 	left, leave := context.WithCancel(context.Background())
 	leave()
 	l.start(t)
-	for end := time.Now().Add(60 * time.Second); !d.Look(context.Background(), func(*controlplane.Machine) {}); {
+	for end := time.Now().Add(60 * time.Second); !d.Inspect(context.Background(), func(*controlplane.Server) {}); {
 		if time.Now().After(end) {
 			t.Fatal("the desk does not come to its errands")
 		}
 	}
-	if a := ask(300); a.Status != 503 || a.Retry == 0 || !strings.Contains(string(a.Body), "no-leader") {
+	if a := ask(300); a.Status != 503 || a.RetryAfter == 0 || !strings.Contains(string(a.Body), "no-leader") {
 		t.Errorf("without a leader: %d %s", a.Status, a.Body)
 	}
-	if a := d.Ask(left, gateway.Request{Verb: "GET", Path: "/v1/table"}); a.Status != 504 {
+	if a := d.Do(left, gateway.Request{Method: "GET", Path: "/v1/table"}); a.Status != 504 {
 		t.Errorf("a caller that left got %d", a.Status)
 	}
 	open := -1
 	for end := time.Now().Add(60 * time.Second); open != 0; {
-		d.Look(context.Background(), func(*controlplane.Machine) { open = d.pending.Len() })
+		d.Inspect(context.Background(), func(*controlplane.Server) { open = d.pending.Len() })
 		if time.Now().After(end) {
 			t.Fatalf("%d requests still wait", open)
 		}
@@ -205,7 +205,7 @@
 	if a := ask(0); a.Status != 504 {
 		t.Errorf("a desk that ended answered %d", a.Status)
 	}
-	if d.Look(context.Background(), func(*controlplane.Machine) {}) {
+	if d.Inspect(context.Background(), func(*controlplane.Server) {}) {
 		t.Error("a desk that ended took an errand")
 	}
 }
--- a/internal/daemon/serverd/store.go
+++ b/internal/daemon/serverd/store.go
@@ -15,37 +15,37 @@
 
 // done is word of a chore.
 type done struct {
-	chore *wal.Chore
+	chore *wal.Operation
 	err   error
 }
 
 type store struct {
 	disk  *wal.Folder
-	shape wal.Shape
-	ring  *wal.Ring
-	in    *lifecycle.Ring[*wal.Chore]
-	out   *lifecycle.Ring[done]
+	shape wal.Layout
+	ring  *wal.Log
+	in    *lifecycle.Queue[*wal.Operation]
+	out   *lifecycle.Queue[done]
 	fill  atomic.Int64
 }
 
 // newStore opens the folder and reads or makes up the keeper's identity; a
 // porter has neither.
 func newStore(set Settings) (s *store, id identifier.Node, err error) {
-	s = &store{in: lifecycle.NewRing[*wal.Chore](1), out: lifecycle.NewRing[done](1)}
+	s = &store{in: lifecycle.NewQueue[*wal.Operation](1), out: lifecycle.NewQueue[done](1)}
 	if set.Data == "" {
 		return s, 0, nil
 	}
 	if s.disk, err = wal.OpenFolder(set.Data); err != nil {
 		return nil, 0, err
 	}
-	id, s.shape, err = wal.Identity(s.disk, identifier.Node(random()), wal.Shape{Files: int(set.Files), Bytes: int(set.FileKb) << 10})
+	id, s.shape, err = wal.Identity(s.disk, identifier.Node(random()), wal.Layout{Files: int(set.Files), Bytes: int(set.FileKb) << 10})
 	return s, id, err
 }
 
 func (s *store) full() int { return int(s.fill.Load()) }
 
-func (s *store) open() (*wal.Found, error) {
-	var found *wal.Found
+func (s *store) open() (*wal.Recovered, error) {
+	var found *wal.Recovered
 	var err error
 	if s.disk == nil {
 		return nil, nil
@@ -71,11 +71,11 @@
 	}
 }
 
-func (s *store) do(x *wal.Chore) done {
+func (s *store) do(x *wal.Operation) done {
 	var d done
 	d.chore = x
 	if s.ring, d.err = x.Do(s.disk, s.shape, s.ring); d.err == nil {
-		s.fill.Store(int64(s.ring.Full()))
+		s.fill.Store(int64(s.ring.PercentUsed()))
 	}
 	return d
 }
--- a/internal/daemon/settings/boot.go
+++ b/internal/daemon/settings/boot.go
@@ -81,7 +81,7 @@
 
 // Parse fills the program's flags from the command line and, with --boot FILE,
 // from a settings file; the command line wins. It exits 2 on bad usage.
-func Parse(into any, name, help string, check func(c *Check)) *kong.Context {
+func Parse(into any, name, help string, check func(c *Validator)) *kong.Context {
 	var opts = []kong.Option{kong.Name(name), kong.Description(help), kong.UsageOnError(),
 		kong.Exit(func(code int) {
 			if code != 0 {
@@ -108,7 +108,7 @@
 		opts = append(opts, kong.Resolvers(f))
 	}
 	ctx := kong.Parse(into, opts...)
-	c := &Check{}
+	c := &Validator{}
 	check(c)
 	if len(c.list) == 0 {
 		return ctx
@@ -120,25 +120,25 @@
 	return nil
 }
 
-// Check gathers faults, each with its key.
-type Check struct{ list []string }
+// Validator gathers faults, each with its key.
+type Validator struct{ list []string }
 
-// Fault notes what is wrong with a key; why is a format for args.
-func (c *Check) Fault(key, why string, args ...any) {
+// Invalid notes what is wrong with a key; why is a format for args.
+func (c *Validator) Invalid(key, why string, args ...any) {
 	c.list = append(c.list, key+": "+fmt.Sprintf(why, args...))
 }
 
 // Addr wants an IP number and a port.
-func (c *Check) Addr(key, val string) {
+func (c *Validator) Addr(key, val string) {
 	if _, err := netip.ParseAddrPort(val); err != nil {
-		c.Fault(key, "want IP:PORT, have %q", val)
+		c.Invalid(key, "want IP:PORT, have %q", val)
 	}
 }
 
 // Addrs wants at least need addresses, each an IP number and a port.
-func (c *Check) Addrs(key string, list []string, need int) {
+func (c *Validator) Addrs(key string, list []string, need int) {
 	if len(list) < need {
-		c.Fault(key, "want at least %d, have %d", need, len(list))
+		c.Invalid(key, "want at least %d, have %d", need, len(list))
 	}
 	for _, a := range list {
 		c.Addr(key, a)
@@ -146,18 +146,18 @@
 }
 
 // Name wants a plain name, as ids.Plain defines it.
-func (c *Check) Name(key, val string) {
+func (c *Validator) Name(key, val string) {
 	if !identifier.ValidName(val) {
-		c.Fault(key, "want 1 to 64 letters, digits, '.', '-' or '_', have %q", val)
+		c.Invalid(key, "want 1 to 64 letters, digits, '.', '-' or '_', have %q", val)
 	}
 }
 
 // Range wants a number from low to high, both included.
-func (c *Check) Range(key string, val, low, high int64) {
+func (c *Validator) Range(key string, val, low, high int64) {
 	if val < low || val > high {
-		c.Fault(key, "want %d to %d, have %d", low, high, val)
+		c.Invalid(key, "want %d to %d, have %d", low, high, val)
 	}
 }
 
-// Faults lists what was noted, one line each.
-func (c *Check) Faults() []string { return c.list }
+// Problems lists what was noted, one line each.
+func (c *Validator) Problems() []string { return c.list }
--- a/internal/daemon/settings/boot_test.go
+++ b/internal/daemon/settings/boot_test.go
@@ -63,18 +63,18 @@
 
 // TestFaultsAllAtOnce: every fault is named, with its key.
 func TestFaultsAllAtOnce(t *testing.T) {
-	c := &Check{}
+	c := &Validator{}
 	c.Addr("addr", "localhost:1")
 	c.Addrs("seeds", []string{"10.0.0.1:1", "10.0.0.2"}, 3)
 	c.Name("domain", "no rth")
 	c.Range("files", 2, 3, 99)
-	got := strings.Join(c.Faults(), "; ")
+	got := strings.Join(c.Problems(), "; ")
 	for _, want := range []string{"addr: want IP:PORT", "seeds: want at least 3, have 2", `seeds: want IP:PORT, have "10.0.0.2"`, "domain: want 1 to 64", "files: want 3 to 99, have 2"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s lacks %s", got, want)
 		}
 	}
-	if c = new(Check); len(c.Faults()) > 0 {
+	if c = new(Validator); len(c.Problems()) > 0 {
 		t.Error("faults out of nothing")
 	}
 }
--- a/internal/gateway/boot.go
+++ b/internal/gateway/boot.go
@@ -12,10 +12,10 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Boot is the configuration a gateway starts with. Addr is where it listens for
+// Config is the configuration a gateway starts with. Addr is where it listens for
 // other servers, HTTP where it listens for clients, and Seeds are addresses of
 // control-plane servers to begin with.
-type Boot struct {
+type Config struct {
 	Addr   string
 	HTTP   string
 	Domain identifier.Domain
@@ -28,7 +28,7 @@
 // Request is one that came in over HTTP.
 type Request struct {
 	ID     uint64
-	Verb   string
+	Method string
 	Path   string
 	Query  string
 	Body   []byte
@@ -40,7 +40,7 @@
 // known by their id and changes of the catalogue by their version and digest.
 // Orders to close or reopen a zone have no number: the sender decides.
 func (r Request) Repeatable() bool {
-	return r.Verb == "GET" || strings.HasPrefix(r.Path, "/v1/jobs/") || r.Path == "/v1/catalog"
+	return r.Method == "GET" || strings.HasPrefix(r.Path, "/v1/jobs/") || r.Path == "/v1/catalog"
 }
 
 // patience is how long the caller waits, in milliseconds, where it doesn't say.
@@ -54,33 +54,33 @@
 	return usualUnnumbered
 }
 
-// Answer settles a request.
-type Answer struct {
-	ID     uint64
-	Status int
-	Body   []byte
-	Retry  clock.Millis
+// Response settles a request.
+type Response struct {
+	ID         uint64
+	Status     int
+	Body       []byte
+	RetryAfter clock.Millis
 }
 
 // Event is one line for the log: a name and alternating keys and values.
 type Event struct {
-	Name string
-	Vals []any
+	Name   string
+	Fields []any
 }
 
-// Out is what the inputs so far ask the caller to do: messages to send, requests
+// Output is what the inputs so far ask the caller to do: messages to send, requests
 // to answer and events to log.
-type Out struct {
-	Sends   []wire.Send
-	Answers []Answer
-	Events  []Event
+type Output struct {
+	Messages  []wire.Envelope
+	Responses []Response
+	Events    []Event
 }
 
 const (
-	// Touch is how long a gate may be out of touch and still decide.
-	Touch clock.Millis = 1000
-	// Tick is how often a gate should be ticked.
-	Tick clock.Millis = 50
+	// LeaderContactTimeout is how long a gate may be out of touch and still decide.
+	LeaderContactTimeout clock.Millis = 1000
+	// TickInterval is how often a gate should be ticked.
+	TickInterval clock.Millis = 50
 	// syncGap lies between two syncs with the leader, syncWait is how long the
 	// answer to one is waited for.
 	syncGap  clock.Millis = 200
