--- a/internal/gateway/machine.go
+++ b/internal/gateway/machine.go
@@ -15,14 +15,14 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Machine is a stateless front end as a pure state machine. It checks requests
+// Gateway is a stateless front end as a pure state machine. It checks requests
 // by a copy of the leader's routing table, forwards them to the leader, and
 // answers for it when that is not possible. It does no input or output and reads
 // no clock. It is not safe for concurrent use.
-type Machine struct {
-	boot Boot
+type Gateway struct {
+	boot Config
 	now  clock.Monotonic
-	out  Out
+	out  Output
 	// routes is the copy of the leader's routing table, rules its rows compiled.
 	routes routing.Replica
 	rules  *admission.Rules
@@ -30,7 +30,7 @@
 	// one is the newest that is known.
 	behind clock.Monotonic
 	// queues finds the queues of the catalogue, nil while there is none.
-	queues *catalog.Map
+	queues *catalog.RouteMap
 
 	members []raft.Member
 	gates   []string
@@ -56,7 +56,7 @@
 
 // Counts are for the metrics page.
 type Counts struct {
-	Asked, Answered, Refused, Stale, Moved uint64
+	Forwarded, Answered, Refused, Stale, Redirected uint64
 }
 
 // asked is the sync under way; after is the page that it asked for.
@@ -88,18 +88,18 @@
 
 // New makes a gateway that knows no table and no leader yet; it is not ready
 // until it has synced with a leader.
-func New(boot Boot, now clock.Monotonic) *Machine {
-	return &Machine{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * Touch), told: now.Add(-tellGap), bad: map[wire.Peer]clock.Monotonic{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
+func New(boot Config, now clock.Monotonic) *Gateway {
+	return &Gateway{boot: boot, now: now, nextID: uint64(boot.Seed), touch: now.Add(-10 * LeaderContactTimeout), told: now.Add(-tellGap), bad: map[wire.Peer]clock.Monotonic{}, calls: map[uint64]*call{}, byAsk: map[uint64]uint64{}}
 }
 
 // Ready tells whether the gate has been in touch with the leader lately and
 // has a table to decide by.
-func (m *Machine) Ready(now clock.Monotonic) bool {
-	return m.rules != nil && now.Since(m.touch) < Touch
+func (m *Gateway) Ready(now clock.Monotonic) bool {
+	return m.rules != nil && now.Since(m.touch) < LeaderContactTimeout
 }
 
-// Version is the catalogue's, 0 while this gate knows of none.
-func (m *Machine) Version() uint64 {
+// CatalogVersion is the catalogue's, 0 while this gate knows of none.
+func (m *Gateway) CatalogVersion() uint64 {
 	if m.queues == nil {
 		return 0
 	}
@@ -108,7 +108,7 @@
 
 // Queue finds the queue that a request sent to this host and path is for; rest
 // is what follows the queue's prefix.
-func (m *Machine) Queue(host, path string) (name, rest string, ok bool) {
+func (m *Gateway) Queue(host, path string) (name, rest string, ok bool) {
 	if m.queues == nil {
 		return "", "", false
 	}
@@ -116,39 +116,39 @@
 }
 
 // Epoch is the version of the routing table in use, 0 while there is none.
-func (m *Machine) Epoch() identifier.Epoch {
+func (m *Gateway) Epoch() identifier.Epoch {
 	if m.rules == nil {
 		return 0
 	}
 	return m.rules.Epoch
 }
 
-// Waiting is the number of requests without an answer.
-func (m *Machine) Waiting() int { return len(m.calls) }
+// InFlight is the number of requests without an answer.
+func (m *Gateway) InFlight() int { return len(m.calls) }
 
 // Members lists the control-plane servers as the leader last gave them.
-func (m *Machine) Members() []raft.Member { return m.members }
+func (m *Gateway) Members() []raft.Member { return m.members }
 
-// Gates lists the client addresses of the gateways as the leader last gave them.
-func (m *Machine) Gates() []string { return m.gates }
+// Gateways lists the client addresses of the gateways as the leader last gave them.
+func (m *Gateway) Gateways() []string { return m.gates }
 
-// Take returns the output so far and clears it.
-func (m *Machine) Take() Out {
+// TakeOutput returns the output so far and clears it.
+func (m *Gateway) TakeOutput() Output {
 	out := m.out
-	m.out = Out{}
+	m.out = Output{}
 	return out
 }
 
-func (m *Machine) event(name string, vals ...any) {
+func (m *Gateway) event(name string, vals ...any) {
 	m.out.Events = append(m.out.Events, Event{name, vals})
 }
 
-func (m *Machine) send(to wire.Peer, msg wire.Msg) {
-	m.out.Sends = append(m.out.Sends, wire.Send{To: to, Msg: msg})
+func (m *Gateway) send(to wire.Peer, msg wire.Message) {
+	m.out.Messages = append(m.out.Messages, wire.Envelope{To: to, Message: msg})
 }
 
 // observe takes the time of an input.
-func (m *Machine) observe(now clock.Monotonic) {
+func (m *Gateway) observe(now clock.Monotonic) {
 	m.now = max(m.now, now)
 	m.paused.Observe(m.now)
 }
@@ -156,7 +156,7 @@
 // Tick passes in the time: it announces and syncs when due, retries requests
 // that may be repeated, and gives up those whose budget is used up. It should
 // come every Tick milliseconds.
-func (m *Machine) Tick(now clock.Monotonic) {
+func (m *Gateway) Tick(now clock.Monotonic) {
 	m.observe(now)
 	m.greet()
 	m.keepTouch()
@@ -177,7 +177,7 @@
 	}
 }
 
-func (m *Machine) order() []uint64 {
+func (m *Gateway) order() []uint64 {
 	var list []uint64
 	for id := range m.calls {
 		list = append(list, id)
@@ -186,19 +186,19 @@
 	return list
 }
 
-// Frame passes in a message from another server. A reply counts only when it
+// HandleMessage passes in a message from another server. A reply counts only when it
 // comes from the server that was asked last.
-func (m *Machine) Frame(from wire.Peer, msg wire.Msg, now clock.Monotonic) {
+func (m *Gateway) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	m.observe(now)
 	switch {
-	case msg.Tell != nil:
-		m.tell(from, msg.Tell)
-	case msg.Reply != nil:
-		m.heardLeader(msg.Reply.Leader)
-		if m.sync != nil && msg.Reply.ID == m.sync.id && from == m.sync.to {
-			m.refresh(msg.Reply)
+	case msg.Announcement != nil:
+		m.tell(from, msg.Announcement)
+	case msg.Response != nil:
+		m.heardLeader(msg.Response.LeaderTime)
+		if m.sync != nil && msg.Response.ID == m.sync.id && from == m.sync.to {
+			m.refresh(msg.Response)
 			return
 		}
-		m.reply(from, msg.Reply)
+		m.reply(from, msg.Response)
 	}
 }
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -13,33 +13,33 @@
 )
 
 // touched is a gate in touch with a leader, at 1000 ms.
-func touched(t *testing.T) *Machine {
+func touched(t *testing.T) *Gateway {
 	t.Helper()
-	m := New(Boot{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
-	m.Frame("k", wire.Msg{Tell: &wire.Tell{Role: "keeper", Founded: true, Lead: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
+	m := New(Config{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
+	m.HandleMessage("k", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Founded: true, LeaderID: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
 	m.Tick(950)
-	first := limits.First()
-	text, err := json.Marshal(controlplane.Sync{Epoch: 1, Table: &controlplane.Sheet{Epoch: 1, Rows: first.Rows}, Lead: identifier.Node(7).String(), Members: m.members})
+	first := limits.Default()
+	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: first.Rows}, Lead: identifier.Node(7).String(), Members: m.members})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range m.Take().Sends {
-		if s.Msg.Ask != nil && s.Msg.Ask.Verb == "SYNC" {
-			m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: s.Msg.Ask.ID, Status: 200, Body: text}}, 1000)
+	for _, s := range m.TakeOutput().Messages {
+		if s.Message.Request != nil && s.Message.Request.Method == "SYNC" {
+			m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: s.Message.Request.ID, Status: 200, Body: text}}, 1000)
 		}
 	}
-	m.Take()
+	m.TakeOutput()
 	if !m.Ready(1000) {
 		t.Fatal("not in touch")
 	}
 	return m
 }
 
-func passed(o Out) *wire.Ask {
-	var a *wire.Ask
-	for _, s := range o.Sends {
-		if s.Msg.Ask != nil && s.Msg.Ask.Verb != "SYNC" {
-			a = s.Msg.Ask
+func passed(o Output) *wire.Request {
+	var a *wire.Request
+	for _, s := range o.Messages {
+		if s.Message.Request != nil && s.Message.Request.Method != "SYNC" {
+			a = s.Message.Request
 		}
 	}
 	return a
@@ -49,45 +49,45 @@
 // to, is answered then and there, and never held until its budget is over.
 func TestGivenUpAtOnce(t *testing.T) {
 	m := touched(t)
-	m.Request(Request{ID: 1, Verb: "GET", Path: "/v1/table", Budget: 30000}, 1100)
-	if passed(m.Take()) == nil {
+	m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/table", Budget: 30000}, 1100)
+	if passed(m.TakeOutput()) == nil {
 		t.Fatal("not passed on")
 	}
 	m.Tick(2000)
-	if o := m.Take(); len(o.Answers) != 1 || o.Answers[0].Status != 503 || o.Answers[0].Retry == 0 {
-		t.Errorf("out of touch, with 29 s of budget left: %+v", o.Answers)
+	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 || o.Responses[0].RetryAfter == 0 {
+		t.Errorf("out of touch, with 29 s of budget left: %+v", o.Responses)
 	}
-	m.Request(Request{ID: 2, Verb: "GET", Path: "/v1/table", Budget: 30000}, 2100)
-	if o := m.Take(); len(o.Answers) != 1 || o.Answers[0].Status != 503 {
-		t.Errorf("asked while out of touch: %+v", o.Answers)
+	m.HandleRequest(Request{ID: 2, Method: "GET", Path: "/v1/table", Budget: 30000}, 2100)
+	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 {
+		t.Errorf("asked while out of touch: %+v", o.Responses)
 	}
 }
 
 // TestOutcomeUnknown: 503 says that nothing was taken. What a keeper may have
 // taken is given up on with 504, also when a later try of it was refused.
 func TestOutcomeUnknown(t *testing.T) {
-	put := Request{ID: 1, Verb: "PUT", Path: "/v1/jobs/a/b", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`), Budget: 30000}
+	put := Request{ID: 1, Method: "PUT", Path: "/v1/jobs/a/b", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`), Budget: 30000}
 	m := touched(t)
-	m.Request(put, 1100)
-	if passed(m.Take()) == nil {
+	m.HandleRequest(put, 1100)
+	if passed(m.TakeOutput()) == nil {
 		t.Fatal("not passed on")
 	}
 	m.Tick(2000)
-	if o := m.Take(); len(o.Answers) != 1 || o.Answers[0].Status != 504 || o.Answers[0].Retry == 0 {
-		t.Errorf("passed on, then out of touch: %+v", o.Answers)
+	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 504 || o.Responses[0].RetryAfter == 0 {
+		t.Errorf("passed on, then out of touch: %+v", o.Responses)
 	}
 	m = touched(t)
-	m.Request(put, 1100)
-	first := passed(m.Take())
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: first.ID, Status: 503, Moved: true}}, 1120)
+	m.HandleRequest(put, 1100)
+	first := passed(m.TakeOutput())
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: first.ID, Status: 503, NotLeader: true}}, 1120)
 	m.Tick(1220)
-	again := passed(m.Take())
+	again := passed(m.TakeOutput())
 	if again == nil {
 		t.Fatal("not passed on again")
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: again.ID, Status: 503, Retry: 1000}}, 1240)
-	if o := m.Take(); len(o.Answers) != 1 || o.Answers[0].Status != 503 {
-		t.Errorf("moved, then refused: %+v", o.Answers)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: again.ID, Status: 503, RetryAfter: 1000}}, 1240)
+	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 {
+		t.Errorf("moved, then refused: %+v", o.Responses)
 	}
 }
 
@@ -95,15 +95,15 @@
 // gate says that it is.
 func TestBudget(t *testing.T) {
 	m := touched(t)
-	m.Request(Request{ID: 1, Verb: "PATCH", Path: "/v1/table", Body: []byte(`{"base":1,"cells":{"a.weight":2}}`), Budget: 300}, 1100)
-	m.Take()
+	m.HandleRequest(Request{ID: 1, Method: "PATCH", Path: "/v1/table", Body: []byte(`{"base":1,"cells":{"a.weight":2}}`), Budget: 300}, 1100)
+	m.TakeOutput()
 	m.Tick(1390)
-	if o := m.Take(); len(o.Answers) > 0 {
-		t.Errorf("before its time: %+v", o.Answers)
+	if o := m.TakeOutput(); len(o.Responses) > 0 {
+		t.Errorf("before its time: %+v", o.Responses)
 	}
 	m.Tick(1400)
-	if o := m.Take(); len(o.Answers) != 1 || o.Answers[0].Status != 504 {
-		t.Errorf("after its time: %+v", o.Answers)
+	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 504 {
+		t.Errorf("after its time: %+v", o.Responses)
 	}
 }
 
@@ -112,35 +112,35 @@
 func TestStaleTable(t *testing.T) {
 	m := touched(t)
 	job := []byte(`{"pending":"default","steps":[{"name":"s","tasks":3}]}`)
-	m.Request(Request{ID: 1, Verb: "PUT", Path: "/v1/jobs/a/b", Body: job, Budget: 3000}, 1100)
-	a := passed(m.Take())
+	m.HandleRequest(Request{ID: 1, Method: "PUT", Path: "/v1/jobs/a/b", Body: job, Budget: 3000}, 1100)
+	a := passed(m.TakeOutput())
 	if a == nil || a.Epoch != 1 {
 		t.Fatalf("passed on as %+v", a)
 	}
 	sheet := func(epoch identifier.Epoch, most string) []byte {
-		now := limits.First()
+		now := limits.Default()
 		now.Rows["default"]["maxTasks"] = most
-		text, err := json.Marshal(controlplane.Sheet{Epoch: epoch, Rows: now.Rows})
+		text, err := json.Marshal(controlplane.RoutingTable{Epoch: epoch, Rows: now.Rows})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return text
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 409, Stale: true, Body: sheet(5, "10")}}, 1150)
-	o := m.Take()
-	if b := passed(o); b == nil || b.Epoch != 5 || len(o.Answers) > 0 {
-		t.Fatalf("after the newer table: %+v, %+v", b, o.Answers)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(5, "10")}}, 1150)
+	o := m.TakeOutput()
+	if b := passed(o); b == nil || b.Epoch != 5 || len(o.Responses) > 0 {
+		t.Fatalf("after the newer table: %+v, %+v", b, o.Responses)
 	} else {
 		a = b
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 409, Stale: true, Body: sheet(4, "1")}}, 1160)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(4, "1")}}, 1160)
 	if m.Epoch() != 5 {
 		t.Errorf("the table slid back to %d", m.Epoch())
 	}
-	a = passed(m.Take())
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 409, Stale: true, Body: sheet(6, "2")}}, 1170)
-	if o = m.Take(); len(o.Answers) != 1 || o.Answers[0].Status != 422 {
-		t.Errorf("by a table that forbids it: %+v", o.Answers)
+	a = passed(m.TakeOutput())
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(6, "2")}}, 1170)
+	if o = m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 422 {
+		t.Errorf("by a table that forbids it: %+v", o.Responses)
 	}
 }
 
@@ -150,9 +150,9 @@
 	body := append([]byte(`{"pending":"default","steps":[{"name":"s"}]}`), bytes.Repeat([]byte(" "), 1<<20)...)
 	full := 0
 	for i := uint64(1); i <= 80; i++ {
-		m.Request(Request{ID: i, Verb: "PUT", Path: "/v1/jobs/a/b", Body: body, Budget: 3000}, 1100)
-		for _, a := range m.Take().Answers {
-			if a.Status == 503 && a.Retry > 0 {
+		m.HandleRequest(Request{ID: i, Method: "PUT", Path: "/v1/jobs/a/b", Body: body, Budget: 3000}, 1100)
+		for _, a := range m.TakeOutput().Responses {
+			if a.Status == 503 && a.RetryAfter > 0 {
 				full++
 			}
 		}
@@ -161,9 +161,9 @@
 		t.Errorf("%d of 80 MiB refused, %d bytes in hand", full, m.bytes)
 	}
 	for i := uint64(1); i <= 80; i++ {
-		m.Drop(i)
+		m.Forget(i)
 	}
-	if m.bytes != 0 || m.Waiting() != 0 {
+	if m.bytes != 0 || m.InFlight() != 0 {
 		t.Errorf("all gone, and %d bytes are counted", m.bytes)
 	}
 }
@@ -172,47 +172,47 @@
 // only the reply to the last try.
 func TestReplyFromAnother(t *testing.T) {
 	m := touched(t)
-	m.Request(Request{ID: 1, Verb: "GET", Path: "/v1/table", Budget: 3000}, 1100)
-	a := passed(m.Take())
-	m.Frame("k2", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 200}}, 1110)
-	if o := m.Take(); len(o.Answers) != 0 {
-		t.Errorf("took the reply of one that was not asked: %+v", o.Answers)
+	m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/table", Budget: 3000}, 1100)
+	a := passed(m.TakeOutput())
+	m.HandleMessage("k2", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200}}, 1110)
+	if o := m.TakeOutput(); len(o.Responses) != 0 {
+		t.Errorf("took the reply of one that was not asked: %+v", o.Responses)
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 503, Moved: true}}, 1120)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, NotLeader: true}}, 1120)
 	m.Tick(1250)
-	again := passed(m.Take())
+	again := passed(m.TakeOutput())
 	if again == nil || again.ID == a.ID {
 		t.Fatalf("tried again as %+v", again)
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 200, Body: []byte("first")}}, 1260)
-	if o := m.Take(); len(o.Answers) != 0 {
-		t.Errorf("took the reply to a try that is over: %+v", o.Answers)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("first")}}, 1260)
+	if o := m.TakeOutput(); len(o.Responses) != 0 {
+		t.Errorf("took the reply to a try that is over: %+v", o.Responses)
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: again.ID, Status: 200, Body: []byte("second")}}, 1270)
-	if o := m.Take(); len(o.Answers) != 1 || string(o.Answers[0].Body) != "second" {
-		t.Errorf("answered %+v", o.Answers)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: again.ID, Status: 200, Body: []byte("second")}}, 1270)
+	if o := m.TakeOutput(); len(o.Responses) != 1 || string(o.Responses[0].Body) != "second" {
+		t.Errorf("answered %+v", o.Responses)
 	}
 }
 
 // TestExpiredTry: an order that the leader could not tell the age of goes out
 // again at once with the reading that came back, and not after its budget.
 func TestExpiredTry(t *testing.T) {
-	order := Request{ID: 1, Verb: "PUT", Path: "/v1/closings/east", Budget: 900}
+	order := Request{ID: 1, Method: "PUT", Path: "/v1/closings/east", Budget: 900}
 	m := touched(t)
-	m.Request(order, 1100)
-	a := passed(m.Take())
-	if !a.Dated || a.Known != (wire.LeaderTime{}) || a.Budget != 900 {
+	m.HandleRequest(order, 1100)
+	a := passed(m.TakeOutput())
+	if !a.HasLeaderTime || a.LeaderTime != (wire.LeaderTime{}) || a.Budget != 900 {
 		t.Fatalf("first sent as %+v", a)
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 503, Expired: true, Leader: wire.LeaderTime{Term: 4, At: 70}}}, 1110)
-	b := passed(m.Take())
-	if b == nil || b.Known != (wire.LeaderTime{Term: 4, At: 70}) || b.Budget != 890 {
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, Expired: true, LeaderTime: wire.LeaderTime{Term: 4, At: 70}}}, 1110)
+	b := passed(m.TakeOutput())
+	if b == nil || b.LeaderTime != (wire.LeaderTime{Term: 4, At: 70}) || b.Budget != 890 {
 		t.Fatalf("sent again as %+v", b)
 	}
-	m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: b.ID, Status: 503, Expired: true, Retry: 200}}, 2000)
-	o := m.Take()
-	if passed(o) != nil || len(o.Answers) != 1 || o.Answers[0].Status != 503 || o.Answers[0].Retry == 0 {
-		t.Errorf("past its budget: %+v, %+v", passed(o), o.Answers)
+	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: b.ID, Status: 503, Expired: true, RetryAfter: 200}}, 2000)
+	o := m.TakeOutput()
+	if passed(o) != nil || len(o.Responses) != 1 || o.Responses[0].Status != 503 || o.Responses[0].RetryAfter == 0 {
+		t.Errorf("past its budget: %+v, %+v", passed(o), o.Responses)
 	}
 }
 
@@ -222,17 +222,17 @@
 	job := []byte(`{"pending":"default","steps":[{"name":"s"}]}`)
 	for path, again := range map[string]bool{"/v1/jobs/a/b": true, "/v1/closings/east": false} {
 		m := touched(t)
-		m.Request(Request{ID: 1, Verb: "PUT", Path: path, Body: job, Budget: 3000}, 1100)
-		a := passed(m.Take())
-		m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 504, Retry: 200}}, 1110)
-		o := m.Take()
+		m.HandleRequest(Request{ID: 1, Method: "PUT", Path: path, Body: job, Budget: 3000}, 1100)
+		a := passed(m.TakeOutput())
+		m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 504, RetryAfter: 200}}, 1110)
+		o := m.TakeOutput()
 		m.Tick(1250)
-		b := passed(m.Take())
-		if again && (len(o.Answers) != 0 || b == nil) {
-			t.Errorf("%s: answered %+v, sent again %+v", path, o.Answers, b)
+		b := passed(m.TakeOutput())
+		if again && (len(o.Responses) != 0 || b == nil) {
+			t.Errorf("%s: answered %+v, sent again %+v", path, o.Responses, b)
 		}
-		if !again && (len(o.Answers) != 1 || o.Answers[0].Status != 504 || b != nil) {
-			t.Errorf("%s: answered %+v, sent again %+v", path, o.Answers, b)
+		if !again && (len(o.Responses) != 1 || o.Responses[0].Status != 504 || b != nil) {
+			t.Errorf("%s: answered %+v, sent again %+v", path, o.Responses, b)
 		}
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -17,10 +17,10 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Request takes one in. It is answered at once when it can't be passed on.
-func (m *Machine) Request(r Request, now clock.Monotonic) {
+// HandleRequest takes one in. It is answered at once when it can't be passed on.
+func (m *Gateway) HandleRequest(r Request, now clock.Monotonic) {
 	m.observe(now)
-	m.Counts.Asked++
+	m.Counts.Forwarded++
 	r.Budget = r.patience()
 	c := &call{Request: r, until: m.now.Add(r.Budget), again: r.Repeatable()}
 	m.calls[r.ID] = c
@@ -28,7 +28,7 @@
 	switch {
 	case !m.Ready(m.now):
 		m.refuse(r.ID, 503, "out-of-touch", "this gate has lost touch with the core", 1000)
-	case r.Verb != "GET" && m.paused.Draining(m.now):
+	case r.Method != "GET" && m.paused.Draining(m.now):
 		m.refuse(r.ID, 503, "woken", "this gate stood still and can't tell how old the request is", 500)
 	case len(m.calls) > most || m.bytes > mostBytes:
 		m.refuse(r.ID, 503, "busy", "too many requests under way", 1000)
@@ -37,8 +37,8 @@
 	}
 }
 
-// Drop forgets a request whose caller has hung up.
-func (m *Machine) Drop(id uint64) {
+// Forget forgets a request whose caller has hung up.
+func (m *Gateway) Forget(id uint64) {
 	if c := m.calls[id]; c != nil {
 		delete(m.byAsk, c.ask)
 		delete(m.calls, id)
@@ -47,37 +47,37 @@
 }
 
 // check runs what can be judged here: shape and the row's rules.
-func (m *Machine) check(c *call) bool {
-	var f jsondoc.Faults
+func (m *Gateway) check(c *call) bool {
+	var f jsondoc.FieldErrors
 	parts := strings.Split(strings.Trim(c.Path, "/"), "/")
 	switch {
-	case c.Verb == "PUT" && len(parts) == 4 && parts[1] == "jobs":
+	case c.Method == "PUT" && len(parts) == 4 && parts[1] == "jobs":
 		for _, p := range parts[2:] {
 			if !identifier.ValidName(p) {
-				f.Sense("path", "agent and job id want 1 to 64 letters, digits, '.', '-' or '_'")
+				f.Invalid("path", "agent and job id want 1 to 64 letters, digits, '.', '-' or '_'")
 			}
 		}
 		if s := job.Read(c.Body, &f); s != nil && !f.Any() && s.Queue == "" {
-			m.rules.Run(s, -1, &f)
+			m.rules.Check(s, -1, &f)
 		}
-	case c.Verb == "POST" && len(parts) == 4 && parts[3] == "poll":
+	case c.Method == "POST" && len(parts) == 4 && parts[3] == "poll":
 		if !identifier.ValidName(parts[2]) {
-			f.Sense("path", "runner's name wants 1 to 64 letters, digits, '.', '-' or '_'")
+			f.Invalid("path", "runner's name wants 1 to 64 letters, digits, '.', '-' or '_'")
 		}
 		runnerapi.Read(c.Body, &f)
-	case c.Verb == "PUT" && len(parts) == 2 && parts[1] == "table":
+	case c.Method == "PUT" && len(parts) == 2 && parts[1] == "table":
 		limits.ReadWhole(c.Body, &f)
-	case c.Verb == "PATCH" && len(parts) == 2 && parts[1] == "table":
+	case c.Method == "PATCH" && len(parts) == 2 && parts[1] == "table":
 		limits.ReadPatch(c.Body, &f)
 	}
 	if f.Any() {
-		m.settle(Answer{ID: c.ID, Status: f.Status(), Body: f.Bad()})
+		m.settle(Response{ID: c.ID, Status: f.Status(), Body: f.ErrorBody()})
 		return false
 	}
 	return true
 }
 
-func (m *Machine) pass(c *call) {
+func (m *Gateway) pass(c *call) {
 	to := m.via
 	if to == "" {
 		to = m.choose()
@@ -97,12 +97,12 @@
 	if c.stale >= staleMost {
 		epoch = 0
 	}
-	m.send(to, wire.Msg{Ask: &wire.Ask{ID: c.ask, Verb: c.Verb, Path: c.Path, Query: c.Query, Body: c.Body, Epoch: epoch, Budget: c.until.Since(m.now),
-		Dated: true, Known: m.leaderClock}})
+	m.send(to, wire.Message{Request: &wire.Request{ID: c.ask, Method: c.Method, Path: c.Path, Query: c.Query, Body: c.Body, Epoch: epoch, Budget: c.until.Since(m.now),
+		HasLeaderTime: true, LeaderTime: m.leaderClock}})
 }
 
 // reply takes the answer to a try: only the one that was asked may give it.
-func (m *Machine) reply(from wire.Peer, r *wire.Reply) {
+func (m *Gateway) reply(from wire.Peer, r *wire.Response) {
 	id, ok := m.byAsk[r.ID]
 	if !ok || m.calls[id].to != from {
 		return
@@ -116,8 +116,8 @@
 		m.pass(c)
 	case r.Stale:
 		m.stale(c, r)
-	case r.Moved:
-		m.Counts.Moved++
+	case r.NotLeader:
+		m.Counts.Redirected++
 		delete(m.byAsk, c.ask)
 		c.ask, c.later = 0, m.now.Add(againGap)
 		if m.via == c.to {
@@ -128,26 +128,26 @@
 		delete(m.byAsk, c.ask)
 		c.lost = true
 		c.ask, c.later = 0, m.now.Add(againGap)
-	case c.lost && c.Verb != "GET" && (r.Status == 503 || r.Status == 429):
+	case c.lost && c.Method != "GET" && (r.Status == 503 || r.Status == 429):
 		m.refuse(id, 504, "no-answer", "an earlier try may have been taken; the outcome is not known", 500)
 	default:
-		m.settle(Answer{ID: id, Status: r.Status, Body: r.Body, Retry: r.Retry})
+		m.settle(Response{ID: id, Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter})
 	}
 }
 
 // stale takes the answer that a request was checked by an older table: with it
 // comes what changed, or the gateway asks for that once for all its requests.
-func (m *Machine) stale(c *call, r *wire.Reply) {
+func (m *Gateway) stale(c *call, r *wire.Response) {
 	m.Counts.Stale++
 	c.stale++
 	delete(m.byAsk, c.ask)
 	c.ask = 0
 	before := m.Epoch()
-	var s controlplane.Stale
+	var s controlplane.StaleResponse
 	if err := json.Unmarshal(r.Body, &s); err == nil && s.Page != nil {
 		m.adopted(m.routes.Patch(*s.Page))
 	} else if err == nil && s.Epoch > 0 {
-		m.adopt(&s.Sheet)
+		m.adopt(&s.RoutingTable)
 	}
 	if m.Epoch() == before && before <= c.epoch && len(r.Body) == 0 {
 		m.compare(before + 1)
@@ -162,21 +162,21 @@
 
 // giveUp answers a request at once: with 503 if it is certain that no keeper
 // took it, and otherwise with 504.
-func (m *Machine) giveUp(id uint64, code, why string) {
-	if c := m.calls[id]; c.Verb != "GET" && (c.lost || c.ask != 0) {
+func (m *Gateway) giveUp(id uint64, code, why string) {
+	if c := m.calls[id]; c.Method != "GET" && (c.lost || c.ask != 0) {
 		m.refuse(id, 504, code, why+"; the outcome is not known", 1000)
 		return
 	}
 	m.refuse(id, 503, code, why, 1000)
 }
 
-func (m *Machine) refuse(id uint64, status int, code, why string, retry clock.Millis) {
+func (m *Gateway) refuse(id uint64, status int, code, why string, retry clock.Millis) {
 	m.Counts.Refused++
-	m.settle(Answer{ID: id, Status: status, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON(), Retry: retry})
+	m.settle(Response{ID: id, Status: status, Body: jsondoc.ErrorBody{Code: code, Message: why, RetryAfter: retry}.JSON(), RetryAfter: retry})
 }
 
-func (m *Machine) settle(a Answer) {
+func (m *Gateway) settle(a Response) {
 	m.Counts.Answered++
-	m.Drop(a.ID)
-	m.out.Answers = append(m.out.Answers, a)
+	m.Forget(a.ID)
+	m.out.Responses = append(m.out.Responses, a)
 }
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -18,7 +18,7 @@
 // leading stands in for a leader: it answers a gateway's syncs from a history.
 type leading struct {
 	t       *testing.T
-	m       *Machine
+	m       *Gateway
 	table   routing.Table
 	history *routing.History
 	now     clock.Monotonic
@@ -30,7 +30,7 @@
 	l := &leading{t: t, m: touched(t), now: 1000}
 	l.table = routing.Table{Epoch: 2, Version: 2, Rows: l.m.routes.Rows()}
 	for i := 0; i < places; i++ {
-		l.table.Places = append(l.table.Places, catalog.Place{Name: fmt.Sprintf("q%05d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i)})
+		l.table.Routes = append(l.table.Routes, catalog.Route{Queue: fmt.Sprintf("q%05d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i)})
 	}
 	l.history = routing.NewHistory(l.table)
 	return l
@@ -40,35 +40,35 @@
 func (l *leading) change(name, prefix string) {
 	l.table.Epoch++
 	l.table.Version++
-	l.table.Places = append([]catalog.Place(nil), l.table.Places...)
-	for i, p := range l.table.Places {
-		if p.Name == name {
-			l.table.Places[i].Prefix = prefix
+	l.table.Routes = append([]catalog.Route(nil), l.table.Routes...)
+	for i, p := range l.table.Routes {
+		if p.Queue == name {
+			l.table.Routes[i].Prefix = prefix
 		}
 	}
-	l.history.PlacesChanged(l.table)
+	l.history.RoutesChanged(l.table)
 }
 
 // serve answers the syncs in an output and returns the rest.
-func (l *leading) serve(o Out) []wire.Send {
-	var rest []wire.Send
-	for _, s := range o.Sends {
-		if s.Msg.Ask == nil || s.Msg.Ask.Verb != "SYNC" {
+func (l *leading) serve(o Output) []wire.Envelope {
+	var rest []wire.Envelope
+	for _, s := range o.Messages {
+		if s.Message.Request == nil || s.Message.Request.Method != "SYNC" {
 			rest = append(rest, s)
 			continue
 		}
 		l.syncs++
-		q, err := url.ParseQuery(s.Msg.Ask.Query)
+		q, err := url.ParseQuery(s.Message.Request.Query)
 		if err != nil {
 			l.t.Fatal(err)
 		}
-		since, err := strconv.ParseUint(q.Get(controlplane.SyncSince), 10, 64)
+		since, err := strconv.ParseUint(q.Get(controlplane.SyncSinceParam), 10, 64)
 		if err != nil {
-			l.t.Fatalf("synced with %s", s.Msg.Ask.Query)
+			l.t.Fatalf("synced with %s", s.Message.Request.Query)
 		}
-		doc := controlplane.Sync{Epoch: l.table.Epoch, Lead: identifier.Node(7).String(), Members: l.m.members}
-		if identifier.Epoch(since) != l.table.Epoch || q.Get(controlplane.SyncAfter) != "" {
-			page := l.history.Page(identifier.Epoch(since), q.Get(controlplane.SyncAfter))
+		doc := controlplane.SyncResponse{Epoch: l.table.Epoch, Lead: identifier.Node(7).String(), Members: l.m.members}
+		if identifier.Epoch(since) != l.table.Epoch || q.Get(controlplane.SyncAfterParam) != "" {
+			page := l.history.Page(identifier.Epoch(since), q.Get(controlplane.SyncAfterParam))
 			doc.Page = &page
 		}
 		text, err := json.Marshal(doc)
@@ -76,16 +76,16 @@
 			l.t.Fatal(err)
 		}
 		l.largest = max(l.largest, len(text))
-		l.m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: s.Msg.Ask.ID, Status: 200, Body: text}}, l.now)
+		l.m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: s.Message.Request.ID, Status: 200, Body: text}}, l.now)
 	}
 	return rest
 }
 
-func (l *leading) tick(ms clock.Monotonic) Out {
-	var o Out
+func (l *leading) tick(ms clock.Monotonic) Output {
+	var o Output
 	for end := l.now + ms; l.now < end; l.now += 50 {
 		l.m.Tick(l.now)
-		o = l.m.Take()
+		o = l.m.TakeOutput()
 		l.serve(o)
 	}
 	return o
@@ -96,8 +96,8 @@
 func TestPagedSync(t *testing.T) {
 	l := newLeading(t, 10000)
 	l.tick(3000)
-	if l.m.Epoch() != 2 || l.m.Version() != 2 || l.largest > 80<<10 || l.syncs < 10 {
-		t.Fatalf("epoch %d, version %d after %d syncs, the largest of %d bytes", l.m.Epoch(), l.m.Version(), l.syncs, l.largest)
+	if l.m.Epoch() != 2 || l.m.CatalogVersion() != 2 || l.largest > 80<<10 || l.syncs < 10 {
+		t.Fatalf("epoch %d, version %d after %d syncs, the largest of %d bytes", l.m.Epoch(), l.m.CatalogVersion(), l.syncs, l.largest)
 	}
 	if name, _, ok := l.m.Queue("h", "/9999/x"); !ok || name != "q09999" {
 		t.Errorf("the last queue is found as %q", name)
@@ -120,26 +120,26 @@
 	l.tick(400)
 	l.change("q00001", "/new/")
 	before := l.syncs
-	asks := []*wire.Ask{}
+	asks := []*wire.Request{}
 	for i := uint64(1); i <= 50; i++ {
-		l.m.Request(Request{ID: i, Verb: "GET", Path: "/v1/jobs", Budget: 3000}, l.now)
-		asks = append(asks, passed(l.m.Take()))
+		l.m.HandleRequest(Request{ID: i, Method: "GET", Path: "/v1/jobs", Budget: 3000}, l.now)
+		asks = append(asks, passed(l.m.TakeOutput()))
 	}
 	again := 0
-	sent := func(o Out) {
+	sent := func(o Output) {
 		for _, s := range l.serve(o) {
-			if s.Msg.Ask == nil {
+			if s.Message.Request == nil {
 				continue
 			}
-			if s.Msg.Ask.Epoch != l.table.Epoch {
-				t.Errorf("went out again by the old table: %+v", s.Msg.Ask)
+			if s.Message.Request.Epoch != l.table.Epoch {
+				t.Errorf("went out again by the old table: %+v", s.Message.Request)
 			}
 			again++
 		}
 	}
 	for i, a := range asks {
-		l.m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 409, Stale: true}}, l.now)
-		if sent(l.m.Take()); i == 0 && again > 0 {
+		l.m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true}}, l.now)
+		if sent(l.m.TakeOutput()); i == 0 && again > 0 {
 			t.Error("the first went out again before there was a newer table")
 		}
 	}
@@ -151,7 +151,7 @@
 	}
 	l.now += 100
 	l.m.Tick(l.now)
-	sent(l.m.Take())
+	sent(l.m.TakeOutput())
 	if again != 50 {
 		t.Errorf("%d of 50 requests went out again", again)
 	}
@@ -161,16 +161,16 @@
 func TestStalePage(t *testing.T) {
 	l := newLeading(t, 3)
 	l.tick(400)
-	l.m.Request(Request{ID: 1, Verb: "GET", Path: "/v1/jobs", Budget: 3000}, l.now)
-	a := passed(l.m.Take())
+	l.m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/jobs", Budget: 3000}, l.now)
+	a := passed(l.m.TakeOutput())
 	l.change("q00001", "/new/")
 	page := l.history.Page(a.Epoch, "")
-	text, err := json.Marshal(controlplane.Stale{Page: &page})
+	text, err := json.Marshal(controlplane.StaleResponse{Page: &page})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 409, Stale: true, Body: text}}, l.now)
-	if b := passed(l.m.Take()); b == nil || b.Epoch != l.table.Epoch {
+	l.m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: text}}, l.now)
+	if b := passed(l.m.TakeOutput()); b == nil || b.Epoch != l.table.Epoch {
 		t.Errorf("after the page it went out as %+v", b)
 	}
 }
@@ -180,17 +180,17 @@
 func TestBehind(t *testing.T) {
 	l := newLeading(t, 3)
 	l.tick(400)
-	l.m.Request(Request{ID: 1, Verb: "GET", Path: "/v1/jobs", Budget: 9000}, l.now)
-	a := passed(l.m.Take())
-	l.m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: a.ID, Status: 409, Stale: true}}, l.now)
-	l.m.Take()
+	l.m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/jobs", Budget: 9000}, l.now)
+	a := passed(l.m.TakeOutput())
+	l.m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true}}, l.now)
+	l.m.TakeOutput()
 	if l.m.Behind() {
 		t.Error("behind at once")
 	}
 	late := l.now + 1100
 	for ; l.now < late; l.now += 50 {
 		l.m.Tick(l.now)
-		l.m.Take()
+		l.m.TakeOutput()
 	}
 	if !l.m.Behind() {
 		t.Error("not behind 1.1 s after it heard of a newer table")
@@ -207,27 +207,27 @@
 func TestStaleAnswerTwice(t *testing.T) {
 	l := newLeading(t, 3)
 	l.tick(400)
-	l.m.Request(Request{ID: 1, Verb: "GET", Path: "/v1/jobs", Budget: 3000}, l.now)
-	first := passed(l.m.Take())
+	l.m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/jobs", Budget: 3000}, l.now)
+	first := passed(l.m.TakeOutput())
 	l.change("q00001", "/new/")
 	page := l.history.Page(first.Epoch, "")
-	text, err := json.Marshal(controlplane.Stale{Page: &page})
+	text, err := json.Marshal(controlplane.StaleResponse{Page: &page})
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: first.ID, Status: 409, Stale: true, Body: text}}, l.now)
-	second := passed(l.m.Take())
-	again := wire.Msg{Reply: &wire.Reply{ID: first.ID, Status: 200, Body: []byte("first")}}
-	l.m.Frame("k", again, l.now)
-	if o := l.m.Take(); len(o.Answers) != 0 {
-		t.Errorf("the reply to an attempt that is over was taken: %+v", o.Answers)
+	l.m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: first.ID, Status: 409, Stale: true, Body: text}}, l.now)
+	second := passed(l.m.TakeOutput())
+	again := wire.Message{Response: &wire.Response{ID: first.ID, Status: 200, Body: []byte("first")}}
+	l.m.HandleMessage("k", again, l.now)
+	if o := l.m.TakeOutput(); len(o.Responses) != 0 {
+		t.Errorf("the reply to an attempt that is over was taken: %+v", o.Responses)
 	}
-	l.m.Frame("k", wire.Msg{Reply: &wire.Reply{ID: second.ID, Status: 200, Body: []byte("second")}}, l.now)
-	if o := l.m.Take(); len(o.Answers) != 1 || string(o.Answers[0].Body) != "second" {
-		t.Errorf("answered %+v", o.Answers)
+	l.m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: second.ID, Status: 200, Body: []byte("second")}}, l.now)
+	if o := l.m.TakeOutput(); len(o.Responses) != 1 || string(o.Responses[0].Body) != "second" {
+		t.Errorf("answered %+v", o.Responses)
 	}
-	l.m.Frame("k", again, l.now)
-	if o := l.m.Take(); len(o.Answers) != 0 || len(l.m.byAsk) != 0 {
-		t.Errorf("after the answer: %+v, %d attempts are kept", o.Answers, len(l.m.byAsk))
+	l.m.HandleMessage("k", again, l.now)
+	if o := l.m.TakeOutput(); len(o.Responses) != 0 || len(l.m.byAsk) != 0 {
+		t.Errorf("after the answer: %+v, %d attempts are kept", o.Responses, len(l.m.byAsk))
 	}
 }
--- a/internal/gateway/touch.go
+++ b/internal/gateway/touch.go
@@ -20,27 +20,27 @@
 
 // greet tells the keepers of this gate, and asks the seeds while it has no
 // one better to ask.
-func (m *Machine) greet() {
+func (m *Gateway) greet() {
 	lost := !m.Ready(m.now)
 	if gap := m.now.Since(m.told); gap < lostGap || !lost && gap < tellGap {
 		return
 	}
 	m.told = m.now
-	t := &wire.Tell{Ask: lost, Role: "gate", Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP}
+	t := &wire.Announcement{WantReply: lost, Role: "gate", Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP}
 	seen := map[string]bool{m.boot.Addr: true}
 	for _, mem := range m.members {
 		seen[mem.Addr] = true
-		m.send(wire.Peer(mem.Addr), wire.Msg{Tell: t})
+		m.send(wire.Peer(mem.Addr), wire.Message{Announcement: t})
 	}
 	for _, s := range m.boot.Seeds {
 		if lost && !seen[s] {
-			m.send(wire.Peer(s), wire.Msg{Tell: t})
+			m.send(wire.Peer(s), wire.Message{Announcement: t})
 		}
 	}
 }
 
 // keepTouch syncs with the leader, and tries another way when it is silent.
-func (m *Machine) keepTouch() {
+func (m *Gateway) keepTouch() {
 	if m.sync != nil && m.now.Since(m.sync.at) > syncWait {
 		m.bad[m.sync.to] = m.now
 		m.sync = nil
@@ -57,29 +57,29 @@
 	}
 	m.nextID++
 	m.synced = m.now
-	since, after := m.routes.Want()
+	since, after := m.routes.NextRequest()
 	m.sync = &asked{m.nextID, m.now, m.via, after}
-	q := url.Values{controlplane.SyncGate: {m.boot.HTTP}, controlplane.SyncSince: {strconv.FormatUint(uint64(since), 10)}}
+	q := url.Values{controlplane.SyncGatewayParam: {m.boot.HTTP}, controlplane.SyncSinceParam: {strconv.FormatUint(uint64(since), 10)}}
 	if after != "" {
-		q.Set(controlplane.SyncAfter, after)
+		q.Set(controlplane.SyncAfterParam, after)
 	}
-	m.send(m.via, wire.Msg{Ask: &wire.Ask{ID: m.nextID, Verb: "SYNC", Path: "/", Query: q.Encode(), Epoch: m.Epoch(), Budget: syncWait}})
+	m.send(m.via, wire.Message{Request: &wire.Request{ID: m.nextID, Method: "SYNC", Path: "/", Query: q.Encode(), Epoch: m.Epoch(), Budget: syncWait}})
 }
 
 // syncNow asks the leader without waiting for the next time.
-func (m *Machine) syncNow() {
+func (m *Gateway) syncNow() {
 	m.synced = m.now.Add(-syncGap)
 	m.keepTouch()
 }
 
 // Behind tells whether the leader has had a newer table for so long that this
 // gateway can't say any more what there is not.
-func (m *Machine) Behind() bool {
+func (m *Gateway) Behind() bool {
 	return m.behind > 0 && m.now.Since(m.behind) > behindMost
 }
 
 // choose prefers the leader, then whichever member failed least lately.
-func (m *Machine) choose() wire.Peer {
+func (m *Gateway) choose() wire.Peer {
 	var p wire.Peer
 	low := clock.Monotonic(0)
 	for _, mem := range m.members {
@@ -97,29 +97,29 @@
 	return p
 }
 
-func (m *Machine) tell(from wire.Peer, t *wire.Tell) {
-	if t.Ask {
-		m.send(from, wire.Msg{Tell: &wire.Tell{Role: "gate", Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP,
-			Founded: len(m.members) > 0, Lead: m.lead, Members: m.members, Gates: m.gates}})
+func (m *Gateway) tell(from wire.Peer, t *wire.Announcement) {
+	if t.WantReply {
+		m.send(from, wire.Message{Announcement: &wire.Announcement{Role: "gate", Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP,
+			Founded: len(m.members) > 0, LeaderID: m.lead, Members: m.members, Gateways: m.gates}})
 		return
 	}
-	if t.Role == "keeper" && t.Node != 0 && t.Lead == t.Node && len(t.Members) > 0 {
+	if t.Role == "keeper" && t.Node != 0 && t.LeaderID == t.Node && len(t.Members) > 0 {
 		m.follow(t)
 		return
 	}
 	if t.Founded && len(t.Members) > 0 && !m.Ready(m.now) {
-		m.members, m.gates = t.Members, t.Gates
-		if t.Lead != 0 {
-			m.lead = t.Lead
+		m.members, m.gates = t.Members, t.Gateways
+		if t.LeaderID != 0 {
+			m.lead = t.LeaderID
 		}
 	}
 }
 
 // follow hears a new leader say that it leads: what waits on another is passed
 // to it at once, if it may be.
-func (m *Machine) follow(t *wire.Tell) {
-	m.members, m.lead, m.via = t.Members, t.Lead, wire.Peer(t.Addr)
-	m.heardLeader(t.Leader)
+func (m *Gateway) follow(t *wire.Announcement) {
+	m.members, m.lead, m.via = t.Members, t.LeaderID, wire.Peer(t.Addr)
+	m.heardLeader(t.LeaderTime)
 	delete(m.bad, m.via)
 	if m.sync != nil && m.sync.to != m.via {
 		m.sync = nil
@@ -136,15 +136,15 @@
 	}
 }
 
-func (m *Machine) refresh(r *wire.Reply) {
+func (m *Gateway) refresh(r *wire.Response) {
 	sent, to, after := m.sync.at, m.sync.to, m.sync.after
 	m.sync = nil
-	if r.Moved || r.Status != 200 {
+	if r.NotLeader || r.Status != 200 {
 		m.bad[to] = m.now
 		m.via = ""
 		return
 	}
-	var s controlplane.Sync
+	var s controlplane.SyncResponse
 	if err := json.Unmarshal(r.Body, &s); err != nil {
 		m.event("bad-sync", "error", err)
 		return
@@ -153,12 +153,12 @@
 	case s.Table != nil:
 		m.adopt(s.Table)
 	case s.Page != nil:
-		m.adopted(m.routes.Take(*s.Page, after))
+		m.adopted(m.routes.AddPage(*s.Page, after))
 	}
 	m.compare(s.Epoch)
 	was := m.Ready(m.now)
 	m.touch = max(m.touch, sent)
-	m.members, m.gates = s.Members, s.Gates
+	m.members, m.gates = s.Members, s.Gateways
 	if n, ok := identifier.ParseNode(s.Lead); ok && n != m.lead {
 		m.lead = n
 		m.via = ""
@@ -175,7 +175,7 @@
 }
 
 // compare notes whether the leader has a newer table than this gateway.
-func (m *Machine) compare(leader identifier.Epoch) {
+func (m *Gateway) compare(leader identifier.Epoch) {
 	switch {
 	case leader <= m.Epoch():
 		m.behind = 0
@@ -185,24 +185,24 @@
 }
 
 // adopt takes a newer table whole; an older one never replaces it.
-func (m *Machine) adopt(s *controlplane.Sheet) {
-	m.adopted(m.routes.Replace(routing.Table{Epoch: s.Epoch, Version: s.Version, Rows: s.Rows, Places: s.Places}))
+func (m *Gateway) adopt(s *controlplane.RoutingTable) {
+	m.adopted(m.routes.Replace(routing.Table{Epoch: s.Epoch, Version: s.Version, Rows: s.Rows, Routes: s.Routes}))
 }
 
 // adopted puts the table into use that the replica has come to.
-func (m *Machine) adopted(changed bool) {
+func (m *Gateway) adopted(changed bool) {
 	if !changed {
 		return
 	}
 	m.rules = admission.Compile(&limits.Table{Epoch: m.routes.Epoch(), Rows: m.routes.Rows()})
 	if m.queues = nil; m.routes.Version() > 0 {
-		m.queues = catalog.NewMap(m.routes.Version(), m.routes.Places())
+		m.queues = catalog.NewRouteMap(m.routes.Version(), m.routes.Routes())
 	}
 	m.event("table", "epoch", m.routes.Epoch())
 }
 
 // heardLeader notes a reading of the leader's clock that came with a message.
-func (m *Machine) heardLeader(t wire.LeaderTime) {
+func (m *Gateway) heardLeader(t wire.LeaderTime) {
 	if t.Later(m.leaderClock) {
 		m.leaderClock = t
 	}
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -32,7 +32,7 @@
 // it is due at retryAt.
 type request struct {
 	gateway.Request
-	done       func(a gateway.Answer)
+	done       func(a gateway.Response)
 	until      clock.Monotonic
 	dispatched bool
 	retryAt    clock.Monotonic
@@ -44,8 +44,8 @@
 
 // Dispatch is a request on its way to the machine.
 type Dispatch struct {
-	Peer wire.Peer
-	Ask  *wire.Ask
+	Peer    wire.Peer
+	Request *wire.Request
 }
 
 // Requests are those that wait at one server. They are bounded by number and by
@@ -60,14 +60,14 @@
 // New makes an empty set of requests.
 func New() *Requests { return &Requests{open: map[uint64]*request{}} }
 
-// Peer is the name under which the machine knows a request made here.
-func Peer(id uint64) wire.Peer { return wire.Peer("@" + strconv.FormatUint(id, 10)) }
+// LocalPeer is the name under which the machine knows a request made here.
+func LocalPeer(id uint64) wire.Peer { return wire.Peer("@" + strconv.FormatUint(id, 10)) }
 
 // Len is how many requests wait.
 func (r *Requests) Len() int { return len(r.open) }
 
-// Take hands over what is to be given to the machine.
-func (r *Requests) Take() []Dispatch {
+// TakeDispatches hands over what is to be given to the machine.
+func (r *Requests) TakeDispatches() []Dispatch {
 	var list []Dispatch
 	list, r.out = r.out, nil
 	return list
@@ -79,17 +79,17 @@
 // Admit takes a request in. Done is called once with its answer, at once when
 // it can't be dispatched: connected tells whether the server knows a leader, or
 // did a moment ago. A budget of 0 is 2 s.
-func (r *Requests) Admit(q gateway.Request, done func(a gateway.Answer), now clock.Monotonic, connected bool) {
+func (r *Requests) Admit(q gateway.Request, done func(a gateway.Response), now clock.Monotonic, connected bool) {
 	r.Observe(now)
-	refuse := func(a gateway.Answer) {
+	refuse := func(a gateway.Response) {
 		a.ID = q.ID
 		done(a)
 	}
 	switch {
 	case len(r.open) >= mostRequests || r.bytes+len(q.Body) > mostBytes:
-		refuse(Full())
+		refuse(Overloaded())
 		return
-	case q.Verb != "GET" && r.paused.Draining(now):
+	case q.Method != "GET" && r.paused.Draining(now):
 		refuse(Refusal(503, "woken", "this server stood still and can't tell how old the request is", retryGap))
 		return
 	case !connected:
@@ -107,19 +107,19 @@
 
 func (r *Requests) dispatch(one *request, now clock.Monotonic) {
 	one.dispatched = true
-	ask := &wire.Ask{ID: one.ID, Verb: one.Verb, Path: one.Path, Query: one.Query, Body: one.Body, Budget: one.until.Since(now)}
-	r.out = append(r.out, Dispatch{Peer(one.ID), ask})
+	ask := &wire.Request{ID: one.ID, Method: one.Method, Path: one.Path, Query: one.Query, Body: one.Body, Budget: one.until.Since(now)}
+	r.out = append(r.out, Dispatch{LocalPeer(one.ID), ask})
 }
 
 // Complete takes the machine's reply to a dispatch.
-func (r *Requests) Complete(to wire.Peer, reply *wire.Reply, now clock.Monotonic) {
+func (r *Requests) Complete(to wire.Peer, reply *wire.Response, now clock.Monotonic) {
 	one := r.open[reply.ID]
-	if one == nil || to != Peer(reply.ID) || !one.dispatched {
+	if one == nil || to != LocalPeer(reply.ID) || !one.dispatched {
 		return
 	}
 	left := now < one.until
 	switch {
-	case reply.Moved:
+	case reply.NotLeader:
 		one.dispatched, one.retryAt = false, now.Add(retryGap)
 	case reply.Expired && left && one.expired < mostExpired:
 		one.expired++
@@ -127,10 +127,10 @@
 	case reply.Status == 504 && left && one.Repeatable():
 		one.unknown = true
 		one.dispatched, one.retryAt = false, now
-	case one.unknown && one.Verb != "GET" && (reply.Status == 503 || reply.Status == 429):
+	case one.unknown && one.Method != "GET" && (reply.Status == 503 || reply.Status == 429):
 		r.settle(one, outcomeUnknown())
 	default:
-		r.settle(one, gateway.Answer{Status: reply.Status, Body: reply.Body, Retry: reply.Retry})
+		r.settle(one, gateway.Response{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter})
 	}
 }
 
@@ -153,7 +153,7 @@
 
 // giveUp answers a request that no leader has at this moment.
 func (r *Requests) giveUp(one *request) {
-	if one.unknown && one.Verb != "GET" {
+	if one.unknown && one.Method != "GET" {
 		r.settle(one, outcomeUnknown())
 		return
 	}
@@ -169,7 +169,7 @@
 	return list
 }
 
-func (r *Requests) settle(one *request, a gateway.Answer) {
+func (r *Requests) settle(one *request, a gateway.Response) {
 	a.ID = one.ID
 	r.Forget(a.ID)
 	one.done(a)
@@ -184,17 +184,17 @@
 }
 
 // Refusal is an answer in the one shape that errors have.
-func Refusal(status int, code, why string, retry clock.Millis) gateway.Answer {
-	return gateway.Answer{Status: status, Retry: retry, Body: jsondoc.Trouble{Code: code, Why: why, Retry: retry}.JSON()}
+func Refusal(status int, code, why string, retry clock.Millis) gateway.Response {
+	return gateway.Response{Status: status, RetryAfter: retry, Body: jsondoc.ErrorBody{Code: code, Message: why, RetryAfter: retry}.JSON()}
 }
 
-// Full is the answer of a server that can take no more requests.
-func Full() gateway.Answer { return Refusal(503, "busy", "this server is full", 1000) }
+// Overloaded is the answer of a server that can take no more requests.
+func Overloaded() gateway.Response { return Refusal(503, "busy", "this server is full", 1000) }
 
-func noLeader() gateway.Answer {
+func noLeader() gateway.Response {
 	return Refusal(503, "no-leader", "no leader is known here", noLeaderRetry)
 }
 
-func outcomeUnknown() gateway.Answer {
+func outcomeUnknown() gateway.Response {
 	return Refusal(504, "no-answer", "the leader did not answer in time; the outcome is not known", 500)
 }
--- a/internal/inflight/requests_test.go
+++ b/internal/inflight/requests_test.go
@@ -9,27 +9,27 @@
 )
 
 // into is what an answer is put into.
-func into(back chan gateway.Answer) func(a gateway.Answer) {
-	return func(a gateway.Answer) { back <- a }
+func into(back chan gateway.Response) func(a gateway.Response) {
+	return func(a gateway.Response) { back <- a }
 }
 
 // admitted is a set with one request in it, given to the machine at 1000 ms.
-func admitted(t *testing.T, budget clock.Millis) (h *Requests, back chan gateway.Answer) {
+func admitted(t *testing.T, budget clock.Millis) (h *Requests, back chan gateway.Response) {
 	t.Helper()
-	return admittedAs(t, gateway.Request{ID: 7, Verb: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: budget})
+	return admittedAs(t, gateway.Request{ID: 7, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: budget})
 }
 
-func admittedAs(t *testing.T, q gateway.Request) (h *Requests, back chan gateway.Answer) {
+func admittedAs(t *testing.T, q gateway.Request) (h *Requests, back chan gateway.Response) {
 	t.Helper()
-	h, back = New(), make(chan gateway.Answer, 1)
+	h, back = New(), make(chan gateway.Response, 1)
 	h.Admit(q, into(back), 1000, true)
-	if list := h.Take(); len(list) != 1 || list[0].Peer != "@7" || list[0].Ask.Verb != q.Verb || !list[0].Peer.Local() {
+	if list := h.TakeDispatches(); len(list) != 1 || list[0].Peer != "@7" || list[0].Request.Method != q.Method || !list[0].Peer.Local() {
 		t.Fatalf("given to the machine: %+v", list)
 	}
 	return h, back
 }
 
-func got(t *testing.T, h *Requests, back chan gateway.Answer, status int) {
+func got(t *testing.T, h *Requests, back chan gateway.Response, status int) {
 	t.Helper()
 	select {
 	case a := <-back:
@@ -44,7 +44,7 @@
 	}
 }
 
-func none(t *testing.T, back chan gateway.Answer) {
+func none(t *testing.T, back chan gateway.Response) {
 	t.Helper()
 	select {
 	case a := <-back:
@@ -57,12 +57,12 @@
 // other.
 func TestAnswered(t *testing.T) {
 	h, back := admitted(t, 0)
-	h.Complete("@8", &wire.Reply{ID: 7, Status: 500}, 1010)
-	h.Complete("@8", &wire.Reply{ID: 8, Status: 500}, 1010)
+	h.Complete("@8", &wire.Response{ID: 7, Status: 500}, 1010)
+	h.Complete("@8", &wire.Response{ID: 8, Status: 500}, 1010)
 	none(t, back)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 201}, 1020)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 201}, 1020)
 	got(t, h, back, 201)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 500}, 1030)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 500}, 1030)
 	none(t, back)
 }
 
@@ -71,19 +71,19 @@
 func TestMoved(t *testing.T) {
 	h, back := admitted(t, 0)
 	for at := clock.Monotonic(1000); at < 2900; at += 100 {
-		h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Moved: true}, at)
+		h.Complete("@7", &wire.Response{ID: 7, Status: 503, NotLeader: true}, at)
 		h.Tick(at+99, true)
-		if list := h.Take(); len(list) > 0 {
+		if list := h.TakeDispatches(); len(list) > 0 {
 			t.Fatalf("tried again after 99 ms: %+v", list)
 		}
 		h.Tick(at+100, true)
-		list := h.Take()
-		if len(list) != 1 || list[0].Ask.Budget != clock.Monotonic(3000).Since(at+100) {
+		list := h.TakeDispatches()
+		if len(list) != 1 || list[0].Request.Budget != clock.Monotonic(3000).Since(at+100) {
 			t.Fatalf("at %d given to the machine: %+v", at+100, list)
 		}
 		none(t, back)
 	}
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Moved: true}, 2900)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 503, NotLeader: true}, 2900)
 	h.Tick(2999, true)
 	none(t, back)
 	h.Tick(3000, true)
@@ -99,7 +99,7 @@
 	h.Tick(1300, true)
 	got(t, h, back, 504)
 	h, back = admitted(t, 300)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Moved: true}, 1050)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 503, NotLeader: true}, 1050)
 	h.Tick(1150, true)
 	h.Tick(1300, true)
 	got(t, h, back, 504)
@@ -109,7 +109,7 @@
 func TestLeft(t *testing.T) {
 	h, back := admitted(t, 0)
 	h.Forget(7)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 201}, 1010)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 201}, 1010)
 	none(t, back)
 	if len(h.open) > 0 || h.bytes != 0 {
 		t.Errorf("%d requests of %d bytes are still waiting", len(h.open), h.bytes)
@@ -122,10 +122,10 @@
 	full := func(n int, body []byte) int {
 		var refused int
 		for i := 0; i < n; i++ {
-			back := make(chan gateway.Answer, 1)
+			back := make(chan gateway.Response, 1)
 			h.Admit(gateway.Request{ID: uint64(len(h.open) + 1), Body: body}, into(back), 0, true)
 			if len(back) > 0 {
-				if a := <-back; a.Status == 503 && a.Retry > 0 {
+				if a := <-back; a.Status == 503 && a.RetryAfter > 0 {
 					refused++
 				}
 			}
@@ -145,23 +145,23 @@
 // comes and while it waits, and told when to come back; one that a leader may
 // have carried out is told that its outcome is not known.
 func TestNoLeader(t *testing.T) {
-	h, back := New(), make(chan gateway.Answer, 1)
-	h.Admit(gateway.Request{ID: 7, Verb: "GET", Path: "/v1/table", Budget: 3000}, into(back), 1000, false)
+	h, back := New(), make(chan gateway.Response, 1)
+	h.Admit(gateway.Request{ID: 7, Method: "GET", Path: "/v1/table", Budget: 3000}, into(back), 1000, false)
 	if len(back) != 1 {
 		t.Fatal("no answer at once")
 	}
-	if a := <-back; a.Status != 503 || a.Retry == 0 || a.ID != 7 {
+	if a := <-back; a.Status != 503 || a.RetryAfter == 0 || a.ID != 7 {
 		t.Errorf("without a leader: %+v", a)
 	}
 	h, back = admitted(t, 3000)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Moved: true}, 1050)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 503, NotLeader: true}, 1050)
 	h.Tick(1060, false)
 	got(t, h, back, 503)
 	h, back = admitted(t, 3000)
 	h.Tick(1060, false)
 	none(t, back)
-	h, back = admittedAs(t, gateway.Request{ID: 7, Verb: "PUT", Path: "/v1/catalog", Budget: 3000})
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 504}, 1050)
+	h, back = admittedAs(t, gateway.Request{ID: 7, Method: "PUT", Path: "/v1/catalog", Budget: 3000})
+	h.Complete("@7", &wire.Response{ID: 7, Status: 504}, 1050)
 	none(t, back)
 	h.Tick(1060, false)
 	got(t, h, back, 504)
@@ -172,16 +172,16 @@
 func TestExpired(t *testing.T) {
 	h, back := admitted(t, 3000)
 	for i := 0; i < mostExpired; i++ {
-		h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Expired: true}, 1010)
-		if list := h.Take(); len(list) != 1 || list[0].Ask.Budget != 2990 {
+		h.Complete("@7", &wire.Response{ID: 7, Status: 503, Expired: true}, 1010)
+		if list := h.TakeDispatches(); len(list) != 1 || list[0].Request.Budget != 2990 {
 			t.Fatalf("try %d: dispatched %+v", i, list)
 		}
 	}
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Expired: true, Retry: 200}, 1020)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 503, Expired: true, RetryAfter: 200}, 1020)
 	got(t, h, back, 503)
 	h, back = admitted(t, 300)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 503, Expired: true, Retry: 200}, 1300)
-	if list := h.Take(); len(list) != 0 {
+	h.Complete("@7", &wire.Response{ID: 7, Status: 503, Expired: true, RetryAfter: 200}, 1300)
+	if list := h.TakeDispatches(); len(list) != 0 {
 		t.Errorf("dispatched past its budget: %+v", list)
 	}
 	got(t, h, back, 503)
@@ -190,17 +190,17 @@
 // TestRepeated: what a leader does not know the outcome of is dispatched again
 // if it may be; what may have been carried out is never refused as not taken.
 func TestRepeated(t *testing.T) {
-	h, back := admittedAs(t, gateway.Request{ID: 7, Verb: "PUT", Path: "/v1/catalog", Budget: 3000})
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 504}, 1010)
+	h, back := admittedAs(t, gateway.Request{ID: 7, Method: "PUT", Path: "/v1/catalog", Budget: 3000})
+	h.Complete("@7", &wire.Response{ID: 7, Status: 504}, 1010)
 	none(t, back)
 	h.Tick(1020, true)
-	if list := h.Take(); len(list) != 1 {
+	if list := h.TakeDispatches(); len(list) != 1 {
 		t.Fatalf("not dispatched again: %+v", list)
 	}
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 429}, 1030)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 429}, 1030)
 	got(t, h, back, 504)
 	h, back = admitted(t, 3000)
-	h.Complete("@7", &wire.Reply{ID: 7, Status: 504}, 1010)
+	h.Complete("@7", &wire.Response{ID: 7, Status: 504}, 1010)
 	got(t, h, back, 504)
 }
 
@@ -211,12 +211,12 @@
 	for now := clock.Monotonic(0); now <= 1000; now += 20 {
 		h.Tick(now, true)
 	}
-	ask := func(id uint64, verb string, now clock.Monotonic) gateway.Answer {
-		a := gateway.Answer{}
-		h.Admit(gateway.Request{ID: id, Verb: verb, Path: "/v1/closings/a", Budget: 900}, func(got gateway.Answer) { a = got }, now, true)
+	ask := func(id uint64, verb string, now clock.Monotonic) gateway.Response {
+		a := gateway.Response{}
+		h.Admit(gateway.Request{ID: id, Method: verb, Path: "/v1/closings/a", Budget: 900}, func(got gateway.Response) { a = got }, now, true)
 		return a
 	}
-	if a := ask(1, "PUT", 9000); a.Status != 503 || a.Retry == 0 {
+	if a := ask(1, "PUT", 9000); a.Status != 503 || a.RetryAfter == 0 {
 		t.Errorf("an order read at the wake-up: %+v", a)
 	}
 	if a := ask(2, "GET", 9000); a.Status != 0 || h.Len() != 1 {
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -20,7 +20,7 @@
 
 // item is a place and the epoch of its last change; a dropped one is gone.
 type item struct {
-	place   catalog.Place
+	place   catalog.Route
 	changed identifier.Epoch
 	dropped bool
 }
@@ -30,7 +30,7 @@
 	Epoch   identifier.Epoch
 	Version uint64
 	Rows    map[identifier.Row]map[string]string
-	Places  []catalog.Place
+	Routes  []catalog.Route
 }
 
 // History tells what changed since any epoch from its horizon on.
@@ -55,20 +55,20 @@
 
 // RowsChanged takes a table of which only the rows changed.
 func (h *History) RowsChanged(t Table) {
-	t.Places, t.Version = h.table.Places, h.table.Version
+	t.Routes, t.Version = h.table.Routes, h.table.Version
 	h.table, h.rowsChanged = t, t.Epoch
 }
 
-// PlacesChanged takes a table of which only the places changed.
-func (h *History) PlacesChanged(t Table) { h.take(t) }
+// RoutesChanged takes a table of which only the places changed.
+func (h *History) RoutesChanged(t Table) { h.take(t) }
 
 func (h *History) take(t Table) {
 	h.table = t
-	present := make(map[string]bool, len(t.Places))
+	present := make(map[string]bool, len(t.Routes))
 	added := []string{}
-	for _, p := range t.Places {
-		present[p.Name] = true
-		was, known := h.items[p.Name]
+	for _, p := range t.Routes {
+		present[p.Queue] = true
+		was, known := h.items[p.Queue]
 		if known && !was.dropped && was.place == p {
 			continue
 		}
@@ -76,9 +76,9 @@
 			h.dropped--
 		}
 		if !known {
-			added = append(added, p.Name)
+			added = append(added, p.Queue)
 		}
-		h.items[p.Name] = item{place: p, changed: t.Epoch}
+		h.items[p.Queue] = item{place: p, changed: t.Epoch}
 	}
 	for _, name := range h.names {
 		if one := h.items[name]; !one.dropped && !present[name] {
@@ -159,10 +159,10 @@
 			return p
 		}
 		p.add(name, one)
-		p.Next = name
+		p.NextAfter = name
 		bytes += size(name, one.place)
 	}
-	p.Next = ""
+	p.NextAfter = ""
 	return p
 }
 
@@ -171,5 +171,5 @@
 		p.Dropped = append(p.Dropped, name)
 		return
 	}
-	p.Places = append(p.Places, one.place)
+	p.Routes = append(p.Routes, one.place)
 }
--- a/internal/routing/page.go
+++ b/internal/routing/page.go
@@ -25,14 +25,14 @@
 	Version uint64           `json:"version,omitempty"`
 	// Rows are all rows; none where they did not change, and on later pages.
 	Rows    map[identifier.Row]map[string]string `json:"rows,omitempty"`
-	Places  []catalog.Place                      `json:"places,omitempty"`
+	Routes  []catalog.Route                      `json:"places,omitempty"`
 	Dropped []string                             `json:"dropped,omitempty"`
-	// Next is the name after which the next page begins, empty on the last.
-	Next string `json:"next,omitempty"`
+	// NextAfter is the name after which the next page begins, empty on the last.
+	NextAfter string `json:"next,omitempty"`
 }
 
 // size is about what a place takes in a page.
-func size(name string, p catalog.Place) int {
+func size(name string, p catalog.Route) int {
 	const frame = 40
 	return frame + len(name) + len(p.Host) + len(p.Prefix)
 }
--- a/internal/routing/replica.go
+++ b/internal/routing/replica.go
@@ -14,7 +14,7 @@
 	epoch   identifier.Epoch
 	version uint64
 	rows    map[identifier.Row]map[string]string
-	places  map[string]catalog.Place
+	places  map[string]catalog.Route
 	update  *update
 	// whole says that the leader's history does not reach back to the epoch.
 	whole bool
@@ -25,7 +25,7 @@
 // what it has of newer ones will only come again.
 type update struct {
 	first Page
-	put   map[string]catalog.Place
+	put   map[string]catalog.Route
 	drop  map[string]bool
 	after string
 }
@@ -39,9 +39,9 @@
 // Rows are the limits by row. They are not to be changed.
 func (r *Replica) Rows() map[identifier.Row]map[string]string { return r.rows }
 
-// Places lists the places in use, in the order of names.
-func (r *Replica) Places() []catalog.Place {
-	var list []catalog.Place
+// Routes lists the places in use, in the order of names.
+func (r *Replica) Routes() []catalog.Route {
+	var list []catalog.Route
 	names := make([]string, 0, len(r.places))
 	for name := range r.places {
 		names = append(names, name)
@@ -56,9 +56,9 @@
 // Updating tells whether more pages of an update are to come.
 func (r *Replica) Updating() bool { return r.update != nil }
 
-// Want is what to ask the leader for next: what changed since an epoch, after a
+// NextRequest is what to ask the leader for next: what changed since an epoch, after a
 // name.
-func (r *Replica) Want() (since identifier.Epoch, after string) {
+func (r *Replica) NextRequest() (since identifier.Epoch, after string) {
 	if r.update != nil {
 		return r.update.first.Since, r.update.after
 	}
@@ -74,9 +74,9 @@
 		return false
 	}
 	r.epoch, r.version, r.rows = t.Epoch, t.Version, t.Rows
-	r.places, r.update, r.whole = map[string]catalog.Place{}, nil, false
-	for _, p := range t.Places {
-		r.places[p.Name] = p
+	r.places, r.update, r.whole = map[string]catalog.Route{}, nil, false
+	for _, p := range t.Routes {
+		r.places[p.Queue] = p
 	}
 	return true
 }
@@ -84,7 +84,7 @@
 // Patch takes an update of a single page, whichever way it came. It changes
 // nothing unless it reaches back to the table in use and is newer.
 func (r *Replica) Patch(p Page) bool {
-	if p.Next != "" {
+	if p.NextAfter != "" {
 		return false
 	}
 	u := newUpdate(p)
@@ -92,11 +92,11 @@
 	return r.finish(u)
 }
 
-// Take adds a page that was asked for and tells whether the table in use is
+// AddPage adds a page that was asked for and tells whether the table in use is
 // another now. A page that does not go on from the ones before ends the update,
 // which then begins anew.
-func (r *Replica) Take(p Page, after string) bool {
-	since, wanted := r.Want()
+func (r *Replica) AddPage(p Page, after string) bool {
+	since, wanted := r.NextRequest()
 	switch {
 	case after != wanted:
 		return false
@@ -107,8 +107,8 @@
 		return false
 	}
 	r.update.add(p)
-	if p.Next != "" {
-		r.update.after = p.Next
+	if p.NextAfter != "" {
+		r.update.after = p.NextAfter
 		return false
 	}
 	u := r.update
@@ -117,12 +117,12 @@
 }
 
 func newUpdate(first Page) *update {
-	return &update{first: first, put: map[string]catalog.Place{}, drop: map[string]bool{}}
+	return &update{first: first, put: map[string]catalog.Route{}, drop: map[string]bool{}}
 }
 
 func (u *update) add(p Page) {
-	for _, place := range p.Places {
-		u.put[place.Name] = place
+	for _, place := range p.Routes {
+		u.put[place.Queue] = place
 	}
 	for _, name := range p.Dropped {
 		u.drop[name] = true
@@ -144,8 +144,8 @@
 	return true
 }
 
-func (r *Replica) merged(u *update) map[string]catalog.Place {
-	places := make(map[string]catalog.Place, len(r.places)+len(u.put))
+func (r *Replica) merged(u *update) map[string]catalog.Route {
+	places := make(map[string]catalog.Route, len(r.places)+len(u.put))
 	for name, p := range r.places {
 		if !u.drop[name] {
 			places[name] = p
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -14,14 +14,14 @@
 // leader is a table that changes, its history, and every table it ever had.
 type leader struct {
 	rnd     *rand.Rand
-	now     map[string]catalog.Place
+	now     map[string]catalog.Route
 	table   Table
 	history *History
-	past    map[identifier.Epoch]map[string]catalog.Place
+	past    map[identifier.Epoch]map[string]catalog.Route
 }
 
 func newLeader(seed int64, places int) *leader {
-	l := &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Place{}, past: map[identifier.Epoch]map[string]catalog.Place{}}
+	l := &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Route{}, past: map[identifier.Epoch]map[string]catalog.Route{}}
 	for i := 0; i < places; i++ {
 		l.put(fmt.Sprintf("queue-%04d", i))
 	}
@@ -32,13 +32,13 @@
 }
 
 func (l *leader) put(name string) {
-	l.now[name] = catalog.Place{Name: name, Host: "host.example", Prefix: fmt.Sprintf("/%s/%d/", name, l.rnd.Intn(1000))}
+	l.now[name] = catalog.Route{Queue: name, Host: "host.example", Prefix: fmt.Sprintf("/%s/%d/", name, l.rnd.Intn(1000))}
 }
 
 func (l *leader) list() {
-	l.table.Places = nil
+	l.table.Routes = nil
 	for _, p := range l.now {
-		l.table.Places = append(l.table.Places, p)
+		l.table.Routes = append(l.table.Routes, p)
 	}
 	l.past[l.table.Epoch] = maps.Clone(l.now)
 }
@@ -60,13 +60,13 @@
 		delete(l.now, fmt.Sprintf("queue-%04d", l.rnd.Intn(400)))
 	}
 	l.list()
-	l.history.PlacesChanged(l.table)
+	l.history.RoutesChanged(l.table)
 }
 
 // ask sends a replica's question and its answer over the wire.
 func ask(t *testing.T, h *History, r *Replica) (p Page, changed bool) {
 	t.Helper()
-	since, after := r.Want()
+	since, after := r.NextRequest()
 	text, err := json.Marshal(h.Page(since, after))
 	if err != nil {
 		t.Fatal(err)
@@ -77,13 +77,13 @@
 	if err = json.Unmarshal(text, &p); err != nil {
 		t.Fatal(err)
 	}
-	return p, r.Take(p, after)
+	return p, r.AddPage(p, after)
 }
 
-func same(r *Replica, want map[string]catalog.Place) bool {
-	list := r.Places()
+func same(r *Replica, want map[string]catalog.Route) bool {
+	list := r.Routes()
 	for _, p := range list {
-		if want[p.Name] != p {
+		if want[p.Queue] != p {
 			return false
 		}
 	}
@@ -112,7 +112,7 @@
 				t.Fatalf("seed %d: went back from %d to %d", seed, epoch, r.Epoch())
 			}
 			epoch = r.Epoch()
-			for _, p := range r.Places() {
+			for _, p := range r.Routes() {
 				if !everHeld(l, p, epoch) {
 					t.Fatalf("seed %d: at epoch %d it holds %+v, which no table had since", seed, epoch, p)
 				}
@@ -122,7 +122,7 @@
 			ask(t, l.history, r)
 		}
 		if r.Epoch() != l.table.Epoch || !same(r, l.now) || r.Rows()["a"]["weight"] != l.table.Rows["a"]["weight"] || r.Version() != l.table.Version {
-			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d places of %d", seed, r.Epoch(), l.table.Epoch, r.Version(), l.table.Version, len(r.Places()), len(l.now))
+			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d places of %d", seed, r.Epoch(), l.table.Epoch, r.Version(), l.table.Version, len(r.Routes()), len(l.now))
 		}
 		if changes < 20 {
 			t.Errorf("seed %d: too little evidence: %d changes taken", seed, changes)
@@ -131,9 +131,9 @@
 }
 
 // everHeld tells whether some table from an epoch on had this place.
-func everHeld(l *leader, p catalog.Place, from identifier.Epoch) bool {
+func everHeld(l *leader, p catalog.Route, from identifier.Epoch) bool {
 	for e := from; e <= l.table.Epoch; e++ {
-		if l.past[e][p.Name] == p {
+		if l.past[e][p.Queue] == p {
 			return true
 		}
 	}
@@ -154,14 +154,14 @@
 		l.table.Epoch++
 		l.put("queue-0001")
 		l.list()
-		l.history.PlacesChanged(l.table)
+		l.history.RoutesChanged(l.table)
 		p, _ := ask(t, l.history, r)
 		one, _ := json.Marshal(p)
 		for i := 0; i < 50; i++ {
 			l.table.Epoch++
 			l.put("queue-0002")
 			l.list()
-			l.history.PlacesChanged(l.table)
+			l.history.RoutesChanged(l.table)
 		}
 		p, _ = ask(t, l.history, r)
 		fifty, _ := json.Marshal(p)
@@ -184,17 +184,17 @@
 		l.table.Epoch++
 		l.put(fmt.Sprintf("passing-%d", i))
 		delete(l.now, fmt.Sprintf("passing-%d", i-1))
-		l.table.Places = nil
+		l.table.Routes = nil
 		for _, p := range l.now {
-			l.table.Places = append(l.table.Places, p)
+			l.table.Routes = append(l.table.Routes, p)
 		}
-		l.history.PlacesChanged(l.table)
+		l.history.RoutesChanged(l.table)
 	}
 	if n := len(l.history.items); n > droppedMost+20 {
 		t.Errorf("%d items are kept", n)
 	}
 	if p, _ := ask(t, l.history, r); p.Since != 0 || !same(r, l.now) {
-		t.Errorf("from before the horizon: since %d, %d places", p.Since, len(r.Places()))
+		t.Errorf("from before the horizon: since %d, %d places", p.Since, len(r.Routes()))
 	}
 }
 
@@ -202,10 +202,10 @@
 func TestOldPages(t *testing.T) {
 	l, r := newLeader(5, 1400), &Replica{}
 	first := l.history.Page(0, "")
-	if r.Take(first, "") || !r.Updating() {
+	if r.AddPage(first, "") || !r.Updating() {
 		t.Fatal("a first page of several was the whole")
 	}
-	if r.Take(first, "") || r.Take(l.history.Page(0, "queue-1300"), "queue-1300") {
+	if r.AddPage(first, "") || r.AddPage(l.history.Page(0, "queue-1300"), "queue-1300") {
 		t.Error("a page that was not asked for was taken")
 	}
 	for r.Updating() {
--- a/internal/runner/boot.go
+++ b/internal/runner/boot.go
@@ -9,52 +9,52 @@
 	"orchidward/internal/clock"
 )
 
-// Boot is the configuration a runner starts with. Gates are the gateways it
+// Config is the configuration a runner starts with. Gates are the gateways it
 // polls, Cap its capacity, and Seed makes its random choices repeatable.
-type Boot struct {
-	Name   identifier.Runner
-	Inc    identifier.Incarnation
-	Cap    job.Demand
-	Labels []identifier.Label
-	Domain identifier.Domain
-	Rack   identifier.Rack
-	Gates  []string
-	Seed   int64
-	// Slow stretches every run, in percent; Faulty is the share of runs that
+type Config struct {
+	Name        identifier.Runner
+	Incarnation identifier.Incarnation
+	Capacity    job.Demand
+	Labels      []identifier.Label
+	Domain      identifier.Domain
+	Rack        identifier.Rack
+	Gateways    []string
+	Seed        int64
+	// SlowdownPercent stretches every run, in percent; Faulty is the share of runs that
 	// end in a defect, in percent.
-	Slow   int64
-	Faulty int64
+	SlowdownPercent int64
+	DefectPercent   int64
 }
 
 // Poll is one to be sent.
 type Poll struct {
-	Gate string
-	Seq  uint64
-	Body []byte
-	Wait clock.Millis
+	Gateway string
+	Seq     uint64
+	Body    []byte
+	Timeout clock.Millis
 }
 
 // Event is what happened to an attempt here, for logs and for observers.
 type Event struct {
-	What  string
-	Grant identifier.LeaseID
-	Task  identifier.TaskRef
-	Cost  job.Demand
+	Kind   string
+	Lease  identifier.LeaseID
+	Task   identifier.TaskRef
+	Demand job.Demand
 }
 
-// Out is what the inputs so far ask the caller to do: polls to send and events
+// Output is what the inputs so far ask the caller to do: polls to send and events
 // to log.
-type Out struct {
+type Output struct {
 	Polls  []Poll
 	Events []Event
 }
 
 const (
-	// Tick is how often a runner should be ticked, in milliseconds.
-	Tick      clock.Millis = 20
-	firstWait clock.Millis = 1000
-	tombLife  clock.Millis = 60000
-	mostEnds               = 512
-	endsFull               = 4096
-	backMost  clock.Millis = 1000
+	// TickInterval is how often a runner should be ticked, in milliseconds.
+	TickInterval clock.Millis = 20
+	firstWait    clock.Millis = 1000
+	tombLife     clock.Millis = 60000
+	mostEnds                  = 512
+	endsFull                  = 4096
+	backMost     clock.Millis = 1000
 )
--- a/internal/runner/machine.go
+++ b/internal/runner/machine.go
@@ -14,14 +14,14 @@
 	"orchidward/internal/clock"
 )
 
-// Machine is a runner as a pure state machine: it polls for orders, runs tasks
+// Runner is a runner as a pure state machine: it polls for orders, runs tasks
 // that only take time, and stops them when its lease lapses. It does no input or
 // output and reads no clock. It is not safe for concurrent use.
-type Machine struct {
-	boot  Boot
+type Runner struct {
+	boot  Config
 	now   clock.Monotonic
 	rnd   *rand.Rand
-	out   Out
+	out   Output
 	gates []string
 	gate  int
 
@@ -53,8 +53,8 @@
 
 // New makes a runner without tasks, which polls a random one of its gateways
 // first.
-func New(boot Boot, now clock.Monotonic) *Machine {
-	m := &Machine{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gates, mode: runnerapi.Active,
+func New(boot Config, now clock.Monotonic) *Runner {
+	m := &Runner{boot: boot, now: now, rnd: rand.New(rand.NewSource(boot.Seed)), gates: boot.Gateways, mode: runnerapi.ModeActive,
 		open: map[uint64]clock.Monotonic{}, contact: now, grant: 10000, start: firstWait,
 		tasks: map[identifier.LeaseID]*work{}, ended: map[identifier.LeaseID]runnerapi.End{}, tombs: map[identifier.LeaseID]clock.Monotonic{}}
 	if len(m.gates) > 0 {
@@ -63,24 +63,24 @@
 	return m
 }
 
-// Take returns the output so far and clears it.
-func (m *Machine) Take() Out {
+// TakeOutput returns the output so far and clears it.
+func (m *Runner) TakeOutput() Output {
 	out := m.out
-	m.out = Out{}
+	m.out = Output{}
 	return out
 }
 
-// Gates lists the gateways that the runner knows.
-func (m *Machine) Gates() []string { return m.gates }
+// Gateways lists the gateways that the runner knows.
+func (m *Runner) Gateways() []string { return m.gates }
 
 // Mode is poll.Active or poll.Draining.
-func (m *Machine) Mode() string { return m.mode }
+func (m *Runner) Mode() string { return m.mode }
 
 // Running is the number of tasks that run.
-func (m *Machine) Running() int { return len(m.tasks) }
+func (m *Runner) Running() int { return len(m.tasks) }
 
-// Learn takes a list of gates from whoever knows one.
-func (m *Machine) Learn(gates []string) {
+// LearnGateways takes a list of gates from whoever knows one.
+func (m *Runner) LearnGateways(gates []string) {
 	if len(gates) == 0 {
 		return
 	}
@@ -97,14 +97,14 @@
 	}
 }
 
-// Cut makes the stand-in deaf and mute for a while, running on.
-func (m *Machine) Cut(span clock.Millis) { m.cut = m.now.Add(span) }
+// Isolate makes the stand-in deaf and mute for a while, running on.
+func (m *Runner) Isolate(span clock.Millis) { m.cut = m.now.Add(span) }
 
-// Move goes over to another gate: this one says that it is about to stop.
-func (m *Machine) Move() { m.gate++ }
+// SwitchGateway goes over to another gate: this one says that it is about to stop.
+func (m *Runner) SwitchGateway() { m.gate++ }
 
 // SetMode makes the runner say that it is leaving, or that it is not.
-func (m *Machine) SetMode(mode string, departs clock.Millis, now clock.Monotonic) {
+func (m *Runner) SetMode(mode string, departs clock.Millis, now clock.Monotonic) {
 	m.clock(now)
 	m.mode, m.departs = mode, m.now.Add(departs)
 	m.news = true
@@ -112,16 +112,18 @@
 }
 
 // SetFaults changes how the stand-in misbehaves.
-func (m *Machine) SetFaults(slow, faulty int64) { m.boot.Slow, m.boot.Faulty = slow, faulty }
+func (m *Runner) SetFaults(slow, faulty int64) {
+	m.boot.SlowdownPercent, m.boot.DefectPercent = slow, faulty
+}
 
 // Tick passes in the time: it stops tasks whose lease has lapsed, ends those
 // whose time is up, and polls when due.
-func (m *Machine) Tick(now clock.Monotonic) {
+func (m *Runner) Tick(now clock.Monotonic) {
 	m.clock(now)
 	m.polls()
 }
 
-func (m *Machine) order() []identifier.LeaseID {
+func (m *Runner) order() []identifier.LeaseID {
 	var list []identifier.LeaseID
 	for id := range m.tasks {
 		list = append(list, id)
@@ -131,13 +133,13 @@
 }
 
 // clock first kills what outlived its grant, then ends what has run its span.
-func (m *Machine) clock(now clock.Monotonic) {
+func (m *Runner) clock(now clock.Monotonic) {
 	m.now = max(m.now, now)
 	lapsed := m.now.Since(m.contact) > m.grant
 	for _, id := range m.order() {
 		w := m.tasks[id]
 		switch {
-		case lapsed || w.Gang > 0 && m.now.Since(w.whole) > w.Gang:
+		case lapsed || w.GangLease > 0 && m.now.Since(w.whole) > w.GangLease:
 			m.end(id, "lapsed")
 		case m.now >= w.end && w.bad:
 			m.end(id, "defect")
@@ -152,17 +154,17 @@
 	}
 }
 
-func (m *Machine) end(id identifier.LeaseID, how string) {
+func (m *Runner) end(id identifier.LeaseID, how string) {
 	w := m.tasks[id]
 	delete(m.tasks, id)
-	m.ended[id] = runnerapi.End{Grant: id, Task: w.Task, How: how}
+	m.ended[id] = runnerapi.End{Lease: id, Task: w.Task, Outcome: how}
 	m.tombs[id] = m.now
 	m.news = true
 	m.out.Events = append(m.out.Events, Event{how, id, w.Task, w.Demand})
 }
 
 // polls keeps one poll open; news goes out in a new one that replaces it.
-func (m *Machine) polls() {
+func (m *Runner) polls() {
 	for seq, at := range m.open {
 		if m.now.Since(at) > m.start {
 			delete(m.open, seq)
@@ -182,20 +184,20 @@
 	if err != nil {
 		panic(err)
 	}
-	m.out.Polls = append(m.out.Polls, Poll{Gate: m.gates[m.gate%len(m.gates)], Seq: m.seq, Body: text, Wait: m.start})
+	m.out.Polls = append(m.out.Polls, Poll{Gateway: m.gates[m.gate%len(m.gates)], Seq: m.seq, Body: text, Timeout: m.start})
 }
 
-func (m *Machine) fail() {
+func (m *Runner) fail() {
 	m.gate++
 	m.back = min(max(50, m.back*2), backMost)
 	m.next = m.now.Add(m.back/2 + clock.Millis(m.rnd.Int63n(int64(m.back))))
 }
 
-func (m *Machine) ask() runnerapi.Ask {
-	a := runnerapi.Ask{Inc: m.boot.Inc, Seq: m.seq, Cores: m.boot.Cap.Cores, Mem: m.boot.Cap.Mem, Labels: m.boot.Labels,
+func (m *Runner) ask() runnerapi.PollRequest {
+	a := runnerapi.PollRequest{Incarnation: m.boot.Incarnation, Seq: m.seq, Cores: m.boot.Capacity.Cores, Mem: m.boot.Capacity.Mem, Labels: m.boot.Labels,
 		Domain: m.boot.Domain, Rack: m.boot.Rack, Mode: m.mode, Running: m.order()}
-	if m.mode == runnerapi.Draining {
-		a.Departs = max(0, m.departs.Since(m.now))
+	if m.mode == runnerapi.ModeDraining {
+		a.DepartsIn = max(0, m.departs.Since(m.now))
 	}
 	list := []identifier.LeaseID{}
 	for id := range m.ended {
@@ -208,8 +210,8 @@
 	return a
 }
 
-// Answer takes the outcome of a poll; a status of 0 means that none came.
-func (m *Machine) Answer(seq uint64, status int, body []byte, now clock.Monotonic) {
+// HandlePollResponse takes the outcome of a poll; a status of 0 means that none came.
+func (m *Runner) HandlePollResponse(seq uint64, status int, body []byte, now clock.Monotonic) {
 	m.clock(now)
 	sent, ok := m.open[seq]
 	if !ok {
@@ -217,7 +219,7 @@
 		return
 	}
 	delete(m.open, seq)
-	var a runnerapi.Answer
+	var a runnerapi.PollResponse
 	if m.now < m.cut || status != 200 || json.Unmarshal(body, &a) != nil {
 		if seq == m.seq {
 			m.fail()
@@ -235,18 +237,18 @@
 	m.polls()
 }
 
-func (m *Machine) obey(a runnerapi.Answer, seq uint64, sent clock.Monotonic) {
-	if a.GrantMs > 0 && a.StartMs > 0 {
-		m.grant, m.start = a.GrantMs, a.StartMs
+func (m *Runner) obey(a runnerapi.PollResponse, seq uint64, sent clock.Monotonic) {
+	if a.Lease > 0 && a.StartTimeout > 0 {
+		m.grant, m.start = a.Lease, a.StartTimeout
 	}
-	m.Learn(a.Gates)
-	for _, id := range a.Acked {
+	m.LearnGateways(a.Gateways)
+	for _, id := range a.AckedEnds {
 		if e, ok := m.ended[id]; ok {
 			delete(m.ended, id)
-			m.out.Events = append(m.out.Events, Event{What: "acked", Grant: id, Task: e.Task})
+			m.out.Events = append(m.out.Events, Event{Kind: "acked", Lease: id, Task: e.Task})
 		}
 	}
-	for _, id := range a.Whole {
+	for _, id := range a.CompleteGangs {
 		if w := m.tasks[id]; w != nil {
 			w.whole = max(w.whole, sent)
 		}
@@ -254,7 +256,7 @@
 	for _, id := range a.Stops {
 		m.stop(id)
 	}
-	if seq != m.seq || m.now.Since(sent) > a.StartMs || len(m.ended) >= endsFull {
+	if seq != m.seq || m.now.Since(sent) > a.StartTimeout || len(m.ended) >= endsFull {
 		return
 	}
 	for _, s := range a.Starts {
@@ -264,7 +266,7 @@
 
 // stop ends an attempt at once. One never heard of is marked, so that its
 // start, should it come yet, finds the grant used up.
-func (m *Machine) stop(id identifier.LeaseID) {
+func (m *Runner) stop(id identifier.LeaseID) {
 	if m.tasks[id] != nil {
 		m.end(id, "stopped")
 		return
@@ -273,40 +275,40 @@
 		m.tombs[id] = m.now
 	}
 	if _, told := m.ended[id]; !told {
-		m.ended[id] = runnerapi.End{Grant: id, How: "stopped"}
+		m.ended[id] = runnerapi.End{Lease: id, Outcome: "stopped"}
 		m.news = true
 	}
 }
 
-func (m *Machine) begin(s runnerapi.Start, sent clock.Monotonic) {
-	if _, used := m.tombs[s.Grant]; used || m.tasks[s.Grant] != nil {
+func (m *Runner) begin(s runnerapi.Start, sent clock.Monotonic) {
+	if _, used := m.tombs[s.Lease]; used || m.tasks[s.Lease] != nil {
 		return
 	}
-	room := m.boot.Cap
+	room := m.boot.Capacity
 	for _, w := range m.tasks {
 		room = room.Minus(w.Demand)
 	}
 	if !s.Demand.Fits(room) {
 		return
 	}
-	run := s.Run
-	if m.boot.Slow > 0 {
-		run += run * clock.Millis(m.boot.Slow) / 100
+	run := s.ExpectedRun
+	if m.boot.SlowdownPercent > 0 {
+		run += run * clock.Millis(m.boot.SlowdownPercent) / 100
 	}
-	w := &work{Start: s, end: m.now.Add(run), whole: sent, bad: m.rnd.Int63n(100) < m.boot.Faulty}
-	m.tasks[s.Grant] = w
-	m.tombs[s.Grant] = m.now
+	w := &work{Start: s, end: m.now.Add(run), whole: sent, bad: m.rnd.Int63n(100) < m.boot.DefectPercent}
+	m.tasks[s.Lease] = w
+	m.tombs[s.Lease] = m.now
 	m.news = true
-	m.out.Events = append(m.out.Events, Event{"start", s.Grant, s.Task, s.Demand})
+	m.out.Events = append(m.out.Events, Event{"start", s.Lease, s.Task, s.Demand})
 }
 
 // retire ends everything: a newer incarnation has this runner's name.
-func (m *Machine) retire() {
+func (m *Runner) retire() {
 	for _, id := range m.order() {
 		m.end(id, "stopped")
 	}
 	m.Retired = true
 }
 
-// InTouch tells whether a poll was answered lately.
-func (m *Machine) InTouch() bool { return m.seq > 1 && m.now.Since(m.contact) < 3*m.start }
+// InContact tells whether a poll was answered lately.
+func (m *Runner) InContact() bool { return m.seq > 1 && m.now.Since(m.contact) < 3*m.start }
--- a/internal/runner/machine_test.go
+++ b/internal/runner/machine_test.go
@@ -10,57 +10,57 @@
 	"orchidward/internal/clock"
 )
 
-func fresh() *Machine {
-	m := New(Boot{Name: "r", Inc: "a", Cap: job.Demand{Cores: 4, Mem: 4000}, Domain: "north", Rack: "k", Gates: []string{"g1", "g2"}, Seed: 1}, 0)
+func fresh() *Runner {
+	m := New(Config{Name: "r", Incarnation: "a", Capacity: job.Demand{Cores: 4, Mem: 4000}, Domain: "north", Rack: "k", Gateways: []string{"g1", "g2"}, Seed: 1}, 0)
 	m.Tick(10)
 	return m
 }
 
 // answer hands the newest poll its answer and returns what came of it.
-func answer(t *testing.T, m *Machine, seq uint64, a runnerapi.Answer, now clock.Monotonic) Out {
+func answer(t *testing.T, m *Runner, seq uint64, a runnerapi.PollResponse, now clock.Monotonic) Output {
 	t.Helper()
-	if a.GrantMs == 0 {
-		a.GrantMs, a.StartMs = 10000, 1000
+	if a.Lease == 0 {
+		a.Lease, a.StartTimeout = 10000, 1000
 	}
 	text, err := json.Marshal(a)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Answer(seq, 200, text, now)
-	return m.Take()
+	m.HandlePollResponse(seq, 200, text, now)
+	return m.TakeOutput()
 }
 
-func what(o Out) string {
+func what(o Output) string {
 	var list string
 	for _, e := range o.Events {
-		list += e.What + " "
+		list += e.Kind + " "
 	}
 	return list
 }
 
 func begin(id identifier.LeaseID, gang clock.Millis) runnerapi.Start {
-	return runnerapi.Start{Grant: id, Task: identifier.TaskRef{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 60000, Gang: gang}
+	return runnerapi.Start{Lease: id, Task: identifier.TaskRef{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, ExpectedRun: 60000, GangLease: gang}
 }
 
 // TestLateStarts: an answer past its span, or to a poll that another has
 // replaced, starts nothing, but stops all the same.
 func TestLateStarts(t *testing.T) {
 	m := fresh()
-	if got := what(answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 1005)); got != "start " {
+	if got := what(answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, 0)}}, 1005)); got != "start " {
 		t.Fatalf("in time: %q", got)
 	}
 	m = fresh()
-	if got := what(answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 1015)); got != "" {
+	if got := what(answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, 0)}}, 1015)); got != "" {
 		t.Errorf("a start 1005 ms after its poll: %q", got)
 	}
 	m = fresh()
-	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0)}}, 100)
+	answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0)}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(3, 0)}}, 130)); got != "" {
+	if got := what(answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(3, 0)}}, 130)); got != "" {
 		t.Errorf("an answer twice: %q", got)
 	}
-	m.SetMode(runnerapi.Draining, 5000, 140)
-	if got := what(answer(t, m, 2, runnerapi.Answer{Starts: []runnerapi.Start{begin(3, 0)}, Stops: []identifier.LeaseID{1}}, 150)); got != "stopped " {
+	m.SetMode(runnerapi.ModeDraining, 5000, 140)
+	if got := what(answer(t, m, 2, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(3, 0)}, Stops: []identifier.LeaseID{1}}, 150)); got != "stopped " {
 		t.Errorf("to a poll that another replaced: %q", got)
 	}
 }
@@ -68,9 +68,9 @@
 // TestUsedGrants: a grant starts once, also when its stop came first.
 func TestUsedGrants(t *testing.T) {
 	m := fresh()
-	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}, Stops: []identifier.LeaseID{2}}, 100)
+	answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, 0)}, Stops: []identifier.LeaseID{2}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0), begin(3, 0)}, Stops: []identifier.LeaseID{1}}, 200)); got != "stopped start " {
+	if got := what(answer(t, m, m.seq, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, 0), begin(2, 0), begin(3, 0)}, Stops: []identifier.LeaseID{1}}, 200)); got != "stopped start " {
 		t.Errorf("used grants began again: %q", got)
 	}
 }
@@ -79,9 +79,9 @@
 // or does anything else, and an answer that waited meanwhile starts nothing.
 func TestSleeper(t *testing.T) {
 	m := fresh()
-	answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, 0)}}, 100)
+	answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, 0)}}, 100)
 	m.Tick(120)
-	if got := what(answer(t, m, m.seq, runnerapi.Answer{Starts: []runnerapi.Start{begin(2, 0)}, Whole: []identifier.LeaseID{1}}, 20000)); got != "lapsed " {
+	if got := what(answer(t, m, m.seq, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(2, 0)}, CompleteGangs: []identifier.LeaseID{1}}, 20000)); got != "lapsed " {
 		t.Errorf("on waking: %q", got)
 	}
 }
@@ -92,14 +92,14 @@
 func TestGangWord(t *testing.T) {
 	for _, gang := range []clock.Millis{0, 3000} {
 		m := fresh()
-		answer(t, m, 1, runnerapi.Answer{Starts: []runnerapi.Start{begin(1, gang)}}, 100)
+		answer(t, m, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{begin(1, gang)}}, 100)
 		ended, now := "", clock.Monotonic(100)
 		for ; now < 12000 && ended == ""; now += 20 {
 			m.Tick(now)
-			ended = what(m.Take())
-			a := runnerapi.Answer{}
+			ended = what(m.TakeOutput())
+			a := runnerapi.PollResponse{}
 			if now < 5000 && gang > 0 {
-				a.Whole = []identifier.LeaseID{1}
+				a.CompleteGangs = []identifier.LeaseID{1}
 			}
 			if now%500 == 0 {
 				ended += what(answer(t, m, m.seq, a, now+5))
--- a/internal/scheduler/bin.go
+++ b/internal/scheduler/bin.go
@@ -24,14 +24,14 @@
 func (n *bin) open() job.Demand { return n.room.Minus(n.keep) }
 
 // take lists the fresh runners outside the fence, in order of name.
-func take(b *state.Book, fresh func(r identifier.Runner) bool) []*bin {
+func take(b *state.Store, fresh func(r identifier.Runner) bool) []*bin {
 	leaving := map[identifier.Rack]bool{}
 	mean := standing(b)
 	all := make([]*state.Runner, 0, len(b.RunnerNames()))
 	for _, name := range b.RunnerNames() {
 		r := b.Runners[name]
 		all = append(all, r)
-		if r.Drain {
+		if r.Draining {
 			leaving[r.Rack] = true
 		}
 	}
@@ -39,12 +39,12 @@
 	room := make([]bin, 0, len(all))
 	bins := make([]*bin, 0, len(all))
 	for _, r := range all {
-		if r.Gone || r.Fence() != "" || !fresh(r.Name) {
+		if r.Gone || r.CordonedBy() != "" || !fresh(r.Name) {
 			continue
 		}
 		n := bin{r: r, room: r.Free(), soft: leaving[r.Rack]}
-		n.trial = r.Bad >= 3 && rate(r) > 3*mean+50
-		if n.trial && r.Open() > 0 {
+		n.trial = r.Defects >= 3 && rate(r) > 3*mean+50
+		if n.trial && r.OpenLeases() > 0 {
 			continue
 		}
 		room = append(room, n)
@@ -55,12 +55,12 @@
 
 // rate is a runner's recent share of defects, in thousandths, with a little
 // doubt mixed in for runners little is known of.
-func rate(r *state.Runner) int64 { return (r.Bad*1000 + 20) / (r.Good + r.Bad + 2) }
+func rate(r *state.Runner) int64 { return (r.Defects*1000 + 20) / (r.Successes + r.Defects + 2) }
 
-func standing(b *state.Book) int64 {
+func standing(b *state.Store) int64 {
 	good, bad := int64(0), int64(0)
 	for _, r := range b.Runners {
-		good, bad = good+r.Good, bad+r.Bad
+		good, bad = good+r.Successes, bad+r.Defects
 	}
 	return (bad * 1000) / (good + bad + 1)
 }
@@ -69,7 +69,7 @@
 // nobody is leaving; a runner that failed this very task comes last.
 func (n *bin) score(d job.Demand, shun identifier.Runner) int64 {
 	left := n.room.Minus(d)
-	s := left.Share(n.r.Cap)/1000 + 2*rate(n.r)
+	s := left.Share(n.r.Capacity)/1000 + 2*rate(n.r)
 	if n.soft {
 		s += 2000
 	}
--- a/internal/scheduler/feasibility/pack.go
+++ b/internal/scheduler/feasibility/pack.go
@@ -10,22 +10,22 @@
 	"orchidward/internal/api/job"
 )
 
-// Bin is a runner's headroom.
-type Bin struct {
+// Node is a runner's headroom.
+type Node struct {
 	Name   identifier.Runner
-	Room   job.Demand
+	Free   job.Demand
 	Labels []identifier.Label
 }
 
-// Lump is one task, or a gang of Count like tasks that go in whole or not.
-type Lump struct {
+// Unit is one task, or a gang of Count like tasks that go in whole or not.
+type Unit struct {
 	Demand job.Demand
 	Labels []identifier.Label
 	Count  int
 }
 
-// Has tells whether have, which is sorted or not, covers need.
-func Has(have, need []identifier.Label) bool {
+// HasLabels tells whether have, which is sorted or not, covers need.
+func HasLabels(have, need []identifier.Label) bool {
 	for _, n := range need {
 		found := false
 		for _, h := range have {
@@ -38,10 +38,10 @@
 	return true
 }
 
-// Fits packs the lumps and returns the demand that found no room.
-func Fits(lumps []Lump, bins []Bin) (ok bool, short job.Demand) {
-	room := append([]Bin(nil), bins...)
-	order := append([]Lump(nil), lumps...)
+// Pack packs the lumps and returns the demand that found no room.
+func Pack(lumps []Unit, bins []Node) (ok bool, short job.Demand) {
+	room := append([]Node(nil), bins...)
+	order := append([]Unit(nil), lumps...)
 	sort.SliceStable(order, func(i, j int) bool {
 		a, b := order[i], order[j]
 		if a.Demand.Cores != b.Demand.Cores {
@@ -50,7 +50,7 @@
 		return a.Demand.Mem > b.Demand.Mem
 	})
 	for _, l := range order {
-		at, whole := Spread(l, room)
+		at, whole := Assign(l, room)
 		if !whole {
 			for i := 0; i < l.Count; i++ {
 				short = short.Plus(l.Demand)
@@ -58,19 +58,19 @@
 			continue
 		}
 		for _, i := range at {
-			room[i].Room = room[i].Room.Minus(l.Demand)
+			room[i].Free = room[i].Free.Minus(l.Demand)
 		}
 	}
 	return short == job.Demand{}, short
 }
 
-// Spread finds a bin for each member of one lump.
-func Spread(l Lump, bins []Bin) (at []int, whole bool) {
+// Assign finds a bin for each member of one lump.
+func Assign(l Unit, bins []Node) (at []int, whole bool) {
 	for i := range bins {
-		if !Has(bins[i].Labels, l.Labels) {
+		if !HasLabels(bins[i].Labels, l.Labels) {
 			continue
 		}
-		room := bins[i].Room
+		room := bins[i].Free
 		for len(at) < l.Count && l.Demand.Fits(room) {
 			room = room.Minus(l.Demand)
 			at = append(at, i)
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -22,18 +22,18 @@
 	mostWhys  = 500
 )
 
-// Out is what a round found: placements, grants to push out, and the reason
+// Plan is what a round found: placements, grants to push out, and the reason
 // why each step it looked at still waits.
-type Out struct {
-	Puts []state.Put
-	Push []identifier.LeaseID
-	Why  map[identifier.JobKey]map[int]string
-	// Policies tells how the rows' policies fared.
-	Policies Policies
+type Plan struct {
+	Placements  []state.Placement
+	Preemptions []identifier.LeaseID
+	Reasons     map[identifier.JobKey]map[int]string
+	// PolicyResults tells how the rows' policies fared.
+	Policies PolicyResults
 }
 
 type round struct {
-	b     *state.Book
+	b     *state.Store
 	bins  []*bin
 	total job.Demand
 	use   map[identifier.Row]job.Demand
@@ -41,10 +41,10 @@
 	done  map[identifier.TaskRef]bool
 	dull  map[shape]string
 	tasks int
-	shelf *policy.Shelf
+	shelf *policy.Cache
 	// scores counts the scorings by policies.
 	scores int
-	out    Out
+	out    Plan
 	// pools are the bins of each pool of the catalogue; bins those of none.
 	pools map[string][]*bin
 }
@@ -65,29 +65,29 @@
 
 type bid struct {
 	row  identifier.Row
-	walk *state.Walk
+	walk *state.PendingIterator
 	miss int
 	seen int
 }
 
-// View is what a leader knows of runners beyond the book: whether one may be
+// RunnerView is what a leader knows of runners beyond the book: whether one may be
 // given work now, and how fast work goes there, in thousandths of the usual.
-type View struct {
+type RunnerView struct {
 	Fresh func(r identifier.Runner) bool
 	Pace  func(r identifier.Runner) int64
 }
 
-// Round is RoundWith for runners that all work at the usual pace.
-func Round(b *state.Book, fresh func(r identifier.Runner) bool, shelf *policy.Shelf) Out {
-	return RoundWith(b, View{Fresh: fresh, Pace: func(identifier.Runner) int64 { return 1000 }}, shelf)
+// Round is Schedule for runners that all work at the usual pace.
+func Round(b *state.Store, fresh func(r identifier.Runner) bool, shelf *policy.Cache) Plan {
+	return Schedule(b, RunnerView{Fresh: fresh, Pace: func(identifier.Runner) int64 { return 1000 }}, shelf)
 }
 
-// RoundWith plans placements and preemptions from the state as it is and does
+// Schedule plans placements and preemptions from the state as it is and does
 // not change it. The plan is a proposal: the state machine checks every
 // placement again.
-func RoundWith(b *state.Book, v View, shelf *policy.Shelf) Out {
-	if !b.Bids() {
-		return Out{Why: map[identifier.JobKey]map[int]string{}, Policies: Policies{}}
+func Schedule(b *state.Store, v RunnerView, shelf *policy.Cache) Plan {
+	if !b.HasPending() {
+		return Plan{Reasons: map[identifier.JobKey]map[int]string{}, Policies: PolicyResults{}}
 	}
 	bins, pools := sortOut(take(b, v.Fresh))
 	for _, list := range pools {
@@ -95,14 +95,14 @@
 			n.pace = v.Pace(n.r.Name)
 		}
 	}
-	r := &round{b: b, shelf: shelf, bins: bins, pools: pools, total: b.Total(), use: map[identifier.Row]job.Demand{}, dull: map[shape]string{}, done: map[identifier.TaskRef]bool{}}
-	r.out.Why, r.out.Policies = map[identifier.JobKey]map[int]string{}, Policies{}
-	for _, row := range b.Table.Names() {
+	r := &round{b: b, shelf: shelf, bins: bins, pools: pools, total: b.TotalCapacity(), use: map[identifier.Row]job.Demand{}, dull: map[shape]string{}, done: map[identifier.TaskRef]bool{}}
+	r.out.Reasons, r.out.Policies = map[identifier.JobKey]map[int]string{}, PolicyResults{}
+	for _, row := range b.Limits.RowNames() {
 		r.use[row] = b.InUse(row)
 	}
 	r.queues()
 	for _, j := range r.displaced() {
-		if j.Start <= b.Now && j.Terms == nil {
+		if j.StartAt <= b.Now && j.Terms == nil {
 			r.job(j)
 		}
 	}
@@ -113,16 +113,16 @@
 // displaced lists the jobs with displaced work, the dearest first: room kept for
 // cheap work must not keep dear work out.
 func (r *round) displaced() []*state.Job {
-	list := r.b.Moved()
+	list := r.b.DisplacedJobs()
 	sort.SliceStable(list, func(i, j int) bool { return r.price(list[i]) > r.price(list[j]) })
 	return list
 }
 
 func (r *round) rows() {
 	bids := []*bid{}
-	for _, row := range r.b.Table.Names() {
+	for _, row := range r.b.Limits.RowNames() {
 		if r.b.Backlog(row) > 0 {
-			bids = append(bids, &bid{row: row, walk: r.b.Walk(row)})
+			bids = append(bids, &bid{row: row, walk: r.b.PendingJobs(row)})
 		}
 	}
 	for len(bids) > 0 && r.tasks < mostPuts {
@@ -144,7 +144,7 @@
 	var at int
 	low := int64(0)
 	for i, one := range bids {
-		share := r.use[one.row].Share(r.total) * 1000 / r.b.Table.Num(one.row, "weight")
+		share := r.use[one.row].Share(r.total) * 1000 / r.b.Limits.Int(one.row, "weight")
 		if i == 0 || share < low {
 			at, low = i, share
 		}
@@ -160,11 +160,11 @@
 			continue
 		}
 		if st.Gang {
-			p, f := r.try(&lump{j, i, j.Wait(i)})
+			p, f := r.try(&lump{j, i, j.WaitingTasks(i)})
 			put, fresh = put || p, fresh || f
 			continue
 		}
-		for _, n := range j.Wait(i) {
+		for _, n := range j.WaitingTasks(i) {
 			p, f := r.try(&lump{j, i, []int{n}})
 			put, fresh = put || p, fresh || f
 			if !p || r.tasks >= mostPuts {
@@ -180,13 +180,13 @@
 	if r.done[first] {
 		return true, true
 	}
-	row, st := l.j.Spec.Pending, l.j.Spec.Steps[l.step]
+	row, st := l.j.Spec.Row, l.j.Spec.Steps[l.step]
 	want := r.use[row]
 	for range l.nums {
 		want = want.Plus(st.Demand)
 	}
-	limit := job.Demand{Cores: r.b.Table.Num(row, "maxCores"), Mem: r.b.Table.Num(row, "maxMemMb")}
-	if !want.Under(limit) {
+	limit := job.Demand{Cores: r.b.Limits.Int(row, "maxCores"), Mem: r.b.Limits.Int(row, "maxMemMb")}
+	if !want.WithinLimit(limit) {
 		r.why(l, "row "+string(row)+" is at its limit of room in use")
 		return false, true
 	}
@@ -207,14 +207,14 @@
 		r.push(l)
 		return false, true
 	}
-	p := state.Put{Job: l.j.Key, Step: l.step, Nums: l.nums}
+	p := state.Placement{Job: l.j.Key, Step: l.step, Tasks: l.nums}
 	for _, n := range on {
-		p.On = append(p.On, n.r.Name)
+		p.Runners = append(p.Runners, n.r.Name)
 	}
 	r.use[row] = want
 	r.tasks += len(l.nums)
 	r.done[first] = true
-	r.out.Puts = append(r.out.Puts, p)
+	r.out.Placements = append(r.out.Placements, p)
 	return true, true
 }
 
@@ -238,13 +238,13 @@
 }
 
 func (r *round) why(l *lump, text string) {
-	if len(r.out.Why) >= mostWhys {
+	if len(r.out.Reasons) >= mostWhys {
 		return
 	}
-	m := r.out.Why[l.j.Key]
+	m := r.out.Reasons[l.j.Key]
 	if m == nil {
 		m = map[int]string{}
-		r.out.Why[l.j.Key] = m
+		r.out.Reasons[l.j.Key] = m
 	}
 	m[l.step] = text
 }
@@ -257,7 +257,7 @@
 	label := false
 	whole := []*bin{}
 	for _, n := range r.bins {
-		if feasibility.Has(n.r.Labels, st.Labels) {
+		if feasibility.HasLabels(n.r.Labels, st.Labels) {
 			label = true
 			whole = append(whole, n)
 		}
@@ -268,7 +268,7 @@
 	sort.SliceStable(whole, func(i, j int) bool { return whole[i].room.Cores > whole[j].room.Cores })
 	kept := []*bin{}
 	for _, n := range whole {
-		room := n.r.Cap
+		room := n.r.Capacity
 		for len(kept) < len(l.nums) && st.Demand.Fits(room) {
 			room = room.Minus(st.Demand)
 			kept = append(kept, n)
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/plan_test.go
@@ -12,44 +12,44 @@
 	"orchidward/internal/state"
 )
 
-func site(t testing.TB, runners int, cells string) *state.Book {
+func site(t testing.TB, runners int, cells string) *state.Store {
 	t.Helper()
 	b := state.New()
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	c := limits.ReadPatch([]byte(`{"base":1,"cells":`+cells+`}`), &f)
 	if f.Any() {
 		t.Fatal(f.List)
 	}
-	b.Apply(&state.Command{At: 1, Table: c})
+	b.Apply(&state.Command{At: 1, ChangeLimits: c})
 	for i := 1; i <= runners; i++ {
-		b.Apply(&state.Command{Report: &state.Report{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Inc: "a", Cap: job.Demand{Cores: 8, Mem: 8000}, Labels: []identifier.Label{"std"},
+		b.Apply(&state.Command{ReportRunner: &state.ReportRunner{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Incarnation: "a", Capacity: job.Demand{Cores: 8, Mem: 8000}, Labels: []identifier.Label{"std"},
 			Domain: identifier.Domain([]string{"north", "east"}[i%2]), Rack: identifier.Rack(fmt.Sprint(i / 3))}})
 	}
 	return b
 }
 
-func hand(t testing.TB, b *state.Book, key identifier.JobKey, row identifier.Row, urgency int64, s job.Step) {
+func hand(t testing.TB, b *state.Store, key identifier.JobKey, row identifier.Row, urgency int64, s job.Step) {
 	t.Helper()
-	s.Defects, s.Run, s.Demand.Mem = 1, 1, 1
-	if r := b.Apply(&state.Command{Submit: &state.Submit{Key: key, Spec: job.Spec{Pending: row, Urgency: urgency, Steps: []job.Step{s}}}}); !r.OK() {
+	s.MaxDefects, s.ExpectedRun, s.Demand.Mem = 1, 1, 1
+	if r := b.Apply(&state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: job.Spec{Row: row, Urgency: urgency, Steps: []job.Step{s}}}}); !r.OK() {
 		t.Fatal(r)
 	}
 }
 
-func look(b *state.Book) Out {
-	return Round(b, func(identifier.Runner) bool { return true }, policy.NewShelf())
+func look(b *state.Store) Plan {
+	return Round(b, func(identifier.Runner) bool { return true }, policy.NewCache())
 }
 
-func place(b *state.Book) Out {
+func place(b *state.Store) Plan {
 	out := look(b)
-	b.Apply(&state.Command{Place: &state.Place{Puts: out.Puts}})
+	b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
 	return out
 }
 
-func endAll(b *state.Book, keep func(g *state.Grant) bool) {
-	for id := identifier.LeaseID(1); id < b.NextGrant; id++ {
-		if g := b.Grants[id]; g != nil && !keep(g) {
-			b.Apply(&state.Command{Ends: &state.Ends{Runner: g.Runner, Inc: g.Inc, List: []state.End{{Grant: id, Ref: g.Ref, How: state.EndWell}}}})
+func endAll(b *state.Store, keep func(g *state.Lease) bool) {
+	for id := identifier.LeaseID(1); id < b.NextLease; id++ {
+		if g := b.Leases[id]; g != nil && !keep(g) {
+			b.Apply(&state.Command{ReportEnds: &state.ReportEnds{Runner: g.Runner, Incarnation: g.Incarnation, Ends: []state.End{{Lease: id, Task: g.Task, Outcome: state.OutcomeSuccess}}}})
 		}
 	}
 }
@@ -96,9 +96,9 @@
 			return
 		}
 		// Half of what runs ends at each turn, as small work comes and goes.
-		endAll(b, func(g *state.Grant) bool { return (int(g.ID)+turn)%2 == 0 })
+		endAll(b, func(g *state.Lease) bool { return (int(g.ID)+turn)%2 == 0 })
 	}
-	t.Errorf("the gang still waits: %v", look(b).Why["x/big"])
+	t.Errorf("the gang still waits: %v", look(b).Reasons["x/big"])
 }
 
 // TestImpossibleBlocksNobody: work no runner could hold waits with its reason.
@@ -108,8 +108,8 @@
 	hand(t, b, "x/gpu", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}, Labels: []identifier.Label{"gpu"}})
 	hand(t, b, "x/ok", "default", 0, job.Step{Name: "s", Tasks: 16, Demand: job.Demand{Cores: 1}})
 	out := place(b)
-	if b.InUse("default").Cores != 16 || out.Why["x/huge"][0] == "" || out.Why["x/gpu"][0] == "" {
-		t.Errorf("in use %v, reasons %v", b.InUse("default"), out.Why)
+	if b.InUse("default").Cores != 16 || out.Reasons["x/huge"][0] == "" || out.Reasons["x/gpu"][0] == "" {
+		t.Errorf("in use %v, reasons %v", b.InUse("default"), out.Reasons)
 	}
 }
 
@@ -131,37 +131,37 @@
 // gets at most a trial task, and a retry goes elsewhere.
 func TestStanding(t *testing.T) {
 	b := site(t, 4, `{"x.weight":1}`)
-	b.Runners["r01"].Good, b.Runners["r01"].Bad = 1, 9
+	b.Runners["r01"].Successes, b.Runners["r01"].Defects = 1, 9
 	for _, n := range []identifier.Runner{"r02", "r03", "r04"} {
-		b.Runners[n].Good = 30
+		b.Runners[n].Successes = 30
 	}
 	hand(t, b, "x/a", "default", 0, job.Step{Name: "s", Tasks: 24, Demand: job.Demand{Cores: 1}})
 	place(b)
-	if n := b.Runners["r01"].Open(); n != 0 {
+	if n := b.Runners["r01"].OpenLeases(); n != 0 {
 		t.Errorf("the failing runner got %d of 24 tasks that fit elsewhere", n)
 	}
 	hand(t, b, "x/b", "default", 0, job.Step{Name: "s", Tasks: 8, Demand: job.Demand{Cores: 1}})
 	place(b)
-	if n := b.Runners["r01"].Open(); n != 1 {
+	if n := b.Runners["r01"].OpenLeases(); n != 1 {
 		t.Errorf("the failing runner got %d tasks, want one on trial", n)
 	}
 }
 
 // closed brings a closing of the north past its cordon and confirms the stops.
-func closed(t *testing.T, b *state.Book) *state.Closing {
+func closed(t *testing.T, b *state.Store) *state.Drain {
 	t.Helper()
-	b.Apply(&state.Command{Close: &state.Close{Domain: "north", ID: "m"}})
+	b.Apply(&state.Command{StartDrain: &state.StartDrain{Domain: "north", ID: "m"}})
 	for _, s := range []state.Stage{state.Preflight, state.Predrain, state.Cordon} {
-		b.Apply(&state.Command{Step: &state.Step{ID: "m", From: s}})
+		b.Apply(&state.Command{AdvanceDrain: &state.AdvanceDrain{ID: "m", From: s}})
 	}
 	stops(b)
-	return b.Closings["m"]
+	return b.Drains["m"]
 }
 
-func stops(b *state.Book) {
-	for id := identifier.LeaseID(1); id < b.NextGrant; id++ {
-		if g := b.Grants[id]; g != nil && g.Stop != "" {
-			b.Apply(&state.Command{Ends: &state.Ends{Runner: g.Runner, Inc: g.Inc, List: []state.End{{Grant: id, Ref: g.Ref, How: state.EndStopped}}}})
+func stops(b *state.Store) {
+	for id := identifier.LeaseID(1); id < b.NextLease; id++ {
+		if g := b.Leases[id]; g != nil && g.RevokeReason != "" {
+			b.Apply(&state.Command{ReportEnds: &state.ReportEnds{Runner: g.Runner, Incarnation: g.Incarnation, Ends: []state.End{{Lease: id, Task: g.Task, Outcome: state.OutcomeStopped}}}})
 		}
 	}
 }
@@ -186,26 +186,26 @@
 		t.Run(c.name, func(t *testing.T) {
 			b := site(t, 2, fmt.Sprintf(`{"mine.weight":%d,"theirs.weight":%d,"mine.onOutage":%q}`, c.mine, c.theirs, c.class))
 			hand(t, b, "x/mine", "mine", 0, job.Step{Name: "s", Tasks: 2, Gang: c.gang, Demand: job.Demand{Cores: c.cores}})
-			b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/mine", Nums: []int{0, 1}, On: []identifier.Runner{"r02", "r02"}}}}})
+			b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: []state.Placement{{Job: "x/mine", Tasks: []int{0, 1}, Runners: []identifier.Runner{"r02", "r02"}}}}})
 			if c.cores == 8 {
-				b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/mine", Nums: []int{0, 1}, On: []identifier.Runner{"r02", "r01"}}}}})
+				b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: []state.Placement{{Job: "x/mine", Tasks: []int{0, 1}, Runners: []identifier.Runner{"r02", "r01"}}}}})
 			} else {
 				hand(t, b, "x/theirs", "theirs", 0, job.Step{Name: "s", Tasks: 4, Demand: job.Demand{Cores: 2}})
-				b.Apply(&state.Command{Place: &state.Place{Puts: []state.Put{{Job: "x/theirs", Nums: []int{0, 1, 2, 3}, On: []identifier.Runner{"r01", "r01", "r01", "r01"}}}}})
+				b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: []state.Placement{{Job: "x/theirs", Tasks: []int{0, 1, 2, 3}, Runners: []identifier.Runner{"r01", "r01", "r01", "r01"}}}}})
 			}
 			if cl := closed(t, b); cl.Fits {
 				t.Fatalf("preflight says yes: %+v", cl)
 			}
 			out := look(b)
-			if len(out.Push) != c.push {
-				t.Fatalf("pushes %v out, want %d", out.Push, c.push)
+			if len(out.Preemptions) != c.push {
+				t.Fatalf("pushes %v out, want %d", out.Preemptions, c.push)
 			}
 			if c.push == 0 {
 				return
 			}
-			b.Apply(&state.Command{Recall: &state.Recall{Grants: out.Push, Why: state.StopPush}})
-			if again := look(b); len(again.Push) != 0 {
-				t.Fatalf("pushes %v more while stops are under way", again.Push)
+			b.Apply(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: out.Preemptions, Reason: state.RevokePreempted}})
+			if again := look(b); len(again.Preemptions) != 0 {
+				t.Fatalf("pushes %v more while stops are under way", again.Preemptions)
 			}
 			stops(b)
 			place(b)
@@ -237,32 +237,32 @@
 func TestNothingBids(t *testing.T) {
 	b := site(t, 4, `{"a.weight":1}`)
 	asked := 0
-	round := func() Out {
+	round := func() Plan {
 		asked = 0
-		return Round(b, func(identifier.Runner) bool { asked++; return true }, policy.NewShelf())
+		return Round(b, func(identifier.Runner) bool { asked++; return true }, policy.NewCache())
 	}
-	if out := round(); asked > 0 || out.Why == nil || out.Policies == nil || len(out.Puts)+len(out.Push)+len(out.Why)+len(out.Policies) > 0 {
+	if out := round(); asked > 0 || out.Reasons == nil || out.Policies == nil || len(out.Placements)+len(out.Preemptions)+len(out.Reasons)+len(out.Policies) > 0 {
 		t.Errorf("with no job at all: %d asked, %+v", asked, out)
 	}
 	hand(t, b, "x/1", "a", 0, job.Step{Name: "s", Tasks: 40, Demand: job.Demand{Cores: 1}})
-	if out := round(); asked != 4 || len(out.Puts) != 32 {
-		t.Errorf("40 wait: %d asked, %d placed", asked, len(out.Puts))
+	if out := round(); asked != 4 || len(out.Placements) != 32 {
+		t.Errorf("40 wait: %d asked, %d placed", asked, len(out.Placements))
 	}
 	place(b)
-	if out := round(); asked != 4 || out.Why["x/1"][0] == "" {
+	if out := round(); asked != 4 || out.Reasons["x/1"][0] == "" {
 		t.Errorf("8 wait for room: %d asked, %+v", asked, out)
 	}
-	endAll(b, func(g *state.Grant) bool { return g.ID > 8 })
+	endAll(b, func(g *state.Lease) bool { return g.ID > 8 })
 	place(b)
-	if out := round(); asked > 0 || len(out.Why) > 0 {
+	if out := round(); asked > 0 || len(out.Reasons) > 0 {
 		t.Errorf("all placed: %d asked, %+v", asked, out)
 	}
-	endAll(b, func(*state.Grant) bool { return false })
-	if out := round(); asked > 0 || len(out.Why) > 0 {
+	endAll(b, func(*state.Lease) bool { return false })
+	if out := round(); asked > 0 || len(out.Reasons) > 0 {
 		t.Errorf("all ended: %d asked, %+v", asked, out)
 	}
 	for _, j := range b.Jobs {
-		if j.End != state.Well {
+		if j.EndState != state.Succeeded {
 			t.Errorf("%s is %s", j.Key, j.State())
 		}
 	}
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -16,30 +16,30 @@
 // used, so that no policy holds the leader up.
 const mostScores = 5000
 
-// Tally is how a row's policy fared in one round.
-type Tally struct {
+// PolicyResult is how a row's policy fared in one round.
+type PolicyResult struct {
 	Used, Failed int
-	Last         string
+	LastFailure  string
 }
 
 func (n *bin) fits(st job.Step) bool {
-	return st.Demand.Fits(n.open()) && feasibility.Has(n.r.Labels, st.Labels) && !(n.trial && n.room != n.r.Free())
+	return st.Demand.Fits(n.open()) && feasibility.HasLabels(n.r.Labels, st.Labels) && !(n.trial && n.room != n.r.Free())
 }
 
 // pick finds the bin for one task, by the row's policy if it has one.
 func (r *round) pick(l *lump, st job.Step, t *state.Task) *bin {
-	row := l.j.Spec.Pending
-	text := r.b.Table.Cell(row, "policy")
+	row := l.j.Spec.Row
+	text := r.b.Limits.Cell(row, "policy")
 	if text == "" {
-		return best(r.bins, st, t.Shun)
+		return best(r.bins, st, t.AvoidRunner)
 	}
 	say := r.out.Policies[row]
 	defer func() { r.out.Policies[row] = say }()
 	at, why := r.scored(r.shelf.Get(text), l, st, t)
 	if why != "" {
 		say.Failed++
-		say.Last = why
-		return best(r.bins, st, t.Shun)
+		say.LastFailure = why
+		return best(r.bins, st, t.AvoidRunner)
 	}
 	say.Used++
 	return at
@@ -63,8 +63,8 @@
 		if err != nil {
 			return nil, err.Error()
 		}
-		own := n.score(st.Demand, t.Shun)
-		shunned, was := n.r.Name == t.Shun, at != nil && at.r.Name == t.Shun
+		own := n.score(st.Demand, t.AvoidRunner)
+		shunned, was := n.r.Name == t.AvoidRunner, at != nil && at.r.Name == t.AvoidRunner
 		if at == nil || was && !shunned || was == shunned && (score > high || score == high && own < low) {
 			at, high, low = n, score, own
 		}
@@ -72,8 +72,8 @@
 	return at, ""
 }
 
-func facts(n *bin, l *lump, st job.Step, t *state.Task) policy.Facts {
-	f := policy.Facts{FreeCores: n.room.Cores, FreeMem: n.room.Mem, Cores: n.r.Cap.Cores, Mem: n.r.Cap.Mem, Running: int64(n.r.Open()), Good: n.r.Good, Bad: n.r.Bad,
+func facts(n *bin, l *lump, st job.Step, t *state.Task) policy.Inputs {
+	f := policy.Inputs{FreeCores: n.room.Cores, FreeMem: n.room.Mem, Cores: n.r.Capacity.Cores, Mem: n.r.Capacity.Mem, Running: int64(n.r.OpenLeases()), RunnerSuccesses: n.r.Successes, RunnerDefects: n.r.Defects,
 		Labels: map[string]bool{}, Zone: string(n.r.Domain), Rack: string(n.r.Rack),
 		NeedCores: st.Demand.Cores, NeedMem: st.Demand.Mem, Urgency: l.j.Spec.Urgency, Defects: t.Defects, Members: int64(len(l.nums))}
 	for _, one := range n.r.Labels {
@@ -82,5 +82,5 @@
 	return f
 }
 
-// Policies maps rows to how their policies fared.
-type Policies map[identifier.Row]Tally
+// PolicyResults maps rows to how their policies fared.
+type PolicyResults map[identifier.Row]PolicyResult
--- a/internal/scheduler/policy/policy.go
+++ b/internal/scheduler/policy/policy.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// MostText bounds the source of a policy, in bytes.
-	MostText = 1024
-	// MostSteps bounds the steps of the interpreter for scoring one runner.
-	MostSteps = 2000
+	// MaxSourceBytes bounds the source of a policy, in bytes.
+	MaxSourceBytes = 1024
+	// MaxSteps bounds the steps of the interpreter for scoring one runner.
+	MaxSteps = 2000
 )
 
-// Facts is what a policy may know of a runner and of the task it is scored for.
-type Facts struct {
-	FreeCores, FreeMem, Cores, Mem, Running, Good, Bad int64
-	Labels                                             map[string]bool
-	Zone, Rack                                         string
-	NeedCores, NeedMem, Urgency, Defects, Members      int64
+// Inputs is what a policy may know of a runner and of the task it is scored for.
+type Inputs struct {
+	FreeCores, FreeMem, Cores, Mem, Running, RunnerSuccesses, RunnerDefects int64
+	Labels                                                                  map[string]bool
+	Zone, Rack                                                              string
+	NeedCores, NeedMem, Urgency, Defects, Members                           int64
 }
 
 // Policy is a compiled scoring expression.
@@ -47,8 +47,8 @@
 // Compile checks a source and makes it ready. What is wrong is told with its
 // line and column.
 func Compile(text string) (*Policy, error) {
-	if len(text) > MostText {
-		return nil, errors.Errorf("longer than %d bytes", MostText)
+	if len(text) > MaxSourceBytes {
+		return nil, errors.Errorf("longer than %d bytes", MaxSourceBytes)
 	}
 	expr, err := dialect.ParseExpr("policy", text, 0)
 	if err != nil {
@@ -153,11 +153,11 @@
 
 // Score evaluates the policy: higher is better. A failure, or running over
 // the cap, is an error; the caller falls back to its own choice.
-func (p *Policy) Score(f Facts) (float64, error) {
+func (p *Policy) Score(f Inputs) (float64, error) {
 	thread := &starlark.Thread{Name: "policy"}
-	thread.SetMaxExecutionSteps(MostSteps)
+	thread.SetMaxExecutionSteps(MaxSteps)
 	args := starlark.Tuple{
-		record(map[string]int64{"freeCores": f.FreeCores, "freeMemMb": f.FreeMem, "cores": f.Cores, "memMb": f.Mem, "running": f.Running, "good": f.Good, "bad": f.Bad}),
+		record(map[string]int64{"freeCores": f.FreeCores, "freeMemMb": f.FreeMem, "cores": f.Cores, "memMb": f.Mem, "running": f.Running, "good": f.RunnerSuccesses, "bad": f.RunnerDefects}),
 		record(map[string]int64{"cores": f.NeedCores, "memMb": f.NeedMem, "urgency": f.Urgency, "defects": f.Defects, "members": f.Members}),
 		ask("label", func(w string) bool { return f.Labels[w] }),
 		ask("zone", func(w string) bool { return f.Zone == w }),
--- a/internal/scheduler/policy/policy_test.go
+++ b/internal/scheduler/policy/policy_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestScore(t *testing.T) {
-	f := Facts{FreeCores: 6, Cores: 16, Bad: 2, Labels: map[string]bool{"ssd": true}, Zone: "north", NeedCores: 2, Urgency: 3}
+	f := Inputs{FreeCores: 6, Cores: 16, RunnerDefects: 2, Labels: map[string]bool{"ssd": true}, Zone: "north", NeedCores: 2, Urgency: 3}
 	for text, want := range map[string]float64{
 		"runner.freeCores - task.cores":                                4,
 		"10 if label(\"ssd\") and not zone(\"east\") else -runner.bad": 10,
@@ -30,22 +30,22 @@
 // refused before it is ever in force, with the place in the source.
 func TestRefused(t *testing.T) {
 	for text, want := range map[string]string{
-		"runner.freeCores +":                     "policy:1:19",
-		"(1 +\n  nothing)":                       "policy:2:3: unknown name nothing",
-		"\"a\" * 1000000000":                     "text is only for",
-		"[0] * 1000000000":                       "not for policies",
-		"sum([x for x in range(1000000)])":       "may be called",
-		"(lambda x: x)(1)":                       "may be called",
-		"1 << 500":                               "operator << is not for policies",
-		"runner.name":                            "no such field",
-		"runner.freeCores.bad":                   "no such field",
-		"label(1)":                               "wants one word",
-		"min(\"a\", 2)":                          "text is only for",
-		"max(1, other)":                          "unknown name other",
-		"print(1)":                               "may be called",
-		"runner":                                 "unknown name runner",
-		"def f(): pass":                          "policy:1:1",
-		strings.Repeat("1+", MostText/2+1) + "1": "longer than",
+		"runner.freeCores +":               "policy:1:19",
+		"(1 +\n  nothing)":                 "policy:2:3: unknown name nothing",
+		"\"a\" * 1000000000":               "text is only for",
+		"[0] * 1000000000":                 "not for policies",
+		"sum([x for x in range(1000000)])": "may be called",
+		"(lambda x: x)(1)":                 "may be called",
+		"1 << 500":                         "operator << is not for policies",
+		"runner.name":                      "no such field",
+		"runner.freeCores.bad":             "no such field",
+		"label(1)":                         "wants one word",
+		"min(\"a\", 2)":                    "text is only for",
+		"max(1, other)":                    "unknown name other",
+		"print(1)":                         "may be called",
+		"runner":                           "unknown name runner",
+		"def f(): pass":                    "policy:1:1",
+		strings.Repeat("1+", MaxSourceBytes/2+1) + "1": "longer than",
 	} {
 		if _, err := Compile(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%.40s: %v, want %s", text, err, want)
@@ -62,7 +62,7 @@
 			t.Errorf("%s: %v", text, err)
 			continue
 		}
-		if n, err := p.Score(Facts{FreeCores: 1 << 30}); err == nil {
+		if n, err := p.Score(Inputs{FreeCores: 1 << 30}); err == nil {
 			t.Errorf("%s gives %v", text, n)
 		}
 	}
--- a/internal/scheduler/policy/shelf.go
+++ b/internal/scheduler/policy/shelf.go
@@ -3,19 +3,19 @@
 
 package policy
 
-// Shelf is a cache of compiled policies by their source. It is not safe for
+// Cache is a cache of compiled policies by their source. It is not safe for
 // concurrent use.
-type Shelf struct{ by map[string]*Policy }
+type Cache struct{ by map[string]*Policy }
 
-// NewShelf makes an empty cache.
-func NewShelf() *Shelf { return &Shelf{by: map[string]*Policy{}} }
+// NewCache makes an empty cache.
+func NewCache() *Cache { return &Cache{by: map[string]*Policy{}} }
 
 // mostKept is how many sources are kept; past it the shelf is begun anew.
 const mostKept = 1024
 
 // Get returns nil for a source that doesn't compile, which a table accepted
 // by an older check may hold.
-func (s *Shelf) Get(text string) *Policy {
+func (s *Cache) Get(text string) *Policy {
 	p, known := s.by[text]
 	if known {
 		return p
--- a/internal/scheduler/push.go
+++ b/internal/scheduler/push.go
@@ -22,17 +22,17 @@
 }
 
 func (r *round) price(j *state.Job) int64 {
-	return r.b.Table.Num(j.Spec.Pending, "weight")*1001 + j.Spec.Urgency
+	return r.b.Limits.Int(j.Spec.Row, "weight")*1001 + j.Spec.Urgency
 }
 
 // mayPush tells whether the lump was displaced by a closing whose preflight
 // came out false, and its row pushes.
 func (r *round) mayPush(l *lump) bool {
-	if r.b.Table.Cell(l.j.Spec.Pending, "onOutage") != "push" {
+	if r.b.Limits.Cell(l.j.Spec.Row, "onOutage") != "push" {
 		return false
 	}
 	for _, n := range l.nums {
-		if c := r.b.Closings[l.j.Steps[l.step][n].Closing]; c != nil && c.Judged && !c.Fits {
+		if c := r.b.Drains[l.j.Steps[l.step][n].DisplacedBy]; c != nil && c.PreflightDone && !c.Fits {
 			return true
 		}
 	}
@@ -40,11 +40,11 @@
 }
 
 func (r *round) push(l *lump) {
-	if len(r.out.Push) > 0 || !r.mayPush(l) {
+	if len(r.out.Preemptions) > 0 || !r.mayPush(l) {
 		return
 	}
-	for _, g := range r.b.Grants {
-		if g.Stop == state.StopPush {
+	for _, g := range r.b.Leases {
+		if g.RevokeReason == state.RevokePreempted {
 			return
 		}
 	}
@@ -59,7 +59,7 @@
 		var leave []unit
 		low := int64(-1)
 		for _, n := range r.bins {
-			if !feasibility.Has(n.r.Labels, st.Labels) {
+			if !feasibility.HasLabels(n.r.Labels, st.Labels) {
 				continue
 			}
 			units, cost, ok := r.least(n, st.Demand, room[n.r.Name], r.price(l.j), gone)
@@ -72,7 +72,7 @@
 		}
 		for _, u := range leave {
 			for _, id := range u.ids {
-				g := r.b.Grants[id]
+				g := r.b.Leases[id]
 				gone[id] = true
 				out = append(out, id)
 				room[g.Runner] = room[g.Runner].Plus(g.Demand)
@@ -80,7 +80,7 @@
 		}
 		room[pick.r.Name] = room[pick.r.Name].Minus(st.Demand)
 	}
-	r.out.Push = out
+	r.out.Preemptions = out
 }
 
 // least finds the cheapest units whose leaving makes room on one runner, and
@@ -117,16 +117,16 @@
 func (r *round) units(n *bin, price int64, gone map[identifier.LeaseID]bool) []unit {
 	var list []unit
 	seen := map[identifier.LeaseID]bool{}
-	for _, id := range n.r.GrantIDs() {
-		g := r.b.Grants[id]
-		j := r.b.Jobs[g.Ref.Job]
-		if g.Stop != "" || gone[id] || seen[id] || r.price(j) >= price {
+	for _, id := range n.r.LeaseIDs() {
+		g := r.b.Leases[id]
+		j := r.b.Jobs[g.Task.Job]
+		if g.RevokeReason != "" || gone[id] || seen[id] || r.price(j) >= price {
 			continue
 		}
 		u := unit{price: r.price(j)}
-		for _, t := range j.Steps[g.Ref.Step] {
-			p := r.b.Grants[t.Grant]
-			if p == nil || p.ID != id && !j.Spec.Steps[g.Ref.Step].Gang {
+		for _, t := range j.Steps[g.Task.Step] {
+			p := r.b.Leases[t.Lease]
+			if p == nil || p.ID != id && !j.Spec.Steps[g.Task.Step].Gang {
 				continue
 			}
 			seen[p.ID] = true
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -40,7 +40,7 @@
 	kept := map[string]bool{}
 	for want := inTime; want <= hopeless; want++ {
 		miss, seen := 0, 0
-		r.b.QueueJobs(func(j *state.Job) bool {
+		r.b.EachQueueJob(func(j *state.Job) bool {
 			if hope(j, r.b.Now) != want {
 				return true
 			}
@@ -62,11 +62,11 @@
 
 // hope tells what a job may yet earn if its work goes on now.
 func hope(j *state.Job, now clock.ClusterTime) int {
-	end := now.Add(j.Rest())
+	end := now.Add(j.RemainingCriticalPath())
 	switch {
-	case end <= j.Terms.Due:
+	case end <= j.Terms.DueAt:
 		return inTime
-	case end <= j.Terms.Due.Add((lateFactor-1)*j.Terms.Aim):
+	case end <= j.Terms.DueAt.Add((lateFactor-1)*j.Terms.Target):
 		return late
 	}
 	return hopeless
@@ -80,11 +80,11 @@
 			continue
 		}
 		if st.Gang {
-			p, f := r.tryQueued(&lump{j, i, j.Wait(i)}, bins, kept)
+			p, f := r.tryQueued(&lump{j, i, j.WaitingTasks(i)}, bins, kept)
 			put, fresh = put || p, fresh || f
 			continue
 		}
-		for _, n := range j.Wait(i) {
+		for _, n := range j.WaitingTasks(i) {
 			p, f := r.tryQueued(&lump{j, i, []int{n}}, bins, kept)
 			put, fresh = put || p, fresh || f
 			if !p || r.tasks >= mostPuts {
@@ -97,11 +97,11 @@
 
 func (r *round) tryQueued(l *lump, bins []*bin, kept map[string]bool) (put, fresh bool) {
 	st := l.j.Spec.Steps[l.step]
-	like := shape{st.Demand, l.j.Terms.Pool + "/" + string(st.Near), len(l.nums)}
+	like := shape{st.Demand, l.j.Terms.Pool + "/" + string(st.PreferredRack), len(l.nums)}
 	for _, one := range st.Labels {
 		like.labels += " " + string(one)
 	}
-	if st.Apart > 0 {
+	if st.MaxPerRunner > 0 {
 		like.labels += " apart " + string(l.j.Key)
 	}
 	if why, known := r.dull[like]; known {
@@ -115,20 +115,20 @@
 		r.why(l, why)
 		return false, true
 	}
-	p := state.Put{Job: l.j.Key, Step: l.step, Nums: l.nums}
+	p := state.Placement{Job: l.j.Key, Step: l.step, Tasks: l.nums}
 	for _, n := range on {
 		n.room = n.room.Minus(st.Demand)
-		p.On = append(p.On, n.r.Name)
+		p.Runners = append(p.Runners, n.r.Name)
 	}
 	r.tasks += len(l.nums)
-	r.out.Puts = append(r.out.Puts, p)
+	r.out.Placements = append(r.out.Placements, p)
 	return true, true
 }
 
 // spread finds a bin for every member, or none at all. It takes no room yet.
 func (r *round) spread(l *lump, st job.Step, bins []*bin) []*bin {
 	if st.Gang && st.OneRack {
-		for _, rack := range racks(bins, st.Near) {
+		for _, rack := range racks(bins, st.PreferredRack) {
 			if on := r.seat(l, st, rack); on != nil {
 				return on
 			}
@@ -172,19 +172,19 @@
 	var on []*bin
 	used, held := map[*bin]job.Demand{}, map[*bin]int64{}
 	for _, n := range l.nums {
-		shun := l.j.Steps[l.step][n].Shun
+		shun := l.j.Steps[l.step][n].AvoidRunner
 		var pick *bin
 		low := int64(0)
 		for _, b := range bins {
 			open := b.open().Minus(used[b])
-			if !st.Demand.Fits(open) || !feasibility.Has(b.r.Labels, st.Labels) || b.trial && b.room != b.r.Free() {
+			if !st.Demand.Fits(open) || !feasibility.HasLabels(b.r.Labels, st.Labels) || b.trial && b.room != b.r.Free() {
 				continue
 			}
-			if st.Apart > 0 && r.b.Beside(l.j, l.step, b.r)+held[b]+r.put(l, b) >= st.Apart {
+			if st.MaxPerRunner > 0 && r.b.TasksBeside(l.j, l.step, b.r)+held[b]+r.put(l, b) >= st.MaxPerRunner {
 				continue
 			}
 			s := b.score(st.Demand, shun) + slowness(b.pace)
-			if st.Near != "" && st.Near != b.r.Rack {
+			if st.PreferredRack != "" && st.PreferredRack != b.r.Rack {
 				s += 5000
 			}
 			if pick == nil || s < low {
@@ -212,11 +212,11 @@
 // put counts the tasks of the step that this round has already put on a runner.
 func (r *round) put(l *lump, b *bin) int64 {
 	var n int64
-	for _, p := range r.out.Puts {
+	for _, p := range r.out.Placements {
 		if p.Job != l.j.Key || p.Step != l.step {
 			continue
 		}
-		for _, on := range p.On {
+		for _, on := range p.Runners {
 			if on == b.r.Name {
 				n++
 			}
@@ -230,7 +230,7 @@
 func (r *round) starved(l *lump, st job.Step, bins []*bin, kept map[string]bool) string {
 	whole := []*bin{}
 	for _, n := range bins {
-		if feasibility.Has(n.r.Labels, st.Labels) && !n.trial {
+		if feasibility.HasLabels(n.r.Labels, st.Labels) && !n.trial {
 			whole = append(whole, n)
 		}
 	}
@@ -240,8 +240,8 @@
 	sort.SliceStable(whole, func(i, j int) bool { return whole[i].open().CPU() > whole[j].open().CPU() })
 	keep := []*bin{}
 	for _, n := range whole {
-		room, most := n.r.Cap, st.Apart
-		for len(keep) < len(l.nums) && st.Demand.Fits(room) && (st.Apart == 0 || most > 0) {
+		room, most := n.r.Capacity, st.MaxPerRunner
+		for len(keep) < len(l.nums) && st.Demand.Fits(room) && (st.MaxPerRunner == 0 || most > 0) {
 			room = room.Minus(st.Demand)
 			keep = append(keep, n)
 			most--
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -12,30 +12,30 @@
 	"orchidward/internal/state"
 )
 
-func queues(t *testing.T, runners int) *state.Book {
+func queues(t *testing.T, runners int) *state.Store {
 	b := state.New()
 	b.Level = state.CatalogLevel
-	c := &catalog.Change{Version: 1, Whole: true, Sum: "x", Pools: []catalog.Pool{{Name: "p"}}}
+	c := &catalog.Change{Version: 1, Whole: true, Checksum: "x", Pools: []catalog.Pool{{Name: "p"}}}
 	for rank := int64(0); rank < 3; rank++ {
-		c.Queues = append(c.Queues, catalog.Queue{Name: fmt.Sprint("q", rank), Host: "h", Prefix: fmt.Sprintf("/%d/", rank), Pool: "p", Rank: rank, Tries: 3, Stretch: 2000, SetPoint: 1000, Timeout: 1})
+		c.Queues = append(c.Queues, catalog.Queue{Name: fmt.Sprint("q", rank), Host: "h", Prefix: fmt.Sprintf("/%d/", rank), Pool: "p", Priority: rank, MaxAttempts: 3, LatencyFactor: 2000, LatencyTarget: 1000, Timeout: 1})
 	}
-	if r := b.Apply(&state.Command{At: 1, Catalog: c}); !r.OK() {
+	if r := b.Apply(&state.Command{At: 1, ChangeCatalog: c}); !r.OK() {
 		t.Fatal(r)
 	}
 	for i := 0; i < runners; i++ {
-		b.Apply(&state.Command{Report: &state.Report{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Inc: "a", Pool: "p", Cap: job.Demand{Milli: 8000, Mem: 8000},
+		b.Apply(&state.Command{ReportRunner: &state.ReportRunner{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Incarnation: "a", Pool: "p", Capacity: job.Demand{MilliCores: 8000, Mem: 8000},
 			Domain: "d", Rack: identifier.Rack(fmt.Sprint("k", i/3))}})
 	}
 	return b
 }
 
-func submit(t *testing.T, b *state.Book, id, queue string, at clock.ClusterTime, s job.Step) {
+func submit(t *testing.T, b *state.Store, id, queue string, at clock.ClusterTime, s job.Step) {
 	t.Helper()
-	s.Defects, s.Name = 1, "s"
-	if s.Run == 0 {
-		s.Run = 1000
+	s.MaxDefects, s.Name = 1, "s"
+	if s.ExpectedRun == 0 {
+		s.ExpectedRun = 1000
 	}
-	if r := b.Apply(&state.Command{At: at, Submit: &state.Submit{Key: identifier.JobKey("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
+	if r := b.Apply(&state.Command{At: at, SubmitJob: &state.SubmitJob{Key: identifier.JobKey("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
 		t.Fatal(r)
 	}
 }
@@ -43,17 +43,17 @@
 // TestHope: with room for one, what can still be in time goes before what is
 // late, whatever its rank; among equals rank, then the sooner due.
 func TestHope(t *testing.T) {
-	whole := job.Demand{Milli: 8000, Mem: 1}
+	whole := job.Demand{MilliCores: 8000, Mem: 1}
 	b := queues(t, 1)
 	submit(t, b, "late", "q0", 1000, job.Step{Tasks: 1, Demand: whole})
 	submit(t, b, "second", "q2", 60000, job.Step{Tasks: 1, Demand: whole})
 	submit(t, b, "first", "q1", 60001, job.Step{Tasks: 1, Demand: whole})
 	for _, want := range []identifier.JobKey{"q/first", "q/second", "q/late"} {
 		out := place(b)
-		if len(out.Puts) != 1 || out.Puts[0].Job != want {
-			t.Fatalf("want %s, placed %+v", want, out.Puts)
+		if len(out.Placements) != 1 || out.Placements[0].Job != want {
+			t.Fatalf("want %s, placed %+v", want, out.Placements)
 		}
-		endAll(b, func(*state.Grant) bool { return false })
+		endAll(b, func(*state.Lease) bool { return false })
 	}
 }
 
@@ -61,26 +61,26 @@
 // task goes near its data while there is room, and elsewhere when there isn't.
 func TestRacks(t *testing.T) {
 	b := queues(t, 6)
-	submit(t, b, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: job.Demand{Milli: 4000, Mem: 1}})
+	submit(t, b, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
 	out := place(b)
 	racks := map[identifier.Rack]bool{}
-	for _, on := range out.Puts[0].On {
+	for _, on := range out.Placements[0].Runners {
 		racks[b.Runners[on].Rack] = true
 	}
-	if len(out.Puts) != 1 || len(racks) != 1 {
+	if len(out.Placements) != 1 || len(racks) != 1 {
 		t.Errorf("the gang stands in %v", racks)
 	}
 	b = queues(t, 6)
-	submit(t, b, "n", "q0", 10, job.Step{Tasks: 4, Near: "k1", Demand: job.Demand{Milli: 8000, Mem: 1}})
+	submit(t, b, "n", "q0", 10, job.Step{Tasks: 4, PreferredRack: "k1", Demand: job.Demand{MilliCores: 8000, Mem: 1}})
 	out = place(b)
 	near := 0
-	for _, p := range out.Puts {
-		if b.Runners[p.On[0]].Rack == "k1" {
+	for _, p := range out.Placements {
+		if b.Runners[p.Runners[0]].Rack == "k1" {
 			near++
 		}
 	}
-	if len(out.Puts) != 4 || near != 3 {
-		t.Errorf("%d placed, %d near their data, want 4 and 3", len(out.Puts), near)
+	if len(out.Placements) != 4 || near != 3 {
+		t.Errorf("%d placed, %d near their data, want 4 and 3", len(out.Placements), near)
 	}
 }
 
@@ -88,16 +88,16 @@
 // be given work gets none.
 func TestPace(t *testing.T) {
 	b := queues(t, 3)
-	submit(t, b, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{Milli: 4000, Mem: 1}})
-	out := RoundWith(b, View{Fresh: func(n identifier.Runner) bool { return n != "r01" }, Pace: func(n identifier.Runner) int64 {
+	submit(t, b, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
+	out := Schedule(b, RunnerView{Fresh: func(n identifier.Runner) bool { return n != "r01" }, Pace: func(n identifier.Runner) int64 {
 		if n == "r00" {
 			return 200
 		}
 		return 1000
-	}}, policy.NewShelf())
+	}}, policy.NewCache())
 	on := map[identifier.Runner]int{}
-	for _, p := range out.Puts {
-		on[p.On[0]]++
+	for _, p := range out.Placements {
+		on[p.Runners[0]]++
 	}
 	if on["r00"] != 1 || on["r01"] != 0 || on["r02"] != 2 {
 		t.Errorf("placed on %v", on)
@@ -113,21 +113,21 @@
 		rnd := func(k uint32) int64 { n = n*1664525 + 1013904223; return int64(n >> 8 % k) }
 		for i := 0; i < 40; i++ {
 			submit(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), clock.ClusterTime(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
-				Apart: rnd(3), Near: identifier.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{Milli: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
+				MaxPerRunner: rnd(3), PreferredRack: identifier.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{MilliCores: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
 			if i%3 != 0 {
 				continue
 			}
 			out := look(b)
 			want := 0
-			for _, p := range out.Puts {
-				want += len(p.Nums)
+			for _, p := range out.Placements {
+				want += len(p.Tasks)
 			}
-			was := len(b.Grants)
-			b.Apply(&state.Command{Place: &state.Place{Puts: out.Puts}})
-			if have := len(b.Grants) - was; have != want {
+			was := len(b.Leases)
+			b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
+			if have := len(b.Leases) - was; have != want {
 				t.Fatalf("seed %d: %d proposed, %d taken", seed, want, have)
 			}
-			endAll(b, func(_ *state.Grant) bool { return rnd(2) == 0 })
+			endAll(b, func(_ *state.Lease) bool { return rnd(2) == 0 })
 		}
 	}
 }
--- a/internal/state/book.go
+++ b/internal/state/book.go
@@ -21,29 +21,29 @@
 	"orchidward/internal/clock"
 )
 
-// Book is the replicated state: jobs, leases, runners, drains, the limits table
+// Store is the replicated state: jobs, leases, runners, drains, the limits table
 // and the catalogue. Over lists the ended jobs by the time of their end, Sum is
 // the running checksum, and Level the level of commands in use. It is not safe
 // for concurrent use, and only Apply may change it.
-type Book struct {
-	Now       clock.ClusterTime             `json:"now"`
-	NextGrant identifier.LeaseID            `json:"nextGrant"`
-	NextSeq   uint64                        `json:"nextSeq"`
-	NextClose uint64                        `json:"nextClosing"`
-	Table     *limits.Table                 `json:"table"`
-	Jobs      map[identifier.JobKey]*Job    `json:"jobs"`
-	Over      []identifier.JobKey           `json:"over"`
-	Grants    map[identifier.LeaseID]*Grant `json:"grants"`
-	Runners   map[identifier.Runner]*Runner `json:"runners"`
-	Closings  map[string]*Closing           `json:"closings"`
-	Known     *Known                        `json:"known,omitempty"`
-	OldGrant  clock.Millis                  `json:"oldGrantMs,omitempty"`
-	OldAt     clock.ClusterTime             `json:"oldGrantAt,omitempty"`
-	Level     uint16                        `json:"level,omitempty"`
-	Sum       uint64                        `json:"sum,omitempty"`
-	Catalog   *catalog.Catalog              `json:"catalog,omitempty"`
-	// IDHolds are in the order in which their time is up.
-	IDHolds []IDHold `json:"idHolds,omitempty"`
+type Store struct {
+	Now                clock.ClusterTime             `json:"now"`
+	NextLease          identifier.LeaseID            `json:"nextGrant"`
+	NextJobSeq         uint64                        `json:"nextSeq"`
+	NextDrain          uint64                        `json:"nextClosing"`
+	Limits             *limits.Table                 `json:"table"`
+	Jobs               map[identifier.JobKey]*Job    `json:"jobs"`
+	EndedJobs          []identifier.JobKey           `json:"over"`
+	Leases             map[identifier.LeaseID]*Lease `json:"grants"`
+	Runners            map[identifier.Runner]*Runner `json:"runners"`
+	Drains             map[string]*Drain             `json:"closings"`
+	Dedup              *DedupCache                   `json:"known,omitempty"`
+	PreviousLeaseSpan  clock.Millis                  `json:"oldGrantMs,omitempty"`
+	LeaseSpanChangedAt clock.ClusterTime             `json:"oldGrantAt,omitempty"`
+	Level              uint16                        `json:"level,omitempty"`
+	Checksum           uint64                        `json:"sum,omitempty"`
+	Catalog            *catalog.Catalog              `json:"catalog,omitempty"`
+	// Tombstones are in the order in which their time is up.
+	Tombstones []Tombstone `json:"idHolds,omitempty"`
 
 	rules   *admission.Rules
 	lanes   map[identifier.Row]*lane
@@ -61,19 +61,19 @@
 	queued map[string]int64
 }
 
-// MaxIDs bounds the jobs and remembered ids together, MaxRunners the runners.
+// MaxJobIDs bounds the jobs and remembered ids together, MaxRunners the runners.
 const (
-	MaxIDs     = 1_500_000
+	MaxJobIDs  = 1_500_000
 	MaxRunners = 2048
 	closeKept  = 64
 )
 
 // New is the state before the first command.
-func New() *Book {
-	b := &Book{
-		NextGrant: 1, NextSeq: 1, NextClose: 1, Table: limits.First(),
-		Jobs: map[identifier.JobKey]*Job{}, Grants: map[identifier.LeaseID]*Grant{}, Runners: map[identifier.Runner]*Runner{},
-		Closings: map[string]*Closing{}, Known: newKnown(),
+func New() *Store {
+	b := &Store{
+		NextLease: 1, NextJobSeq: 1, NextDrain: 1, Limits: limits.Default(),
+		Jobs: map[identifier.JobKey]*Job{}, Leases: map[identifier.LeaseID]*Lease{}, Runners: map[identifier.Runner]*Runner{},
+		Drains: map[string]*Drain{}, Dedup: newKnown(),
 	}
 	b.derive()
 	return b
@@ -90,8 +90,8 @@
 	return 0
 }
 
-func (b *Book) derive() {
-	b.rules = admission.Compile(b.Table)
+func (b *Store) derive() {
+	b.rules = admission.Compile(b.Limits)
 	b.lanes = map[identifier.Row]*lane{}
 	b.later = treeset.NewWith(byStart)
 	b.moved = treeset.NewWith(byAge)
@@ -102,28 +102,28 @@
 	b.order, b.hot = nil, map[identifier.Runner]bool{}
 	for _, r := range b.Runners {
 		b.enlist(r.Name)
-		r.used, r.grants, r.fence = job.Demand{}, map[identifier.LeaseID]*Grant{}, ""
+		r.used, r.grants, r.fence = job.Demand{}, map[identifier.LeaseID]*Lease{}, ""
 	}
 	for _, j := range b.Jobs {
 		j.count, j.open, j.moved, j.lane, j.kids = make([]count, len(j.Steps)), 0, 0, nil, 0
 	}
 	b.recount()
-	for _, g := range b.Grants {
+	for _, g := range b.Leases {
 		r := b.Runners[g.Runner]
 		r.grants[g.ID] = g
 		r.used = r.used.Plus(g.Demand)
 		b.inUse[g.Row] = b.inUse[g.Row].Plus(g.Demand)
-		b.Jobs[g.Ref.Job].open++
+		b.Jobs[g.Task.Job].open++
 	}
 	for _, j := range b.Jobs {
 		b.names.Put(j.Key, j)
-		if j.End == "" {
-			b.jobs[j.Spec.Pending]++
+		if j.EndState == "" {
+			b.jobs[j.Spec.Row]++
 		}
 		for i, tasks := range j.Steps {
 			for _, t := range tasks {
 				b.tally(j, i, t.State, 1)
-				if t.Closing != "" {
+				if t.DisplacedBy != "" {
 					j.moved++
 					b.moved.Add(j)
 				}
@@ -140,23 +140,23 @@
 const viewMark = "OWVIEW2\n"
 
 // Encode makes the view.
-func (b *Book) Encode() []byte {
+func (b *Store) Encode() []byte {
 	bare := *b
-	bare.Known = nil
+	bare.Dedup = nil
 	doc, err := json.Marshal(&bare)
 	if err != nil {
 		panic(err)
 	}
-	text := make([]byte, 0, len(viewMark)+4+len(doc)+len(b.Known.blob))
+	text := make([]byte, 0, len(viewMark)+4+len(doc)+len(b.Dedup.blob))
 	text = binary.LittleEndian.AppendUint32(append(text, viewMark...), uint32(len(doc)))
-	return append(append(text, doc...), b.Known.blob...)
+	return append(append(text, doc...), b.Dedup.blob...)
 }
 
 // Decode reads a snapshot that Encode made, or one of the first version, and
 // rebuilds the derived fields.
-func Decode(text []byte) (*Book, error) {
+func Decode(text []byte) (*Store, error) {
 	b := New()
-	b.Table = nil
+	b.Limits = nil
 	doc, blob := text, []byte(nil)
 	if rest, ok := bytes.CutPrefix(text, []byte(viewMark)); ok {
 		if len(rest) < 4 || uint64(binary.LittleEndian.Uint32(rest)) > uint64(len(rest)-4) {
@@ -169,55 +169,55 @@
 		return nil, err
 	}
 	if blob != nil {
-		b.Known.load(blob)
+		b.Dedup.load(blob)
 	}
 	b.derive()
 	return b, nil
 }
 
-// Rules is the compiled table of limits in force.
-func (b *Book) Rules() *admission.Rules { return b.rules }
+// Admission is the compiled table of limits in force.
+func (b *Store) Admission() *admission.Rules { return b.rules }
 
-// Waiting is the number of unplaced tasks in a row, as its limit counts them.
-func (b *Book) Waiting(row identifier.Row) int64 { return b.waiting[row] }
+// WaitingTasks is the number of unplaced tasks in a row, as its limit counts them.
+func (b *Store) WaitingTasks(row identifier.Row) int64 { return b.waiting[row] }
 
 // InUse is the room taken by the row's open leases.
-func (b *Book) InUse(row identifier.Row) job.Demand { return b.inUse[row] }
+func (b *Store) InUse(row identifier.Row) job.Demand { return b.inUse[row] }
 
-// Fenced tells whether the runner is known and cordoned by a drain.
-func (b *Book) Fenced(r identifier.Runner) bool {
+// Cordoned tells whether the runner is known and cordoned by a drain.
+func (b *Store) Cordoned(r identifier.Runner) bool {
 	return b.Runners[r] != nil && b.Runners[r].fence != ""
 }
 
-// GrantSpan is how long a runner may yet be living on its last contact. After
+// LeaseSpan is how long a runner may yet be living on its last contact. After
 // the cell was lowered the longer span counts until nobody can hold it.
-func (b *Book) GrantSpan() clock.Millis {
-	s := b.Table.Site("grantMs")
-	if b.OldGrant > s && b.Now < b.OldAt.Add(3*b.OldGrant) {
-		return b.OldGrant
+func (b *Store) LeaseSpan() clock.Millis {
+	s := b.Limits.SiteMillis("grantMs")
+	if b.PreviousLeaseSpan > s && b.Now < b.LeaseSpanChangedAt.Add(3*b.PreviousLeaseSpan) {
+		return b.PreviousLeaseSpan
 	}
 	return s
 }
 
-// Walk visits the row's placeable jobs in bidding order.
-func (b *Book) Walk(row identifier.Row) *Walk {
+// PendingJobs visits the row's placeable jobs in bidding order.
+func (b *Store) PendingJobs(row identifier.Row) *PendingIterator {
 	l := b.lanes[row]
 	if l == nil {
 		l = newLane()
 	}
-	return &Walk{urgent: l.urgent.Iterator(), aged: l.aged.Iterator(), seen: map[*Job]bool{}}
+	return &PendingIterator{urgent: l.urgent.Iterator(), aged: l.aged.Iterator(), seen: map[*Job]bool{}}
 }
 
 // Backlog counts the row's jobs that have something to place.
-func (b *Book) Backlog(row identifier.Row) int {
+func (b *Store) Backlog(row identifier.Row) int {
 	if l := b.lanes[row]; l != nil {
 		return l.aged.Size()
 	}
 	return 0
 }
 
-// Bids tells whether any job has something to place, or has displaced work.
-func (b *Book) Bids() bool {
+// HasPending tells whether any job has something to place, or has displaced work.
+func (b *Store) HasPending() bool {
 	if !b.moved.Empty() {
 		return true
 	}
@@ -229,11 +229,11 @@
 	return false
 }
 
-// NextStart is the soonest appointed start still to come.
-func (b *Book) NextStart() (at clock.ClusterTime, ok bool) {
+// NextScheduledStart is the soonest appointed start still to come.
+func (b *Store) NextScheduledStart() (at clock.ClusterTime, ok bool) {
 	it := b.later.Iterator()
 	if it.Next() {
-		at, ok = it.Value().(*Job).Start, true
+		at, ok = it.Value().(*Job).StartAt, true
 	}
 	if it = b.due.Iterator(); it.Next() {
 		if j := it.Value().(*Job); !ok || j.nextTime() < at {
@@ -245,9 +245,9 @@
 
 // RunnerNames lists the runners in order, so that walks are alike everywhere.
 // The list is the book's own and not to be changed.
-func (b *Book) RunnerNames() []identifier.Runner { return b.order }
+func (b *Store) RunnerNames() []identifier.Runner { return b.order }
 
-func (b *Book) enlist(n identifier.Runner) {
+func (b *Store) enlist(n identifier.Runner) {
 	at := sort.Search(len(b.order), func(i int) bool { return b.order[i] >= n })
 	b.order = append(b.order, "")
 	copy(b.order[at+1:], b.order[at:])
@@ -255,24 +255,24 @@
 	b.hot[n] = true
 }
 
-// Cool forgets the runners that may have something new to hear, after telling
+// TakeChangedRunners forgets the runners that may have something new to hear, after telling
 // of each, in no order.
-func (b *Book) Cool(tell func(n identifier.Runner)) {
+func (b *Store) TakeChangedRunners(tell func(n identifier.Runner)) {
 	for n := range b.hot {
 		tell(n)
 	}
 	clear(b.hot)
 }
 
-// Visit shows the runner's grants, in no order.
-func (r *Runner) Visit(see func(g *Grant)) {
+// EachLease shows the runner's grants, in no order.
+func (r *Runner) EachLease(see func(g *Lease)) {
 	for _, g := range r.grants {
 		see(g)
 	}
 }
 
-// GrantIDs lists the runner's open leases in ascending order.
-func (r *Runner) GrantIDs() []identifier.LeaseID {
+// LeaseIDs lists the runner's open leases in ascending order.
+func (r *Runner) LeaseIDs() []identifier.LeaseID {
 	out := make([]identifier.LeaseID, 0, len(r.grants))
 	for id := range r.grants {
 		out = append(out, id)
@@ -281,24 +281,24 @@
 	return out
 }
 
-// ClosingIDs lists the drains by the time they began, then by id.
-func (b *Book) ClosingIDs() []string {
+// DrainIDs lists the drains by the time they began, then by id.
+func (b *Store) DrainIDs() []string {
 	var out []string
-	for id := range b.Closings {
+	for id := range b.Drains {
 		out = append(out, id)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		x, y := b.Closings[out[i]], b.Closings[out[j]]
-		if x.At != y.At {
-			return x.At < y.At
+		x, y := b.Drains[out[i]], b.Drains[out[j]]
+		if x.StartedAt != y.StartedAt {
+			return x.StartedAt < y.StartedAt
 		}
 		return x.ID < y.ID
 	})
 	return out
 }
 
-// Page lists jobs by key from after onward, as far as keep says to go on.
-func (b *Book) Page(after identifier.JobKey, keep func(j *Job) (more bool)) {
+// JobsAfter lists jobs by key from after onward, as far as keep says to go on.
+func (b *Store) JobsAfter(after identifier.JobKey, keep func(j *Job) (more bool)) {
 	node, ok := b.names.Ceiling(after)
 	if !ok {
 		return
--- a/internal/state/closing.go
+++ b/internal/state/closing.go
@@ -37,8 +37,8 @@
 	Open Stage = "open"
 )
 
-// Down tells whether the stage keeps the fence up.
-func (s Stage) Down() bool {
+// Cordons tells whether the stage keeps the fence up.
+func (s Stage) Cordons() bool {
 	switch s {
 	case Preflight, Predrain, Cordon, Postdrain, Closed, Preopen:
 		return true
@@ -46,8 +46,8 @@
 	return false
 }
 
-// Leaving tells whether the stage is part of the mirror.
-func (s Stage) Leaving() bool {
+// Reopening tells whether the stage is part of the mirror.
+func (s Stage) Reopening() bool {
 	switch s {
 	case Preopen, Opening, Postopen, Open:
 		return true
@@ -55,33 +55,33 @@
 	return false
 }
 
-// Mark notes when a stage was entered.
-type Mark struct {
+// StageEntry notes when a stage was entered.
+type StageEntry struct {
 	Stage Stage             `json:"stage"`
 	At    clock.ClusterTime `json:"at"`
 }
 
-// Closing is one drain of a zone or a rack, from its start until it is open
+// Drain is one drain of a zone or a rack, from its start until it is open
 // again. Scope is the set of runners it concerns. Judged says that Fits, Short
 // and Displaced are known: Fits tells whether the displaced work has room
 // elsewhere, and Short what is missing. Loose counts the stops that no runner
 // has confirmed, and Verdict is the outcome for operators.
-type Closing struct {
-	ID        string               `json:"id"`
-	Kind      string               `json:"kind"`
-	Domain    identifier.Domain    `json:"domain"`
-	Rack      identifier.Rack      `json:"rack,omitempty"`
-	Stage     Stage                `json:"stage"`
-	At        clock.ClusterTime    `json:"at"`
-	Scope     []identifier.Runner  `json:"scope"`
-	Judged    bool                 `json:"judged"`
-	Fits      bool                 `json:"fits"`
-	Short     job.Demand           `json:"short"`
-	Displaced []identifier.TaskRef `json:"displaced,omitempty"`
-	Gangs     int                  `json:"gangs"`
-	Verdict   string               `json:"verdict,omitempty"`
-	Loose     int                  `json:"loose"`
-	Marks     []Mark               `json:"marks"`
+type Drain struct {
+	ID               string               `json:"id"`
+	Kind             string               `json:"kind"`
+	Domain           identifier.Domain    `json:"domain"`
+	Rack             identifier.Rack      `json:"rack,omitempty"`
+	Stage            Stage                `json:"stage"`
+	StartedAt        clock.ClusterTime    `json:"at"`
+	Scope            []identifier.Runner  `json:"scope"`
+	PreflightDone    bool                 `json:"judged"`
+	Fits             bool                 `json:"fits"`
+	Shortage         job.Demand           `json:"short"`
+	Displaced        []identifier.TaskRef `json:"displaced,omitempty"`
+	DisplacedGangs   int                  `json:"gangs"`
+	Verdict          string               `json:"verdict,omitempty"`
+	UnconfirmedStops int                  `json:"loose"`
+	History          []StageEntry         `json:"marks"`
 }
 
 const (
@@ -93,15 +93,15 @@
 	marksKept = 64
 )
 
-func (c *Closing) enter(s Stage, now clock.ClusterTime) {
+func (c *Drain) enter(s Stage, now clock.ClusterTime) {
 	c.Stage = s
-	c.Marks = append(c.Marks, Mark{s, now})
-	if len(c.Marks) > marksKept {
-		c.Marks = c.Marks[len(c.Marks)-marksKept:]
+	c.History = append(c.History, StageEntry{s, now})
+	if len(c.History) > marksKept {
+		c.History = c.History[len(c.History)-marksKept:]
 	}
 }
 
-func (c *Closing) has(r identifier.Runner) bool {
+func (c *Drain) has(r identifier.Runner) bool {
 	for _, s := range c.Scope {
 		if s == r {
 			return true
--- a/internal/state/cmd.go
+++ b/internal/state/cmd.go
@@ -17,157 +17,157 @@
 // Command is one command of the replicated log. Exactly one of the pointers is set;
 // At is the leader's cluster time when it proposed the command.
 type Command struct {
-	At     clock.ClusterTime `json:"at"`
-	Submit *Submit           `json:"submit,omitempty"`
-	Cancel *Cancel           `json:"cancel,omitempty"`
-	Table  *limits.Change    `json:"table,omitempty"`
-	Close  *Close            `json:"close,omitempty"`
-	Reopen *Reopen           `json:"reopen,omitempty"`
-	Report *Report           `json:"report,omitempty"`
-	Ends   *Ends             `json:"ends,omitempty"`
-	Place  *Place            `json:"place,omitempty"`
-	Recall *Recall           `json:"recall,omitempty"`
-	Lost   *Lost             `json:"lost,omitempty"`
-	Step   *Step             `json:"step,omitempty"`
-	Raise  *Raise            `json:"raise,omitempty"`
-	Check  *Check            `json:"check,omitempty"`
-	// Catalog is known from CatalogLevel on.
-	Catalog *catalog.Change `json:"catalog,omitempty"`
-}
-
-// Raise lifts the level: from this entry on commands and rules of that level
+	At             clock.ClusterTime `json:"at"`
+	SubmitJob      *SubmitJob        `json:"submit,omitempty"`
+	CancelJob      *CancelJob        `json:"cancel,omitempty"`
+	ChangeLimits   *limits.Change    `json:"table,omitempty"`
+	StartDrain     *StartDrain       `json:"close,omitempty"`
+	EndDrain       *EndDrain         `json:"reopen,omitempty"`
+	ReportRunner   *ReportRunner     `json:"report,omitempty"`
+	ReportEnds     *ReportEnds       `json:"ends,omitempty"`
+	PlaceTasks     *PlaceTasks       `json:"place,omitempty"`
+	RevokeLeases   *RevokeLeases     `json:"recall,omitempty"`
+	LoseRunner     *LoseRunner       `json:"lost,omitempty"`
+	AdvanceDrain   *AdvanceDrain     `json:"step,omitempty"`
+	RaiseLevel     *RaiseLevel       `json:"raise,omitempty"`
+	VerifyChecksum *VerifyChecksum   `json:"check,omitempty"`
+	// ChangeCatalog is known from CatalogLevel on.
+	ChangeCatalog *catalog.Change `json:"catalog,omitempty"`
+}
+
+// RaiseLevel lifts the level: from this entry on commands and rules of that level
 // may be used, since every member has said that it knows them.
-type Raise struct {
+type RaiseLevel struct {
 	Level uint16 `json:"level"`
 }
 
-// Check says what the book's sum was, at the leader, after the entry at Index.
-type Check struct {
-	Index identifier.Index `json:"index"`
-	Sum   uint64           `json:"sum"`
+// VerifyChecksum says what the book's sum was, at the leader, after the entry at Index.
+type VerifyChecksum struct {
+	Index    identifier.Index `json:"index"`
+	Checksum uint64           `json:"sum"`
 }
 
-// Submit accepts a job. A repeated one with the same content gets the same
+// SubmitJob accepts a job. A repeated one with the same content gets the same
 // answer.
-type Submit struct {
+type SubmitJob struct {
 	Key  identifier.JobKey `json:"key"`
 	Spec job.Spec          `json:"spec"`
 }
 
-// Cancel ends a job and revokes its leases.
-type Cancel struct {
+// CancelJob ends a job and revokes its leases.
+type CancelJob struct {
 	Key identifier.JobKey `json:"key"`
 }
 
-// Close starts the drain of a zone. ID, when given, names the operation, so that
+// StartDrain starts the drain of a zone. ID, when given, names the operation, so that
 // a repeated command starts no second one.
-type Close struct {
+type StartDrain struct {
 	Domain identifier.Domain `json:"domain"`
 	ID     string            `json:"id,omitempty"`
-	// Unseen closes a domain of which no runner is known yet.
-	Unseen bool `json:"unseen,omitempty"`
+	// AllowUnknown closes a domain of which no runner is known yet.
+	AllowUnknown bool `json:"unseen,omitempty"`
 }
 
-// Reopen names a closing by its id or by its domain.
-type Reopen struct {
+// EndDrain names a closing by its id or by its domain.
+type EndDrain struct {
 	Name string `json:"name"`
 }
 
-// Report is what a runner says of itself. A new incarnation ends all leases of
+// ReportRunner is what a runner says of itself. A new incarnation ends all leases of
 // the one before as lost, after Saves have been recorded.
-type Report struct {
-	Runner identifier.Runner      `json:"runner"`
-	Inc    identifier.Incarnation `json:"inc"`
-	Cap    job.Demand             `json:"cap"`
-	Labels []identifier.Label     `json:"labels,omitempty"`
-	Domain identifier.Domain      `json:"domain"`
-	Rack   identifier.Rack        `json:"rack"`
-	Drain  bool                   `json:"draining,omitempty"`
-	Depart clock.ClusterTime      `json:"departsAt,omitempty"`
-	Pool   string                 `json:"pool,omitempty"`
-	Addr   string                 `json:"addr,omitempty"`
-	Saves  []Save                 `json:"saves,omitempty"`
+type ReportRunner struct {
+	Runner      identifier.Runner      `json:"runner"`
+	Incarnation identifier.Incarnation `json:"inc"`
+	Capacity    job.Demand             `json:"cap"`
+	Labels      []identifier.Label     `json:"labels,omitempty"`
+	Domain      identifier.Domain      `json:"domain"`
+	Rack        identifier.Rack        `json:"rack"`
+	Draining    bool                   `json:"draining,omitempty"`
+	DepartsAt   clock.ClusterTime      `json:"departsAt,omitempty"`
+	Pool        string                 `json:"pool,omitempty"`
+	AgentAddr   string                 `json:"addr,omitempty"`
+	Checkpoints []Checkpoint           `json:"saves,omitempty"`
 }
 
-// Save is the last progress told of a run that is about to be counted lost.
-type Save struct {
-	Grant identifier.LeaseID `json:"grant"`
-	Saved string             `json:"saved"`
+// Checkpoint is the last progress told of a run that is about to be counted lost.
+type Checkpoint struct {
+	Lease identifier.LeaseID `json:"grant"`
+	Data  string             `json:"saved"`
 }
 
-// How an attempt ended.
-type How string
+// Outcome an attempt ended.
+type Outcome string
 
 const (
-	// EndWell is success.
-	EndWell How = "well"
-	// EndDefect is a failure that counts against the task's allowed defects.
-	EndDefect How = "defect"
-	// EndStopped is a run that ended because its lease was revoked.
-	EndStopped How = "stopped"
-	// EndLapsed is a run that the runner stopped because it had no contact for
+	// OutcomeSuccess is success.
+	OutcomeSuccess Outcome = "well"
+	// OutcomeDefect is a failure that counts against the task's allowed defects.
+	OutcomeDefect Outcome = "defect"
+	// OutcomeStopped is a run that ended because its lease was revoked.
+	OutcomeStopped Outcome = "stopped"
+	// OutcomeLeaseLapsed is a run that the runner stopped because it had no contact for
 	// as long as its lease lasts.
-	EndLapsed How = "lapsed"
-	// EndBroken is a run that ended because another member of its gang did.
-	EndBroken How = "broken"
-	// EndAlone is a run that ended because its gang did not gather.
-	EndAlone How = "alone"
-	// EndRefused is a start that the runner turned away; the run never began.
-	EndRefused How = "refused"
-	endLost    How = "lost"
+	OutcomeLeaseLapsed Outcome = "lapsed"
+	// OutcomeGangBroken is a run that ended because another member of its gang did.
+	OutcomeGangBroken Outcome = "broken"
+	// OutcomeGangIncomplete is a run that ended because its gang did not gather.
+	OutcomeGangIncomplete Outcome = "alone"
+	// OutcomeRejected is a start that the runner turned away; the run never began.
+	OutcomeRejected Outcome = "refused"
+	outcomeLost     Outcome = "lost"
 )
 
 // End is the end of one attempt. Ref names the task again, for a lease that is
 // no longer known; Saved is the last progress, if any.
 type End struct {
-	Grant identifier.LeaseID `json:"grant"`
-	Ref   identifier.TaskRef `json:"ref"`
-	How   How                `json:"how"`
-	Saved string             `json:"saved,omitempty"`
+	Lease      identifier.LeaseID `json:"grant"`
+	Task       identifier.TaskRef `json:"ref"`
+	Outcome    Outcome            `json:"how"`
+	Checkpoint string             `json:"saved,omitempty"`
 }
 
-// Ends reports attempts that ended on one incarnation of a runner. Leases of
+// ReportEnds reports attempts that ended on one incarnation of a runner. Leases of
 // another incarnation are left alone.
-type Ends struct {
-	Runner identifier.Runner      `json:"runner"`
-	Inc    identifier.Incarnation `json:"inc"`
-	List   []End                  `json:"list"`
+type ReportEnds struct {
+	Runner      identifier.Runner      `json:"runner"`
+	Incarnation identifier.Incarnation `json:"inc"`
+	Ends        []End                  `json:"list"`
 }
 
-// Put places tasks of one step; a gang's Nums and On cover it whole.
-type Put struct {
-	Job  identifier.JobKey   `json:"job"`
-	Step int                 `json:"step"`
-	Nums []int               `json:"nums"`
-	On   []identifier.Runner `json:"on"`
+// Placement places tasks of one step; a gang's Nums and On cover it whole.
+type Placement struct {
+	Job     identifier.JobKey   `json:"job"`
+	Step    int                 `json:"step"`
+	Tasks   []int               `json:"nums"`
+	Runners []identifier.Runner `json:"on"`
 }
 
-// Place opens leases. Each Put is checked against the state again and passed
+// PlaceTasks opens leases. Each Put is checked against the state again and passed
 // over when it no longer holds.
-type Place struct {
-	Puts []Put `json:"puts"`
+type PlaceTasks struct {
+	Placements []Placement `json:"puts"`
 }
 
-// Recall revokes leases; unknown ones are passed over.
-type Recall struct {
-	Grants []identifier.LeaseID `json:"grants"`
-	Why    string               `json:"why"`
+// RevokeLeases revokes leases; unknown ones are passed over.
+type RevokeLeases struct {
+	Leases []identifier.LeaseID `json:"grants"`
+	Reason string               `json:"why"`
 }
 
-// Lost counts an incarnation of a runner as lost and ends all its leases. It
+// LoseRunner counts an incarnation of a runner as lost and ends all its leases. It
 // does nothing when the runner has reported another incarnation.
-type Lost struct {
-	Runner identifier.Runner      `json:"runner"`
-	Inc    identifier.Incarnation `json:"inc"`
-	Saves  []Save                 `json:"saves,omitempty"`
+type LoseRunner struct {
+	Runner      identifier.Runner      `json:"runner"`
+	Incarnation identifier.Incarnation `json:"inc"`
+	Checkpoints []Checkpoint           `json:"saves,omitempty"`
 }
 
-// Step moves one closing on from one stage; Judge says that the time for
+// AdvanceDrain moves one closing on from one stage; Judge says that the time for
 // unconfirmed stops has run out.
-type Step struct {
-	ID    string `json:"id"`
-	From  Stage  `json:"from"`
-	Judge bool   `json:"judge,omitempty"`
+type AdvanceDrain struct {
+	ID       string `json:"id"`
+	From     Stage  `json:"from"`
+	JudgeNow bool   `json:"judge,omitempty"`
 }
 
 // Encode makes the data of a log entry.
--- a/internal/state/doc.go
+++ b/internal/state/doc.go
@@ -27,7 +27,7 @@
 //   - Commands and rules that came with a later version are used only once Level
 //     has been raised to theirs.
 //
-// Exported fields of [Book] are the state and make up the snapshot; the others are
+// Exported fields of [Store] are the state and make up the snapshot; the others are
 // indexes that Decode rebuilds.
 //
 // Begin with cmd.go (every command), apply.go (the dispatch) and book.go (the
--- a/internal/state/duty.go
+++ b/internal/state/duty.go
@@ -14,28 +14,28 @@
 	"orchidward/internal/scheduler/feasibility"
 )
 
-func (b *Book) open(id, kind string, domain identifier.Domain, rack identifier.Rack) *Closing {
-	for id == "" || b.Closings[id] != nil {
-		id = fmt.Sprintf("c-%d", b.NextClose)
-		b.NextClose++
+func (b *Store) open(id, kind string, domain identifier.Domain, rack identifier.Rack) *Drain {
+	for id == "" || b.Drains[id] != nil {
+		id = fmt.Sprintf("c-%d", b.NextDrain)
+		b.NextDrain++
 	}
-	c := &Closing{ID: id, Kind: kind, Domain: domain, Rack: rack, At: b.Now}
-	b.Closings[id] = c
+	c := &Drain{ID: id, Kind: kind, Domain: domain, Rack: rack, StartedAt: b.Now}
+	b.Drains[id] = c
 	c.enter(Preflight, b.Now)
 	return c
 }
 
-func (b *Book) reopen(p *Reopen) Result {
-	c := b.Closings[p.Name]
+func (b *Store) reopen(p *EndDrain) Result {
+	c := b.Drains[p.Name]
 	if c == nil {
 		c = b.domainClosing(identifier.Domain(p.Name))
 	}
 	switch {
 	case c == nil:
 		return refuse(404, "no-closing", "no such closing")
-	case c.Kind == KindRack && !c.Stage.Leaving():
+	case c.Kind == KindRack && !c.Stage.Reopening():
 		return refuse(409, "runners-leaving", "a rack reopens when its runners report active again")
-	case !c.Stage.Leaving():
+	case !c.Stage.Reopening():
 		c.enter(Preopen, b.Now)
 	}
 	return b.show(c)
@@ -43,14 +43,14 @@
 
 // domainClosing is the domain's closing in force, else the last that was. Among
 // those of one moment the order of names says nothing about which came last.
-func (b *Book) domainClosing(domain identifier.Domain) *Closing {
-	var c *Closing
-	for _, id := range b.ClosingIDs() {
-		one := b.Closings[id]
+func (b *Store) domainClosing(domain identifier.Domain) *Drain {
+	var c *Drain
+	for _, id := range b.DrainIDs() {
+		one := b.Drains[id]
 		if one.Kind != KindDomain || one.Domain != domain {
 			continue
 		}
-		if b.Level >= ResendLevel && c != nil && !c.Stage.Leaving() && one.Stage.Leaving() {
+		if b.Level >= ResendLevel && c != nil && !c.Stage.Reopening() && one.Stage.Reopening() {
 			continue
 		}
 		c = one
@@ -60,7 +60,7 @@
 
 // racks keeps one closing for every rack that has leaving runners. More than
 // half of a rack's live runners leaving makes the whole rack the scope.
-func (b *Book) racks() {
+func (b *Store) racks() {
 	type place struct {
 		domain identifier.Domain
 		rack   identifier.Rack
@@ -69,17 +69,17 @@
 	for _, n := range b.RunnerNames() {
 		r := b.Runners[n]
 		at := place{r.Domain, r.Rack}
-		if r.Drain {
+		if r.Draining {
 			leave[at] = append(leave[at], n)
 		}
-		if !r.Gone || r.Drain {
+		if !r.Gone || r.Draining {
 			all[at] = append(all[at], n)
 		}
 	}
-	have := map[place]*Closing{}
-	for _, id := range b.ClosingIDs() {
-		c := b.Closings[id]
-		if c.Kind != KindRack || c.Stage.Leaving() {
+	have := map[place]*Drain{}
+	for _, id := range b.DrainIDs() {
+		c := b.Drains[id]
+		if c.Kind != KindRack || c.Stage.Reopening() {
 			continue
 		}
 		at := place{c.Domain, c.Rack}
@@ -91,7 +91,7 @@
 	for _, n := range b.RunnerNames() {
 		r := b.Runners[n]
 		at := place{r.Domain, r.Rack}
-		if !r.Drain {
+		if !r.Draining {
 			continue
 		}
 		c := have[at]
@@ -109,7 +109,7 @@
 }
 
 // rescope takes a rack closing's new scope; newcomers start its stages again.
-func (b *Book) rescope(c *Closing, scope []identifier.Runner) {
+func (b *Store) rescope(c *Drain, scope []identifier.Runner) {
 	grown := false
 	for _, n := range scope {
 		grown = grown || !c.has(n)
@@ -121,16 +121,16 @@
 }
 
 // refence derives the fence: the one thing placement and recovery read.
-func (b *Book) refence() {
+func (b *Store) refence() {
 	for n, r := range b.Runners {
 		if r.fence != "" {
 			b.hot[n] = true
 		}
 		r.fence = ""
 	}
-	for _, id := range b.ClosingIDs() {
-		c := b.Closings[id]
-		if !c.Stage.Down() {
+	for _, id := range b.DrainIDs() {
+		c := b.Drains[id]
+		if !c.Stage.Cordons() {
 			continue
 		}
 		if c.Kind == KindDomain {
@@ -145,7 +145,7 @@
 }
 
 // join adds the domain's runners, late comers too, to its closing's scope.
-func (b *Book) join(c *Closing) {
+func (b *Store) join(c *Drain) {
 	for n, r := range b.Runners {
 		if r.Domain == c.Domain && !c.has(n) {
 			c.Scope = append(c.Scope, n)
@@ -154,34 +154,34 @@
 	sort.Slice(c.Scope, func(i, j int) bool { return c.Scope[i] < c.Scope[j] })
 }
 
-// Due tells whether a runner's tasks are to be stopped now. In a domain they
+// StopDue tells whether a runner's tasks are to be stopped now. In a domain they
 // are at once; in a rack they run on until a margin before the departure.
-func (b *Book) Due(c *Closing, n identifier.Runner, now clock.ClusterTime) bool {
+func (b *Store) StopDue(c *Drain, n identifier.Runner, now clock.ClusterTime) bool {
 	if c.Kind == KindDomain {
 		return true
 	}
 	at := clock.ClusterTime(0)
 	for _, s := range c.Scope {
-		if r := b.Runners[s]; r != nil && r.Drain && (at == 0 || r.Depart < at) {
-			at = r.Depart
+		if r := b.Runners[s]; r != nil && r.Draining && (at == 0 || r.DepartsAt < at) {
+			at = r.DepartsAt
 		}
 	}
-	if r := b.Runners[n]; r != nil && r.Drain {
-		at = r.Depart
+	if r := b.Runners[n]; r != nil && r.Draining {
+		at = r.DepartsAt
 	}
-	return now >= at.Add(-b.Table.Site("departMarginMs"))
+	return now >= at.Add(-b.Limits.SiteMillis("departMarginMs"))
 }
 
-// Undone lists what still runs on the scope: grants not yet called back, and
+// OpenLeases lists what still runs on the scope: grants not yet called back, and
 // grants called back but not confirmed.
-func (b *Book) Undone(c *Closing) (free, loose []*Grant) {
+func (b *Store) OpenLeases(c *Drain) (free, loose []*Lease) {
 	for _, n := range c.Scope {
 		r := b.Runners[n]
 		if r == nil {
 			continue
 		}
-		for _, id := range r.GrantIDs() {
-			if g := b.Grants[id]; g.Stop == "" {
+		for _, id := range r.LeaseIDs() {
+			if g := b.Leases[id]; g.RevokeReason == "" {
 				free = append(free, g)
 			} else {
 				loose = append(loose, g)
@@ -191,13 +191,13 @@
 	return free, loose
 }
 
-func (b *Book) step(s *Step) {
-	c := b.Closings[s.ID]
+func (b *Store) step(s *AdvanceDrain) {
+	c := b.Drains[s.ID]
 	if c == nil || c.Stage != s.From {
 		return
 	}
 	defer func() {
-		b.fold(text(c.ID), text(string(c.Stage)), uint64(c.Loose), uint64(len(c.Displaced)), text(c.Verdict))
+		b.fold(text(c.ID), text(string(c.Stage)), uint64(c.UnconfirmedStops), uint64(len(c.Displaced)), text(c.Verdict))
 	}()
 	switch c.Stage {
 	case Preflight:
@@ -209,7 +209,7 @@
 	case Cordon:
 		b.cordon(c)
 	case Postdrain:
-		b.judge(c, s.Judge)
+		b.judge(c, s.JudgeNow)
 	case Closed:
 		b.judge(c, false)
 	case Preopen:
@@ -225,67 +225,67 @@
 
 // preflight asks whether the runners outside every fence can take the set's
 // tasks, gangs whole. The answer never holds the fence back.
-func (b *Book) preflight(c *Closing) {
+func (b *Store) preflight(c *Drain) {
 	lumps := b.displace(c)
-	bins := []feasibility.Bin{}
+	bins := []feasibility.Node{}
 	for _, n := range b.RunnerNames() {
 		if r := b.Runners[n]; r.fence == "" && !r.Gone {
-			bins = append(bins, feasibility.Bin{Name: n, Room: r.Free(), Labels: r.Labels})
+			bins = append(bins, feasibility.Node{Name: n, Free: r.Free(), Labels: r.Labels})
 		}
 	}
-	c.Judged = true
-	c.Fits, c.Short = feasibility.Fits(lumps, bins)
+	c.PreflightDone = true
+	c.Fits, c.Shortage = feasibility.Pack(lumps, bins)
 }
 
 // displace records the displaced set and returns it as lumps to pack. A gang with
 // a member in scope is displaced whole.
-func (b *Book) displace(c *Closing) []feasibility.Lump {
-	var lumps []feasibility.Lump
-	free, loose := b.Undone(c)
+func (b *Store) displace(c *Drain) []feasibility.Unit {
+	var lumps []feasibility.Unit
+	free, loose := b.OpenLeases(c)
 	type step struct {
 		key identifier.JobKey
 		num int
 	}
 	gangs := map[step]bool{}
-	c.Displaced, c.Gangs = nil, 0
+	c.Displaced, c.DisplacedGangs = nil, 0
 	for _, g := range append(free, loose...) {
-		st := b.Jobs[g.Ref.Job].Spec.Steps[g.Ref.Step]
-		at := step{g.Ref.Job, g.Ref.Step}
+		st := b.Jobs[g.Task.Job].Spec.Steps[g.Task.Step]
+		at := step{g.Task.Job, g.Task.Step}
 		if !st.Gang {
-			lumps = append(lumps, feasibility.Lump{Demand: st.Demand, Labels: st.Labels, Count: 1})
-			c.Displaced = append(c.Displaced, g.Ref)
+			lumps = append(lumps, feasibility.Unit{Demand: st.Demand, Labels: st.Labels, Count: 1})
+			c.Displaced = append(c.Displaced, g.Task)
 			continue
 		}
 		if gangs[at] {
 			continue
 		}
 		gangs[at] = true
-		c.Gangs++
+		c.DisplacedGangs++
 		n := 0
-		for i, t := range b.Jobs[g.Ref.Job].Steps[g.Ref.Step] {
+		for i, t := range b.Jobs[g.Task.Job].Steps[g.Task.Step] {
 			if !t.State.Ended() {
 				n++
-				c.Displaced = append(c.Displaced, identifier.TaskRef{Job: g.Ref.Job, Step: g.Ref.Step, Num: i})
+				c.Displaced = append(c.Displaced, identifier.TaskRef{Job: g.Task.Job, Step: g.Task.Step, Num: i})
 			}
 		}
-		lumps = append(lumps, feasibility.Lump{Demand: st.Demand, Labels: st.Labels, Count: n})
+		lumps = append(lumps, feasibility.Unit{Demand: st.Demand, Labels: st.Labels, Count: n})
 	}
 	return lumps
 }
 
-func (b *Book) cordon(c *Closing) {
+func (b *Store) cordon(c *Drain) {
 	all := true
 	for _, n := range c.Scope {
 		r := b.Runners[n]
 		if r == nil {
 			continue
 		}
-		if !b.Due(c, n, b.Now) {
+		if !b.StopDue(c, n, b.Now) {
 			all = false
 			continue
 		}
-		for _, id := range r.GrantIDs() {
-			b.stop(b.Grants[id], StopClosing+c.ID)
+		for _, id := range r.LeaseIDs() {
+			b.stop(b.Leases[id], RevokeDrainPrefix+c.ID)
 		}
 	}
 	if all {
@@ -295,19 +295,19 @@
 
 // judge is the post-drain check: every runner of the set cordoned, and the
 // unconfirmed stops no more than the tolerated share of the displaced set.
-func (b *Book) judge(c *Closing, late bool) {
-	free, loose := b.Undone(c)
+func (b *Store) judge(c *Drain, late bool) {
+	free, loose := b.OpenLeases(c)
 	if len(free) > 0 {
 		c.enter(Cordon, b.Now)
 		return
 	}
-	c.Loose = len(loose)
+	c.UnconfirmedStops = len(loose)
 	switch {
-	case c.Loose == 0:
+	case c.UnconfirmedStops == 0:
 		c.Verdict = "all cordoned"
 	case !late && c.Stage == Postdrain:
 		return
-	case int64(c.Loose)*100 <= b.Table.Num("site", "thresholdPct")*int64(len(c.Displaced)):
+	case int64(c.UnconfirmedStops)*100 <= b.Limits.Int("site", "thresholdPct")*int64(len(c.Displaced)):
 		c.Verdict = "cordoned, unconfirmed stops within threshold"
 	default:
 		c.Verdict = "unconfirmed stops over threshold, operator to look"
@@ -318,25 +318,25 @@
 }
 
 // release lets go of the tasks that were waiting out the closing.
-func (b *Book) release(c *Closing) {
+func (b *Store) release(c *Drain) {
 	b.each(func(j *Job, ref identifier.TaskRef, t *Task) {
-		if t.Closing != c.ID {
+		if t.DisplacedBy != c.ID {
 			return
 		}
 		b.untie(j, t)
-		if t.State == Riding {
+		if t.State == Suspended {
 			b.set(j, ref, Waiting)
-			t.Why = ""
+			t.Reason = ""
 		}
 	})
 }
 
-// Total is the room of all live runners, the measure shares are taken of.
-func (b *Book) Total() job.Demand {
+// TotalCapacity is the room of all live runners, the measure shares are taken of.
+func (b *Store) TotalCapacity() job.Demand {
 	var d job.Demand
 	for _, r := range b.Runners {
 		if !r.Gone {
-			d = d.Plus(r.Cap)
+			d = d.Plus(r.Capacity)
 		}
 	}
 	return d
--- a/internal/state/former_test.go
+++ b/internal/state/former_test.go
@@ -40,11 +40,11 @@
 			t.Fatal(err)
 		}
 		r := b.Apply(c)
-		if have := fmt.Sprint(r.Status, " ", b.Sum); have != lines[i+1] {
+		if have := fmt.Sprint(r.Status, " ", b.Checksum); have != lines[i+1] {
 			t.Fatalf("after %s: %s, the former program had %s", lines[i], have, lines[i+1])
 		}
 	}
-	if back, err := Decode(b.Encode()); err != nil || back.Sum != b.Sum || back.Level != level {
+	if back, err := Decode(b.Encode()); err != nil || back.Checksum != b.Checksum || back.Level != level {
 		t.Errorf("read back: %v", err)
 	}
 }
--- a/internal/state/grant.go
+++ b/internal/state/grant.go
@@ -10,34 +10,34 @@
 	"orchidward/internal/clock"
 )
 
-// Grant is the lease of one attempt: this task, on this runner, in this
+// Lease is the lease of one attempt: this task, on this runner, in this
 // incarnation of it. Stop is why it was revoked, empty while it is not; a
 // revoked lease stays open and keeps its room until the runner confirms the end
 // or is counted lost. Run is the expected duration in milliseconds.
-type Grant struct {
-	ID     identifier.LeaseID     `json:"id"`
-	Ref    identifier.TaskRef     `json:"ref"`
-	Runner identifier.Runner      `json:"runner"`
-	Inc    identifier.Incarnation `json:"inc"`
-	Row    identifier.Row         `json:"row"`
-	Demand job.Demand             `json:"demand"`
-	Run    clock.Millis           `json:"spanMs"`
-	At     clock.ClusterTime      `json:"at"`
-	Stop   string                 `json:"stop,omitempty"`
-	// No counts the runs of the task, from 1; the members of a gang share one.
-	No uint64 `json:"no,omitempty"`
+type Lease struct {
+	ID           identifier.LeaseID     `json:"id"`
+	Task         identifier.TaskRef     `json:"ref"`
+	Runner       identifier.Runner      `json:"runner"`
+	Incarnation  identifier.Incarnation `json:"inc"`
+	Row          identifier.Row         `json:"row"`
+	Demand       job.Demand             `json:"demand"`
+	ExpectedRun  clock.Millis           `json:"spanMs"`
+	OpenedAt     clock.ClusterTime      `json:"at"`
+	RevokeReason string                 `json:"stop,omitempty"`
+	// Attempt counts the runs of the task, from 1; the members of a gang share one.
+	Attempt uint64 `json:"no,omitempty"`
 }
 
 // Reasons for calling a grant back; a closing's own id follows its prefix.
 const (
-	StopCancel  = "cancelled"
-	StopFail    = "job failed"
-	StopDone    = "ended well elsewhere"
-	StopPartner = "gang partner gone"
-	StopLate    = "start not confirmed"
-	StopPush    = "pushed out"
-	StopSilent  = "gang partner silent"
-	StopStill   = "stands still"
-	StopSlow    = "sooner done elsewhere"
-	StopClosing = "closing "
+	RevokeCancelled        = "cancelled"
+	RevokeJobFailed        = "job failed"
+	RevokeDoneElsewhere    = "ended well elsewhere"
+	RevokeGangMemberGone   = "gang partner gone"
+	RevokeStartUnconfirmed = "start not confirmed"
+	RevokePreempted        = "pushed out"
+	RevokeGangMemberSilent = "gang partner silent"
+	RevokeStalled          = "stands still"
+	RevokeSlow             = "sooner done elsewhere"
+	RevokeDrainPrefix      = "closing "
 )
--- a/internal/state/grants.go
+++ b/internal/state/grants.go
@@ -11,38 +11,38 @@
 	"orchidward/internal/scheduler/feasibility"
 )
 
-func (b *Book) place(p *Place) {
-	for i := range p.Puts {
-		if b.sound(&p.Puts[i]) {
-			b.put(&p.Puts[i])
+func (b *Store) place(p *PlaceTasks) {
+	for i := range p.Placements {
+		if b.sound(&p.Placements[i]) {
+			b.put(&p.Placements[i])
 		}
 	}
 }
 
 // sound checks a placement against the book as it is now, which may differ
 // from what the leader saw when it planned.
-func (b *Book) sound(p *Put) bool {
+func (b *Store) sound(p *Placement) bool {
 	j := b.Jobs[p.Job]
-	if j == nil || p.Step < 0 || p.Step >= len(j.Steps) || len(p.Nums) != len(p.On) || len(p.Nums) == 0 {
+	if j == nil || p.Step < 0 || p.Step >= len(j.Steps) || len(p.Tasks) != len(p.Runners) || len(p.Tasks) == 0 {
 		return false
 	}
-	if !j.Ready(p.Step) || j.Start > b.Now {
+	if !j.Ready(p.Step) || j.StartAt > b.Now {
 		return false
 	}
 	st := j.Spec.Steps[p.Step]
-	if st.Gang && len(p.Nums) != j.count[p.Step].wait {
+	if st.Gang && len(p.Tasks) != j.count[p.Step].wait {
 		return false
 	}
 	room, seen := map[identifier.Runner]job.Demand{}, map[int]bool{}
-	sum := b.inUse[j.Spec.Pending]
+	sum := b.inUse[j.Spec.Row]
 	held := map[identifier.Runner]int64{}
-	for i, n := range p.Nums {
-		t, r := j.Task(identifier.TaskRef{Job: p.Job, Step: p.Step, Num: n}), b.Runners[p.On[i]]
-		if t == nil || seen[n] || t.State != Waiting || r == nil || r.Gone || r.fence != "" || !feasibility.Has(r.Labels, st.Labels) || !j.Serves(r) {
+	for i, n := range p.Tasks {
+		t, r := j.Task(identifier.TaskRef{Job: p.Job, Step: p.Step, Num: n}), b.Runners[p.Runners[i]]
+		if t == nil || seen[n] || t.State != Waiting || r == nil || r.Gone || r.fence != "" || !feasibility.HasLabels(r.Labels, st.Labels) || !j.EligibleOn(r) {
 			return false
 		}
-		if st.Apart > 0 {
-			if held[r.Name]++; b.Beside(j, p.Step, r)+held[r.Name] > st.Apart {
+		if st.MaxPerRunner > 0 {
+			if held[r.Name]++; b.TasksBeside(j, p.Step, r)+held[r.Name] > st.MaxPerRunner {
 				return false
 			}
 		}
@@ -57,28 +57,28 @@
 		room[r.Name] = free.Minus(st.Demand)
 		sum = sum.Plus(st.Demand)
 	}
-	return j.Terms != nil || sum.Under(job.Demand{Cores: b.Table.Num(j.Spec.Pending, "maxCores"), Mem: b.Table.Num(j.Spec.Pending, "maxMemMb")})
+	return j.Terms != nil || sum.WithinLimit(job.Demand{Cores: b.Limits.Int(j.Spec.Row, "maxCores"), Mem: b.Limits.Int(j.Spec.Row, "maxMemMb")})
 }
 
-func (b *Book) put(p *Put) {
+func (b *Store) put(p *Placement) {
 	j := b.Jobs[p.Job]
 	shared := uint64(0)
-	for _, n := range p.Nums {
-		shared = max(shared, j.Steps[p.Step][n].No+1)
+	for _, n := range p.Tasks {
+		shared = max(shared, j.Steps[p.Step][n].Attempt+1)
 	}
-	for i, n := range p.Nums {
+	for i, n := range p.Tasks {
 		ref := identifier.TaskRef{Job: p.Job, Step: p.Step, Num: n}
-		st, r := j.Spec.Steps[p.Step], b.Runners[p.On[i]]
-		g := &Grant{ID: b.NextGrant, Ref: ref, Runner: r.Name, Inc: r.Inc, Row: j.Spec.Pending, Demand: st.Demand, Run: st.Run, At: b.Now}
-		b.NextGrant++
+		st, r := j.Spec.Steps[p.Step], b.Runners[p.Runners[i]]
+		g := &Lease{ID: b.NextLease, Task: ref, Runner: r.Name, Incarnation: r.Incarnation, Row: j.Spec.Row, Demand: st.Demand, ExpectedRun: st.ExpectedRun, OpenedAt: b.Now}
+		b.NextLease++
 		t := j.Task(ref)
-		t.Grant, t.On, t.Why = g.ID, r.Name, ""
+		t.Lease, t.LastRunner, t.Reason = g.ID, r.Name, ""
 		if j.Terms != nil {
-			if t.No++; st.Gang {
-				t.No = shared
+			if t.Attempt++; st.Gang {
+				t.Attempt = shared
 			}
-			g.No = t.No
-			b.fold(g.No)
+			g.Attempt = t.Attempt
+			b.fold(g.Attempt)
 		}
 		b.untie(j, t)
 		b.openGrant(g)
@@ -88,22 +88,22 @@
 }
 
 // stop calls a grant back; a gang's other members are called back with it.
-func (b *Book) stop(g *Grant, why string) {
-	if g.Stop != "" {
+func (b *Store) stop(g *Lease, why string) {
+	if g.RevokeReason != "" {
 		return
 	}
-	g.Stop = why
+	g.RevokeReason = why
 	b.hot[g.Runner] = true
-	if why != StopDone {
+	if why != RevokeDoneElsewhere {
 		b.partners(g)
 	}
 }
 
-func (b *Book) partners(g *Grant) {
+func (b *Store) partners(g *Lease) {
 	for _, p := range b.Partners(g) {
-		if p.Stop == "" {
-			if p.Stop = StopPartner; g.Stop == StopPush && b.Level >= CatalogLevel {
-				p.Stop = StopPush
+		if p.RevokeReason == "" {
+			if p.RevokeReason = RevokeGangMemberGone; g.RevokeReason == RevokePreempted && b.Level >= CatalogLevel {
+				p.RevokeReason = RevokePreempted
 			}
 			b.hot[p.Runner] = true
 		}
@@ -111,27 +111,27 @@
 }
 
 // Partners lists the other grants of the same gang, whatever their standing.
-func (b *Book) Partners(g *Grant) []*Grant {
-	var list []*Grant
-	j := b.Jobs[g.Ref.Job]
-	if !j.Spec.Steps[g.Ref.Step].Gang {
+func (b *Store) Partners(g *Lease) []*Lease {
+	var list []*Lease
+	j := b.Jobs[g.Task.Job]
+	if !j.Spec.Steps[g.Task.Step].Gang {
 		return nil
 	}
-	for _, t := range j.Steps[g.Ref.Step] {
-		if p := b.Grants[t.Grant]; p != nil && p.ID != g.ID {
+	for _, t := range j.Steps[g.Task.Step] {
+		if p := b.Leases[t.Lease]; p != nil && p.ID != g.ID {
 			list = append(list, p)
 		}
 	}
 	return list
 }
 
-func (b *Book) ends(e *Ends) {
+func (b *Store) ends(e *ReportEnds) {
 	b.hot[e.Runner] = true
-	for _, one := range e.List {
-		g := b.Grants[one.Grant]
-		if g != nil && g.Runner == e.Runner && g.Inc == e.Inc {
-			b.save(g, one.Saved)
-			b.end(g, one.How)
+	for _, one := range e.Ends {
+		g := b.Leases[one.Lease]
+		if g != nil && g.Runner == e.Runner && g.Incarnation == e.Incarnation {
+			b.save(g, one.Checkpoint)
+			b.end(g, one.Outcome)
 			continue
 		}
 		if g == nil {
@@ -141,76 +141,76 @@
 }
 
 // late hears of a grant already counted lost.
-func (b *Book) late(e *Ends, one End) {
-	j := b.Find(one.Ref.Job)
+func (b *Store) late(e *ReportEnds, one End) {
+	j := b.FindJob(one.Task.Job)
 	if j == nil {
 		return
 	}
-	one.Ref.Job = j.Key
-	t := j.Task(one.Ref)
-	if t == nil || !t.recall(one.Grant) || t.State.Ended() {
+	one.Task.Job = j.Key
+	t := j.Task(one.Task)
+	if t == nil || !t.recall(one.Lease) || t.State.Ended() {
 		return
 	}
-	switch one.How {
-	case EndWell:
-		if j.Terms != nil && j.Spec.Steps[one.Ref.Step].Lasting {
+	switch one.Outcome {
+	case OutcomeSuccess:
+		if j.Terms != nil && j.Spec.Steps[one.Task.Step].Service {
 			break
 		}
 		if t.State == Placed {
-			b.stop(b.Grants[t.Grant], StopDone)
+			b.stop(b.Leases[t.Lease], RevokeDoneElsewhere)
 		}
-		b.set(j, one.Ref, Well)
-		t.Why = ""
-	case EndDefect:
+		b.set(j, one.Task, Succeeded)
+		t.Reason = ""
+	case OutcomeDefect:
 		b.Runners[e.Runner].mark(false)
 		if j.Terms == nil {
-			b.spend(j, one.Ref, e.Runner)
+			b.spend(j, one.Task, e.Runner)
 			break
 		}
-		b.spendQueued(j, one.Ref, e.Runner, 0)
+		b.spendQueued(j, one.Task, e.Runner, 0)
 	default:
-		if t.State == Held && t.On == e.Runner {
-			b.set(j, one.Ref, Waiting)
-			t.Why = ""
+		if t.State == AwaitingRunner && t.LastRunner == e.Runner {
+			b.set(j, one.Task, Waiting)
+			t.Reason = ""
 		}
 	}
 	b.settle(j)
 }
 
 // end closes a grant and decides what becomes of its task.
-func (b *Book) end(g *Grant, how How) {
+func (b *Store) end(g *Lease, how Outcome) {
 	b.dropGrant(g)
-	j, r := b.Jobs[g.Ref.Job], b.Runners[g.Runner]
-	t := j.Task(g.Ref)
-	if how == EndWell || how == EndDefect {
-		r.mark(how == EndWell)
+	j, r := b.Jobs[g.Task.Job], b.Runners[g.Runner]
+	t := j.Task(g.Task)
+	if how == OutcomeSuccess || how == OutcomeDefect {
+		r.mark(how == OutcomeSuccess)
 	}
 	if j.Terms != nil {
 		b.endQueued(j, t, g, how)
 		b.settle(j)
 		return
 	}
-	if t.Grant != g.ID || t.State != Placed {
+	if t.Lease != g.ID || t.State != Placed {
 		b.settle(j)
 		return
 	}
-	t.Grant = 0
+	t.Lease = 0
 	switch {
-	case how == EndWell:
-		b.set(j, g.Ref, Well)
-	case how == EndDefect:
-		b.set(j, g.Ref, Waiting)
-		b.spend(j, g.Ref, g.Runner)
+	case how == OutcomeSuccess:
+		b.set(j, g.Task, Succeeded)
+	case how == OutcomeDefect:
+		b.set(j, g.Task, Waiting)
+		b.spend(j, g.Task, g.Runner)
 		b.partners(g)
-		if t.State == Waiting && (j.Cancel || j.Fail != "") {
-			b.set(j, g.Ref, Cancelled)
+		if t.State == Waiting && (j.Cancelled || j.Failure != "") {
+			b.set(j, g.Task, Cancelled)
 		}
-	case j.Cancel || j.Fail != "":
-		if how == endLost {
+	case j.Cancelled || j.Failure != "":
+		if how == outcomeLost {
 			t.lose(g)
 		}
-		b.set(j, g.Ref, Cancelled)
-		t.Why = g.Stop
+		b.set(j, g.Task, Cancelled)
+		t.Reason = g.RevokeReason
 	default:
 		b.again(j, t, g, how)
 	}
@@ -219,39 +219,39 @@
 
 // again sends a task that lost its attempt back to bid, to be held, or to sit
 // out the outage, as its row has chosen.
-func (b *Book) again(j *Job, t *Task, g *Grant, how How) {
-	row := j.Spec.Pending
-	b.set(j, g.Ref, Waiting)
-	if how == endLost || how == EndLapsed {
+func (b *Store) again(j *Job, t *Task, g *Lease, how Outcome) {
+	row := j.Spec.Row
+	b.set(j, g.Task, Waiting)
+	if how == outcomeLost || how == OutcomeLeaseLapsed {
 		t.lose(g)
 		b.partners(g)
 	}
-	if how == endLost && b.Table.Cell(row, "onLoss") == "hold" {
-		b.set(j, g.Ref, Held)
-		t.Why = "held until runner " + string(g.Runner) + " answers"
+	if how == outcomeLost && b.Limits.Cell(row, "onLoss") == "hold" {
+		b.set(j, g.Task, AwaitingRunner)
+		t.Reason = "held until runner " + string(g.Runner) + " answers"
 		return
 	}
-	if g.Stop == StopPush {
+	if g.RevokeReason == RevokePreempted {
 		b.chain(j, t)
 	}
-	id, ok := strings.CutPrefix(g.Stop, StopClosing)
-	if c := b.Closings[id]; ok && c != nil && c.Stage.Down() {
+	id, ok := strings.CutPrefix(g.RevokeReason, RevokeDrainPrefix)
+	if c := b.Drains[id]; ok && c != nil && c.Stage.Cordons() {
 		b.tie(j, t, id)
-		if !c.Fits && b.Table.Cell(row, "onOutage") == "ride" {
-			b.set(j, g.Ref, Riding)
-			t.Why = "waits out closing " + id
+		if !c.Fits && b.Limits.Cell(row, "onOutage") == "ride" {
+			b.set(j, g.Task, Suspended)
+			t.Reason = "waits out closing " + id
 		}
 	}
 }
 
 // chain ties work that had to make room for displaced work to the same closing,
 // so that it may push strictly cheaper work in its turn.
-func (b *Book) chain(j *Job, t *Task) {
-	if b.Level < CatalogLevel || b.Table.Cell(j.Spec.Pending, "onOutage") != "push" {
+func (b *Store) chain(j *Job, t *Task) {
+	if b.Level < CatalogLevel || b.Limits.Cell(j.Spec.Row, "onOutage") != "push" {
 		return
 	}
-	for _, id := range b.ClosingIDs() {
-		if c := b.Closings[id]; c.Stage.Down() && c.Judged && !c.Fits {
+	for _, id := range b.DrainIDs() {
+		if c := b.Drains[id]; c.Stage.Cordons() && c.PreflightDone && !c.Fits {
 			b.tie(j, t, id)
 			return
 		}
@@ -259,55 +259,55 @@
 }
 
 // spend counts a reported defect against the task's allowance.
-func (b *Book) spend(j *Job, ref identifier.TaskRef, on identifier.Runner) {
+func (b *Store) spend(j *Job, ref identifier.TaskRef, on identifier.Runner) {
 	t := j.Task(ref)
 	t.Defects++
-	t.Shun = on
-	if t.Defects < j.Spec.Steps[ref.Step].Defects {
-		if t.State == Held {
+	t.AvoidRunner = on
+	if t.Defects < j.Spec.Steps[ref.Step].MaxDefects {
+		if t.State == AwaitingRunner {
 			b.set(j, ref, Waiting)
 		}
 		return
 	}
 	if t.State == Placed {
-		b.stop(b.Grants[t.Grant], StopFail)
+		b.stop(b.Leases[t.Lease], RevokeJobFailed)
 	}
-	if j.Cancel {
+	if j.Cancelled {
 		b.set(j, ref, Cancelled)
 		return
 	}
 	b.set(j, ref, Failed)
-	t.Why = "allowed defects used up"
-	if j.Fail == "" {
-		j.Fail = "task " + ref.String() + " used up its allowed defects"
-		b.halt(j, StopFail)
+	t.Reason = "allowed defects used up"
+	if j.Failure == "" {
+		j.Failure = "task " + ref.String() + " used up its allowed defects"
+		b.halt(j, RevokeJobFailed)
 	}
 }
 
-func (b *Book) lost(l *Lost) {
+func (b *Store) lost(l *LoseRunner) {
 	r := b.Runners[l.Runner]
-	if r == nil || r.Inc != l.Inc {
+	if r == nil || r.Incarnation != l.Incarnation {
 		return
 	}
 	r.Gone = true
-	b.saves(l.Saves, r)
+	b.saves(l.Checkpoints, r)
 	b.lose(r)
 	b.racks()
 }
 
-func (b *Book) lose(r *Runner) {
-	for _, id := range r.GrantIDs() {
-		b.end(b.Grants[id], endLost)
+func (b *Store) lose(r *Runner) {
+	for _, id := range r.LeaseIDs() {
+		b.end(b.Leases[id], outcomeLost)
 	}
 }
 
-// Hears tells whether an end reported under this grant is still news: the
+// AcceptsEnd tells whether an end reported under this grant is still news: the
 // grant is open, or was counted lost and its task has not ended.
-func (b *Book) Hears(name identifier.Runner, inc identifier.Incarnation, id identifier.LeaseID, ref identifier.TaskRef) bool {
-	if g := b.Grants[id]; g != nil {
-		return g.Runner == name && g.Inc == inc
+func (b *Store) AcceptsEnd(name identifier.Runner, inc identifier.Incarnation, id identifier.LeaseID, ref identifier.TaskRef) bool {
+	if g := b.Leases[id]; g != nil {
+		return g.Runner == name && g.Incarnation == inc
 	}
-	j := b.Find(ref.Job)
+	j := b.FindJob(ref.Job)
 	if j == nil {
 		return false
 	}
@@ -315,7 +315,7 @@
 	if t == nil || t.State.Ended() {
 		return false
 	}
-	for _, p := range t.Past {
+	for _, p := range t.LostLeases {
 		if p == id {
 			return true
 		}
--- a/internal/state/idhold.go
+++ b/internal/state/idhold.go
@@ -11,8 +11,8 @@
 	"orchidward/internal/clock"
 )
 
-// IDHold is an id under which no job is accepted before its time is up.
-type IDHold struct {
+// Tombstone is an id under which no job is accepted before its time is up.
+type Tombstone struct {
 	Job   identifier.JobKey `json:"job"`
 	Until clock.ClusterTime `json:"until"`
 }
@@ -27,9 +27,9 @@
 )
 
 // held finds the id's hold, whether its time is up or not.
-func (b *Book) held(key identifier.JobKey) (at int, ok bool) {
-	for i := range b.IDHolds {
-		if b.IDHolds[i].Job == key {
+func (b *Store) held(key identifier.JobKey) (at int, ok bool) {
+	for i := range b.Tombstones {
+		if b.Tombstones[i].Job == key {
 			return i, true
 		}
 	}
@@ -37,42 +37,42 @@
 }
 
 // heldFor is how long the id is yet held back, 0 where it is not.
-func (b *Book) heldFor(key identifier.JobKey) clock.Millis {
+func (b *Store) heldFor(key identifier.JobKey) clock.Millis {
 	i, ok := b.held(key)
 	if !ok {
 		return 0
 	}
-	return max(0, clock.Millis(b.IDHolds[i].Until-b.Now))
+	return max(0, clock.Millis(b.Tombstones[i].Until-b.Now))
 }
 
 // holdBack answers a cancel that found no job.
-func (b *Book) holdBack(key identifier.JobKey) Result {
+func (b *Store) holdBack(key identifier.JobKey) Result {
 	if b.Level >= ResendLevel && !b.hold(key) {
-		return Result{Status: 503, Code: "busy", Why: "too many ids are held back after cancels", Retry: 1000}
+		return Result{Status: 503, Code: "busy", Message: "too many ids are held back after cancels", RetryAfter: 1000}
 	}
 	return refuse(404, "no-job", "no such job")
 }
 
 // hold keeps the id from now on; it fails when too many are held.
-func (b *Book) hold(key identifier.JobKey) bool {
+func (b *Store) hold(key identifier.JobKey) bool {
 	b.dropHolds()
 	if i, had := b.held(key); had {
-		b.IDHolds = append(b.IDHolds[:i], b.IDHolds[i+1:]...)
+		b.Tombstones = append(b.Tombstones[:i], b.Tombstones[i+1:]...)
 	}
-	if len(b.IDHolds) >= idHoldsMost {
+	if len(b.Tombstones) >= idHoldsMost {
 		return false
 	}
 	until := b.Now.Add(idHoldSpan)
-	b.IDHolds = append(b.IDHolds, IDHold{key, until})
+	b.Tombstones = append(b.Tombstones, Tombstone{key, until})
 	b.fold(text(string(key)), uint64(until))
 	return true
 }
 
 // dropHolds forgets holds whose time is up, a few with every command.
-func (b *Book) dropHolds() {
+func (b *Store) dropHolds() {
 	n := 0
-	for n < min(len(b.IDHolds), idHoldsDropped) && b.IDHolds[n].Until <= b.Now {
+	for n < min(len(b.Tombstones), idHoldsDropped) && b.Tombstones[n].Until <= b.Now {
 		n++
 	}
-	b.IDHolds = b.IDHolds[n:]
+	b.Tombstones = b.Tombstones[n:]
 }
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -17,23 +17,23 @@
 // checksum of Spec. Cancel and Fail say that it is being ended; End is set once
 // it has ended.
 type Job struct {
-	Key    identifier.JobKey `json:"key"`
-	Seq    uint64            `json:"seq"`
-	At     clock.ClusterTime `json:"at"`
-	Start  clock.ClusterTime `json:"start,omitempty"`
-	Sum    string            `json:"sum"`
-	Spec   job.Spec          `json:"spec"`
-	Steps  [][]*Task         `json:"steps"`
-	Cancel bool              `json:"cancel,omitempty"`
-	Fail   string            `json:"fail,omitempty"`
-	End    State             `json:"end,omitempty"`
-	Ended  clock.ClusterTime `json:"ended,omitempty"`
-	// Terms are those of the job's queue when it was accepted, nil for a job of
+	Key        identifier.JobKey `json:"key"`
+	Seq        uint64            `json:"seq"`
+	AcceptedAt clock.ClusterTime `json:"at"`
+	StartAt    clock.ClusterTime `json:"start,omitempty"`
+	Checksum   string            `json:"sum"`
+	Spec       job.Spec          `json:"spec"`
+	Steps      [][]*Task         `json:"steps"`
+	Cancelled  bool              `json:"cancel,omitempty"`
+	Failure    string            `json:"fail,omitempty"`
+	EndState   TaskState         `json:"end,omitempty"`
+	EndedAt    clock.ClusterTime `json:"ended,omitempty"`
+	// QueueTerms are those of the job's queue when it was accepted, nil for a job of
 	// a pending row. Times counts the times of a repeated job that have come;
 	// each is a job of its own, whose Parent is this one.
-	Terms  *Terms            `json:"terms,omitempty"`
-	Times  int64             `json:"times,omitempty"`
-	Parent identifier.JobKey `json:"parent,omitempty"`
+	Terms       *QueueTerms       `json:"terms,omitempty"`
+	Occurrences int64             `json:"times,omitempty"`
+	Parent      identifier.JobKey `json:"parent,omitempty"`
 	// kids counts the times that have come and not ended.
 	kids int
 
@@ -57,8 +57,8 @@
 	return j.Steps[r.Step][r.Num]
 }
 
-// Met tells whether every step that this one comes after has ended well.
-func (j *Job) Met(step int) bool {
+// DependenciesMet tells whether every step that this one comes after has ended well.
+func (j *Job) DependenciesMet(step int) bool {
 	for _, name := range j.Spec.Steps[step].After {
 		for i := range j.Spec.Steps {
 			if j.Spec.Steps[i].Name == name && j.count[i].well < len(j.Steps[i]) {
@@ -73,21 +73,21 @@
 // none of its members holds a grant, so that all start together.
 func (j *Job) Ready(step int) bool {
 	c := j.count[step]
-	if c.wait == 0 || j.Cancel || j.Fail != "" {
+	if c.wait == 0 || j.Cancelled || j.Failure != "" {
 		return false
 	}
 	if j.Spec.Steps[step].Gang && (c.placed > 0 || c.wait+c.ended < len(j.Steps[step])) {
 		return false
 	}
-	return j.Met(step)
+	return j.DependenciesMet(step)
 }
 
-// Rest is the longest chain through the steps that are not done.
-func (j *Job) Rest() clock.Millis {
+// RemainingCriticalPath is the longest chain through the steps that are not done.
+func (j *Job) RemainingCriticalPath() clock.Millis {
 	var span clock.Millis
 	steps := j.Spec.Steps
 	if len(steps) == 1 {
-		return steps[0].Run
+		return steps[0].ExpectedRun
 	}
 	at := make([]clock.Millis, len(steps))
 	for range steps {
@@ -101,15 +101,15 @@
 					from = at[k]
 				}
 			}
-			at[i] = from + steps[i].Run
+			at[i] = from + steps[i].ExpectedRun
 			span = max(span, at[i])
 		}
 	}
 	return span
 }
 
-// Wait lists the numbers of the step's waiting tasks.
-func (j *Job) Wait(step int) []int {
+// WaitingTasks lists the numbers of the step's waiting tasks.
+func (j *Job) WaitingTasks(step int) []int {
 	var nums []int
 	for i, t := range j.Steps[step] {
 		if t.State == Waiting {
@@ -122,13 +122,13 @@
 // State is the job's own standing in one word.
 func (j *Job) State() string {
 	switch {
-	case j.End != "":
-		return string(j.End)
-	case j.Cancel:
+	case j.EndState != "":
+		return string(j.EndState)
+	case j.Cancelled:
 		return "cancelling"
-	case j.Fail != "":
+	case j.Failure != "":
 		return "failing"
-	case j.open > 0 || j.Times > 0:
+	case j.open > 0 || j.Occurrences > 0:
 		return "running"
 	}
 	return "waiting"
