--- a/internal/state/known.go
+++ b/internal/state/known.go
@@ -24,16 +24,16 @@
 
 const markSize = 12 + 12 + 8 + 8 + 1
 
-// Known is the cache that deduplicates requests: for every job whose details
+// DedupCache is the cache that deduplicates requests: for every job whose details
 // were dropped it keeps the hash of the key, the checksum of the content, when
 // it was accepted and how it ended.
-type Known struct {
+type DedupCache struct {
 	blob []byte
 	by   map[[12]byte]int
 	off  int
 }
 
-func newKnown() *Known { return &Known{by: map[[12]byte]int{}} }
+func newKnown() *DedupCache { return &DedupCache{by: map[[12]byte]int{}} }
 
 func short(text string) [12]byte {
 	var h [12]byte
@@ -42,20 +42,20 @@
 	return h
 }
 
-var endCode = map[State]byte{Well: 1, Failed: 2, Cancelled: 3}
-var endState = map[byte]State{1: Well, 2: Failed, 3: Cancelled}
+var endCode = map[TaskState]byte{Succeeded: 1, Failed: 2, Cancelled: 3}
+var endState = map[byte]TaskState{1: Succeeded, 2: Failed, 3: Cancelled}
 
-func (k *Known) add(j *Job, now clock.ClusterTime) {
-	key, sum := short(string(j.Key)), short(j.Sum)
+func (k *DedupCache) add(j *Job, now clock.ClusterTime) {
+	key, sum := short(string(j.Key)), short(j.Checksum)
 	k.by[key] = k.off + k.Len()
 	k.blob = append(append(k.blob, key[:]...), sum[:]...)
-	k.blob = binary.LittleEndian.AppendUint64(k.blob, uint64(j.At))
+	k.blob = binary.LittleEndian.AppendUint64(k.blob, uint64(j.AcceptedAt))
 	k.blob = binary.LittleEndian.AppendUint64(k.blob, uint64(now))
-	k.blob = append(k.blob, endCode[j.End])
+	k.blob = append(k.blob, endCode[j.EndState])
 }
 
 // at unpacks the i-th record.
-func (k *Known) at(i int) mark {
+func (k *DedupCache) at(i int) mark {
 	var m mark
 	b := k.blob[i*markSize:]
 	copy(m.key[:], b)
@@ -66,7 +66,7 @@
 	return m
 }
 
-func (k *Known) get(key identifier.JobKey) (m mark, ok bool) {
+func (k *DedupCache) get(key identifier.JobKey) (m mark, ok bool) {
 	i, ok := k.by[short(string(key))]
 	if !ok {
 		return m, false
@@ -75,9 +75,9 @@
 }
 
 // Len is the number of remembered jobs.
-func (k *Known) Len() int { return len(k.blob) / markSize }
+func (k *DedupCache) Len() int { return len(k.blob) / markSize }
 
-func (k *Known) drop(before clock.ClusterTime) {
+func (k *DedupCache) drop(before clock.ClusterTime) {
 	for n := 0; n < 16 && k.Len() > 0; n++ {
 		m := k.at(0)
 		if m.gone >= before {
@@ -89,8 +89,8 @@
 	}
 }
 
-func (k *Known) load(blob []byte) {
-	*k = Known{blob: append([]byte(nil), blob[:len(blob)/markSize*markSize]...), by: make(map[[12]byte]int, len(blob)/markSize)}
+func (k *DedupCache) load(blob []byte) {
+	*k = DedupCache{blob: append([]byte(nil), blob[:len(blob)/markSize*markSize]...), by: make(map[[12]byte]int, len(blob)/markSize)}
 	for i := 0; i < k.Len(); i++ {
 		var key [12]byte
 		copy(key[:], k.blob[i*markSize:])
@@ -100,7 +100,7 @@
 
 // UnmarshalJSON reads the first version's views, which had the records inside
 // the document.
-func (k *Known) UnmarshalJSON(text []byte) error {
+func (k *DedupCache) UnmarshalJSON(text []byte) error {
 	var blob []byte
 	if err := json.Unmarshal(text, &blob); err != nil {
 		return err
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// Past tells of a job that is only remembered by its id.
-func (b *Book) Past(key identifier.JobKey) (at clock.ClusterTime, end State, ok bool) {
-	m, ok := b.Known.get(key)
+// RememberedJob tells of a job that is only remembered by its id.
+func (b *Store) RememberedJob(key identifier.JobKey) (at clock.ClusterTime, end TaskState, ok bool) {
+	m, ok := b.Dedup.get(key)
 	return m.at, endState[m.end], ok
 }
--- a/internal/state/lane.go
+++ b/internal/state/lane.go
@@ -42,8 +42,8 @@
 
 func byStart(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
-	if x.Start != y.Start {
-		if x.Start < y.Start {
+	if x.StartAt != y.StartAt {
+		if x.StartAt < y.StartAt {
 			return -1
 		}
 		return 1
@@ -65,16 +65,16 @@
 	l.aged.Remove(j)
 }
 
-// Walk yields the row's jobs in the order they should bid, every fourth one
+// PendingIterator yields the row's jobs in the order they should bid, every fourth one
 // taken by age alone.
-type Walk struct {
+type PendingIterator struct {
 	urgent, aged treeset.Iterator
 	seen         map[*Job]bool
 	n            int
 }
 
 // Next returns the next job, each one once, or nil at the end.
-func (w *Walk) Next() *Job {
+func (w *PendingIterator) Next() *Job {
 	for {
 		it := &w.urgent
 		if w.n++; w.n%4 == 0 {
@@ -99,10 +99,10 @@
 // byTerms orders jobs of queues by rank, then by when they are due.
 func byTerms(x, y *Job) int {
 	switch {
-	case x.Terms.Rank != y.Terms.Rank:
-		return cmp.Compare(x.Terms.Rank, y.Terms.Rank)
-	case x.Terms.Due != y.Terms.Due:
-		return cmp.Compare(x.Terms.Due, y.Terms.Due)
+	case x.Terms.Priority != y.Terms.Priority:
+		return cmp.Compare(x.Terms.Priority, y.Terms.Priority)
+	case x.Terms.DueAt != y.Terms.DueAt:
+		return cmp.Compare(x.Terms.DueAt, y.Terms.DueAt)
 	}
 	return byAge(x, y)
 }
--- a/internal/state/orders_test.go
+++ b/internal/state/orders_test.go
@@ -42,10 +42,10 @@
 func (d *desk) closingOrder(verb, id string) {
 	d.Helper()
 	if verb == post {
-		d.must(200, &Command{Close: &Close{Domain: "north", ID: id, Unseen: true}})
+		d.must(200, &Command{StartDrain: &StartDrain{Domain: "north", ID: id, AllowUnknown: true}})
 		return
 	}
-	if r := d.b.Apply(&Command{Reopen: &Reopen{Name: "north"}}); r.Status != 200 && r.Status != 404 {
+	if r := d.b.Apply(&Command{EndDrain: &EndDrain{Name: "north"}}); r.Status != 200 && r.Status != 404 {
 		d.Fatalf("reopening got %+v", r)
 	}
 }
@@ -54,8 +54,8 @@
 // is not on its way to being reopened.
 func (d *desk) closed() bool {
 	var yes bool
-	for _, c := range d.b.Closings {
-		yes = yes || c.Domain == "north" && !c.Stage.Leaving()
+	for _, c := range d.b.Drains {
+		yes = yes || c.Domain == "north" && !c.Stage.Reopening()
 	}
 	return yes
 }
@@ -114,8 +114,8 @@
 }
 
 func submission(key identifier.JobKey) *Command {
-	steps := []job.Step{{Name: "one", Tasks: 1, Defects: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1}}
-	return &Command{Submit: &Submit{Key: key, Spec: job.Spec{Pending: "a", Steps: steps}}}
+	steps := []job.Step{{Name: "one", Tasks: 1, MaxDefects: 1, Demand: job.Demand{Cores: 1, Mem: 1}, ExpectedRun: 1}}
+	return &Command{SubmitJob: &SubmitJob{Key: key, Spec: job.Spec{Row: "a", Steps: steps}}}
 }
 
 // jobOrder applies one copy and returns its status.
@@ -123,7 +123,7 @@
 	if verb == put {
 		return d.b.Apply(submission(key)).Status
 	}
-	return d.b.Apply(&Command{Cancel: &Cancel{Key: key}}).Status
+	return d.b.Apply(&Command{CancelJob: &CancelJob{Key: key}}).Status
 }
 
 // mayRun tells whether the job has anything that could be placed.
@@ -166,10 +166,10 @@
 func TestIDHeldBack(t *testing.T) {
 	const holdMs, holdsMost = 31_000, 4096
 	d := newDeskAt(t, ResendLevel)
-	d.must(404, &Command{At: 2000, Cancel: &Cancel{Key: "a/x"}})
+	d.must(404, &Command{At: 2000, CancelJob: &CancelJob{Key: "a/x"}})
 	early := submission("a/x")
 	early.At = 2000 + holdMs - 1
-	if r := d.b.Apply(early); r.Status != 503 || r.Code != "just-cancelled" || r.Retry != 1 {
+	if r := d.b.Apply(early); r.Status != 503 || r.Code != "just-cancelled" || r.RetryAfter != 1 {
 		t.Errorf("a submission just after the cancel got %+v", r)
 	}
 	later := submission("a/x")
@@ -180,23 +180,23 @@
 	}
 
 	for i := 0; i < holdsMost; i++ {
-		d.must(404, &Command{Cancel: &Cancel{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
+		d.must(404, &Command{CancelJob: &CancelJob{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
 	}
-	d.must(503, &Command{Cancel: &Cancel{Key: "a/more"}})
-	d.must(404, &Command{Cancel: &Cancel{Key: "a/17"}})
-	if n := len(d.b.IDHolds); n != holdsMost {
+	d.must(503, &Command{CancelJob: &CancelJob{Key: "a/more"}})
+	d.must(404, &Command{CancelJob: &CancelJob{Key: "a/17"}})
+	if n := len(d.b.Tombstones); n != holdsMost {
 		t.Errorf("%d ids are held, want %d at most", n, holdsMost)
 	}
-	d.must(404, &Command{At: later.At + 2*holdMs, Cancel: &Cancel{Key: "a/more"}})
+	d.must(404, &Command{At: later.At + 2*holdMs, CancelJob: &CancelJob{Key: "a/more"}})
 	for i := 0; i < holdsMost; i++ {
 		d.must(0, &Command{})
 	}
-	if n := len(d.b.IDHolds); n != 1 {
+	if n := len(d.b.Tombstones); n != 1 {
 		t.Errorf("%d ids are still held after their time", n)
 	}
 
 	former := newDeskAt(t, CatalogLevel)
-	former.must(404, &Command{Cancel: &Cancel{Key: "a/x"}})
+	former.must(404, &Command{CancelJob: &CancelJob{Key: "a/x"}})
 	former.must(201, submission("a/x"))
 }
 
@@ -206,10 +206,10 @@
 func TestClosingForgotten(t *testing.T) {
 	d := newDeskAt(t, ResendLevel)
 	reopen := func(domain identifier.Domain, id string) {
-		d.must(200, &Command{At: d.b.Now + 1, Close: &Close{Domain: domain, ID: id, Unseen: true}})
-		d.must(200, &Command{Reopen: &Reopen{Name: string(domain)}})
+		d.must(200, &Command{At: d.b.Now + 1, StartDrain: &StartDrain{Domain: domain, ID: id, AllowUnknown: true}})
+		d.must(200, &Command{EndDrain: &EndDrain{Name: string(domain)}})
 		for _, stage := range []Stage{Preopen, Opening, Postopen} {
-			d.b.Apply(&Command{Step: &Step{ID: id, From: stage}})
+			d.b.Apply(&Command{AdvanceDrain: &AdvanceDrain{ID: id, From: stage}})
 		}
 	}
 	reopen("north", "own")
--- a/internal/state/queue_test.go
+++ b/internal/state/queue_test.go
@@ -14,8 +14,8 @@
 func newQueues(t *testing.T) *desk {
 	d := newDesk(t, `{"a.weight":1}`)
 	d.b.Level = CatalogLevel
-	d.must(200, &Command{At: 2000, Catalog: &catalog.Change{Version: 3, Whole: true, Sum: "one",
-		Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Pool: "x", Tries: 2, Stretch: 2000, SetPoint: 1000, Timeout: 3000}},
+	d.must(200, &Command{At: 2000, ChangeCatalog: &catalog.Change{Version: 3, Whole: true, Checksum: "one",
+		Queues: []catalog.Queue{{Name: "q", Host: "h", Prefix: "/q/", Pool: "x", MaxAttempts: 2, LatencyFactor: 2000, LatencyTarget: 1000, Timeout: 3000}},
 		Pools:  []catalog.Pool{{Name: "x"}, {Name: "y"}}}})
 	for i := 5; i <= 9; i++ {
 		r := d.report(i, "a", false, 0)
@@ -23,7 +23,7 @@
 		if i == 9 {
 			r.Pool = "y"
 		}
-		d.must(200, &Command{Report: r})
+		d.must(200, &Command{ReportRunner: r})
 	}
 	return d
 }
@@ -32,21 +32,21 @@
 	d.Helper()
 	spec.Queue = "q"
 	for i := range spec.Steps {
-		spec.Steps[i].Defects, spec.Steps[i].Name = 1, fmt.Sprint("s", i)
+		spec.Steps[i].MaxDefects, spec.Steps[i].Name = 1, fmt.Sprint("s", i)
 		if spec.Steps[i].Demand == (job.Demand{}) {
-			spec.Steps[i].Demand = job.Demand{Milli: 1500, Mem: 10}
+			spec.Steps[i].Demand = job.Demand{MilliCores: 1500, Mem: 10}
 		}
-		if spec.Steps[i].Run == 0 {
-			spec.Steps[i].Run = 1000
+		if spec.Steps[i].ExpectedRun == 0 {
+			spec.Steps[i].ExpectedRun = 1000
 		}
 	}
-	d.must(201, &Command{Submit: &Submit{Key: key, Spec: spec}})
+	d.must(201, &Command{SubmitJob: &SubmitJob{Key: key, Spec: spec}})
 }
 
 func (d *desk) open(key identifier.JobKey) int {
 	var n int
-	for _, g := range d.b.Grants {
-		if g.Ref.Job == key {
+	for _, g := range d.b.Leases {
+		if g.Task.Job == key {
 			n++
 		}
 	}
@@ -57,7 +57,7 @@
 // a step on one of them, whatever a planner asks for.
 func TestQueueRoute(t *testing.T) {
 	d := newQueues(t)
-	d.queue("q/j", job.Spec{Steps: []job.Step{{Tasks: 6, Apart: 2}}})
+	d.queue("q/j", job.Spec{Steps: []job.Step{{Tasks: 6, MaxPerRunner: 2}}})
 	for _, on := range []identifier.Runner{"r1", "r9"} {
 		d.place("q/j", 0, []int{0}, on)
 	}
@@ -73,7 +73,7 @@
 	if n := d.open("q/j"); n != 2 {
 		t.Errorf("%d on a runner that may hold two", n)
 	}
-	d.hand("a/j", "a", job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1})
+	d.hand("a/j", "a", job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, ExpectedRun: 1})
 	d.place("a/j", 0, []int{0}, "r5")
 	if n := d.open("a/j"); n != 0 {
 		t.Error("a row's work went to a pool of the catalogue")
@@ -87,17 +87,17 @@
 	d := newQueues(t)
 	d.queue("q/j", job.Spec{Steps: []job.Step{{Tasks: 1}}})
 	ref := identifier.TaskRef{Job: "q/j"}
-	for i, how := range []How{EndDefect, EndStopped, EndLapsed, EndRefused, EndAlone, EndBroken} {
+	for i, how := range []Outcome{OutcomeDefect, OutcomeStopped, OutcomeLeaseLapsed, OutcomeRejected, OutcomeGangIncomplete, OutcomeGangBroken} {
 		d.place("q/j", 0, []int{0}, "r5")
-		g := d.b.Jobs["q/j"].Task(ref).Grant
-		if no := d.b.Grants[g].No; no != uint64(i+1) {
+		g := d.b.Jobs["q/j"].Task(ref).Lease
+		if no := d.b.Leases[g].Attempt; no != uint64(i+1) {
 			t.Errorf("run %d is numbered %d", i+1, no)
 		}
 		d.end("r5", "a", g, ref, how)
 	}
 	d.state("q/j", "waiting")
 	d.place("q/j", 0, []int{0}, "r5")
-	d.end("r5", "a", d.b.Jobs["q/j"].Task(ref).Grant, ref, EndDefect)
+	d.end("r5", "a", d.b.Jobs["q/j"].Task(ref).Lease, ref, OutcomeDefect)
 	d.state("q/j", "failed")
 	d.place("q/j", 0, []int{0}, "r5")
 	if d.open("q/j") > 0 {
@@ -108,13 +108,13 @@
 	for run := 1; run <= 2; run++ {
 		d.place("q/g", 0, []int{0, 1}, "r5", "r6")
 		j := d.b.Jobs["q/g"]
-		a, b := j.Steps[0][0].Grant, j.Steps[0][1].Grant
-		if d.b.Grants[a].No != uint64(run) || d.b.Grants[b].No != uint64(run) {
-			t.Errorf("members of run %d are numbered %d and %d", run, d.b.Grants[a].No, d.b.Grants[b].No)
+		a, b := j.Steps[0][0].Lease, j.Steps[0][1].Lease
+		if d.b.Leases[a].Attempt != uint64(run) || d.b.Leases[b].Attempt != uint64(run) {
+			t.Errorf("members of run %d are numbered %d and %d", run, d.b.Leases[a].Attempt, d.b.Leases[b].Attempt)
 		}
-		d.end("r5", "a", a, identifier.TaskRef{Job: "q/g"}, EndDefect)
-		d.end("r6", "a", b, identifier.TaskRef{Job: "q/g", Num: 1}, EndDefect)
-		if run == 1 && j.Fail != "" {
+		d.end("r5", "a", a, identifier.TaskRef{Job: "q/g"}, OutcomeDefect)
+		d.end("r6", "a", b, identifier.TaskRef{Job: "q/g", Num: 1}, OutcomeDefect)
+		if run == 1 && j.Failure != "" {
 			t.Error("one failed run of a gang counted twice")
 		}
 	}
@@ -132,17 +132,17 @@
 	if d.open("q/g") != 2 {
 		t.Fatalf("%d open, want the gang alone", d.open("q/g"))
 	}
-	b := j.Steps[0][1].Grant
-	d.end("r5", "a", j.Steps[0][0].Grant, identifier.TaskRef{Job: "q/g"}, EndWell)
-	if !j.Met(1) {
+	b := j.Steps[0][1].Lease
+	d.end("r5", "a", j.Steps[0][0].Lease, identifier.TaskRef{Job: "q/g"}, OutcomeSuccess)
+	if !j.DependenciesMet(1) {
 		t.Error("a gang that ended well holds up what comes after it")
 	}
-	d.end("r6", "a", b, identifier.TaskRef{Job: "q/g", Num: 1}, EndBroken)
-	if s := j.Steps[0][1].State; s != Well {
+	d.end("r6", "a", b, identifier.TaskRef{Job: "q/g", Num: 1}, OutcomeGangBroken)
+	if s := j.Steps[0][1].State; s != Succeeded {
 		t.Errorf("the other member is %s", s)
 	}
 	d.place("q/g", 1, []int{0}, "r5")
-	d.end("r5", "a", j.Steps[1][0].Grant, identifier.TaskRef{Job: "q/g", Step: 1}, EndWell)
+	d.end("r5", "a", j.Steps[1][0].Lease, identifier.TaskRef{Job: "q/g", Step: 1}, OutcomeSuccess)
 	d.state("q/g", "well")
 }
 
@@ -151,14 +151,14 @@
 // ends them all and begins no more.
 func TestTimes(t *testing.T) {
 	d := newQueues(t)
-	d.queue("q/r", job.Spec{Repeat: &job.Repeat{Times: 3, First: 10000, Every: 1000}, Steps: []job.Step{{Tasks: 1}}})
-	d.queue("q/c", job.Spec{Repeat: &job.Repeat{Times: 100000, First: 10000, Every: 1000}, Steps: []job.Step{{Tasks: 1}}})
+	d.queue("q/r", job.Spec{Repeat: &job.Repeat{Count: 3, First: 10000, Every: 1000}, Steps: []job.Step{{Tasks: 1}}})
+	d.queue("q/c", job.Spec{Repeat: &job.Repeat{Count: 100000, First: 10000, Every: 1000}, Steps: []job.Step{{Tasks: 1}}})
 	if n := len(d.b.Jobs); n != 2 {
 		t.Errorf("%d jobs before any time is due", n)
 	}
 	d.b.Apply(&Command{At: 9999})
 	d.state("q/r", "waiting")
-	if at, ok := d.b.NextStart(); !ok || at != 10000 {
+	if at, ok := d.b.NextScheduledStart(); !ok || at != 10000 {
 		t.Errorf("next start at %d %v", at, ok)
 	}
 	d.b.Apply(&Command{At: 11500})
@@ -166,14 +166,14 @@
 	if d.b.Jobs["q/r.0"] == nil || d.b.Jobs["q/r.1"] == nil || d.b.Jobs["q/r.2"] != nil {
 		t.Error("at 11.5 s times 0 and 1 are to be there, and 2 is not")
 	}
-	if due := d.b.Jobs["q/r.1"].Terms.Due; due != 11000+2*1000+1000 {
+	if due := d.b.Jobs["q/r.1"].Terms.DueAt; due != 11000+2*1000+1000 {
 		t.Errorf("time 1 is due at %d", due)
 	}
 	back, err := Decode(d.b.Encode())
-	if err != nil || back.Queued("q") != 2 || back.Jobs["q/r"].kids != 2 {
-		t.Errorf("read back: %v, %d queued", err, back.Queued("q"))
+	if err != nil || back.QueuedJobs("q") != 2 || back.Jobs["q/r"].kids != 2 {
+		t.Errorf("read back: %v, %d queued", err, back.QueuedJobs("q"))
 	}
-	d.must(200, &Command{Cancel: &Cancel{Key: "q/c"}})
+	d.must(200, &Command{CancelJob: &CancelJob{Key: "q/c"}})
 	d.b.Apply(&Command{At: 60000})
 	d.state("q/c", "cancelled")
 	if d.b.Jobs["q/c.2"] != nil {
@@ -183,13 +183,13 @@
 		key := identifier.JobKey(fmt.Sprintf("q/r.%d", k))
 		d.state("q/r", "running")
 		d.place(key, 0, []int{0}, "r5")
-		d.end("r5", "a", d.b.Jobs[key].Steps[0][0].Grant, identifier.TaskRef{Job: key}, EndWell)
+		d.end("r5", "a", d.b.Jobs[key].Steps[0][0].Lease, identifier.TaskRef{Job: key}, OutcomeSuccess)
 	}
 	d.state("q/r", "well")
-	if n := d.b.Queued("q"); n != 0 {
+	if n := d.b.QueuedJobs("q"); n != 0 {
 		t.Errorf("%d jobs are left in the queue", n)
 	}
-	if r := d.b.Apply(&Command{Submit: &Submit{Key: "q/z.1", Spec: job.Spec{Queue: "q", Steps: []job.Step{{Name: "s", Tasks: 1}}}}}); r.Status != 422 {
+	if r := d.b.Apply(&Command{SubmitJob: &SubmitJob{Key: "q/z.1", Spec: job.Spec{Queue: "q", Steps: []job.Step{{Name: "s", Tasks: 1}}}}}); r.Status != 422 {
 		t.Errorf("a job named as a time of another got %d", r.Status)
 	}
 }
@@ -198,15 +198,15 @@
 // job is not cancelled.
 func TestLasting(t *testing.T) {
 	d := newQueues(t)
-	d.queue("q/l", job.Spec{Steps: []job.Step{{Tasks: 1, Lasting: true}}})
-	for _, how := range []How{EndDefect, EndDefect, EndDefect, EndWell, EndLapsed} {
+	d.queue("q/l", job.Spec{Steps: []job.Step{{Tasks: 1, Service: true}}})
+	for _, how := range []Outcome{OutcomeDefect, OutcomeDefect, OutcomeDefect, OutcomeSuccess, OutcomeLeaseLapsed} {
 		d.place("q/l", 0, []int{0}, "r5")
-		d.end("r5", "a", d.b.Jobs["q/l"].Steps[0][0].Grant, identifier.TaskRef{Job: "q/l"}, how)
+		d.end("r5", "a", d.b.Jobs["q/l"].Steps[0][0].Lease, identifier.TaskRef{Job: "q/l"}, how)
 		if s := d.b.Jobs["q/l"].Steps[0][0].State; s != Waiting {
 			t.Fatalf("after %s it is %s", how, s)
 		}
 	}
-	d.must(200, &Command{Cancel: &Cancel{Key: "q/l"}})
+	d.must(200, &Command{CancelJob: &CancelJob{Key: "q/l"}})
 	d.state("q/l", "cancelled")
 }
 
@@ -215,21 +215,21 @@
 // another task's.
 func TestSaved(t *testing.T) {
 	d := newQueues(t)
-	d.queue("q/s", job.Spec{Steps: []job.Step{{Tasks: 2, Saves: true}, {Tasks: 2, Saves: true, Gang: true}, {Tasks: 1}}})
+	d.queue("q/s", job.Spec{Steps: []job.Step{{Tasks: 2, Checkpoints: true}, {Tasks: 2, Checkpoints: true, Gang: true}, {Tasks: 1}}})
 	j := d.b.Jobs["q/s"]
 	d.place("q/s", 0, []int{0}, "r5")
-	d.must(0, &Command{Ends: &Ends{Runner: "r5", Inc: "a", List: []End{{Grant: j.Steps[0][0].Grant, Ref: identifier.TaskRef{Job: "q/s"}, How: EndStopped, Saved: "half"}}}})
-	if j.Steps[0][0].Saved != "half" || j.Steps[0][1].Saved != "" {
-		t.Errorf("saved %q and %q", j.Steps[0][0].Saved, j.Steps[0][1].Saved)
+	d.must(0, &Command{ReportEnds: &ReportEnds{Runner: "r5", Incarnation: "a", Ends: []End{{Lease: j.Steps[0][0].Lease, Task: identifier.TaskRef{Job: "q/s"}, Outcome: OutcomeStopped, Checkpoint: "half"}}}})
+	if j.Steps[0][0].Checkpoint != "half" || j.Steps[0][1].Checkpoint != "" {
+		t.Errorf("saved %q and %q", j.Steps[0][0].Checkpoint, j.Steps[0][1].Checkpoint)
 	}
 	d.place("q/s", 1, []int{0, 1}, "r5", "r6")
-	d.must(0, &Command{Lost: &Lost{Runner: "r6", Inc: "a", Saves: []Save{{Grant: j.Steps[1][1].Grant, Saved: "third"}}}})
-	if j.Steps[1][0].Saved != "third" || j.Steps[1][1].Saved != "third" {
-		t.Errorf("the gang has %q and %q", j.Steps[1][0].Saved, j.Steps[1][1].Saved)
+	d.must(0, &Command{LoseRunner: &LoseRunner{Runner: "r6", Incarnation: "a", Checkpoints: []Checkpoint{{Lease: j.Steps[1][1].Lease, Data: "third"}}}})
+	if j.Steps[1][0].Checkpoint != "third" || j.Steps[1][1].Checkpoint != "third" {
+		t.Errorf("the gang has %q and %q", j.Steps[1][0].Checkpoint, j.Steps[1][1].Checkpoint)
 	}
 	d.place("q/s", 2, []int{0}, "r7")
-	d.must(0, &Command{Ends: &Ends{Runner: "r7", Inc: "a", List: []End{{Grant: j.Steps[2][0].Grant, Ref: identifier.TaskRef{Job: "q/s", Step: 2}, How: EndStopped, Saved: "odd"}}}})
-	if j.Steps[2][0].Saved != "" {
+	d.must(0, &Command{ReportEnds: &ReportEnds{Runner: "r7", Incarnation: "a", Ends: []End{{Lease: j.Steps[2][0].Lease, Task: identifier.TaskRef{Job: "q/s", Step: 2}, Outcome: OutcomeStopped, Checkpoint: "odd"}}}})
+	if j.Steps[2][0].Checkpoint != "" {
 		t.Error("progress is kept for a step that saves none")
 	}
 }
@@ -241,22 +241,22 @@
 	d.queue("q/w", job.Spec{Steps: []job.Step{{Tasks: 1}}})
 	j, ref := d.b.Jobs["q/w"], identifier.TaskRef{Job: "q/w"}
 	d.place("q/w", 0, []int{0}, "r5")
-	first := j.Steps[0][0].Grant
-	d.must(0, &Command{Lost: &Lost{Runner: "r5", Inc: "a"}})
+	first := j.Steps[0][0].Lease
+	d.must(0, &Command{LoseRunner: &LoseRunner{Runner: "r5", Incarnation: "a"}})
 	d.place("q/w", 0, []int{0}, "r6")
-	if id, _, ok := d.b.Resolve("r5", "a", identifier.TaskRef{Job: "q/w.0"}, 1); !ok || id != first {
+	if id, _, ok := d.b.ResolveRun("r5", "a", identifier.TaskRef{Job: "q/w.0"}, 1); !ok || id != first {
 		t.Errorf("run 1 is grant %d %v, want %d", id, ok, first)
 	}
-	if !d.b.Hears("r5", "a", first, ref) {
+	if !d.b.AcceptsEnd("r5", "a", first, ref) {
 		t.Error("the late end is no news")
 	}
-	second := j.Steps[0][0].Grant
-	d.end("r5", "a", first, ref, EndWell)
-	if g := d.b.Grants[second]; g == nil || g.Stop != StopDone {
+	second := j.Steps[0][0].Lease
+	d.end("r5", "a", first, ref, OutcomeSuccess)
+	if g := d.b.Leases[second]; g == nil || g.RevokeReason != RevokeDoneElsewhere {
 		t.Errorf("the other run: %+v", g)
 	}
 	d.state("q/w", "running")
-	d.end("r6", "a", second, ref, EndStopped)
+	d.end("r6", "a", second, ref, OutcomeStopped)
 	d.state("q/w", "well")
 }
 
@@ -265,20 +265,20 @@
 func TestCatalogRace(t *testing.T) {
 	d := newQueues(t)
 	change := func(base, version uint64, sum string) *catalog.Change {
-		return &catalog.Change{Base: base, Version: version, Sum: sum, Queues: []catalog.Queue{{Name: sum, Host: "h", Prefix: "/" + sum, Pool: "x", Timeout: 1}}}
-	}
-	d.must(200, &Command{Catalog: change(3, 7, "a")})
-	d.must(412, &Command{Catalog: change(3, 9, "b")})
-	d.must(200, &Command{Catalog: change(7, 8, "c")})
-	d.must(200, &Command{Catalog: change(3, 7, "a")})
-	d.must(412, &Command{Catalog: change(3, 7, "other")})
-	d.must(422, &Command{Catalog: change(8, 8, "d")})
+		return &catalog.Change{Base: base, Version: version, Checksum: sum, Queues: []catalog.Queue{{Name: sum, Host: "h", Prefix: "/" + sum, Pool: "x", Timeout: 1}}}
+	}
+	d.must(200, &Command{ChangeCatalog: change(3, 7, "a")})
+	d.must(412, &Command{ChangeCatalog: change(3, 9, "b")})
+	d.must(200, &Command{ChangeCatalog: change(7, 8, "c")})
+	d.must(200, &Command{ChangeCatalog: change(3, 7, "a")})
+	d.must(412, &Command{ChangeCatalog: change(3, 7, "other")})
+	d.must(422, &Command{ChangeCatalog: change(8, 8, "d")})
 	bad := change(8, 12, "e")
 	bad.Queues[0].Pool = "nowhere"
-	d.must(422, &Command{Catalog: bad})
+	d.must(422, &Command{ChangeCatalog: bad})
 	same := change(8, 12, "f")
 	same.Queues[0].Prefix = "/a"
-	d.must(422, &Command{Catalog: same})
+	d.must(422, &Command{ChangeCatalog: same})
 	if c := d.b.Catalog; c.Version != 8 || len(c.Queues) != 3 || c.Queue("b") != nil || c.Queue("e") != nil {
 		t.Errorf("in force: %+v", c)
 	}
@@ -289,16 +289,16 @@
 func TestChain(t *testing.T) {
 	d := newDesk(t, `{"a.onOutage":"push","a.weight":1}`)
 	d.b.Level = CatalogLevel
-	d.hand("a/x", "a", job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Run: 1})
+	d.hand("a/x", "a", job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, ExpectedRun: 1})
 	d.place("a/x", 0, []int{0}, "r1")
-	d.must(200, &Command{Close: &Close{Domain: "north"}})
-	for _, c := range d.b.Closings {
-		c.Judged, c.Fits = true, false
-	}
-	g := d.b.Jobs["a/x"].Steps[0][0].Grant
-	d.must(0, &Command{Recall: &Recall{Grants: []identifier.LeaseID{g}, Why: StopPush}})
-	d.end("r1", "a", g, identifier.TaskRef{Job: "a/x"}, EndStopped)
-	if c := d.b.Jobs["a/x"].Steps[0][0].Closing; c == "" {
+	d.must(200, &Command{StartDrain: &StartDrain{Domain: "north"}})
+	for _, c := range d.b.Drains {
+		c.PreflightDone, c.Fits = true, false
+	}
+	g := d.b.Jobs["a/x"].Steps[0][0].Lease
+	d.must(0, &Command{RevokeLeases: &RevokeLeases{Leases: []identifier.LeaseID{g}, Reason: RevokePreempted}})
+	d.end("r1", "a", g, identifier.TaskRef{Job: "a/x"}, OutcomeStopped)
+	if c := d.b.Jobs["a/x"].Steps[0][0].DisplacedBy; c == "" {
 		t.Error("what was pushed out has lost its right to push")
 	}
 }
--- a/internal/state/report.go
+++ b/internal/state/report.go
@@ -6,26 +6,26 @@
 	"orchidward/internal/api/identifier"
 )
 
-func (b *Book) report(p *Report) Result {
+func (b *Store) report(p *ReportRunner) Result {
 	one := b.Runners[p.Runner]
 	switch {
 	case one == nil && len(b.Runners) >= MaxRunners:
-		return Result{Status: 503, Code: "runners-full", Why: "no room for another runner", Retry: 60000}
+		return Result{Status: 503, Code: "runners-full", Message: "no room for another runner", RetryAfter: 60000}
 	case one == nil:
-		one = &Runner{Name: p.Runner, Inc: p.Inc, grants: map[identifier.LeaseID]*Grant{}}
+		one = &Runner{Name: p.Runner, Incarnation: p.Incarnation, grants: map[identifier.LeaseID]*Lease{}}
 		b.Runners[p.Runner] = one
 		b.enlist(p.Runner)
-	case one.Was(p.Inc):
+	case one.WasIncarnation(p.Incarnation):
 		return refuse(409, "old-incarnation", "a newer incarnation of this runner has reported")
-	case one.Inc != p.Inc:
-		b.saves(p.Saves, one)
+	case one.Incarnation != p.Incarnation:
+		b.saves(p.Checkpoints, one)
 		b.lose(one)
-		one.renew(p.Inc)
+		one.renew(p.Incarnation)
 		b.free(one.Name)
 	}
-	one.Cap, one.Labels, one.Domain, one.Rack = p.Cap, p.Labels, p.Domain, p.Rack
-	one.Drain, one.Depart, one.Gone, one.Pool = p.Drain, p.Depart, false, p.Pool
-	one.Addr = p.Addr
+	one.Capacity, one.Labels, one.Domain, one.Rack = p.Capacity, p.Labels, p.Domain, p.Rack
+	one.Draining, one.DepartsAt, one.Gone, one.Pool = p.Draining, p.DepartsAt, false, p.Pool
+	one.AgentAddr = p.AgentAddr
 	b.hot[p.Runner] = true
 	b.racks()
 	return Result{Status: 200}
@@ -33,20 +33,20 @@
 
 // free lets tasks held for a runner go: its new incarnation has answered, and
 // remembers nothing.
-func (b *Book) free(name identifier.Runner) {
+func (b *Store) free(name identifier.Runner) {
 	b.each(func(j *Job, ref identifier.TaskRef, t *Task) {
-		if t.State == Held && t.On == name {
+		if t.State == AwaitingRunner && t.LastRunner == name {
 			b.set(j, ref, Waiting)
-			t.Why = ""
+			t.Reason = ""
 		}
 	})
 }
 
 // each visits the tasks of every unfinished job in order of age of key.
-func (b *Book) each(do func(j *Job, ref identifier.TaskRef, t *Task)) {
+func (b *Store) each(do func(j *Job, ref identifier.TaskRef, t *Task)) {
 	for _, key := range b.names.Keys() {
 		j := b.Jobs[key.(identifier.JobKey)]
-		if j.End != "" {
+		if j.EndState != "" {
 			continue
 		}
 		for i, tasks := range j.Steps {
--- a/internal/state/resend_test.go
+++ b/internal/state/resend_test.go
@@ -22,7 +22,7 @@
 func changeTo(t *testing.T, base, version uint64) *catalog.Change {
 	var c *catalog.Change
 	t.Helper()
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	text := fmt.Sprintf(`{"base":%d,"version":%d,"put":{"pools":[{"name":"x"}]}}`, base, version)
 	if c = catalog.ReadPatch([]byte(text), &f); f.Any() {
 		t.Fatal(f.List)
@@ -34,13 +34,13 @@
 func (d *desk) acceptChanges(first, last uint64) {
 	d.Helper()
 	for version := first + 1; version <= last; version++ {
-		d.must(200, &Command{Catalog: changeTo(d.T, version-1, version)})
+		d.must(200, &Command{ChangeCatalog: changeTo(d.T, version-1, version)})
 	}
 }
 
 // resend sends the change from version-1 to version again.
 func (d *desk) resend(version uint64) Result {
-	return d.b.Apply(&Command{Catalog: changeTo(d.T, version-1, version)})
+	return d.b.Apply(&Command{ChangeCatalog: changeTo(d.T, version-1, version)})
 }
 
 func newDeskAt(t *testing.T, level uint16) *desk {
@@ -108,7 +108,7 @@
 		{"a number below its own base", 9, 5, 412},
 		{"an old number on the present base", last, 5, 422},
 	} {
-		if r := d.b.Apply(&Command{Catalog: changeTo(t, never.base, never.version)}); r.Status != never.want {
+		if r := d.b.Apply(&Command{ChangeCatalog: changeTo(t, never.base, never.version)}); r.Status != never.want {
 			t.Errorf("%s: %d %s, want %d", never.name, r.Status, r.Code, never.want)
 		}
 	}
@@ -123,7 +123,7 @@
 	if r := d.resend(last - formerMost); r.Status != 412 {
 		t.Errorf("at the former level a forgotten change got %d, want 412 as before", r.Status)
 	}
-	d.must(0, &Command{Raise: &Raise{Level: ResendLevel}})
+	d.must(0, &Command{RaiseLevel: &RaiseLevel{Level: ResendLevel}})
 	for pass := 0; pass < 2; pass++ {
 		for version := uint64(1); version <= last; version++ {
 			want := 200
@@ -134,7 +134,7 @@
 				t.Fatalf("after the raise change %d sent again got %d, want %d", version, r.Status, want)
 			}
 		}
-		d.must(412, &Command{Catalog: changeTo(t, last-10, last-8)})
+		d.must(412, &Command{ChangeCatalog: changeTo(t, last-10, last-8)})
 		d.reload()
 	}
 	d.acceptChanges(last, last+formerMost+1)
@@ -144,9 +144,9 @@
 
 	few := newDeskAt(t, CatalogLevel)
 	few.acceptChanges(0, formerMost-1)
-	few.must(0, &Command{Raise: &Raise{Level: ResendLevel}})
-	few.must(200, &Command{Catalog: changeTo(t, 0, 1)})
-	few.must(412, &Command{Catalog: changeTo(t, 1, 3)})
+	few.must(0, &Command{RaiseLevel: &RaiseLevel{Level: ResendLevel}})
+	few.must(200, &Command{ChangeCatalog: changeTo(t, 0, 1)})
+	few.must(412, &Command{ChangeCatalog: changeTo(t, 1, 3)})
 }
 
 // TestSameTextOtherVerb: a text that may be read as a whole catalogue and as a
@@ -154,14 +154,14 @@
 func TestSameTextOtherVerb(t *testing.T) {
 	d := newDeskAt(t, ResendLevel)
 	d.acceptChanges(0, 3)
-	var f jsondoc.Faults
+	var f jsondoc.FieldErrors
 	text := []byte(`{"base":3,"version":4}`)
 	replace, patch := catalog.ReadWhole(text, &f), catalog.ReadPatch(text, &f)
-	d.must(200, &Command{Catalog: patch})
-	if r := d.b.Apply(&Command{Catalog: replace}); r.Status == 200 {
+	d.must(200, &Command{ChangeCatalog: patch})
+	if r := d.b.Apply(&Command{ChangeCatalog: replace}); r.Status == 200 {
 		t.Error("two operators were confirmed under one number: a patch, and a whole catalogue of the same text")
 	}
-	d.must(200, &Command{Catalog: patch})
+	d.must(200, &Command{ChangeCatalog: patch})
 }
 
 // TestCopyAheadOfItsBase: a change numbered ahead, on a base that is not yet in
@@ -170,8 +170,8 @@
 func TestCopyAheadOfItsBase(t *testing.T) {
 	d := newDeskAt(t, ResendLevel)
 	d.acceptChanges(0, 3)
-	ahead := &Command{Catalog: changeTo(t, 4, 5)}
+	ahead := &Command{ChangeCatalog: changeTo(t, 4, 5)}
 	d.must(412, ahead)
-	d.must(200, &Command{Catalog: changeTo(t, 3, 4)})
+	d.must(200, &Command{ChangeCatalog: changeTo(t, 3, 4)})
 	d.must(200, ahead)
 }
--- a/internal/state/runner.go
+++ b/internal/state/runner.go
@@ -14,24 +14,24 @@
 // runners were counted lost and have not reported since. Depart is when the
 // runner means to leave, in cluster time.
 type Runner struct {
-	Name   identifier.Runner        `json:"name"`
-	Inc    identifier.Incarnation   `json:"inc"`
-	Cap    job.Demand               `json:"cap"`
-	Labels []identifier.Label       `json:"labels,omitempty"`
-	Domain identifier.Domain        `json:"domain"`
-	Rack   identifier.Rack          `json:"rack"`
-	Drain  bool                     `json:"draining,omitempty"`
-	Depart clock.ClusterTime        `json:"departsAt,omitempty"`
-	Gone   bool                     `json:"gone,omitempty"`
-	Past   []identifier.Incarnation `json:"past,omitempty"`
-	Good   int64                    `json:"good"`
-	Bad    int64                    `json:"bad"`
-	Pool   string                   `json:"pool,omitempty"`
-	// Addr is where the agent that speaks for it listens, if one does.
-	Addr string `json:"addr,omitempty"`
+	Name             identifier.Runner        `json:"name"`
+	Incarnation      identifier.Incarnation   `json:"inc"`
+	Capacity         job.Demand               `json:"cap"`
+	Labels           []identifier.Label       `json:"labels,omitempty"`
+	Domain           identifier.Domain        `json:"domain"`
+	Rack             identifier.Rack          `json:"rack"`
+	Draining         bool                     `json:"draining,omitempty"`
+	DepartsAt        clock.ClusterTime        `json:"departsAt,omitempty"`
+	Gone             bool                     `json:"gone,omitempty"`
+	PastIncarnations []identifier.Incarnation `json:"past,omitempty"`
+	Successes        int64                    `json:"good"`
+	Defects          int64                    `json:"bad"`
+	Pool             string                   `json:"pool,omitempty"`
+	// AgentAddr is where the agent that speaks for it listens, if one does.
+	AgentAddr string `json:"addr,omitempty"`
 
 	used   job.Demand
-	grants map[identifier.LeaseID]*Grant
+	grants map[identifier.LeaseID]*Lease
 	fence  string
 }
 
@@ -40,17 +40,17 @@
 
 // Free is the capacity less what open leases take. It can be negative when the
 // runner has reported a smaller capacity since.
-func (r *Runner) Free() job.Demand { return r.Cap.Minus(r.used) }
+func (r *Runner) Free() job.Demand { return r.Capacity.Minus(r.used) }
 
-// Fence is the id of the drain that cordons the runner, empty when none does.
-func (r *Runner) Fence() string { return r.fence }
+// CordonedBy is the id of the drain that cordons the runner, empty when none does.
+func (r *Runner) CordonedBy() string { return r.fence }
 
-// Open is the number of open leases, revoked ones included.
-func (r *Runner) Open() int { return len(r.grants) }
+// OpenLeases is the number of open leases, revoked ones included.
+func (r *Runner) OpenLeases() int { return len(r.grants) }
 
-// Was tells whether inc is one this runner has left behind.
-func (r *Runner) Was(inc identifier.Incarnation) bool {
-	for _, p := range r.Past {
+// WasIncarnation tells whether inc is one this runner has left behind.
+func (r *Runner) WasIncarnation(inc identifier.Incarnation) bool {
+	for _, p := range r.PastIncarnations {
 		if p == inc {
 			return true
 		}
@@ -61,22 +61,22 @@
 const incKept = 16
 
 func (r *Runner) renew(inc identifier.Incarnation) {
-	r.Past = append(r.Past, r.Inc)
-	if len(r.Past) > incKept {
-		r.Past = r.Past[len(r.Past)-incKept:]
+	r.PastIncarnations = append(r.PastIncarnations, r.Incarnation)
+	if len(r.PastIncarnations) > incKept {
+		r.PastIncarnations = r.PastIncarnations[len(r.PastIncarnations)-incKept:]
 	}
-	r.Inc = inc
+	r.Incarnation = inc
 }
 
 // mark keeps the standing: recent outcomes weigh more, since both tallies are
 // halved whenever they grow past a bound.
 func (r *Runner) mark(good bool) {
 	if good {
-		r.Good++
+		r.Successes++
 	} else {
-		r.Bad++
+		r.Defects++
 	}
-	if r.Good+r.Bad > 64 {
-		r.Good, r.Bad = r.Good/2, r.Bad/2
+	if r.Successes+r.Defects > 64 {
+		r.Successes, r.Defects = r.Successes/2, r.Defects/2
 	}
 }
--- a/internal/state/sum.go
+++ b/internal/state/sum.go
@@ -6,8 +6,8 @@
 
 import "hash/fnv"
 
-// Present is the level of commands and rules that this program knows.
-const Present uint16 = 4
+// SupportedLevel is the level of commands and rules that this program knows.
+const SupportedLevel uint16 = 4
 
 // PolicyLevel is the level from which on a table may hold policies.
 const PolicyLevel uint16 = 2
@@ -23,13 +23,13 @@
 
 const prime = 1099511628211
 
-func (b *Book) fold(list ...uint64) {
+func (b *Store) fold(list ...uint64) {
 	if b.Level < 1 {
 		return
 	}
 	for _, n := range list {
-		b.Sum = (b.Sum ^ n) * prime
-		b.Sum ^= b.Sum >> 29
+		b.Checksum = (b.Checksum ^ n) * prime
+		b.Checksum ^= b.Checksum >> 29
 	}
 }
 
--- a/internal/state/tally.go
+++ b/internal/state/tally.go
@@ -5,7 +5,7 @@
 
 import "orchidward/internal/api/identifier"
 
-func (b *Book) tally(j *Job, step int, s State, n int) {
+func (b *Store) tally(j *Job, step int, s TaskState, n int) {
 	c := &j.count[step]
 	switch {
 	case s == Waiting:
@@ -14,16 +14,16 @@
 		c.placed += n
 	case s.Ended():
 		c.ended += n
-		if s == Well {
+		if s == Succeeded {
 			c.well += n
 		}
 	}
 	if s.Unplaced() {
-		b.waiting[j.Spec.Pending] += int64(n)
+		b.waiting[j.Spec.Row] += int64(n)
 	}
 }
 
-func (b *Book) set(j *Job, r identifier.TaskRef, s State) {
+func (b *Store) set(j *Job, r identifier.TaskRef, s TaskState) {
 	t := j.Task(r)
 	b.tally(j, r.Step, t.State, -1)
 	t.State = s
@@ -36,21 +36,21 @@
 
 // index puts the job on the lane it belongs on, or on none, and ends it once
 // nothing of it is left to do.
-func (b *Book) index(j *Job) {
+func (b *Store) index(j *Job) {
 	want := false
 	for i := range j.Steps {
 		want = want || j.Ready(i)
 	}
-	early := want && j.Start > b.Now
+	early := want && j.StartAt > b.Now
 	if early {
 		b.later.Add(j)
 	} else {
 		b.later.Remove(j)
 	}
-	l := b.lanes[j.Spec.Pending]
+	l := b.lanes[j.Spec.Row]
 	if l == nil {
 		l = newLane()
-		b.lanes[j.Spec.Pending] = l
+		b.lanes[j.Spec.Row] = l
 	}
 	switch {
 	case want && !early && j.lane == nil:
@@ -62,49 +62,49 @@
 	}
 }
 
-func (b *Book) openGrant(g *Grant) {
+func (b *Store) openGrant(g *Lease) {
 	r := b.Runners[g.Runner]
 	b.hot[g.Runner] = true
-	b.fold(uint64(g.ID), text(string(g.Runner)), text(string(g.Inc)))
-	b.Grants[g.ID] = g
+	b.fold(uint64(g.ID), text(string(g.Runner)), text(string(g.Incarnation)))
+	b.Leases[g.ID] = g
 	r.grants[g.ID] = g
 	r.used = r.used.Plus(g.Demand)
 	b.inUse[g.Row] = b.inUse[g.Row].Plus(g.Demand)
-	b.Jobs[g.Ref.Job].open++
+	b.Jobs[g.Task.Job].open++
 }
 
-func (b *Book) dropGrant(g *Grant) {
+func (b *Store) dropGrant(g *Lease) {
 	r := b.Runners[g.Runner]
 	b.hot[g.Runner] = true
-	b.fold(uint64(g.ID), text(g.Stop))
-	delete(b.Grants, g.ID)
+	b.fold(uint64(g.ID), text(g.RevokeReason))
+	delete(b.Leases, g.ID)
 	delete(r.grants, g.ID)
 	r.used = r.used.Minus(g.Demand)
 	b.inUse[g.Row] = b.inUse[g.Row].Minus(g.Demand)
-	b.Jobs[g.Ref.Job].open--
+	b.Jobs[g.Task.Job].open--
 }
 
 // tie marks a task as displaced by a closing; displaced work bids first.
-func (b *Book) tie(j *Job, t *Task, closing string) {
-	if t.Closing == "" {
+func (b *Store) tie(j *Job, t *Task, closing string) {
+	if t.DisplacedBy == "" {
 		j.moved++
 		b.moved.Add(j)
 	}
-	t.Closing = closing
+	t.DisplacedBy = closing
 }
 
-func (b *Book) untie(j *Job, t *Task) {
-	if t.Closing == "" {
+func (b *Store) untie(j *Job, t *Task) {
+	if t.DisplacedBy == "" {
 		return
 	}
-	t.Closing = ""
+	t.DisplacedBy = ""
 	if j.moved--; j.moved == 0 {
 		b.moved.Remove(j)
 	}
 }
 
-// Moved lists the jobs with displaced tasks, oldest first.
-func (b *Book) Moved() []*Job {
+// DisplacedJobs lists the jobs with displaced tasks, oldest first.
+func (b *Store) DisplacedJobs() []*Job {
 	var out []*Job
 	for _, v := range b.moved.Values() {
 		out = append(out, v.(*Job))
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -10,45 +10,45 @@
 // that displaced it; On is the runner of its last lease; Past are the leases
 // counted lost, newest last, at most pastKept of them.
 type Task struct {
-	State   State                `json:"state"`
-	Defects int64                `json:"defects,omitempty"`
-	Grant   identifier.LeaseID   `json:"grant,omitempty"`
-	Shun    identifier.Runner    `json:"shun,omitempty"`
-	Closing string               `json:"closing,omitempty"`
-	Past    []identifier.LeaseID `json:"past,omitempty"`
-	On      identifier.Runner    `json:"on,omitempty"`
-	Why     string               `json:"why,omitempty"`
-	// No is the number of the last run, PastNo those of the grants in Past, Bad
+	State       TaskState            `json:"state"`
+	Defects     int64                `json:"defects,omitempty"`
+	Lease       identifier.LeaseID   `json:"grant,omitempty"`
+	AvoidRunner identifier.Runner    `json:"shun,omitempty"`
+	DisplacedBy string               `json:"closing,omitempty"`
+	LostLeases  []identifier.LeaseID `json:"past,omitempty"`
+	LastRunner  identifier.Runner    `json:"on,omitempty"`
+	Reason      string               `json:"why,omitempty"`
+	// Attempt is the number of the last run, LostAttempts those of the grants in Past, Bad
 	// the last run that counted as a defect, Saved the progress to go on from.
-	No     uint64   `json:"no,omitempty"`
-	PastNo []uint64 `json:"pastNo,omitempty"`
-	Bad    uint64   `json:"bad,omitempty"`
-	Saved  string   `json:"saved,omitempty"`
+	Attempt              uint64   `json:"no,omitempty"`
+	LostAttempts         []uint64 `json:"pastNo,omitempty"`
+	LastDefectiveAttempt uint64   `json:"bad,omitempty"`
+	Checkpoint           string   `json:"saved,omitempty"`
 }
 
 const pastKept = 8
 
-func (t *Task) lose(g *Grant) {
-	t.Past = append(t.Past, g.ID)
-	if len(t.Past) > pastKept {
-		t.Past = t.Past[len(t.Past)-pastKept:]
+func (t *Task) lose(g *Lease) {
+	t.LostLeases = append(t.LostLeases, g.ID)
+	if len(t.LostLeases) > pastKept {
+		t.LostLeases = t.LostLeases[len(t.LostLeases)-pastKept:]
 	}
-	if g.No == 0 {
+	if g.Attempt == 0 {
 		return
 	}
-	t.PastNo = append(t.PastNo, g.No)
-	if len(t.PastNo) > pastKept {
-		t.PastNo = t.PastNo[len(t.PastNo)-pastKept:]
+	t.LostAttempts = append(t.LostAttempts, g.Attempt)
+	if len(t.LostAttempts) > pastKept {
+		t.LostAttempts = t.LostAttempts[len(t.LostAttempts)-pastKept:]
 	}
 }
 
 // recall takes a past grant off the list and tells whether it was there.
 func (t *Task) recall(g identifier.LeaseID) bool {
-	for i, p := range t.Past {
+	for i, p := range t.LostLeases {
 		if p == g {
-			t.Past = append(append([]identifier.LeaseID(nil), t.Past[:i]...), t.Past[i+1:]...)
-			if i < len(t.PastNo) {
-				t.PastNo = append(append([]uint64(nil), t.PastNo[:i]...), t.PastNo[i+1:]...)
+			t.LostLeases = append(append([]identifier.LeaseID(nil), t.LostLeases[:i]...), t.LostLeases[i+1:]...)
+			if i < len(t.LostAttempts) {
+				t.LostAttempts = append(append([]uint64(nil), t.LostAttempts[:i]...), t.LostAttempts[i+1:]...)
 			}
 			return true
 		}
--- a/internal/state/times.go
+++ b/internal/state/times.go
@@ -13,11 +13,11 @@
 // mostSpawn bounds the times that one entry begins.
 const mostSpawn = 64
 
-func (j *Job) nextTime() clock.ClusterTime { return j.Spec.Repeat.At(j.Times) }
+func (j *Job) nextTime() clock.ClusterTime { return j.Spec.Repeat.DueAt(j.Occurrences) }
 
 // timesOver tells whether every time has come and ended, or none is to come.
 func (j *Job) timesOver() bool {
-	return j.kids == 0 && (j.Cancel || j.Times >= j.Spec.Repeat.Times)
+	return j.kids == 0 && (j.Cancelled || j.Occurrences >= j.Spec.Repeat.Count)
 }
 
 func byDue(a, b any) int {
@@ -37,7 +37,7 @@
 }
 
 // spawn begins the times that have come.
-func (b *Book) spawn() {
+func (b *Store) spawn() {
 	for n := 0; n < mostSpawn; n++ {
 		it := b.due.Iterator()
 		if !it.Next() {
@@ -49,15 +49,15 @@
 			return
 		}
 		b.due.Remove(j)
-		kid := &Job{Key: timeKey(j.Key, j.Times), Seq: b.NextSeq, At: at, Spec: j.Spec, Parent: j.Key}
+		kid := &Job{Key: timeKey(j.Key, j.Occurrences), Seq: b.NextJobSeq, AcceptedAt: at, Spec: j.Spec, Parent: j.Key}
 		kid.Spec.Repeat = nil
 		terms := *j.Terms
-		terms.Due = at.Add(terms.Aim)
+		terms.DueAt = at.Add(terms.Target)
 		kid.Terms = &terms
-		b.NextSeq++
-		j.Times++
+		b.NextJobSeq++
+		j.Occurrences++
 		j.kids++
-		if j.Times < j.Spec.Repeat.Times {
+		if j.Occurrences < j.Spec.Repeat.Count {
 			b.due.Add(j)
 		}
 		b.enter(kid)
@@ -66,27 +66,27 @@
 }
 
 // timeOver hears that one time has ended.
-func (b *Book) timeOver(kid *Job) {
+func (b *Store) timeOver(kid *Job) {
 	j := b.Jobs[kid.Parent]
 	if j == nil {
 		return
 	}
 	j.kids--
-	if kid.End == Failed && j.Fail == "" {
-		j.Fail = kid.Fail
+	if kid.EndState == Failed && j.Failure == "" {
+		j.Failure = kid.Failure
 	}
 	b.settle(j)
 }
 
 // haltTimes cancels the times under way; no further one comes.
-func (b *Book) haltTimes(j *Job, why string) {
+func (b *Store) haltTimes(j *Job, why string) {
 	if j.Spec.Repeat == nil {
 		return
 	}
 	b.due.Remove(j)
-	for k := int64(0); k < j.Times; k++ {
-		if kid := b.Jobs[timeKey(j.Key, k)]; kid != nil && kid.End == "" {
-			kid.Cancel = true
+	for k := int64(0); k < j.Occurrences; k++ {
+		if kid := b.Jobs[timeKey(j.Key, k)]; kid != nil && kid.EndState == "" {
+			kid.Cancelled = true
 			b.halt(kid, why)
 		}
 	}
@@ -94,9 +94,9 @@
 }
 
 // recount derives what is known of queues and times from the jobs alone.
-func (b *Book) recount() {
+func (b *Store) recount() {
 	for _, j := range b.Jobs {
-		if j.Terms == nil || j.End != "" {
+		if j.Terms == nil || j.EndState != "" {
 			continue
 		}
 		if j.Parent != "" {
@@ -106,7 +106,7 @@
 			continue
 		}
 		b.queued[j.Terms.Queue]++
-		if j.Spec.Repeat != nil && !j.Cancel && j.Times < j.Spec.Repeat.Times {
+		if j.Spec.Repeat != nil && !j.Cancelled && j.Occurrences < j.Spec.Repeat.Count {
 			b.due.Add(j)
 		}
 	}
--- a/internal/state/view_test.go
+++ b/internal/state/view_test.go
@@ -10,14 +10,14 @@
 
 // day is a book after a day at the usual rate: ids kept for a day, details
 // for ten minutes.
-func day(known, kept int) *Book {
+func day(known, kept int) *Store {
 	b := New()
 	for i := 0; i < known; i++ {
-		b.Known.add(&Job{Key: identifier.JobKey(fmt.Sprintf("gilde/j%d", i)), Sum: fmt.Sprint(i), End: Well}, 1000)
+		b.Dedup.add(&Job{Key: identifier.JobKey(fmt.Sprintf("gilde/j%d", i)), Checksum: fmt.Sprint(i), EndState: Succeeded}, 1000)
 	}
 	for i := 0; i < kept; i++ {
-		s := job.Spec{Pending: "default", Steps: []job.Step{{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, Defects: 1, Run: 100}}}
-		b.Apply(&Command{At: 1000, Submit: &Submit{Key: identifier.JobKey(fmt.Sprintf("gilde/k%d", i)), Spec: s}})
+		s := job.Spec{Row: "default", Steps: []job.Step{{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, MaxDefects: 1, ExpectedRun: 100}}}
+		b.Apply(&Command{At: 1000, SubmitJob: &SubmitJob{Key: identifier.JobKey(fmt.Sprintf("gilde/k%d", i)), Spec: s}})
 	}
 	return b
 }
--- a/internal/transport/httpclient/call.go
+++ b/internal/transport/httpclient/call.go
@@ -20,22 +20,22 @@
 	"orchidward/internal/gateway"
 )
 
-// Caller sends requests to a list of gateways. It is not safe for concurrent
+// Client sends requests to a list of gateways. It is not safe for concurrent
 // use. Tries is how often a request is tried for each gateway in the list.
-type Caller struct {
-	Gates []string
-	Tries int
-	// Broken counts answers that broke off: the gate was reached, and then the
+type Client struct {
+	Gateways []string
+	Attempts int
+	// BrokenResponses counts answers that broke off: the gate was reached, and then the
 	// connection failed before the answer was whole.
-	Broken int
-	web    *http.Client
-	at     int
+	BrokenResponses int
+	web             *http.Client
+	at              int
 }
 
 // New makes a caller that waits so long for each answer. Each request has a
 // connection of its own, so that nothing else that comes on it is taken for the
 // answer, and goes to the gate that was asked and no further.
-func New(gates []string, wait time.Duration) *Caller {
+func New(gates []string, wait time.Duration) *Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DisableKeepAlives = true
 	return newCaller(gates, wait, transport)
@@ -43,29 +43,29 @@
 
 // NewKeepAlive makes a caller whose requests share connections with those of
 // all other such callers, to see whether gates close them in an orderly way.
-func NewKeepAlive(gates []string, wait time.Duration) *Caller {
+func NewKeepAlive(gates []string, wait time.Duration) *Client {
 	return newCaller(gates, wait, http.DefaultTransport)
 }
 
-func newCaller(gates []string, wait time.Duration, transport http.RoundTripper) *Caller {
-	return &Caller{Gates: gates, Tries: 4, web: &http.Client{Timeout: wait, Transport: transport, CheckRedirect: dontFollow}}
+func newCaller(gates []string, wait time.Duration, transport http.RoundTripper) *Client {
+	return &Client{Gateways: gates, Attempts: 4, web: &http.Client{Timeout: wait, Transport: transport, CheckRedirect: dontFollow}}
 }
 
 // dontFollow has a redirection handed back as the answer that it is.
 func dontFollow(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Got is an answer. Gate says who gave it.
-type Got struct {
-	Status int
-	Body   []byte
-	Gate   string
+// Response is an answer. Gate says who gave it.
+type Response struct {
+	Status  int
+	Body    []byte
+	Gateway string
 }
 
 // OK tells whether the status is one of success (2xx).
-func (g Got) OK() bool { return g.Status >= 200 && g.Status < 300 }
+func (g Response) OK() bool { return g.Status >= 200 && g.Status < 300 }
 
-// Why is the error's own message, or the status.
-func (g Got) Why() string {
+// Message is the error's own message, or the status.
+func (g Response) Message() string {
 	var e struct {
 		Error struct {
 			Code   string `json:"code"`
@@ -86,12 +86,12 @@
 	return text
 }
 
-// ErrReach says that no gate answered; a change was then sent to none.
-var ErrReach = errors.New("no gate answered")
+// ErrUnreachable says that no gate answered; a change was then sent to none.
+var ErrUnreachable = errors.New("no gate answered")
 
-// ErrUnknown says that a gate may have taken the request, and that its answer
+// ErrOutcomeUnknown says that a gate may have taken the request, and that its answer
 // is not known.
-var ErrUnknown = errors.New("the outcome is not known")
+var ErrOutcomeUnknown = errors.New("the outcome is not known")
 
 const (
 	unansweredPause = 200 * time.Millisecond
@@ -103,15 +103,15 @@
 // Do sends a request until a gate settles it. Refusals that ask to come back
 // are waited out, a few times. A request that may have been carried out is sent
 // again only if it may be repeated; from then on no refusal tells what became of
-// it, so that the error is ErrUnknown.
-func (c *Caller) Do(ctx context.Context, verb, path string, body []byte) (Got, error) {
-	var got Got
+// it, so that the error is ErrOutcomeUnknown.
+func (c *Client) Do(ctx context.Context, verb, path string, body []byte) (Response, error) {
+	var got Response
 	changes := verb != http.MethodGet
-	repeatable := gateway.Request{Verb: verb, Path: path}.Repeatable()
-	silent, unknown, most := 0, false, c.Tries*len(c.Gates)
+	repeatable := gateway.Request{Method: verb, Path: path}.Repeatable()
+	silent, unknown, most := 0, false, c.Attempts*len(c.Gateways)
 	for try := 1; ; try++ {
-		one := c.once(ctx, c.Gates[c.at%len(c.Gates)], verb, path, body)
-		got = one.Got
+		one := c.once(ctx, c.Gateways[c.at%len(c.Gateways)], verb, path, body)
+		got = one.Response
 		if one.settles() {
 			return got, nil
 		}
@@ -120,20 +120,20 @@
 		if one.err != nil {
 			silent++
 		}
-		switch last := try >= most || silent >= 2*len(c.Gates); {
+		switch last := try >= most || silent >= 2*len(c.Gateways); {
 		case !last && (!unknown || repeatable):
 		case got.Status == http.StatusGatewayTimeout:
 			return got, nil
 		case unknown:
-			return got, errors.Wrapf(ErrUnknown, "tried %s (last: %s)", strings.Join(c.Gates, ", "), one.last())
+			return got, errors.Wrapf(ErrOutcomeUnknown, "tried %s (last: %s)", strings.Join(c.Gateways, ", "), one.last())
 		case one.err != nil:
-			return got, errors.Wrapf(ErrReach, "tried %s (last: %s)", strings.Join(c.Gates, ", "), one.last())
+			return got, errors.Wrapf(ErrUnreachable, "tried %s (last: %s)", strings.Join(c.Gateways, ", "), one.last())
 		default:
 			return got, nil
 		}
 		if err := sleep(ctx, min(one.pause, longestPause)); err != nil {
 			if unknown {
-				err = errors.Wrap(ErrUnknown, err.Error())
+				err = errors.Wrap(ErrOutcomeUnknown, err.Error())
 			}
 			return got, err
 		}
@@ -160,16 +160,16 @@
 	return !(errors.As(err, &op) && op.Op == "dial" || errors.As(err, &late) && late.Timeout())
 }
 
-func (c *Caller) note(err error) {
+func (c *Client) note(err error) {
 	if BrokeOff(err) {
-		c.Broken++
+		c.BrokenResponses++
 	}
 }
 
 // attempt is what came of sending a request once. Sent says that a connection
 // was had, so that the gate may have received it.
 type attempt struct {
-	Got
+	Response
 	pause time.Duration
 	sent  bool
 	err   error
@@ -198,10 +198,10 @@
 	if a.err != nil {
 		return a.err.Error()
 	}
-	return a.Why()
+	return a.Message()
 }
 
-func (c *Caller) once(ctx context.Context, addr, verb, path string, body []byte) attempt {
+func (c *Client) once(ctx context.Context, addr, verb, path string, body []byte) attempt {
 	var a attempt
 	a.pause = unansweredPause
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { a.sent = true }}
@@ -226,7 +226,7 @@
 		a.err = err
 		return a
 	}
-	a.Got, a.pause = Got{res.StatusCode, text, addr}, usualPause
+	a.Response, a.pause = Response{res.StatusCode, text, addr}, usualPause
 	if n, err := strconv.Atoi(res.Header.Get("Retry-After")); err == nil && n > 0 {
 		a.pause = time.Duration(n) * time.Second
 	}
--- a/internal/transport/httpclient/call_test.go
+++ b/internal/transport/httpclient/call_test.go
@@ -132,7 +132,7 @@
 			if s.count() != 1 {
 				t.Fatalf("%s: %s %s was sent %d times", fault, change.verb, change.path, s.count())
 			}
-			if !errors.Is(err, ErrUnknown) && got.Status != 504 {
+			if !errors.Is(err, ErrOutcomeUnknown) && got.Status != 504 {
 				t.Errorf("%s: %s %s came to %d, %v", fault, change.verb, change.path, got.Status, err)
 			}
 		}
@@ -149,7 +149,7 @@
 			first, second := newStub(t, answer), newStub(t, always(answerOf(200, one.path)))
 			c := New([]string{first.addr(), second.addr()}, shortWait)
 			got, err := c.Do(t.Context(), one.verb, one.path, nil)
-			if err != nil || got.Status != 200 || string(got.Body) != one.path || got.Gate != second.addr() {
+			if err != nil || got.Status != 200 || string(got.Body) != one.path || got.Gateway != second.addr() {
 				t.Errorf("%s: %s %s came to %+v, %v", fault, one.verb, one.path, got, err)
 			}
 		}
@@ -176,7 +176,7 @@
 		}
 	}
 	c := New([]string{closed.Addr().String()}, shortWait)
-	if _, err = c.Do(t.Context(), "PUT", "/v1/table", nil); !errors.Is(err, ErrReach) || errors.Is(err, ErrUnknown) {
+	if _, err = c.Do(t.Context(), "PUT", "/v1/table", nil); !errors.Is(err, ErrUnreachable) || errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("nobody listens: %v", err)
 	}
 }
@@ -190,8 +190,8 @@
 		for _, status := range []int{429, 503} {
 			first, second := newStub(t, answer), newStub(t, always(answerOf(status, `{}`)))
 			c := New([]string{first.addr(), second.addr()}, shortWait)
-			c.Tries = 1
-			if got, err := c.Do(t.Context(), "PUT", "/v1/jobs/a/1", nil); !errors.Is(err, ErrUnknown) {
+			c.Attempts = 1
+			if got, err := c.Do(t.Context(), "PUT", "/v1/jobs/a/1", nil); !errors.Is(err, ErrOutcomeUnknown) {
 				t.Errorf("%s, then %d: came to %d, %v", fault, status, got.Status, err)
 			}
 			if first.count() != 1 || second.count() != 1 {
@@ -201,7 +201,7 @@
 		first := newStub(t, answer)
 		c := New([]string{first.addr()}, shortWait)
 		ctx, end := context.WithTimeout(t.Context(), 2*shortWait)
-		if _, err := c.Do(ctx, "PUT", "/v1/jobs/a/1", nil); !errors.Is(err, ErrUnknown) {
+		if _, err := c.Do(ctx, "PUT", "/v1/jobs/a/1", nil); !errors.Is(err, ErrOutcomeUnknown) {
 			t.Errorf("%s, and the caller gave up: %v", fault, err)
 		}
 		end()
@@ -234,7 +234,7 @@
 	} {
 		s := newStub(t, answer)
 		c := New([]string{s.addr()}, shortWait)
-		c.Tries = 1
+		c.Attempts = 1
 		for i := range 30 {
 			path := fmt.Sprintf("/v1/jobs/a/%d", i)
 			got, err := c.Do(t.Context(), "PUT", path, []byte("{}"))
@@ -263,7 +263,7 @@
 		if got, err := c.Do(t.Context(), "GET", "/v1/table", nil); err != nil || got.Status != 200 {
 			t.Fatalf("%d, %v", got.Status, err)
 		}
-		if _, err := c.Do(t.Context(), change.verb, change.path, nil); !errors.Is(err, ErrUnknown) || s.count() != 2 {
+		if _, err := c.Do(t.Context(), change.verb, change.path, nil); !errors.Is(err, ErrOutcomeUnknown) || s.count() != 2 {
 			t.Errorf("%s %s: %v, sent %d times", change.verb, change.path, err, s.count()-1)
 		}
 	}
--- a/internal/transport/httpserver/bare.go
+++ b/internal/transport/httpserver/bare.go
@@ -10,14 +10,14 @@
 	"github.com/go-faster/errors"
 )
 
-// Bare listens on the address for a handler of the caller's own. The caller
+// NewHandlerServer listens on the address for a handler of the caller's own. The caller
 // may set Parting before the stop; Gin is nil.
-func Bare(addr string, h http.Handler) (*Server, error) {
+func NewHandlerServer(addr string, h http.Handler) (*Server, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, errors.Wrap(err, "http")
 	}
-	s := &Server{Gauge: NewGauges(), Parting: parting, ln: &limitListener{Listener: ln, most: mostConns}}
+	s := &Server{Gauge: NewGauges(), DrainDelay: parting, ln: &limitListener{Listener: ln, most: mostConns}}
 	s.http = server(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		h.ServeHTTP(&closingWriter{ResponseWriter: w, from: s}, r)
 	}))
--- a/internal/transport/httpserver/bare_test.go
+++ b/internal/transport/httpserver/bare_test.go
@@ -25,11 +25,11 @@
 }
 
 // held is a server with one request in hand, which goes on when out is closed.
-func held(t *testing.T, c *lifecycle.Crew) (s *Server, out chan bool, got chan string) {
+func held(t *testing.T, c *lifecycle.Group) (s *Server, out chan bool, got chan string) {
 	t.Helper()
 	in := make(chan bool)
 	out, got = make(chan bool), make(chan string, 1)
-	s, err := Bare("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s, err := NewHandlerServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			in <- true
 			<-out
@@ -63,7 +63,7 @@
 	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	s, out, got := held(t, c)
-	s.Parting = 0
+	s.DrainDelay = 0
 	over := make(chan error, 1)
 	c.Go(func(<-chan struct{}) { over <- s.Stop(context.Background()) })
 	gone(t, s.Addr())
@@ -82,15 +82,15 @@
 	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	s, out, got := held(t, c)
-	if s.Parting != parting {
-		t.Errorf("parts for %v", s.Parting)
+	if s.DrainDelay != parting {
+		t.Errorf("parts for %v", s.DrainDelay)
 	}
 	conn, res := get(t, s.Addr(), "/")
 	conn.Close()
 	if res.StatusCode != 200 || res.Close {
 		t.Errorf("before the stop: %d, closes: %v", res.StatusCode, res.Close)
 	}
-	s.Parting = time.Hour
+	s.DrainDelay = time.Hour
 	ctx, end := context.WithCancel(context.Background())
 	over := make(chan error, 1)
 	c.Go(func(<-chan struct{}) { over <- s.Stop(ctx) })
--- a/internal/transport/httpserver/errands.go
+++ b/internal/transport/httpserver/errands.go
@@ -10,43 +10,43 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// Errands is the way in to a desk whose machine is an M.
-type Errands[M any] struct {
-	ring *lifecycle.Ring[*Errand[M]]
+// CallQueue is the way in to a desk whose machine is an M.
+type CallQueue[M any] struct {
+	ring *lifecycle.Queue[*Call[M]]
 	over chan struct{}
 }
 
-// Errand is one thing to be done.
-type Errand[M any] struct {
+// Call is one thing to be done.
+type Call[M any] struct {
 	do    func(m M)
 	taken atomic.Bool
 	done  chan struct{}
 }
 
-// NewErrands makes a ring for so many errands.
-func NewErrands[M any](size int) *Errands[M] {
-	return &Errands[M]{ring: lifecycle.NewRing[*Errand[M]](size), over: make(chan struct{})}
+// NewCallQueue makes a ring for so many errands.
+func NewCallQueue[M any](size int) *CallQueue[M] {
+	return &CallQueue[M]{ring: lifecycle.NewQueue[*Call[M]](size), over: make(chan struct{})}
 }
 
 // Out is where the desk takes errands from.
-func (e *Errands[M]) Out() <-chan *Errand[M] { return e.ring.Out() }
+func (e *CallQueue[M]) Out() <-chan *Call[M] { return e.ring.Out() }
 
 // Over is closed once the desk takes no more errands.
-func (e *Errands[M]) Over() <-chan struct{} { return e.over }
+func (e *CallQueue[M]) Over() <-chan struct{} { return e.over }
 
 // Close says that the desk has ended; the desk calls it once.
-func (e *Errands[M]) Close() { close(e.over) }
+func (e *CallQueue[M]) Close() { close(e.over) }
 
 // Offer hands an errand in and does not wait for it. A full ring refuses.
-func (e *Errands[M]) Offer(do func(m M)) bool {
-	return e.ring.Offer(&Errand[M]{do: do, done: make(chan struct{})})
+func (e *CallQueue[M]) Offer(do func(m M)) bool {
+	return e.ring.TryPush(&Call[M]{do: do, done: make(chan struct{})})
 }
 
 // Do waits until the errand is done. If it is not, because the ring is full,
 // the context ended or the desk did, it never will be.
-func (e *Errands[M]) Do(ctx context.Context, do func(m M)) bool {
-	x := &Errand[M]{do: do, done: make(chan struct{})}
-	if !e.ring.Offer(x) {
+func (e *CallQueue[M]) Do(ctx context.Context, do func(m M)) bool {
+	x := &Call[M]{do: do, done: make(chan struct{})}
+	if !e.ring.TryPush(x) {
 		return false
 	}
 	select {
@@ -63,7 +63,7 @@
 }
 
 // Run does the errand, unless its caller has given it up.
-func (x *Errand[M]) Run(m M) {
+func (x *Call[M]) Run(m M) {
 	if x.taken.CompareAndSwap(false, true) {
 		x.do(m)
 		close(x.done)
--- a/internal/transport/httpserver/errands_test.go
+++ b/internal/transport/httpserver/errands_test.go
@@ -10,7 +10,7 @@
 // TestErrands: a desk does what is handed in, in order; what is refused or
 // given up is never done, and a full ring refuses at once.
 func TestErrands(t *testing.T) {
-	e, list := NewErrands[*[]int](2), []int{}
+	e, list := NewCallQueue[*[]int](2), []int{}
 	if !e.Offer(func(m *[]int) { *m = append(*m, 1) }) {
 		t.Fatal("an empty ring refused")
 	}
--- a/internal/transport/httpserver/life.go
+++ b/internal/transport/httpserver/life.go
@@ -12,9 +12,9 @@
 	"orchidward/internal/daemon/logging"
 )
 
-// Life hooks a daemon into the process's life: begin starts its duties, and
+// Run hooks a daemon into the process's life: begin starts its duties, and
 // the HTTP side is served until the polite stop.
-func (s *Server) Life(life fx.Lifecycle, c *lifecycle.Crew, log *logging.Log, program string, begin func()) {
+func (s *Server) Run(life fx.Lifecycle, c *lifecycle.Group, log *logging.Logger, program string, begin func()) {
 	life.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			begin()
--- a/internal/transport/httpserver/serve.go
+++ b/internal/transport/httpserver/serve.go
@@ -23,13 +23,13 @@
 type Server struct {
 	Gin   *gin.Engine
 	Gauge *Gauges
-	// Parting is how long a stop goes on taking requests, each answered with
+	// DrainDelay is how long a stop goes on taking requests, each answered with
 	// word that its connection closes, before the listener closes.
-	Parting time.Duration
-	ready   atomic.Bool
-	down    atomic.Bool
-	http    *http.Server
-	ln      *limitListener
+	DrainDelay time.Duration
+	ready      atomic.Bool
+	down       atomic.Bool
+	http       *http.Server
+	ln         *limitListener
 }
 
 // New opens the address and sets up the common pages. The server is not ready,
@@ -40,14 +40,14 @@
 		return nil, errors.Wrap(err, "http")
 	}
 	gin.SetMode(gin.ReleaseMode)
-	s := &Server{Gin: gin.New(), Gauge: NewGauges(), Parting: parting, ln: &limitListener{Listener: ln, most: mostConns}}
+	s := &Server{Gin: gin.New(), Gauge: NewGauges(), DrainDelay: parting, ln: &limitListener{Listener: ln, most: mostConns}}
 	s.Gin.Use(func(c *gin.Context) {
 		if s.down.Load() {
 			c.Header("Connection", "close")
 		}
 	})
 	s.Gin.Use(gin.CustomRecovery(func(c *gin.Context, _ any) {
-		Refuse(c, 500, "internal", "the request could not be served")
+		WriteError(c, 500, "internal", "the request could not be served")
 	}))
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(s.Gauge)
@@ -55,9 +55,9 @@
 	s.Gin.GET("/live", func(c *gin.Context) { c.JSON(200, gin.H{"live": true}) })
 	s.Gin.GET("/ready", s.showReady)
 	s.Gin.GET("/metrics", func(c *gin.Context) { page.ServeHTTP(c.Writer, c.Request) })
-	s.Gin.NoRoute(func(c *gin.Context) { Refuse(c, 404, "no-such-path", "no such path") })
+	s.Gin.NoRoute(func(c *gin.Context) { WriteError(c, 404, "no-such-path", "no such path") })
 	s.Gin.HandleMethodNotAllowed = true
-	s.Gin.NoMethod(func(c *gin.Context) { Refuse(c, 405, "bad-method", "this path does not take this method") })
+	s.Gin.NoMethod(func(c *gin.Context) { WriteError(c, 405, "bad-method", "this path does not take this method") })
 	s.http = server(s.Gin)
 	return s, nil
 }
@@ -82,7 +82,7 @@
 
 // Serve starts to answer requests in a goroutine of c and returns at once. Stop
 // ends it.
-func (s *Server) Serve(c *lifecycle.Crew) {
+func (s *Server) Serve(c *lifecycle.Group) {
 	c.Go(func(<-chan struct{}) { s.http.Serve(s.ln) })
 }
 
@@ -91,7 +91,7 @@
 // then the listener closes and the requests in hand are answered.
 func (s *Server) Stop(ctx context.Context) error {
 	s.down.Store(true)
-	t := time.NewTimer(s.Parting)
+	t := time.NewTimer(s.DrainDelay)
 	defer t.Stop()
 	select {
 	case <-t.C:
@@ -103,9 +103,9 @@
 // parting is a little longer than the longest that a poll is held.
 const parting = 900 * time.Millisecond
 
-// Refuse writes the one error shape.
-func Refuse(c *gin.Context, status int, code, why string) {
-	c.Data(status, "application/json", jsondoc.Trouble{Code: code, Why: why}.JSON())
+// WriteError writes the one error shape.
+func WriteError(c *gin.Context, status int, code, why string) {
+	c.Data(status, "application/json", jsondoc.ErrorBody{Code: code, Message: why}.JSON())
 	c.Abort()
 }
 
--- a/internal/transport/httpserver/stream_test.go
+++ b/internal/transport/httpserver/stream_test.go
@@ -120,7 +120,7 @@
 // bareEcho serves an echo on a bare server.
 func bareEcho(t testing.TB) (e *echo, addr string) {
 	e = &echo{calls: map[string][]handled{}}
-	s, err := Bare("127.0.0.1:0", e)
+	s, err := NewHandlerServer("127.0.0.1:0", e)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -313,7 +313,7 @@
 // connection reaches nobody: requests on the connection after it get their own.
 func TestGivenUpConnection(t *testing.T) {
 	in, out := make(chan bool), make(chan bool)
-	s, err := Bare("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	s, err := NewHandlerServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
 			in <- true
 			<-out
@@ -359,7 +359,7 @@
 func TestResetWithinBody(t *testing.T) {
 	const body = "abcdefgh"
 	in, outcome := make(chan bool), make(chan error)
-	s, err := Bare("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	s, err := NewHandlerServer("127.0.0.1:0", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		in <- true
 		_, err := io.ReadAll(r.Body)
 		outcome <- err
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -16,15 +16,15 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Take receives what comes in. It must not block for long.
-type Take func(from wire.Peer, msg wire.Msg)
+// Handler receives what comes in. It must not block for long.
+type Handler func(from wire.Peer, msg wire.Message)
 
 // Link sends and receives messages over TCP, with one connection for each peer.
 // Messages can be lost and there is no acknowledgement. It is safe for
 // concurrent use.
 type Link struct {
-	crew *lifecycle.Crew
-	take Take
+	crew *lifecycle.Group
+	take Handler
 	ln   net.Listener
 
 	mu    sync.Mutex
@@ -36,7 +36,7 @@
 }
 
 type line struct {
-	out  *lifecycle.Ring[wire.Msg]
+	out  *lifecycle.Queue[wire.Message]
 	conn net.Conn
 }
 
@@ -54,7 +54,7 @@
 )
 
 // Listen opens the address; frames come in once Serve is called.
-func Listen(addr string, c *lifecycle.Crew) (*Link, error) {
+func Listen(addr string, c *lifecycle.Group) (*Link, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
@@ -68,7 +68,7 @@
 // Serve starts to accept connections and returns at once; it must be called
 // before the first Send. take is called from one goroutine for each connection,
 // also at the same time.
-func (l *Link) Serve(take Take) {
+func (l *Link) Serve(take Handler) {
 	l.take = take
 	l.crew.Go(func(_ <-chan struct{}) {
 		for {
@@ -122,7 +122,7 @@
 	}
 	l.next++
 	peer := wire.Peer("#" + strconv.FormatUint(l.next, 10))
-	x := &line{out: lifecycle.NewRing[wire.Msg](ringSize), conn: conn}
+	x := &line{out: lifecycle.NewQueue[wire.Message](ringSize), conn: conn}
 	l.lines[peer] = x
 	l.crew.Go(func(stop <-chan struct{}) { l.write(peer, x, conn, stop) })
 	l.crew.Go(func(_ <-chan struct{}) {
@@ -142,7 +142,7 @@
 }
 
 // Send offers a message to a line, dialling it if need be.
-func (l *Link) Send(to wire.Peer, msg wire.Msg) {
+func (l *Link) Send(to wire.Peer, msg wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	x := l.lines[to]
@@ -151,12 +151,12 @@
 			l.lost++
 			return
 		}
-		x = &line{out: lifecycle.NewRing[wire.Msg](ringSize)}
+		x = &line{out: lifecycle.NewQueue[wire.Message](ringSize)}
 		l.lines[to] = x
 		l.crew.Go(func(stop <-chan struct{}) { l.dial(to, x, stop) })
 	}
 	l.sent++
-	if !x.out.Offer(msg) {
+	if !x.out.TryPush(msg) {
 		l.lost++
 	}
 }
@@ -207,7 +207,7 @@
 
 // drain throws away what waited for a line that is down: all of it will be
 // asked for again, and old news is worse than none.
-func drain(r *lifecycle.Ring[wire.Msg]) {
+func drain(r *lifecycle.Queue[wire.Message]) {
 	for {
 		select {
 		case <-r.Out():
@@ -231,7 +231,7 @@
 			return true
 		case msg := <-x.out.Out():
 			conn.SetWriteDeadline(time.Now().Add(writeWait))
-			if enc.Put(msg) != nil {
+			if enc.Encode(msg) != nil {
 				conn.Close()
 				return false
 			}
@@ -247,7 +247,7 @@
 	defer conn.Close()
 	dec := wire.NewDecoder(bufio.NewReaderSize(conn, 64<<10))
 	for {
-		msg, err := dec.Get()
+		msg, err := dec.Decode()
 		if err != nil {
 			return
 		}
@@ -255,8 +255,8 @@
 	}
 }
 
-// Counts tells how many frames went out and how many were dropped.
-func (l *Link) Counts() (sent, lost uint64) {
+// FrameCounts tells how many frames went out and how many were dropped.
+func (l *Link) FrameCounts() (sent, lost uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sent, l.lost
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -25,7 +25,7 @@
 // received is one frame and the line that it came on.
 type received struct {
 	from wire.Peer
-	msg  wire.Msg
+	msg  wire.Message
 }
 
 // open makes a link whose frames go to a channel, until the test ends.
@@ -37,14 +37,18 @@
 		t.Fatal(err)
 	}
 	in = make(chan received, 1024)
-	l.Serve(func(from wire.Peer, msg wire.Msg) { in <- received{from, msg} })
+	l.Serve(func(from wire.Peer, msg wire.Message) { in <- received{from, msg} })
 	t.Cleanup(func() { _ = c.Stop(context.Background()) })
 	return l, in
 }
 
-func ask(id uint64) wire.Msg { return wire.Msg{Ask: &wire.Ask{ID: id, Verb: "GET", Path: "/"}} }
+func ask(id uint64) wire.Message {
+	return wire.Message{Request: &wire.Request{ID: id, Method: "GET", Path: "/"}}
+}
 
-func reply(id uint64) wire.Msg { return wire.Msg{Reply: &wire.Reply{ID: id, Status: 200}} }
+func reply(id uint64) wire.Message {
+	return wire.Message{Response: &wire.Response{ID: id, Status: 200}}
+}
 
 // far is a process at the other end of one connection.
 type far struct {
@@ -66,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err = wire.NewEncoder(conn).Put(ask(id)); err != nil {
+	if err = wire.NewEncoder(conn).Encode(ask(id)); err != nil {
 		t.Fatal(err)
 	}
 	return newFar(t, conn)
@@ -93,15 +97,15 @@
 	if gone == here {
 		t.Errorf("two connections have one name, %s", here)
 	}
-	_, before := l.Counts()
+	_, before := l.FrameCounts()
 	l.Send(gone, reply(5))
-	if _, lost := l.Counts(); lost != before+1 || l.count() != 1 {
+	if _, lost := l.FrameCounts(); lost != before+1 || l.count() != 1 {
 		t.Errorf("%d replies dropped, %d lines", lost-before, l.count())
 	}
 	l.Send(here, reply(6))
-	got, err := second.dec.Get()
-	if err != nil || got.Reply == nil || got.Reply.ID != 6 {
-		t.Errorf("the second caller got %+v, %v; want its own reply alone", got.Reply, err)
+	got, err := second.dec.Decode()
+	if err != nil || got.Response == nil || got.Response.ID != 6 {
+		t.Errorf("the second caller got %+v, %v; want its own reply alone", got.Response, err)
 	}
 }
 
@@ -123,7 +127,7 @@
 	addr := ln.Addr().String()
 	to := wire.Peer(addr)
 	for id := range uint64(waiting) {
-		l.Send(to, wire.Msg{Ask: &wire.Ask{ID: id, Verb: "PUT", Path: "/", Body: make([]byte, largeBody)}})
+		l.Send(to, wire.Message{Request: &wire.Request{ID: id, Method: "PUT", Path: "/", Body: make([]byte, largeBody)}})
 	}
 	first, err := ln.Accept()
 	if err != nil {
@@ -143,7 +147,7 @@
 		t.Fatal(err)
 	}
 	l.Send(to, ask(last))
-	if got, err := newFar(t, conn).dec.Get(); err != nil || got.Ask == nil || got.Ask.ID != last {
-		t.Errorf("who listens now got what waited for another: %v, %v", got.Ask != nil && got.Ask.ID < waiting, err)
+	if got, err := newFar(t, conn).dec.Decode(); err != nil || got.Request == nil || got.Request.ID != last {
+		t.Errorf("who listens now got what waited for another: %v, %v", got.Request != nil && got.Request.ID < waiting, err)
 	}
 }
--- a/internal/transport/wire/codec.go
+++ b/internal/transport/wire/codec.go
@@ -25,9 +25,9 @@
 // NewEncoder makes an encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{w} }
 
-// Put writes one message as one frame. After an error the stream may end within
+// Encode writes one message as one frame. After an error the stream may end within
 // a frame and must not be written to again.
-func (e *Encoder) Put(m Msg) error {
+func (e *Encoder) Encode(m Message) error {
 	msg, seg, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
 		return err
@@ -42,7 +42,7 @@
 	return capnp.NewEncoder(e.w).Encode(msg)
 }
 
-func fill(f frame.Frame, m Msg) error {
+func fill(f frame.Frame, m Message) error {
 	switch {
 	case m.Raft != nil:
 		r, err := f.NewRaft()
@@ -50,17 +50,17 @@
 			return err
 		}
 		return putRaft(r, m.Raft)
-	case m.Ask != nil:
-		return putAsk(f, m.Ask)
-	case m.Reply != nil:
-		return putReply(f, m.Reply)
-	case m.Tell != nil:
-		return putTell(f, m.Tell)
+	case m.Request != nil:
+		return putAsk(f, m.Request)
+	case m.Response != nil:
+		return putReply(f, m.Response)
+	case m.Announcement != nil:
+		return putTell(f, m.Announcement)
 	}
 	return nil
 }
 
-func putAsk(f frame.Frame, a *Ask) error {
+func putAsk(f frame.Frame, a *Request) error {
 	o, err := f.NewAsk()
 	if err != nil {
 		return err
@@ -69,39 +69,39 @@
 	o.SetEpoch(uint64(a.Epoch))
 	o.SetBudget(int64(a.Budget))
 	o.SetHops(a.Hops)
-	o.SetDated(a.Dated)
-	o.SetLeaderTerm(uint64(a.Known.Term))
-	o.SetLeaderAt(int64(a.Known.At))
-	return first(o.SetVerb(a.Verb), o.SetPath(a.Path), o.SetQuery(a.Query), o.SetBody(a.Body))
+	o.SetDated(a.HasLeaderTime)
+	o.SetLeaderTerm(uint64(a.LeaderTime.Term))
+	o.SetLeaderAt(int64(a.LeaderTime.At))
+	return first(o.SetVerb(a.Method), o.SetPath(a.Path), o.SetQuery(a.Query), o.SetBody(a.Body))
 }
 
-func putReply(f frame.Frame, r *Reply) error {
+func putReply(f frame.Frame, r *Response) error {
 	o, err := f.NewReply()
 	if err != nil {
 		return err
 	}
 	o.SetId(r.ID)
 	o.SetStatus(uint16(r.Status))
-	o.SetRetry(int64(r.Retry))
-	o.SetMoved(r.Moved)
+	o.SetRetry(int64(r.RetryAfter))
+	o.SetMoved(r.NotLeader)
 	o.SetStale(r.Stale)
 	o.SetExpired(r.Expired)
-	o.SetLeaderTerm(uint64(r.Leader.Term))
-	o.SetLeaderAt(int64(r.Leader.At))
+	o.SetLeaderTerm(uint64(r.LeaderTime.Term))
+	o.SetLeaderAt(int64(r.LeaderTime.At))
 	return o.SetBody(r.Body)
 }
 
-func putTell(f frame.Frame, t *Tell) error {
+func putTell(f frame.Frame, t *Announcement) error {
 	o, err := f.NewTell()
 	if err != nil {
 		return err
 	}
 	o.SetNode(uint64(t.Node))
 	o.SetFounded(t.Founded)
-	o.SetLead(uint64(t.Lead))
-	o.SetAsk(t.Ask)
-	o.SetLeaderTerm(uint64(t.Leader.Term))
-	o.SetLeaderAt(int64(t.Leader.At))
+	o.SetLead(uint64(t.LeaderID))
+	o.SetAsk(t.WantReply)
+	o.SetLeaderTerm(uint64(t.LeaderTime.Term))
+	o.SetLeaderAt(int64(t.LeaderTime.At))
 	if err = first(o.SetRole(t.Role), o.SetAddr(t.Addr), o.SetDomain(string(t.Domain)), o.SetHttp(t.HTTP)); err != nil {
 		return err
 	}
@@ -111,11 +111,11 @@
 	if err = putMembers(o.NewFounders, t.Founders); err != nil {
 		return err
 	}
-	gates, err := o.NewGates(int32(len(t.Gates)))
+	gates, err := o.NewGates(int32(len(t.Gateways)))
 	if err != nil {
 		return err
 	}
-	for i, g := range t.Gates {
+	for i, g := range t.Gateways {
 		if err = gates.Set(i, g); err != nil {
 			return err
 		}
@@ -150,13 +150,13 @@
 	o.SetIndex(uint64(m.Index))
 	o.SetLogTerm(uint64(m.LogTerm))
 	o.SetCommit(uint64(m.Commit))
-	o.SetNo(m.No)
-	o.SetForce(m.Force)
-	o.SetHint(uint64(m.Hint))
-	o.SetStamp(int64(m.Stamp))
+	o.SetNo(m.Reject)
+	o.SetForce(m.LeaderTransfer)
+	o.SetHint(uint64(m.NextHint))
+	o.SetStamp(int64(m.SentAt))
 	o.SetWall(int64(m.Wall))
-	o.SetMet(uint64(m.Met))
-	o.SetSite(int64(m.Site))
+	o.SetMet(uint64(m.FirstKnownTerm))
+	o.SetSite(int64(m.ClusterTime))
 	o.SetLevel(m.Level)
 	o.SetLeaving(m.Leaving)
 	if len(m.Entries) > 0 {
@@ -174,18 +174,18 @@
 			}
 		}
 	}
-	if m.View == nil {
+	if m.Snapshot == nil {
 		return nil
 	}
 	o.SetHasView(true)
-	o.SetViewIndex(uint64(m.View.Index))
-	o.SetViewTerm(uint64(m.View.Term))
-	o.SetViewOff(m.Off)
+	o.SetViewIndex(uint64(m.Snapshot.Index))
+	o.SetViewTerm(uint64(m.Snapshot.Term))
+	o.SetViewOff(m.Offset)
 	o.SetViewTotal(m.Total)
-	if err := putMembers(o.NewViewMembers, m.View.Members); err != nil {
+	if err := putMembers(o.NewViewMembers, m.Snapshot.Members); err != nil {
 		return err
 	}
-	return o.SetViewData(m.View.Data)
+	return o.SetViewData(m.Snapshot.Data)
 }
 
 func first(errs ...error) error {
@@ -212,10 +212,10 @@
 
 var errEmpty = errors.New("frame carries nothing known")
 
-// Get reads the next message. Any error, the end of the stream included, means
+// Decode reads the next message. Any error, the end of the stream included, means
 // that the stream cannot be read any further.
-func (d *Decoder) Get() (Msg, error) {
-	var m Msg
+func (d *Decoder) Decode() (Message, error) {
+	var m Message
 	msg, err := d.d.Decode()
 	if err != nil {
 		return m, err
@@ -228,11 +228,11 @@
 	case f.HasRaft():
 		m.Raft, err = getRaft(f)
 	case f.HasAsk():
-		m.Ask, err = getAsk(f)
+		m.Request, err = getAsk(f)
 	case f.HasReply():
-		m.Reply, err = getReply(f)
+		m.Response, err = getReply(f)
 	case f.HasTell():
-		m.Tell, err = getTell(f)
+		m.Announcement, err = getTell(f)
 	default:
 		err = errEmpty
 	}
@@ -252,38 +252,38 @@
 	return append([]byte(nil), b...)
 }
 
-func getAsk(f frame.Frame) (*Ask, error) {
+func getAsk(f frame.Frame) (*Request, error) {
 	o, err := f.Ask()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	a := &Ask{ID: o.Id(), Verb: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
+	a := &Request{ID: o.Id(), Method: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
 		Epoch: identifier.Epoch(o.Epoch()), Budget: clock.Millis(o.Budget()), Hops: o.Hops(),
-		Dated: o.Dated(), Known: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
+		HasLeaderTime: o.Dated(), LeaderTime: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	return a, l.err
 }
 
-func getReply(f frame.Frame) (*Reply, error) {
+func getReply(f frame.Frame) (*Response, error) {
 	o, err := f.Reply()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	r := &Reply{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), Retry: clock.Millis(o.Retry()), Moved: o.Moved(), Stale: o.Stale(),
-		Expired: o.Expired(), Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
+	r := &Response{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), RetryAfter: clock.Millis(o.Retry()), NotLeader: o.Moved(), Stale: o.Stale(),
+		Expired: o.Expired(), LeaderTime: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	return r, l.err
 }
 
-func getTell(f frame.Frame) (*Tell, error) {
+func getTell(f frame.Frame) (*Announcement, error) {
 	o, err := f.Tell()
 	if err != nil {
 		return nil, err
 	}
 	var l look
-	t := &Tell{Ask: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
-		HTTP: l.text(o.Http()), Founded: o.Founded(), Lead: identifier.Node(o.Lead()),
-		Leader: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
+	t := &Announcement{WantReply: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
+		HTTP: l.text(o.Http()), Founded: o.Founded(), LeaderID: identifier.Node(o.Lead()),
+		LeaderTime: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	t.Members = getMembers(&l, o.Members)
 	t.Founders = getMembers(&l, o.Founders)
 	gates, err := o.Gates()
@@ -291,7 +291,7 @@
 		return nil, err
 	}
 	for i := 0; i < gates.Len(); i++ {
-		t.Gates = append(t.Gates, l.text(gates.At(i)))
+		t.Gateways = append(t.Gateways, l.text(gates.At(i)))
 	}
 	return t, l.err
 }
@@ -316,9 +316,9 @@
 		return nil, err
 	}
 	var l look
-	m := &raft.Message{Kind: raft.Kind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
-		Index: identifier.Index(o.Index()), LogTerm: identifier.Term(o.LogTerm()), Commit: identifier.Index(o.Commit()), No: o.No(), Force: o.Force(),
-		Hint: identifier.Index(o.Hint()), Stamp: clock.Monotonic(o.Stamp()), Wall: clock.WallTime(o.Wall()), Met: identifier.Term(o.Met()), Site: clock.ClusterTime(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
+	m := &raft.Message{Kind: raft.MessageKind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
+		Index: identifier.Index(o.Index()), LogTerm: identifier.Term(o.LogTerm()), Commit: identifier.Index(o.Commit()), Reject: o.No(), LeaderTransfer: o.Force(),
+		NextHint: identifier.Index(o.Hint()), SentAt: clock.Monotonic(o.Stamp()), Wall: clock.WallTime(o.Wall()), FirstKnownTerm: identifier.Term(o.Met()), ClusterTime: clock.ClusterTime(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
 	list, err := o.Entries()
 	if err != nil {
 		return nil, err
@@ -328,9 +328,9 @@
 		m.Entries = append(m.Entries, raft.Entry{Index: identifier.Index(e.Index()), Term: identifier.Term(e.Term()), Kind: raft.EntryKind(e.Kind()), Data: l.data(e.Data())})
 	}
 	if o.HasView() {
-		m.View = &raft.Snapshot{Index: identifier.Index(o.ViewIndex()), Term: identifier.Term(o.ViewTerm()), Data: l.data(o.ViewData())}
-		m.View.Members = getMembers(&l, o.ViewMembers)
-		m.Off, m.Total = o.ViewOff(), o.ViewTotal()
+		m.Snapshot = &raft.Snapshot{Index: identifier.Index(o.ViewIndex()), Term: identifier.Term(o.ViewTerm()), Data: l.data(o.ViewData())}
+		m.Snapshot.Members = getMembers(&l, o.ViewMembers)
+		m.Offset, m.Total = o.ViewOff(), o.ViewTotal()
 	}
 	return m, l.err
 }
--- a/internal/transport/wire/former_test.go
+++ b/internal/transport/wire/former_test.go
@@ -18,7 +18,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		have, err := NewDecoder(bytes.NewReader(text)).Get()
+		have, err := NewDecoder(bytes.NewReader(text)).Decode()
 		if err != nil || !reflect.DeepEqual(have, want) {
 			t.Errorf("%s reads as %+v (%v), want %+v", name, have, err, want)
 		}
--- a/internal/transport/wire/wire.go
+++ b/internal/transport/wire/wire.go
@@ -15,12 +15,12 @@
 // Local tells whether the peer is a request that was made at this process.
 func (p Peer) Local() bool { return p != "" && p[0] == '@' }
 
-// Msg carries exactly one of these.
-type Msg struct {
-	Raft  *raft.Message
-	Ask   *Ask
-	Reply *Reply
-	Tell  *Tell
+// Message carries exactly one of these.
+type Message struct {
+	Raft         *raft.Message
+	Request      *Request
+	Response     *Response
+	Announcement *Announcement
 }
 
 // LeaderTime is a reading of a leader's own monotonic clock, in the term that
@@ -35,63 +35,63 @@
 	return t.Term > than.Term || t.Term == than.Term && t.At > than.At
 }
 
-// Ask is a request on its way to the leader. Dated says that Known is the
+// Request is a request on its way to the leader. Dated says that Known is the
 // latest reading of the leader's clock that the sender had when it sent this;
 // Budget is how much longer, in milliseconds, the sender waits from then on.
-type Ask struct {
-	ID     uint64
-	Verb   string
-	Path   string
-	Query  string
-	Body   []byte
-	Epoch  identifier.Epoch
-	Budget clock.Millis
-	Hops   uint8
-	Dated  bool
-	Known  LeaderTime
+type Request struct {
+	ID            uint64
+	Method        string
+	Path          string
+	Query         string
+	Body          []byte
+	Epoch         identifier.Epoch
+	Budget        clock.Millis
+	Hops          uint8
+	HasLeaderTime bool
+	LeaderTime    LeaderTime
 }
 
-// Orders tells whether the request changes something: an order that its sender
+// IsOrder tells whether the request changes something: an order that its sender
 // has given up on must not be carried out later.
-func (a *Ask) Orders() bool {
-	return a.Verb == "PUT" || a.Verb == "PATCH" || a.Verb == "DELETE"
+func (a *Request) IsOrder() bool {
+	return a.Method == "PUT" || a.Method == "PATCH" || a.Method == "DELETE"
 }
 
-// Reply answers an Ask. Moved says that the asked one isn't the leader; Stale
+// Response answers an Ask. Moved says that the asked one isn't the leader; Stale
 // that the asker's table is old, the new one being the body; Expired that the
 // order may be older than its sender's patience and was not taken. Leader is a
 // reading of the answering leader's clock.
-type Reply struct {
-	ID      uint64
-	Status  int
-	Body    []byte
-	Retry   clock.Millis
-	Moved   bool
-	Stale   bool
-	Expired bool
-	Leader  LeaderTime
+type Response struct {
+	ID         uint64
+	Status     int
+	Body       []byte
+	RetryAfter clock.Millis
+	NotLeader  bool
+	Stale      bool
+	Expired    bool
+	LeaderTime LeaderTime
 }
 
-// Tell is how processes find one another: who I am, whom I know. Ask wants a
+// Announcement is how processes find one another: who I am, whom I know. Ask wants a
 // Tell in return.
-type Tell struct {
-	Ask      bool
-	Role     string
-	Node     identifier.Node
-	Addr     string
-	Domain   identifier.Domain
-	HTTP     string
-	Founded  bool
-	Lead     identifier.Node
-	Members  []raft.Member
-	Founders []raft.Member
-	Gates    []string
-	// Leader is a reading of the sender's clock, where the sender leads.
-	Leader LeaderTime
+type Announcement struct {
+	WantReply bool
+	Role      string
+	Node      identifier.Node
+	Addr      string
+	Domain    identifier.Domain
+	HTTP      string
+	Founded   bool
+	LeaderID  identifier.Node
+	Members   []raft.Member
+	Founders  []raft.Member
+	Gateways  []string
+	// LeaderTime is a reading of the sender's clock, where the sender leads.
+	LeaderTime LeaderTime
 }
 
-// Send is a message on its way out of a machine.
-type Send struct {
-	To  Peer
-	Msg Msg
+// Envelope is a message on its way out of a machine.
+type Envelope struct {
+	To      Peer
+	Message Message
 }
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -9,36 +9,36 @@
 	"orchidward/internal/consensus/raft"
 )
 
-func full() []Msg {
+func full() []Message {
 	members := []raft.Member{{ID: 7, Addr: "127.0.0.1:1", Domain: "north", Voter: true}, {ID: 9, Addr: "127.0.0.1:2", Domain: "east"}}
-	return []Msg{
-		{Ask: &Ask{ID: 3, Verb: "PUT", Path: "/v1/jobs/a/b", Query: "x=1", Body: []byte("{}"), Epoch: 5, Budget: 900, Hops: 1}},
-		{Reply: &Reply{ID: 3, Status: 201, Body: []byte("ok"), Retry: 5, Moved: true, Stale: true}},
-		{Tell: &Tell{Ask: true, Role: "gate", Node: 4, Addr: "a", Domain: "d", HTTP: "h", Founded: true, Lead: 7, Members: members, Founders: members[:1], Gates: []string{"g1", "g2"}}},
-		{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, No: true, Force: true, Hint: 7, Stamp: -8, Wall: 9, Met: 10, Site: 11,
-			Entries: []raft.Entry{{Index: 5, Term: 3, Kind: raft.Command, Data: []byte("x")}}}},
-		{Raft: &raft.Message{Kind: raft.InstallSnapshot, From: 1, To: 2, View: &raft.Snapshot{Index: 4, Term: 5, Members: members, Data: []byte("view")}, Off: 3, Total: 9}},
+	return []Message{
+		{Request: &Request{ID: 3, Method: "PUT", Path: "/v1/jobs/a/b", Query: "x=1", Body: []byte("{}"), Epoch: 5, Budget: 900, Hops: 1}},
+		{Response: &Response{ID: 3, Status: 201, Body: []byte("ok"), RetryAfter: 5, NotLeader: true, Stale: true}},
+		{Announcement: &Announcement{WantReply: true, Role: "gate", Node: 4, Addr: "a", Domain: "d", HTTP: "h", Founded: true, LeaderID: 7, Members: members, Founders: members[:1], Gateways: []string{"g1", "g2"}}},
+		{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Reject: true, LeaderTransfer: true, NextHint: 7, SentAt: -8, Wall: 9, FirstKnownTerm: 10, ClusterTime: 11,
+			Entries: []raft.Entry{{Index: 5, Term: 3, Kind: raft.EntryCommand, Data: []byte("x")}}}},
+		{Raft: &raft.Message{Kind: raft.InstallSnapshot, From: 1, To: 2, Snapshot: &raft.Snapshot{Index: 4, Term: 5, Members: members, Data: []byte("view")}, Offset: 3, Total: 9}},
 	}
 }
 
 // dated are messages with what the first version did not have.
-func dated() []Msg {
+func dated() []Message {
 	reading := LeaderTime{Term: 9, At: -4}
-	return []Msg{
-		{Ask: &Ask{ID: 3, Verb: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: 900, Dated: true, Known: reading}},
-		{Reply: &Reply{ID: 3, Status: 503, Body: []byte("{}"), Expired: true, Leader: reading}},
-		{Tell: &Tell{Role: "keeper", Node: 4, Lead: 4, Leader: reading}},
+	return []Message{
+		{Request: &Request{ID: 3, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: 900, HasLeaderTime: true, LeaderTime: reading}},
+		{Response: &Response{ID: 3, Status: 503, Body: []byte("{}"), Expired: true, LeaderTime: reading}},
+		{Announcement: &Announcement{Role: "keeper", Node: 4, LeaderID: 4, LeaderTime: reading}},
 		{Raft: &raft.Message{Kind: raft.AppendReply, From: 2, To: 1, Term: 3, Index: 4, Leaving: true}},
 	}
 }
 
-func turn(t *testing.T, m Msg) Msg {
+func turn(t *testing.T, m Message) Message {
 	t.Helper()
 	var buf bytes.Buffer
-	if err := NewEncoder(&buf).Put(m); err != nil {
+	if err := NewEncoder(&buf).Encode(m); err != nil {
 		t.Fatal(err)
 	}
-	back, err := NewDecoder(&buf).Get()
+	back, err := NewDecoder(&buf).Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -56,9 +56,9 @@
 // TestLarge: an append of many entries outgrew the encoder's first segment
 // and the arena of several segments then refused to link them.
 func TestLarge(t *testing.T) {
-	m := Msg{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
+	m := Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
-		m.Raft.Entries = append(m.Raft.Entries, raft.Entry{Index: identifier.Index(i + 1), Term: 1, Kind: raft.Command, Data: bytes.Repeat([]byte{byte(i)}, i+1)})
+		m.Raft.Entries = append(m.Raft.Entries, raft.Entry{Index: identifier.Index(i + 1), Term: 1, Kind: raft.EntryCommand, Data: bytes.Repeat([]byte{byte(i)}, i+1)})
 	}
 	if back := turn(t, m); !reflect.DeepEqual(m, back) {
 		t.Error("a large append does not come back as it was sent")
@@ -68,17 +68,17 @@
 func FuzzFrame(f *testing.F) {
 	for _, m := range full() {
 		var buf bytes.Buffer
-		if err := NewEncoder(&buf).Put(m); err != nil {
+		if err := NewEncoder(&buf).Encode(m); err != nil {
 			f.Fatal(err)
 		}
 		f.Add(buf.Bytes())
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		m, err := NewDecoder(bytes.NewReader(data)).Get()
+		m, err := NewDecoder(bytes.NewReader(data)).Decode()
 		if err != nil {
 			return
 		}
-		if m.Raft == nil && m.Ask == nil && m.Reply == nil && m.Tell == nil {
+		if m.Raft == nil && m.Request == nil && m.Response == nil && m.Announcement == nil {
 			t.Error("an empty frame was passed")
 		}
 	})
--- a/tests/scale/catalogue.go
+++ b/tests/scale/catalogue.go
@@ -17,7 +17,7 @@
 }
 
 func makeQueue(i int) catalog.Queue {
-	return catalog.Queue{Name: fmt.Sprintf("q%d", i), Host: fmt.Sprintf("team-%d.jobs.example", i%280), Prefix: fmt.Sprintf("/queues/q%d/", i), Pool: pool, Rank: int64(i % 4), Tries: 3, Stretch: 2000, SetPoint: 60000, Timeout: 600000}
+	return catalog.Queue{Name: fmt.Sprintf("q%d", i), Host: fmt.Sprintf("team-%d.jobs.example", i%280), Prefix: fmt.Sprintf("/queues/q%d/", i), Pool: pool, Priority: int64(i % 4), MaxAttempts: 3, LatencyFactor: 2000, LatencyTarget: 60000, Timeout: 600000}
 }
 
 // change sends one and waits until it is taken.
@@ -48,7 +48,7 @@
 
 func (k *catalogues) one(i int) (bytes int, err error) {
 	q := makeQueue(i)
-	q.Rank = int64(k.version % 4)
+	q.Priority = int64(k.version % 4)
 	return k.change("PATCH", map[string]any{"put": map[string]any{"queues": []catalog.Queue{q}}})
 }
 
--- a/tests/scale/fleet.go
+++ b/tests/scale/fleet.go
@@ -30,7 +30,7 @@
 
 type fleet struct {
 	dir   string
-	crew  *lifecycle.Crew
+	crew  *lifecycle.Group
 	clock *clock.System
 	crowd *crowd
 	web   *http.Client
--- a/tests/scale/hold.go
+++ b/tests/scale/hold.go
@@ -23,18 +23,18 @@
 
 // stub is the core of the trial: the poll it holds, and since when.
 type stub struct {
-	mach  *agent.Machine
+	mach  *agent.Agent
 	open  uint64
 	since clock.Monotonic
 	polls int
 }
 
 func (s *stub) answer(id uint64, now clock.Monotonic) {
-	text, err := json.Marshal(runnerapi.Answer{GrantMs: holdGrant, StartMs: 1000})
+	text, err := json.Marshal(runnerapi.PollResponse{Lease: holdGrant, StartTimeout: 1000})
 	if err != nil {
 		panic(err)
 	}
-	s.mach.Frame("k", wire.Msg{Reply: &wire.Reply{ID: id, Status: 200, Body: text}}, now)
+	s.mach.HandleMessage("k", wire.Message{Response: &wire.Response{ID: id, Status: 200, Body: text}}, now)
 }
 
 // step answers what is due and takes in what the agent sends.
@@ -44,13 +44,13 @@
 		s.open = 0
 		s.answer(id, now)
 	}
-	for list := s.mach.Take().Sends; len(list) > 0; list = s.mach.Take().Sends {
+	for list := s.mach.TakeOutput().Messages; len(list) > 0; list = s.mach.TakeOutput().Messages {
 		for _, x := range list {
-			if x.Msg.Ask == nil {
+			if x.Message.Request == nil {
 				continue
 			}
 			was := s.open
-			s.open, s.since = x.Msg.Ask.ID, now
+			s.open, s.since = x.Message.Request.ID, now
 			s.polls++
 			if was != 0 {
 				s.answer(was, now)
@@ -63,18 +63,18 @@
 // counts the beats after the first ten seconds that were answered without a hold.
 func holdTrial(tasks int, span clock.Millis) (polls, bare, beats int) {
 	s := &standIn{inc: "a", domain: "n", rack: "r", until: 1 << 40}
-	c := &stub{mach: agent.New(agent.Boot{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, HoldMost: holdMost, Pace: beatGap}, 0)}
+	c := &stub{mach: agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: holdMost, HeartbeatInterval: beatGap}, 0)}
 	for i := range tasks {
 		s.runs = append(s.runs, &work{task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: i}, no: 1, span: span + clock.Millis(i)*span/97, at: clock.Monotonic(-217 * i)})
 	}
-	for now := clock.Monotonic(0); now < holdSpan; now += clock.Monotonic(agent.Tick) {
+	for now := clock.Monotonic(0); now < holdSpan; now += clock.Monotonic(agent.TickInterval) {
 		c.mach.Tick(now)
 		if s.due(now) {
-			o := c.mach.Beat(s.beat(now), now)
+			o := c.mach.HandleHeartbeat(s.beat(now), now)
 			s.obey(o, now, now)
 			if now > holdFrom {
 				beats++
-				if o.Hold == 0 {
+				if o.Lease == 0 {
 					bare++
 				}
 			}
--- a/tests/scale/hollow.go
+++ b/tests/scale/hollow.go
@@ -34,7 +34,7 @@
 )
 
 type hollow struct {
-	mach *agent.Machine
+	mach *agent.Agent
 	link *link.Link
 	run  *standIn
 	// size counts this agent's bytes; nil where they are not counted.
@@ -53,16 +53,16 @@
 	return len(b), nil
 }
 
-func weigh(n *atomic.Int64, msg wire.Msg) {
+func weigh(n *atomic.Int64, msg wire.Message) {
 	var w io.Writer = tally{n}
-	if err := wire.NewEncoder(w).Put(msg); err != nil {
+	if err := wire.NewEncoder(w).Encode(msg); err != nil {
 		panic(err)
 	}
 }
 
 // crowd is all the hollow agents of a run.
 type crowd struct {
-	crew  *lifecycle.Crew
+	crew  *lifecycle.Group
 	clock *clock.System
 	seeds []string
 
@@ -73,7 +73,7 @@
 	starts, ends, lapsed, sent, got, running atomic.Int64
 }
 
-func newCrowd(c *lifecycle.Crew, clock *clock.System, seeds []string) *crowd {
+func newCrowd(c *lifecycle.Group, clock *clock.System, seeds []string) *crowd {
 	return &crowd{crew: c, clock: clock, seeds: seeds, waits: hdrhistogram.New(1, slowest, 3)}
 }
 
@@ -101,7 +101,7 @@
 	s.vary = func(span clock.Millis) clock.Millis {
 		return span*9/10 + clock.Millis(rnd.Int64N(int64(span)/5+1))
 	}
-	s.room = job.Demand{Milli: 24000, Mem: 64000}
+	s.room = job.Demand{MilliCores: 24000, Mem: 64000}
 	if i%2 == 1 {
 		s.room.GPUs = accelerators
 	}
@@ -111,7 +111,7 @@
 // grow adds agents until there are so many.
 func (w *crowd) grow(to int) error {
 	for len(w.list) < to {
-		g := &group{crowd: w, in: lifecycle.NewRing[frame](8192)}
+		g := &group{crowd: w, in: lifecycle.NewQueue[frame](8192)}
 		for len(g.list) < groupSize && len(w.list) < to {
 			h, err := w.hollow(len(w.list), g)
 			if err != nil {
@@ -134,9 +134,9 @@
 		h.size = &sizes{}
 	}
 	h.run.next = w.clock.Now() + clock.Monotonic(i%beatGap)
-	h.mach = agent.New(agent.Boot{Name: identifier.Runner(fmt.Sprintf("hollow-%d", i)), Addr: h.link.Addr(), Domain: h.run.domain, Seeds: w.seeds,
-		Seed: time.Now().UnixMicro() + int64(i), HoldMost: holdMost, Pace: beatGap}, w.clock.Now())
-	h.link.Serve(func(from wire.Peer, msg wire.Msg) { g.in.Offer(frame{h, from, msg}) })
+	h.mach = agent.New(agent.Config{Name: identifier.Runner(fmt.Sprintf("hollow-%d", i)), Addr: h.link.Addr(), Domain: h.run.domain, Seeds: w.seeds,
+		Seed: time.Now().UnixMicro() + int64(i), MaxLease: holdMost, HeartbeatInterval: beatGap}, w.clock.Now())
+	h.link.Serve(func(from wire.Peer, msg wire.Message) { g.in.TryPush(frame{h, from, msg}) })
 	return h, nil
 }
 
@@ -154,18 +154,18 @@
 type frame struct {
 	to   *hollow
 	from wire.Peer
-	msg  wire.Msg
+	msg  wire.Message
 }
 
 // group is some agents that one duty looks after.
 type group struct {
 	crowd *crowd
-	in    *lifecycle.Ring[frame]
+	in    *lifecycle.Queue[frame]
 	list  []*hollow
 }
 
 func (g *group) live(stop <-chan struct{}) {
-	t := time.NewTicker(agent.Tick.Duration())
+	t := time.NewTicker(agent.TickInterval.Duration())
 	defer t.Stop()
 	for {
 		select {
@@ -176,7 +176,7 @@
 			if x.to.size != nil {
 				weigh(&x.to.size.got, x.msg)
 			}
-			x.to.mach.Frame(x.from, x.msg, g.crowd.clock.Now())
+			x.to.mach.HandleMessage(x.from, x.msg, g.crowd.clock.Now())
 			g.out(x.to)
 		case <-t.C:
 			g.step()
@@ -190,7 +190,7 @@
 		h.mach.Tick(now)
 		was, ends := len(h.run.runs), h.run.n
 		if h.run.due(now) {
-			o := h.mach.Beat(h.run.beat(now), now)
+			o := h.mach.HandleHeartbeat(h.run.beat(now), now)
 			h.run.obey(o, now, now)
 		}
 		g.crowd.running.Add(int64(len(h.run.runs) - was))
@@ -202,11 +202,11 @@
 }
 
 func (g *group) out(h *hollow) {
-	for _, s := range h.mach.Take().Sends {
+	for _, s := range h.mach.TakeOutput().Messages {
 		g.crowd.sent.Add(1)
 		if h.size != nil {
-			weigh(&h.size.sent, s.Msg)
+			weigh(&h.size.sent, s.Message)
 		}
-		h.link.Send(s.To, s.Msg)
+		h.link.Send(s.To, s.Message)
 	}
 }
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -24,7 +24,7 @@
 
 type load struct {
 	fleet *fleet
-	jobs  *lifecycle.Ring[string]
+	jobs  *lifecycle.Queue[string]
 	next  atomic.Uint64
 	taken atomic.Int64
 	// odd counts jobs that were not taken, by status; 0 is no answer.
@@ -33,7 +33,7 @@
 }
 
 func newLoad(f *fleet) *load {
-	l := &load{fleet: f, jobs: lifecycle.NewRing[string](2048), odd: map[int]int{}}
+	l := &load{fleet: f, jobs: lifecycle.NewQueue[string](2048), odd: map[int]int{}}
 	for i := range posters {
 		f.crew.Go(func(stop <-chan struct{}) { l.post(f.fronts[i%len(f.fronts)], stop) })
 	}
@@ -67,7 +67,7 @@
 // offer hands a job to whoever posts next; one that finds the line full is
 // counted as not taken.
 func (l *load) offer(body string) {
-	if !l.jobs.Offer(body) {
+	if !l.jobs.TryPush(body) {
 		l.mu.Lock()
 		l.odd[-1]++
 		l.mu.Unlock()
--- a/tests/scale/runner.go
+++ b/tests/scale/runner.go
@@ -70,19 +70,19 @@
 		how := ""
 		switch {
 		case now > s.until:
-			how = runnerapi.Lapsed
+			how = runnerapi.OutcomeLeaseLapsed
 			s.lapses++
 		case w.stop > 0 && now >= w.stop:
-			how = runnerapi.Stopped
+			how = runnerapi.OutcomeStopped
 		case now.Since(w.at) >= w.span:
-			how = runnerapi.Well
+			how = runnerapi.OutcomeSuccess
 		}
 		if how == "" {
 			kept = append(kept, w)
 			continue
 		}
 		s.n++
-		s.ends = append(s.ends, runnerapi.RunEnd{N: s.n, Task: w.task, Run: w.no, How: how})
+		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.n, Task: w.task, Attempt: w.no, Outcome: how})
 	}
 	clear(s.runs[len(kept):])
 	s.runs = kept
@@ -90,11 +90,11 @@
 }
 
 // beat is what the runner says of itself.
-func (s *standIn) beat(now clock.Monotonic) agent.Beat {
+func (s *standIn) beat(now clock.Monotonic) agent.Heartbeat {
 	s.seq++
-	b := agent.Beat{Runner: s.inc, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Cap: s.room}
+	b := agent.Heartbeat{Runner: s.inc, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Capacity: s.room}
 	for _, w := range s.runs {
-		b.Active = append(b.Active, runnerapi.RunState{Task: w.task, Run: w.no, Percent: min(100, int64(now.Since(w.at)*100/w.span))})
+		b.Active = append(b.Active, runnerapi.RunState{Task: w.task, Attempt: w.no, ProgressPercent: min(100, int64(now.Since(w.at)*100/w.span))})
 	}
 	b.Finished = append(b.Finished, s.ends...)
 	return b
@@ -102,19 +102,19 @@
 
 // obey takes the answer to a beat that was sent at the given time.
 func (s *standIn) obey(o agent.Orders, sent, now clock.Monotonic) {
-	s.next = sent + clock.Monotonic(max(1, o.Retry))
-	if o.Hold > 0 {
-		s.until = max(s.until, sent.Add(o.Hold))
+	s.next = sent + clock.Monotonic(max(1, o.NextHeartbeat))
+	if o.Lease > 0 {
+		s.until = max(s.until, sent.Add(o.Lease))
 	}
 	left := s.ends[:0]
 	for _, e := range s.ends {
-		if e.N > o.Observed {
+		if e.Seq > o.ObservedThrough {
 			left = append(left, e)
 		}
 	}
 	s.ends = left
 	for _, x := range o.Stop {
-		if w := s.find(x.Task, x.Run); w != nil && w.stop == 0 {
+		if w := s.find(x.Task, x.Attempt); w != nil && w.stop == 0 {
 			w.stop = now.Add(stopping)
 		}
 	}
@@ -134,19 +134,19 @@
 
 // start turns away what bears no note, and takes the same start only once.
 func (s *standIn) start(x runnerapi.Start, now clock.Monotonic) {
-	if s.find(x.Task, x.No) != nil {
+	if s.find(x.Task, x.Attempt) != nil {
 		return
 	}
-	span, handed, ok := readNote(x.Text)
+	span, handed, ok := readNote(x.Payload)
 	if !ok {
 		s.n++
-		s.ends = append(s.ends, runnerapi.RunEnd{N: s.n, Task: x.Task, Run: x.No, How: runnerapi.Refused})
+		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.n, Task: x.Task, Attempt: x.Attempt, Outcome: runnerapi.OutcomeRejected})
 		return
 	}
 	if s.vary != nil {
 		span = s.vary(span)
 	}
-	s.runs = append(s.runs, &work{task: x.Task, no: x.No, span: span, at: now})
+	s.runs = append(s.runs, &work{task: x.Task, no: x.Attempt, span: span, at: now})
 	if s.begun != nil {
 		s.begun(handed, now)
 	}
--- a/tests/scale/runner_test.go
+++ b/tests/scale/runner_test.go
@@ -10,7 +10,7 @@
 )
 
 func startOf(num int, span clock.Millis) runnerapi.Start {
-	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, No: 1, Text: note(span, 40)}
+	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, Attempt: 1, Payload: note(span, 40)}
 }
 
 // TestStandIn: a run begins on order and once, shows how far it is, ends well
@@ -25,7 +25,7 @@
 	if b := s.beat(0); b.Seq != 1 || b.Runner != "a" || b.Pool != pool || len(b.Active) > 0 {
 		t.Errorf("first beat %+v", b)
 	}
-	o := agent.Orders{Hold: 6000, Retry: 100, Start: []runnerapi.Start{startOf(0, 1000)}}
+	o := agent.Orders{Lease: 6000, NextHeartbeat: 100, Start: []runnerapi.Start{startOf(0, 1000)}}
 	s.obey(o, 0, 50)
 	s.obey(o, 0, 60)
 	if count != 1 || handed != 40 || began != 50 {
@@ -34,7 +34,7 @@
 	if s.due(99) || !s.due(100) {
 		t.Error("does not beat every 100 ms")
 	}
-	if b := s.beat(550); len(b.Active) != 1 || b.Active[0].Percent != 50 || b.Active[0].Run != 1 {
+	if b := s.beat(550); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 || b.Active[0].Attempt != 1 {
 		t.Errorf("half way: %+v", b.Active)
 	}
 	s.due(1049)
@@ -44,12 +44,12 @@
 	s.due(1050)
 	for range 2 {
 		b := s.beat(1100)
-		if len(b.Active) != 0 || len(b.Finished) != 1 || b.Finished[0].How != runnerapi.Well || b.Finished[0].N != 1 {
+		if len(b.Active) != 0 || len(b.Finished) != 1 || b.Finished[0].Outcome != runnerapi.OutcomeSuccess || b.Finished[0].Seq != 1 {
 			t.Fatalf("after its span: %+v", b)
 		}
-		s.obey(agent.Orders{Hold: 6000, Retry: 100}, 1100, 1100)
+		s.obey(agent.Orders{Lease: 6000, NextHeartbeat: 100}, 1100, 1100)
 	}
-	s.obey(agent.Orders{Hold: 6000, Retry: 100, Observed: 1}, 1200, 1200)
+	s.obey(agent.Orders{Lease: 6000, NextHeartbeat: 100, ObservedThrough: 1}, 1200, 1200)
 	if b := s.beat(1300); len(b.Finished) != 0 {
 		t.Errorf("an observed end is told again: %+v", b.Finished)
 	}
@@ -59,9 +59,9 @@
 func TestStandInEnds(t *testing.T) {
 	s := &standIn{}
 	bad := startOf(2, 1000)
-	bad.Text = "x"
-	s.obey(agent.Orders{Hold: 1000, Start: []runnerapi.Start{startOf(0, 9000), startOf(1, 9000), bad}}, 0, 0)
-	s.obey(agent.Orders{Hold: 1000, Stop: []runnerapi.RunStop{{Task: startOf(0, 1).Task, Run: 1}}}, 100, 100)
+	bad.Payload = "x"
+	s.obey(agent.Orders{Lease: 1000, Start: []runnerapi.Start{startOf(0, 9000), startOf(1, 9000), bad}}, 0, 0)
+	s.obey(agent.Orders{Lease: 1000, Stop: []runnerapi.RunStop{{Task: startOf(0, 1).Task, Attempt: 1}}}, 100, 100)
 	s.due(249)
 	if len(s.runs) != 2 {
 		t.Errorf("%d runs before the stop took hold", len(s.runs))
@@ -75,13 +75,13 @@
 	if s.lapses != 1 {
 		t.Errorf("%d lapses counted", s.lapses)
 	}
-	want := []string{runnerapi.Refused, runnerapi.Stopped, runnerapi.Lapsed}
+	want := []string{runnerapi.OutcomeRejected, runnerapi.OutcomeStopped, runnerapi.OutcomeLeaseLapsed}
 	b := s.beat(1101)
 	if len(b.Finished) != len(want) || len(b.Active) != 0 {
 		t.Fatalf("ends %+v", b.Finished)
 	}
 	for i, e := range b.Finished {
-		if e.How != want[i] || e.N != uint64(i+1) {
+		if e.Outcome != want[i] || e.Seq != uint64(i+1) {
 			t.Errorf("end %d: %+v, want %s", i, e, want[i])
 		}
 	}
@@ -90,9 +90,9 @@
 // TestStandInVaries: the percentage and the end go by how long a run really takes.
 func TestStandInVaries(t *testing.T) {
 	s := &standIn{vary: func(span clock.Millis) clock.Millis { return span * 2 }}
-	s.obey(agent.Orders{Hold: 6000, Start: []runnerapi.Start{startOf(0, 1000)}}, 0, 0)
+	s.obey(agent.Orders{Lease: 6000, Start: []runnerapi.Start{startOf(0, 1000)}}, 0, 0)
 	s.due(1999)
-	if b := s.beat(1000); len(b.Active) != 1 || b.Active[0].Percent != 50 {
+	if b := s.beat(1000); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 {
 		t.Errorf("%+v", b.Active)
 	}
 	if s.due(2000); len(s.runs) != 0 {
@@ -104,10 +104,10 @@
 // gets no hold, and so begins nothing.
 func TestAgentAndStandIn(t *testing.T) {
 	s := &standIn{inc: "a", domain: "n", rack: "r"}
-	m := agent.New(agent.Boot{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, HoldMost: 6000, Pace: 100}, 0)
-	o := m.Beat(s.beat(0), 0)
+	m := agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: 6000, HeartbeatInterval: 100}, 0)
+	o := m.HandleHeartbeat(s.beat(0), 0)
 	s.obey(o, 0, 0)
-	if o.Hold != 0 || s.until != 0 || s.next != 100 || len(m.Take().Sends) != 1 {
+	if o.Lease != 0 || s.until != 0 || s.next != 100 || len(m.TakeOutput().Messages) != 1 {
 		t.Errorf("orders %+v, until %d, next %d", o, s.until, s.next)
 	}
 }
--- a/tests/simulation/asleep_test.go
+++ b/tests/simulation/asleep_test.go
@@ -24,7 +24,7 @@
 			}}
 			w := Run(p)
 			if dull {
-				broken += len(w.Watch.Breaches)
+				broken += len(w.Watch.Violations)
 				continue
 			}
 			judge(t, p, w)
--- a/tests/simulation/blow.go
+++ b/tests/simulation/blow.go
@@ -161,7 +161,7 @@
 	back := w.shut(zone)
 	w.after(50, func() {
 		c := w.callers
-		w.Watch.Opens(zone)
+		w.Watch.ReopenRequested(zone)
 		for i := 0; i < 4; i++ {
 			verb := []string{"PUT", "DELETE"}[i%2]
 			w.http(c.node, w.gates[i%len(w.gates)].addr, verb, "/v1/closings/"+zone, nil, 1000, func(int, []byte) {})
--- a/tests/simulation/bounds_test.go
+++ b/tests/simulation/bounds_test.go
@@ -35,8 +35,8 @@
 		}
 		w.at(8500, func() {
 			for i := 0; i < 50; i++ {
-				st := job.Step{Name: "s", Tasks: 1, Defects: 1, Demand: job.Demand{Cores: 1, Mem: 1}}
-				w.Watch.Jobs[identifier.NewJobKey("big", identifier.JobID(fmt.Sprintf("j%d", i)))] = &invariants.Job{Spec: job.Spec{Steps: []job.Step{st}}, Acked: 1, Over: "well"}
+				st := job.Step{Name: "s", Tasks: 1, MaxDefects: 1, Demand: job.Demand{Cores: 1, Mem: 1}}
+				w.Watch.Jobs[identifier.NewJobKey("big", identifier.JobID(fmt.Sprintf("j%d", i)))] = &invariants.Job{Spec: job.Spec{Steps: []job.Step{st}}, AckedAt: 1, EndState: "well"}
 				put(i)
 			}
 		})
--- a/tests/simulation/callers.go
+++ b/tests/simulation/callers.go
@@ -66,22 +66,22 @@
 		return n
 	}
 	for n := pick(1); n > 0; n-- {
-		c.hand("stock", job.Step{Name: "run", Tasks: 2 + c.w.rnd.Int63n(3), Gang: true, Demand: job.Demand{Cores: 2 + c.w.rnd.Int63n(3), Mem: 2048}, Run: clock.Millis(1000 + c.w.rnd.Int63n(4000))})
+		c.hand("stock", job.Step{Name: "run", Tasks: 2 + c.w.rnd.Int63n(3), Gang: true, Demand: job.Demand{Cores: 2 + c.w.rnd.Int63n(3), Mem: 2048}, ExpectedRun: clock.Millis(1000 + c.w.rnd.Int63n(4000))})
 	}
 	if c.w.rnd.Intn(4) == 0 {
-		c.hand("stock", job.Step{Name: "sign", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 512}, Run: clock.Millis(15000 + c.w.rnd.Int63n(10000))})
+		c.hand("stock", job.Step{Name: "sign", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 512}, ExpectedRun: clock.Millis(15000 + c.w.rnd.Int63n(10000))})
 	}
 	if c.w.rnd.Intn(6) == 0 {
-		c.hand("stock", job.Step{Name: "night", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 1, Mem: 512}, Run: clock.Millis(22000 + c.w.rnd.Int63n(4000))})
+		c.hand("stock", job.Step{Name: "night", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 1, Mem: 512}, ExpectedRun: clock.Millis(22000 + c.w.rnd.Int63n(4000))})
 	}
 	for n := pick(2); n > 0; n-- {
-		st := job.Step{Name: "price", Tasks: 1 + c.w.rnd.Int63n(3), Demand: job.Demand{Cores: 1, Mem: 256}, Run: clock.Millis(100 + c.w.rnd.Int63n(400))}
+		st := job.Step{Name: "price", Tasks: 1 + c.w.rnd.Int63n(3), Demand: job.Demand{Cores: 1, Mem: 256}, ExpectedRun: clock.Millis(100 + c.w.rnd.Int63n(400))}
 		two := st
 		two.Name, two.After = "plan", []string{"price"}
 		c.hand("push", st, two)
 	}
 	for n := pick(8); n > 0; n-- {
-		st := job.Step{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 128}, Run: clock.Millis(50 + c.w.rnd.Int63n(300))}
+		st := job.Step{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 128}, ExpectedRun: clock.Millis(50 + c.w.rnd.Int63n(300))}
 		if c.w.rnd.Intn(4) == 0 {
 			st.Labels = []identifier.Label{"ssd"}
 		}
@@ -91,24 +91,24 @@
 }
 
 func (c *callers) hand(row identifier.Row, steps ...job.Step) {
-	s := job.Spec{Pending: row, Urgency: c.w.rnd.Int63n(4)}
+	s := job.Spec{Row: row, Urgency: c.w.rnd.Int63n(4)}
 	for _, st := range steps {
-		st.Defects = 1 + c.w.rnd.Int63n(4)
+		st.MaxDefects = 1 + c.w.rnd.Int63n(4)
 		s.Steps = append(s.Steps, st)
 	}
 	c.next++
 	j := &invariants.Job{Spec: s}
 	doc := map[string]any{"pending": row, "urgency": s.Urgency, "steps": stepDocs(s.Steps)}
-	j.Handed = c.w.Now + c.w.rnd.Int63n(1000)
+	j.SubmittedAt = c.w.Now + c.w.rnd.Int63n(1000)
 	switch c.w.rnd.Intn(20) {
 	case 0:
 		d := 1000 + c.w.rnd.Int63n(5000)
 		doc["delayMs"] = d
-		j.Start = j.Handed + d
+		j.StartAt = j.SubmittedAt + d
 	case 1:
-		at := clock.ClusterTime(epoch + j.Handed + 1000 + c.w.rnd.Int63n(5000))
+		at := clock.ClusterTime(epoch + j.SubmittedAt + 1000 + c.w.rnd.Int63n(5000))
 		doc["notBefore"] = at.Time().Format("2006-01-02T15:04:05.000Z")
-		j.Start = int64(at) - epoch
+		j.StartAt = int64(at) - epoch
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
@@ -116,14 +116,14 @@
 	}
 	key := identifier.NewJobKey("gilde", identifier.JobID(fmt.Sprintf("j%d", c.next)))
 	c.w.Watch.Jobs[key] = j
-	c.w.at(j.Handed, func() { c.put(key, j, text) })
+	c.w.at(j.SubmittedAt, func() { c.put(key, j, text) })
 }
 
 func stepDocs(steps []job.Step) []map[string]any {
 	var out []map[string]any
 	for _, st := range steps {
 		out = append(out, map[string]any{"name": st.Name, "after": st.After, "tasks": st.Tasks, "gang": st.Gang, "cores": st.Demand.Cores,
-			"memMb": st.Demand.Mem, "labels": st.Labels, "allowedDefects": st.Defects, "spanMs": st.Run})
+			"memMb": st.Demand.Mem, "labels": st.Labels, "allowedDefects": st.MaxDefects, "spanMs": st.ExpectedRun})
 	}
 	return out
 }
@@ -133,8 +133,8 @@
 	c.w.http(c.node, c.gate(), "PUT", "/v1/jobs/"+string(key), text, 2000, func(status int, body []byte) {
 		switch {
 		case status == 200 || status == 201:
-			if j.Acked == 0 {
-				j.Acked = c.w.Now
+			if j.AckedAt == 0 {
+				j.AckedAt = c.w.Now
 				c.keys = append(c.keys, key)
 				c.w.Watch.Counts["acked"]++
 				c.follow(key, j, text)
@@ -144,7 +144,7 @@
 			c.w.after(200+c.w.rnd.Int63n(600), func() { c.put(key, j, text) })
 		default:
 			c.Refused[status]++
-			c.w.Watch.Breach("P9", "job %s refused with %d: %s", key, status, body)
+			c.w.Watch.Violate("P9", "job %s refused with %d: %s", key, status, body)
 		}
 	})
 }
@@ -171,24 +171,24 @@
 			State string `json:"state"`
 		}
 		if status == 200 && json.Unmarshal(body, &d) != nil {
-			c.w.Watch.Breach("P9", "job %s reads as %q", key, body)
+			c.w.Watch.Violate("P9", "job %s reads as %q", key, body)
 		}
-		c.w.Watch.State(key, status, d.State)
-		if status == 200 && c.w.Watch.Jobs[key].Over == "" {
+		c.w.Watch.JobStateReported(key, status, d.State)
+		if status == 200 && c.w.Watch.Jobs[key].EndState == "" {
 			c.w.after(1000+c.w.rnd.Int63n(2000), func() { c.read(key) })
 		}
 	})
 }
 
 func (c *callers) cancel(key identifier.JobKey, j *invariants.Job) {
-	j.Asked = true
+	j.CancelSent = true
 	c.w.http(c.node, c.gate(), "DELETE", "/v1/jobs/"+string(key), nil, 2000, func(status int, _ []byte) {
 		if status != 200 {
 			c.w.after(500, func() { c.cancel(key, j) })
 			return
 		}
-		if j.Cancelled == 0 {
-			j.Cancelled = c.w.Now
+		if j.CancelledAt == 0 {
+			j.CancelledAt = c.w.Now
 		}
 	})
 }
@@ -225,17 +225,17 @@
 			} `json:"rows"`
 		}
 		if json.Unmarshal(body, &d) != nil {
-			c.w.Watch.Breach("P10", "table reads as %q", body)
+			c.w.Watch.Violate("P10", "table reads as %q", body)
 			return
 		}
 		n := d.Rows["push"].Weight
 		switch {
 		case d.Epoch < floor:
-			c.w.Watch.Breach("P10", "epoch %d was acknowledged, and %d is read", floor, d.Epoch)
+			c.w.Watch.Violate("P10", "epoch %d was acknowledged, and %d is read", floor, d.Epoch)
 		case c.rejected[n]:
-			c.w.Watch.Breach("P10", "rejected weight %d is in effect", n)
+			c.w.Watch.Violate("P10", "rejected weight %d is in effect", n)
 		case n < low:
-			c.w.Watch.Breach("P10", "weight %d was acknowledged, and %d is read", low, n)
+			c.w.Watch.Violate("P10", "weight %d was acknowledged, and %d is read", low, n)
 		}
 		if then != nil {
 			then(d.Epoch)
@@ -266,7 +266,7 @@
 	n := c.weight%9000 + 2
 	c.patch(epoch, map[string]any{"push.weight": n, "push.onOutage": "explode"}, func(status int, _ int64) {
 		if status == 200 {
-			c.w.Watch.Breach("P10", "a bad table change was acknowledged")
+			c.w.Watch.Violate("P10", "a bad table change was acknowledged")
 		}
 		c.rejected[n] = true
 	})
@@ -307,7 +307,7 @@
 	}
 	since := max(c.whole, c.served)
 	if c.w.Now-since > 12000 {
-		c.w.Watch.Breach("P11", "service owed since %d, last answer at %d", c.whole, c.served)
+		c.w.Watch.Violate("P11", "service owed since %d, last answer at %d", c.whole, c.served)
 	}
 }
 
@@ -328,13 +328,13 @@
 	verb := "PUT"
 	if !shut {
 		verb = "DELETE"
-		c.w.Watch.Opens(zone)
+		c.w.Watch.ReopenRequested(zone)
 	}
 	c.w.http(c.node, c.gate(), verb, "/v1/closings/"+zone, nil, 2000, func(status int, _ []byte) {
 		switch {
 		case !still():
 		case status == 200 && shut:
-			c.w.Watch.Shut(zone)
+			c.w.Watch.DrainAcked(zone)
 		case status == 200 || status == 404 && !shut:
 		default:
 			c.w.after(400, func() {
--- a/tests/simulation/clocks_test.go
+++ b/tests/simulation/clocks_test.go
@@ -24,7 +24,7 @@
 	if k == nil {
 		t.Fatal("no leader")
 	}
-	return int64(k.mach.Book().Now) - epoch - w.Now
+	return int64(k.mach.State().Now) - epoch - w.Now
 }
 
 // TestClocks: every keeper's clock jumps, forward and back by hours, leaders
@@ -104,7 +104,7 @@
 		var look func()
 		look = func() {
 			k := w.leader()
-			if k == nil || k == old || k.mach.Raft().Commit() < k.mach.Raft().First() {
+			if k == nil || k == old || k.mach.Raft().CommitIndex() < k.mach.Raft().TermStart() {
 				if w.Now < 15000 {
 					w.after(1, look)
 				}
--- a/tests/simulation/cut_off_test.go
+++ b/tests/simulation/cut_off_test.go
@@ -210,7 +210,7 @@
 		t.Errorf("closings read as %s", body)
 	}
 	for _, c := range doc.Closings {
-		yes = yes || c.Stage.Down()
+		yes = yes || c.Stage.Cordons()
 	}
 	return yes
 }
--- a/tests/simulation/disk.go
+++ b/tests/simulation/disk.go
@@ -20,7 +20,7 @@
 	return append([]byte(nil), d.files[name]...), nil
 }
 
-func (d *disk) Make(name string, size int) error {
+func (d *disk) Create(name string, size int) error {
 	d.files[name] = make([]byte, size)
 	return nil
 }
@@ -37,7 +37,7 @@
 	return nil
 }
 
-func (d *disk) Grow(name string, off int, data []byte) error {
+func (d *disk) AppendReplacement(name string, off int, data []byte) error {
 	if d.full {
 		return errFull
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (d *disk) Settle(name string) error {
+func (d *disk) CommitReplacement(name string) error {
 	if d.tear >= 0 {
 		return errTorn
 	}
@@ -57,7 +57,7 @@
 	return nil
 }
 
-func (d *disk) Swap(name string, data []byte) error {
+func (d *disk) Replace(name string, data []byte) error {
 	if d.full {
 		return errFull
 	}
--- a/tests/simulation/edge.go
+++ b/tests/simulation/edge.go
@@ -11,7 +11,7 @@
 type edge struct {
 	*node
 	w    *World
-	mach *gateway.Machine
+	mach *gateway.Gateway
 	back map[uint64]func(status int, body []byte)
 	next uint64
 }
@@ -26,7 +26,7 @@
 	g.life++
 	g.up, g.begun = true, g.w.Now
 	g.back = map[uint64]func(int, []byte){}
-	g.mach = gateway.New(gateway.Boot{Addr: g.addr, HTTP: g.addr, Domain: identifier.Domain(g.zone), Seeds: g.w.seeds, Seed: g.w.rnd.Int63()}, 0)
+	g.mach = gateway.New(gateway.Config{Addr: g.addr, HTTP: g.addr, Domain: identifier.Domain(g.zone), Seeds: g.w.seeds, Seed: g.w.rnd.Int63()}, 0)
 	g.tick(g.life)
 }
 
@@ -38,13 +38,13 @@
 		g.mach.Tick(g.w.mono(g.node))
 		g.out()
 	}
-	g.w.after(int64(gateway.Tick), func() { g.tick(life) })
+	g.w.after(int64(gateway.TickInterval), func() { g.tick(life) })
 }
 
 func (g *edge) out() {
-	o := g.mach.Take()
-	g.w.frames(g.node, o.Sends)
-	for _, a := range o.Answers {
+	o := g.mach.TakeOutput()
+	g.w.frames(g.node, o.Messages)
+	for _, a := range o.Responses {
 		if back := g.back[a.ID]; back != nil {
 			delete(g.back, a.ID)
 			back(a.Status, a.Body)
@@ -67,7 +67,7 @@
 	if n == nil {
 		return
 	}
-	r := gateway.Request{Verb: verb, Path: path, Body: body, Budget: clock.Millis(wait)}
+	r := gateway.Request{Method: verb, Path: path, Body: body, Budget: clock.Millis(wait)}
 	answer := func(status int, body []byte) {
 		w.fly(n, from, func() { settle(status, body) })
 	}
@@ -88,6 +88,6 @@
 	g.next++
 	r.ID = g.next
 	g.back[r.ID] = answer
-	g.mach.Request(r, g.w.mono(g.node))
+	g.mach.HandleRequest(r, g.w.mono(g.node))
 	g.out()
 }
--- a/tests/simulation/fault.go
+++ b/tests/simulation/fault.go
@@ -171,7 +171,7 @@
 		return w.leave(r, f)
 	case "runner-sick":
 		r.sick = 80
-		r.mach.SetFaults(int64(f.B)%80, r.boot.Faulty+80)
+		r.mach.SetFaults(int64(f.B)%80, r.boot.DefectPercent+80)
 		return func() { r.sick = 0; r.mach.SetFaults(0, w.Site.Faulty) }
 	case "zone":
 		return w.shut(zones[f.B%len(zones)])
--- a/tests/simulation/founding_test.go
+++ b/tests/simulation/founding_test.go
@@ -19,7 +19,7 @@
 func (w *World) leased() int {
 	var n int
 	for _, k := range w.keepers {
-		if k.leads() && k.mach.Raft().Leased(w.mono(k.node)) {
+		if k.leads() && k.mach.Raft().HasLease(w.mono(k.node)) {
 			n++
 		}
 	}
--- a/tests/simulation/gang_test.go
+++ b/tests/simulation/gang_test.go
@@ -15,20 +15,20 @@
 	if k == nil {
 		return nil
 	}
-	b := k.mach.Book()
+	b := k.mach.State()
 	best := int64(0)
 	for _, one := range w.runners {
 		n := b.Runners[one.boot.Name]
 		if n == nil || !one.up || one.frozen {
 			continue
 		}
-		for _, id := range n.GrantIDs() {
-			g := b.Grants[id]
+		for _, id := range n.LeaseIDs() {
+			g := b.Leases[id]
 			if g.Demand.Cores < wide {
 				continue
 			}
-			if st := b.Jobs[g.Ref.Job].Spec.Steps[g.Ref.Step]; st.Gang && g.Stop == "" && int64(g.Run) > best {
-				best, r = int64(g.Run), one
+			if st := b.Jobs[g.Task.Job].Spec.Steps[g.Task.Step]; st.Gang && g.RevokeReason == "" && int64(g.ExpectedRun) > best {
+				best, r = int64(g.ExpectedRun), one
 			}
 		}
 	}
@@ -50,18 +50,18 @@
 }{
 	{"partner crashes", 4500, func(w *World, r *side) { w.goneForGood(r) }},
 	{"partner freezes", 4500, func(w *World, r *side) { w.after(20000, w.hold(r.node)) }},
-	{"partner is cut off", invariants.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, true)) }},
-	{"partner is not heard", invariants.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, false)) }},
-	{"partner hears nothing", invariants.PartMost, func(w *World, r *side) { w.after(20000, w.apart(r.node, false, true)) }},
-	{"partner and leader crash", invariants.PartMost, func(w *World, r *side) {
+	{"partner is cut off", invariants.MaxIncompleteGang, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, true)) }},
+	{"partner is not heard", invariants.MaxIncompleteGang, func(w *World, r *side) { w.after(20000, w.apart(r.node, true, false)) }},
+	{"partner hears nothing", invariants.MaxIncompleteGang, func(w *World, r *side) { w.after(20000, w.apart(r.node, false, true)) }},
+	{"partner and leader crash", invariants.MaxIncompleteGang, func(w *World, r *side) {
 		w.goneForGood(r)
 		w.strike(Fault{Dur: 15000, Kind: "leader-crash"})
 	}},
-	{"partner goes, then leader", invariants.PartMost, func(w *World, r *side) {
+	{"partner goes, then leader", invariants.MaxIncompleteGang, func(w *World, r *side) {
 		w.goneForGood(r)
 		w.after(2200, func() { w.strike(Fault{Dur: 15000, Kind: "leader-freeze"}) })
 	}},
-	{"partner goes with the core", invariants.PartMost, func(w *World, r *side) {
+	{"partner goes with the core", invariants.MaxIncompleteGang, func(w *World, r *side) {
 		w.goneForGood(r)
 		w.strike(Fault{Dur: 15000, Kind: "power"})
 	}},
@@ -78,7 +78,7 @@
 				p := Plan{Seed: seed, Window: 45000, Settle: 60000, Site: Gilde(), Extra: func(w *World) {
 					w.Site.Rate = 50
 					w.at(9000, func() {
-						w.callers.hand("stock", job.Step{Name: "wide", Tasks: 3, Gang: true, Demand: job.Demand{Cores: wide, Mem: 512}, Run: 25000})
+						w.callers.hand("stock", job.Step{Name: "wide", Tasks: 3, Gang: true, Demand: job.Demand{Cores: wide, Mem: 512}, ExpectedRun: 25000})
 					})
 					var look func()
 					look = func() {
--- a/tests/simulation/keep.go
+++ b/tests/simulation/keep.go
@@ -18,15 +18,15 @@
 type keep struct {
 	*node
 	w     *World
-	mach  *controlplane.Machine
+	mach  *controlplane.Server
 	disk  *disk
-	ring  *wal.Ring
-	shape wal.Shape
-	todo  wal.Chores
+	ring  *wal.Log
+	shape wal.Layout
+	todo  wal.WriteQueue
 	// requests are those made at this keeper itself.
 	requests *inflight.Requests
 	nextAsk  uint64
-	now      *wal.Chore
+	now      *wal.Operation
 	slow     int64
 	stall    int64
 	seeds    []string
@@ -40,7 +40,7 @@
 }
 
 func (w *World) addKeeper(name, zone string) *keep {
-	k := &keep{node: w.add(name, zone), w: w, disk: newDisk(), shape: wal.Shape{Files: 6, Bytes: 256 << 10}, seeds: w.seeds, level: state.Present}
+	k := &keep{node: w.add(name, zone), w: w, disk: newDisk(), shape: wal.Layout{Files: 6, Bytes: 256 << 10}, seeds: w.seeds, level: state.SupportedLevel}
 	w.keepers = append(w.keepers, k)
 	return k
 }
@@ -49,10 +49,10 @@
 func (k *keep) begin() {
 	w := k.w
 	k.life++
-	k.up, k.begun, k.todo, k.now, k.ring, k.saved = true, w.Now, wal.Chores{}, nil, nil, 0
+	k.up, k.begun, k.todo, k.now, k.ring, k.saved = true, w.Now, wal.WriteQueue{}, nil, nil, 0
 	k.requests = inflight.New()
 	if k.diskless {
-		k.mach = controlplane.New(controlplane.Boot{Addr: k.addr, Domain: identifier.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, Found: true, Diskless: true}, 0)
+		k.mach = controlplane.New(controlplane.Config{Addr: k.addr, Domain: identifier.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, MayFound: true, Diskless: true}, 0)
 		k.tick(k.life)
 		return
 	}
@@ -61,25 +61,25 @@
 		panic(err)
 	}
 	k.shape = shape
-	k.mach = controlplane.New(controlplane.Boot{ID: id, Addr: k.addr, Domain: identifier.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, Found: true}, 0)
+	k.mach = controlplane.New(controlplane.Config{ID: id, Addr: k.addr, Domain: identifier.Domain(k.zone), Seeds: k.seeds, Seed: w.rnd.Int63(), Timing: w.Site.timing(), Level: k.level, MayFound: true}, 0)
 	r, found, err := wal.Open(k.disk, k.shape)
 	if err != nil {
 		panic("sim: " + k.name + ": " + err.Error())
 	}
 	k.ring = r
 	if found != nil {
-		k.saved = found.View.Index + identifier.Index(len(found.List))
-		if err = k.mach.Resume(found.Hard, found.View, found.List); err != nil {
+		k.saved = found.Snapshot.Index + identifier.Index(len(found.Entries))
+		if err = k.mach.Resume(found.HardState, found.Snapshot, found.Entries); err != nil {
 			k.aside = err.Error()
 			k.crash()
 			return
 		}
 	}
-	k.mach.Full = func() int {
+	k.mach.LogPercentUsed = func() int {
 		if k.ring == nil {
 			return 0
 		}
-		return k.ring.Full()
+		return k.ring.PercentUsed()
 	}
 	k.tick(k.life)
 }
@@ -96,34 +96,34 @@
 			return
 		}
 	}
-	k.w.after(int64(controlplane.Tick), func() { k.tick(life) })
+	k.w.after(int64(controlplane.TickInterval), func() { k.tick(life) })
 }
 
 func (k *keep) out() {
 	if k.w.trap != nil && k.w.trap(k) {
 		return
 	}
-	o := k.mach.Take()
+	o := k.mach.TakeOutput()
 	for _, e := range o.Events {
-		k.w.note("%s %s %v", k.name, e.Name, e.Vals)
+		k.w.note("%s %s %v", k.name, e.Name, e.Fields)
 	}
-	k.todo.Add(o.Start, o.Writes, o.Draft)
+	k.todo.Add(o.CreateLog, o.Writes, o.Snapshot)
 	if o.Quit != "" {
 		k.aside = o.Quit
 		k.crash()
 		return
 	}
 	k.work()
-	k.send(o.Sends)
+	k.send(o.Messages)
 	k.dispatch()
 }
 
 // send hands replies to requests made here to those, and all else to the net.
-func (k *keep) send(list []wire.Send) {
+func (k *keep) send(list []wire.Envelope) {
 	away := list[:0]
 	for _, s := range list {
 		if s.To.Local() {
-			k.requests.Complete(s.To, s.Msg.Reply, k.w.mono(k.node))
+			k.requests.Complete(s.To, s.Message.Response, k.w.mono(k.node))
 			continue
 		}
 		away = append(away, s)
@@ -133,9 +133,9 @@
 
 // dispatch gives the machine the requests made here that are due.
 func (k *keep) dispatch() {
-	list := k.requests.Take()
+	list := k.requests.TakeDispatches()
 	for _, one := range list {
-		k.mach.Frame(one.Peer, wire.Msg{Ask: one.Ask}, k.w.mono(k.node), k.w.wall(k.node))
+		k.mach.HandleMessage(one.Peer, wire.Message{Request: one.Request}, k.w.mono(k.node), k.w.wall(k.node))
 	}
 	if len(list) > 0 {
 		k.out()
@@ -147,7 +147,7 @@
 func (k *keep) serve(r gateway.Request, answer func(status int, body []byte)) {
 	k.nextAsk++
 	r.ID = k.nextAsk
-	done := func(a gateway.Answer) { answer(a.Status, a.Body) }
+	done := func(a gateway.Response) { answer(a.Status, a.Body) }
 	k.requests.Admit(r, done, k.w.mono(k.node), k.mach.Connected())
 	k.dispatch()
 }
@@ -171,7 +171,7 @@
 	})
 }
 
-func (k *keep) do(x *wal.Chore) {
+func (k *keep) do(x *wal.Operation) {
 	made, err := x.Do(k.disk, k.shape, k.ring)
 	k.ring = made
 	k.todo.Done(x)
@@ -181,16 +181,16 @@
 		return
 	}
 	if err != nil {
-		k.w.Watch.Breach("disk", "%s: %v", k.name, err)
+		k.w.Watch.Violate("disk", "%s: %v", k.name, err)
 		return
 	}
-	if x.Draft != nil {
+	if x.Snapshot != nil {
 		return
 	}
 	k.note(x)
 	k.w.post(k.node, 0, func() {
-		if x.Start != nil {
-			k.mach.Started(x.Start, k.w.mono(k.node), k.w.wall(k.node))
+		if x.Create != nil {
+			k.mach.LogCreated(x.Create, k.w.mono(k.node), k.w.wall(k.node))
 		} else {
 			k.mach.Synced(x.Write.Seq, k.w.mono(k.node), k.w.wall(k.node))
 		}
@@ -199,14 +199,14 @@
 }
 
 // note takes down how far the log on the disk goes after a chore.
-func (k *keep) note(x *wal.Chore) {
+func (k *keep) note(x *wal.Operation) {
 	switch {
-	case x.Start != nil:
-		k.saved = x.Start.Index
+	case x.Create != nil:
+		k.saved = x.Create.Index
 	case len(x.Write.Entries) > 0:
 		k.saved = x.Write.Entries[len(x.Write.Entries)-1].Index
-	case x.Write.View != nil:
-		k.saved = max(k.saved, x.Write.View.Index)
+	case x.Write.Snapshot != nil:
+		k.saved = max(k.saved, x.Write.Snapshot.Index)
 	}
 }
 
--- a/tests/simulation/leave_test.go
+++ b/tests/simulation/leave_test.go
@@ -275,7 +275,7 @@
 		t.Errorf("offset %d: %d ms without an accepted job to %d, %d accepted", offset, g.longest, g.at, g.count)
 	}
 	for _, k := range w.keepers {
-		if k.up && k.mach.Raft().Lead() == 0 {
+		if k.up && k.mach.Raft().Leader() == 0 {
 			t.Errorf("offset %d: %s follows nobody at the end", offset, k.name)
 		}
 	}
--- a/tests/simulation/outage_test.go
+++ b/tests/simulation/outage_test.go
@@ -10,12 +10,12 @@
 )
 
 // standing counts the tasks of each row that stand in each state.
-func (w *World) standing() map[identifier.Row]map[state.State]int {
-	out := map[identifier.Row]map[state.State]int{}
-	for _, j := range w.leader().mach.Book().Jobs {
-		row := j.Spec.Pending
+func (w *World) standing() map[identifier.Row]map[state.TaskState]int {
+	out := map[identifier.Row]map[state.TaskState]int{}
+	for _, j := range w.leader().mach.State().Jobs {
+		row := j.Spec.Row
 		if out[row] == nil {
-			out[row] = map[state.State]int{}
+			out[row] = map[state.TaskState]int{}
 		}
 		for _, tasks := range j.Steps {
 			for _, t := range tasks {
@@ -42,8 +42,8 @@
 	t.Parallel()
 	site := Gilde()
 	site.Cores, site.Faulty = 4, 0
-	var during map[identifier.Row]map[state.State]int
-	var c *state.Closing
+	var during map[identifier.Row]map[state.TaskState]int
+	var c *state.Drain
 	away, left := 0, 0
 	w := Run(Plan{Seed: seed, Site: site, Window: 30000, Settle: 70000, Extra: func(w *World) {
 		w.at(6600, func() { w.callers.stop = 0 })
@@ -58,7 +58,7 @@
 		})
 		w.at(8000, func() {
 			fill := func(row identifier.Row, tasks int64, gang bool) {
-				w.callers.hand(row, job.Step{Name: "long", Tasks: tasks, Gang: gang, Demand: job.Demand{Cores: 1, Mem: 64}, Run: 20000})
+				w.callers.hand(row, job.Step{Name: "long", Tasks: tasks, Gang: gang, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 20000})
 			}
 			for i := 0; i < 6; i++ {
 				fill("check", 1, false)
@@ -75,15 +75,15 @@
 		}
 		w.at(19000, func() {
 			during = w.standing()
-			for _, one := range w.leader().mach.Book().Closings {
+			for _, one := range w.leader().mach.State().Drains {
 				c = one
 			}
 			if c.Stage != state.Closed {
 				t.Errorf("6 s after the order the closing is at %s", c.Stage)
 			}
 			for _, ref := range c.Displaced {
-				j := w.leader().mach.Book().Jobs[ref.Job]
-				if j.Spec.Pending != "check" {
+				j := w.leader().mach.State().Jobs[ref.Job]
+				if j.Spec.Row != "check" {
 					continue
 				}
 				away++
@@ -95,20 +95,20 @@
 		w.at(22000, func() { w.callers.zone("north", false, func() bool { return true }) })
 	}})
 	judge(t, Plan{Seed: seed}, w)
-	if c == nil || c.Fits || !c.Judged || len(c.Displaced) < 10 || c.Short.Cores == 0 {
+	if c == nil || c.Fits || !c.PreflightDone || len(c.Displaced) < 10 || c.Shortage.Cores == 0 {
 		t.Fatalf("the closing: %+v", c)
 	}
-	if n := during["stock"]; n[state.Riding] == 0 {
+	if n := during["stock"]; n[state.Suspended] == 0 {
 		t.Errorf("stock rides it out: %v", n)
 	}
 	if away == 0 || left > 0 {
 		t.Errorf("check pushes its way in: of %d displaced, %d are not placed", away, left)
 	}
-	if n := during["push"]; n[state.Waiting] == 0 || n[state.Riding] > 0 {
+	if n := during["push"]; n[state.Waiting] == 0 || n[state.Suspended] > 0 {
 		t.Errorf("push waits: %v", n)
 	}
 	for row, n := range w.standing() {
-		if n[state.Waiting]+n[state.Riding]+n[state.Placed] > 0 {
+		if n[state.Waiting]+n[state.Suspended]+n[state.Placed] > 0 {
 			t.Errorf("in the end %s: %v", row, n)
 		}
 	}
@@ -131,7 +131,7 @@
 
 func rackOwnerDies(t *testing.T, how string, n int, back bool) {
 	trap := &snare{how: how, n: n, away: 6000}
-	var closed *state.Closing
+	var closed *state.Drain
 	w := Run(Plan{Seed: int64(n) + 400, Site: Gilde(), Window: 26000, Settle: 30000, Extra: func(w *World) {
 		w.Site.Rate = 50
 		trap.set(w)
@@ -144,7 +144,7 @@
 			}
 		})
 		w.at(17500, func() {
-			for _, one := range w.leader().mach.Book().Closings {
+			for _, one := range w.leader().mach.State().Drains {
 				found := *one
 				closed = &found
 			}
@@ -160,10 +160,10 @@
 	if !trap.sprung {
 		t.Fatal("the owner was never taken away")
 	}
-	if closed == nil || closed.Stage != state.Closed || len(closed.Scope) != 3 || closed.Verdict == "" || closed.Loose > 0 {
+	if closed == nil || closed.Stage != state.Closed || len(closed.Scope) != 3 || closed.Verdict == "" || closed.UnconfirmedStops > 0 {
 		t.Errorf("3.5 s after the departure: %+v", closed)
 	}
-	list := w.leader().mach.Book().Closings
+	list := w.leader().mach.State().Drains
 	for _, one := range list {
 		if one.Stage != state.Open {
 			t.Errorf("in the end: %+v", one)
--- a/tests/simulation/owed.go
+++ b/tests/simulation/owed.go
@@ -34,7 +34,7 @@
 		if !k.up || k.frozen || k.slow > 0 || k.stall > w.Now || k.mach == nil || k.mach.Raft() == nil {
 			continue
 		}
-		if m, ok := k.mach.Raft().Member(k.mach.Boot().ID); ok && m.Voter {
+		if m, ok := k.mach.Raft().Member(k.mach.Config().ID); ok && m.Voter {
 			list = append(list, k)
 		}
 	}
@@ -45,10 +45,10 @@
 func (w *World) majority() int {
 	voters, at := 0, uint64(0)
 	for _, k := range w.keepers {
-		if k.mach == nil || k.mach.Raft() == nil || uint64(k.mach.Raft().Last()) < at {
+		if k.mach == nil || k.mach.Raft() == nil || uint64(k.mach.Raft().LastIndex()) < at {
 			continue
 		}
-		at, voters = uint64(k.mach.Raft().Last()), 0
+		at, voters = uint64(k.mach.Raft().LastIndex()), 0
 		for _, m := range k.mach.Raft().Members() {
 			if m.Voter {
 				voters++
--- a/tests/simulation/policy_test.go
+++ b/tests/simulation/policy_test.go
@@ -37,7 +37,7 @@
 			for _, r := range w.runners {
 				r.seen = func(e runner.Event) {
 					s := w.Watch.Jobs[e.Task.Job].Spec
-					if w.Now < 28000 && s.Pending == "check" && len(s.Steps[0].Labels) == 0 {
+					if w.Now < 28000 && s.Row == "check" && len(s.Steps[0].Labels) == 0 {
 						starts[r.zone]++
 					}
 				}
--- a/tests/simulation/porter_test.go
+++ b/tests/simulation/porter_test.go
@@ -23,7 +23,7 @@
 		seeds := []string{"p1", "nobody", "p2"}
 		know := func(when string) {
 			for _, p := range porters {
-				if !p.mach.Led() || p.mach.Raft() != nil {
+				if !p.mach.KnowsLeader() || p.mach.Raft() != nil {
 					t.Errorf("%s %s knows of no leader", when, p.name)
 				}
 			}
@@ -125,30 +125,30 @@
 	w := NewWorld(362, site)
 	w.callers.stop = 0
 	porter := w.keepers[3]
-	ask := func() []wire.Send {
+	ask := func() []wire.Envelope {
 		m := porter.mach
-		m.Frame("@1", wire.Msg{Ask: &wire.Ask{ID: 9, Verb: "GET", Path: "/v1/table", Budget: 1000}}, w.mono(porter.node), w.wall(porter.node))
-		list := m.Take().Sends
+		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: "GET", Path: "/v1/table", Budget: 1000}}, w.mono(porter.node), w.wall(porter.node))
+		list := m.TakeOutput().Messages
 		return list
 	}
 	w.Run(400)
-	if list := ask(); len(list) != 1 || list[0].To != "@1" || list[0].Msg.Reply == nil || !list[0].Msg.Reply.Moved || list[0].Msg.Reply.ID != 9 {
+	if list := ask(); len(list) != 1 || list[0].To != "@1" || list[0].Message.Response == nil || !list[0].Message.Response.NotLeader || list[0].Message.Response.ID != 9 {
 		t.Errorf("with no leader known: %+v", list)
 	}
 	w.Run(6000)
 	list := ask()
-	if len(list) != 1 || w.leader() == nil || string(list[0].To) != w.leader().addr || list[0].Msg.Ask == nil || list[0].Msg.Ask.Hops != 1 {
+	if len(list) != 1 || w.leader() == nil || string(list[0].To) != w.leader().addr || list[0].Message.Request == nil || list[0].Message.Request.Hops != 1 {
 		t.Fatalf("asked with a leader known: %+v", list)
 	}
-	porter.mach.Frame(list[0].To, wire.Msg{Reply: &wire.Reply{ID: list[0].Msg.Ask.ID, Status: 200}}, w.mono(porter.node), w.wall(porter.node))
-	if back := porter.mach.Take().Sends; len(back) != 1 || back[0].To != "@1" || back[0].Msg.Reply == nil || back[0].Msg.Reply.ID != 9 || back[0].Msg.Reply.Status != 200 {
+	porter.mach.HandleMessage(list[0].To, wire.Message{Response: &wire.Response{ID: list[0].Message.Request.ID, Status: 200}}, w.mono(porter.node), w.wall(porter.node))
+	if back := porter.mach.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != 200 {
 		t.Errorf("the leader's answer came back as %+v", back)
 	}
 	for _, k := range w.keepers[:3] {
 		w.stopKeeper(k)
 	}
-	w.Run(6000 + 3000 + int64(controlplane.Tick))
-	if list = ask(); len(list) != 1 || list[0].Msg.Reply == nil || !list[0].Msg.Reply.Moved {
+	w.Run(6000 + 3000 + int64(controlplane.TickInterval))
+	if list = ask(); len(list) != 1 || list[0].Message.Response == nil || !list[0].Message.Response.NotLeader {
 		t.Errorf("3 s after the leader's end: %+v", list)
 	}
 }
--- a/tests/simulation/register_exchange_test.go
+++ b/tests/simulation/register_exchange_test.go
@@ -59,7 +59,7 @@
 			return
 		}
 		if err != nil {
-			o.w.Watch.Breach("register", "reads as %q", body)
+			o.w.Watch.Violate("register", "reads as %q", body)
 		}
 		x.content = r.String()
 		o.calls = append(o.calls, x)
@@ -131,7 +131,7 @@
 	o.changes.verbless = true
 	for i, k := range o.w.keepers {
 		k.level = state.CatalogLevel
-		o.w.at(operatorsBegin+4000+int64(i)*3000, func() { o.w.swap(o.w.keepers[i], state.Present) })
+		o.w.at(operatorsBegin+4000+int64(i)*3000, func() { o.w.swap(o.w.keepers[i], state.SupportedLevel) })
 	}
 }
 
@@ -139,7 +139,7 @@
 func (o *operators) fillLog() {
 	for _, k := range o.w.keepers {
 		if k.mach != nil {
-			k.mach.Full = func() int { return 100 }
+			k.mach.LogPercentUsed = func() int { return 100 }
 		}
 	}
 	lead := o.w.leader()
@@ -166,8 +166,8 @@
 			for _, x := range o.calls {
 				statuses[x.status]++
 			}
-			if len(o.w.Watch.Breaches) > 0 || !linearizable(newRegister(), nil, o.calls) {
-				t.Fatalf("no register answers so: %v\n%s", o.w.Watch.Breaches, listing(o.calls))
+			if len(o.w.Watch.Violations) > 0 || !linearizable(newRegister(), nil, o.calls) {
+				t.Fatalf("no register answers so: %v\n%s", o.w.Watch.Violations, listing(o.calls))
 			}
 			if statuses[200] < 10 {
 				t.Errorf("too little evidence: %v", statuses)
--- a/tests/simulation/register_histories_test.go
+++ b/tests/simulation/register_histories_test.go
@@ -30,7 +30,7 @@
 type replicated struct {
 	rnd      *rand.Rand
 	now      int64
-	state    *state.Book
+	state    *state.Store
 	network  []*copyOf
 	proposed []*copyOf
 	changes  proposals
@@ -43,12 +43,12 @@
 
 func (w *replicated) send(c *change) {
 	verb, body := c.text()
-	var faults jsondoc.Faults
+	var faults jsondoc.FieldErrors
 	read := catalog.ReadWhole
 	if verb == "PATCH" {
 		read = catalog.ReadPatch
 	}
-	cmd := &state.Command{Catalog: read(body, &faults)}
+	cmd := &state.Command{ChangeCatalog: read(body, &faults)}
 	if faults.Any() {
 		panic(fmt.Sprint(faults.List))
 	}
@@ -155,7 +155,7 @@
 	case 17:
 		w.restart()
 	case 18:
-		w.state.Apply(&state.Command{Raise: &state.Raise{Level: state.ResendLevel}})
+		w.state.Apply(&state.Command{RaiseLevel: &state.RaiseLevel{Level: state.ResendLevel}})
 	default:
 		w.read(operator)
 	}
@@ -169,8 +169,8 @@
 	for version := uint64(1); version <= count; version++ {
 		c := &change{number: -int(version), base: version - 1, version: version}
 		_, body := c.text()
-		var faults jsondoc.Faults
-		full.Apply(&state.Command{Catalog: catalog.ReadPatch(body, &faults)})
+		var faults jsondoc.FieldErrors
+		full.Apply(&state.Command{ChangeCatalog: catalog.ReadPatch(body, &faults)})
 		if version <= 4 {
 			oldest = append(oldest, c)
 		}
--- a/tests/simulation/run.go
+++ b/tests/simulation/run.go
@@ -93,7 +93,7 @@
 			break
 		}
 	}
-	for _, key := range w.Watch.Close() {
+	for _, key := range w.Watch.Finish() {
 		w.autopsy(key)
 	}
 	return w
@@ -157,15 +157,15 @@
 		w.note("no leader")
 		return
 	}
-	j := lead.mach.Book().Jobs[key]
+	j := lead.mach.State().Jobs[key]
 	if j == nil {
 		w.note("%s is not in the book", key)
 		return
 	}
-	w.note("%s is %s, now %d start %d", key, j.State(), lead.mach.Book().Now-epoch, j.Start-epoch)
+	w.note("%s is %s, now %d start %d", key, j.State(), lead.mach.State().Now-epoch, j.StartAt-epoch)
 	for i, tasks := range j.Steps {
 		for n, t := range tasks {
-			w.note("  %d/%d %+v grant %+v", i, n, *t, lead.mach.Book().Grants[t.Grant])
+			w.note("  %d/%d %+v grant %+v", i, n, *t, lead.mach.State().Leases[t.Lease])
 		}
 	}
 }
--- a/tests/simulation/scene_test.go
+++ b/tests/simulation/scene_test.go
@@ -18,8 +18,8 @@
 		p.Site = Gilde()
 	}
 	w := Run(p)
-	if len(w.Watch.Breaches) > 0 {
-		t.Errorf("seed %d: %s", p.Seed, strings.Join(w.Watch.Breaches, "\n"))
+	if len(w.Watch.Violations) > 0 {
+		t.Errorf("seed %d: %s", p.Seed, strings.Join(w.Watch.Violations, "\n"))
 	}
 	if w.Watch.Counts["ended well"] < 30 {
 		t.Errorf("too little evidence: %v", w.Watch.Counts)
@@ -60,7 +60,7 @@
 }
 
 func ownerDies(t *testing.T, how string, n int, back bool) {
-	var c *state.Closing
+	var c *state.Drain
 	var first []string
 	trap := &snare{how: how, n: n, away: 8000}
 	p := Plan{Seed: int64(n) + 100, Window: 30000, Settle: 20000, Extra: func(w *World) {
@@ -78,7 +78,7 @@
 				trap.arm()
 			}
 			if k := w.leader(); k != nil {
-				for _, x := range k.mach.Book().Closings {
+				for _, x := range k.mach.State().Drains {
 					first = append(first, fmt.Sprint(x.Scope, x.Stage))
 				}
 			}
@@ -89,22 +89,22 @@
 	if !trap.sprung {
 		t.Fatal("the owner was never taken away")
 	}
-	for _, x := range w.leader().mach.Book().Closings {
+	for _, x := range w.leader().mach.State().Drains {
 		c = x
 	}
-	if c == nil || c.Stage != state.Open || !c.Judged || c.Verdict == "" || len(c.Scope) != 5 {
+	if c == nil || c.Stage != state.Open || !c.PreflightDone || c.Verdict == "" || len(c.Scope) != 5 {
 		t.Fatalf("the closing came to %+v", c)
 	}
 	if len(first) != 1 || !strings.HasSuffix(first[0], string(state.Closed)) {
 		t.Errorf("ten seconds after the order the closing stood at %v", first)
 	}
 	seen := map[state.Stage]int{}
-	for _, m := range c.Marks {
+	for _, m := range c.History {
 		seen[m.Stage]++
 	}
 	for _, s := range []state.Stage{state.Preflight, state.Predrain, state.Cordon, state.Postdrain, state.Closed, state.Preopen, state.Opening, state.Postopen, state.Open} {
 		if seen[s] != 1 {
-			t.Errorf("stage %s was entered %d times: %v", s, seen[s], c.Marks)
+			t.Errorf("stage %s was entered %d times: %v", s, seen[s], c.History)
 		}
 	}
 }
@@ -189,10 +189,10 @@
 		w.at(30000, func() { w.callers.zone("east", true, func() bool { return true }) })
 		var look func()
 		look = func() {
-			if at, ok := w.Watch.Closed("east"); ok && closed == 0 {
+			if at, ok := w.Watch.DrainedSince("east"); ok && closed == 0 {
 				if k := w.leader(); k != nil {
-					for _, c := range k.mach.Book().Closings {
-						if free, loose := k.mach.Book().Undone(c); c.Judged && len(free)+len(loose) == 0 {
+					for _, c := range k.mach.State().Drains {
+						if free, loose := k.mach.State().OpenLeases(c); c.PreflightDone && len(free)+len(loose) == 0 {
 							closed = w.Now - at + 1
 						}
 					}
@@ -276,7 +276,7 @@
 		var look func()
 		look = func() {
 			for _, g := range w.gates {
-				most = max(most, g.mach.Waiting())
+				most = max(most, g.mach.InFlight())
 			}
 			asked := w.Now
 			w.http(w.callers.node, w.callers.gate(), "GET", "/v1/closings", nil, 2000, func(status int, _ []byte) {
@@ -402,7 +402,7 @@
 	p := Plan{Seed: 23, Window: 40000, Settle: 50000, Extra: func(w *World) {
 		w.at(10000, func() {
 			for i := 0; i < 6; i++ {
-				w.callers.hand("stock", job.Step{Name: "long", Tasks: 2, Demand: job.Demand{Cores: 1, Mem: 64}, Run: 25000})
+				w.callers.hand("stock", job.Step{Name: "long", Tasks: 2, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 25000})
 			}
 		})
 		w.at(12000, func() {
@@ -447,7 +447,7 @@
 					k.begin()
 				})
 				w.at(24000, func() {
-					if lead := w.leader(); lead == nil || lead.mach.Raft().Commit()-k.mach.Raft().Commit() > 200 {
+					if lead := w.leader(); lead == nil || lead.mach.Raft().CommitIndex()-k.mach.Raft().CommitIndex() > 200 {
 						t.Error("back again, it has not caught up")
 					}
 				})
--- a/tests/simulation/seats_test.go
+++ b/tests/simulation/seats_test.go
@@ -48,7 +48,7 @@
 
 func (w *World) keeperOf(id identifier.Node) *keep {
 	for _, one := range w.keepers {
-		if one.up && one.mach != nil && one.mach.Boot().ID == id {
+		if one.up && one.mach != nil && one.mach.Config().ID == id {
 			return one
 		}
 	}
@@ -73,7 +73,7 @@
 			}
 			if len(known) >= 3 {
 				*risen++
-				saved, most := identifier.Index(0), w.leader().mach.Raft().Commit()
+				saved, most := identifier.Index(0), w.leader().mach.Raft().CommitIndex()
 				if k := w.keeperOf(mem.ID); k != nil {
 					saved = k.saved
 				}
@@ -325,7 +325,7 @@
 						}
 						var look func()
 						look = func() {
-							if k := w.leader(); k != nil && k.mach.Raft().Commit() >= k.mach.Raft().First() {
+							if k := w.leader(); k != nil && k.mach.Raft().CommitIndex() >= k.mach.Raft().TermStart() {
 								gaps = append(gaps, w.Now-at-last)
 								return
 							}
--- a/tests/simulation/secondloss_test.go
+++ b/tests/simulation/secondloss_test.go
@@ -102,20 +102,20 @@
 // serves tells whether a leader acts and has decided its term's first entry.
 func (x *settler) serves() bool {
 	k := x.leader()
-	return k != nil && k.mach.Raft().Leased(x.mono(k.node)) && k.mach.Raft().Commit() >= k.mach.Raft().First()
+	return k != nil && k.mach.Raft().HasLease(x.mono(k.node)) && k.mach.Raft().CommitIndex() >= k.mach.Raft().TermStart()
 }
 
 // whole tells whether the group bears the loss it is promised to bear, whoever
 // goes: as its leader has it, and as its members' disks are.
 func (x *settler) whole() bool {
 	k := x.leader()
-	if k == nil || k.mach.Raft().Commit() < k.mach.Raft().First() {
+	if k == nil || k.mach.Raft().CommitIndex() < k.mach.Raft().TermStart() {
 		return false
 	}
 	list, _ := x.voters()
 	live := 0
 	for _, mem := range list {
-		if one := x.keeperOf(mem.ID); one != nil && one.saved+lag >= k.mach.Raft().Commit() {
+		if one := x.keeperOf(mem.ID); one != nil && one.saved+lag >= k.mach.Raft().CommitIndex() {
 			live++
 		}
 	}
--- a/tests/simulation/side.go
+++ b/tests/simulation/side.go
@@ -14,8 +14,8 @@
 type side struct {
 	*node
 	w      *World
-	mach   *runner.Machine
-	boot   runner.Boot
+	mach   *runner.Runner
+	boot   runner.Config
 	racked string
 	sick   int64
 	gone   bool
@@ -26,7 +26,7 @@
 func (w *World) addRunner(i int) *side {
 	rack := i / 3
 	r := &side{node: w.add(fmt.Sprintf("r%d", i+1), zones[rack%3]), w: w, racked: fmt.Sprintf("rack-%d", rack)}
-	r.boot = runner.Boot{Name: identifier.Runner(r.name), Cap: job.Demand{Cores: w.Site.Cores, Mem: w.Site.Mem}, Labels: []identifier.Label{"std"},
+	r.boot = runner.Config{Name: identifier.Runner(r.name), Capacity: job.Demand{Cores: w.Site.Cores, Mem: w.Site.Mem}, Labels: []identifier.Label{"std"},
 		Domain: identifier.Domain(r.zone), Rack: identifier.Rack(r.racked)}
 	if i%2 == 1 {
 		r.boot.Labels = []identifier.Label{"ssd", "std"}
@@ -40,12 +40,12 @@
 	r.life++
 	r.up, r.begun = true, w.Now
 	set := r.boot
-	set.Inc, set.Seed, set.Faulty = identifier.Incarnation(fmt.Sprintf("%016x", w.rnd.Uint64())), w.rnd.Int63(), w.Site.Faulty+r.sick
+	set.Incarnation, set.Seed, set.DefectPercent = identifier.Incarnation(fmt.Sprintf("%016x", w.rnd.Uint64())), w.rnd.Int63(), w.Site.Faulty+r.sick
 	for _, g := range w.gates {
-		set.Gates = append(set.Gates, g.addr)
+		set.Gateways = append(set.Gateways, g.addr)
 	}
 	r.mach = runner.New(set, 0)
-	w.Watch.Stays(r.name)
+	w.Watch.RunnerStaying(r.name)
 	r.tick(r.life)
 }
 
@@ -57,29 +57,29 @@
 		r.mach.Tick(r.w.mono(r.node))
 		r.out()
 	}
-	r.w.after(int64(runner.Tick), func() { r.tick(life) })
+	r.w.after(int64(runner.TickInterval), func() { r.tick(life) })
 }
 
 func (r *side) out() {
-	o := r.mach.Take()
+	o := r.mach.TakeOutput()
 	for _, e := range o.Events {
-		r.w.Watch.Runner(r.name, e)
-		if e.What == "start" && r.seen != nil {
+		r.w.Watch.RunnerEvent(r.name, e)
+		if e.Kind == "start" && r.seen != nil {
 			r.seen(e)
 		}
 	}
 	for _, p := range o.Polls {
 		leaving := r.mach.Mode() == "draining"
-		r.w.http(r.node, p.Gate, "POST", "/v1/runners/"+r.name+"/poll", p.Body, int64(p.Wait), func(status int, body []byte) {
+		r.w.http(r.node, p.Gateway, "POST", "/v1/runners/"+r.name+"/poll", p.Body, int64(p.Timeout), func(status int, body []byte) {
 			r.w.Polled += int64(len(p.Body) + len(body))
 			r.w.Polls++
 			if status == 200 && leaving && r.mach.Mode() == "draining" {
-				r.w.Watch.Leaves(r.name)
+				r.w.Watch.RunnerLeaving(r.name)
 			}
 			if status == 200 {
-				r.w.Watch.Touch(r.name)
+				r.w.Watch.PollAnswered(r.name)
 			}
-			r.mach.Answer(p.Seq, status, body, r.w.mono(r.node))
+			r.mach.HandlePollResponse(p.Seq, status, body, r.w.mono(r.node))
 			r.out()
 		})
 	}
@@ -90,7 +90,7 @@
 		return
 	}
 	r.w.die(r.node)
-	r.w.Watch.Dead(r.name)
+	r.w.Watch.RunnerDead(r.name)
 }
 
 func (r *side) drain(departs int64) {
@@ -105,7 +105,7 @@
 	if !r.up || r.frozen {
 		return
 	}
-	r.w.Watch.Stays(r.name)
+	r.w.Watch.RunnerStaying(r.name)
 	r.mach.SetMode("active", 0, r.w.mono(r.node))
 	r.out()
 }
--- a/tests/simulation/sim_test.go
+++ b/tests/simulation/sim_test.go
@@ -17,10 +17,10 @@
 
 func judge(t *testing.T, p Plan, w *World) {
 	t.Helper()
-	if len(w.Watch.Breaches) == 0 {
+	if len(w.Watch.Violations) == 0 {
 		return
 	}
-	t.Errorf("seed %d:\n%s", p.Seed, strings.Join(w.Watch.Breaches, "\n"))
+	t.Errorf("seed %d:\n%s", p.Seed, strings.Join(w.Watch.Violations, "\n"))
 }
 
 // TestCalm is a site with nothing wrong: all promises, and all jobs end.
--- a/tests/simulation/stale_order_test.go
+++ b/tests/simulation/stale_order_test.go
@@ -196,8 +196,8 @@
 	t.Parallel()
 	eachStaleOrder(t, 2, func(t *testing.T, s staleOrder) bool {
 		w, late := s.play("PUT", "/v1/closings/east", nil, "DELETE")
-		for _, c := range w.leader().mach.Book().Closings {
-			if late && c.Stage.Down() {
+		for _, c := range w.leader().mach.State().Drains {
+			if late && c.Stage.Cordons() {
 				t.Errorf("seed %d, offset %d: the zone that was taken back is %s again", s.seed, s.offset, c.Stage)
 			}
 		}
@@ -212,8 +212,8 @@
 	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) bool {
 		w, late := s.play("DELETE", "/v1/closings/east", nil, "PUT")
 		down := 0
-		for _, c := range w.leader().mach.Book().Closings {
-			if c.Stage.Down() {
+		for _, c := range w.leader().mach.State().Drains {
+			if c.Stage.Cordons() {
 				down++
 			}
 		}
@@ -234,8 +234,8 @@
 	}
 	eachStaleOrder(t, 1, func(t *testing.T, s staleOrder) bool {
 		w, late := s.playUnknown("PUT", "/v1/jobs/gilde/late", body)
-		j := w.leader().mach.Book().Jobs[identifier.NewJobKey("gilde", "late")]
-		if late && j != nil && j.End != state.Cancelled {
+		j := w.leader().mach.State().Jobs[identifier.NewJobKey("gilde", "late")]
+		if late && j != nil && j.EndState != state.Cancelled {
 			t.Errorf("seed %d, offset %d: the job that was cancelled is %s", s.seed, s.offset, fmt.Sprint(j.State()))
 		}
 		return late
--- a/tests/simulation/swap_test.go
+++ b/tests/simulation/swap_test.go
@@ -47,9 +47,9 @@
 				t.Errorf("members: %v", names)
 			}
 			for _, r := range w.runners {
-				for _, g := range r.mach.Gates() {
+				for _, g := range r.mach.Gateways() {
 					if g == "g1" || g == "g2" || g == "g3" {
-						t.Errorf("%s still knows %v", r.name, r.mach.Gates())
+						t.Errorf("%s still knows %v", r.name, r.mach.Gateways())
 					}
 				}
 			}
--- a/tests/simulation/trap_test.go
+++ b/tests/simulation/trap_test.go
@@ -19,12 +19,12 @@
 // arm counts entries from now on.
 func (s *snare) arm() {
 	if k := s.w.leader(); k != nil {
-		s.base = uint64(k.mach.Raft().Last())
+		s.base = uint64(k.mach.Raft().LastIndex())
 	}
 }
 
 func (s *snare) try(k *keep) bool {
-	if s.base == 0 || s.sprung || !k.leads() || uint64(k.mach.Raft().Last()) < s.base+uint64(s.n) {
+	if s.base == 0 || s.sprung || !k.leads() || uint64(k.mach.Raft().LastIndex()) < s.base+uint64(s.n) {
 		return false
 	}
 	s.sprung = true
--- a/tests/simulation/versions_test.go
+++ b/tests/simulation/versions_test.go
@@ -23,7 +23,7 @@
 	var list []uint16
 	for _, k := range w.keepers {
 		if k.mach != nil {
-			list = append(list, k.mach.Book().Level)
+			list = append(list, k.mach.State().Level)
 		}
 	}
 	return list
@@ -47,9 +47,9 @@
 						}
 					}
 				}
-				w.at(9000, func() { w.swap(w.keepers[0], state.Present) })
+				w.at(9000, func() { w.swap(w.keepers[0], state.SupportedLevel) })
 				w.at(12000, func() { w.callers.zone("north", true, func() bool { return true }) })
-				w.at(14000, func() { w.swap(w.keepers[1], state.Present) })
+				w.at(14000, func() { w.swap(w.keepers[1], state.SupportedLevel) })
 				w.at(17000, func() {
 					w.callers.patch(w.callers.epoch, map[string]any{"push.policy": "1"}, func(status int, _ int64) {
 						if status != 409 {
@@ -59,14 +59,14 @@
 				})
 				w.at(18000, func() { low("two of three upgraded,") })
 				w.at(18500, func() { w.swap(w.keepers[0], 0) })
-				w.at(23000, func() { low("after a step back,"); w.swap(w.keepers[0], state.Present) })
+				w.at(23000, func() { low("after a step back,"); w.swap(w.keepers[0], state.SupportedLevel) })
 				w.at(27000, func() {
 					w.callers.zone("north", false, func() bool { return true })
-					w.swap(w.keepers[2], state.Present)
+					w.swap(w.keepers[2], state.SupportedLevel)
 				})
 				w.at(34000, func() {
 					for _, n := range w.levels() {
-						if n != state.Present {
+						if n != state.SupportedLevel {
 							t.Errorf("all upgraded, the level is %v", w.levels())
 						}
 					}
@@ -96,13 +96,13 @@
 			if n := len(w.leader().mach.Raft().Members()); n != 3 {
 				t.Errorf("a former version joined a group of a later level: %d members", n)
 			}
-			if _, ok := w.leader().mach.Raft().Member(k.mach.Boot().ID); ok {
+			if _, ok := w.leader().mach.Raft().Member(k.mach.Config().ID); ok {
 				t.Error("a former version took a seat")
 			}
-			w.swap(k, state.Present)
+			w.swap(k, state.SupportedLevel)
 		})
 		w.at(45000, func() {
-			if m, ok := w.leader().mach.Raft().Member(k.mach.Boot().ID); !ok || !m.Voter {
+			if m, ok := w.leader().mach.Raft().Member(k.mach.Config().ID); !ok || !m.Voter {
 				t.Error("upgraded, it got no seat")
 			}
 		})
@@ -123,7 +123,7 @@
 		switch {
 		case strings.Contains(k.aside, "does not know"):
 			aside++
-		case k.mach.Raft().Commit() >= at:
+		case k.mach.Raft().CommitIndex() >= at:
 			t.Errorf("%s went on past an entry it does not know", k.name)
 		}
 	}
@@ -144,7 +144,7 @@
 					k = one
 				}
 			}
-			k.mach.Book().NextGrant++
+			k.mach.State().NextLease++
 		})
 		w.at(13000, func() {
 			if !strings.Contains(k.aside, "differs") || k.up {
--- a/tests/simulation/world.go
+++ b/tests/simulation/world.go
@@ -94,9 +94,9 @@
 
 func (s Site) timing() raft.Timing {
 	if s.Elect == 0 {
-		return raft.Usual()
+		return raft.DefaultTiming()
 	}
-	return raft.Paced(s.Elect)
+	return raft.NewTiming(s.Elect)
 }
 
 // Gilde is a site of small machines on a fast network without loss.
@@ -135,7 +135,7 @@
 	runners []*side
 	seeds   []string
 	callers *callers
-	Watch   *invariants.Watch
+	Watch   *invariants.Checker
 	Log     []string
 	Trace   bool
 	// trap is sprung before a keeper hands out what a step led to.
@@ -237,20 +237,20 @@
 }
 
 // carry sends a frame; now and then it goes through the real codec.
-func (w *World) carry(from *node, s wire.Send, take func(to *node, from wire.Peer, msg wire.Msg)) {
+func (w *World) carry(from *node, s wire.Envelope, take func(to *node, from wire.Peer, msg wire.Message)) {
 	to := w.nodes[string(s.To)]
 	if to == nil {
 		return
 	}
-	msg := s.Msg
+	msg := s.Message
 	w.Frames++
 	if w.Frames%64 == 0 {
 		var buf bytes.Buffer
-		if err := wire.NewEncoder(&buf).Put(msg); err != nil {
+		if err := wire.NewEncoder(&buf).Encode(msg); err != nil {
 			panic(err)
 		}
 		w.Bytes += int64(buf.Len()) * 64
-		back, err := wire.NewDecoder(&buf).Get()
+		back, err := wire.NewDecoder(&buf).Decode()
 		if err != nil {
 			panic(err)
 		}
@@ -259,23 +259,23 @@
 	w.fly(from, to, func() { take(to, wire.Peer(from.addr), msg) })
 }
 
-func (w *World) frames(n *node, list []wire.Send) {
+func (w *World) frames(n *node, list []wire.Envelope) {
 	for _, s := range list {
 		w.carry(n, s, w.deliver)
 	}
 }
 
-func (w *World) deliver(to *node, from wire.Peer, msg wire.Msg) {
+func (w *World) deliver(to *node, from wire.Peer, msg wire.Message) {
 	for _, k := range w.keepers {
 		if k.node == to && k.mach != nil {
-			k.mach.Frame(from, msg, w.mono(to), w.wall(to))
+			k.mach.HandleMessage(from, msg, w.mono(to), w.wall(to))
 			k.out()
 			return
 		}
 	}
 	for _, g := range w.gates {
 		if g.node == to {
-			g.mach.Frame(from, msg, w.mono(to))
+			g.mach.HandleMessage(from, msg, w.mono(to))
 			g.out()
 			return
 		}
@@ -359,18 +359,18 @@
 // Quiet tells whether all faults have been over for more than 15 seconds.
 func (w *World) Quiet() bool { return w.calm > 0 && w.Now-w.calm > 15000 }
 
-// Calm tells whether the run has no faults at all, defective runs included.
-func (w *World) Calm() bool { return w.Site.Faulty == 0 && w.calm == 1 }
+// Undisturbed tells whether the run has no faults at all, defective runs included.
+func (w *World) Undisturbed() bool { return w.Site.Faulty == 0 && w.calm == 1 }
 
-// Note adds a line to the trace of the run, if one is kept.
-func (w *World) Note(text string, args ...any) { w.note(text, args...) }
+// Logf adds a line to the trace of the run, if one is kept.
+func (w *World) Logf(text string, args ...any) { w.note(text, args...) }
 
-// Place describes a runner by name; it is empty for an unknown one.
-func (w *World) Place(name string) invariants.Place {
-	var p invariants.Place
+// Runner describes a runner by name; it is empty for an unknown one.
+func (w *World) Runner(name string) invariants.RunnerView {
+	var p invariants.RunnerView
 	for _, r := range w.runners {
 		if r.name == name {
-			return invariants.Place{Zone: r.zone, Life: r.life, Live: r.up && !r.frozen, Labels: r.boot.Labels, Cap: r.boot.Cap}
+			return invariants.RunnerView{Domain: r.zone, Incarnation: r.life, Live: r.up && !r.frozen, Labels: r.boot.Labels, Capacity: r.boot.Capacity}
 		}
 	}
 	return p
