--- a/internal/controlplane/agents.go
+++ b/internal/controlplane/agents.go
@@ -14,144 +14,144 @@
 	"orchidward/internal/state"
 )
 
-// agentSide is what the leader keeps of a runner that an agent speaks for.
-type agentSide struct {
-	// runs is what the last poll said of runs that the book knows, list the same
+// agentRunner is what the leader keeps of a runner that an agent speaks for.
+type agentRunner struct {
+	// memberRunning is what the last poll said of runs that the book knows, list the same
 	// in the poll's order.
-	runs   map[identifier.LeaseID]*held
-	list   []*held
-	ends   []seenEnd
-	stray  []runnerapi.RunStop
-	halted map[runnerapi.RunStop]bool
-	told   uint64
-	// rate is how fast work goes here, in thousandths of what its estimates
+	runs         map[identifier.LeaseID]*agentRun
+	inOrder      []*agentRun
+	ends         []reportedEnd
+	unknownRuns  []runnerapi.RunStop
+	toldToStop   map[runnerapi.RunStop]bool
+	toldObserved uint64
+	// workRate is how fast work goes here, in thousandths of what its estimates
 	// say; ill is until when nothing is placed here.
-	rate  int64
-	rated clock.Monotonic
-	ill   clock.Monotonic
+	workRate         int64
+	workRateAt       clock.Monotonic
+	quarantinedUntil clock.Monotonic
 	// doubt is until when no run of the last poll can have stood still for
 	// too long.
-	doubt clock.Monotonic
-	// old is the last progress of what ran on the former life of the runner.
-	old []state.Checkpoint
+	noStallBefore clock.Monotonic
+	// previousCheckpoints is the last progress of what ran on the former life of the runner.
+	previousCheckpoints []state.Checkpoint
 }
 
 // held is a run as agents name it, with the last progress told. seq is the
 // last poll that told of it.
-type held struct {
-	id    identifier.LeaseID
-	stop  runnerapi.RunStop
-	saved string
-	pace  *pace
-	seq   uint64
+type agentRun struct {
+	lease      identifier.LeaseID
+	name       runnerapi.RunStop
+	checkpoint string
+	progress   *runProgress
+	seq        uint64
 }
 
-// seenEnd is an end the runner tells of; Grant is 0 for one nobody waits for.
-type seenEnd struct {
-	n     uint64
-	grant identifier.LeaseID
-	ref   identifier.TaskRef
+// reportedEnd is an end the runner tells of; Grant is 0 for one nobody waits for.
+type reportedEnd struct {
+	seq   uint64
+	lease identifier.LeaseID
+	task  identifier.TaskRef
 }
 
-// turned is what is carried over to the contact with a new life of a runner.
-func (m *Server) turned(c *contact) *agentSide {
+// carryOverAgent is what is carried over to the contact with a new life of a runner.
+func (s *Server) carryOverAgent(c *runnerContact) *agentRunner {
 	if c.agent == nil {
 		return nil
 	}
-	return newAgentSide(m.saves(c))
+	return newAgentRunner(s.checkpoints(c))
 }
 
-func newAgentSide(old []state.Checkpoint) *agentSide {
-	return &agentSide{old: old, runs: map[identifier.LeaseID]*held{}, halted: map[runnerapi.RunStop]bool{}, rate: 1000}
+func newAgentRunner(old []state.Checkpoint) *agentRunner {
+	return &agentRunner{previousCheckpoints: old, runs: map[identifier.LeaseID]*agentRun{}, toldToStop: map[runnerapi.RunStop]bool{}, workRate: 1000}
 }
 
-// saves lists the progress last told of what still counts as running.
-func (m *Server) saves(c *contact) []state.Checkpoint {
+// checkpoints lists the progress last told of what still counts as running.
+func (s *Server) checkpoints(c *runnerContact) []state.Checkpoint {
 	if c.agent == nil {
 		return nil
 	}
-	list := c.agent.old
+	list := c.agent.previousCheckpoints
 	ordered := []identifier.LeaseID{}
 	for id := range c.agent.runs {
 		ordered = append(ordered, id)
 	}
-	sortGrants(ordered)
+	sortLeases(ordered)
 	for _, id := range ordered {
-		if text := c.agent.runs[id].saved; text != "" && m.state.Leases[id] != nil {
+		if text := c.agent.runs[id].checkpoint; text != "" && s.state.Leases[id] != nil {
 			list = append(list[:len(list):len(list)], state.Checkpoint{Lease: id, Data: text})
 		}
 	}
 	return list
 }
 
-// agentSays takes an agent's poll into the terms of the book.
-func (m *Server) agentSays(name identifier.Runner, c *contact, p *runnerapi.PollRequest) {
+// recordAgentPoll takes an agent's poll into the terms of the book.
+func (s *Server) recordAgentPoll(name identifier.Runner, c *runnerContact, p *runnerapi.PollRequest) {
 	a := c.agent
 	if a == nil {
-		a = newAgentSide(nil)
+		a = newAgentRunner(nil)
 		c.agent = a
 	}
-	if r := m.state.Runners[name]; r != nil && r.Incarnation == c.inc {
-		a.old = nil
+	if r := s.state.Runners[name]; r != nil && r.Incarnation == c.incarnation {
+		a.previousCheckpoints = nil
 	}
-	a.doubt = math.MaxInt64
-	a.ends, a.stray = a.ends[:0], a.stray[:0]
-	was, next := a.list, 0
-	a.list = make([]*held, 0, len(p.Active))
+	a.noStallBefore = math.MaxInt64
+	a.ends, a.unknownRuns = a.ends[:0], a.unknownRuns[:0]
+	was, next := a.inOrder, 0
+	a.inOrder = make([]*agentRun, 0, len(p.Active))
 	for _, one := range p.Active {
 		stop := runnerapi.RunStop{Task: one.Task, Attempt: one.Attempt}
-		var h *held
-		if h, next = m.again(name, p.Incarnation, was, next, stop); h == nil {
-			id, _, ok := m.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt)
+		var h *agentRun
+		if h, next = s.matchPreviousRun(name, p.Incarnation, was, next, stop); h == nil {
+			id, _, ok := s.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt)
 			if !ok {
-				a.stray = append(a.stray, stop)
+				a.unknownRuns = append(a.unknownRuns, stop)
 				continue
 			}
 			if h = a.runs[id]; h == nil {
-				h = &held{id: id}
+				h = &agentRun{lease: id}
 				a.runs[id] = h
 			}
 		}
-		h.stop, h.saved, h.seq = stop, one.Checkpoint, p.Seq
-		a.list = append(a.list, h)
-		p.Running = append(p.Running, h.id)
-		m.progress(a, h, one)
+		h.name, h.checkpoint, h.seq = stop, one.Checkpoint, p.Seq
+		a.inOrder = append(a.inOrder, h)
+		p.Running = append(p.Running, h.lease)
+		s.recordProgress(a, h, one)
 	}
 	for _, h := range was {
 		if h.seq != p.Seq {
-			delete(a.runs, h.id)
+			delete(a.runs, h.lease)
 		}
 	}
-	m.rated(a)
+	s.updateWorkRate(a)
 	for _, one := range p.Finished {
-		id, ref, ok := m.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt)
+		id, ref, ok := s.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt)
 		if !ok {
 			id = 0
 		} else {
 			p.Ended = append(p.Ended, runnerapi.End{Lease: id, Task: ref, Outcome: one.Outcome, Checkpoint: one.Checkpoint})
 		}
-		a.ends = append(a.ends, seenEnd{one.Seq, id, ref})
+		a.ends = append(a.ends, reportedEnd{one.Seq, id, ref})
 	}
-	sort.Slice(a.ends, func(i, j int) bool { return a.ends[i].n < a.ends[j].n })
+	sort.Slice(a.ends, func(i, j int) bool { return a.ends[i].seq < a.ends[j].seq })
 	for _, one := range p.Cleared {
-		if id, ref, ok := m.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt); ok {
+		if id, ref, ok := s.state.ResolveRun(name, p.Incarnation, one.Task, one.Attempt); ok {
 			p.Ended = append(p.Ended, runnerapi.End{Lease: id, Task: ref, Outcome: runnerapi.OutcomeStopped})
 		}
 	}
 }
 
-// ahead is how far to look for a run among those of the poll before.
-const ahead = 8
+// lookahead is how far to look for a run among those of the poll before.
+const lookahead = 8
 
-// again finds a run among those of the poll before, which mostly come in the
+// matchPreviousRun finds a run among those of the poll before, which mostly come in the
 // same order, at or after next. It holds as long as its grant is open: a
 // task's grant is the open one.
-func (m *Server) again(name identifier.Runner, inc identifier.Incarnation, was []*held, next int, stop runnerapi.RunStop) (h *held, at int) {
-	for i := next; i < len(was) && i < next+ahead; i++ {
-		if was[i].stop != stop {
+func (s *Server) matchPreviousRun(name identifier.Runner, inc identifier.Incarnation, was []*agentRun, next int, stop runnerapi.RunStop) (h *agentRun, at int) {
+	for i := next; i < len(was) && i < next+lookahead; i++ {
+		if was[i].name != stop {
 			continue
 		}
-		if g := m.state.Leases[was[i].id]; g == nil || g.Attempt != stop.Attempt || g.Runner != name || g.Incarnation != inc {
+		if g := s.state.Leases[was[i].lease]; g == nil || g.Attempt != stop.Attempt || g.Runner != name || g.Incarnation != inc {
 			return nil, i + 1
 		}
 		return was[i], i + 1
@@ -159,84 +159,84 @@
 	return nil, next
 }
 
-// present tells whether the runner itself is there to be reported on. One that
+// runnerPresent tells whether the runner itself is there to be reported on. One that
 // has said farewell is counted lost at once.
-func (m *Server) present(name identifier.Runner, c *contact, p *runnerapi.PollRequest) bool {
+func (s *Server) runnerPresent(name identifier.Runner, c *runnerContact, p *runnerapi.PollRequest) bool {
 	if c.agent == nil {
 		return true
 	}
-	r := m.state.Runners[name]
+	r := s.state.Runners[name]
 	if !p.LeftInOrder && !p.PresumedDead {
-		return p.SilentFor < 2*m.state.Limits.SiteMillis("startMs")
+		return p.SilentFor < 2*s.state.Limits.SiteMillis("startMs")
 	}
-	if r != nil && r.Incarnation == p.Incarnation && !r.Gone && m.lead.losing[name] <= m.at {
-		m.lead.losing[name] = m.propose(&state.Command{LoseRunner: &state.LoseRunner{Runner: name, Incarnation: p.Incarnation, Checkpoints: m.saves(c)}})
+	if r != nil && r.Incarnation == p.Incarnation && !r.Gone && s.leader.lossProposal[name] <= s.appliedIndex {
+		s.leader.lossProposal[name] = s.propose(&state.Command{LoseRunner: &state.LoseRunner{Runner: name, Incarnation: p.Incarnation, Checkpoints: s.checkpoints(c)}})
 	}
 	return false
 }
 
-// observed is the number up to which every end is on record.
-func (m *Server) observed(name identifier.Runner, c *contact) uint64 {
-	n := c.agent.told
+// observedThrough is the number up to which every end is on record.
+func (s *Server) observedThrough(name identifier.Runner, c *runnerContact) uint64 {
+	n := c.agent.toldObserved
 	for _, e := range c.agent.ends {
-		if e.grant != 0 && m.state.AcceptsEnd(name, c.inc, e.grant, e.ref) {
+		if e.lease != 0 && s.state.AcceptsEnd(name, c.incarnation, e.lease, e.task) {
 			return n
 		}
-		n = max(n, e.n)
+		n = max(n, e.seq)
 	}
 	return n
 }
 
-// answerAgent answers an agent's open poll if there is something to tell that
+// answerAgentPoll answers an agent's open poll if there is something to tell that
 // it was not told, or the poll has been open for long enough.
-func (m *Server) answerAgent(name identifier.Runner, c *contact, a *runnerapi.PollResponse, hold clock.Millis) {
-	s := c.agent
+func (s *Server) answerAgentPoll(name identifier.Runner, c *runnerContact, a *runnerapi.PollResponse, hold clock.Millis) {
+	agent := c.agent
 	fresh := len(a.Starts) > 0
 	for _, id := range a.Stops {
 		stop := runnerapi.RunStop{}
-		if h := s.runs[id]; h != nil {
-			stop = h.stop
-		} else if g := m.state.Leases[id]; g != nil {
-			stop = runnerapi.RunStop{Task: m.state.AgentTaskRef(g.Task), Attempt: g.Attempt}
+		if h := agent.runs[id]; h != nil {
+			stop = h.name
+		} else if g := s.state.Leases[id]; g != nil {
+			stop = runnerapi.RunStop{Task: s.state.AgentTaskRef(g.Task), Attempt: g.Attempt}
 		}
 		a.StopRuns = append(a.StopRuns, stop)
 	}
-	a.StopRuns = append(a.StopRuns, s.stray...)
+	a.StopRuns = append(a.StopRuns, agent.unknownRuns...)
 	a.Stops = nil
 	for _, stop := range a.StopRuns {
-		fresh = fresh || !s.halted[stop]
+		fresh = fresh || !agent.toldToStop[stop]
 	}
-	a.ObservedThrough = m.observed(name, c)
-	if !fresh && a.ObservedThrough <= s.told && m.now.Since(c.since) < hold {
+	a.ObservedThrough = s.observedThrough(name, c)
+	if !fresh && a.ObservedThrough <= agent.toldObserved && s.now.Since(c.pollSince) < hold {
 		return
 	}
-	c.open = false
-	s.told = a.ObservedThrough
-	clear(s.halted)
+	c.pollOpen = false
+	agent.toldObserved = a.ObservedThrough
+	clear(agent.toldToStop)
 	for _, stop := range a.StopRuns {
-		s.halted[stop] = true
+		agent.toldToStop[stop] = true
 	}
 	for i := range a.Starts {
-		m.fill(&a.Starts[i])
+		s.fillAgentStart(&a.Starts[i])
 	}
-	bare := m.bare(c)
+	bare := s.emptyPollResponse(c)
 	a.Lease, a.StartTimeout, a.FencingToken, a.Servers = bare.Lease, bare.StartTimeout, bare.FencingToken, bare.Servers
-	m.replyDoc(c.peer, c.id, 200, a)
+	s.replyJSON(c.pollPeer, c.pollID, 200, a)
 }
 
-// fill adds what a start bears from its job.
-func (m *Server) fill(s *runnerapi.Start) {
-	if j := m.state.Jobs[s.Task.Job]; j != nil {
-		s.Payload, s.Checkpoint = j.Spec.Payload, j.Task(s.Task).Checkpoint
-		s.Task = m.state.AgentTaskRef(s.Task)
+// fillAgentStart adds what a start bears from its job.
+func (s *Server) fillAgentStart(start *runnerapi.Start) {
+	if j := s.state.Jobs[start.Task.Job]; j != nil {
+		start.Payload, start.Checkpoint = j.Spec.Payload, j.Task(start.Task).Checkpoint
+		start.Task = s.state.AgentTaskRef(start.Task)
 	}
 }
 
-// keepers lists the addresses of the keepers, this leader first.
-func (m *Server) keepers() []string {
-	list := []string{m.config.Addr}
-	for _, mem := range m.raft.Members() {
-		if mem.ID != m.config.ID {
+// serverAddrs lists the addresses of the keepers, this leader first.
+func (s *Server) serverAddrs() []string {
+	list := []string{s.config.Addr}
+	for _, mem := range s.raft.Members() {
+		if mem.ID != s.config.ID {
 			list = append(list, mem.Addr)
 		}
 	}
--- a/internal/controlplane/agents_test.go
+++ b/internal/controlplane/agents_test.go
@@ -18,7 +18,7 @@
 	"orchidward/internal/transport/wire"
 )
 
-// site is one keeper that leads alone, agents, and a stand-in runner beside
+// timeAt is one keeper that leads alone, agents, and a stand-in runner beside
 // each, in virtual time: what the leader and the agents owe their runners.
 type site struct {
 	t      *testing.T
@@ -31,7 +31,7 @@
 	rnd    *rand.Rand
 	done   map[string]bool
 	starts map[string]int
-	// lapses counts the runs that outlived their hold.
+	// loseSilentRunners counts the runs that outlived their hold.
 	lapses int
 }
 
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -13,126 +13,126 @@
 	"orchidward/internal/transport/wire"
 )
 
-func (m *Server) apply(e raft.Entry) {
-	m.at = e.Index
-	at := m.came(e.Index)
-	m.since += int64(len(e.Data))
+func (s *Server) applyEntry(e raft.Entry) {
+	s.appliedIndex = e.Index
+	at := s.takeArrival(e.Index)
+	s.bytesSinceSnapshot += int64(len(e.Data))
 	if e.Kind != raft.EntryCommand {
 		if e.Kind == raft.EntryConfig {
-			m.event("members", "list", m.raft.Members())
+			s.logEvent("members", "list", s.raft.Members())
 		}
 		return
 	}
 	c, err := state.DecodeCommand(e.Data)
 	if err != nil {
-		m.quit("an entry that this program does not know", "index", e.Index, "error", err)
+		s.stepDown("an entry that this program does not know", "index", e.Index, "error", err)
 		return
 	}
-	if c.RaiseLevel != nil && c.RaiseLevel.Level > m.config.Level {
-		m.quit("the group's level is above this program's", "level", c.RaiseLevel.Level)
+	if c.RaiseLevel != nil && c.RaiseLevel.Level > s.config.Level {
+		s.stepDown("the group's level is above this program's", "level", c.RaiseLevel.Level)
 		return
 	}
-	if c.VerifyChecksum != nil && m.parted(c.VerifyChecksum) {
+	if c.VerifyChecksum != nil && s.checksumDiffers(c.VerifyChecksum) {
 		return
 	}
-	first := m.state.NextLease
-	res := m.state.Apply(c)
-	if e.Term != m.seenTerm || m.state.Now > m.seen.site(m.now) {
-		m.seen, m.seenTerm = newClusterClock(m.state.Now, at), e.Term
-	}
-	m.trackRouting()
-	m.sums.put(e.Index, m.state.Checksum)
-	m.logged(c, res)
-	m.state.TakeChangedRunners(func(n identifier.Runner) {
-		if m.lead != nil {
-			m.lead.hot[n] = true
+	first := s.state.NextLease
+	res := s.state.Apply(c)
+	if e.Term != s.clusterTimeTerm || s.state.Now > s.clusterTime.timeAt(s.now) {
+		s.clusterTime, s.clusterTimeTerm = newClusterClock(s.state.Now, at), e.Term
+	}
+	s.trackRouting()
+	s.checksums.put(e.Index, s.state.Checksum)
+	s.logCommand(c, res)
+	s.state.TakeChangedRunners(func(n identifier.Runner) {
+		if s.leader != nil {
+			s.leader.changedRunners[n] = true
 		}
 	})
-	if m.lead != nil {
-		m.lead.dirty = true
-		for id := first; id < m.state.NextLease; id++ {
-			m.lead.placed[id] = m.now
+	if s.leader != nil {
+		s.leader.needsScheduling = true
+		for id := first; id < s.state.NextLease; id++ {
+			s.leader.unconfirmedSince[id] = s.now
 		}
 	}
-	w, ok := m.waits[e.Index]
+	w, ok := s.proposals[e.Index]
 	if !ok {
 		return
 	}
-	m.drop(e.Index)
+	s.dropProposal(e.Index)
 	if w.term != e.Term {
-		m.giveUp(w)
+		s.replyOutcomeUnknown(w)
 		return
 	}
-	m.answer(w.peer, w.id, res)
+	s.replyResult(w.peer, w.id, res)
 }
 
 // waiting lists the proposals under way in the order they were made.
-func (m *Server) waiting() []identifier.Index {
+func (s *Server) proposalIndexes() []identifier.Index {
 	var list []identifier.Index
-	for i := range m.waits {
+	for i := range s.proposals {
 		list = append(list, i)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 	return list
 }
 
-func (m *Server) drop(i identifier.Index) {
-	if m.waits[i].table {
-		m.tables--
+func (s *Server) dropProposal(i identifier.Index) {
+	if s.proposals[i].configChange {
+		s.configChanges--
 	}
-	m.bytes -= m.waits[i].size
-	delete(m.waits, i)
+	s.proposalBytes -= s.proposals[i].size
+	delete(s.proposals, i)
 }
 
-// view bounds the ring: by entries, by bytes, and by how full the disk says
+// maybeSnapshot bounds the ring: by entries, by bytes, and by how full the disk says
 // the ring has become.
-func (m *Server) view() {
-	n := m.at - m.raft.SnapshotIndex()
-	if n < viewEvery && m.since < viewBytes && (m.LogPercentUsed() < 50 || n < 256) {
+func (s *Server) maybeSnapshot() {
+	n := s.appliedIndex - s.raft.SnapshotIndex()
+	if n < snapshotEntries && s.bytesSinceSnapshot < snapshotBytes && (s.LogPercentUsed() < 50 || n < 256) {
 		return
 	}
-	m.since = 0
-	m.raft.Compact(m.at, m.state.Encode())
-	m.event("view", "index", m.at)
+	s.bytesSinceSnapshot = 0
+	s.raft.Compact(s.appliedIndex, s.state.Encode())
+	s.logEvent("view", "index", s.appliedIndex)
 }
 
-func (m *Server) carry(out raft.Output) bool {
+func (s *Server) processRaftOutput(out raft.Output) bool {
 	if out.InstalledSnapshot != nil {
 		b, err := state.Decode(out.InstalledSnapshot.Data)
 		if err != nil {
 			panic(fmt.Sprintf("keeper: view from the leader does not decode: %v", err))
 		}
-		if b.Level > m.config.Level {
-			m.quit("the group's level is above this program's", "level", b.Level)
+		if b.Level > s.config.Level {
+			s.stepDown("the group's level is above this program's", "level", b.Level)
 			return false
 		}
-		m.state, m.at, m.since = b, out.InstalledSnapshot.Index, 0
-		m.forgetRouting()
-		m.event("view-loaded", "index", out.InstalledSnapshot.Index)
+		s.state, s.appliedIndex, s.bytesSinceSnapshot = b, out.InstalledSnapshot.Index, 0
+		s.forgetRouting()
+		s.logEvent("view-loaded", "index", out.InstalledSnapshot.Index)
 	}
 	for _, msg := range out.Messages {
-		mem, ok := m.raft.Member(msg.To)
+		mem, ok := s.raft.Member(msg.To)
 		switch {
 		case ok:
-			m.send(wire.Peer(mem.Addr), wire.Message{Raft: &msg})
-		case msg.To == m.voice.id:
-			m.send(m.voice.peer, wire.Message{Raft: &msg})
+			s.send(wire.Peer(mem.Addr), wire.Message{Raft: &msg})
+		case msg.To == s.leaderHint.id:
+			s.send(s.leaderHint.peer, wire.Message{Raft: &msg})
 		}
 	}
 	if out.Write != nil {
-		m.out.Writes = append(m.out.Writes, out.Write)
+		s.out.Writes = append(s.out.Writes, out.Write)
 	}
 	if out.LocalSnapshot != nil {
-		m.out.Snapshot = out.LocalSnapshot
+		s.out.Snapshot = out.LocalSnapshot
 	}
 	for _, e := range out.Committed {
-		if m.apply(e); m.over {
+		if s.applyEntry(e); s.stopped {
 			return false
 		}
 	}
 	if len(out.Committed) > 0 {
-		m.view()
+		s.maybeSnapshot()
 	}
-	m.turn()
-	return len(out.Committed) > 0 && m.lead != nil
+	s.updateLeadership()
+	return len(out.Committed) > 0 && s.leader != nil
 }
--- a/internal/controlplane/ask.go
+++ b/internal/controlplane/ask.go
@@ -19,202 +19,202 @@
 	"orchidward/internal/transport/wire"
 )
 
-func (m *Server) ask(from wire.Peer, a *wire.Request) {
-	if m.leads() {
-		if m.expired(a) {
-			m.refuseExpired(from, a.ID)
+func (s *Server) handleRequest(from wire.Peer, a *wire.Request) {
+	if s.isActiveLeader() {
+		if s.orderExpired(a) {
+			s.replyExpired(from, a.ID)
 			return
 		}
-		m.route(from, a)
+		s.routeRequest(from, a)
 		return
 	}
-	mem, ok := m.leader()
-	if !ok || mem.ID == m.config.ID || mem.Addr == "" || a.Hops > 0 || len(m.relays) >= mostWaits || m.reach.lost {
-		m.send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, NotLeader: true, RetryAfter: 200}})
+	mem, ok := s.currentLeader()
+	if !ok || mem.ID == s.config.ID || mem.Addr == "" || a.Hops > 0 || len(s.forwarded) >= maxProposals || s.leaderContact.lost {
+		s.send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, NotLeader: true, RetryAfter: 200}})
 		return
 	}
-	m.nextID++
+	s.nextID++
 	pass := *a
-	pass.ID, pass.Hops = m.nextID, a.Hops+1
-	m.date(from, &pass)
+	pass.ID, pass.Hops = s.nextID, a.Hops+1
+	s.stampLeaderTime(from, &pass)
 	to := wire.Peer(mem.Addr)
-	m.reach.passed(m.now, len(m.relays) == 0)
-	m.relays[m.nextID] = relay{from, a.ID, to, m.now.Add(max(a.Budget, 500))}
-	m.send(to, wire.Message{Request: &pass})
+	s.leaderContact.requestSent(s.now, len(s.forwarded) == 0)
+	s.forwarded[s.nextID] = forwardedRequest{from, a.ID, to, s.now.Add(max(a.Budget, 500))}
+	s.send(to, wire.Message{Request: &pass})
 }
 
-// passBack hands the reply to a request that was passed on to whoever made it.
+// forwardResponse hands the reply to a request that was passed on to whoever made it.
 // A reply from anybody but the one it was passed to answers something else.
-func (m *Server) passBack(from wire.Peer, r *wire.Response) {
-	v, ok := m.relays[r.ID]
+func (s *Server) forwardResponse(from wire.Peer, r *wire.Response) {
+	v, ok := s.forwarded[r.ID]
 	if !ok || v.to != from {
 		return
 	}
-	delete(m.relays, r.ID)
-	m.heardLeader(r.LeaderTime)
+	delete(s.forwarded, r.ID)
+	s.observeLeaderTime(r.LeaderTime)
 	back := *r
 	back.ID = v.id
-	m.send(v.peer, wire.Message{Response: &back})
+	s.send(v.peer, wire.Message{Response: &back})
 }
 
-// abandon answers the requests that were passed on to anybody but this leader:
+// failForwardedExcept answers the requests that were passed on to anybody but this leader:
 // what became of them is not known here, and waiting tells no more.
-func (m *Server) abandon(leader wire.Peer) {
-	for _, id := range m.relayed() {
-		v := m.relays[id]
+func (s *Server) failForwardedExcept(leader wire.Peer) {
+	for _, id := range s.forwardedIDs() {
+		v := s.forwarded[id]
 		if v.to == leader {
 			continue
 		}
-		delete(m.relays, id)
-		m.refuse(v.peer, v.id, 504, "leader-changed", "the outcome is not known here; ask again", leaderChangedRetry)
+		delete(s.forwarded, id)
+		s.replyError(v.peer, v.id, 504, "leader-changed", "the outcome is not known here; ask again", leaderChangedRetryAfter)
 	}
 }
 
-// relayed lists the requests that were passed on, in the order they were.
-func (m *Server) relayed() []uint64 {
+// forwardedIDs lists the requests that were passed on, in the order they were.
+func (s *Server) forwardedIDs() []uint64 {
 	var list []uint64
-	for id := range m.relays {
+	for id := range s.forwarded {
 		list = append(list, id)
 	}
 	slices.Sort(list)
 	return list
 }
 
-// expire forgets relays whose asker has long given up, and gates long gone.
-func (m *Server) expire() {
-	for g, at := range m.gates {
-		if m.now.Since(at) > gateLife {
-			delete(m.gates, g)
+// forgetExpired forgets relays whose asker has long given up, and gates long gone.
+func (s *Server) forgetExpired() {
+	for g, at := range s.gatewayClients {
+		if s.now.Since(at) > gatewayLife {
+			delete(s.gatewayClients, g)
 		}
 	}
-	for g, at := range m.edge {
-		if m.now.Since(at) > gateLife {
-			delete(m.edge, g)
+	for g, at := range s.gatewayPeers {
+		if s.now.Since(at) > gatewayLife {
+			delete(s.gatewayPeers, g)
 		}
 	}
-	for id, v := range m.relays {
-		if m.now > v.at {
-			delete(m.relays, id)
+	for id, v := range s.forwarded {
+		if s.now > v.expires {
+			delete(s.forwarded, id)
 		}
 	}
 }
 
-// call is one request being routed.
-type call struct {
+// apiRequest is one request being routed.
+type apiRequest struct {
 	peer wire.Peer
 	*wire.Request
 	parts []string
 }
 
-func (m *Server) route(from wire.Peer, a *wire.Request) {
-	c := &call{peer: from, Request: a, parts: strings.Split(strings.Trim(a.Path, "/"), "/")}
+func (s *Server) routeRequest(from wire.Peer, a *wire.Request) {
+	c := &apiRequest{peer: from, Request: a, parts: strings.Split(strings.Trim(a.Path, "/"), "/")}
 	switch {
 	case a.Method == "JOIN":
-		m.joining(c)
+		s.handleJoin(c)
 		return
 	case a.Method == "SYNC":
-		m.sync(c)
+		s.handleSync(c)
 		return
-	case a.Epoch != 0 && a.Epoch != m.state.Limits.Epoch:
-		m.send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: m.staleBody(a)}})
+	case a.Epoch != 0 && a.Epoch != s.state.Limits.Epoch:
+		s.send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: s.staleBody(a)}})
 		return
 	case len(c.parts) < 2 || c.parts[0] != "v1":
-		m.refuse(from, a.ID, 404, "no-such-path", "no such path", 0)
+		s.replyError(from, a.ID, 404, "no-such-path", "no such path", 0)
 		return
 	}
 	kind, n := c.parts[1], len(c.parts)
 	switch {
 	case kind == "jobs" && n == 2 && a.Method == "GET":
-		m.listJobs(c)
+		s.replyJobList(c)
 	case kind == "states" && n == 4 && a.Method == "GET":
-		m.showState(c, identifier.NewJobKey(identifier.Client(c.parts[2]), identifier.JobID(c.parts[3])))
+		s.replyJobState(c, identifier.NewJobKey(identifier.Client(c.parts[2]), identifier.JobID(c.parts[3])))
 	case kind == "fence" && n == 2 && a.Method == "GET":
-		m.replyDoc(from, a.ID, 200, runnerapi.PollResponse{FencingToken: uint64(m.term)})
+		s.replyJSON(from, a.ID, 200, runnerapi.PollResponse{FencingToken: uint64(s.term)})
 	case kind == "queues" && n == 3 && a.Method == "GET":
-		m.showQueue(c, c.parts[2])
+		s.replyQueue(c, c.parts[2])
 	case kind == "catalog" && n == 2:
-		m.routeCatalog(c)
+		s.handleCatalog(c)
 	case kind == "jobs" && n == 4:
-		m.routeJob(c, identifier.NewJobKey(identifier.Client(c.parts[2]), identifier.JobID(c.parts[3])))
+		s.handleJob(c, identifier.NewJobKey(identifier.Client(c.parts[2]), identifier.JobID(c.parts[3])))
 	case kind == "runners" && n == 2 && a.Method == "GET":
-		m.replyDoc(from, a.ID, 200, m.showRunners())
+		s.replyJSON(from, a.ID, 200, s.runnerDocs())
 	case kind == "runners" && n == 4 && c.parts[3] == "poll" && a.Method == "POST":
-		m.poll(from, a.ID, identifier.Runner(c.parts[2]), a.Body)
+		s.handlePoll(from, a.ID, identifier.Runner(c.parts[2]), a.Body)
 	case kind == "table" && n == 2:
-		m.routeTable(c)
+		s.handleLimits(c)
 	case kind == "closings" && n == 2 && a.Method == "GET":
-		m.replyDoc(from, a.ID, 200, m.showClosings())
+		s.replyJSON(from, a.ID, 200, s.drainDocs())
 	case kind == "closings" && n == 3:
-		m.routeClosing(c, c.parts[2])
+		s.handleDrain(c, c.parts[2])
 	case kind == "keepers" && n == 2 && a.Method == "GET":
-		m.replyDoc(from, a.ID, 200, m.showKeepers())
+		s.replyJSON(from, a.ID, 200, s.serverDocs())
 	default:
-		m.refuse(from, a.ID, 404, "no-such-path", "no such path or method", 0)
+		s.replyError(from, a.ID, 404, "no-such-path", "no such path or method", 0)
 	}
 }
 
-// decide proposes a command and lets the request wait for its outcome.
-func (m *Server) decide(c *call, cmd *state.Command) {
-	if len(m.waits) >= mostWaits || m.bytes+len(c.Body) > mostBytes {
-		m.refuse(c.peer, c.ID, 503, "busy", "too many requests under way", 1000)
+// proposeFor proposes a command and lets the request wait for its outcome.
+func (s *Server) proposeFor(c *apiRequest, cmd *state.Command) {
+	if len(s.proposals) >= maxProposals || s.proposalBytes+len(c.Body) > maxProposalBytes {
+		s.replyError(c.peer, c.ID, 503, "busy", "too many requests under way", 1000)
 		return
 	}
-	i := m.propose(cmd)
+	i := s.propose(cmd)
 	table := cmd.ChangeLimits != nil || cmd.ChangeCatalog != nil
-	m.waits[i] = wait{peer: c.peer, id: c.ID, term: m.term, table: table, size: len(c.Body)}
-	m.bytes += len(c.Body)
+	s.proposals[i] = proposal{peer: c.peer, id: c.ID, term: s.term, configChange: table, size: len(c.Body)}
+	s.proposalBytes += len(c.Body)
 	if table {
-		m.tables++
+		s.configChanges++
 	}
 }
 
-func (m *Server) answer(peer wire.Peer, id uint64, res state.Result) {
+func (s *Server) replyResult(peer wire.Peer, id uint64, res state.Result) {
 	if !res.OK() {
-		m.reply(peer, id, res.Status, jsondoc.ErrorBody{Code: res.Code, Message: res.Message, Faults: res.Body, RetryAfter: res.RetryAfter}.JSON(), res.RetryAfter)
+		s.reply(peer, id, res.Status, jsondoc.ErrorBody{Code: res.Code, Message: res.Message, Faults: res.Body, RetryAfter: res.RetryAfter}.JSON(), res.RetryAfter)
 		return
 	}
-	m.replyDoc(peer, id, res.Status, res.Body)
+	s.replyJSON(peer, id, res.Status, res.Body)
 }
 
-func (m *Server) routeJob(c *call, key identifier.JobKey) {
+func (s *Server) handleJob(c *apiRequest, key identifier.JobKey) {
 	switch c.Method {
 	case "PUT":
 		var f jsondoc.FieldErrors
-		s := job.Read(c.Body, &f)
+		spec := job.Read(c.Body, &f)
 		if f.Any() {
-			m.reply(c.peer, c.ID, f.Status(), f.ErrorBody(), 0)
+			s.reply(c.peer, c.ID, f.Status(), f.ErrorBody(), 0)
 			return
 		}
-		if s.Queue != "" && m.state.Level < state.CatalogLevel {
-			m.tooSoon(c)
+		if spec.Queue != "" && s.state.Level < state.CatalogLevel {
+			s.replyLevelTooLow(c)
 			return
 		}
-		if s.HasStartTime() && !m.lead.clock.sure && m.state.Jobs[key] == nil {
-			m.refuse(c.peer, c.ID, 503, "time-unsure", "the keepers' clocks have yet to agree; no start can be appointed", 1000)
+		if spec.HasStartTime() && !s.leader.clock.canAppoint && s.state.Jobs[key] == nil {
+			s.replyError(c.peer, c.ID, 503, "time-unsure", "the keepers' clocks have yet to agree; no start can be appointed", 1000)
 			return
 		}
-		m.decide(c, &state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: *s}})
+		s.proposeFor(c, &state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: *spec}})
 	case "DELETE":
-		if j := m.state.Jobs[key]; j != nil && j.EndState != "" {
-			m.replyDoc(c.peer, c.ID, 200, map[string]string{"job": string(key), "state": j.State()})
+		if j := s.state.Jobs[key]; j != nil && j.EndState != "" {
+			s.replyJSON(c.peer, c.ID, 200, map[string]string{"job": string(key), "state": j.State()})
 			return
 		}
-		m.decide(c, &state.Command{CancelJob: &state.CancelJob{Key: key}})
+		s.proposeFor(c, &state.Command{CancelJob: &state.CancelJob{Key: key}})
 	case "GET":
-		m.showJob(c, key)
+		s.replyJob(c, key)
 	default:
-		m.refuse(c.peer, c.ID, 405, "bad-method", "want PUT, GET or DELETE", 0)
+		s.replyError(c.peer, c.ID, 405, "bad-method", "want PUT, GET or DELETE", 0)
 	}
 }
 
-// tooSoon refuses what some keeper does not know yet.
-func (m *Server) tooSoon(c *call) {
-	m.refuse(c.peer, c.ID, 503, "level", "queues wait until every keeper has been upgraded", 500)
+// replyLevelTooLow refuses what some keeper does not know yet.
+func (s *Server) replyLevelTooLow(c *apiRequest) {
+	s.replyError(c.peer, c.ID, 503, "level", "queues wait until every keeper has been upgraded", 500)
 }
 
-// changing reads a change by its verb, whole or as a patch; what can't be read
+// readChange reads a change by its verb, whole or as a patch; what can't be read
 // is answered here.
-func changing[T any](m *Server, c *call, whole, patch func(text []byte, f *jsondoc.FieldErrors) *T) (ch *T, ok bool) {
+func readChange[T any](s *Server, c *apiRequest, whole, patch func(text []byte, f *jsondoc.FieldErrors) *T) (ch *T, ok bool) {
 	var f jsondoc.FieldErrors
 	switch c.Method {
 	case "PUT":
@@ -222,61 +222,61 @@
 	case "PATCH":
 		ch = patch(c.Body, &f)
 	default:
-		m.refuse(c.peer, c.ID, 405, "bad-method", "want GET, PUT or PATCH", 0)
+		s.replyError(c.peer, c.ID, 405, "bad-method", "want GET, PUT or PATCH", 0)
 		return nil, false
 	}
 	if f.Any() {
-		m.reply(c.peer, c.ID, f.Status(), f.ErrorBody(), 0)
+		s.reply(c.peer, c.ID, f.Status(), f.ErrorBody(), 0)
 		return nil, false
 	}
 	return ch, true
 }
 
-func (m *Server) routeCatalog(c *call) {
+func (s *Server) handleCatalog(c *apiRequest) {
 	if c.Method == "GET" {
-		m.showCatalog(c)
+		s.replyCatalog(c)
 		return
 	}
-	ch, ok := changing(m, c, catalog.ReadWhole, catalog.ReadPatch)
+	ch, ok := readChange(s, c, catalog.ReadWhole, catalog.ReadPatch)
 	switch {
 	case !ok:
-	case m.state.Level < state.CatalogLevel:
-		m.tooSoon(c)
-	case m.tables >= mostTables:
-		m.refuse(c.peer, c.ID, 429, "catalog-busy", "too many changes under way", 500)
+	case s.state.Level < state.CatalogLevel:
+		s.replyLevelTooLow(c)
+	case s.configChanges >= maxConfigChanges:
+		s.replyError(c.peer, c.ID, 429, "catalog-busy", "too many changes under way", 500)
 	default:
-		m.decide(c, &state.Command{ChangeCatalog: ch})
+		s.proposeFor(c, &state.Command{ChangeCatalog: ch})
 	}
 }
 
-func (m *Server) routeTable(c *call) {
+func (s *Server) handleLimits(c *apiRequest) {
 	if c.Method == "GET" {
-		m.reply(c.peer, c.ID, 200, m.state.Limits.JSON(), 0)
+		s.reply(c.peer, c.ID, 200, s.state.Limits.JSON(), 0)
 		return
 	}
-	ch, ok := changing(m, c, limits.ReadWhole, limits.ReadPatch)
+	ch, ok := readChange(s, c, limits.ReadWhole, limits.ReadPatch)
 	switch {
 	case !ok:
-	case ch.TouchesPolicies() && m.state.Level < state.PolicyLevel:
-		m.refuse(c.peer, c.ID, 409, "level", "policies wait until every keeper has been upgraded", 5000)
-	case m.tables >= mostTables:
-		m.refuse(c.peer, c.ID, 429, "table-busy", "too many table changes under way", 500)
+	case ch.TouchesPolicies() && s.state.Level < state.PolicyLevel:
+		s.replyError(c.peer, c.ID, 409, "level", "policies wait until every keeper has been upgraded", 5000)
+	case s.configChanges >= maxConfigChanges:
+		s.replyError(c.peer, c.ID, 429, "table-busy", "too many table changes under way", 500)
 	default:
-		m.decide(c, &state.Command{ChangeLimits: ch})
+		s.proposeFor(c, &state.Command{ChangeLimits: ch})
 	}
 }
 
-func (m *Server) routeClosing(c *call, name string) {
+func (s *Server) handleDrain(c *apiRequest, name string) {
 	switch c.Method {
 	case "GET":
-		m.showClosing(c, name)
+		s.replyDrain(c, name)
 	case "PUT":
 		var f jsondoc.FieldErrors
 		id, unseen := "", false
 		if len(c.Body) > 0 {
 			if o := jsondoc.Parse(c.Body, &f); o != nil {
 				id = o.Name("id", false)
-				unseen = o.Bool("unseen", false) && m.state.Level >= state.CatalogLevel
+				unseen = o.Bool("unseen", false) && s.state.Level >= state.CatalogLevel
 				o.Done()
 			}
 		}
@@ -284,37 +284,37 @@
 			f.Invalid("domain", "not a name")
 		}
 		if f.Any() {
-			m.reply(c.peer, c.ID, f.Status(), f.ErrorBody(), 0)
+			s.reply(c.peer, c.ID, f.Status(), f.ErrorBody(), 0)
 			return
 		}
-		m.decide(c, &state.Command{StartDrain: &state.StartDrain{Domain: identifier.Domain(name), ID: id, AllowUnknown: unseen}})
+		s.proposeFor(c, &state.Command{StartDrain: &state.StartDrain{Domain: identifier.Domain(name), ID: id, AllowUnknown: unseen}})
 	case "DELETE":
-		m.decide(c, &state.Command{EndDrain: &state.EndDrain{Name: name}})
+		s.proposeFor(c, &state.Command{EndDrain: &state.EndDrain{Name: name}})
 	default:
-		m.refuse(c.peer, c.ID, 405, "bad-method", "want GET, PUT or DELETE", 0)
+		s.replyError(c.peer, c.ID, 405, "bad-method", "want GET, PUT or DELETE", 0)
 	}
 }
 
-// joining takes a keeper with an empty folder in as a learner, or notes a
+// handleJoin takes a keeper with an empty folder in as a learner, or notes a
 // member's new address. Asking again does no harm.
-func (m *Server) joining(c *call) {
-	var j joinBody
+func (s *Server) handleJoin(c *apiRequest) {
+	var j joinRequest
 	if err := json.Unmarshal(c.Body, &j); err != nil {
-		m.refuse(c.peer, c.ID, 400, "bad-request", "join does not parse", 0)
+		s.replyError(c.peer, c.ID, 400, "bad-request", "join does not parse", 0)
 		return
 	}
 	id, ok := identifier.ParseNode(j.ID)
 	if !ok || j.Addr == "" {
-		m.refuse(c.peer, c.ID, 422, "unprocessable", "join lacks an identity or an address", 0)
+		s.replyError(c.peer, c.ID, 422, "unprocessable", "join lacks an identity or an address", 0)
 		return
 	}
-	if j.Level < m.state.Level {
-		m.event("join-refused", "node", id, "level", j.Level, "want", m.state.Level)
-		m.refuse(c.peer, c.ID, 409, "too-old", "the group's level is above this program's", 0)
+	if j.Level < s.state.Level {
+		s.logEvent("join-refused", "node", id, "level", j.Level, "want", s.state.Level)
+		s.replyError(c.peer, c.ID, 409, "too-old", "the group's level is above this program's", 0)
 		return
 	}
 	next, had, learners := []raft.Member{}, false, 0
-	for _, mem := range m.raft.Members() {
+	for _, mem := range s.raft.Members() {
 		if !mem.Voter {
 			learners++
 		}
@@ -325,12 +325,12 @@
 		next = append(next, mem)
 	}
 	if !had {
-		if learners >= mostLearners {
-			m.refuse(c.peer, c.ID, 503, "seats-full", "enough learners are waiting for a seat", 5000)
+		if learners >= maxLearners {
+			s.replyError(c.peer, c.ID, 503, "seats-full", "enough learners are waiting for a seat", 5000)
 			return
 		}
 		next = append(next, raft.Member{ID: id, Addr: j.Addr, Domain: j.Domain})
 	}
-	m.raft.ProposeMembers(next)
-	m.replyDoc(c.peer, c.ID, 202, map[string]bool{"asked": true})
+	s.raft.ProposeMembers(next)
+	s.replyJSON(c.peer, c.ID, 202, map[string]bool{"asked": true})
 }
--- a/internal/controlplane/boot.go
+++ b/internal/controlplane/boot.go
@@ -45,26 +45,26 @@
 }
 
 const (
-	tickMs    = 20
-	planGap   = 20
-	viewEvery = 8000
-	viewBytes = 8 << 20
-	mostWaits = 4096
-	// mostBytes bounds the bodies of requests under way. They can fill neither the
+	tickMillis         = 20
+	schedulingInterval = 20
+	snapshotEntries    = 8000
+	snapshotBytes      = 8 << 20
+	maxProposals       = 4096
+	// maxProposalBytes bounds the bodies of requests under way. They can fill neither the
 	// memory nor the log on disk, which no snapshot frees before they are decided.
-	mostBytes  = 8 << 20
-	mostGates  = 256
-	mostTables = 64
-	deadMs     = 10000
-	// mostLearners bounds the members that wait for a seat.
-	mostLearners = 4
-	gateLife     = 5000
-	checkGap     = 2000
-	sweepGap     = 1000
-	// leaderChangedRetry is when a caller may come back whose request was with a
+	maxProposalBytes = 8 << 20
+	maxGateways      = 256
+	maxConfigChanges = 64
+	memberDeadAfter  = 10000
+	// maxLearners bounds the members that wait for a seat.
+	maxLearners      = 4
+	gatewayLife      = 5000
+	checksumInterval = 2000
+	sweepInterval    = 1000
+	// leaderChangedRetryAfter is when a caller may come back whose request was with a
 	// leader that another replaced, in milliseconds.
-	leaderChangedRetry = 200
+	leaderChangedRetryAfter = 200
 )
 
 // TickInterval is how often a keeper should be ticked.
-const TickInterval clock.Millis = tickMs
+const TickInterval clock.Millis = tickMillis
--- a/internal/controlplane/clock.go
+++ b/internal/controlplane/clock.go
@@ -16,121 +16,121 @@
 )
 
 type clusterClock struct {
-	base clock.ClusterTime
-	at   clock.Monotonic
-	lean int64
-	// agreed is whether the clocks last agreed; set that they once did under
+	base       clock.ClusterTime
+	readAt     clock.Monotonic
+	unusedSlew int64
+	// clocksAgree is whether the clocks last agreed; set that they once did under
 	// this leader, after which it never steps.
-	agreed bool
-	set    bool
+	clocksAgree bool
+	agreedOnce  bool
 	// sure is false while a step may still come: until then no new job may
 	// have an appointed start, which the step would bring forward.
-	sure bool
+	canAppoint bool
 }
 
 const (
-	leanPart = 20
-	coldGap  = 200
-	// alike is how far apart clocks may be that are said to agree.
-	alike = 1000
-	// unset is a cluster time that nobody ever set: no clock reads so little.
-	unset clock.ClusterTime = 946_684_800_000
+	slewFraction = 20
+	minStep      = 200
+	// agreementWindow is how far apart clocks may be that are said to agree.
+	agreementWindow = 1000
+	// neverSet is a cluster time that nobody ever set: no clock reads so little.
+	neverSet clock.ClusterTime = 946_684_800_000
 )
 
 func newClusterClock(base clock.ClusterTime, now clock.Monotonic) clusterClock {
-	return clusterClock{base: base, at: now}
+	return clusterClock{base: base, readAt: now}
 }
 
-func (c *clusterClock) site(now clock.Monotonic) clock.ClusterTime {
-	return c.base.Add(now.Since(c.at))
+func (c *clusterClock) timeAt(now clock.Monotonic) clock.ClusterTime {
+	return c.base.Add(now.Since(c.readAt))
 }
 
-// carried is the furthest that any voter in reach has carried cluster time from
+// carriedClusterTime is the furthest that any voter in reach has carried cluster time from
 // the last leader's term: a leader that was away itself must not set it back
 // for the others, and one that slept must not carry on from before that term.
-func (m *Server) carried() clock.ClusterTime {
-	at := max(m.state.Now, m.seen.site(m.now))
-	for _, s := range m.raft.MemberStatuses() {
-		if s.Voter && s.ClusterTime > 0 && s.ClusterTimeTerm >= m.raft.ClusterTimeTerm() {
-			at = max(at, s.ClusterTime.Add(m.now.Since(s.WallTimeReadAt)))
+func (s *Server) carriedClusterTime() clock.ClusterTime {
+	at := max(s.state.Now, s.clusterTime.timeAt(s.now))
+	for _, status := range s.raft.MemberStatuses() {
+		if status.Voter && status.ClusterTime > 0 && status.ClusterTimeTerm >= s.raft.ClusterTimeTerm() {
+			at = max(at, status.ClusterTime.Add(s.now.Since(status.WallTimeReadAt)))
 		}
 	}
 	return at
 }
 
-// got tells when the log came to reach an index.
-type got struct {
+// arrival tells when the log came to reach an index.
+type arrival struct {
 	index identifier.Index
 	at    clock.Monotonic
 }
 
-// note keeps track of how far the log reaches and since when. What came in
+// recordArrival keeps track of how far the log reaches and since when. What came in
 // place of a torn tail came now, not when the tail did.
-func (m *Server) note() {
-	last, n := m.raft.LastIndex(), len(m.gots)
-	torn := m.raft.TakeTruncatedFrom()
-	for n > 0 && (m.gots[n-1].index > last || torn > 0 && m.gots[n-1].index >= torn) {
+func (s *Server) recordArrival() {
+	last, n := s.raft.LastIndex(), len(s.arrivals)
+	torn := s.raft.TakeTruncatedFrom()
+	for n > 0 && (s.arrivals[n-1].index > last || torn > 0 && s.arrivals[n-1].index >= torn) {
 		n--
 	}
-	m.gots = m.gots[:n]
-	if n == 0 || m.gots[n-1].index < last {
-		m.gots = append(m.gots, got{last, m.now})
+	s.arrivals = s.arrivals[:n]
+	if n == 0 || s.arrivals[n-1].index < last {
+		s.arrivals = append(s.arrivals, arrival{last, s.now})
 	}
 }
 
-// came tells when an entry about to be applied came here, and forgets those
+// takeArrival tells when an entry about to be applied came here, and forgets those
 // that came before it.
-func (m *Server) came(i identifier.Index) clock.Monotonic {
+func (s *Server) takeArrival(i identifier.Index) clock.Monotonic {
 	n := 0
-	for n < len(m.gots) && m.gots[n].index < i {
+	for n < len(s.arrivals) && s.arrivals[n].index < i {
 		n++
 	}
-	if m.gots = m.gots[n:]; len(m.gots) == 0 {
-		return m.now
+	if s.arrivals = s.arrivals[n:]; len(s.arrivals) == 0 {
+		return s.now
 	}
-	return m.gots[0].at
+	return s.arrivals[0].at
 }
 
 // walls is the evidence: what the members' clocks claim at this moment.
-type walls struct {
-	list []clock.ClusterTime
-	need int
-	cold bool
+type wallClocks struct {
+	readings  []clock.ClusterTime
+	majority  int
+	coldStart bool
 }
 
-func (c *clusterClock) tick(now clock.Monotonic, w walls) {
-	span := now.Since(c.at)
+func (c *clusterClock) advance(now clock.Monotonic, w wallClocks) {
+	span := now.Since(c.readAt)
 	if span <= 0 {
 		return
 	}
-	c.base, c.at = c.base.Add(span), now
+	c.base, c.readAt = c.base.Add(span), now
 	mid, ok := w.agree()
-	c.agreed = ok
-	young := !c.set && (w.cold || c.base < unset)
-	c.sure = ok || !young
+	c.clocksAgree = ok
+	young := !c.agreedOnce && (w.coldStart || c.base < neverSet)
+	c.canAppoint = ok || !young
 	if !ok {
 		return
 	}
 	diff := int64(mid - c.base)
-	c.set = true
-	if young && diff > coldGap {
+	c.agreedOnce = true
+	if young && diff > minStep {
 		c.base = mid
 		return
 	}
-	c.lean += int64(span)
-	most := c.lean / leanPart
-	c.lean -= most * leanPart
+	c.unusedSlew += int64(span)
+	most := c.unusedSlew / slewFraction
+	c.unusedSlew -= most * slewFraction
 	c.base += clock.ClusterTime(max(-most, min(most, diff)))
 }
 
 // agree finds a majority of the clocks that lie within a second, the closest
 // such, and returns the middle one of them.
-func (w walls) agree() (at clock.ClusterTime, ok bool) {
-	sort.Slice(w.list, func(i, j int) bool { return w.list[i] < w.list[j] })
-	low := clock.ClusterTime(alike + 1)
-	for i := 0; w.need > 0 && i+w.need <= len(w.list); i++ {
-		if span := w.list[i+w.need-1] - w.list[i]; span < low {
-			low, at, ok = span, w.list[i+(w.need-1)/2], true
+func (w wallClocks) agree() (at clock.ClusterTime, ok bool) {
+	sort.Slice(w.readings, func(i, j int) bool { return w.readings[i] < w.readings[j] })
+	low := clock.ClusterTime(agreementWindow + 1)
+	for i := 0; w.majority > 0 && i+w.majority <= len(w.readings); i++ {
+		if span := w.readings[i+w.majority-1] - w.readings[i]; span < low {
+			low, at, ok = span, w.readings[i+(w.majority-1)/2], true
 		}
 	}
 	return at, ok
@@ -139,25 +139,25 @@
 // walls gathers the voters' clocks, each carried forward from when it was
 // told. The core is cold while no voter in reach has known an earlier leader since it
 // started: nobody carried time on.
-func (m *Server) walls() walls {
-	var w walls
-	w.cold = m.raft.FirstKnownTerm() == m.term
+func (s *Server) gatherWallClocks() wallClocks {
+	var w wallClocks
+	w.coldStart = s.raft.FirstKnownTerm() == s.term
 	voters := 0
-	for _, mem := range m.raft.Members() {
+	for _, mem := range s.raft.Members() {
 		if mem.Voter {
 			voters++
 		}
-		if mem.Voter && mem.ID == m.config.ID {
-			w.list = append(w.list, clock.ClusterTime(m.wall))
+		if mem.Voter && mem.ID == s.config.ID {
+			w.readings = append(w.readings, clock.ClusterTime(s.wall))
 		}
 	}
-	for _, s := range m.raft.MemberStatuses() {
-		if !s.Voter || s.WallTimeReadAt == 0 || m.now.Since(s.WallTimeReadAt) > 2000 {
+	for _, status := range s.raft.MemberStatuses() {
+		if !status.Voter || status.WallTimeReadAt == 0 || s.now.Since(status.WallTimeReadAt) > 2000 {
 			continue
 		}
-		w.list = append(w.list, clock.ClusterTime(s.WallTime).Add(m.now.Since(s.WallTimeReadAt)))
-		w.cold = w.cold && s.FirstKnownTerm == m.term
+		w.readings = append(w.readings, clock.ClusterTime(status.WallTime).Add(s.now.Since(status.WallTimeReadAt)))
+		w.coldStart = w.coldStart && status.FirstKnownTerm == s.term
 	}
-	w.need = voters/2 + 1
+	w.majority = voters/2 + 1
 	return w
 }
--- a/internal/controlplane/deposed_test.go
+++ b/internal/controlplane/deposed_test.go
@@ -13,18 +13,18 @@
 
 // deliver hands a keeper a frame and lets its disk sync at once; it returns all
 // that the keeper sends.
-func deliver(m *controlplane.Server, from wire.Peer, msg wire.Message, now clock.Monotonic) []wire.Envelope {
-	m.HandleMessage(from, msg, now, 0)
-	return synced(m, now)
+func deliver(s *controlplane.Server, from wire.Peer, msg wire.Message, now clock.Monotonic) []wire.Envelope {
+	s.HandleMessage(from, msg, now, 0)
+	return synced(s, now)
 }
 
 // synced syncs what a keeper writes until it writes nothing more.
-func synced(m *controlplane.Server, now clock.Monotonic) []wire.Envelope {
+func synced(s *controlplane.Server, now clock.Monotonic) []wire.Envelope {
 	var sends []wire.Envelope
-	for o := m.TakeOutput(); len(o.Writes) > 0 || len(o.Messages) > 0; o = m.TakeOutput() {
+	for o := s.TakeOutput(); len(o.Writes) > 0 || len(o.Messages) > 0; o = s.TakeOutput() {
 		sends = append(sends, o.Messages...)
 		for _, w := range o.Writes {
-			m.Synced(w.Seq, now, 0)
+			s.Synced(w.Seq, now, 0)
 		}
 	}
 	return sends
@@ -32,18 +32,18 @@
 
 // leaderOfThree is a keeper that leads two others, "k2" and "k3", which have
 // acknowledged all it has.
-func leaderOfThree(t *testing.T) (m *controlplane.Server, now clock.Monotonic) {
+func leaderOfThree(t *testing.T) (s *controlplane.Server, now clock.Monotonic) {
 	t.Helper()
-	m = controlplane.New(controlplane.Config{ID: 1, Addr: "k1", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel}, 0)
+	s = controlplane.New(controlplane.Config{ID: 1, Addr: "k1", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel}, 0)
 	members := []raft.Member{{ID: 1, Addr: "k1", Domain: "a", Voter: true}, {ID: 2, Addr: "k2", Domain: "b", Voter: true}, {ID: 3, Addr: "k3", Domain: "c", Voter: true}}
-	if err := m.Resume(raft.HardState{}, &raft.Snapshot{Index: 1, Term: 1, Members: members, Data: state.New().Encode()}, nil); err != nil {
+	if err := s.Resume(raft.HardState{}, &raft.Snapshot{Index: 1, Term: 1, Members: members, Data: state.New().Encode()}, nil); err != nil {
 		t.Fatal(err)
 	}
 	for now = 100; now < 20000; now += 20 {
-		m.Tick(now, 0)
-		agree(m, synced(m, now), now)
-		if m.Raft().Role() == raft.Leader && m.Raft().HasLease(now) && m.Raft().Replicated() {
-			return m, now
+		s.Tick(now, 0)
+		agree(s, synced(s, now), now)
+		if s.Raft().Role() == raft.Leader && s.Raft().HasLease(now) && s.Raft().Replicated() {
+			return s, now
 		}
 	}
 	t.Fatal("no leader")
@@ -63,7 +63,7 @@
 	}
 }
 
-func answerTo(m *controlplane.Server, from wire.Peer, r *raft.Message, now clock.Monotonic) []wire.Envelope {
+func answerTo(s *controlplane.Server, from wire.Peer, r *raft.Message, now clock.Monotonic) []wire.Envelope {
 	back := raft.Message{From: r.To, To: r.From, Term: r.Term, SentAt: r.SentAt}
 	switch r.Kind {
 	case raft.RequestPreVote:
@@ -75,7 +75,7 @@
 	default:
 		return nil
 	}
-	return deliver(m, from, wire.Message{Raft: &back}, now)
+	return deliver(s, from, wire.Message{Raft: &back}, now)
 }
 
 // TestDeposed: a leader that loses its place with a proposal under way says that
--- a/internal/controlplane/find.go
+++ b/internal/controlplane/find.go
@@ -16,184 +16,184 @@
 	"orchidward/internal/transport/wire"
 )
 
-type find struct {
-	next  clock.Monotonic
-	empty map[string]raft.Member
-	seen  map[string]clock.Monotonic
-	// porters are the seeds that have no disk, by their own word.
-	porters map[string]bool
-	begun   bool
-	// born is when this search began, stirred when a message among members of a
+type discovery struct {
+	nextAttempt clock.Monotonic
+	emptySeeds  map[string]raft.Member
+	lastSeen    map[string]clock.Monotonic
+	// diskless are the seeds that have no disk, by their own word.
+	diskless map[string]bool
+	creating bool
+	// since is when this search began, stirred when a message among members of a
 	// group was last heard.
-	born, stirred clock.Monotonic
+	since, groupHeardAt clock.Monotonic
 }
 
-func newFind(now clock.Monotonic) *find {
-	return &find{born: now, empty: map[string]raft.Member{}, seen: map[string]clock.Monotonic{}, porters: map[string]bool{}}
+func newDiscovery(now clock.Monotonic) *discovery {
+	return &discovery{since: now, emptySeeds: map[string]raft.Member{}, lastSeen: map[string]clock.Monotonic{}, diskless: map[string]bool{}}
 }
 
 const (
-	seekGap  = 300
-	seekLife = 1500
-	// stillMs is how long a keeper listens for a group before it founds one past
-	// seeds without a disk, and reportGap how often a leader tells the seeds.
-	stillMs   = 5000
-	reportGap = 1000
+	discoveryInterval = 300
+	discoveryLife     = 1500
+	// quietBeforeFounding is how long a keeper listens for a group before it founds one past
+	// seeds without a disk, and seedAnnounceInterval how often a leader tells the seeds.
+	quietBeforeFounding  = 5000
+	seedAnnounceInterval = 1000
 )
 
-func (m *Server) self(ask bool) *wire.Announcement {
-	t := &wire.Announcement{WantReply: ask, Role: "keeper", Node: m.config.ID, Addr: m.config.Addr, Domain: m.config.Domain, Gateways: m.liveGates()}
-	if p := m.porter; p != nil {
-		t.Role, t.Node, t.Founded, t.Members = "porter", 0, p.knows(), p.members
-		if mem, ok := p.leader(m.now); ok {
+func (s *Server) announcement(ask bool) *wire.Announcement {
+	t := &wire.Announcement{WantReply: ask, Role: "keeper", Node: s.config.ID, Addr: s.config.Addr, Domain: s.config.Domain, Gateways: s.liveGateways()}
+	if p := s.forwarder; p != nil {
+		t.Role, t.Node, t.Founded, t.Members = "porter", 0, p.knowsGroup(), p.members
+		if mem, ok := p.leader(s.now); ok {
 			t.LeaderID = mem.ID
 		}
 	}
-	if m.raft != nil {
-		t.Founded, t.LeaderID, t.Members, t.Founders = true, m.raft.Leader(), m.raft.Members(), m.founders
-		if m.leads() {
-			t.LeaderTime = m.leaderTime()
+	if s.raft != nil {
+		t.Founded, t.LeaderID, t.Members, t.Founders = true, s.raft.Leader(), s.raft.Members(), s.founders
+		if s.isActiveLeader() {
+			t.LeaderTime = s.leaderTime()
 		}
 	}
 	return t
 }
 
-func (m *Server) seek() {
-	f := m.find
-	if m.now < f.next || f.begun {
+func (s *Server) discover() {
+	f := s.discovery
+	if s.now < f.nextAttempt || f.creating {
 		return
 	}
-	f.next = m.now.Add(seekGap)
-	for _, s := range m.config.Seeds {
-		m.send(wire.Peer(s), wire.Message{Announcement: m.self(true)})
+	f.nextAttempt = s.now.Add(discoveryInterval)
+	for _, seed := range s.config.Seeds {
+		s.send(wire.Peer(seed), wire.Message{Announcement: s.announcement(true)})
 	}
-	m.found()
+	s.tryFound()
 }
 
-// found lays the first view when every seed has lately said that it is an empty
+// tryFound lays the first view when every seed has lately said that it is an empty
 // keeper, this one among them, or that it has no disk. Who has none is fixed, and
 // all have the same seeds at the first start, so that all come to the same group.
-func (m *Server) found() {
-	if !m.config.MayFound {
+func (s *Server) tryFound() {
+	if !s.config.MayFound {
 		return
 	}
 	list, own := []raft.Member{}, false
 	names := map[identifier.Node]bool{}
-	for _, s := range m.config.Seeds {
-		if at, ok := m.find.seen[s]; !ok || m.now.Since(at) > seekLife {
+	for _, seed := range s.config.Seeds {
+		if at, ok := s.discovery.lastSeen[seed]; !ok || s.now.Since(at) > discoveryLife {
 			return
 		}
-		if m.find.porters[s] {
+		if s.discovery.diskless[seed] {
 			continue
 		}
-		mem := m.find.empty[s]
-		own = own || mem.ID == m.config.ID
+		mem := s.discovery.emptySeeds[seed]
+		own = own || mem.ID == s.config.ID
 		names[mem.ID] = true
 		list = append(list, mem)
 	}
-	if !own || len(list) == 0 || len(names) != len(list) || len(list) < len(m.config.Seeds) && !m.find.still(m.now) {
+	if !own || len(list) == 0 || len(names) != len(list) || len(list) < len(s.config.Seeds) && !s.discovery.quietLongEnough(s.now) {
 		return
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
-	m.begin(list, 1)
+	s.createInitialLog(list, 1)
 }
 
 // still tells whether, for long enough for a leader to make itself heard, no
 // group was. Seeds without a disk forget at a restart that there is one.
-func (f *find) still(now clock.Monotonic) bool {
-	return now.Since(f.born) >= stillMs && (f.stirred == 0 || now.Since(f.stirred) >= stillMs)
+func (f *discovery) quietLongEnough(now clock.Monotonic) bool {
+	return now.Since(f.since) >= quietBeforeFounding && (f.groupHeardAt == 0 || now.Since(f.groupHeardAt) >= quietBeforeFounding)
 }
 
-func (m *Server) begin(list []raft.Member, at identifier.Index) {
-	m.find.begun = true
-	v := &raft.Snapshot{Index: at, Term: identifier.Term(at), Members: list, Data: m.first().Encode()}
-	m.out.CreateLog = v
-	m.event("begin", "founder", at == 1, "members", list)
+func (s *Server) createInitialLog(list []raft.Member, at identifier.Index) {
+	s.discovery.creating = true
+	v := &raft.Snapshot{Index: at, Term: identifier.Term(at), Members: list, Data: s.initialState().Encode()}
+	s.out.CreateLog = v
+	s.logEvent("begin", "founder", at == 1, "members", list)
 }
 
-// first is the book a group begins with.
-func (m *Server) first() *state.Store {
+// initialState is the book a group begins with.
+func (s *Server) initialState() *state.Store {
 	b := state.New()
-	for name, text := range m.config.InitialLimits {
+	for name, text := range s.config.InitialLimits {
 		b.Limits.Rows[limits.SiteRow][name] = text
 	}
 	return b
 }
 
 // LogCreated says that the ring Out.CreateLog asked for is on disk.
-func (m *Server) LogCreated(v *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
-	m.clock(now, wall)
-	if err := m.Resume(raft.HardState{}, v, nil); err != nil {
-		m.quit(err.Error())
+func (s *Server) LogCreated(v *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
+	s.advanceClocks(now, wall)
+	if err := s.Resume(raft.HardState{}, v, nil); err != nil {
+		s.stepDown(err.Error())
 	}
 }
 
-func (m *Server) tell(from wire.Peer, t *wire.Announcement) {
+func (s *Server) handleAnnouncement(from wire.Peer, t *wire.Announcement) {
 	if t.Role == "gate" {
-		m.gateSeen(t.HTTP)
-		if _, known := m.edge[t.Addr]; known || len(m.edge) < mostGates {
-			m.edge[t.Addr] = m.now
+		s.gatewaySeen(t.HTTP)
+		if _, known := s.gatewayPeers[t.Addr]; known || len(s.gatewayPeers) < maxGateways {
+			s.gatewayPeers[t.Addr] = s.now
 		}
 	}
-	if t.WantReply && m.porter != nil && m.porter.unsure(m.now) {
-		m.learn(t)
+	if t.WantReply && s.forwarder != nil && s.forwarder.undecided(s.now) {
+		s.learnGroup(t)
 		return
 	}
 	if t.WantReply {
-		m.send(from, wire.Message{Announcement: m.self(false)})
-		if m.find == nil || !t.Founded {
+		s.send(from, wire.Message{Announcement: s.announcement(false)})
+		if s.discovery == nil || !t.Founded {
 			return
 		}
 	}
-	if m.porter != nil {
-		m.learn(t)
+	if s.forwarder != nil {
+		s.learnGroup(t)
 		return
 	}
-	if m.find == nil || m.find.begun {
-		if m.raft != nil && m.now.Since(m.alone) > deadMs/2 {
-			m.rejoin(from, t)
+	if s.discovery == nil || s.discovery.creating {
+		if s.raft != nil && s.now.Since(s.leaderlessSince) > memberDeadAfter/2 {
+			s.requestRejoin(from, t)
 		}
 		return
 	}
 	if t.Founded {
 		for _, one := range t.Founders {
-			if one.ID == m.config.ID {
-				m.begin(t.Founders, 1)
+			if one.ID == s.config.ID {
+				s.createInitialLog(t.Founders, 1)
 				return
 			}
 		}
-		m.join(from, t)
+		s.requestJoin(from, t)
 		return
 	}
 	if t.Role == "porter" {
-		m.find.seen[string(from)], m.find.porters[string(from)] = m.now, true
+		s.discovery.lastSeen[string(from)], s.discovery.diskless[string(from)] = s.now, true
 	}
 	if t.Role == "keeper" {
-		m.find.seen[string(from)], m.find.porters[string(from)] = m.now, false
-		m.find.empty[string(from)] = raft.Member{ID: t.Node, Addr: t.Addr, Domain: t.Domain, Voter: true}
+		s.discovery.lastSeen[string(from)], s.discovery.diskless[string(from)] = s.now, false
+		s.discovery.emptySeeds[string(from)] = raft.Member{ID: t.Node, Addr: t.Addr, Domain: t.Domain, Voter: true}
 	}
 }
 
-// joinBody is what a would-be learner says of itself.
-type joinBody struct {
+// joinRequest is what a would-be learner says of itself.
+type joinRequest struct {
 	ID     string            `json:"id"`
 	Addr   string            `json:"addr"`
 	Domain identifier.Domain `json:"domain"`
 	Level  uint16            `json:"level,omitempty"`
 }
 
-// join asks for a place as a learner: whoever told of the group, if that was a
+// requestJoin asks for a place as a learner: whoever told of the group, if that was a
 // keeper, or else the keepers that a gate told of.
-func (m *Server) join(from wire.Peer, t *wire.Announcement) {
+func (s *Server) requestJoin(from wire.Peer, t *wire.Announcement) {
 	for _, one := range t.Members {
-		if one.ID == m.config.ID && one.Addr == m.config.Addr {
-			if m.raft == nil {
-				m.begin(t.Members, 0)
+		if one.ID == s.config.ID && one.Addr == s.config.Addr {
+			if s.raft == nil {
+				s.createInitialLog(t.Members, 0)
 			}
 			return
 		}
 	}
-	body, err := json.Marshal(joinBody{m.config.ID.String(), m.config.Addr, m.config.Domain, m.config.Level})
+	body, err := json.Marshal(joinRequest{s.config.ID.String(), s.config.Addr, s.config.Domain, s.config.Level})
 	if err != nil {
 		panic(err)
 	}
@@ -205,84 +205,84 @@
 		}
 	}
 	for _, peer := range to {
-		m.nextID++
-		m.send(peer, wire.Message{Request: &wire.Request{ID: m.nextID, Method: "JOIN", Path: "/", Body: body, Budget: seekLife}})
+		s.nextID++
+		s.send(peer, wire.Message{Request: &wire.Request{ID: s.nextID, Method: "JOIN", Path: "/", Body: body, Budget: discoveryLife}})
 	}
 }
 
-// rejoin asks for a place again when this keeper, long without a leader,
+// requestRejoin asks for a place again when this keeper, long without a leader,
 // hears of a group that has given its seat away or has an old address of it.
-func (m *Server) rejoin(from wire.Peer, t *wire.Announcement) {
-	if t.Founded && t.LeaderID != 0 && t.Node != m.config.ID {
-		m.join(from, t)
+func (s *Server) requestRejoin(from wire.Peer, t *wire.Announcement) {
+	if t.Founded && t.LeaderID != 0 && t.Node != s.config.ID {
+		s.requestJoin(from, t)
 	}
 }
 
 // stray keeps asking the seeds and members when no leader is heard.
-func (m *Server) stray() {
-	if m.now.Since(m.alone) < deadMs/2 || int64(m.now)%(seekGap*4) >= tickMs {
+func (s *Server) searchForGroup() {
+	if s.now.Since(s.leaderlessSince) < memberDeadAfter/2 || int64(s.now)%(discoveryInterval*4) >= tickMillis {
 		return
 	}
-	for _, s := range m.config.Seeds {
-		m.send(wire.Peer(s), wire.Message{Announcement: m.self(true)})
+	for _, seed := range s.config.Seeds {
+		s.send(wire.Peer(seed), wire.Message{Announcement: s.announcement(true)})
 	}
-	for _, mem := range m.raft.Members() {
-		if mem.ID != m.config.ID {
-			m.send(wire.Peer(mem.Addr), wire.Message{Announcement: m.self(true)})
+	for _, mem := range s.raft.Members() {
+		if mem.ID != s.config.ID {
+			s.send(wire.Peer(mem.Addr), wire.Message{Announcement: s.announcement(true)})
 		}
 	}
 }
 
-// herald tells gates and agents that this keeper leads, so that none of them
+// announceLeadership tells gates and agents that this keeper leads, so that none of them
 // waits on the one before it.
-func (m *Server) herald() {
-	t := m.self(false)
+func (s *Server) announceLeadership() {
+	t := s.announcement(false)
 	list := []string{}
-	for addr, at := range m.edge {
-		if m.now.Since(at) < gateLife {
+	for addr, at := range s.gatewayPeers {
+		if s.now.Since(at) < gatewayLife {
 			list = append(list, addr)
 		}
 	}
-	for _, n := range m.state.RunnerNames() {
-		if r := m.state.Runners[n]; r.AgentAddr != "" && !r.Gone {
+	for _, n := range s.state.RunnerNames() {
+		if r := s.state.Runners[n]; r.AgentAddr != "" && !r.Gone {
 			list = append(list, r.AgentAddr)
 		}
 	}
 	sort.Strings(list)
 	for _, addr := range list {
-		m.send(wire.Peer(addr), wire.Message{Announcement: t})
+		s.send(wire.Peer(addr), wire.Message{Announcement: t})
 	}
 }
 
-// report tells seeds that are no members where the group is: porters, which
+// announceToSeeds tells seeds that are no members where the group is: porters, which
 // forget it, and machines that have come back empty.
-func (m *Server) report() {
-	if m.now.Since(m.lead.told) < reportGap {
+func (s *Server) announceToSeeds() {
+	if s.now.Since(s.leader.seedsToldAt) < seedAnnounceInterval {
 		return
 	}
-	m.lead.told = m.now
+	s.leader.seedsToldAt = s.now
 	members := map[string]bool{}
-	for _, mem := range m.raft.Members() {
+	for _, mem := range s.raft.Members() {
 		members[mem.Addr] = true
 	}
-	for _, s := range m.config.Seeds {
-		if !members[s] {
-			m.send(wire.Peer(s), wire.Message{Announcement: m.self(false)})
+	for _, seed := range s.config.Seeds {
+		if !members[seed] {
+			s.send(wire.Peer(seed), wire.Message{Announcement: s.announcement(false)})
 		}
 	}
 }
 
-// gateSeen notes that a gate lives; past the bound no more are taken in.
-func (m *Server) gateSeen(http string) {
-	if _, known := m.gates[http]; known || http != "" && len(m.gates) < mostGates {
-		m.gates[http] = m.now
+// gatewaySeen notes that a gate lives; past the bound no more are taken in.
+func (s *Server) gatewaySeen(http string) {
+	if _, known := s.gatewayClients[http]; known || http != "" && len(s.gatewayClients) < maxGateways {
+		s.gatewayClients[http] = s.now
 	}
 }
 
-func (m *Server) liveGates() []string {
+func (s *Server) liveGateways() []string {
 	var out []string
-	for g, at := range m.gates {
-		if m.now.Since(at) < gateLife {
+	for g, at := range s.gatewayClients {
+		if s.now.Since(at) < gatewayLife {
 			out = append(out, g)
 		}
 	}
--- a/internal/controlplane/gang.go
+++ b/internal/controlplane/gang.go
@@ -13,22 +13,22 @@
 	"orchidward/internal/state"
 )
 
-// silence is how many spans of a poll a runner may miss before its partners
+// silentGangPolls is how many spans of a poll a runner may miss before its partners
 // are stopped.
-const silence = 3
+const silentGangPolls = 3
 
-// gangSpan is how long a member may go on without word: less than a grant, and
+// gangLease is how long a member may go on without word: less than a grant, and
 // longer than a change of leaders takes.
-func (m *Server) gangSpan(g *state.Lease) clock.Millis {
-	if m.state.Level < 1 || !spread(g, m.state.Partners(g)) {
+func (s *Server) gangLease(g *state.Lease) clock.Millis {
+	if s.state.Level < 1 || !spansRunners(g, s.state.Partners(g)) {
 		return 0
 	}
-	return m.state.Limits.SiteMillis("grantMs") * 7 / 10
+	return s.state.Limits.SiteMillis("grantMs") * 7 / 10
 }
 
-// spread tells whether the grant is a gang member's whose partners hold grants
+// spansRunners tells whether the grant is a gang member's whose partners hold grants
 // on other runners.
-func spread(g *state.Lease, partners []*state.Lease) bool {
+func spansRunners(g *state.Lease, partners []*state.Lease) bool {
 	for _, p := range partners {
 		if p.Runner != g.Runner {
 			return true
@@ -37,55 +37,55 @@
 	return false
 }
 
-// runs tells whether a grant is seen running, or ended, on a runner that has
+// memberRunning tells whether a grant is seen running, or ended, on a runner that has
 // not missed a poll: word given on older news would outlive a dead partner.
-func (m *Server) runs(g *state.Lease) bool {
-	c := m.lead.runners[g.Runner]
-	if c == nil || !c.known || c.inc != g.Incarnation || g.RevokeReason != "" || c.quiet(m.now) > m.state.Limits.SiteMillis("startMs")*3/2 {
+func (s *Server) memberRunning(g *state.Lease) bool {
+	c := s.leader.runners[g.Runner]
+	if c == nil || !c.hasPolled || c.incarnation != g.Incarnation || g.RevokeReason != "" || c.silentFor(s.now) > s.state.Limits.SiteMillis("startMs")*3/2 {
 		return false
 	}
 	_, over := c.ended[g.ID]
 	return c.running[g.ID] || over
 }
 
-// wholes names the members running here whose partners all run. It says
+// collectCompleteGangs names the members running here whose partners all run. It says
 // whether there is one that the runner has not been told of since it began.
-func (m *Server) wholes(c *contact, a *runnerapi.PollResponse) bool {
+func (s *Server) collectCompleteGangs(c *runnerContact, a *runnerapi.PollResponse) bool {
 	var word bool
 	for id := range c.running {
-		g := m.state.Leases[id]
+		g := s.state.Leases[id]
 		if g == nil || g.RevokeReason != "" {
 			continue
 		}
-		partners := m.state.Partners(g)
-		whole := spread(g, partners)
+		partners := s.state.Partners(g)
+		whole := spansRunners(g, partners)
 		for _, p := range partners {
-			whole = whole && m.runs(p)
+			whole = whole && s.memberRunning(p)
 		}
 		if whole {
 			a.CompleteGangs = append(a.CompleteGangs, id)
-			word = word || !c.told[id]
+			word = word || !c.toldComplete[id]
 		}
 	}
-	sortGrants(a.CompleteGangs)
+	sortLeases(a.CompleteGangs)
 	return word
 }
 
-// doubts calls back the gangs of runners that have been silent for too long.
-func (m *Server) doubts() {
-	l := m.lead
-	if l.doubt > m.at {
+// revokeSilentGangs calls back the gangs of runners that have been silent for too long.
+func (s *Server) revokeSilentGangs() {
+	l := s.leader
+	if l.gangProposal > s.appliedIndex {
 		return
 	}
 	var late []identifier.LeaseID
-	span := silence * m.state.Limits.SiteMillis("startMs")
+	span := silentGangPolls * s.state.Limits.SiteMillis("startMs")
 	for n, c := range l.runners {
-		r := m.state.Runners[n]
-		if r == nil || r.Gone || r.OpenLeases() == 0 || c.quiet(m.now) <= span {
+		r := s.state.Runners[n]
+		if r == nil || r.Gone || r.OpenLeases() == 0 || c.silentFor(s.now) <= span {
 			continue
 		}
 		for _, id := range r.LeaseIDs() {
-			if g := m.state.Leases[id]; g.RevokeReason == "" && spread(g, m.state.Partners(g)) {
+			if g := s.state.Leases[id]; g.RevokeReason == "" && spansRunners(g, s.state.Partners(g)) {
 				late = append(late, id)
 			}
 		}
@@ -93,7 +93,7 @@
 	if len(late) == 0 {
 		return
 	}
-	sortGrants(late)
-	m.event("gang-in-doubt", "grants", len(late))
-	l.doubt = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeGangMemberSilent}})
+	sortLeases(late)
+	s.logEvent("gang-in-doubt", "grants", len(late))
+	l.gangProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeGangMemberSilent}})
 }
--- a/internal/controlplane/lead.go
+++ b/internal/controlplane/lead.go
@@ -13,238 +13,238 @@
 	"orchidward/internal/transport/wire"
 )
 
-type lead struct {
-	runners map[identifier.Runner]*contact
-	placed  map[identifier.LeaseID]clock.Monotonic
-	sure    map[identifier.LeaseID]bool
-	swept   clock.Monotonic
-	duty    map[string]identifier.Index
-	entered map[string]entry
-	place   identifier.Index
-	losing  map[identifier.Runner]identifier.Index
-	doubt   identifier.Index
-	moving  identifier.Index
-	looked  clock.Monotonic
-	raising identifier.Index
-	checked clock.Monotonic
-	hot     map[identifier.Runner]bool
-	line    []turn
-	dirty   bool
-	planned clock.Monotonic
-	clock   clusterClock
-	beat    clock.Monotonic
-	// rose is when this lead began, enough when five members were last alive.
-	rose, enough clock.Monotonic
+type leaderState struct {
+	runners          map[identifier.Runner]*runnerContact
+	unconfirmedSince map[identifier.LeaseID]clock.Monotonic
+	confirmed        map[identifier.LeaseID]bool
+	lastSweep        clock.Monotonic
+	drainProposal    map[string]identifier.Index
+	stageEntered     map[string]stageEntry
+	planProposal     identifier.Index
+	lossProposal     map[identifier.Runner]identifier.Index
+	gangProposal     identifier.Index
+	revokeProposal   identifier.Index
+	lastHealthCheck  clock.Monotonic
+	levelProposal    identifier.Index
+	lastChecksum     clock.Monotonic
+	changedRunners   map[identifier.Runner]bool
+	openPolls        []openPoll
+	needsScheduling  bool
+	lastCycle        clock.Monotonic
+	clock            clusterClock
+	lastTimeEntry    clock.Monotonic
+	// since is when this lead began, enough when five members were last alive.
+	since, fiveAliveAt clock.Monotonic
 	// told is when the seeds that are no members were last told of the group.
-	told clock.Monotonic
+	seedsToldAt clock.Monotonic
 }
 
-// contact is a runner as the leader has it in hand.
-type contact struct {
-	inc     identifier.Incarnation
-	seq     uint64
-	heard   clock.Monotonic
-	silent  clock.Millis
-	known   bool
-	drain   bool
-	running map[identifier.LeaseID]bool
+// runnerContact is a runner as the leader has it in hand.
+type runnerContact struct {
+	incarnation  identifier.Incarnation
+	seq          uint64
+	lastHeard    clock.Monotonic
+	silentBefore clock.Millis
+	hasPolled    bool
+	draining     bool
+	running      map[identifier.LeaseID]bool
 	// told are the runs that answers to this poll called whole; before, those
 	// that answers to the last one did.
-	told   map[identifier.LeaseID]bool
-	before map[identifier.LeaseID]bool
-	ended  map[identifier.LeaseID]runnerapi.End
-	open   bool
-	peer   wire.Peer
-	id     uint64
-	since  clock.Monotonic
-	facts  identifier.Index
-	ends   identifier.Index
-	agent  *agentSide
+	toldComplete       map[identifier.LeaseID]bool
+	toldCompleteBefore map[identifier.LeaseID]bool
+	ended              map[identifier.LeaseID]runnerapi.End
+	pollOpen           bool
+	pollPeer           wire.Peer
+	pollID             uint64
+	pollSince          clock.Monotonic
+	reportProposal     identifier.Index
+	endsProposal       identifier.Index
+	agent              *agentRunner
 }
 
-// quiet is how long nothing was heard of the runner itself.
-func (c *contact) quiet(now clock.Monotonic) clock.Millis {
-	return now.Since(c.heard) + c.silent
+// silentFor is how long nothing was heard of the runner itself.
+func (c *runnerContact) silentFor(now clock.Monotonic) clock.Millis {
+	return now.Since(c.lastHeard) + c.silentBefore
 }
 
-// lapsed tells whether whatever ran there must have outlived its grant. The
+// leaseLapsed tells whether whatever ran there must have outlived its grant. The
 // margin covers clocks that drift. An agent's runner holds by its own last
 // heartbeat, which the agent tells of while it polls; when the agent is silent
 // too, later heartbeats may have been answered, up to the end of its grant.
-func (c *contact) lapsed(now clock.Monotonic, grant clock.Millis) bool {
+func (c *runnerContact) leaseLapsed(now clock.Monotonic, grant clock.Millis) bool {
 	if c.agent == nil {
-		return now.Since(c.heard) > grant+grant/10+1000
+		return now.Since(c.lastHeard) > grant+grant/10+1000
 	}
 	span := grant + grant/20 + 300
-	return now.Since(c.heard) > span || c.silent > span
+	return now.Since(c.lastHeard) > span || c.silentBefore > span
 }
 
 // turn is a poll in the line of those that are answered empty in time.
-type turn struct {
+type openPoll struct {
 	runner identifier.Runner
 	id     uint64
 	since  clock.Monotonic
 }
 
-// entry notes when, by this leader's clock, a closing came to its stage.
-type entry struct {
+// stageEntry notes when, by this leader's clock, a closing came to its stage.
+type stageEntry struct {
 	stage state.Stage
 	at    clock.Monotonic
 }
 
-func (m *Server) rise() {
-	l := &lead{runners: map[identifier.Runner]*contact{}, placed: map[identifier.LeaseID]clock.Monotonic{}, sure: map[identifier.LeaseID]bool{},
-		duty: map[string]identifier.Index{}, entered: map[string]entry{}, losing: map[identifier.Runner]identifier.Index{}, hot: map[identifier.Runner]bool{}, dirty: true, planned: -planGap, rose: m.now, enough: m.now}
-	for _, n := range m.state.RunnerNames() {
-		l.runners[n] = &contact{inc: m.state.Runners[n].Incarnation, heard: m.now}
+func (s *Server) becomeLeader() {
+	l := &leaderState{runners: map[identifier.Runner]*runnerContact{}, unconfirmedSince: map[identifier.LeaseID]clock.Monotonic{}, confirmed: map[identifier.LeaseID]bool{},
+		drainProposal: map[string]identifier.Index{}, stageEntered: map[string]stageEntry{}, lossProposal: map[identifier.Runner]identifier.Index{}, changedRunners: map[identifier.Runner]bool{}, needsScheduling: true, lastCycle: -schedulingInterval, since: s.now, fiveAliveAt: s.now}
+	for _, n := range s.state.RunnerNames() {
+		l.runners[n] = &runnerContact{incarnation: s.state.Runners[n].Incarnation, lastHeard: s.now}
 	}
-	for id := range m.state.Leases {
-		l.placed[id] = m.now
+	for id := range s.state.Leases {
+		l.unconfirmedSince[id] = s.now
 	}
-	l.clock = newClusterClock(m.carried(), m.now)
-	m.lead = l
-	m.reason = map[identifier.JobKey]map[int]string{}
+	l.clock = newClusterClock(s.carriedClusterTime(), s.now)
+	s.leader = l
+	s.waitReasons = map[identifier.JobKey]map[int]string{}
 }
 
 // propose puts a command into the log. It is not decided until applied.
-func (m *Server) propose(c *state.Command) identifier.Index {
-	c.At = m.lead.clock.site(m.now)
-	i, ok := m.raft.Propose(c.Encode())
+func (s *Server) propose(c *state.Command) identifier.Index {
+	c.At = s.leader.clock.timeAt(s.now)
+	i, ok := s.raft.Propose(c.Encode())
 	if !ok {
 		panic("keeper: proposal by a machine that does not lead")
 	}
 	return i
 }
 
-// work is everything the leader does after each input.
-func (m *Server) work() {
-	if !m.leads() {
+// actAsLeader is everything the leader does after each input.
+func (s *Server) actAsLeader() {
+	if !s.isActiveLeader() {
 		return
 	}
-	m.closings()
-	m.plan()
-	m.polls()
+	s.advanceDrains()
+	s.schedule()
+	s.answerPolls()
 }
 
-// duties run with the clock alone.
-func (m *Server) duties() {
-	if !m.leads() {
+// runPeriodicTasks run with the clock alone.
+func (s *Server) runPeriodicTasks() {
+	if !s.isActiveLeader() {
 		return
 	}
-	l := m.lead
-	was := l.clock.agreed
-	l.clock.tick(m.now, m.walls())
-	if l.clock.agreed != was {
-		m.event("clocks", "agree", l.clock.agreed, "siteTime", l.clock.site(m.now))
+	l := s.leader
+	was := l.clock.clocksAgree
+	l.clock.advance(s.now, s.gatherWallClocks())
+	if l.clock.clocksAgree != was {
+		s.logEvent("clocks", "agree", l.clock.clocksAgree, "siteTime", l.clock.timeAt(s.now))
 	}
-	m.lapses()
-	m.unsure()
-	m.doubts()
-	m.health()
-	m.seats()
-	m.report()
-	m.raise()
-	m.check()
-	if at, ok := m.state.NextScheduledStart(); ok && l.clock.site(m.now) >= at || m.now.Since(l.beat) > 10000 {
-		l.beat = m.now
-		m.propose(&state.Command{})
+	s.loseSilentRunners()
+	s.revokeUnconfirmedStarts()
+	s.revokeSilentGangs()
+	s.revokeUnhealthyRuns()
+	s.changeMembership()
+	s.announceToSeeds()
+	s.raiseLevel()
+	s.proposeChecksum()
+	if at, ok := s.state.NextScheduledStart(); ok && l.clock.timeAt(s.now) >= at || s.now.Since(l.lastTimeEntry) > 10000 {
+		l.lastTimeEntry = s.now
+		s.propose(&state.Command{})
 	}
 }
 
-// lapses counts a runner lost when it has been silent for longer than its
+// loseSilentRunners counts a runner lost when it has been silent for longer than its
 // grant can have lasted on its own clock.
-func (m *Server) lapses() {
-	l := m.lead
-	grant := m.state.LeaseSpan()
-	for _, n := range m.state.RunnerNames() {
-		r, c := m.state.Runners[n], l.runners[n]
-		if c == nil || r.Gone || !c.lapsed(m.now, grant) || l.losing[n] > m.at {
+func (s *Server) loseSilentRunners() {
+	l := s.leader
+	grant := s.state.LeaseSpan()
+	for _, n := range s.state.RunnerNames() {
+		r, c := s.state.Runners[n], l.runners[n]
+		if c == nil || r.Gone || !c.leaseLapsed(s.now, grant) || l.lossProposal[n] > s.appliedIndex {
 			continue
 		}
-		m.event("runner-lost", "runner", n, "quietMs", c.quiet(m.now))
-		l.losing[n] = m.propose(&state.Command{LoseRunner: &state.LoseRunner{Runner: n, Incarnation: r.Incarnation, Checkpoints: m.saves(c)}})
+		s.logEvent("runner-lost", "runner", n, "quietMs", c.silentFor(s.now))
+		l.lossProposal[n] = s.propose(&state.Command{LoseRunner: &state.LoseRunner{Runner: n, Incarnation: r.Incarnation, Checkpoints: s.checkpoints(c)}})
 	}
 }
 
 // unsure calls back grants whose start nobody confirmed in time.
-func (m *Server) unsure() {
-	l := m.lead
-	span := m.state.Limits.SiteMillis("confirmMs")
+func (s *Server) revokeUnconfirmedStarts() {
+	l := s.leader
+	span := s.state.Limits.SiteMillis("confirmMs")
 	var late []identifier.LeaseID
-	for id, at := range l.placed {
-		g := m.state.Leases[id]
+	for id, at := range l.unconfirmedSince {
+		g := s.state.Leases[id]
 		switch {
-		case g == nil || g.RevokeReason != "" || l.sure[id]:
-			delete(l.placed, id)
+		case g == nil || g.RevokeReason != "" || l.confirmed[id]:
+			delete(l.unconfirmedSince, id)
 			if g == nil {
-				delete(l.sure, id)
+				delete(l.confirmed, id)
 			}
-		case m.now.Since(at) > span:
+		case s.now.Since(at) > span:
 			late = append(late, id)
-			delete(l.placed, id)
+			delete(l.unconfirmedSince, id)
 		}
 	}
-	m.sweep()
+	s.forgetClosedLeases()
 	if len(late) > 0 {
-		sortGrants(late)
-		m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeStartUnconfirmed}})
+		sortLeases(late)
+		s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeStartUnconfirmed}})
 	}
 }
 
-// sweep forgets, now and then, that grants which are no more were sure: nobody
+// forgetClosedLeases forgets, now and then, that grants which are no more were sure: nobody
 // asks for those, and their numbers never come again.
-func (m *Server) sweep() {
-	l := m.lead
-	if m.now.Since(l.swept) < sweepGap {
+func (s *Server) forgetClosedLeases() {
+	l := s.leader
+	if s.now.Since(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = m.now
-	for id := range l.sure {
-		if m.state.Leases[id] == nil {
-			delete(l.sure, id)
+	l.lastSweep = s.now
+	for id := range l.confirmed {
+		if s.state.Leases[id] == nil {
+			delete(l.confirmed, id)
 		}
 	}
 }
 
-// closings moves each closing on as far as the book allows.
-func (m *Server) closings() {
-	l := m.lead
-	for _, id := range m.state.DrainIDs() {
-		c := m.state.Drains[id]
-		if l.duty[id] > m.at {
+// advanceDrains moves each closing on as far as the book allows.
+func (s *Server) advanceDrains() {
+	l := s.leader
+	for _, id := range s.state.DrainIDs() {
+		c := s.state.Drains[id]
+		if l.drainProposal[id] > s.appliedIndex {
 			continue
 		}
-		if l.entered[id].stage != c.Stage {
-			l.entered[id] = entry{c.Stage, m.now}
+		if l.stageEntered[id].stage != c.Stage {
+			l.stageEntered[id] = stageEntry{c.Stage, s.now}
 		}
 		if c.Stage == state.Open {
-			delete(l.duty, id)
+			delete(l.drainProposal, id)
 			continue
 		}
-		if step := m.next(c, m.now.Since(l.entered[id].at)); step != nil {
-			l.duty[id] = m.propose(&state.Command{AdvanceDrain: step})
+		if step := s.nextDrainStep(c, s.now.Since(l.stageEntered[id].at)); step != nil {
+			l.drainProposal[id] = s.propose(&state.Command{AdvanceDrain: step})
 		}
 	}
 }
 
-func (m *Server) next(c *state.Drain, in clock.Millis) *state.AdvanceDrain {
-	s := &state.AdvanceDrain{ID: c.ID, From: c.Stage}
-	free, loose := m.state.OpenLeases(c)
+func (s *Server) nextDrainStep(c *state.Drain, in clock.Millis) *state.AdvanceDrain {
+	step := &state.AdvanceDrain{ID: c.ID, From: c.Stage}
+	free, loose := s.state.OpenLeases(c)
 	switch c.Stage {
 	case state.Cordon:
-		site, due, all := m.lead.clock.site(m.now), false, true
+		site, due, all := s.leader.clock.timeAt(s.now), false, true
 		for _, n := range c.Scope {
-			all = all && m.state.StopDue(c, n, site)
+			all = all && s.state.StopDue(c, n, site)
 		}
 		for _, g := range free {
-			due = due || m.state.StopDue(c, g.Runner, site)
+			due = due || s.state.StopDue(c, g.Runner, site)
 		}
 		if !due && !all {
 			return nil
 		}
 	case state.Postdrain:
-		s.JudgeNow = in > m.patience(c)
-		if len(loose) > 0 && !s.JudgeNow && len(free) == 0 {
+		step.JudgeNow = in > s.stopTimeout(c)
+		if len(loose) > 0 && !step.JudgeNow && len(free) == 0 {
 			return nil
 		}
 	case state.Closed:
@@ -252,42 +252,42 @@
 			return nil
 		}
 	}
-	return s
+	return step
 }
 
-// patience is how long post-drain waits for stops before it judges.
-func (m *Server) patience(c *state.Drain) clock.Millis {
+// stopTimeout is how long post-drain waits for stops before it judges.
+func (s *Server) stopTimeout(c *state.Drain) clock.Millis {
 	if c.Kind == state.KindRack {
-		return m.state.Limits.SiteMillis("drainMs")
+		return s.state.Limits.SiteMillis("drainMs")
 	}
-	return m.state.Limits.SiteMillis("evacMs")
+	return s.state.Limits.SiteMillis("evacMs")
 }
 
-// plan places what waits, one round under way at a time.
-func (m *Server) plan() {
-	l := m.lead
-	if !l.dirty || l.place > m.at || m.now.Since(l.planned) < planGap {
+// schedule places what waits, one round under way at a time.
+func (s *Server) schedule() {
+	l := s.leader
+	if !l.needsScheduling || l.planProposal > s.appliedIndex || s.now.Since(l.lastCycle) < schedulingInterval {
 		return
 	}
-	l.dirty, l.planned = false, m.now
-	out := scheduler.Schedule(m.state, scheduler.RunnerView{Fresh: m.fresh(), Pace: m.pace}, m.shelf)
-	m.reason = out.Reasons
-	m.fare(out.Policies)
+	l.needsScheduling, l.lastCycle = false, s.now
+	out := scheduler.Schedule(s.state, scheduler.RunnerView{Fresh: s.schedulable(), Pace: s.workRate}, s.policyCache)
+	s.waitReasons = out.Reasons
+	s.recordPolicyResults(out.Policies)
 	if len(out.Preemptions) > 0 {
-		m.event("push", "grants", len(out.Preemptions))
-		l.place = m.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: out.Preemptions, Reason: state.RevokePreempted}})
+		s.logEvent("push", "grants", len(out.Preemptions))
+		l.planProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: out.Preemptions, Reason: state.RevokePreempted}})
 	}
 	if len(out.Placements) > 0 {
-		l.place = m.propose(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
+		l.planProposal = s.propose(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
 	}
 }
 
-// fresh gives a test of whether a runner has polled lately under its present
+// schedulable gives a test of whether a runner has polled lately under its present
 // incarnation and is not on its way out.
-func (m *Server) fresh() func(n identifier.Runner) (ok bool) {
-	span := 2 * m.state.Limits.SiteMillis("startMs")
+func (s *Server) schedulable() func(n identifier.Runner) (ok bool) {
+	span := 2 * s.state.Limits.SiteMillis("startMs")
 	return func(n identifier.Runner) bool {
-		c := m.lead.runners[n]
-		return c != nil && c.known && !c.drain && c.inc == m.state.Runners[n].Incarnation && c.quiet(m.now) < span && !m.ill(c)
+		c := s.leader.runners[n]
+		return c != nil && c.hasPolled && !c.draining && c.incarnation == s.state.Runners[n].Incarnation && c.silentFor(s.now) < span && !s.quarantined(c)
 	}
 }
--- a/internal/controlplane/leave.go
+++ b/internal/controlplane/leave.go
@@ -12,70 +12,70 @@
 )
 
 const (
-	// decideWait is how long a leader that leaves waits for what is under way,
-	// and leaveWait how long the whole may take, in milliseconds.
-	decideWait clock.Millis = 300
-	leaveWait  clock.Millis = 1500
+	// undecidedTimeout is how long a leader that leaves waits for what is under way,
+	// and gracefulStopTimeout how long the whole may take, in milliseconds.
+	undecidedTimeout    clock.Millis = 300
+	gracefulStopTimeout clock.Millis = 1500
 )
 
-// leaving is an orderly stop under way.
-type leaving struct {
+// gracefulStop is an orderly stop under way.
+type gracefulStop struct {
 	since clock.Monotonic
-	// handed says that leadership was handed on, or need not be.
-	handed bool
+	// transferred says that leadership was handed on, or need not be.
+	transferred bool
 }
 
 // Leave begins the orderly stop; the machine must go on being run until Left
 // says that it may end. Asking again does nothing.
-func (m *Server) Leave() {
-	if m.leave != nil {
+func (s *Server) Leave() {
+	if s.gracefulStop != nil {
 		return
 	}
-	m.leave = &leaving{since: m.now}
-	m.event("leaving")
-	if m.raft != nil {
-		m.raft.PrepareToLeave()
+	s.gracefulStop = &gracefulStop{since: s.now}
+	s.logEvent("leaving")
+	if s.raft != nil {
+		s.raft.PrepareToLeave()
 	}
-	m.handOn()
-	m.settle()
+	s.transferLeadership()
+	s.process()
 }
 
 // Left tells whether the process may end: another leads, nobody does and this
 // keeper can't change that, or it has taken too long.
-func (m *Server) Left() bool {
-	if m.leave == nil {
+func (s *Server) Left() bool {
+	if s.gracefulStop == nil {
 		return false
 	}
-	if m.raft == nil || m.over || m.now.Since(m.leave.since) > leaveWait {
+	if s.raft == nil || s.stopped || s.now.Since(s.gracefulStop.since) > gracefulStopTimeout {
 		return true
 	}
-	lead := m.raft.Leader()
-	return m.raft.Role() == raft.Follower && lead != 0 && lead != m.config.ID && len(m.relays) == 0
+	lead := s.raft.Leader()
+	return s.raft.Role() == raft.Follower && lead != 0 && lead != s.config.ID && len(s.forwarded) == 0
 }
 
-// handOn hands leadership to another voter once nothing is lost by it.
-func (m *Server) handOn() {
-	l := m.leave
-	if l == nil || l.handed || m.raft == nil || m.raft.Role() != raft.Leader {
+// transferLeadership hands leadership to another voter once nothing is lost by it.
+func (s *Server) transferLeadership() {
+	l := s.gracefulStop
+	if l == nil || l.transferred || s.raft == nil || s.raft.Role() != raft.Leader {
 		return
 	}
-	late := m.now.Since(l.since) > decideWait
-	if !late && (len(m.waits) > 0 || !m.raft.Replicated()) {
+	late := s.now.Since(l.since) > undecidedTimeout
+	if !late && (len(s.proposals) > 0 || !s.raft.Replicated()) {
 		return
 	}
-	if m.raft.TransferLeadership() {
-		l.handed = true
-		m.event("handed-on", "undecided", len(m.waits))
+	if s.raft.TransferLeadership() {
+		l.transferred = true
+		s.logEvent("handed-on", "undecided", len(s.proposals))
 	}
 }
 
-// handOnNow is handOn after an input that may have decided the last request.
-func (m *Server) handOnNow() {
-	if m.leave == nil || m.leave.handed || m.over {
+// transferLeadershipNow is transferLeadership after an input that may have decided the last request.
+func (s *Server) transferLeadershipNow() {
+	if s.gracefulStop == nil || s.gracefulStop.transferred || s.stopped {
 		return
 	}
-	if m.handOn(); m.leave.handed {
-		m.turn()
-		m.settle()
+	if s.transferLeadership(); s.gracefulStop.transferred {
+		s.updateLeadership()
+		s.process()
 	}
 }
--- a/internal/controlplane/level.go
+++ b/internal/controlplane/level.go
@@ -11,65 +11,67 @@
 	"orchidward/internal/state"
 )
 
-const sumsKept = 1024
+const checksumsKept = 1024
 
 // sums remembers the book's sum after each of the last entries.
-type sums struct {
-	at  [sumsKept]identifier.Index
-	sum [sumsKept]uint64
+type recentChecksums struct {
+	indexes [checksumsKept]identifier.Index
+	values  [checksumsKept]uint64
 }
 
-func (s *sums) put(i identifier.Index, sum uint64) { s.at[i%sumsKept], s.sum[i%sumsKept] = i, sum }
+func (s *recentChecksums) put(i identifier.Index, sum uint64) {
+	s.indexes[i%checksumsKept], s.values[i%checksumsKept] = i, sum
+}
 
-func (s *sums) get(i identifier.Index) (sum uint64, ok bool) {
-	return s.sum[i%sumsKept], s.at[i%sumsKept] == i && i > 0
+func (s *recentChecksums) get(i identifier.Index) (sum uint64, ok bool) {
+	return s.values[i%checksumsKept], s.indexes[i%checksumsKept] == i && i > 0
 }
 
-// quit steps aside: what was handed out so far still goes, nothing more does.
-func (m *Server) quit(why string, vals ...any) {
-	if m.over {
+// stepDown steps aside: what was handed out so far still goes, nothing more does.
+func (s *Server) stepDown(why string, vals ...any) {
+	if s.stopped {
 		return
 	}
-	m.over = true
-	m.out.Quit = why
-	m.event("step-aside", append([]any{"why", why}, vals...)...)
+	s.stopped = true
+	s.out.Quit = why
+	s.logEvent("step-aside", append([]any{"why", why}, vals...)...)
 }
 
-// parted tells whether this keeper's book differs from the leader's.
-func (m *Server) parted(c *state.VerifyChecksum) bool {
-	sum, ok := m.sums.get(c.Index)
+// checksumDiffers tells whether this keeper's book differs from the leader's.
+func (s *Server) checksumDiffers(c *state.VerifyChecksum) bool {
+	sum, ok := s.checksums.get(c.Index)
 	if !ok || sum == c.Checksum {
 		return false
 	}
-	m.quit("this keeper's book differs from the leader's", "index", c.Index)
+	s.stepDown("this keeper's book differs from the leader's", "index", c.Index)
 	return true
 }
 
-// raise lifts the level once all members know a higher one.
-func (m *Server) raise() {
-	l := m.lead
-	to := m.config.Level
-	if l.raising > m.at || m.state.Level >= to || len(m.raft.MemberStatuses())+1 < len(m.raft.Members()) {
+// raiseLevel lifts the level once all members know a higher one.
+func (s *Server) raiseLevel() {
+	l := s.leader
+	to := s.config.Level
+	if l.levelProposal > s.appliedIndex || s.state.Level >= to || len(s.raft.MemberStatuses())+1 < len(s.raft.Members()) {
 		return
 	}
-	for _, s := range m.raft.MemberStatuses() {
-		if s.SilentFor > 2000 || s.Level <= m.state.Level {
+	for _, status := range s.raft.MemberStatuses() {
+		if status.SilentFor > 2000 || status.Level <= s.state.Level {
 			return
 		}
-		to = min(to, s.Level)
+		to = min(to, status.Level)
 	}
-	m.event("level", "from", m.state.Level, "to", to)
-	l.raising = m.propose(&state.Command{RaiseLevel: &state.RaiseLevel{Level: to}})
+	s.logEvent("level", "from", s.state.Level, "to", to)
+	l.levelProposal = s.propose(&state.Command{RaiseLevel: &state.RaiseLevel{Level: to}})
 }
 
-// check lets the members compare their books.
-func (m *Server) check() {
-	l := m.lead
-	if m.state.Level < 1 || m.now.Since(l.checked) < checkGap {
+// proposeChecksum lets the members compare their books.
+func (s *Server) proposeChecksum() {
+	l := s.leader
+	if s.state.Level < 1 || s.now.Since(l.lastChecksum) < checksumInterval {
 		return
 	}
-	l.checked = m.now
-	if sum, ok := m.sums.get(m.at); ok {
-		m.propose(&state.Command{VerifyChecksum: &state.VerifyChecksum{Index: m.at, Checksum: sum}})
+	l.lastChecksum = s.now
+	if sum, ok := s.checksums.get(s.appliedIndex); ok {
+		s.propose(&state.Command{VerifyChecksum: &state.VerifyChecksum{Index: s.appliedIndex, Checksum: sum}})
 	}
 }
--- a/internal/controlplane/load_test.go
+++ b/internal/controlplane/load_test.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// beat is a moment in a runner's life: the agent polls when there is news, or
+// lastTimeEntry is a moment in a runner's life: the agent polls when there is news, or
 // no poll of its is open.
 func (l *load) beat(h *hollow) {
 	kept := h.runs[:0]
--- a/internal/controlplane/machine.go
+++ b/internal/controlplane/machine.go
@@ -19,274 +19,274 @@
 // replicated state, and the work of the leader. It does no input or output and
 // reads no clock. It is not safe for concurrent use.
 type Server struct {
-	config Config
-	now    clock.Monotonic
-	wall   clock.WallTime
-	raft   *raft.Raft
-	state  *state.Store
-	at     identifier.Index
-	since  int64
-	seen   clusterClock
-	// seenTerm is the term of the entry that seen goes on from.
-	seenTerm identifier.Term
-	// gots notes when entries came, for those not yet applied: an entry's time
+	config             Config
+	now                clock.Monotonic
+	wall               clock.WallTime
+	raft               *raft.Raft
+	state              *state.Store
+	appliedIndex       identifier.Index
+	bytesSinceSnapshot int64
+	clusterTime        clusterClock
+	// clusterTimeTerm is the term of the entry that seen goes on from.
+	clusterTimeTerm identifier.Term
+	// arrivals notes when entries came, for those not yet applied: an entry's time
 	// runs on from then, however late it is decided.
-	gots []got
-	sums sums
-	// voice is who leads, by its own word: the members this keeper knows of may
+	arrivals  []arrival
+	checksums recentChecksums
+	// leaderHint is who leads, by its own word: the members this keeper knows of may
 	// be of a time before that one was among them.
-	voice voice
-	// leaderClock is the latest reading of the leader's clock that came here.
-	leaderClock wire.LeaderTime
-	over        bool
-	// routed is what gateways are told from.
-	routed routed
-	// leave is the orderly stop under way, nil until it begins.
-	leave *leaving
-	// follows is where the leader listens that this keeper last knew.
-	follows wire.Peer
-	reach   reach
-	// reached is when this keeper last had a leader to go to.
-	reached clock.Monotonic
-	out     Output
+	leaderHint leaderHint
+	// latestLeaderTime is the latest reading of the leader's clock that came here.
+	latestLeaderTime wire.LeaderTime
+	stopped          bool
+	// routingState is what gateways are told from.
+	routingState routingState
+	// gracefulStop is the orderly stop under way, nil until it begins.
+	gracefulStop *gracefulStop
+	// followedLeader is where the leader listens that this keeper last knew.
+	followedLeader wire.Peer
+	leaderContact  leaderContact
+	// leaderReachedAt is when this keeper last had a leader to go to.
+	leaderReachedAt clock.Monotonic
+	out             Output
 
-	founders []raft.Member
-	find     *find
-	porter   *porter
-	gates    map[string]clock.Monotonic
-	// edge is where gates listen, and when each was last heard.
-	edge  map[string]clock.Monotonic
-	alone clock.Monotonic
+	founders       []raft.Member
+	discovery      *discovery
+	forwarder      *forwarderNode
+	gatewayClients map[string]clock.Monotonic
+	// gatewayPeers is where gates listen, and when each was last heard.
+	gatewayPeers    map[string]clock.Monotonic
+	leaderlessSince clock.Monotonic
 
-	waits  map[identifier.Index]wait
-	tables int
-	bytes  int
-	relays map[uint64]relay
-	nextID uint64
+	proposals     map[identifier.Index]proposal
+	configChanges int
+	proposalBytes int
+	forwarded     map[uint64]forwardedRequest
+	nextID        uint64
 
-	term   identifier.Term
-	lead   *lead
-	reason map[identifier.JobKey]map[int]string
-	shelf  *policy.Cache
-	fared  scheduler.PolicyResults
+	term          identifier.Term
+	leader        *leaderState
+	waitReasons   map[identifier.JobKey]map[int]string
+	policyCache   *policy.Cache
+	policyResults scheduler.PolicyResults
 	// LogPercentUsed tells how much of the write-ahead log is in use, in percent, so that
 	// a snapshot is taken before it is full. The owner of the disk replaces it.
 	LogPercentUsed func() int
 }
 
-// wait is a request whose proposal is under way.
-type wait struct {
-	peer  wire.Peer
-	id    uint64
-	term  identifier.Term
-	table bool
-	size  int
+// proposal is a request whose proposal is under way.
+type proposal struct {
+	peer         wire.Peer
+	id           uint64
+	term         identifier.Term
+	configChange bool
+	size         int
 }
 
-// voice is a keeper and the line it was heard on.
-type voice struct {
+// leaderHint is a keeper and the line it was heard on.
+type leaderHint struct {
 	id   identifier.Node
 	peer wire.Peer
 }
 
-// relay is a request passed on to the leader for another: to is whom it was
+// forwardedRequest is a request passed on to the leader for another: to is whom it was
 // passed to, and the only one whose reply counts.
-type relay struct {
-	peer wire.Peer
-	id   uint64
-	to   wire.Peer
-	at   clock.Monotonic
+type forwardedRequest struct {
+	peer    wire.Peer
+	id      uint64
+	to      wire.Peer
+	expires clock.Monotonic
 }
 
 // New makes a server without any state: one with a disk looks for a group to
 // join or, if told so, founds one; one without a disk only forwards requests to
 // the leader. Resume follows where the disk held state.
 func New(boot Config, now clock.Monotonic) *Server {
-	m := &Server{config: boot, now: now, nextID: uint64(boot.Seed), gates: map[string]clock.Monotonic{}, edge: map[string]clock.Monotonic{}, waits: map[identifier.Index]wait{}, relays: map[uint64]relay{},
-		find: newFind(now), alone: now, reached: now, reason: map[identifier.JobKey]map[int]string{}, state: state.New(), shelf: policy.NewCache(), fared: scheduler.PolicyResults{}, LogPercentUsed: func() int { return 0 }}
+	s := &Server{config: boot, now: now, nextID: uint64(boot.Seed), gatewayClients: map[string]clock.Monotonic{}, gatewayPeers: map[string]clock.Monotonic{}, proposals: map[identifier.Index]proposal{}, forwarded: map[uint64]forwardedRequest{},
+		discovery: newDiscovery(now), leaderlessSince: now, leaderReachedAt: now, waitReasons: map[identifier.JobKey]map[int]string{}, state: state.New(), policyCache: policy.NewCache(), policyResults: scheduler.PolicyResults{}, LogPercentUsed: func() int { return 0 }}
 	if boot.Diskless {
-		m.find, m.porter = nil, &porter{}
+		s.discovery, s.forwarder = nil, &forwarderNode{}
 	}
-	return m
+	return s
 }
 
 // Resume starts from what the disk held. A view that doesn't decode is damage
 // that no keeper should run over.
-func (m *Server) Resume(hard raft.HardState, view *raft.Snapshot, list []raft.Entry) error {
+func (s *Server) Resume(hard raft.HardState, view *raft.Snapshot, list []raft.Entry) error {
 	b, err := state.Decode(view.Data)
 	if err != nil {
 		return err
 	}
-	if b.Level > m.config.Level {
-		return errors.Errorf("the folder is of level %d, and this program knows %d: start one at least as new as before", b.Level, m.config.Level)
+	if b.Level > s.config.Level {
+		return errors.Errorf("the folder is of level %d, and this program knows %d: start one at least as new as before", b.Level, s.config.Level)
 	}
-	m.state, m.at = b, view.Index
-	m.forgetRouting()
-	m.founders = view.Members
-	m.raft = raft.New(m.config.ID, m.config.Timing, m.config.Seed, m.now, hard, view, list)
-	m.raft.SetLevel(m.config.Level)
-	m.find = nil
+	s.state, s.appliedIndex = b, view.Index
+	s.forgetRouting()
+	s.founders = view.Members
+	s.raft = raft.New(s.config.ID, s.config.Timing, s.config.Seed, s.now, hard, view, list)
+	s.raft.SetLevel(s.config.Level)
+	s.discovery = nil
 	return nil
 }
 
 // Config is the configuration that the server was started with.
-func (m *Server) Config() Config { return m.config }
+func (s *Server) Config() Config { return s.config }
 
 // State is the replicated state as applied so far. Callers must not change it.
-func (m *Server) State() *state.Store { return m.state }
+func (s *Server) State() *state.Store { return s.state }
 
 // Raft is the member of the consensus group, nil until this server belongs to
 // one.
-func (m *Server) Raft() *raft.Raft { return m.raft }
+func (s *Server) Raft() *raft.Raft { return s.raft }
 
-func (m *Server) event(name string, vals ...any) {
-	m.out.Events = append(m.out.Events, Event{name, vals})
+func (s *Server) logEvent(name string, vals ...any) {
+	s.out.Events = append(s.out.Events, Event{name, vals})
 }
 
-func (m *Server) send(to wire.Peer, msg wire.Message) {
-	if msg.Response != nil && m.leads() {
-		msg.Response.LeaderTime = m.leaderTime()
+func (s *Server) send(to wire.Peer, msg wire.Message) {
+	if msg.Response != nil && s.isActiveLeader() {
+		msg.Response.LeaderTime = s.leaderTime()
 	}
-	m.out.Messages = append(m.out.Messages, wire.Envelope{To: to, Message: msg})
+	s.out.Messages = append(s.out.Messages, wire.Envelope{To: to, Message: msg})
 }
 
 // Tick passes in the time and starts whatever is due: heartbeats, elections,
 // discovery, and the periodic work of a leader. It should come every Tick
 // milliseconds.
-func (m *Server) Tick(now clock.Monotonic, wall clock.WallTime) {
-	if m.over {
+func (s *Server) Tick(now clock.Monotonic, wall clock.WallTime) {
+	if s.stopped {
 		return
 	}
-	m.clock(now, wall)
-	m.noteLeader()
-	m.reachLeader()
-	if m.find != nil {
-		m.seek()
+	s.advanceClocks(now, wall)
+	s.trackLeader()
+	s.probeLeader()
+	if s.discovery != nil {
+		s.discover()
 		return
 	}
-	if m.porter != nil {
-		m.round()
-		m.expire()
+	if s.forwarder != nil {
+		s.pollForLeader()
+		s.forgetExpired()
 	}
-	if m.raft == nil {
+	if s.raft == nil {
 		return
 	}
-	m.raft.Tick(now, wall)
-	m.handOn()
-	m.turn()
-	m.expire()
-	m.stray()
-	if m.lead != nil {
-		m.duties()
+	s.raft.Tick(now, wall)
+	s.transferLeadership()
+	s.updateLeadership()
+	s.forgetExpired()
+	s.searchForGroup()
+	if s.leader != nil {
+		s.runPeriodicTasks()
 	}
-	m.settle()
+	s.process()
 }
 
-func (m *Server) clock(now clock.Monotonic, wall clock.WallTime) {
-	m.now, m.wall = max(m.now, now), wall
-	if m.raft != nil && m.seen.base > 0 {
-		m.raft.CarryClusterTime(m.seen.site(m.now), m.seenTerm)
+func (s *Server) advanceClocks(now clock.Monotonic, wall clock.WallTime) {
+	s.now, s.wall = max(s.now, now), wall
+	if s.raft != nil && s.clusterTime.base > 0 {
+		s.raft.CarryClusterTime(s.clusterTime.timeAt(s.now), s.clusterTimeTerm)
 	}
 }
 
 // HandleMessage passes in one message from another process. from is where a reply goes;
 // it need not be the sender's listening address.
-func (m *Server) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic, wall clock.WallTime) {
-	if m.over {
+func (s *Server) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic, wall clock.WallTime) {
+	if s.stopped {
 		return
 	}
-	m.clock(now, wall)
-	if from == m.follows && (msg.Announcement != nil || msg.Response != nil) {
-		m.reach.answered(m.now)
+	s.advanceClocks(now, wall)
+	if from == s.followedLeader && (msg.Announcement != nil || msg.Response != nil) {
+		s.leaderContact.answered(s.now)
 	}
 	switch {
 	case msg.Announcement != nil:
-		m.tell(from, msg.Announcement)
-	case msg.Raft != nil && m.find != nil:
-		m.find.stirred = m.now
-	case msg.Raft != nil && m.raft != nil:
+		s.handleAnnouncement(from, msg.Announcement)
+	case msg.Raft != nil && s.discovery != nil:
+		s.discovery.groupHeardAt = s.now
+	case msg.Raft != nil && s.raft != nil:
 		if msg.Raft.Kind == raft.AppendEntries || msg.Raft.Kind == raft.InstallSnapshot {
-			m.voice = voice{msg.Raft.From, from}
-			m.heardAppend(msg.Raft)
+			s.leaderHint = leaderHint{msg.Raft.From, from}
+			s.observeAppend(msg.Raft)
 		}
-		m.raft.Step(*msg.Raft, m.now, wall)
+		s.raft.Step(*msg.Raft, s.now, wall)
 	case msg.Request != nil:
-		m.turn()
-		m.ask(from, msg.Request)
+		s.updateLeadership()
+		s.handleRequest(from, msg.Request)
 	case msg.Response != nil:
-		m.passBack(from, msg.Response)
+		s.forwardResponse(from, msg.Response)
 	}
-	m.turn()
-	m.settle()
-	m.handOnNow()
+	s.updateLeadership()
+	s.process()
+	s.transferLeadershipNow()
 }
 
 // Synced reports that all writes up to and including seq are on disk, which lets
 // acknowledgements that waited for them go out.
-func (m *Server) Synced(seq uint64, now clock.Monotonic, wall clock.WallTime) {
-	if m.over {
+func (s *Server) Synced(seq uint64, now clock.Monotonic, wall clock.WallTime) {
+	if s.stopped {
 		return
 	}
-	m.clock(now, wall)
-	if m.raft != nil {
-		m.raft.Synced(seq)
+	s.advanceClocks(now, wall)
+	if s.raft != nil {
+		s.raft.Synced(seq)
 	}
-	m.settle()
-	m.handOnNow()
+	s.process()
+	s.transferLeadershipNow()
 }
 
 // TakeOutput hands over the output so far.
-func (m *Server) TakeOutput() Output {
-	out := m.out
-	m.out = Output{}
+func (s *Server) TakeOutput() Output {
+	out := s.out
+	s.out = Output{}
 	return out
 }
 
-// settle carries out what agreement decided until nothing more comes of it.
-func (m *Server) settle() {
-	if m.raft == nil {
+// process carries out what agreement decided until nothing more comes of it.
+func (s *Server) process() {
+	if s.raft == nil {
 		return
 	}
-	for more := true; more && !m.over; {
-		if m.lead != nil {
-			m.work()
+	for more := true; more && !s.stopped; {
+		if s.leader != nil {
+			s.actAsLeader()
 		}
-		m.raft.Flush()
-		m.note()
-		more = m.carry(m.raft.TakeOutput())
+		s.raft.Flush()
+		s.recordArrival()
+		more = s.processRaftOutput(s.raft.TakeOutput())
 	}
 }
 
 // turn notices that leadership has come or gone.
-func (m *Server) turn() {
-	if m.raft == nil {
+func (s *Server) updateLeadership() {
+	if s.raft == nil {
 		return
 	}
-	if m.raft.Leader() != 0 {
-		m.alone = m.now
+	if s.raft.Leader() != 0 {
+		s.leaderlessSince = s.now
 	}
-	leads := m.raft.Role() == raft.Leader
-	if m.lead != nil && (!leads || m.term != m.raft.Term()) {
-		m.lead = nil
-		m.event("leader-lost", "term", m.term)
-		for _, i := range m.waiting() {
-			m.giveUp(m.waits[i])
-			m.drop(i)
+	leads := s.raft.Role() == raft.Leader
+	if s.leader != nil && (!leads || s.term != s.raft.Term()) {
+		s.leader = nil
+		s.logEvent("leader-lost", "term", s.term)
+		for _, i := range s.proposalIndexes() {
+			s.replyOutcomeUnknown(s.proposals[i])
+			s.dropProposal(i)
 		}
 	}
-	if leads && m.lead == nil && m.at >= m.raft.TermStart() && m.raft.HasLease(m.now) {
-		m.term = m.raft.Term()
-		m.rise()
-		m.herald()
-		m.event("leader", "term", m.term, "index", m.at)
+	if leads && s.leader == nil && s.appliedIndex >= s.raft.TermStart() && s.raft.HasLease(s.now) {
+		s.term = s.raft.Term()
+		s.becomeLeader()
+		s.announceLeadership()
+		s.logEvent("leader", "term", s.term, "index", s.appliedIndex)
 	}
 }
 
-// leads tells whether this keeper may act as the leader at this moment.
-func (m *Server) leads() bool {
-	return m.leave == nil && m.lead != nil && m.raft.HasLease(m.now)
+// isActiveLeader tells whether this keeper may act as the leader at this moment.
+func (s *Server) isActiveLeader() bool {
+	return s.gracefulStop == nil && s.leader != nil && s.raft.HasLease(s.now)
 }
 
-func (m *Server) giveUp(w wait) {
-	m.refuse(w.peer, w.id, 504, "leader-changed", "the outcome is not known here; ask again", leaderChangedRetry)
+func (s *Server) replyOutcomeUnknown(w proposal) {
+	s.replyError(w.peer, w.id, 504, "leader-changed", "the outcome is not known here; ask again", leaderChangedRetryAfter)
 }
--- a/internal/controlplane/order_age.go
+++ b/internal/controlplane/order_age.go
@@ -14,53 +14,53 @@
 	"orchidward/internal/transport/wire"
 )
 
-// driftPart is the part of a span by which a clock may run slow: one in fifty.
-const driftPart = 50
+// driftFraction is the part of a span by which a clock may run slow: one in fifty.
+const driftFraction = 50
 
 // leaderTime is a reading of this leader's clock.
-func (m *Server) leaderTime() wire.LeaderTime {
-	return wire.LeaderTime{Term: m.raft.Term(), At: m.now}
+func (s *Server) leaderTime() wire.LeaderTime {
+	return wire.LeaderTime{Term: s.raft.Term(), At: s.now}
 }
 
-// expired tells whether an order may have come later than its sender waits. An
+// orderExpired tells whether an order may have come later than its sender waits. An
 // order without a reading comes from a program of a former version, or from
 // this process itself, and is not judged.
-func (m *Server) expired(a *wire.Request) bool {
+func (s *Server) orderExpired(a *wire.Request) bool {
 	if !a.HasLeaderTime || !a.IsOrder() {
 		return false
 	}
-	if a.LeaderTime.Term != m.raft.Term() {
+	if a.LeaderTime.Term != s.raft.Term() {
 		return true
 	}
-	age := m.now.Since(a.LeaderTime.At)
-	return age+age/driftPart > a.Budget
+	age := s.now.Since(a.LeaderTime.At)
+	return age+age/driftFraction > a.Budget
 }
 
-// heardLeader notes a reading of the leader's clock that came with a message.
-func (m *Server) heardLeader(t wire.LeaderTime) {
-	if t.Later(m.leaderClock) {
-		m.leaderClock = t
+// observeLeaderTime notes a reading of the leader's clock that came with a message.
+func (s *Server) observeLeaderTime(t wire.LeaderTime) {
+	if t.Later(s.latestLeaderTime) {
+		s.latestLeaderTime = t
 	}
 }
 
-// heardAppend takes the reading that the leader's own messages carry.
-func (m *Server) heardAppend(msg *raft.Message) {
-	m.heardLeader(wire.LeaderTime{Term: msg.Term, At: msg.SentAt})
+// observeAppend takes the reading that the leader's own messages carry.
+func (s *Server) observeAppend(msg *raft.Message) {
+	s.observeLeaderTime(wire.LeaderTime{Term: msg.Term, At: msg.SentAt})
 }
 
-// date adds to an order that was made at this process what it knows of the
+// stampLeaderTime adds to an order that was made at this process what it knows of the
 // leader's clock. One that came from elsewhere keeps what its sender knew.
-func (m *Server) date(from wire.Peer, a *wire.Request) {
+func (s *Server) stampLeaderTime(from wire.Peer, a *wire.Request) {
 	if from.Local() {
-		a.HasLeaderTime, a.LeaderTime = true, m.leaderClock
+		a.HasLeaderTime, a.LeaderTime = true, s.latestLeaderTime
 	}
 }
 
-// refuseExpired answers an order whose age can't be told: it was not taken, and
+// replyExpired answers an order whose age can't be told: it was not taken, and
 // the reading that goes with the answer lets its sender try again at once.
-func (m *Server) refuseExpired(from wire.Peer, id uint64) {
-	m.send(from, wire.Message{Response: &wire.Response{ID: id, Status: 503, Expired: true, RetryAfter: expiredRetry}})
+func (s *Server) replyExpired(from wire.Peer, id uint64) {
+	s.send(from, wire.Message{Response: &wire.Response{ID: id, Status: 503, Expired: true, RetryAfter: expiredRetryAfter}})
 }
 
-// expiredRetry is when a caller may come back whose order was too old, in ms.
-const expiredRetry clock.Millis = 200
+// expiredRetryAfter is when a caller may come back whose order was too old, in ms.
+const expiredRetryAfter clock.Millis = 200
--- a/internal/controlplane/policies.go
+++ b/internal/controlplane/policies.go
@@ -16,39 +16,39 @@
 	Last   string         `json:"lastFailure,omitempty"`
 }
 
-func (m *Server) fare(list scheduler.PolicyResults) {
-	for row := range m.fared {
-		if m.state.Limits.Cell(row, "policy") == "" {
-			delete(m.fared, row)
+func (s *Server) recordPolicyResults(list scheduler.PolicyResults) {
+	for row := range s.policyResults {
+		if s.state.Limits.Cell(row, "policy") == "" {
+			delete(s.policyResults, row)
 		}
 	}
 	if len(list) == 0 {
 		return
 	}
-	for _, row := range m.state.Limits.RowNames() {
+	for _, row := range s.state.Limits.RowNames() {
 		one, ok := list[row]
 		if !ok {
 			continue
 		}
-		was := m.fared[row]
+		was := s.policyResults[row]
 		if one.Failed > 0 && was.LastFailure != one.LastFailure {
-			m.event("policy-failed", "row", row, "why", one.LastFailure)
+			s.logEvent("policy-failed", "row", row, "why", one.LastFailure)
 		}
 		was.Used, was.Failed = was.Used+one.Used, was.Failed+one.Failed
 		if one.Failed > 0 {
 			was.LastFailure = one.LastFailure
 		}
-		m.fared[row] = was
+		s.policyResults[row] = was
 	}
 }
 
-func (m *Server) showPolicies() []PolicyDoc {
+func (s *Server) policyDocs() []PolicyDoc {
 	list := []PolicyDoc{}
-	for _, row := range m.state.Limits.RowNames() {
-		if m.state.Limits.Cell(row, "policy") == "" {
+	for _, row := range s.state.Limits.RowNames() {
+		if s.state.Limits.Cell(row, "policy") == "" {
 			continue
 		}
-		one := m.fared[row]
+		one := s.policyResults[row]
 		list = append(list, PolicyDoc{row, one.Used, one.Failed, one.LastFailure})
 	}
 	return list
--- a/internal/controlplane/porter.go
+++ b/internal/controlplane/porter.go
@@ -13,64 +13,64 @@
 	"orchidward/internal/transport/wire"
 )
 
-type porter struct {
-	next    clock.Monotonic
-	members []raft.Member
-	lead    identifier.Node
+type forwarderNode struct {
+	nextPoll clock.Monotonic
+	members  []raft.Member
+	leaderID identifier.Node
 	// heard is when a keeper last said that lead leads, own when that one did.
-	heard, own clock.Monotonic
-	// rumour is when a keeper was heard that is in a group, but has no leader.
-	rumour clock.Monotonic
+	vouchedAt, selfVouchedAt clock.Monotonic
+	// leaderlessGroupAt is when a keeper was heard that is in a group, but has no leader.
+	leaderlessGroupAt clock.Monotonic
 }
 
 const (
-	// vouchLife is how long a porter goes by a leader nobody vouches for, and
-	// ownLife how long others' word does not count against the leader's own.
-	vouchLife = 2000
-	ownLife   = 3 * seekGap
+	// leaderHintLife is how long a porter goes by a leader nobody vouches for, and
+	// selfVouchLife how long others' word does not count against the leader's own.
+	leaderHintLife = 2000
+	selfVouchLife  = 3 * discoveryInterval
 )
 
-func (p *porter) knows() bool { return len(p.members) > 0 }
+func (p *forwarderNode) knowsGroup() bool { return len(p.members) > 0 }
 
-// leader is the member that leads, by what the porter has heard lately.
-func (p *porter) leader(now clock.Monotonic) (mem raft.Member, ok bool) {
-	if p.lead == 0 || now.Since(p.heard) > vouchLife {
+// currentLeader is the member that leads, by what the porter has heard lately.
+func (p *forwarderNode) leader(now clock.Monotonic) (mem raft.Member, ok bool) {
+	if p.leaderID == 0 || now.Since(p.vouchedAt) > leaderHintLife {
 		return mem, false
 	}
 	for _, mem := range p.members {
-		if mem.ID == p.lead {
+		if mem.ID == p.leaderID {
 			return mem, true
 		}
 	}
 	return mem, false
 }
 
-// round asks the leader whether it still leads, or everybody who does.
-func (m *Server) round() {
-	p := m.porter
-	if m.now < p.next {
+// pollForLeader asks the leader whether it still leads, or everybody who does.
+func (s *Server) pollForLeader() {
+	p := s.forwarder
+	if s.now < p.nextPoll {
 		return
 	}
-	p.next = m.now.Add(seekGap)
-	if mem, ok := p.leader(m.now); ok && m.now.Since(p.own) < ownLife {
-		m.send(wire.Peer(mem.Addr), wire.Message{Announcement: m.self(true)})
+	p.nextPoll = s.now.Add(discoveryInterval)
+	if mem, ok := p.leader(s.now); ok && s.now.Since(p.selfVouchedAt) < selfVouchLife {
+		s.send(wire.Peer(mem.Addr), wire.Message{Announcement: s.announcement(true)})
 		return
 	}
-	for _, addr := range p.known(m.config.Seeds) {
-		if addr != m.config.Addr {
-			m.send(wire.Peer(addr), wire.Message{Announcement: m.self(true)})
+	for _, addr := range p.addresses(s.config.Seeds) {
+		if addr != s.config.Addr {
+			s.send(wire.Peer(addr), wire.Message{Announcement: s.announcement(true)})
 		}
 	}
 }
 
 // unsure tells whether this porter can say neither where the group is nor that
 // there is none: then it says nothing.
-func (p *porter) unsure(now clock.Monotonic) bool {
-	return !p.knows() && p.rumour != 0 && now.Since(p.rumour) < stillMs
+func (p *forwarderNode) undecided(now clock.Monotonic) bool {
+	return !p.knowsGroup() && p.leaderlessGroupAt != 0 && now.Since(p.leaderlessGroupAt) < quietBeforeFounding
 }
 
 // known are the addresses of seeds and members, each once.
-func (p *porter) known(seeds []string) []string {
+func (p *forwarderNode) addresses(seeds []string) []string {
 	var list []string
 	seen := map[string]bool{}
 	for _, addr := range seeds {
@@ -86,80 +86,80 @@
 	return list
 }
 
-// learn takes what a group's keeper says of it. Others are believed only where
+// learnGroup takes what a group's keeper says of it. Others are believed only where
 // the porter knows nothing yet, as they know it no better.
-func (m *Server) learn(t *wire.Announcement) {
-	p := m.porter
+func (s *Server) learnGroup(t *wire.Announcement) {
+	p := s.forwarder
 	if !t.Founded || len(t.Members) == 0 {
 		return
 	}
 	own := t.Role == "keeper" && t.Node != 0 && t.Node == t.LeaderID
 	switch {
 	case own:
-		p.own = m.now
-		m.heardLeader(t.LeaderTime)
+		p.selfVouchedAt = s.now
+		s.observeLeaderTime(t.LeaderTime)
 	case t.Role == "keeper" && t.LeaderID != 0:
-		if _, ok := p.leader(m.now); ok && m.now.Since(p.own) < ownLife {
+		if _, ok := p.leader(s.now); ok && s.now.Since(p.selfVouchedAt) < selfVouchLife {
 			return
 		}
 	case t.Role == "keeper":
-		p.rumour = m.now
+		p.leaderlessGroupAt = s.now
 		return
 	default:
-		if !p.knows() {
+		if !p.knowsGroup() {
 			p.members = t.Members
 		}
 		return
 	}
-	if p.lead != t.LeaderID {
-		m.event("leader-known", "node", t.LeaderID, "members", t.Members)
+	if p.leaderID != t.LeaderID {
+		s.logEvent("leader-known", "node", t.LeaderID, "members", t.Members)
 	}
-	p.members, p.lead, p.heard = t.Members, t.LeaderID, m.now
+	p.members, p.leaderID, p.vouchedAt = t.Members, t.LeaderID, s.now
 }
 
-// leader is who leads, as far as this keeper knows: another, or itself.
-func (m *Server) leader() (mem raft.Member, ok bool) {
+// currentLeader is who leads, as far as this keeper knows: another, or itself.
+func (s *Server) currentLeader() (mem raft.Member, ok bool) {
 	switch {
-	case m.porter != nil:
-		return m.porter.leader(m.now)
-	case m.raft == nil || m.raft.Leader() == 0:
+	case s.forwarder != nil:
+		return s.forwarder.leader(s.now)
+	case s.raft == nil || s.raft.Leader() == 0:
 		return mem, false
 	}
-	return m.raft.Member(m.raft.Leader())
+	return s.raft.Member(s.raft.Leader())
 }
 
 // KnowsLeader tells whether this keeper knows who leads.
-func (m *Server) KnowsLeader() bool {
-	if m.raft != nil {
-		return m.raft.Leader() != 0
+func (s *Server) KnowsLeader() bool {
+	if s.raft != nil {
+		return s.raft.Leader() != 0
 	}
-	_, yes := m.leader()
+	_, yes := s.currentLeader()
 	return yes
 }
 
-// noteLeader keeps track of when this keeper last had a leader to go to: itself
+// trackLeader keeps track of when this keeper last had a leader to go to: itself
 // while its lease stands, or another that it has heard.
-func (m *Server) noteLeader() {
-	if m.reaches() {
-		m.reached = m.now
+func (s *Server) trackLeader() {
+	if s.reachesLeader() {
+		s.leaderReachedAt = s.now
 	}
-	mem, ok := m.leader()
-	if !ok || wire.Peer(mem.Addr) == m.follows {
+	mem, ok := s.currentLeader()
+	if !ok || wire.Peer(mem.Addr) == s.followedLeader {
 		return
 	}
-	m.follows, m.reach = wire.Peer(mem.Addr), reach{heard: m.now}
-	m.abandon(m.follows)
+	s.followedLeader, s.leaderContact = wire.Peer(mem.Addr), leaderContact{heardAt: s.now}
+	s.failForwardedExcept(s.followedLeader)
 }
 
-func (m *Server) reaches() bool {
-	if m.raft != nil && m.raft.Role() == raft.Leader {
-		return m.raft.HasLease(m.now)
+func (s *Server) reachesLeader() bool {
+	if s.raft != nil && s.raft.Role() == raft.Leader {
+		return s.raft.HasLease(s.now)
 	}
-	return m.KnowsLeader() && !m.reach.lost
+	return s.KnowsLeader() && !s.leaderContact.lost
 }
 
 // Connected tells whether this keeper has a leader to go to, or had one until
 // so short a time ago that the next one may be about to be elected.
-func (m *Server) Connected() bool {
-	return !m.reach.lost && m.now.Since(m.reached) <= 2*m.config.Timing.ElectionTimeout
+func (s *Server) Connected() bool {
+	return !s.leaderContact.lost && s.now.Since(s.leaderReachedAt) <= 2*s.config.Timing.ElectionTimeout
 }
--- a/internal/controlplane/reach.go
+++ b/internal/controlplane/reach.go
@@ -16,51 +16,51 @@
 	// any answer, in milliseconds, before it counts as out of reach.
 	unreachedAfter clock.Millis = 400
 	// pingAfter is how long it may be silent before it is asked for a sign of
-	// life, pingGap how often it then is, in milliseconds.
-	pingAfter clock.Millis = 150
-	pingGap   clock.Millis = 100
+	// life, pingInterval how often it then is, in milliseconds.
+	pingAfter    clock.Millis = 150
+	pingInterval clock.Millis = 100
 )
 
-// reach is what a keeper knows of its way to the leader.
-type reach struct {
+// leaderContact is what a keeper knows of its way to the leader.
+type leaderContact struct {
 	// waiting is since when some request has been passed on without a reply.
-	waiting clock.Monotonic
+	waitingSince clock.Monotonic
 	// heard is when the leader last answered anything, pinged when it was last
 	// asked for a sign of life.
-	heard, pinged clock.Monotonic
-	lost          bool
+	heardAt, pingedAt clock.Monotonic
+	lost              bool
 }
 
-// passed notes that a request goes to the leader; first says that none was
+// requestSent notes that a request goes to the leader; first says that none was
 // waiting for it.
-func (r *reach) passed(now clock.Monotonic, first bool) {
+func (r *leaderContact) requestSent(now clock.Monotonic, first bool) {
 	if first {
-		r.waiting = now
+		r.waitingSince = now
 	}
 }
 
 // answered notes a reply or a sign of life.
-func (r *reach) answered(now clock.Monotonic) { r.heard, r.lost = now, false }
+func (r *leaderContact) answered(now clock.Monotonic) { r.heardAt, r.lost = now, false }
 
 // silent is how long the leader has owed an answer.
-func (r *reach) silent(now clock.Monotonic) clock.Millis {
-	return now.Since(max(r.waiting, r.heard))
+func (r *leaderContact) silentFor(now clock.Monotonic) clock.Millis {
+	return now.Since(max(r.waitingSince, r.heardAt))
 }
 
-// reachLeader asks a leader that owes answers for a sign of life, and gives up
+// probeLeader asks a leader that owes answers for a sign of life, and gives up
 // the requests passed to it when there has been none for too long.
-func (m *Server) reachLeader() {
-	if m.follows == "" || len(m.relays) == 0 && !m.reach.lost {
+func (s *Server) probeLeader() {
+	if s.followedLeader == "" || len(s.forwarded) == 0 && !s.leaderContact.lost {
 		return
 	}
-	silent := m.reach.silent(m.now)
-	if silent > pingAfter && m.now.Since(m.reach.pinged) >= pingGap {
-		m.reach.pinged = m.now
-		m.send(m.follows, wire.Message{Announcement: m.self(true)})
+	silent := s.leaderContact.silentFor(s.now)
+	if silent > pingAfter && s.now.Since(s.leaderContact.pingedAt) >= pingInterval {
+		s.leaderContact.pingedAt = s.now
+		s.send(s.followedLeader, wire.Message{Announcement: s.announcement(true)})
 	}
-	if silent > unreachedAfter && !m.reach.lost {
-		m.reach.lost = true
-		m.event("leader-out-of-reach", "leader", m.follows, "requests", len(m.relays))
-		m.abandon("")
+	if silent > unreachedAfter && !s.leaderContact.lost {
+		s.leaderContact.lost = true
+		s.logEvent("leader-out-of-reach", "leader", s.followedLeader, "requests", len(s.forwarded))
+		s.failForwardedExcept("")
 	}
 }
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -17,16 +17,16 @@
 // forwarder is a keeper without a disk that knows of a leader at "k7".
 func forwarder(t *testing.T) *controlplane.Server {
 	t.Helper()
-	m := controlplane.New(controlplane.Config{Addr: "p", Domain: "north", Seeds: []string{"k7"}, Timing: raft.DefaultTiming(), Diskless: true}, 0)
-	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 40}, 100)
-	m.TakeOutput()
-	return m
+	s := controlplane.New(controlplane.Config{Addr: "p", Domain: "north", Seeds: []string{"k7"}, Timing: raft.DefaultTiming(), Diskless: true}, 0)
+	hear(s, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 40}, 100)
+	s.TakeOutput()
+	return s
 }
 
 // hear has a keeper say that it leads.
-func hear(m *controlplane.Server, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
+func hear(s *controlplane.Server, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
 	members := []raft.Member{{ID: relayLeader, Addr: "k7", Voter: true}, {ID: 8, Addr: "k8", Voter: true}}
-	m.HandleMessage(wire.Peer(addr), wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: id, Addr: addr, Founded: true, LeaderID: id, Members: members, LeaderTime: reading}}, now, 0)
+	s.HandleMessage(wire.Peer(addr), wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: id, Addr: addr, Founded: true, LeaderID: id, Members: members, LeaderTime: reading}}, now, 0)
 }
 
 // forwarded is the request that was passed on, and to whom.
@@ -53,22 +53,22 @@
 // TestReplyFromAnother: the reply to a request that was passed on counts only
 // from the one it was passed to, and only once.
 func TestReplyFromAnother(t *testing.T) {
-	m := forwarder(t)
-	m.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: "GET", Path: "/v1/table", Budget: 1000}}, 110, 0)
-	to, a := forwarded(m.TakeOutput())
+	s := forwarder(t)
+	s.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: "GET", Path: "/v1/table", Budget: 1000}}, 110, 0)
+	to, a := forwarded(s.TakeOutput())
 	if to != "k7" || a.Hops != 1 || a.ID == 5 {
 		t.Fatalf("passed to %s: %+v", to, a)
 	}
-	m.HandleMessage("k8", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("another's")}}, 120, 0)
-	if list := replies(m.TakeOutput()); len(list) != 0 {
+	s.HandleMessage("k8", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("another's")}}, 120, 0)
+	if list := replies(s.TakeOutput()); len(list) != 0 {
 		t.Errorf("took the reply of one that was not asked: %+v", list)
 	}
-	m.HandleMessage("k7", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("own")}}, 130, 0)
-	if list := replies(m.TakeOutput()); len(list) != 1 || list[0].To != "#1" || list[0].Message.Response.ID != 5 || string(list[0].Message.Response.Body) != "own" {
+	s.HandleMessage("k7", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("own")}}, 130, 0)
+	if list := replies(s.TakeOutput()); len(list) != 1 || list[0].To != "#1" || list[0].Message.Response.ID != 5 || string(list[0].Message.Response.Body) != "own" {
 		t.Errorf("the reply came back as %+v", list)
 	}
-	m.HandleMessage("k7", wire.Message{Response: &wire.Response{ID: a.ID, Status: 500}}, 140, 0)
-	if list := replies(m.TakeOutput()); len(list) != 0 {
+	s.HandleMessage("k7", wire.Message{Response: &wire.Response{ID: a.ID, Status: 500}}, 140, 0)
+	if list := replies(s.TakeOutput()); len(list) != 0 {
 		t.Errorf("a second reply was passed back: %+v", list)
 	}
 }
@@ -76,22 +76,22 @@
 // TestDated: an order made at a keeper goes to the leader with the latest
 // reading of that leader's clock; one that came from elsewhere keeps its own.
 func TestDated(t *testing.T) {
-	m := forwarder(t)
+	s := forwarder(t)
 	order := &wire.Request{ID: 5, Method: "PUT", Path: "/v1/closings/east", Budget: 900}
-	m.HandleMessage("@1", wire.Message{Request: order}, 110, 0)
-	if _, a := forwarded(m.TakeOutput()); !a.HasLeaderTime || a.LeaderTime != (wire.LeaderTime{Term: 3, At: 40}) {
+	s.HandleMessage("@1", wire.Message{Request: order}, 110, 0)
+	if _, a := forwarded(s.TakeOutput()); !a.HasLeaderTime || a.LeaderTime != (wire.LeaderTime{Term: 3, At: 40}) {
 		t.Errorf("an order made here goes as %+v", a)
 	}
-	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 400}, 500)
-	hear(m, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 90}, 510)
-	m.TakeOutput()
-	m.HandleMessage("@2", wire.Message{Request: order}, 520, 0)
-	if _, a := forwarded(m.TakeOutput()); a.LeaderTime.At != 400 {
+	hear(s, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 400}, 500)
+	hear(s, "k7", relayLeader, wire.LeaderTime{Term: 3, At: 90}, 510)
+	s.TakeOutput()
+	s.HandleMessage("@2", wire.Message{Request: order}, 520, 0)
+	if _, a := forwarded(s.TakeOutput()); a.LeaderTime.At != 400 {
 		t.Errorf("after a later reading it goes as %+v", a)
 	}
 	sent := &wire.Request{ID: 6, Method: "PUT", Path: "/v1/closings/east", Budget: 900, HasLeaderTime: true, LeaderTime: wire.LeaderTime{Term: 2, At: 9}}
-	m.HandleMessage("#1", wire.Message{Request: sent}, 530, 0)
-	if _, a := forwarded(m.TakeOutput()); !a.HasLeaderTime || a.LeaderTime != sent.LeaderTime {
+	s.HandleMessage("#1", wire.Message{Request: sent}, 530, 0)
+	if _, a := forwarded(s.TakeOutput()); !a.HasLeaderTime || a.LeaderTime != sent.LeaderTime {
 		t.Errorf("an order from elsewhere goes as %+v", a)
 	}
 }
@@ -99,15 +99,15 @@
 // TestAbandoned: when another leads, whoever waits on the one before is told at
 // once that the outcome is not known.
 func TestAbandoned(t *testing.T) {
-	m := forwarder(t)
-	m.Tick(120, 0)
-	m.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: "PUT", Path: "/v1/closings/east", Budget: 3000}}, 130, 0)
-	if to, _ := forwarded(m.TakeOutput()); to != "k7" {
+	s := forwarder(t)
+	s.Tick(120, 0)
+	s.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: "PUT", Path: "/v1/closings/east", Budget: 3000}}, 130, 0)
+	if to, _ := forwarded(s.TakeOutput()); to != "k7" {
 		t.Fatalf("passed to %s", to)
 	}
-	hear(m, "k8", 8, wire.LeaderTime{Term: 4, At: 10}, 1100)
-	m.Tick(1120, 0)
-	list := replies(m.TakeOutput())
+	hear(s, "k8", 8, wire.LeaderTime{Term: 4, At: 10}, 1100)
+	s.Tick(1120, 0)
+	list := replies(s.TakeOutput())
 	if len(list) != 1 || list[0].Message.Response.ID != 5 || list[0].Message.Response.Status != 504 || list[0].Message.Response.RetryAfter == 0 {
 		t.Errorf("with a new leader, 2 s before its time: %+v", list)
 	}
--- a/internal/controlplane/reseat.go
+++ b/internal/controlplane/reseat.go
@@ -9,58 +9,58 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// seat is a member as the leader sees it. Dead is a voter whose seat is free to
+// memberState is a member as the leader sees it. Dead is a voter whose seat is free to
 // take, idle a learner long silent, ready a learner that has caught up.
-type seat struct {
+type memberState struct {
 	raft.Member
-	self, live, dead, ready, idle bool
-	quiet                         clock.Millis
+	self, live, replaceable, caughtUp, abandoned bool
+	silentFor                                    clock.Millis
 }
 
-// seatTable is the group being weighed. Held counts a zone's voters but for the
+// membershipPlan is the group being weighed. Held counts a zone's voters but for the
 // dead; spare is how many learners are ready.
-type seatTable struct {
-	list               []seat
-	voters, spare      int
-	held               map[identifier.Domain]int
-	dead, ready, other *seat
-	idle               *seat
-	whole              bool
+type membershipPlan struct {
+	members                               []memberState
+	voters, readyLearners                 int
+	votersByDomain                        map[identifier.Domain]int
+	deadVoter, readyLearner, surplusVoter *memberState
+	idleLearner                           *memberState
+	allVotersLive                         bool
 }
 
-// reseat is the member list that should be next, one member different from
+// nextMembers is the member list that should be next, one member different from
 // this one; none when all is as it should be, or when after the change the live
 // voters would be no majority. Calm says that the leader has had the time to
 // hear whoever lives: only then is a live voter's seat given away.
-func reseat(list []seat, want int, calm bool) []raft.Member {
+func nextMembers(list []memberState, want int, calm bool) []raft.Member {
 	var next []raft.Member
-	t := weigh(list)
+	t := newMembershipPlan(list)
 	switch {
-	case t.dead != nil && (t.voters > want || t.voters > fewSeats && t.voters%2 == 0):
-		next = t.without(t.dead)
-	case t.voters > want && t.other != nil && calm:
-		next = t.voting(t.other, false)
-	case t.ready != nil && (t.needs(want) || calm && t.uneven(want)):
-		next = t.voting(t.ready, true)
-	case t.idle != nil:
-		next = t.without(t.idle)
+	case t.deadVoter != nil && (t.voters > want || t.voters > minVoters && t.voters%2 == 0):
+		next = t.without(t.deadVoter)
+	case t.voters > want && t.surplusVoter != nil && calm:
+		next = t.withVote(t.surplusVoter, false)
+	case t.readyLearner != nil && (t.needsVoter(want) || calm && t.unbalanced(want)):
+		next = t.withVote(t.readyLearner, true)
+	case t.idleLearner != nil:
+		next = t.without(t.idleLearner)
 	}
-	if next != nil && !t.holds(next) {
+	if next != nil && !t.keepsQuorum(next) {
 		return nil
 	}
 	return next
 }
 
-func weigh(list []seat) *seatTable {
-	t := &seatTable{list: list, held: map[identifier.Domain]int{}, whole: true}
+func newMembershipPlan(list []memberState) *membershipPlan {
+	t := &membershipPlan{members: list, votersByDomain: map[identifier.Domain]int{}, allVotersLive: true}
 	for i := range list {
 		s := &list[i]
 		if s.Voter {
 			t.voters++
-			t.whole = t.whole && s.live
+			t.allVotersLive = t.allVotersLive && s.live
 		}
-		if s.Voter && !s.dead {
-			t.held[s.Domain]++
+		if s.Voter && !s.replaceable {
+			t.votersByDomain[s.Domain]++
 		}
 	}
 	for i := range list {
@@ -72,52 +72,52 @@
 // rank keeps the first choice of each kind: the voter silent for longest, the
 // ready learner whose zone has the fewest voters, and the voter, not the leader
 // itself, whose zone has the most.
-func (t *seatTable) rank(s *seat) {
+func (t *membershipPlan) rank(s *memberState) {
 	switch {
-	case s.dead:
-		if t.dead == nil || s.quiet > t.dead.quiet {
-			t.dead = s
+	case s.replaceable:
+		if t.deadVoter == nil || s.silentFor > t.deadVoter.silentFor {
+			t.deadVoter = s
 		}
-	case s.ready:
-		t.spare++
-		if t.ready == nil || t.held[s.Domain] < t.held[t.ready.Domain] {
-			t.ready = s
+	case s.caughtUp:
+		t.readyLearners++
+		if t.readyLearner == nil || t.votersByDomain[s.Domain] < t.votersByDomain[t.readyLearner.Domain] {
+			t.readyLearner = s
 		}
-	case s.idle:
-		t.idle = s
+	case s.abandoned:
+		t.idleLearner = s
 	case s.Voter && !s.self:
-		if t.other == nil || t.held[s.Domain] > t.held[t.other.Domain] {
-			t.other = s
+		if t.surplusVoter == nil || t.votersByDomain[s.Domain] > t.votersByDomain[t.surplusVoter.Domain] {
+			t.surplusVoter = s
 		}
 	}
 }
 
-// needs tells whether a learner is wanted as a voter: to take a dead one's
+// needsVoter tells whether a learner is wanted as a voter: to take a dead one's
 // seat, or to grow. Four voters bear no more losses than three and lose more
 // with a zone, so growth waits until two can follow one another at once.
-func (t *seatTable) needs(want int) bool {
+func (t *membershipPlan) needsVoter(want int) bool {
 	switch {
-	case t.voters < fewSeats, t.dead != nil && t.voters <= want:
+	case t.voters < minVoters, t.deadVoter != nil && t.voters <= want:
 		return true
 	case t.voters < want:
-		return t.voters%2 == 0 || t.spare > 1
+		return t.voters%2 == 0 || t.readyLearners > 1
 	}
 	return false
 }
 
-// uneven tells whether a zone has two voters more than that of a learner that
+// unbalanced tells whether a zone has two voters more than that of a learner that
 // is ready: it becomes a voter, and then one of that zone a learner.
-func (t *seatTable) uneven(want int) bool {
-	if t.voters != want || !t.whole || t.other == nil {
+func (t *membershipPlan) unbalanced(want int) bool {
+	if t.voters != want || !t.allVotersLive || t.surplusVoter == nil {
 		return false
 	}
-	return t.held[t.other.Domain] > t.held[t.ready.Domain]+1
+	return t.votersByDomain[t.surplusVoter.Domain] > t.votersByDomain[t.readyLearner.Domain]+1
 }
 
-// holds tells whether the live are a majority of the voters of a list.
-func (t *seatTable) holds(next []raft.Member) bool {
+// keepsQuorum tells whether the live are a majority of the voters of a list.
+func (t *membershipPlan) keepsQuorum(next []raft.Member) bool {
 	live := map[identifier.Node]bool{}
-	for _, s := range t.list {
+	for _, s := range t.members {
 		live[s.ID] = s.live
 	}
 	voters, up := 0, 0
@@ -133,9 +133,9 @@
 	return up > voters/2
 }
 
-func (t *seatTable) without(one *seat) []raft.Member {
+func (t *membershipPlan) without(one *memberState) []raft.Member {
 	var next []raft.Member
-	for _, s := range t.list {
+	for _, s := range t.members {
 		if s.ID != one.ID {
 			next = append(next, s.Member)
 		}
@@ -143,9 +143,9 @@
 	return next
 }
 
-func (t *seatTable) voting(one *seat, voter bool) []raft.Member {
+func (t *membershipPlan) withVote(one *memberState, voter bool) []raft.Member {
 	var next []raft.Member
-	for _, s := range t.list {
+	for _, s := range t.members {
 		if s.ID == one.ID {
 			s.Voter = voter
 		}
--- a/internal/controlplane/reseat_test.go
+++ b/internal/controlplane/reseat_test.go
@@ -12,8 +12,8 @@
 // seatsOf makes a group, its first member the leader:
 // "A" is a voter of zone A that lives, "a" a learner that is ready; after "-"
 // comes one that is dead or idle, after "?" one that is not heard of.
-func seatsOf(text string) []seat {
-	var list []seat
+func seatsOf(text string) []memberState {
+	var list []memberState
 	mark := rune(0)
 	for _, c := range text {
 		if c == '-' || c == '?' {
@@ -25,21 +25,21 @@
 		if !voter {
 			zone += 'A' - 'a'
 		}
-		s := seat{Member: raft.Member{ID: identifier.Node(len(list) + 1), Domain: identifier.Domain(zone), Voter: voter}, live: mark == 0, self: len(list) == 0}
-		s.dead, s.idle, s.ready = voter && mark == '-', !voter && mark == '-', !voter && mark == 0
+		s := memberState{Member: raft.Member{ID: identifier.Node(len(list) + 1), Domain: identifier.Domain(zone), Voter: voter}, live: mark == 0, self: len(list) == 0}
+		s.replaceable, s.abandoned, s.caughtUp = voter && mark == '-', !voter && mark == '-', !voter && mark == 0
 		list = append(list, s)
 		mark = 0
 	}
 	return list
 }
 
-func (s seat) String() string {
+func (s memberState) String() string {
 	c := []rune(s.Domain)[0]
 	if !s.Voter {
 		c += 'a' - 'A'
 	}
 	switch {
-	case s.dead, s.idle:
+	case s.replaceable, s.abandoned:
 		return "-" + string(c)
 	case !s.live:
 		return "?" + string(c)
@@ -47,7 +47,7 @@
 	return string(c)
 }
 
-func textOf(list []seat) string {
+func textOf(list []memberState) string {
 	var text string
 	for _, s := range list {
 		text += s.String()
@@ -56,13 +56,13 @@
 }
 
 // after is the group as it would be seen once a change is committed.
-func after(list []seat, next []raft.Member) []seat {
-	var out []seat
+func after(list []memberState, next []raft.Member) []memberState {
+	var out []memberState
 	for _, mem := range next {
 		for _, s := range list {
 			if s.ID == mem.ID {
 				if s.Voter != mem.Voter {
-					s.ready = !mem.Voter && s.live
+					s.caughtUp = !mem.Voter && s.live
 				}
 				s.Member = mem
 				out = append(out, s)
@@ -99,7 +99,7 @@
 	} {
 		list := seatsOf(c.from)
 		for i := 0; i < 20; i++ {
-			next := reseat(list, c.want, true)
+			next := nextMembers(list, c.want, true)
 			if next == nil {
 				break
 			}
@@ -118,10 +118,10 @@
 	rnd := rand.New(rand.NewSource(1))
 	changes := map[string]int{}
 	for n := 0; n < 50000; n++ {
-		list, want := drawSeats(rnd), fewSeats+2*rnd.Intn(2)
+		list, want := drawSeats(rnd), minVoters+2*rnd.Intn(2)
 		begun := textOf(list)
 		for i := 0; ; i++ {
-			next := reseat(list, want, rnd.Intn(4) > 0)
+			next := nextMembers(list, want, rnd.Intn(4) > 0)
 			if next == nil {
 				break
 			}
@@ -140,7 +140,7 @@
 	}
 }
 
-func drawSeats(rnd *rand.Rand) []seat {
+func drawSeats(rnd *rand.Rand) []memberState {
 	text := ""
 	zones := 1 + rnd.Intn(4)
 	count, voters := 1+rnd.Intn(9), 1+rnd.Intn(6)
@@ -159,8 +159,8 @@
 
 // judgeChange says what is wrong with a change. Where the live are no majority
 // to begin with, nothing can be committed, and nothing is judged.
-func judgeChange(list []seat, next []raft.Member, changes map[string]int) string {
-	was, live := map[identifier.Node]seat{}, 0
+func judgeChange(list []memberState, next []raft.Member, changes map[string]int) string {
+	was, live := map[identifier.Node]memberState{}, 0
 	for _, s := range list {
 		was[s.ID] = s
 	}
@@ -177,7 +177,7 @@
 			}
 		}
 		switch {
-		case mem.Voter && !s.Voter && (!s.ready || !s.live):
+		case mem.Voter && !s.Voter && (!s.caughtUp || !s.live):
 			return "promoted a learner that is not ready"
 		case mem.Voter && !s.Voter:
 			changes["promoted"]++
@@ -213,11 +213,11 @@
 		list := seatsOf(text)
 		rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 		for i := range list {
-			list[i].self, list[i].Voter, list[i].ready = i == 0, i < 3, i >= 3
+			list[i].self, list[i].Voter, list[i].caughtUp = i == 0, i < 3, i >= 3
 		}
-		want := fewSeats + 2*rnd.Intn(2)
+		want := minVoters + 2*rnd.Intn(2)
 		for i := 0; i < 30; i++ {
-			if next := reseat(list, want, true); next != nil {
+			if next := nextMembers(list, want, true); next != nil {
 				list = after(list, next)
 			}
 		}
--- a/internal/controlplane/seats.go
+++ b/internal/controlplane/seats.go
@@ -12,77 +12,77 @@
 )
 
 const (
-	// silentMs is how long a voter is silent before a learner that stands ready
+	// voterSilentLimit is how long a voter is silent before a learner that stands ready
 	// takes its seat. Losses may follow one another within few seconds.
-	silentMs = 2000
-	// A group has fewSeats voters, and mostSeats where so many members live.
-	fewSeats  = 3
-	mostSeats = 5
-	// readyGap is how many entries a learner may lack when it becomes a voter.
-	readyGap = 64
+	voterSilentLimit = 2000
+	// A group has minVoters voters, and maxVoters where so many members live.
+	minVoters = 3
+	maxVoters = 5
+	// caughtUpGap is how many entries a learner may lack when it becomes a voter.
+	caughtUpGap = 64
 )
 
-// seats changes the group by one member when there is reason to.
-func (m *Server) seats() {
-	list := m.seatList()
-	calm := m.now.Since(m.lead.rose) > silentMs
-	if next := reseat(list, m.wanted(list), calm); next != nil {
-		m.raft.ProposeMembers(next)
+// changeMembership changes the group by one member when there is reason to.
+func (s *Server) changeMembership() {
+	list := s.memberStates()
+	calm := s.now.Since(s.leader.since) > voterSilentLimit
+	if next := nextMembers(list, s.wantedVoters(list), calm); next != nil {
+		s.raft.ProposeMembers(next)
 	}
 }
 
-// wanted is how many voters there should be. Five become three only when fewer
+// wantedVoters is how many voters there should be. Five become three only when fewer
 // than five have been alive for long; on the way up or down, with four, there
 // is no reason to linger.
-func (m *Server) wanted(list []seat) int {
+func (s *Server) wantedVoters(list []memberState) int {
 	live, voters := 0, 0
-	for _, s := range list {
-		if s.live {
+	for _, member := range list {
+		if member.live {
 			live++
 		}
-		if s.Voter {
+		if member.Voter {
 			voters++
 		}
 	}
-	if live >= mostSeats {
-		m.lead.enough = m.now
-		return mostSeats
+	if live >= maxVoters {
+		s.leader.fiveAliveAt = s.now
+		return maxVoters
 	}
-	if voters >= mostSeats && m.now.Since(m.lead.enough) <= deadMs {
-		return mostSeats
+	if voters >= maxVoters && s.now.Since(s.leader.fiveAliveAt) <= memberDeadAfter {
+		return maxVoters
 	}
-	return fewSeats
+	return minVoters
 }
 
-// seatList is the group as this leader sees it. Whoever it has not heard in
+// memberStates is the group as this leader sees it. Whoever it has not heard in
 // its own term is neither live nor ready.
-func (m *Server) seatList() []seat {
-	var out []seat
-	list, seen := m.raft.Members(), map[identifier.Node]raft.MemberStatus{}
-	for _, s := range m.raft.MemberStatuses() {
-		seen[s.ID] = s
+func (s *Server) memberStates() []memberState {
+	var out []memberState
+	list, seen := s.raft.Members(), map[identifier.Node]raft.MemberStatus{}
+	for _, status := range s.raft.MemberStatuses() {
+		seen[status.ID] = status
 	}
 	for _, mem := range list {
-		s, other := seen[mem.ID]
+		status, other := seen[mem.ID]
 		if !other {
-			out = append(out, seat{Member: mem, self: true, live: true})
+			out = append(out, memberState{Member: mem, self: true, live: true})
 			continue
 		}
-		gone := outlived(list, mem)
-		quiet := s.SilentFor
+		gone := addressTaken(list, mem)
+		quiet := status.SilentFor
 		if gone {
-			quiet = max(quiet, deadMs) * 2
+			quiet = max(quiet, memberDeadAfter) * 2
 		}
-		heard := s.WallTimeReadAt != 0 && quiet < silentMs && !s.Leaving
-		out = append(out, seat{Member: mem, quiet: quiet, live: heard, dead: mem.Voter && (quiet > silentMs || s.Leaving), idle: !mem.Voter && quiet > deadMs,
-			ready: !mem.Voter && heard && quiet < silentMs/2 && s.Match >= m.raft.TermStart() && s.Match+readyGap >= m.raft.CommitIndex()})
+		heard := status.WallTimeReadAt != 0 && quiet < voterSilentLimit && !status.Leaving
+		out = append(out, memberState{Member: mem, silentFor: quiet, live: heard, replaceable: mem.Voter && (quiet > voterSilentLimit || status.Leaving), abandoned: !mem.Voter && quiet > memberDeadAfter,
+			caughtUp: !mem.Voter && heard && quiet < voterSilentLimit/2 && status.Match >= s.raft.TermStart() && status.Match+caughtUpGap >= s.raft.CommitIndex()})
 	}
 	return out
 }
 
-// outlived tells whether a later member has this one's address: its process
+// addressTaken tells whether a later member has this one's address: its process
 // and its disk are gone.
-func outlived(list []raft.Member, one raft.Member) bool {
+func addressTaken(list []raft.Member, one raft.Member) bool {
 	var yes bool
 	seen := false
 	for _, mem := range list {
--- a/internal/controlplane/show.go
+++ b/internal/controlplane/show.go
@@ -47,7 +47,7 @@
 	Reason  string             `json:"why,omitempty"`
 }
 
-func (m *Server) jobDoc(j *state.Job, full bool) JobDoc {
+func (s *Server) jobDoc(j *state.Job, full bool) JobDoc {
 	d := JobDoc{Job: j.Key, State: j.State(), Pending: j.Spec.Row, Urgency: j.Spec.Urgency, Accepted: state.FormatTime(j.AcceptedAt), Reason: j.Failure}
 	if j.StartAt > 0 {
 		d.NotBefore = state.FormatTime(j.StartAt)
@@ -59,55 +59,55 @@
 		return d
 	}
 	for i, tasks := range j.Steps {
-		s := StepDoc{Name: j.Spec.Steps[i].Name, Tasks: []TaskDoc{}}
+		stepDoc := StepDoc{Name: j.Spec.Steps[i].Name, Tasks: []TaskDoc{}}
 		if len(j.WaitingTasks(i)) > 0 {
-			s.Reason = m.why(j, i)
+			stepDoc.Reason = s.waitReason(j, i)
 		}
 		for _, t := range tasks {
 			one := TaskDoc{State: string(t.State), Runner: t.LastRunner, Defects: t.Defects, Reason: t.Reason}
-			if g := m.state.Leases[t.Lease]; g != nil && t.State == state.Placed {
+			if g := s.state.Leases[t.Lease]; g != nil && t.State == state.Placed {
 				one.Lease = g.ID
 				one.Reason = g.RevokeReason
 				switch {
 				case g.RevokeReason != "":
 					one.State = "stopping"
-				case m.lead.sure[g.ID]:
+				case s.leader.confirmed[g.ID]:
 					one.State = "running"
 				}
 			}
-			s.Tasks = append(s.Tasks, one)
+			stepDoc.Tasks = append(stepDoc.Tasks, one)
 		}
-		d.Steps = append(d.Steps, s)
+		d.Steps = append(d.Steps, stepDoc)
 	}
 	return d
 }
 
-// why says what the step's waiting tasks wait for.
-func (m *Server) why(j *state.Job, step int) string {
+// waitReason says what the step's waiting tasks wait for.
+func (s *Server) waitReason(j *state.Job, step int) string {
 	switch {
-	case j.StartAt > m.lead.clock.site(m.now):
+	case j.StartAt > s.leader.clock.timeAt(s.now):
 		return "not before " + state.FormatTime(j.StartAt)
 	case !j.DependenciesMet(step):
 		return fmt.Sprintf("after %v", j.Spec.Steps[step].After)
 	case !j.Ready(step):
 		return "gang waits for its members to be free"
 	}
-	if text := m.reason[j.Key][step]; text != "" {
+	if text := s.waitReasons[j.Key][step]; text != "" {
 		return text
 	}
 	return "behind other work of row " + string(j.Spec.Row)
 }
 
-func (m *Server) showJob(c *call, key identifier.JobKey) {
-	if j := m.state.Jobs[key]; j != nil {
-		m.replyDoc(c.peer, c.ID, 200, m.jobDoc(j, true))
+func (s *Server) replyJob(c *apiRequest, key identifier.JobKey) {
+	if j := s.state.Jobs[key]; j != nil {
+		s.replyJSON(c.peer, c.ID, 200, s.jobDoc(j, true))
 		return
 	}
-	if at, end, ok := m.state.RememberedJob(key); ok {
-		m.replyDoc(c.peer, c.ID, 200, JobDoc{Job: key, State: string(end), Accepted: state.FormatTime(at), Reason: "details no longer kept"})
+	if at, end, ok := s.state.RememberedJob(key); ok {
+		s.replyJSON(c.peer, c.ID, 200, JobDoc{Job: key, State: string(end), Accepted: state.FormatTime(at), Reason: "details no longer kept"})
 		return
 	}
-	m.refuse(c.peer, c.ID, 404, "no-job", "no such job", 0)
+	s.replyError(c.peer, c.ID, 404, "no-job", "no such job", 0)
 }
 
 // StateDoc is a job's standing in one word.
@@ -115,49 +115,49 @@
 	State string `json:"state"`
 }
 
-func (m *Server) showState(c *call, key identifier.JobKey) {
-	if j := m.state.Jobs[key]; j != nil {
-		m.replyDoc(c.peer, c.ID, 200, StateDoc{j.State()})
+func (s *Server) replyJobState(c *apiRequest, key identifier.JobKey) {
+	if j := s.state.Jobs[key]; j != nil {
+		s.replyJSON(c.peer, c.ID, 200, StateDoc{j.State()})
 		return
 	}
-	if _, end, ok := m.state.RememberedJob(key); ok {
-		m.replyDoc(c.peer, c.ID, 200, StateDoc{string(end)})
+	if _, end, ok := s.state.RememberedJob(key); ok {
+		s.replyJSON(c.peer, c.ID, 200, StateDoc{string(end)})
 		return
 	}
-	m.refuse(c.peer, c.ID, 404, "no-job", "no such job", 0)
+	s.replyError(c.peer, c.ID, 404, "no-job", "no such job", 0)
 }
 
-func (m *Server) showQueue(c *call, name string) {
-	if m.state.Catalog == nil || m.state.Catalog.Queue(name) == nil {
-		m.refuse(c.peer, c.ID, 404, "no-queue", "no such queue", 0)
+func (s *Server) replyQueue(c *apiRequest, name string) {
+	if s.state.Catalog == nil || s.state.Catalog.Queue(name) == nil {
+		s.replyError(c.peer, c.ID, 404, "no-queue", "no such queue", 0)
 		return
 	}
-	m.replyDoc(c.peer, c.ID, 200, map[string]any{"queue": name, "waiting": m.state.QueuedJobs(name)})
+	s.replyJSON(c.peer, c.ID, 200, map[string]any{"queue": name, "waiting": s.state.QueuedJobs(name)})
 }
 
-func (m *Server) showCatalog(c *call) {
-	if m.state.Catalog == nil {
-		m.refuse(c.peer, c.ID, 404, "no-catalog", "there is no catalogue yet", 0)
+func (s *Server) replyCatalog(c *apiRequest) {
+	if s.state.Catalog == nil {
+		s.replyError(c.peer, c.ID, 404, "no-catalog", "there is no catalogue yet", 0)
 		return
 	}
-	doc := m.state.Catalog.Published()
-	m.replyDoc(c.peer, c.ID, 200, &doc)
+	doc := s.state.Catalog.Published()
+	s.replyJSON(c.peer, c.ID, 200, &doc)
 }
 
 const (
-	pageUsual = 100
-	pageMost  = 1000
-	pageLook  = 20000
+	defaultPageSize = 100
+	maxPageSize     = 1000
+	maxPageScan     = 20000
 )
 
-func (m *Server) listJobs(c *call) {
+func (s *Server) replyJobList(c *apiRequest) {
 	q, err := url.ParseQuery(c.Query)
-	limit := pageUsual
+	limit := defaultPageSize
 	if text := q.Get("limit"); text != "" && err == nil {
 		limit, err = strconv.Atoi(text)
 	}
-	if err != nil || limit < 1 || limit > pageMost {
-		m.refuse(c.peer, c.ID, 400, "bad-request", "limit wants a number from 1 to 1000", 0)
+	if err != nil || limit < 1 || limit > maxPageSize {
+		s.replyError(c.peer, c.ID, 400, "bad-request", "limit wants a number from 1 to 1000", 0)
 		return
 	}
 	out := struct {
@@ -165,22 +165,22 @@
 		Next string   `json:"next,omitempty"`
 	}{Jobs: []JobDoc{}}
 	looked := 0
-	m.state.JobsAfter(identifier.JobKey(q.Get("after")), func(j *state.Job) bool {
+	s.state.JobsAfter(identifier.JobKey(q.Get("after")), func(j *state.Job) bool {
 		agent, _ := j.Key.Split()
 		looked++
-		if match(q, "agent", string(agent)) && match(q, "pending", string(j.Spec.Row)) && match(q, "state", j.State()) {
-			out.Jobs = append(out.Jobs, m.jobDoc(j, false))
+		if matchesFilter(q, "agent", string(agent)) && matchesFilter(q, "pending", string(j.Spec.Row)) && matchesFilter(q, "state", j.State()) {
+			out.Jobs = append(out.Jobs, s.jobDoc(j, false))
 		}
-		if len(out.Jobs) >= limit || looked >= pageLook {
+		if len(out.Jobs) >= limit || looked >= maxPageScan {
 			out.Next = string(j.Key)
 			return false
 		}
 		return true
 	})
-	m.replyDoc(c.peer, c.ID, 200, out)
+	s.replyJSON(c.peer, c.ID, 200, out)
 }
 
-func match(q url.Values, key, have string) bool {
+func matchesFilter(q url.Values, key, have string) bool {
 	want := q.Get(key)
 	return want == "" || want == have
 }
@@ -205,32 +205,32 @@
 	Defects    int64              `json:"defects"`
 }
 
-func (m *Server) showRunners() map[string]any {
+func (s *Server) runnerDocs() map[string]any {
 	list := []RunnerDoc{}
-	for _, n := range m.state.RunnerNames() {
-		r := m.state.Runners[n]
+	for _, n := range s.state.RunnerNames() {
+		r := s.state.Runners[n]
 		d := RunnerDoc{Runner: n, Domain: r.Domain, Rack: r.Rack, Labels: r.Labels, Cores: r.Capacity.Cores, Mem: r.Capacity.Mem, Used: r.Used(),
 			Tasks: r.OpenLeases(), Mode: "active", Gone: r.Gone, CordonedBy: r.CordonedBy(), Successes: r.Successes, Defects: r.Defects}
 		if r.Draining {
 			d.Mode = "draining"
 		}
-		if c := m.lead.runners[n]; c != nil {
-			d.SilentFor = m.now.Since(c.heard)
+		if c := s.leader.runners[n]; c != nil {
+			d.SilentFor = s.now.Since(c.lastHeard)
 		}
 		list = append(list, d)
 	}
 	return map[string]any{"runners": list}
 }
 
-func (m *Server) showClosings() map[string]any {
+func (s *Server) drainDocs() map[string]any {
 	list := []any{}
-	for _, id := range m.state.DrainIDs() {
-		list = append(list, m.closingDoc(m.state.Drains[id]))
+	for _, id := range s.state.DrainIDs() {
+		list = append(list, s.drainDoc(s.state.Drains[id]))
 	}
 	return map[string]any{"closings": list}
 }
 
-func (m *Server) closingDoc(c *state.Drain) map[string]any {
+func (s *Server) drainDoc(c *state.Drain) map[string]any {
 	var out map[string]any
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -240,18 +240,18 @@
 		panic(err)
 	}
 	fence := []identifier.Runner{}
-	for _, n := range m.state.RunnerNames() {
-		if c.Stage.Cordons() && m.state.Runners[n].CordonedBy() != "" && has(c.Scope, n) {
+	for _, n := range s.state.RunnerNames() {
+		if c.Stage.Cordons() && s.state.Runners[n].CordonedBy() != "" && containsRunner(c.Scope, n) {
 			fence = append(fence, n)
 		}
 	}
-	free, loose := m.state.OpenLeases(c)
+	free, loose := s.state.OpenLeases(c)
 	out["fence"], out["running"], out["stopping"] = fence, len(free), len(loose)
 	out["since"] = state.FormatTime(c.StartedAt)
 	return out
 }
 
-func has(list []identifier.Runner, n identifier.Runner) bool {
+func containsRunner(list []identifier.Runner, n identifier.Runner) bool {
 	for _, one := range list {
 		if one == n {
 			return true
@@ -260,20 +260,20 @@
 	return false
 }
 
-func (m *Server) showClosing(c *call, name string) {
-	found := m.state.Drains[name]
+func (s *Server) replyDrain(c *apiRequest, name string) {
+	found := s.state.Drains[name]
 	if found == nil {
-		for _, id := range m.state.DrainIDs() {
-			if one := m.state.Drains[id]; one.Kind == state.KindDomain && string(one.Domain) == name {
+		for _, id := range s.state.DrainIDs() {
+			if one := s.state.Drains[id]; one.Kind == state.KindDomain && string(one.Domain) == name {
 				found = one
 			}
 		}
 	}
 	if found == nil {
-		m.refuse(c.peer, c.ID, 404, "no-closing", "no such closing", 0)
+		s.replyError(c.peer, c.ID, 404, "no-closing", "no such closing", 0)
 		return
 	}
-	m.replyDoc(c.peer, c.ID, 200, m.closingDoc(found))
+	s.replyJSON(c.peer, c.ID, 200, s.drainDoc(found))
 }
 
 // ServerDoc is a member as the leader sees it.
@@ -288,13 +288,13 @@
 	Level     uint16           `json:"level"`
 }
 
-func (m *Server) showKeepers() map[string]any {
+func (s *Server) serverDocs() map[string]any {
 	list := []ServerDoc{}
-	self, _ := m.raft.Member(m.config.ID)
-	list = append(list, ServerDoc{Member: self, Name: self.ID.String(), Lead: true, Match: m.raft.LastIndex(), Level: m.config.Level})
-	for _, s := range m.raft.MemberStatuses() {
-		list = append(list, ServerDoc{Member: s.Member, Name: s.ID.String(), Match: s.Match, SilentFor: s.SilentFor, Level: s.Level})
+	self, _ := s.raft.Member(s.config.ID)
+	list = append(list, ServerDoc{Member: self, Name: self.ID.String(), Lead: true, Match: s.raft.LastIndex(), Level: s.config.Level})
+	for _, status := range s.raft.MemberStatuses() {
+		list = append(list, ServerDoc{Member: status.Member, Name: status.ID.String(), Match: status.Match, SilentFor: status.SilentFor, Level: status.Level})
 	}
-	return map[string]any{"keepers": list, "term": m.term, "commit": m.raft.CommitIndex(), "view": m.raft.SnapshotIndex(),
-		"gates": m.liveGates(), "siteTime": state.FormatTime(m.lead.clock.site(m.now)), "level": m.state.Level, "policies": m.showPolicies(), "clocksAgree": m.lead.clock.agreed}
+	return map[string]any{"keepers": list, "term": s.term, "commit": s.raft.CommitIndex(), "view": s.raft.SnapshotIndex(),
+		"gates": s.liveGateways(), "siteTime": state.FormatTime(s.leader.clock.timeAt(s.now)), "level": s.state.Level, "policies": s.policyDocs(), "clocksAgree": s.leader.clock.clocksAgree}
 }
--- a/internal/controlplane/sync.go
+++ b/internal/controlplane/sync.go
@@ -24,9 +24,9 @@
 	SyncAfterParam   = "after"
 )
 
-// stalePageMost bounds the page that goes with the reply to a stale request, in
+// maxStalePageBytes bounds the page that goes with the reply to a stale request, in
 // bytes. More is fetched by the gateway, once for all its requests.
-const stalePageMost = 4 << 10
+const maxStalePageBytes = 4 << 10
 
 // SyncResponse is what a gateway hears from the leader: a page of what changed in the
 // routing table, the members, and the other gateways. Table is the whole, for
@@ -57,75 +57,75 @@
 	Routes  []catalog.Route `json:"places,omitempty"`
 }
 
-func (m *Server) sheetNow() *RoutingTable {
-	t := m.routingTable()
+func (s *Server) fullRoutingTable() *RoutingTable {
+	t := s.routingTable()
 	return &RoutingTable{Epoch: t.Epoch, Rows: t.Rows, Version: t.Version, Routes: t.Routes}
 }
 
 // routingTable is the table in force, as gateways need it.
-func (m *Server) routingTable() routing.Table {
-	t := routing.Table{Epoch: m.state.Limits.Epoch, Rows: m.state.Limits.Rows}
-	if c := m.state.Catalog; c != nil {
+func (s *Server) routingTable() routing.Table {
+	t := routing.Table{Epoch: s.state.Limits.Epoch, Rows: s.state.Limits.Rows}
+	if c := s.state.Catalog; c != nil {
 		t.Version, t.Routes = c.Version, c.Routes()
 	}
 	return t
 }
 
-// routed is the state that the routing history was last told of.
-type routed struct {
+// routingState is the state that the routing history was last told of.
+type routingState struct {
 	history *routing.History
 	catalog *catalog.Catalog
 }
 
 // trackRouting tells the history what the last entry changed.
-func (m *Server) trackRouting() {
-	r := &m.routed
+func (s *Server) trackRouting() {
+	r := &s.routingState
 	switch {
-	case r.history == nil || m.state.Limits.Epoch < r.history.Epoch():
-		r.history = routing.NewHistory(m.routingTable())
-	case m.state.Limits.Epoch == r.history.Epoch():
+	case r.history == nil || s.state.Limits.Epoch < r.history.Epoch():
+		r.history = routing.NewHistory(s.routingTable())
+	case s.state.Limits.Epoch == r.history.Epoch():
 		return
-	case m.state.Catalog != r.catalog:
-		r.history.RoutesChanged(m.routingTable())
+	case s.state.Catalog != r.catalog:
+		r.history.RoutesChanged(s.routingTable())
 	default:
-		r.history.RowsChanged(m.routingTable())
+		r.history.RowsChanged(s.routingTable())
 	}
-	r.catalog = m.state.Catalog
+	r.catalog = s.state.Catalog
 }
 
 // forgetRouting begins the history anew, as the state was replaced.
-func (m *Server) forgetRouting() { m.routed = routed{} }
+func (s *Server) forgetRouting() { s.routingState = routingState{} }
 
-func (m *Server) sync(c *call) {
+func (s *Server) handleSync(c *apiRequest) {
 	q, err := url.ParseQuery(c.Query)
 	if err != nil {
-		m.refuse(c.peer, c.ID, 400, "bad-request", "query does not parse", 0)
+		s.replyError(c.peer, c.ID, 400, "bad-request", "query does not parse", 0)
 		return
 	}
-	m.gateSeen(q.Get(SyncGatewayParam))
-	s := SyncResponse{Epoch: m.state.Limits.Epoch, Lead: m.config.ID.String(), Members: m.raft.Members(), Gateways: m.liveGates()}
+	s.gatewaySeen(q.Get(SyncGatewayParam))
+	response := SyncResponse{Epoch: s.state.Limits.Epoch, Lead: s.config.ID.String(), Members: s.raft.Members(), Gateways: s.liveGateways()}
 	since, err := strconv.ParseUint(q.Get(SyncSinceParam), 10, 64)
 	switch {
-	case err != nil && c.Epoch != s.Epoch:
-		s.Table = m.sheetNow()
-	case err == nil && (identifier.Epoch(since) != s.Epoch || q.Get(SyncAfterParam) != ""):
-		page := m.page(identifier.Epoch(since), q.Get(SyncAfterParam))
-		s.Page = &page
+	case err != nil && c.Epoch != response.Epoch:
+		response.Table = s.fullRoutingTable()
+	case err == nil && (identifier.Epoch(since) != response.Epoch || q.Get(SyncAfterParam) != ""):
+		page := s.routingPage(identifier.Epoch(since), q.Get(SyncAfterParam))
+		response.Page = &page
 	}
-	m.replyDoc(c.peer, c.ID, 200, s)
+	s.replyJSON(c.peer, c.ID, 200, response)
 }
 
-func (m *Server) page(since identifier.Epoch, after string) routing.Page {
-	m.trackRouting()
-	return m.routed.history.Page(since, after)
+func (s *Server) routingPage(since identifier.Epoch, after string) routing.Page {
+	s.trackRouting()
+	return s.routingState.history.Page(since, after)
 }
 
 // staleBody is what goes with the reply to a request checked by an older table.
 // Gateways that date their requests know pages.
-func (m *Server) staleBody(a *wire.Request) []byte {
-	var body any = m.sheetNow()
+func (s *Server) staleBody(a *wire.Request) []byte {
+	var body any = s.fullRoutingTable()
 	if a.HasLeaderTime {
-		page := m.page(a.Epoch, "")
+		page := s.routingPage(a.Epoch, "")
 		if page.NextAfter != "" || page.Since != a.Epoch {
 			return nil
 		}
@@ -137,7 +137,7 @@
 	if err != nil {
 		panic(err)
 	}
-	if a.HasLeaderTime && len(text) > stalePageMost {
+	if a.HasLeaderTime && len(text) > maxStalePageBytes {
 		return nil
 	}
 	return text
