--- /dev/null
+++ b/internal/api/endpoint/endpoint.go
@@ -0,0 +1,190 @@
+package endpoint
+
+import (
+	"net/http"
+	"strings"
+
+	"orchidward/internal/api/identifier"
+)
+
+// Kind says what a request is for.
+type Kind int
+
+const (
+	// Unknown is a path that the API does not have.
+	Unknown Kind = iota
+	// ListJobs reads a page of jobs.
+	ListJobs
+	// GetJob reads one job with its tasks.
+	GetJob
+	// SubmitJob accepts a job under the id that its client chose.
+	SubmitJob
+	// CancelJob ends a job.
+	CancelJob
+	// GetJobState reads a job's state in one word.
+	GetJobState
+	// GetQueue counts the unfinished jobs of a queue.
+	GetQueue
+	// GetCatalog reads the catalogue of queues and pools.
+	GetCatalog
+	// ReplaceCatalog replaces the whole catalogue.
+	ReplaceCatalog
+	// PatchCatalog changes items of the catalogue.
+	PatchCatalog
+	// GetLimits reads the limits table.
+	GetLimits
+	// ReplaceLimits replaces the whole limits table.
+	ReplaceLimits
+	// PatchLimits changes cells of the limits table.
+	PatchLimits
+	// ListRunners lists the runners.
+	ListRunners
+	// PollRunner is the poll by which a runner reports and is given orders.
+	PollRunner
+	// GetFencingToken reads the fencing token of the leader.
+	GetFencingToken
+	// ListDrains lists the drains of zones and racks.
+	ListDrains
+	// GetDrain reads one drain, by its id or its zone.
+	GetDrain
+	// StartDrain drains a zone.
+	StartDrain
+	// EndDrain puts a drained zone back into use.
+	EndDrain
+	// ListServers lists the control-plane servers.
+	ListServers
+	// JoinGroup is a server's request to be taken into the consensus group. Only
+	// servers send it, by MethodJoin.
+	JoinGroup
+	// SyncGateway is a gateway's request for what changed in the routing table.
+	// Only gateways send it, by MethodSync.
+	SyncGateway
+)
+
+// Methods of requests among the processes of a cluster. They do not come by HTTP.
+const (
+	MethodJoin = "JOIN"
+	MethodSync = "SYNC"
+)
+
+// Endpoint is what a request is for. Client and JobID are set for endpoints of one
+// job, Name for those of one queue, runner or drain; they are as they stood in the
+// path and have not been checked.
+type Endpoint struct {
+	Kind   Kind
+	Client identifier.Client
+	JobID  identifier.JobID
+	Name   string
+}
+
+// JobKey is the key of the job that the endpoint is for.
+func (e Endpoint) JobKey() identifier.JobKey { return identifier.NewJobKey(e.Client, e.JobID) }
+
+// Parse finds the endpoint of a method and a path. The error is ErrNoSuchPath,
+// ErrNoSuchEndpoint or a *MethodError.
+func Parse(method, path string) (Endpoint, error) {
+	switch method {
+	case MethodJoin:
+		return Endpoint{Kind: JoinGroup}, nil
+	case MethodSync:
+		return Endpoint{Kind: SyncGateway}, nil
+	}
+	parts := strings.Split(strings.Trim(path, "/"), "/")
+	if len(parts) < 2 || parts[0] != version {
+		return Endpoint{}, ErrNoSuchPath
+	}
+	collection := parts[1]
+	rest := parts[2:]
+	switch {
+	case len(rest) == 0:
+		return parseCollection(method, collection)
+	case len(rest) == 1:
+		return parseItem(method, collection, rest[0])
+	case len(rest) == 2 && collection == runnersCollection && rest[1] == pollAction && method == http.MethodPost:
+		return Endpoint{Kind: PollRunner, Name: rest[0]}, nil
+	case len(rest) == 2:
+		return parseJob(method, collection, identifier.Client(rest[0]), identifier.JobID(rest[1]))
+	}
+	return Endpoint{}, ErrNoSuchEndpoint
+}
+
+// parseCollection parses paths such as /v1/jobs.
+func parseCollection(method, collection string) (Endpoint, error) {
+	switch collection {
+	case catalogCollection:
+		return parseDocument(method, GetCatalog, ReplaceCatalog, PatchCatalog)
+	case limitsCollection:
+		return parseDocument(method, GetLimits, ReplaceLimits, PatchLimits)
+	}
+	if kind, ok := collectionKinds[collection]; ok && method == http.MethodGet {
+		return Endpoint{Kind: kind}, nil
+	}
+	return Endpoint{}, ErrNoSuchEndpoint
+}
+
+// collectionKinds are the collections that can only be read.
+var collectionKinds = map[string]Kind{
+	jobsCollection:    ListJobs,
+	runnersCollection: ListRunners,
+	drainsCollection:  ListDrains,
+	serversCollection: ListServers,
+	fenceCollection:   GetFencingToken,
+}
+
+// parseDocument parses the methods of a document that is read and changed as one.
+func parseDocument(method string, get, replace, patch Kind) (Endpoint, error) {
+	switch method {
+	case http.MethodGet:
+		return Endpoint{Kind: get}, nil
+	case http.MethodPut:
+		return Endpoint{Kind: replace}, nil
+	case http.MethodPatch:
+		return Endpoint{Kind: patch}, nil
+	}
+	return Endpoint{}, &MethodError{Allowed: "GET, PUT or PATCH"}
+}
+
+// parseItem parses paths such as /v1/queues/NAME.
+func parseItem(method, collection, name string) (Endpoint, error) {
+	switch collection {
+	case queuesCollection:
+		if method == http.MethodGet {
+			return Endpoint{Kind: GetQueue, Name: name}, nil
+		}
+	case drainsCollection:
+		return parseDrain(method, name)
+	}
+	return Endpoint{}, ErrNoSuchEndpoint
+}
+
+func parseDrain(method, name string) (Endpoint, error) {
+	switch method {
+	case http.MethodGet:
+		return Endpoint{Kind: GetDrain, Name: name}, nil
+	case http.MethodPut:
+		return Endpoint{Kind: StartDrain, Name: name}, nil
+	case http.MethodDelete:
+		return Endpoint{Kind: EndDrain, Name: name}, nil
+	}
+	return Endpoint{}, &MethodError{Allowed: "GET, PUT or DELETE"}
+}
+
+// parseJob parses paths such as /v1/jobs/CLIENT/ID.
+func parseJob(method, collection string, client identifier.Client, id identifier.JobID) (Endpoint, error) {
+	found := Endpoint{Client: client, JobID: id}
+	switch {
+	case collection == statesCollection && method == http.MethodGet:
+		found.Kind = GetJobState
+	case collection != jobsCollection:
+		return Endpoint{}, ErrNoSuchEndpoint
+	case method == http.MethodGet:
+		found.Kind = GetJob
+	case method == http.MethodPut:
+		found.Kind = SubmitJob
+	case method == http.MethodDelete:
+		found.Kind = CancelJob
+	default:
+		return Endpoint{}, &MethodError{Allowed: "PUT, GET or DELETE"}
+	}
+	return found, nil
+}
