--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -1,21 +1,107 @@
-// What agreement decided is applied to the state, and answered to whoever
-// proposed it.
-
 package controlplane
 
 import (
 	"fmt"
-	"sort"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/state"
 	"orchidward/internal/transport/wire"
 )
 
+const (
+	// A snapshot is also taken when the write-ahead log is snapshotLogPercent full and
+	// minSnapshotEntries entries have come since the last one.
+	snapshotLogPercent = 50
+	minSnapshotEntries = 256
+)
+
+// process carries out what the consensus decided, until nothing more comes of it.
+func (s *Server) process() {
+	if s.raft == nil {
+		return
+	}
+	for more := true; more && !s.halted; {
+		if s.leader != nil {
+			s.actAsLeader()
+		}
+		s.raft.Flush()
+		s.clusterTime.recordArrivals(s.raft, s.now)
+		more = s.processRaftOutput(s.raft.TakeOutput())
+	}
+}
+
+// processRaftOutput hands on what the consensus sends and writes, and applies what it
+// committed. It tells whether a leader may have more to do because of it.
+func (s *Server) processRaftOutput(out raft.Output) (more bool) {
+	if out.InstalledSnapshot != nil && !s.installSnapshot(out.InstalledSnapshot) {
+		return false
+	}
+	for _, msg := range out.Messages {
+		s.sendRaft(&msg)
+	}
+	if out.Write != nil {
+		s.output.Writes = append(s.output.Writes, out.Write)
+	}
+	if out.LocalSnapshot != nil {
+		s.output.Snapshot = out.LocalSnapshot
+	}
+	for _, entry := range out.Committed {
+		s.applyEntry(entry)
+		if s.halted {
+			return false
+		}
+	}
+	if len(out.Committed) > 0 {
+		s.maybeSnapshot()
+	}
+	s.updateLeadership()
+	return len(out.Committed) > 0 && s.leader != nil
+}
+
+// sendRaft sends a message of the consensus to a member, or to a leader that is not
+// among the members known here.
+func (s *Server) sendRaft(msg *raft.Message) {
+	member, ok := s.raft.Member(msg.To)
+	switch {
+	case ok:
+		s.send(wire.Peer(member.Addr), wire.Message{Raft: msg})
+	case msg.To == s.leaderLink.hint.id:
+		s.send(s.leaderLink.hint.peer, wire.Message{Raft: msg})
+	}
+}
+
+// installSnapshot replaces the state by the leader's. It is not ok when this program is
+// too old for it.
+func (s *Server) installSnapshot(snapshot *raft.Snapshot) (ok bool) {
+	installed, err := state.Decode(snapshot.Data)
+	if err != nil {
+		panic(fmt.Sprintf("controlplane: the leader's snapshot does not decode: %v", err))
+	}
+	if installed.Level > s.config.Level {
+		s.halt(reasonLevelAbove, "level", installed.Level)
+		return false
+	}
+	s.state = installed
+	s.appliedIndex = snapshot.Index
+	s.bytesSinceSnapshot = 0
+	s.forgetRouting()
+	s.logEvent("snapshot-installed", "index", snapshot.Index)
+	return true
+}
+
+// Reasons for which a server halts.
+const (
+	reasonUnknownEntry = "an entry that this program does not know"
+	reasonLevelAbove   = "the group's level is above this program's"
+)
+
+// applyEntry applies a committed entry to the state, and answers the request that it was
+// proposed for.
 func (s *Server) applyEntry(e raft.Entry) {
 	s.appliedIndex = e.Index
-	at := s.takeArrival(e.Index)
+	arrivedAt := s.clusterTime.takeArrival(e.Index, s.now)
 	s.bytesSinceSnapshot += int64(len(e.Data))
 	if e.Kind != raft.EntryCommand {
 		if e.Kind == raft.EntryConfig {
@@ -23,116 +109,86 @@
 		}
 		return
 	}
-	c, err := state.DecodeCommand(e.Data)
-	if err != nil {
-		s.stepDown("an entry that this program does not know", "index", e.Index, "error", err)
-		return
-	}
-	if c.RaiseLevel != nil && c.RaiseLevel.Level > s.config.Level {
-		s.stepDown("the group's level is above this program's", "level", c.RaiseLevel.Level)
-		return
-	}
-	if c.VerifyChecksum != nil && s.checksumDiffers(c.VerifyChecksum) {
+	command, ok := s.decodeCommand(e)
+	if !ok {
 		return
 	}
-	first := s.state.NextLease
-	res := s.state.Apply(c)
-	if e.Term != s.clusterTimeTerm || s.state.Now > s.clusterTime.timeAt(s.now) {
-		s.clusterTime, s.clusterTimeTerm = newClusterClock(s.state.Now, at), e.Term
-	}
+	firstLease := s.state.NextLease
+	result := s.state.Apply(command)
+	s.clusterTime.entryApplied(s.state.Now, e.Term, arrivedAt, s.now)
 	s.trackRouting()
 	s.checksums.put(e.Index, s.state.Checksum)
-	s.logCommand(c, res)
-	s.state.TakeChangedRunners(func(n identifier.Runner) {
-		if s.leader != nil {
-			s.leader.changedRunners[n] = true
+	s.logCommand(command, result)
+	s.noteChanges(firstLease)
+	s.answerProposal(e, result)
+}
+
+// decodeCommand reads the command of an entry. It is not ok when this server must not
+// apply it: the server is halted then.
+func (s *Server) decodeCommand(e raft.Entry) (command *state.Command, ok bool) {
+	command, err := state.DecodeCommand(e.Data)
+	switch {
+	case err != nil:
+		s.halt(reasonUnknownEntry, "index", e.Index, "error", err)
+		return nil, false
+	case command.RaiseLevel != nil && command.RaiseLevel.Level > s.config.Level:
+		s.halt(reasonLevelAbove, "level", command.RaiseLevel.Level)
+		return nil, false
+	case command.VerifyChecksum != nil && s.checksumDiffers(command.VerifyChecksum):
+		return nil, false
+	}
+	return command, true
+}
+
+// noteChanges tells the leader's periodic work what an applied command changed. Leases
+// from firstLease on are new.
+func (s *Server) noteChanges(firstLease identifier.LeaseID) {
+	l := s.leader
+	s.state.TakeChangedRunners(func(name identifier.Runner) {
+		if l != nil {
+			l.changedRunners[name] = true
 		}
 	})
-	if s.leader != nil {
-		s.leader.needsScheduling = true
-		for id := first; id < s.state.NextLease; id++ {
-			s.leader.unconfirmedSince[id] = s.now
-		}
-	}
-	w, ok := s.proposals[e.Index]
-	if !ok {
+	if l == nil {
 		return
 	}
-	s.dropProposal(e.Index)
-	if w.term != e.Term {
-		s.replyOutcomeUnknown(w)
-		return
+	l.cycle.needed = true
+	for id := firstLease; id < s.state.NextLease; id++ {
+		l.leases.opened(id, s.now)
 	}
-	s.replyResult(w.peer, w.id, res)
-}
-
-// waiting lists the proposals under way in the order they were made.
-func (s *Server) proposalIndexes() []identifier.Index {
-	var list []identifier.Index
-	for i := range s.proposals {
-		list = append(list, i)
-	}
-	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
-	return list
 }
 
-func (s *Server) dropProposal(i identifier.Index) {
-	if s.proposals[i].configChange {
-		s.configChanges--
+// answerProposal answers the request that an entry was proposed for. An entry of another
+// term has replaced the one that was proposed here.
+func (s *Server) answerProposal(e raft.Entry, result state.Result) {
+	p, ok := s.proposals.take(e.Index)
+	switch {
+	case !ok:
+	case p.term != e.Term:
+		s.replyOutcomeUnknown(p)
+	default:
+		s.replyResult(p.peer, p.id, result)
 	}
-	s.proposalBytes -= s.proposals[i].size
-	delete(s.proposals, i)
 }
 
-// maybeSnapshot bounds the ring: by entries, by bytes, and by how full the disk says
-// the ring has become.
+// maybeSnapshot takes a snapshot when there is reason to: it bounds the log by entries, by
+// bytes, and by how full the disk says the log has become.
 func (s *Server) maybeSnapshot() {
-	n := s.appliedIndex - s.raft.SnapshotIndex()
-	if n < snapshotEntries && s.bytesSinceSnapshot < snapshotBytes && (s.LogPercentUsed() < 50 || n < 256) {
+	entries := s.appliedIndex - s.raft.SnapshotIndex()
+	logFull := entries >= minSnapshotEntries && s.LogPercentUsed() >= snapshotLogPercent
+	if entries < snapshotEntries && s.bytesSinceSnapshot < snapshotBytes && !logFull {
 		return
 	}
 	s.bytesSinceSnapshot = 0
 	s.raft.Compact(s.appliedIndex, s.state.Encode())
-	s.logEvent("view", "index", s.appliedIndex)
+	s.logEvent("snapshot", "index", s.appliedIndex)
 }
 
-func (s *Server) processRaftOutput(out raft.Output) bool {
-	if out.InstalledSnapshot != nil {
-		b, err := state.Decode(out.InstalledSnapshot.Data)
-		if err != nil {
-			panic(fmt.Sprintf("keeper: view from the leader does not decode: %v", err))
-		}
-		if b.Level > s.config.Level {
-			s.stepDown("the group's level is above this program's", "level", b.Level)
-			return false
-		}
-		s.state, s.appliedIndex, s.bytesSinceSnapshot = b, out.InstalledSnapshot.Index, 0
-		s.forgetRouting()
-		s.logEvent("view-loaded", "index", out.InstalledSnapshot.Index)
-	}
-	for _, msg := range out.Messages {
-		mem, ok := s.raft.Member(msg.To)
-		switch {
-		case ok:
-			s.send(wire.Peer(mem.Addr), wire.Message{Raft: &msg})
-		case msg.To == s.leaderHint.id:
-			s.send(s.leaderHint.peer, wire.Message{Raft: &msg})
-		}
-	}
-	if out.Write != nil {
-		s.out.Writes = append(s.out.Writes, out.Write)
-	}
-	if out.LocalSnapshot != nil {
-		s.out.Snapshot = out.LocalSnapshot
+// advanceClocks takes the time of an input.
+func (s *Server) advanceClocks(now clock.Monotonic, wall clock.WallTime) {
+	s.now = max(s.now, now)
+	s.wall = wall
+	if s.raft != nil && s.clusterTime.clock.base > 0 {
+		s.raft.CarryClusterTime(s.clusterTime.clock.timeAt(s.now), s.clusterTime.term)
 	}
-	for _, e := range out.Committed {
-		if s.applyEntry(e); s.stopped {
-			return false
-		}
-	}
-	if len(out.Committed) > 0 {
-		s.maybeSnapshot()
-	}
-	s.updateLeadership()
-	return len(out.Committed) > 0 && s.leader != nil
 }
--- a/internal/controlplane/command_events.go
+++ b/internal/controlplane/command_events.go
@@ -1,33 +1,40 @@
-// The events worth a line in a keeper's log, one line each.
-
 package controlplane
 
 import "orchidward/internal/state"
 
-func (s *Server) logCommand(c *state.Command, res state.Result) {
+// logCommand logs what an applied command did, one line each. Only the leader does so.
+func (s *Server) logCommand(c *state.Command, result state.Result) {
 	if s.leader == nil {
 		return
 	}
 	switch {
 	case c.SubmitJob != nil:
-		s.logEvent("job", "key", c.SubmitJob.Key, "status", res.Status)
+		s.logEvent("job-submitted", "key", c.SubmitJob.Key, "status", result.Status)
 	case c.CancelJob != nil:
-		s.logEvent("cancel", "key", c.CancelJob.Key, "status", res.Status)
+		s.logEvent("job-cancelled", "key", c.CancelJob.Key, "status", result.Status)
 	case c.ChangeLimits != nil:
-		s.logEvent("table", "status", res.Status, "epoch", s.state.Limits.Epoch)
+		s.logEvent("limits-changed", "status", result.Status, "epoch", s.state.Limits.Epoch)
 	case c.ChangeCatalog != nil:
-		s.logEvent("catalog", "status", res.Status, "base", c.ChangeCatalog.Base, "version", c.ChangeCatalog.Version, "why", res.Message)
+		s.logEvent("catalog-changed", "status", result.Status, "base", c.ChangeCatalog.Base, "version", c.ChangeCatalog.Version, "why", result.Message)
 	case c.StartDrain != nil:
-		s.logEvent("close", "domain", c.StartDrain.Domain, "status", res.Status)
+		s.logEvent("drain-started", "domain", c.StartDrain.Domain, "status", result.Status)
 	case c.EndDrain != nil:
-		s.logEvent("reopen", "name", c.EndDrain.Name, "status", res.Status)
+		s.logEvent("drain-ended", "name", c.EndDrain.Name, "status", result.Status)
 	case c.ReportRunner != nil:
-		s.logEvent("runner", "name", c.ReportRunner.Runner, "incarnation", c.ReportRunner.Incarnation, "draining", c.ReportRunner.Draining)
+		r := c.ReportRunner
+		s.logEvent("runner", "name", r.Runner, "incarnation", r.Incarnation, "draining", r.Draining)
 	case c.RevokeLeases != nil:
-		s.logEvent("recall", "grants", len(c.RevokeLeases.Leases), "why", c.RevokeLeases.Reason)
+		s.logEvent("leases-revoked", "leases", len(c.RevokeLeases.Leases), "why", c.RevokeLeases.Reason)
 	case c.AdvanceDrain != nil:
-		if x := s.state.Drains[c.AdvanceDrain.ID]; x != nil {
-			s.logEvent("closing", "id", x.ID, "from", c.AdvanceDrain.From, "stage", x.Stage, "fits", x.Fits, "displaced", len(x.Displaced), "verdict", x.Verdict)
-		}
+		s.logDrainStage(c.AdvanceDrain)
+	}
+}
+
+func (s *Server) logDrainStage(step *state.AdvanceDrain) {
+	drain := s.state.Drains[step.ID]
+	if drain == nil {
+		return
 	}
+	s.logEvent("drain-stage", "id", drain.ID, "from", step.From, "stage", drain.Stage, "fits", drain.Fits,
+		"displaced", len(drain.Displaced), "verdict", drain.Verdict)
 }
--- /dev/null
+++ b/internal/controlplane/drain_controller.go
@@ -0,0 +1,95 @@
+package controlplane
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/state"
+)
+
+// drainProgress is what a leader keeps of the drains under way. What each stage does is
+// decided in package state; the leader only says when a drain goes on.
+type drainProgress struct {
+	// proposals is the last entry proposed for each drain, by its id.
+	proposals map[string]identifier.Index
+	// stages is when each drain came to its stage, by this leader's clock.
+	stages map[string]stageEntry
+}
+
+// stageEntry notes when, by this leader's clock, a drain came to its stage.
+type stageEntry struct {
+	stage state.Stage
+	at    clock.Monotonic
+}
+
+func newDrainProgress() drainProgress {
+	return drainProgress{proposals: map[string]identifier.Index{}, stages: map[string]stageEntry{}}
+}
+
+// advanceDrains moves each drain on as far as the state allows.
+func (s *Server) advanceDrains() {
+	progress := &s.leader.drains
+	for _, id := range s.state.DrainIDs() {
+		drain := s.state.Drains[id]
+		if progress.proposals[id] > s.appliedIndex {
+			continue
+		}
+		if progress.stages[id].stage != drain.Stage {
+			progress.stages[id] = stageEntry{drain.Stage, s.now}
+		}
+		if drain.Stage == state.Open {
+			delete(progress.proposals, id)
+			continue
+		}
+		if step := s.nextDrainStep(drain, s.now.Since(progress.stages[id].at)); step != nil {
+			progress.proposals[id] = s.propose(&state.Command{AdvanceDrain: step})
+		}
+	}
+}
+
+// nextDrainStep is the command that moves a drain on from its stage, in which it has
+// been for so long, or nil where it must wait.
+func (s *Server) nextDrainStep(drain *state.Drain, inStage clock.Millis) *state.AdvanceDrain {
+	step := &state.AdvanceDrain{ID: drain.ID, From: drain.Stage}
+	running, stopping := s.state.OpenLeases(drain)
+	switch drain.Stage {
+	case state.Cordon:
+		if !s.stopsDue(drain, running) {
+			return nil
+		}
+	case state.Postdrain:
+		step.JudgeNow = inStage > s.stopTimeout(drain)
+		if len(stopping) > 0 && !step.JudgeNow && len(running) == 0 {
+			return nil
+		}
+	case state.Closed:
+		if len(running) == 0 && len(stopping) == drain.UnconfirmedStops {
+			return nil
+		}
+	}
+	return step
+}
+
+// stopsDue tells whether some lease in the drain's scope is to be revoked now, or the
+// time of every runner in it has come.
+func (s *Server) stopsDue(drain *state.Drain, running []*state.Lease) bool {
+	clusterTime := s.leader.clock.timeAt(s.now)
+	for _, lease := range running {
+		if s.state.StopDue(drain, lease.Runner, clusterTime) {
+			return true
+		}
+	}
+	for _, name := range drain.Scope {
+		if !s.state.StopDue(drain, name, clusterTime) {
+			return false
+		}
+	}
+	return true
+}
+
+// stopTimeout is how long the post-drain check waits for stops before it judges.
+func (s *Server) stopTimeout(drain *state.Drain) clock.Millis {
+	if drain.Kind == state.KindRack {
+		return s.state.Limits.SiteMillis("drainMs")
+	}
+	return s.state.Limits.SiteMillis("evacMs")
+}
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -1,11 +1,8 @@
-// A porter is a keeper on a machine without a disk. It holds no log, has no
-// vote and joins no group. It keeps in touch with one, tells whoever asks where
-// it is, and passes requests on to the leader.
-
 package controlplane
 
 import (
-	"sort"
+	"maps"
+	"slices"
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
@@ -13,153 +10,121 @@
 	"orchidward/internal/transport/wire"
 )
 
+const (
+	// leaderHintLife is how long a leader counts that nobody vouches for.
+	leaderHintLife clock.Millis = 2000
+	// selfVouchLife is how long what others say does not count against a leader's own
+	// word.
+	selfVouchLife = 3 * discoveryInterval
+)
+
+// forwarderNode is what a server on a machine without a disk knows. It holds no log,
+// has no vote and joins no group: it keeps in touch with a group, tells whoever asks
+// where the group is, and forwards requests to the leader.
 type forwarderNode struct {
 	nextPoll clock.Monotonic
 	members  []raft.Member
 	leaderID identifier.Node
-	// heard is when a keeper last said that lead leads, own when that one did.
-	vouchedAt, selfVouchedAt clock.Monotonic
-	// leaderlessGroupAt is when a keeper was heard that is in a group, but has no leader.
+	// vouchedAt is when a server last said that leaderID leads, and selfVouchedAt when
+	// that one itself did.
+	vouchedAt     clock.Monotonic
+	selfVouchedAt clock.Monotonic
+	// leaderlessGroupAt is when a server was heard that is in a group but knows of no
+	// leader.
 	leaderlessGroupAt clock.Monotonic
 }
 
-const (
-	// leaderHintLife is how long a porter goes by a leader nobody vouches for, and
-	// selfVouchLife how long others' word does not count against the leader's own.
-	leaderHintLife = 2000
-	selfVouchLife  = 3 * discoveryInterval
-)
+func (f *forwarderNode) knowsGroup() bool { return len(f.members) > 0 }
 
-func (p *forwarderNode) knowsGroup() bool { return len(p.members) > 0 }
-
-// currentLeader is the member that leads, by what the porter has heard lately.
-func (p *forwarderNode) leader(now clock.Monotonic) (mem raft.Member, ok bool) {
-	if p.leaderID == 0 || now.Since(p.vouchedAt) > leaderHintLife {
-		return mem, false
+// leader is the member that leads, by what was heard lately.
+func (f *forwarderNode) leader(now clock.Monotonic) (leader raft.Member, ok bool) {
+	if f.leaderID == 0 || now.Since(f.vouchedAt) > leaderHintLife {
+		return leader, false
 	}
-	for _, mem := range p.members {
-		if mem.ID == p.leaderID {
-			return mem, true
+	for _, member := range f.members {
+		if member.ID == f.leaderID {
+			return member, true
 		}
 	}
-	return mem, false
+	return leader, false
 }
 
-// pollForLeader asks the leader whether it still leads, or everybody who does.
-func (s *Server) pollForLeader() {
-	p := s.forwarder
-	if s.now < p.nextPoll {
-		return
-	}
-	p.nextPoll = s.now.Add(discoveryInterval)
-	if mem, ok := p.leader(s.now); ok && s.now.Since(p.selfVouchedAt) < selfVouchLife {
-		s.send(wire.Peer(mem.Addr), wire.Message{Announcement: s.announcement(true)})
-		return
-	}
-	for _, addr := range p.addresses(s.config.Seeds) {
-		if addr != s.config.Addr {
-			s.send(wire.Peer(addr), wire.Message{Announcement: s.announcement(true)})
-		}
+// describe puts what this server knows of the group into an announcement.
+func (f *forwarderNode) describe(a *wire.Announcement, now clock.Monotonic) {
+	a.Role = roleForwarder
+	a.Node = 0
+	a.Founded = f.knowsGroup()
+	a.Members = f.members
+	if leader, ok := f.leader(now); ok {
+		a.LeaderID = leader.ID
 	}
 }
 
-// unsure tells whether this porter can say neither where the group is nor that
+// undecided tells whether this server can say neither where the group is nor that
 // there is none: then it says nothing.
-func (p *forwarderNode) undecided(now clock.Monotonic) bool {
-	return !p.knowsGroup() && p.leaderlessGroupAt != 0 && now.Since(p.leaderlessGroupAt) < quietBeforeFounding
+func (f *forwarderNode) undecided(now clock.Monotonic) bool {
+	return !f.knowsGroup() && f.leaderlessGroupAt != 0 && now.Since(f.leaderlessGroupAt) < quietBeforeFounding
 }
 
-// known are the addresses of seeds and members, each once.
-func (p *forwarderNode) addresses(seeds []string) []string {
-	var list []string
-	seen := map[string]bool{}
+// addresses are those of seeds and members in order, each once.
+func (f *forwarderNode) addresses(seeds []string) []string {
+	set := map[string]bool{}
 	for _, addr := range seeds {
-		seen[addr] = true
+		set[addr] = true
+	}
+	for _, member := range f.members {
+		set[member.Addr] = true
+	}
+	return slices.Sorted(maps.Keys(set))
+}
+
+// pollForLeader asks the leader whether it still leads, or everybody who does.
+func (s *Server) pollForLeader() {
+	f := s.forwarder
+	if s.now < f.nextPoll {
+		return
 	}
-	for _, mem := range p.members {
-		seen[mem.Addr] = true
+	f.nextPoll = s.now.Add(discoveryInterval)
+	if leader, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchLife {
+		s.send(wire.Peer(leader.Addr), wire.Message{Announcement: s.announcement(true)})
+		return
 	}
-	for addr := range seen {
-		list = append(list, addr)
+	for _, addr := range f.addresses(s.config.Seeds) {
+		if addr != s.config.Addr {
+			s.send(wire.Peer(addr), wire.Message{Announcement: s.announcement(true)})
+		}
 	}
-	sort.Strings(list)
-	return list
 }
 
-// learnGroup takes what a group's keeper says of it. Others are believed only where
-// the porter knows nothing yet, as they know it no better.
+// learnGroup takes what a member says of its group. Others are believed only where
+// nothing is known yet, as they know it no better.
 func (s *Server) learnGroup(t *wire.Announcement) {
-	p := s.forwarder
+	f := s.forwarder
 	if !t.Founded || len(t.Members) == 0 {
 		return
 	}
-	own := t.Role == "keeper" && t.Node != 0 && t.Node == t.LeaderID
+	byLeader := t.Role == roleServer && t.Node != 0 && t.Node == t.LeaderID
 	switch {
-	case own:
-		p.selfVouchedAt = s.now
+	case byLeader:
+		f.selfVouchedAt = s.now
 		s.observeLeaderTime(t.LeaderTime)
-	case t.Role == "keeper" && t.LeaderID != 0:
-		if _, ok := p.leader(s.now); ok && s.now.Since(p.selfVouchedAt) < selfVouchLife {
+	case t.Role == roleServer && t.LeaderID != 0:
+		if _, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchLife {
 			return
 		}
-	case t.Role == "keeper":
-		p.leaderlessGroupAt = s.now
+	case t.Role == roleServer:
+		f.leaderlessGroupAt = s.now
 		return
 	default:
-		if !p.knowsGroup() {
-			p.members = t.Members
+		if !f.knowsGroup() {
+			f.members = t.Members
 		}
 		return
 	}
-	if p.leaderID != t.LeaderID {
+	if f.leaderID != t.LeaderID {
 		s.logEvent("leader-known", "node", t.LeaderID, "members", t.Members)
 	}
-	p.members, p.leaderID, p.vouchedAt = t.Members, t.LeaderID, s.now
-}
-
-// currentLeader is who leads, as far as this keeper knows: another, or itself.
-func (s *Server) currentLeader() (mem raft.Member, ok bool) {
-	switch {
-	case s.forwarder != nil:
-		return s.forwarder.leader(s.now)
-	case s.raft == nil || s.raft.Leader() == 0:
-		return mem, false
-	}
-	return s.raft.Member(s.raft.Leader())
-}
-
-// KnowsLeader tells whether this keeper knows who leads.
-func (s *Server) KnowsLeader() bool {
-	if s.raft != nil {
-		return s.raft.Leader() != 0
-	}
-	_, yes := s.currentLeader()
-	return yes
-}
-
-// trackLeader keeps track of when this keeper last had a leader to go to: itself
-// while its lease stands, or another that it has heard.
-func (s *Server) trackLeader() {
-	if s.reachesLeader() {
-		s.leaderReachedAt = s.now
-	}
-	mem, ok := s.currentLeader()
-	if !ok || wire.Peer(mem.Addr) == s.followedLeader {
-		return
-	}
-	s.followedLeader, s.leaderContact = wire.Peer(mem.Addr), leaderContact{heardAt: s.now}
-	s.failForwardedExcept(s.followedLeader)
-}
-
-func (s *Server) reachesLeader() bool {
-	if s.raft != nil && s.raft.Role() == raft.Leader {
-		return s.raft.HasLease(s.now)
-	}
-	return s.KnowsLeader() && !s.leaderContact.lost
-}
-
-// Connected tells whether this keeper has a leader to go to, or had one until
-// so short a time ago that the next one may be about to be elected.
-func (s *Server) Connected() bool {
-	return !s.leaderContact.lost && s.now.Since(s.leaderReachedAt) <= 2*s.config.Timing.ElectionTimeout
+	f.members = t.Members
+	f.leaderID = t.LeaderID
+	f.vouchedAt = s.now
 }
--- a/internal/controlplane/gangs.go
+++ b/internal/controlplane/gangs.go
@@ -1,91 +1,106 @@
-// Gangs go on together or not at all. A member lives by word, repeated in the
-// answers to its runner's polls, that all of its partners run on runners heard
-// lately; without that word its runner ends it. And as soon as one member's
-// runner is silent for longer than a few polls, the leader calls the whole
-// gang back: suspicion is enough to stop, though not to place anew.
-
 package controlplane
 
 import (
+	"slices"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
 
-// silentGangPolls is how many spans of a poll a runner may miss before its partners
-// are stopped.
+// Gangs go on together or not at all. A member lives by word, repeated in the answers to
+// its runner's polls, that all of its partners run on runners heard lately; without that
+// word its runner ends it. And as soon as one member's runner is silent for longer than a
+// few polls, the leader revokes the whole gang: suspicion is enough to stop, though not to
+// place anew. See docs/notes/gangs.md.
+
+// silentGangPolls is how many spans of a poll a runner may miss before its partners are
+// stopped.
 const silentGangPolls = 3
 
-// gangLease is how long a member may go on without word: less than a grant, and
-// longer than a change of leaders takes.
-func (s *Server) gangLease(g *state.Lease) clock.Millis {
-	if s.state.Level < 1 || !spansRunners(g, s.state.Partners(g)) {
+// gangLease is how long a member may go on without word, 0 where it needs none: less than
+// a lease, and longer than a change of leaders takes.
+func (s *Server) gangLease(lease *state.Lease) clock.Millis {
+	if s.state.Level < 1 || !spansRunners(lease, s.state.Partners(lease)) {
 		return 0
 	}
 	return s.state.Limits.SiteMillis("grantMs") * 7 / 10
 }
 
-// spansRunners tells whether the grant is a gang member's whose partners hold grants
-// on other runners.
-func spansRunners(g *state.Lease, partners []*state.Lease) bool {
-	for _, p := range partners {
-		if p.Runner != g.Runner {
+// spansRunners tells whether the lease is a gang member's whose partners are on other
+// runners.
+func spansRunners(lease *state.Lease, partners []*state.Lease) bool {
+	for _, partner := range partners {
+		if partner.Runner != lease.Runner {
 			return true
 		}
 	}
 	return false
 }
 
-// memberRunning tells whether a grant is seen running, or ended, on a runner that has
-// not missed a poll: word given on older news would outlive a dead partner.
-func (s *Server) memberRunning(g *state.Lease) bool {
-	c := s.leader.runners[g.Runner]
-	if c == nil || !c.hasPolled || c.incarnation != g.Incarnation || g.RevokeReason != "" || c.silentFor(s.now) > s.state.Limits.SiteMillis("startMs")*3/2 {
+// memberRunning tells whether an attempt is seen running, or ended, on a runner that has
+// not missed a poll: word given on older reports would outlive a dead partner.
+func (s *Server) memberRunning(lease *state.Lease) bool {
+	c := s.leader.runners[lease.Runner]
+	if c == nil || !c.hasPolled || c.incarnation != lease.Incarnation || lease.RevokeReason != "" {
+		return false
+	}
+	if c.silentFor(s.now) > s.state.Limits.SiteMillis("startMs")*3/2 {
 		return false
 	}
-	_, over := c.ended[g.ID]
-	return c.running[g.ID] || over
+	_, ended := c.ended[lease.ID]
+	return c.running[lease.ID] || ended
 }
 
-// collectCompleteGangs names the members running here whose partners all run. It says
+// collectCompleteGangs names the members running here whose partners all run. It tells
 // whether there is one that the runner has not been told of since it began.
-func (s *Server) collectCompleteGangs(c *runnerContact, a *runnerapi.PollResponse) bool {
-	var word bool
+func (s *Server) collectCompleteGangs(c *runnerContact, response *runnerapi.PollResponse) (anyNew bool) {
 	for id := range c.running {
-		g := s.state.Leases[id]
-		if g == nil || g.RevokeReason != "" {
+		lease := s.state.Leases[id]
+		if lease == nil || lease.RevokeReason != "" {
 			continue
 		}
-		partners := s.state.Partners(g)
-		whole := spansRunners(g, partners)
-		for _, p := range partners {
-			whole = whole && s.memberRunning(p)
+		if s.gangComplete(lease) {
+			response.CompleteGangs = append(response.CompleteGangs, id)
+			anyNew = anyNew || !c.gangs.told[id]
 		}
-		if whole {
-			a.CompleteGangs = append(a.CompleteGangs, id)
-			word = word || !c.toldComplete[id]
+	}
+	slices.Sort(response.CompleteGangs)
+	return anyNew
+}
+
+// gangComplete tells whether a lease belongs to a gang that spans several runners and
+// whose other members all run.
+func (s *Server) gangComplete(lease *state.Lease) bool {
+	partners := s.state.Partners(lease)
+	if !spansRunners(lease, partners) {
+		return false
+	}
+	for _, partner := range partners {
+		if !s.memberRunning(partner) {
+			return false
 		}
 	}
-	sortLeases(a.CompleteGangs)
-	return word
+	return true
 }
 
-// revokeSilentGangs calls back the gangs of runners that have been silent for too long.
+// revokeSilentGangs revokes the gangs of runners that have been silent for too long.
 func (s *Server) revokeSilentGangs() {
 	l := s.leader
 	if l.gangProposal > s.appliedIndex {
 		return
 	}
+	limit := silentGangPolls * s.state.Limits.SiteMillis("startMs")
 	var late []identifier.LeaseID
-	span := silentGangPolls * s.state.Limits.SiteMillis("startMs")
-	for n, c := range l.runners {
-		r := s.state.Runners[n]
-		if r == nil || r.Gone || r.OpenLeases() == 0 || c.silentFor(s.now) <= span {
+	for name, c := range l.runners {
+		runner := s.state.Runners[name]
+		if runner == nil || runner.Gone || runner.OpenLeases() == 0 || c.silentFor(s.now) <= limit {
 			continue
 		}
-		for _, id := range r.LeaseIDs() {
-			if g := s.state.Leases[id]; g.RevokeReason == "" && spansRunners(g, s.state.Partners(g)) {
+		for _, id := range runner.LeaseIDs() {
+			lease := s.state.Leases[id]
+			if lease.RevokeReason == "" && spansRunners(lease, s.state.Partners(lease)) {
 				late = append(late, id)
 			}
 		}
@@ -93,7 +108,7 @@
 	if len(late) == 0 {
 		return
 	}
-	sortLeases(late)
-	s.logEvent("gang-in-doubt", "grants", len(late))
+	slices.Sort(late)
+	s.logEvent("gang-member-silent", "leases", len(late))
 	l.gangProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeGangMemberSilent}})
 }
--- a/internal/controlplane/gateway_sync.go
+++ b/internal/controlplane/gateway_sync.go
@@ -1,10 +1,8 @@
-// What gateways hear from the leader: where the group is, and what changed in
-// the routing table since the version they have.
-
 package controlplane
 
 import (
 	"encoding/json"
+	"net/http"
 	"net/url"
 	"strconv"
 
@@ -15,71 +13,73 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Parameters of a SYNC request. Since is the epoch of the gateway's table, After
-// the name after which the next page begins; a gateway of a former version sends
-// neither and is sent whole tables.
+// Parameters of a gateway's sync request: the address at which the gateway serves
+// clients, the epoch of its routing table, and the name after which the next page begins.
+// A gateway of an earlier version sends neither epoch nor name and is sent whole tables.
 const (
 	SyncGatewayParam = "gate"
 	SyncSinceParam   = "since"
 	SyncAfterParam   = "after"
 )
 
-// maxStalePageBytes bounds the page that goes with the reply to a stale request, in
-// bytes. More is fetched by the gateway, once for all its requests.
+// maxStalePageBytes bounds the page that goes with the response to a stale request. More
+// is fetched by the gateway, once for all its requests.
 const maxStalePageBytes = 4 << 10
 
 // SyncResponse is what a gateway hears from the leader: a page of what changed in the
-// routing table, the members, and the other gateways. Table is the whole, for
-// gateways of a former version.
+// routing table, the members, and the other gateways. Table is the whole table, for
+// gateways of an earlier version. Leader is the leader's id.
 type SyncResponse struct {
 	Epoch    identifier.Epoch `json:"epoch"`
 	Table    *RoutingTable    `json:"table,omitempty"`
 	Page     *routing.Page    `json:"page,omitempty"`
-	Lead     string           `json:"lead"`
+	Leader   string           `json:"lead"`
 	Members  []raft.Member    `json:"members"`
 	Gateways []string         `json:"gates"`
 }
 
-// StaleResponse is the body of a reply to a request that was checked by an older table.
-// Page is what changed since, where that is little; without it, and without a
-// whole table, the gateway asks for it.
+// StaleResponse is the body of the response to a request that was checked by an older
+// routing table. Page is what changed since, where that is little; without it, and
+// without a whole table, the gateway asks for it.
 type StaleResponse struct {
 	RoutingTable
 	Page *routing.Page `json:"page,omitempty"`
 }
 
-// RoutingTable is the table without the marks that only the core needs.
+// RoutingTable is the whole routing table: the limits by row, and the routes of the
+// catalogue's queues. Version is the catalogue's, 0 while there is none.
 type RoutingTable struct {
-	Epoch identifier.Epoch                     `json:"epoch"`
-	Rows  map[identifier.Row]map[string]string `json:"rows"`
-	// Version and Places are the catalogue's, 0 and none where there is none.
-	Version uint64          `json:"version,omitempty"`
-	Routes  []catalog.Route `json:"places,omitempty"`
+	Epoch   identifier.Epoch                     `json:"epoch"`
+	Rows    map[identifier.Row]map[string]string `json:"rows"`
+	Version uint64                               `json:"version,omitempty"`
+	Routes  []catalog.Route                      `json:"places,omitempty"`
 }
 
-func (s *Server) fullRoutingTable() *RoutingTable {
-	t := s.routingTable()
-	return &RoutingTable{Epoch: t.Epoch, Rows: t.Rows, Version: t.Version, Routes: t.Routes}
+// routingState is the history of the routing table, and the catalogue that it was last
+// told of.
+type routingState struct {
+	history *routing.History
+	catalog *catalog.Catalog
 }
 
-// routingTable is the table in force, as gateways need it.
+// routingTable is the table in force.
 func (s *Server) routingTable() routing.Table {
-	t := routing.Table{Epoch: s.state.Limits.Epoch, Rows: s.state.Limits.Rows}
+	table := routing.Table{Epoch: s.state.Limits.Epoch, Rows: s.state.Limits.Rows}
 	if c := s.state.Catalog; c != nil {
-		t.Version, t.Routes = c.Version, c.Routes()
+		table.Version = c.Version
+		table.Routes = c.Routes()
 	}
-	return t
+	return table
 }
 
-// routingState is the state that the routing history was last told of.
-type routingState struct {
-	history *routing.History
-	catalog *catalog.Catalog
+func (s *Server) fullRoutingTable() *RoutingTable {
+	table := s.routingTable()
+	return &RoutingTable{Epoch: table.Epoch, Rows: table.Rows, Version: table.Version, Routes: table.Routes}
 }
 
 // trackRouting tells the history what the last entry changed.
 func (s *Server) trackRouting() {
-	r := &s.routingState
+	r := &s.routing
 	switch {
 	case r.history == nil || s.state.Limits.Epoch < r.history.Epoch():
 		r.history = routing.NewHistory(s.routingTable())
@@ -94,51 +94,71 @@
 }
 
 // forgetRouting begins the history anew, as the state was replaced.
-func (s *Server) forgetRouting() { s.routingState = routingState{} }
+func (s *Server) forgetRouting() { s.routing = routingState{} }
 
-func (s *Server) handleSync(c *apiRequest) {
-	q, err := url.ParseQuery(c.Query)
+func (s *Server) routingPage(since identifier.Epoch, after string) routing.Page {
+	s.trackRouting()
+	return s.routing.history.Page(since, after)
+}
+
+// handleSync tells a gateway what changed since the table that it has.
+func (s *Server) handleSync(r *apiRequest) {
+	query, err := url.ParseQuery(r.Query)
 	if err != nil {
-		s.replyError(c.peer, c.ID, 400, "bad-request", "query does not parse", 0)
+		s.replyError(r.peer, r.ID, errQueryMalformed)
 		return
 	}
-	s.gatewaySeen(q.Get(SyncGatewayParam))
-	response := SyncResponse{Epoch: s.state.Limits.Epoch, Lead: s.config.ID.String(), Members: s.raft.Members(), Gateways: s.liveGateways()}
-	since, err := strconv.ParseUint(q.Get(SyncSinceParam), 10, 64)
+	s.gateways.clientAddrSeen(query.Get(SyncGatewayParam), s.now)
+	response := SyncResponse{
+		Epoch:    s.state.Limits.Epoch,
+		Leader:   s.config.ID.String(),
+		Members:  s.raft.Members(),
+		Gateways: s.gateways.liveClientAddrs(s.now),
+	}
+	after := query.Get(SyncAfterParam)
+	since, err := strconv.ParseUint(query.Get(SyncSinceParam), 10, 64)
+	wantsPages := err == nil
 	switch {
-	case err != nil && c.Epoch != response.Epoch:
+	case !wantsPages && r.Epoch != response.Epoch:
 		response.Table = s.fullRoutingTable()
-	case err == nil && (identifier.Epoch(since) != response.Epoch || q.Get(SyncAfterParam) != ""):
-		page := s.routingPage(identifier.Epoch(since), q.Get(SyncAfterParam))
+	case wantsPages && (identifier.Epoch(since) != response.Epoch || after != ""):
+		page := s.routingPage(identifier.Epoch(since), after)
 		response.Page = &page
 	}
-	s.replyJSON(c.peer, c.ID, 200, response)
+	s.replyJSON(r.peer, r.ID, http.StatusOK, response)
 }
 
-func (s *Server) routingPage(since identifier.Epoch, after string) routing.Page {
-	s.trackRouting()
-	return s.routingState.history.Page(since, after)
+// replyStale returns a request that a gateway checked by an older routing table.
+func (s *Server) replyStale(to wire.Peer, r *wire.Request) {
+	s.send(to, wire.Message{Response: &wire.Response{ID: r.ID, Status: http.StatusConflict, Stale: true, Body: s.staleBody(r)}})
 }
 
-// staleBody is what goes with the reply to a request checked by an older table.
-// Gateways that date their requests know pages.
-func (s *Server) staleBody(a *wire.Request) []byte {
-	var body any = s.fullRoutingTable()
-	if a.HasLeaderTime {
-		page := s.routingPage(a.Epoch, "")
-		if page.NextAfter != "" || page.Since != a.Epoch {
-			return nil
-		}
-		body = struct {
-			Page *routing.Page `json:"page"`
-		}{&page}
+// staleBody is what goes with the return of a stale request. Gateways that stamp their
+// requests with the leader's time know pages; others are sent the whole table.
+func (s *Server) staleBody(r *wire.Request) []byte {
+	if !r.HasLeaderTime {
+		return encodeStale(s.fullRoutingTable())
 	}
-	text, err := json.Marshal(body)
-	if err != nil {
-		panic(err)
+	page := s.routingPage(r.Epoch, "")
+	if page.NextAfter != "" || page.Since != r.Epoch {
+		return nil
 	}
-	if a.HasLeaderTime && len(text) > maxStalePageBytes {
+	text := encodeStale(stalePage{&page})
+	if len(text) > maxStalePageBytes {
 		return nil
 	}
 	return text
 }
+
+// stalePage is a StaleResponse with nothing but a page.
+type stalePage struct {
+	Page *routing.Page `json:"page"`
+}
+
+func encodeStale(body any) []byte {
+	text, err := json.Marshal(body)
+	if err != nil {
+		panic("controlplane: a routing table does not encode: " + err.Error())
+	}
+	return text
+}
--- a/internal/controlplane/graceful_stop.go
+++ b/internal/controlplane/graceful_stop.go
@@ -1,9 +1,3 @@
-// The orderly stop of a keeper. One that leads takes no more requests, waits
-// until those under way are decided and every live voter has the whole log, and
-// hands leadership on; one that follows says to the leader that it leaves, so
-// that its seat can go to a learner that is ready. A keeper that leaves never
-// asks for an election, but goes on voting and passing requests on to the end.
-
 package controlplane
 
 import (
@@ -12,26 +6,30 @@
 )
 
 const (
-	// undecidedTimeout is how long a leader that leaves waits for what is under way,
-	// and gracefulStopTimeout how long the whole may take, in milliseconds.
+	// undecidedTimeout is how long a leader that stops waits for what it has proposed,
+	// and gracefulStopTimeout how long the whole stop may take.
 	undecidedTimeout    clock.Millis = 300
 	gracefulStopTimeout clock.Millis = 1500
 )
 
-// gracefulStop is an orderly stop under way.
+// gracefulStop is the orderly stop of a server. One that leads takes no more requests,
+// waits until what it has proposed is applied and every live voter has the whole log,
+// and transfers leadership. One that follows tells the leader that it leaves, so that a
+// learner that has caught up can take its place. A server that stops never asks for an
+// election, but goes on voting and forwarding requests to the end.
 type gracefulStop struct {
 	since clock.Monotonic
-	// transferred says that leadership was handed on, or need not be.
+	// transferred says that leadership was handed to another voter.
 	transferred bool
 }
 
-// Leave begins the orderly stop; the machine must go on being run until Left
-// says that it may end. Asking again does nothing.
+// Leave begins the graceful stop. The server must go on being run until Left says that
+// it may end. Calling it again does nothing.
 func (s *Server) Leave() {
-	if s.gracefulStop != nil {
+	if s.stopping != nil {
 		return
 	}
-	s.gracefulStop = &gracefulStop{since: s.now}
+	s.stopping = &gracefulStop{since: s.now}
 	s.logEvent("leaving")
 	if s.raft != nil {
 		s.raft.PrepareToLeave()
@@ -40,41 +38,44 @@
 	s.process()
 }
 
-// Left tells whether the process may end: another leads, nobody does and this
-// keeper can't change that, or it has taken too long.
+// Left tells whether the process may end: another server leads, nobody does and this
+// server can't change that, or the stop has taken too long.
 func (s *Server) Left() bool {
-	if s.gracefulStop == nil {
+	if s.stopping == nil {
 		return false
 	}
-	if s.raft == nil || s.stopped || s.now.Since(s.gracefulStop.since) > gracefulStopTimeout {
+	if s.raft == nil || s.halted || s.now.Since(s.stopping.since) > gracefulStopTimeout {
 		return true
 	}
-	lead := s.raft.Leader()
-	return s.raft.Role() == raft.Follower && lead != 0 && lead != s.config.ID && len(s.forwarded) == 0
+	leader := s.raft.Leader()
+	otherLeads := leader != 0 && leader != s.config.ID
+	return s.raft.Role() == raft.Follower && otherLeads && len(s.forwarded) == 0
 }
 
 // transferLeadership hands leadership to another voter once nothing is lost by it.
 func (s *Server) transferLeadership() {
-	l := s.gracefulStop
-	if l == nil || l.transferred || s.raft == nil || s.raft.Role() != raft.Leader {
+	stop := s.stopping
+	if stop == nil || stop.transferred || s.raft == nil || s.raft.Role() != raft.Leader {
 		return
 	}
-	late := s.now.Since(l.since) > undecidedTimeout
-	if !late && (len(s.proposals) > 0 || !s.raft.Replicated()) {
+	late := s.now.Since(stop.since) > undecidedTimeout
+	if !late && (len(s.proposals.byIndex) > 0 || !s.raft.Replicated()) {
 		return
 	}
 	if s.raft.TransferLeadership() {
-		l.transferred = true
-		s.logEvent("handed-on", "undecided", len(s.proposals))
+		stop.transferred = true
+		s.logEvent("leadership-transferred", "undecided", len(s.proposals.byIndex))
 	}
 }
 
-// transferLeadershipNow is transferLeadership after an input that may have decided the last request.
+// transferLeadershipNow tries again after an input that may have decided the last
+// proposal.
 func (s *Server) transferLeadershipNow() {
-	if s.gracefulStop == nil || s.gracefulStop.transferred || s.stopped {
+	if s.stopping == nil || s.stopping.transferred || s.halted {
 		return
 	}
-	if s.transferLeadership(); s.gracefulStop.transferred {
+	s.transferLeadership()
+	if s.stopping.transferred {
 		s.updateLeadership()
 		s.process()
 	}
--- /dev/null
+++ b/internal/controlplane/leases.go
@@ -0,0 +1,74 @@
+package controlplane
+
+import (
+	"slices"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/state"
+)
+
+// sweepInterval is how often confirmations of closed leases are forgotten, in
+// milliseconds.
+const sweepInterval = 1000
+
+// leaseConfirmations is what a leader knows of the starts of open leases.
+type leaseConfirmations struct {
+	// unconfirmedSince is when each lease without a confirmed start was opened, by
+	// this leader's clock.
+	unconfirmedSince map[identifier.LeaseID]clock.Monotonic
+	// confirmed are the leases whose runner has said that the attempt runs or ended.
+	confirmed map[identifier.LeaseID]bool
+	lastSweep clock.Monotonic
+}
+
+func newLeaseConfirmations() leaseConfirmations {
+	return leaseConfirmations{
+		unconfirmedSince: map[identifier.LeaseID]clock.Monotonic{},
+		confirmed:        map[identifier.LeaseID]bool{},
+	}
+}
+
+func (c *leaseConfirmations) opened(id identifier.LeaseID, now clock.Monotonic) {
+	c.unconfirmedSince[id] = now
+}
+
+// revokeUnconfirmedStarts revokes leases whose start nobody confirmed in time.
+func (s *Server) revokeUnconfirmedStarts() {
+	c := &s.leader.leases
+	limit := s.state.Limits.SiteMillis("confirmMs")
+	var late []identifier.LeaseID
+	for id, openedAt := range c.unconfirmedSince {
+		lease := s.state.Leases[id]
+		switch {
+		case lease == nil || lease.RevokeReason != "" || c.confirmed[id]:
+			delete(c.unconfirmedSince, id)
+			if lease == nil {
+				delete(c.confirmed, id)
+			}
+		case s.now.Since(openedAt) > limit:
+			late = append(late, id)
+			delete(c.unconfirmedSince, id)
+		}
+	}
+	s.forgetClosedLeases()
+	if len(late) > 0 {
+		slices.Sort(late)
+		s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeStartUnconfirmed}})
+	}
+}
+
+// forgetClosedLeases drops the confirmations of leases that are no more, now and then:
+// nobody asks for those, and their ids never come again.
+func (s *Server) forgetClosedLeases() {
+	c := &s.leader.leases
+	if s.now.Since(c.lastSweep) < sweepInterval {
+		return
+	}
+	c.lastSweep = s.now
+	for id := range c.confirmed {
+		if s.state.Leases[id] == nil {
+			delete(c.confirmed, id)
+		}
+	}
+}
--- a/internal/controlplane/levels.go
+++ b/internal/controlplane/levels.go
@@ -1,61 +1,72 @@
-// Levels and sums. New commands and rules wait until every member, learners
-// too, has said that it knows them; then one entry raises the level. A keeper
-// that meets what it does not know steps aside rather than let its book part
-// from the others'. And every so often the leader's entry says what the book's
-// sum was: whoever has another sum at that index steps aside as well.
-
 package controlplane
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
 
-const checksumsKept = 1024
+// New commands and rules wait until every member, learners too, has said that it knows
+// them; then one entry raises the level of the group. A server that meets a command it
+// does not know halts rather than let its state differ from the others'. And every so
+// often an entry of the leader says what the checksum of the state was: a server that
+// has another one at that index halts as well. See docs/notes/versions.md.
+
+const (
+	// checksumsKept is how many of the last entries a server remembers the checksum of.
+	checksumsKept = 1024
+	// levelSilentLimit is how long a member may be silent while a level is raised.
+	levelSilentLimit clock.Millis = 2000
+)
 
-// sums remembers the book's sum after each of the last entries.
+// recentChecksums remembers the checksum of the state after each of the last entries.
 type recentChecksums struct {
 	indexes [checksumsKept]identifier.Index
 	values  [checksumsKept]uint64
 }
 
-func (s *recentChecksums) put(i identifier.Index, sum uint64) {
-	s.indexes[i%checksumsKept], s.values[i%checksumsKept] = i, sum
+func (c *recentChecksums) put(index identifier.Index, checksum uint64) {
+	c.indexes[index%checksumsKept] = index
+	c.values[index%checksumsKept] = checksum
 }
 
-func (s *recentChecksums) get(i identifier.Index) (sum uint64, ok bool) {
-	return s.values[i%checksumsKept], s.indexes[i%checksumsKept] == i && i > 0
+func (c *recentChecksums) get(index identifier.Index) (checksum uint64, ok bool) {
+	known := c.indexes[index%checksumsKept] == index && index > 0
+	return c.values[index%checksumsKept], known
 }
 
-// stepDown steps aside: what was handed out so far still goes, nothing more does.
-func (s *Server) stepDown(why string, vals ...any) {
-	if s.stopped {
+// halt takes this server out of service for good: what was handed out so far still
+// goes, and nothing more does. The owner ends the process.
+func (s *Server) halt(why string, fields ...any) {
+	if s.halted {
 		return
 	}
-	s.stopped = true
-	s.out.Quit = why
-	s.logEvent("step-aside", append([]any{"why", why}, vals...)...)
+	s.halted = true
+	s.output.Quit = why
+	s.logEvent("server-halted", append([]any{"why", why}, fields...)...)
 }
 
-// checksumDiffers tells whether this keeper's book differs from the leader's.
+// checksumDiffers tells whether this server's state differs from the leader's, and
+// halts it if so.
 func (s *Server) checksumDiffers(c *state.VerifyChecksum) bool {
-	sum, ok := s.checksums.get(c.Index)
-	if !ok || sum == c.Checksum {
+	checksum, ok := s.checksums.get(c.Index)
+	if !ok || checksum == c.Checksum {
 		return false
 	}
-	s.stepDown("this keeper's book differs from the leader's", "index", c.Index)
+	s.halt("this server's state differs from the leader's", "index", c.Index)
 	return true
 }
 
-// raiseLevel lifts the level once all members know a higher one.
+// raiseLevel raises the level of the group once all members know a higher one.
 func (s *Server) raiseLevel() {
 	l := s.leader
 	to := s.config.Level
-	if l.levelProposal > s.appliedIndex || s.state.Level >= to || len(s.raft.MemberStatuses())+1 < len(s.raft.Members()) {
+	statuses := s.raft.MemberStatuses()
+	if l.levelProposal > s.appliedIndex || s.state.Level >= to || len(statuses)+1 < len(s.raft.Members()) {
 		return
 	}
-	for _, status := range s.raft.MemberStatuses() {
-		if status.SilentFor > 2000 || status.Level <= s.state.Level {
+	for _, status := range statuses {
+		if status.SilentFor > levelSilentLimit || status.Level <= s.state.Level {
 			return
 		}
 		to = min(to, status.Level)
@@ -64,14 +75,14 @@
 	l.levelProposal = s.propose(&state.Command{RaiseLevel: &state.RaiseLevel{Level: to}})
 }
 
-// proposeChecksum lets the members compare their books.
+// proposeChecksum lets the members compare the checksums of their states.
 func (s *Server) proposeChecksum() {
 	l := s.leader
 	if s.state.Level < 1 || s.now.Since(l.lastChecksum) < checksumInterval {
 		return
 	}
 	l.lastChecksum = s.now
-	if sum, ok := s.checksums.get(s.appliedIndex); ok {
-		s.propose(&state.Command{VerifyChecksum: &state.VerifyChecksum{Index: s.appliedIndex, Checksum: sum}})
+	if checksum, ok := s.checksums.get(s.appliedIndex); ok {
+		s.propose(&state.Command{VerifyChecksum: &state.VerifyChecksum{Index: s.appliedIndex, Checksum: checksum}})
 	}
 }
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -1,19 +1,17 @@
-// Seats of the group. A learner that has caught up takes the seat of a voter
-// that is gone: first it becomes a voter, then the dead one leaves, each by its
-// own entry. A member whose address another identity has taken lost its disk
-// and never comes back, so that nothing is waited for; one that is merely
-// silent is given a little time, and can ask for a seat again when it returns.
-
 package controlplane
 
 import (
+	"encoding/json"
+	"net/http"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/consensus/raft"
 )
 
 const (
-	// voterSilentLimit is how long a voter is silent before a learner that stands ready
-	// takes its seat. Losses may follow one another within few seconds.
+	// voterSilentLimit is how long a voter is silent, in milliseconds, before a learner
+	// that has caught up takes its place. Losses may follow one another within few
+	// seconds.
 	voterSilentLimit = 2000
 	// A group has minVoters voters, and maxVoters where so many members live.
 	minVoters = 3
@@ -22,21 +20,27 @@
 	caughtUpGap = 64
 )
 
-// changeMembership changes the group by one member when there is reason to.
+// changeMembership changes the group by one member when there is reason to. A learner
+// that has caught up takes the place of a voter that is gone: first it becomes a
+// voter, then the dead one leaves, each by its own entry. A member whose address
+// another identity has taken lost its disk and never comes back, so that nothing is
+// waited for; one that is merely silent is given a little time, and can ask to join
+// again when it returns.
 func (s *Server) changeMembership() {
-	list := s.memberStates()
-	calm := s.now.Since(s.leader.since) > voterSilentLimit
-	if next := nextMembers(list, s.wantedVoters(list), calm); next != nil {
+	members := s.memberStates()
+	settled := s.now.Since(s.leader.since) > voterSilentLimit
+	if next := nextMembers(members, s.wantedVoters(members), settled); next != nil {
 		s.raft.ProposeMembers(next)
 	}
 }
 
 // wantedVoters is how many voters there should be. Five become three only when fewer
-// than five have been alive for long; on the way up or down, with four, there
-// is no reason to linger.
-func (s *Server) wantedVoters(list []memberState) int {
-	live, voters := 0, 0
-	for _, member := range list {
+// than five have been alive for long; on the way up or down, with four, there is no
+// reason to linger.
+func (s *Server) wantedVoters(members []memberState) int {
+	live := 0
+	voters := 0
+	for _, member := range members {
 		if member.live {
 			live++
 		}
@@ -54,40 +58,111 @@
 	return minVoters
 }
 
-// memberStates is the group as this leader sees it. Whoever it has not heard in
-// its own term is neither live nor ready.
+// memberStates is the group as this leader sees it. Whoever it has not heard in its
+// own term is neither live nor caught up.
 func (s *Server) memberStates() []memberState {
-	var out []memberState
-	list, seen := s.raft.Members(), map[identifier.Node]raft.MemberStatus{}
+	members := s.raft.Members()
+	statuses := map[identifier.Node]raft.MemberStatus{}
 	for _, status := range s.raft.MemberStatuses() {
-		seen[status.ID] = status
+		statuses[status.ID] = status
 	}
-	for _, mem := range list {
-		status, other := seen[mem.ID]
+	var list []memberState
+	for _, member := range members {
+		status, other := statuses[member.ID]
 		if !other {
-			out = append(out, memberState{Member: mem, self: true, live: true})
+			list = append(list, memberState{Member: member, self: true, live: true})
 			continue
 		}
-		gone := addressTaken(list, mem)
-		quiet := status.SilentFor
-		if gone {
-			quiet = max(quiet, memberDeadAfter) * 2
-		}
-		heard := status.WallTimeReadAt != 0 && quiet < voterSilentLimit && !status.Leaving
-		out = append(out, memberState{Member: mem, silentFor: quiet, live: heard, replaceable: mem.Voter && (quiet > voterSilentLimit || status.Leaving), abandoned: !mem.Voter && quiet > memberDeadAfter,
-			caughtUp: !mem.Voter && heard && quiet < voterSilentLimit/2 && status.Match >= s.raft.TermStart() && status.Match+caughtUpGap >= s.raft.CommitIndex()})
+		list = append(list, s.memberState(member, status, addressTaken(members, member)))
+	}
+	return list
+}
+
+// memberState judges another member by what the leader has heard of it. gone says that
+// its process and its disk are no more.
+func (s *Server) memberState(member raft.Member, status raft.MemberStatus, gone bool) memberState {
+	quiet := status.SilentFor
+	if gone {
+		quiet = max(quiet, memberDeadAfter) * 2
 	}
-	return out
+	heard := status.WallTimeReadAt != 0 && quiet < voterSilentLimit && !status.Leaving
+	caughtUp := status.Match >= s.raft.TermStart() && status.Match+caughtUpGap >= s.raft.CommitIndex()
+	return memberState{
+		Member:      member,
+		silentFor:   quiet,
+		live:        heard,
+		replaceable: member.Voter && (quiet > voterSilentLimit || status.Leaving),
+		abandoned:   !member.Voter && quiet > memberDeadAfter,
+		caughtUp:    !member.Voter && heard && quiet < voterSilentLimit/2 && caughtUp,
+	}
+}
+
+// addressTaken tells whether a later member has this one's address: its process and
+// its disk are gone.
+func addressTaken(members []raft.Member, member raft.Member) bool {
+	taken := false
+	passed := false
+	for _, other := range members {
+		passed = passed || other.ID == member.ID
+		taken = taken || passed && other.ID != member.ID && other.Addr == member.Addr
+	}
+	return taken
+}
+
+// joinResponse is the answer to a request to join.
+type joinResponse struct {
+	Asked bool `json:"asked"`
 }
 
-// addressTaken tells whether a later member has this one's address: its process
-// and its disk are gone.
-func addressTaken(list []raft.Member, one raft.Member) bool {
-	var yes bool
-	seen := false
-	for _, mem := range list {
-		seen = seen || mem.ID == one.ID
-		yes = yes || seen && mem.ID != one.ID && mem.Addr == one.Addr
-	}
-	return yes
+// handleJoin takes a server with an empty disk in as a learner, or notes a member's
+// new address. Asking again does no harm.
+func (s *Server) handleJoin(r *apiRequest) {
+	var body joinRequest
+	if err := json.Unmarshal(r.Body, &body); err != nil {
+		s.replyError(r.peer, r.ID, errJoinMalformed)
+		return
+	}
+	id, ok := identifier.ParseNode(body.ID)
+	if !ok || body.Addr == "" {
+		s.replyError(r.peer, r.ID, errJoinIncomplete)
+		return
+	}
+	if body.Level < s.state.Level {
+		s.logEvent("join-refused", "node", id, "level", body.Level, "want", s.state.Level)
+		s.replyError(r.peer, r.ID, errTooOldToJoin)
+		return
+	}
+	next, ok := membersWith(s.raft.Members(), raft.Member{ID: id, Addr: body.Addr, Domain: body.Domain})
+	if !ok {
+		s.replyError(r.peer, r.ID, errLearnersFull)
+		return
+	}
+	s.raft.ProposeMembers(next)
+	s.replyJSON(r.peer, r.ID, http.StatusAccepted, joinResponse{Asked: true})
+}
+
+// membersWith is a member list with a joining member: a known one has its address
+// changed, another one is added as a learner. It is not ok when there are enough
+// learners.
+func membersWith(members []raft.Member, joining raft.Member) (next []raft.Member, ok bool) {
+	known := false
+	learners := 0
+	for _, member := range members {
+		if !member.Voter {
+			learners++
+		}
+		if member.ID == joining.ID {
+			known = true
+			member.Addr = joining.Addr
+			member.Domain = joining.Domain
+		}
+		next = append(next, member)
+	}
+	if known {
+		return next, true
+	}
+	if learners >= maxLearners {
+		return nil, false
+	}
+	return append(next, joining), true
 }
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -1,30 +1,35 @@
-// Orders that their sender has given up on must not be carried out later: the
-// sender may since have sent another one that says the opposite. An order
-// carries the latest reading of the leader's clock that its sender had seen and
-// how long the sender waits from then on. The leader takes it only while no
-// more than that has passed since the reading, by the very clock that was read:
-// neither clocks that differ nor links and processes that hold a frame up can
-// make it look younger than it is.
-
 package controlplane
 
 import (
+	"net/http"
+
 	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/transport/wire"
 )
 
+// Orders that their sender has given up on must not be carried out later: the sender
+// may since have sent another one that says the opposite. An order carries the latest
+// reading of the leader's clock that its sender had seen, and how long the sender
+// waits from then on. The leader takes it only while no more time than that has
+// passed since the reading, by the very clock that was read: neither clocks that
+// differ nor links and processes that delay a message can make it look younger than
+// it is. See docs/notes/worst-days.md.
+
 // driftFraction is the part of a span by which a clock may run slow: one in fifty.
 const driftFraction = 50
 
+// expiredRetryAfter is when a client may come back whose order was too old.
+const expiredRetryAfter clock.Millis = 200
+
 // leaderTime is a reading of this leader's clock.
 func (s *Server) leaderTime() wire.LeaderTime {
 	return wire.LeaderTime{Term: s.raft.Term(), At: s.now}
 }
 
 // orderExpired tells whether an order may have come later than its sender waits. An
-// order without a reading comes from a program of a former version, or from
-// this process itself, and is not judged.
+// order without a reading comes from a program of an earlier version, or from this
+// process itself, and is not judged.
 func (s *Server) orderExpired(a *wire.Request) bool {
 	if !a.HasLeaderTime || !a.IsOrder() {
 		return false
@@ -36,31 +41,29 @@
 	return age+age/driftFraction > a.Budget
 }
 
-// observeLeaderTime notes a reading of the leader's clock that came with a message.
+// observeLeaderTime takes a reading of the leader's clock that came with a message.
 func (s *Server) observeLeaderTime(t wire.LeaderTime) {
-	if t.Later(s.latestLeaderTime) {
-		s.latestLeaderTime = t
+	if t.Later(s.leaderLink.latestTime) {
+		s.leaderLink.latestTime = t
 	}
 }
 
-// observeAppend takes the reading that the leader's own messages carry.
+// observeAppend takes the reading that a leader's append carries.
 func (s *Server) observeAppend(msg *raft.Message) {
 	s.observeLeaderTime(wire.LeaderTime{Term: msg.Term, At: msg.SentAt})
 }
 
-// stampLeaderTime adds to an order that was made at this process what it knows of the
-// leader's clock. One that came from elsewhere keeps what its sender knew.
+// stampLeaderTime adds to a request that was made at this process what it knows of
+// the leader's clock. One that came from elsewhere keeps what its sender knew.
 func (s *Server) stampLeaderTime(from wire.Peer, a *wire.Request) {
 	if from.Local() {
-		a.HasLeaderTime, a.LeaderTime = true, s.latestLeaderTime
+		a.HasLeaderTime = true
+		a.LeaderTime = s.leaderLink.latestTime
 	}
 }
 
-// replyExpired answers an order whose age can't be told: it was not taken, and
-// the reading that goes with the answer lets its sender try again at once.
+// replyExpired answers an order that may be too old. It was not taken, and the
+// reading that goes with the answer lets its sender try again at once.
 func (s *Server) replyExpired(from wire.Peer, id uint64) {
-	s.send(from, wire.Message{Response: &wire.Response{ID: id, Status: 503, Expired: true, RetryAfter: expiredRetryAfter}})
+	s.send(from, wire.Message{Response: &wire.Response{ID: id, Status: http.StatusServiceUnavailable, Expired: true, RetryAfter: expiredRetryAfter}})
 }
-
-// expiredRetryAfter is when a caller may come back whose order was too old, in ms.
-const expiredRetryAfter clock.Millis = 200
--- a/internal/controlplane/policy_results.go
+++ b/internal/controlplane/policy_results.go
@@ -1,6 +1,3 @@
-// How the rows' policies fare: counted, shown, and logged whenever one fails
-// for another reason than before.
-
 package controlplane
 
 import (
@@ -8,48 +5,55 @@
 	"orchidward/internal/scheduler"
 )
 
-// PolicyDoc is a row's policy as operators see it.
+// PolicyDoc is how a row's placement policy does, as the API returns it: how often it
+// was used and how often it failed since this server leads, and why it last did.
 type PolicyDoc struct {
-	Row    identifier.Row `json:"row"`
-	Used   int            `json:"used"`
-	Failed int            `json:"failed"`
-	Last   string         `json:"lastFailure,omitempty"`
+	Row         identifier.Row `json:"row"`
+	Used        int            `json:"used"`
+	Failed      int            `json:"failed"`
+	LastFailure string         `json:"lastFailure,omitempty"`
 }
 
-func (s *Server) recordPolicyResults(list scheduler.PolicyResults) {
+// recordPolicyResults adds up how the rows' policies did in one scheduling cycle, and
+// logs whenever one fails for another reason than before.
+func (s *Server) recordPolicyResults(cycle scheduler.PolicyResults) {
 	for row := range s.policyResults {
-		if s.state.Limits.Cell(row, "policy") == "" {
+		if s.state.Limits.Cell(row, policyCell) == "" {
 			delete(s.policyResults, row)
 		}
 	}
-	if len(list) == 0 {
+	if len(cycle) == 0 {
 		return
 	}
 	for _, row := range s.state.Limits.RowNames() {
-		one, ok := list[row]
+		result, ok := cycle[row]
 		if !ok {
 			continue
 		}
-		was := s.policyResults[row]
-		if one.Failed > 0 && was.LastFailure != one.LastFailure {
-			s.logEvent("policy-failed", "row", row, "why", one.LastFailure)
-		}
-		was.Used, was.Failed = was.Used+one.Used, was.Failed+one.Failed
-		if one.Failed > 0 {
-			was.LastFailure = one.LastFailure
+		total := s.policyResults[row]
+		total.Used += result.Used
+		total.Failed += result.Failed
+		if result.Failed > 0 {
+			if total.LastFailure != result.LastFailure {
+				s.logEvent("policy-failed", "row", row, "why", result.LastFailure)
+			}
+			total.LastFailure = result.LastFailure
 		}
-		s.policyResults[row] = was
+		s.policyResults[row] = total
 	}
 }
 
+// policyCell is the cell of the limits table that holds a row's policy.
+const policyCell = "policy"
+
 func (s *Server) policyDocs() []PolicyDoc {
 	list := []PolicyDoc{}
 	for _, row := range s.state.Limits.RowNames() {
-		if s.state.Limits.Cell(row, "policy") == "" {
+		if s.state.Limits.Cell(row, policyCell) == "" {
 			continue
 		}
-		one := s.policyResults[row]
-		list = append(list, PolicyDoc{row, one.Used, one.Failed, one.LastFailure})
+		result := s.policyResults[row]
+		list = append(list, PolicyDoc{row, result.Used, result.Failed, result.LastFailure})
 	}
 	return list
 }
--- /dev/null
+++ b/internal/controlplane/proposals.go
@@ -0,0 +1,113 @@
+package controlplane
+
+import (
+	"slices"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
+)
+
+const (
+	// maxProposals bounds the requests that wait for their entry to be applied.
+	maxProposals = 4096
+	// maxProposalBytes bounds the bodies of these requests. They can fill neither
+	// the memory nor the log on disk, which no snapshot frees before they are
+	// committed.
+	maxProposalBytes = 8 << 20
+	// maxConfigChanges bounds the changes of the limits table and the catalogue
+	// among them.
+	maxConfigChanges = 64
+)
+
+// leaderChangedRetryAfter is when a client may come back whose request was with a
+// leader that another replaced.
+const leaderChangedRetryAfter clock.Millis = 200
+
+// proposal is a request whose command was proposed and is not applied yet.
+type proposal struct {
+	peer         wire.Peer
+	id           uint64
+	term         identifier.Term
+	configChange bool
+	size         int
+}
+
+// proposalTable holds the proposals of this server by their index in the log. It is
+// bounded by number and by the bytes of the requests' bodies.
+type proposalTable struct {
+	byIndex       map[identifier.Index]proposal
+	configChanges int
+	bytes         int
+}
+
+// full tells whether a request with a body of so many bytes must be refused.
+func (t *proposalTable) full(size int) bool {
+	return len(t.byIndex) >= maxProposals || t.bytes+size > maxProposalBytes
+}
+
+func (t *proposalTable) add(index identifier.Index, p proposal) {
+	t.byIndex[index] = p
+	t.bytes += p.size
+	if p.configChange {
+		t.configChanges++
+	}
+}
+
+// take removes the proposal at an index.
+func (t *proposalTable) take(index identifier.Index) (p proposal, ok bool) {
+	p, ok = t.byIndex[index]
+	if !ok {
+		return p, false
+	}
+	delete(t.byIndex, index)
+	t.bytes -= p.size
+	if p.configChange {
+		t.configChanges--
+	}
+	return p, true
+}
+
+// indexes lists the proposals in the order in which they were made.
+func (t *proposalTable) indexes() []identifier.Index {
+	var list []identifier.Index
+	for index := range t.byIndex {
+		list = append(list, index)
+	}
+	slices.Sort(list)
+	return list
+}
+
+// propose appends a command to the log. Only an active leader may propose.
+func (s *Server) propose(c *state.Command) identifier.Index {
+	c.At = s.leader.clock.timeAt(s.now)
+	index, ok := s.raft.Propose(c.Encode())
+	if !ok {
+		panic("controlplane: a server that does not lead has proposed")
+	}
+	return index
+}
+
+// proposeFor proposes a command on behalf of a request, which is answered once the
+// command is applied.
+func (s *Server) proposeFor(r *apiRequest, c *state.Command) {
+	if s.proposals.full(len(r.Body)) {
+		s.replyError(r.peer, r.ID, errBusy)
+		return
+	}
+	index := s.propose(c)
+	s.proposals.add(index, proposal{
+		peer:         r.peer,
+		id:           r.ID,
+		term:         s.term,
+		configChange: c.ChangeLimits != nil || c.ChangeCatalog != nil,
+		size:         len(r.Body),
+	})
+}
+
+// replyOutcomeUnknown answers a request that was proposed by a leader which has lost
+// its leadership: the entry may be committed or not.
+func (s *Server) replyOutcomeUnknown(p proposal) {
+	s.replyError(p.peer, p.id, errLeaderChanged)
+}
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -1,11 +1,8 @@
-// Runners are judged by what their tasks do. The leader watches how far each run
-// says it is: one that stands still is called back, with its saved progress, and
-// its runner gets no work for a while; a runner on which work goes slowly comes
-// last. All of it is evidence of this leader alone; the next one gathers its own.
-
 package controlplane
 
 import (
+	"slices"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
@@ -13,226 +10,287 @@
 	"orchidward/internal/state"
 )
 
-// pace is how a run has come along: how far it was when first seen and when it
-// is now, and how long it had stood still at the last poll.
-type runProgress struct {
-	firstPercent int64
-	percent      int64
-	stalledFor   clock.Millis
-	// workRate is how fast it goes, in thousandths of its estimate; 0 for unknown.
-	rate int64
-}
+// Runners are judged by what their tasks do. The leader watches how far each attempt
+// says it is: one that stalls is revoked, with its checkpoint, and its runner is
+// quarantined for a while; a runner on which work goes slowly comes last. All of it is
+// evidence of this leader alone; the next one gathers its own.
 
 const (
+	// healthCheckInterval is how often attempts are judged, in milliseconds.
 	healthCheckInterval = 100
-	// minStall is what stallLimit is for a run of no span.
+	// minStall is the stall limit of an attempt without an expected duration.
 	minStall = 600
-	// restoreTime is how long a run may take to find its saved progress.
-	restoreTime    = 800
+	// restoreTime is how long an attempt may take to restore its checkpoint.
+	restoreTime = 800
+	// quarantineTime is how long a runner gets no work after an attempt stalled.
 	quarantineTime = 6000
-	// slowRate is the rate under which a runner is slow, in thousandths: below
-	// what a wrong estimate, a far rack and an old machine come to together.
-	slowRate = 350
+	// slowWorkRate is the rate under which a runner is slow, in thousandths: below what a
+	// wrong estimate, a distant rack and an old machine come to together.
+	slowWorkRate = 350
+	// maxCountedRate bounds the rate of one attempt, in thousandths.
+	maxCountedRate = 2000
 	// workRateLife is how long a rate counts without new evidence.
 	workRateLife = 4000
-	// minMoveGain is what moving a run takes at the least, and what must be gained.
+	// minMoveGain is what moving an attempt costs at least, and what must be gained.
 	minMoveGain = 400
-	// maxRevocations bounds the runs called back at once.
+	// maxRevocations bounds the attempts revoked at once.
 	maxRevocations = 16
+	// fullEstimate is the progress, in percent, of an attempt that has taken as long as
+	// was estimated; past that it tells no more.
+	fullEstimate = 99
+	// Attempts are judged on fresh reports only: the agent must have been heard within
+	// maxReportAge, and have heard its runner within maxReportSilence.
+	maxReportAge     = 1000
+	maxReportSilence = 400
 )
 
-// recordProgress takes what a run says of itself.
-func (s *Server) recordProgress(a *agentRunner, h *agentRun, reported runnerapi.RunState) {
-	p, g := h.progress, s.state.Leases[h.lease]
-	if g == nil {
+// runProgress is how an attempt has come along: its progress when first seen and now, in
+// percent, and how long it had stalled at the last poll.
+type runProgress struct {
+	firstPercent int64
+	percent      int64
+	stalledFor   clock.Millis
+	// rate is how fast it goes, in thousandths of its estimate; 0 for unknown.
+	rate int64
+}
+
+// recordProgress takes what an attempt says of itself.
+func (s *Server) recordProgress(a *agentRunner, run *agentRun, reported runnerapi.RunState) {
+	lease := s.state.Leases[run.lease]
+	if lease == nil {
 		return
 	}
 	if reported.StalledFor > 0 {
-		a.noStallBefore = min(a.noStallBefore, s.now.Add(stallLimit(g)-reported.StalledFor))
+		a.noStallBefore = min(a.noStallBefore, s.now.Add(stallLimit(lease)-reported.StalledFor))
 	}
-	if p == nil {
-		h.progress = &runProgress{firstPercent: reported.ProgressPercent, percent: reported.ProgressPercent, stalledFor: reported.StalledFor}
+	if run.progress == nil {
+		run.progress = &runProgress{firstPercent: reported.ProgressPercent, percent: reported.ProgressPercent, stalledFor: reported.StalledFor}
 		return
 	}
-	p.stalledFor, p.percent = reported.StalledFor, reported.ProgressPercent
-	if p.rate = reported.ProgressRate * int64(g.ExpectedRun) / 1000; reported.ProgressPercent >= fullEstimate {
+	p := run.progress
+	p.stalledFor = reported.StalledFor
+	p.percent = reported.ProgressPercent
+	p.rate = reported.ProgressRate * int64(lease.ExpectedRun) / 1000
+	if reported.ProgressPercent >= fullEstimate {
 		p.rate = 0
 	}
 }
 
-// rated takes the rate of a runner from those of its runs that tell one. Members
-// of a gang that stands on several runners go as fast as the slowest of them,
-// and say nothing of their own. Old evidence is forgotten.
+// updateWorkRate takes the rate of a runner from those of its attempts that tell one.
+// Members of a gang that spans several runners go as fast as the slowest of them, and say
+// nothing of their own. Old evidence is forgotten.
 func (s *Server) updateWorkRate(a *agentRunner) {
-	sum, n := int64(0), int64(0)
-	for id, h := range a.runs {
-		p, g := h.progress, s.state.Leases[id]
-		if p != nil && p.rate > 0 && g != nil && !spansRunners(g, s.state.Partners(g)) {
-			sum += min(p.rate, 2000)
+	var sum, n int64
+	for id, run := range a.runs {
+		p := run.progress
+		lease := s.state.Leases[id]
+		if p != nil && p.rate > 0 && lease != nil && !spansRunners(lease, s.state.Partners(lease)) {
+			sum += min(p.rate, maxCountedRate)
 			n++
 		}
 	}
 	switch {
 	case n > 0:
-		a.workRate, a.workRateAt = sum/n, s.now
+		a.workRate = sum / n
+		a.workRateAt = s.now
 	case s.now.Since(a.workRateAt) > workRateLife:
-		a.workRate = 1000
+		a.workRate = usualWorkRate
 	}
 }
 
-// whole is what a run says once it has taken as long as was estimated; past
-// that it says no more.
-const fullEstimate = 99
+// workRate is how fast work goes on a runner, in thousandths of its estimates.
+func (s *Server) workRate(name identifier.Runner) int64 {
+	if c := s.leader.runners[name]; c != nil && c.agent != nil {
+		return c.agent.workRate
+	}
+	return usualWorkRate
+}
+
+// quarantined tells whether nothing should be placed on a runner for now.
+func (s *Server) quarantined(c *runnerContact) bool {
+	return c.agent != nil && s.now < c.agent.quarantinedUntil
+}
 
-// stallLimit is the least time without a move that is held against a run.
-func stallLimit(g *state.Lease) clock.Millis { return minStall + g.ExpectedRun/8 }
+// stallLimit is the least time without progress that is held against an attempt.
+func stallLimit(lease *state.Lease) clock.Millis { return minStall + lease.ExpectedRun/8 }
 
-// still tells whether a run has not moved for longer than any sound one would,
-// a slow one included: a hundredth of a slow run is some hundredths of its span.
-func (s *Server) stalled(c *runnerContact, p *runProgress, g *state.Lease) bool {
-	j := s.state.Jobs[g.Task.Job]
-	st := j.Spec.Steps[g.Task.Step]
-	span := stallLimit(g)
+// stalled tells whether an attempt has made no progress for longer than any sound one
+// would, a slow one included: one percent of a slow attempt takes some percent of its
+// expected duration.
+func (s *Server) stalled(c *runnerContact, p *runProgress, lease *state.Lease) bool {
+	j := s.state.Jobs[lease.Task.Job]
+	step := j.Spec.Steps[lease.Task.Step]
+	span := stallLimit(lease)
 	switch {
-	case p.stalledFor == 0 || st.Service:
+	case p.stalledFor == 0 || step.Service:
 		return false
 	case p.percent >= fullEstimate:
-		span = 2 * (minStall + g.ExpectedRun)
-	case p.percent == p.firstPercent && j.Task(g.Task).Checkpoint != "":
+		span = 2 * (minStall + lease.ExpectedRun)
+	case p.percent == p.firstPercent && j.Task(lease.Task).Checkpoint != "":
 		span += restoreTime
 	}
-	if p.percent == 0 && st.Gang && !s.gangAssembled(g) {
+	if p.percent == 0 && step.Gang && !s.gangAssembled(lease) {
 		return false
 	}
 	return p.stalledFor+s.now.Since(c.lastHeard) > span
 }
 
-// gangAssembled tells whether all members of a run's gang are there.
-func (s *Server) gangAssembled(g *state.Lease) bool {
-	for _, p := range s.state.Partners(g) {
-		c := s.leader.runners[p.Runner]
-		if c == nil || !c.running[p.ID] {
+// gangAssembled tells whether all members of an attempt's gang run.
+func (s *Server) gangAssembled(lease *state.Lease) bool {
+	for _, partner := range s.state.Partners(lease) {
+		c := s.leader.runners[partner.Runner]
+		if c == nil || !c.running[partner.ID] {
 			return false
 		}
 	}
 	return true
 }
 
-// revokeUnhealthyRuns calls back what stands still.
+// unhealthyRuns are the leases to revoke after one check.
+type unhealthyRuns struct {
+	stalled []identifier.LeaseID
+	slow    []identifier.LeaseID
+	// reserved is the capacity that the slow ones would take on other runners.
+	reserved map[identifier.Runner]job.Demand
+}
+
+func (u *unhealthyRuns) full() bool { return len(u.stalled)+len(u.slow) >= maxRevocations }
+
+// revokeUnhealthyRuns revokes attempts that stall, that would be done sooner elsewhere,
+// or that will never start.
 func (s *Server) revokeUnhealthyRuns() {
 	l := s.leader
 	if l.revokeProposal > s.appliedIndex || s.now.Since(l.lastHealthCheck) < healthCheckInterval {
 		return
 	}
 	l.lastHealthCheck = s.now
-	var late, slow []identifier.LeaseID
-	room := map[identifier.Runner]job.Demand{}
-	for _, n := range s.state.RunnerNames() {
-		c := l.runners[n]
-		if c == nil || c.agent == nil || c.silentBefore > 400 || s.now.Since(c.lastHeard) > 1000 {
-			continue
-		}
-		if s.now <= c.agent.noStallBefore && c.agent.workRate >= slowRate {
-			continue
-		}
-		for _, id := range s.state.Runners[n].LeaseIDs() {
-			h, g := c.agent.runs[id], s.state.Leases[id]
-			if h == nil || h.progress == nil || g.RevokeReason != "" || len(late)+len(slow) >= maxRevocations {
-				continue
-			}
-			if !s.stalled(c, h.progress, g) {
-				if s.fasterElsewhere(c, h.progress, g) && s.reserveElsewhere(n, g, room) {
-					slow = append(slow, id)
-				}
-				continue
-			}
-			late = append(late, id)
-			c.agent.quarantinedUntil = s.now.Add(quarantineTime)
-			s.logEvent("stands-still", "runner", n, "task", g.Task, "run", g.Attempt, "percent", h.progress.percent)
+	found := &unhealthyRuns{reserved: map[identifier.Runner]job.Demand{}}
+	for _, name := range s.state.RunnerNames() {
+		if c := l.runners[name]; s.worthChecking(c) {
+			s.checkRuns(name, c, found)
 		}
 	}
-	if len(slow) > 0 {
-		sortLeases(slow)
-		s.logEvent("slow", "grants", len(slow))
-		l.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: slow, Reason: state.RevokeSlow}})
+	if len(found.slow) > 0 {
+		slices.Sort(found.slow)
+		s.logEvent("runs-slow", "leases", len(found.slow))
+		s.revokeRuns(found.slow, state.RevokeSlow)
 	}
 	if never := s.neverStarted(); len(never) > 0 {
-		l.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: never, Reason: state.RevokeStartUnconfirmed}})
+		s.revokeRuns(never, state.RevokeStartUnconfirmed)
+	}
+	if len(found.stalled) > 0 {
+		slices.Sort(found.stalled)
+		s.revokeRuns(found.stalled, state.RevokeStalled)
+	}
+}
+
+func (s *Server) revokeRuns(leases []identifier.LeaseID, reason string) {
+	s.leader.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: leases, Reason: reason}})
+}
+
+// worthChecking tells whether the attempts on a runner can be judged, and whether one of
+// them can be unhealthy at all.
+func (s *Server) worthChecking(c *runnerContact) bool {
+	if c == nil || c.agent == nil || c.silentBefore > maxReportSilence || s.now.Since(c.lastHeard) > maxReportAge {
+		return false
 	}
-	if len(late) > 0 {
-		sortLeases(late)
-		l.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: late, Reason: state.RevokeStalled}})
+	return s.now > c.agent.noStallBefore || c.agent.workRate < slowWorkRate
+}
+
+// checkRuns judges the attempts on one runner.
+func (s *Server) checkRuns(name identifier.Runner, c *runnerContact, found *unhealthyRuns) {
+	for _, id := range s.state.Runners[name].LeaseIDs() {
+		run := c.agent.runs[id]
+		lease := s.state.Leases[id]
+		if run == nil || run.progress == nil || lease.RevokeReason != "" || found.full() {
+			continue
+		}
+		if s.stalled(c, run.progress, lease) {
+			found.stalled = append(found.stalled, id)
+			c.agent.quarantinedUntil = s.now.Add(quarantineTime)
+			s.logEvent("run-stalled", "runner", name, "task", lease.Task, "run", lease.Attempt, "percent", run.progress.percent)
+			continue
+		}
+		if s.fasterElsewhere(c, run.progress, lease) && s.reserveElsewhere(name, lease, found.reserved) {
+			found.slow = append(found.slow, id)
+		}
 	}
 }
 
-// fasterElsewhere tells whether a run on a slow runner would be done sooner if it began
-// elsewhere, with what progress is saved.
-func (s *Server) fasterElsewhere(c *runnerContact, p *runProgress, g *state.Lease) bool {
-	st := s.state.Jobs[g.Task.Job].Spec.Steps[g.Task.Step]
-	if c.agent.workRate >= slowRate || p.rate == 0 || p.rate >= slowRate || st.Service || p.percent >= fullEstimate {
+// fasterElsewhere tells whether an attempt on a slow runner would be done sooner if it
+// began elsewhere, from its checkpoint.
+func (s *Server) fasterElsewhere(c *runnerContact, p *runProgress, lease *state.Lease) bool {
+	step := s.state.Jobs[lease.Task.Job].Spec.Steps[lease.Task.Step]
+	slowRunner := c.agent.workRate < slowWorkRate
+	slowRun := p.rate > 0 && p.rate < slowWorkRate
+	if !slowRunner || !slowRun || step.Service || p.percent >= fullEstimate {
 		return false
 	}
-	left := g.ExpectedRun * clock.Millis(100-p.percent) / 100
-	here, there := left*1000/clock.Millis(p.rate), g.ExpectedRun
-	if st.Checkpoints {
+	left := lease.ExpectedRun * clock.Millis(100-p.percent) / 100
+	here := left * 1000 / clock.Millis(p.rate)
+	there := lease.ExpectedRun
+	if step.Checkpoints {
 		there = min(there, left+restoreTime)
 	}
 	return here > there+there/4+minMoveGain
 }
 
-// reserveElsewhere takes room for a run, or for its whole gang, on other runners of
-// the pool that are well; room is what was taken before.
-func (s *Server) reserveElsewhere(from identifier.Runner, g *state.Lease, room map[identifier.Runner]job.Demand) bool {
-	need := 1 + len(s.state.Partners(g))
-	pool, fresh := s.state.Runners[from].Pool, s.schedulable()
-	var at []identifier.Runner
-	for _, n := range s.state.RunnerNames() {
-		r, c := s.state.Runners[n], s.leader.runners[n]
-		if n == from || r.Pool != pool || r.Gone || r.CordonedBy() != "" || c == nil || c.agent == nil || c.agent.workRate < slowRate || !fresh(n) {
+// reserveElsewhere reserves capacity for an attempt, or for its whole gang, on other
+// healthy runners of the pool; reserved is what was reserved before. It reserves nothing
+// where not all of them fit.
+func (s *Server) reserveElsewhere(from identifier.Runner, lease *state.Lease, reserved map[identifier.Runner]job.Demand) bool {
+	need := 1 + len(s.state.Partners(lease))
+	schedulable := s.schedulable()
+	var chosen []identifier.Runner
+	for _, name := range s.state.RunnerNames() {
+		if !s.healthyAlternative(name, from) || !schedulable(name) {
 			continue
 		}
-		free := r.Free().Minus(room[n])
-		for need > len(at) && g.Demand.Fits(free) {
-			free = free.Minus(g.Demand)
-			at = append(at, n)
+		free := s.state.Runners[name].Free().Minus(reserved[name])
+		for need > len(chosen) && lease.Demand.Fits(free) {
+			free = free.Minus(lease.Demand)
+			chosen = append(chosen, name)
 		}
 	}
-	if len(at) < need {
+	if len(chosen) < need {
 		return false
 	}
-	for _, n := range at {
-		room[n] = room[n].Plus(g.Demand)
+	for _, name := range chosen {
+		reserved[name] = reserved[name].Plus(lease.Demand)
 	}
 	return true
 }
 
-// neverStarted lists what was placed on agents' runners that are leaving or closed and
-// has not begun there, and so never will.
+// healthyAlternative tells whether a runner of the same pool is one that work could move
+// to from another runner.
+func (s *Server) healthyAlternative(name, from identifier.Runner) bool {
+	runner := s.state.Runners[name]
+	c := s.leader.runners[name]
+	if name == from || runner.Pool != s.state.Runners[from].Pool || runner.Gone || runner.CordonedBy() != "" {
+		return false
+	}
+	return c != nil && c.agent != nil && c.agent.workRate >= slowWorkRate
+}
+
+// neverStarted lists what was placed on agents' runners that are leaving or cordoned and
+// has not started there, and so never will.
 func (s *Server) neverStarted() []identifier.LeaseID {
 	var list []identifier.LeaseID
-	for _, n := range s.state.RunnerNames() {
-		c, r := s.leader.runners[n], s.state.Runners[n]
-		if c == nil || c.agent == nil || !c.hasPolled || r.Incarnation != c.incarnation || !c.draining && r.CordonedBy() == "" {
+	for _, name := range s.state.RunnerNames() {
+		c := s.leader.runners[name]
+		runner := s.state.Runners[name]
+		if c == nil || c.agent == nil || !c.hasPolled || runner.Incarnation != c.incarnation {
+			continue
+		}
+		if !c.draining && runner.CordonedBy() == "" {
 			continue
 		}
-		for _, id := range r.LeaseIDs() {
-			if _, over := c.ended[id]; !over && !c.running[id] && s.state.Leases[id].RevokeReason == "" {
+		for _, id := range runner.LeaseIDs() {
+			_, ended := c.ended[id]
+			if !ended && !c.running[id] && s.state.Leases[id].RevokeReason == "" {
 				list = append(list, id)
 			}
 		}
 	}
 	return list
 }
-
-// ill tells whether nothing should be placed on a runner for now.
-func (s *Server) quarantined(c *runnerContact) bool {
-	return c.agent != nil && s.now < c.agent.quarantinedUntil
-}
-
-// pace is how fast work goes on a runner, in thousandths of its estimates.
-func (s *Server) workRate(n identifier.Runner) int64 {
-	if c := s.leader.runners[n]; c != nil && c.agent != nil {
-		return c.agent.workRate
-	}
-	return 1000
-}
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -1,13 +1,9 @@
-// Runners' polls: what they report is committed when it is news, and their
-// open polls are answered when there is something to order or acknowledge.
-
 package controlplane
 
 import (
 	"cmp"
-	"encoding/json"
+	"net/http"
 	"slices"
-	"sort"
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
@@ -18,276 +14,324 @@
 	"orchidward/internal/transport/wire"
 )
 
-// awayAfter is how long a runner has not polled when its next poll is answered at
-// once, so that whoever was cut off knows that it no longer is.
-const awayAfter = 1000
+const (
+	// awayAfter is how long a runner has not polled when its next poll is answered at
+	// once, so that a runner that was cut off knows that it no longer is.
+	awayAfter clock.Millis = 1000
+	// departureSlack is the difference between two reported times of departure, in
+	// milliseconds, that is not worth an entry.
+	departureSlack = 1000
+)
 
-func sortLeases(list []identifier.LeaseID) {
-	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
+// openPoll is a poll in the order of those that are answered empty in time.
+type openPoll struct {
+	runner identifier.Runner
+	id     uint64
+	since  clock.Monotonic
 }
 
+// handlePoll takes a runner's poll: what it reports is proposed when it differs from
+// the state, and the poll stays open until there is something to tell the runner.
 func (s *Server) handlePoll(peer wire.Peer, id uint64, name identifier.Runner, body []byte) {
-	var f jsondoc.FieldErrors
-	p := runnerapi.Read(body, &f)
-	if f.Any() {
-		s.reply(peer, id, f.Status(), f.ErrorBody(), 0)
+	var faults jsondoc.FieldErrors
+	p := runnerapi.Read(body, &faults)
+	if faults.Any() {
+		s.replyFieldErrors(peer, id, &faults)
 		return
 	}
-	if p.Agent && s.state.Level < state.CatalogLevel {
-		s.replyError(peer, id, 503, "level", "agents wait until every keeper has been upgraded", 500)
+	c, ok := s.admitPoll(peer, id, name, p)
+	if !ok {
 		return
 	}
-	l := s.leader
-	r := s.state.Runners[name]
-	c := l.runners[name]
-	if r != nil && r.WasIncarnation(p.Incarnation) {
-		s.replyJSON(peer, id, 200, runnerapi.PollResponse{Retired: true})
-		return
+	s.closePoll(c)
+	s.openPoll(peer, id, c, p)
+	s.leader.changedRunners[name] = true
+	s.leader.openPolls = append(s.leader.openPolls, openPoll{name, id, s.now})
+	if p.Agent {
+		s.recordAgentPoll(name, c, p)
 	}
-	if c == nil && len(l.runners) >= state.MaxRunners {
-		s.replyError(peer, id, 503, "runners-full", "no room for another runner", 60000)
-		return
+	s.recordRunning(c, p)
+	s.recordEnded(c, p)
+	if s.runnerPresent(name, c, p) {
+		s.reportRunnerIfChanged(name, c, p)
+	}
+	s.reportNewEnds(name, c)
+	s.leader.cycle.needed = true
+}
+
+// admitPoll finds the contact that a poll belongs to. A poll that must not be taken is
+// answered here, and ok is false: one of an incarnation that was replaced, one that a
+// later poll has overtaken, and one of a runner beyond the bound.
+func (s *Server) admitPoll(peer wire.Peer, id uint64, name identifier.Runner, p *runnerapi.PollRequest) (c *runnerContact, ok bool) {
+	if p.Agent && s.state.Level < state.CatalogLevel {
+		s.replyError(peer, id, errAgentsTooNew)
+		return nil, false
+	}
+	runner := s.state.Runners[name]
+	if runner != nil && runner.WasIncarnation(p.Incarnation) {
+		s.replyJSON(peer, id, http.StatusOK, runnerapi.PollResponse{Retired: true})
+		return nil, false
+	}
+	c = s.leader.runners[name]
+	if c == nil && len(s.leader.runners) >= state.MaxRunners {
+		s.replyError(peer, id, errRunnersFull)
+		return nil, false
 	}
 	if c == nil {
 		c = &runnerContact{}
-		l.runners[name] = c
+		s.leader.runners[name] = c
 	}
 	if c.incarnation != p.Incarnation {
 		s.closePoll(c)
 		*c = runnerContact{incarnation: p.Incarnation, lastHeard: s.now, agent: s.carryOverAgent(c)}
 	}
 	if p.Seq <= c.seq {
-		a := s.emptyPollResponse(c)
-		a.Seq = c.seq
-		s.replyJSON(peer, id, 200, a)
-		return
+		response := s.emptyPollResponse(c)
+		response.Seq = c.seq
+		s.replyJSON(peer, id, http.StatusOK, response)
+		return nil, false
 	}
-	s.closePoll(c)
-	back := !c.hasPolled || s.now.Since(c.lastHeard) > awayAfter
-	c.seq, c.lastHeard, c.silentBefore, c.hasPolled, c.draining = p.Seq, s.now, p.SilentFor, true, p.Mode == runnerapi.ModeDraining
-	c.pollOpen, c.pollPeer, c.pollID, c.pollSince = true, peer, id, s.now
-	if back {
-		c.pollSince -= clock.Monotonic(s.state.Limits.SiteMillis("startMs"))
+	return c, true
+}
+
+// openPoll makes this the open poll of a runner.
+func (s *Server) openPoll(peer wire.Peer, id uint64, c *runnerContact, p *runnerapi.PollRequest) {
+	wasAway := !c.hasPolled || s.now.Since(c.lastHeard) > awayAfter
+	c.seq = p.Seq
+	c.lastHeard = s.now
+	c.silentBefore = p.SilentFor
+	c.hasPolled = true
+	c.draining = p.Mode == runnerapi.ModeDraining
+	c.poll = pollState{open: true, peer: peer, id: id, since: s.now}
+	if wasAway {
+		c.poll.since -= clock.Monotonic(s.state.Limits.SiteMillis("startMs"))
 	}
 	c.beginPoll()
-	was := c.toldCompleteBefore
-	l.changedRunners[name] = true
-	l.openPolls = append(l.openPolls, openPoll{name, id, s.now})
-	if p.Agent {
-		s.recordAgentPoll(name, c, p)
-	}
-	for _, g := range p.Running {
-		c.running[g] = true
-		if was[g] {
-			c.toldComplete[g] = true
+}
+
+// recordRunning takes the attempts that a poll says run. When one is new here, the
+// runners of its gang have something to hear.
+func (s *Server) recordRunning(c *runnerContact, p *runnerapi.PollRequest) {
+	for _, id := range p.Running {
+		c.running[id] = true
+		toldBefore := c.gangs.before[id]
+		if toldBefore {
+			c.gangs.told[id] = true
 		}
-		one := s.state.Leases[g]
-		if one == nil {
+		lease := s.state.Leases[id]
+		if lease == nil {
 			continue
 		}
-		l.confirmed[g] = true
-		if was[g] {
+		s.leader.leases.confirmed[id] = true
+		if toldBefore {
 			continue
 		}
-		for _, p := range s.state.Partners(one) {
-			l.changedRunners[p.Runner] = true
+		for _, partner := range s.state.Partners(lease) {
+			s.leader.changedRunners[partner.Runner] = true
 		}
 	}
-	for _, e := range p.Ended {
-		c.ended[e.Lease] = e
-		if s.state.Leases[e.Lease] != nil {
-			l.confirmed[e.Lease] = true
-		}
-	}
-	if s.runnerPresent(name, c, p) {
-		s.reportRunnerIfChanged(name, c, p)
-	}
-	s.reportNewEnds(name, c)
-	l.needsScheduling = true
 }
 
-// begin empties what a poll says anew; what was told before it is kept aside.
-func (c *runnerContact) beginPoll() {
-	if c.running == nil {
-		c.running, c.ended, c.toldComplete, c.toldCompleteBefore = map[identifier.LeaseID]bool{}, map[identifier.LeaseID]runnerapi.End{}, map[identifier.LeaseID]bool{}, map[identifier.LeaseID]bool{}
-		return
+// recordEnded takes the attempts that a poll says have ended.
+func (s *Server) recordEnded(c *runnerContact, p *runnerapi.PollRequest) {
+	for _, end := range p.Ended {
+		c.ended[end.Lease] = end
+		if s.state.Leases[end.Lease] != nil {
+			s.leader.leases.confirmed[end.Lease] = true
+		}
 	}
-	c.toldComplete, c.toldCompleteBefore = c.toldCompleteBefore, c.toldComplete
-	clear(c.running)
-	clear(c.ended)
-	clear(c.toldComplete)
 }
 
 // closePoll answers a poll that a later one has replaced.
 func (s *Server) closePoll(c *runnerContact) {
-	if c.pollOpen {
-		c.pollOpen = false
-		s.replyJSON(c.pollPeer, c.pollID, 200, s.emptyPollResponse(c))
+	if c.poll.open {
+		c.poll.open = false
+		s.replyJSON(c.poll.peer, c.poll.id, http.StatusOK, s.emptyPollResponse(c))
 	}
 }
 
+// emptyPollResponse is an answer without orders.
 func (s *Server) emptyPollResponse(c *runnerContact) runnerapi.PollResponse {
-	a := runnerapi.PollResponse{Lease: s.state.Limits.SiteMillis("grantMs"), StartTimeout: s.state.Limits.SiteMillis("startMs")}
+	response := runnerapi.PollResponse{
+		Lease:        s.state.Limits.SiteMillis("grantMs"),
+		StartTimeout: s.state.Limits.SiteMillis("startMs"),
+	}
 	if c.agent == nil {
-		a.Gateways = s.liveGateways()
-		return a
+		response.Gateways = s.gateways.liveClientAddrs(s.now)
+		return response
 	}
-	a.FencingToken, a.Servers = uint64(s.term), s.serverAddrs()
-	return a
+	response.FencingToken = uint64(s.term)
+	response.Servers = s.serverAddrs()
+	return response
 }
 
-// facts commits what the runner says of itself when it differs from the book.
+// reportRunnerIfChanged proposes what the runner says of itself when it differs from
+// the state.
 func (s *Server) reportRunnerIfChanged(name identifier.Runner, c *runnerContact, p *runnerapi.PollRequest) {
 	if c.reportProposal > s.appliedIndex {
 		return
 	}
-	rep := &state.ReportRunner{Runner: name, Incarnation: p.Incarnation, Capacity: job.Demand{Cores: p.Cores, Mem: p.Mem, MilliCores: p.MilliCores, GPUs: p.GPUs}, Labels: p.Labels, Pool: p.Pool, AgentAddr: p.AgentAddr,
-		Domain: p.Domain, Rack: p.Rack, Draining: p.Mode == runnerapi.ModeDraining}
-	if rep.Draining {
-		rep.DepartsAt = s.leader.clock.timeAt(s.now).Add(p.DepartsIn)
+	report := &state.ReportRunner{
+		Runner:      name,
+		Incarnation: p.Incarnation,
+		Capacity:    job.Demand{Cores: p.Cores, Mem: p.Mem, MilliCores: p.MilliCores, GPUs: p.GPUs},
+		Labels:      p.Labels,
+		Pool:        p.Pool,
+		AgentAddr:   p.AgentAddr,
+		Domain:      p.Domain,
+		Rack:        p.Rack,
+		Draining:    p.Mode == runnerapi.ModeDraining,
 	}
-	r := s.state.Runners[name]
-	if r != nil && r.Draining && rep.Draining && p.DepartsIn == 0 {
-		rep.DepartsAt = r.DepartsAt
-	}
-	if r != nil && r.Incarnation == p.Incarnation && !r.Gone && r.Capacity == rep.Capacity && r.Pool == p.Pool && r.AgentAddr == p.AgentAddr && sameLabels(r.Labels, p.Labels) &&
-		r.Domain == p.Domain && r.Rack == p.Rack && r.Draining == rep.Draining {
-		if gap := rep.DepartsAt - r.DepartsAt; gap < 1000 && gap > -1000 {
-			return
+	runner := s.state.Runners[name]
+	if report.Draining {
+		report.DepartsAt = s.leader.clock.timeAt(s.now).Add(p.DepartsIn)
+		if runner != nil && runner.Draining && p.DepartsIn == 0 {
+			report.DepartsAt = runner.DepartsAt
 		}
 	}
-	rep.Checkpoints = s.checkpoints(c)
-	c.reportProposal = s.propose(&state.Command{ReportRunner: rep})
+	if runner != nil && matchesReport(runner, report) {
+		return
+	}
+	report.Checkpoints = s.checkpoints(c)
+	c.reportProposal = s.propose(&state.Command{ReportRunner: report})
 }
 
-func sameLabels(a, b []identifier.Label) bool {
-	if len(a) != len(b) {
-		return false
-	}
-	for i := range a {
-		if a[i] != b[i] {
-			return false
-		}
-	}
-	return true
+// matchesReport tells whether a report says nothing that the state does not have.
+func matchesReport(runner *state.Runner, report *state.ReportRunner) bool {
+	gap := report.DepartsAt - runner.DepartsAt
+	return runner.Incarnation == report.Incarnation &&
+		!runner.Gone &&
+		runner.Capacity == report.Capacity &&
+		runner.Pool == report.Pool &&
+		runner.AgentAddr == report.AgentAddr &&
+		slices.Equal(runner.Labels, report.Labels) &&
+		runner.Domain == report.Domain &&
+		runner.Rack == report.Rack &&
+		runner.Draining == report.Draining &&
+		gap < departureSlack && gap > -departureSlack
 }
 
-// reportNewEnds commits the ends the book has yet to hear of.
+// reportNewEnds proposes the ends that the state has yet to hear of.
 func (s *Server) reportNewEnds(name identifier.Runner, c *runnerContact) {
 	if c.endsProposal > s.appliedIndex {
 		return
 	}
-	e := &state.ReportEnds{Runner: name, Incarnation: c.incarnation}
+	report := &state.ReportEnds{Runner: name, Incarnation: c.incarnation}
 	for _, id := range c.endedIDs() {
-		one := c.ended[id]
-		if s.state.AcceptsEnd(name, c.incarnation, one.Lease, one.Task) {
-			e.Ends = append(e.Ends, state.End{Lease: one.Lease, Task: one.Task, Outcome: state.Outcome(one.Outcome), Checkpoint: one.Checkpoint})
+		end := c.ended[id]
+		if s.state.AcceptsEnd(name, c.incarnation, end.Lease, end.Task) {
+			report.Ends = append(report.Ends, state.End{Lease: end.Lease, Task: end.Task, Outcome: state.Outcome(end.Outcome), Checkpoint: end.Checkpoint})
 		}
 	}
-	if len(e.Ends) > 0 {
-		c.endsProposal = s.propose(&state.Command{ReportEnds: e})
+	if len(report.Ends) > 0 {
+		c.endsProposal = s.propose(&state.Command{ReportEnds: report})
 	}
 }
 
-func (c *runnerContact) endedIDs() []identifier.LeaseID {
-	var list []identifier.LeaseID
-	for id := range c.ended {
-		list = append(list, id)
-	}
-	sortLeases(list)
-	return list
-}
-
 // answerPolls answers the open polls that have something to hear, or have been open
-// long enough. Starts go out only for grants in the book as it now stands. Only
-// those are visited whose runner something happened to, or whose time has come.
+// long enough. Only those are visited whose runner something happened to, or whose time
+// has come.
 func (s *Server) answerPolls() {
-	l := s.leader
 	hold := s.state.Limits.SiteMillis("startMs") * 6 / 10
-	for len(l.openPolls) > 0 && s.now.Since(l.openPolls[0].since) >= hold {
-		if c := l.runners[l.openPolls[0].runner]; c != nil && c.pollOpen && c.pollID == l.openPolls[0].id {
-			l.changedRunners[l.openPolls[0].runner] = true
-		}
-		l.openPolls = l.openPolls[1:]
-	}
-	for _, n := range s.takeChangedRunners() {
-		c := l.runners[n]
-		if c == nil || !c.pollOpen {
+	s.markOverduePolls(hold)
+	for _, name := range s.takeChangedRunners() {
+		c := s.leader.runners[name]
+		if c == nil || !c.poll.open {
 			continue
 		}
-		s.reportNewEnds(n, c)
-		a := runnerapi.PollResponse{}
-		s.collectOrders(n, c, &a)
+		s.reportNewEnds(name, c)
+		response := s.pollOrders(name, c)
 		if c.agent != nil {
-			s.answerAgentPoll(n, c, &a, hold)
-			continue
-		}
-		word := s.collectCompleteGangs(c, &a)
-		for _, id := range c.endedIDs() {
-			if one := c.ended[id]; !s.state.AcceptsEnd(n, c.incarnation, one.Lease, one.Task) {
-				a.AckedEnds = append(a.AckedEnds, id)
-			}
+			s.answerAgentPoll(name, c, &response, hold)
+		} else {
+			s.answerPoll(name, c, &response, hold)
 		}
-		if !word && len(a.Starts)+len(a.Stops)+len(a.AckedEnds) == 0 && s.now.Since(c.pollSince) < hold {
-			continue
+	}
+}
+
+// markOverduePolls marks the runners whose polls have been open for long enough.
+func (s *Server) markOverduePolls(hold clock.Millis) {
+	l := s.leader
+	for len(l.openPolls) > 0 && s.now.Since(l.openPolls[0].since) >= hold {
+		first := l.openPolls[0]
+		if c := l.runners[first.runner]; c != nil && c.poll.open && c.poll.id == first.id {
+			l.changedRunners[first.runner] = true
 		}
-		c.pollOpen = false
-		for _, id := range a.CompleteGangs {
-			c.toldComplete[id] = true
+		l.openPolls = l.openPolls[1:]
+	}
+}
+
+// answerPoll answers a runner's open poll if there is something to tell, or the poll
+// has been open for long enough.
+func (s *Server) answerPoll(name identifier.Runner, c *runnerContact, response *runnerapi.PollResponse, hold clock.Millis) {
+	newGang := s.collectCompleteGangs(c, response)
+	for _, id := range c.endedIDs() {
+		end := c.ended[id]
+		if !s.state.AcceptsEnd(name, c.incarnation, end.Lease, end.Task) {
+			response.AckedEnds = append(response.AckedEnds, id)
 		}
-		bare := s.emptyPollResponse(c)
-		a.Lease, a.StartTimeout, a.Gateways = bare.Lease, bare.StartTimeout, bare.Gateways
-		s.replyJSON(c.pollPeer, c.pollID, 200, a)
 	}
+	orders := len(response.Starts) + len(response.Stops) + len(response.AckedEnds)
+	if !newGang && orders == 0 && s.now.Since(c.poll.since) < hold {
+		return
+	}
+	c.poll.open = false
+	for _, id := range response.CompleteGangs {
+		c.gangs.told[id] = true
+	}
+	empty := s.emptyPollResponse(c)
+	response.Lease = empty.Lease
+	response.StartTimeout = empty.StartTimeout
+	response.Gateways = empty.Gateways
+	s.replyJSON(c.poll.peer, c.poll.id, http.StatusOK, response)
 }
 
-// takeChangedRunners takes the runners to look at, in order.
+// takeChangedRunners takes the runners whose polls are to be looked at, in order.
 func (s *Server) takeChangedRunners() []identifier.Runner {
 	var list []identifier.Runner
-	for n := range s.leader.changedRunners {
-		list = append(list, n)
+	for name := range s.leader.changedRunners {
+		list = append(list, name)
 	}
 	clear(s.leader.changedRunners)
-	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
+	slices.Sort(list)
 	return list
 }
 
-func (s *Server) collectOrders(n identifier.Runner, c *runnerContact, a *runnerapi.PollResponse) {
-	r := s.state.Runners[n]
+// pollOrders collects what a runner is to start and to stop. Starts go out only for
+// leases in the state as it now stands.
+func (s *Server) pollOrders(name identifier.Runner, c *runnerContact) runnerapi.PollResponse {
+	var response runnerapi.PollResponse
+	r := s.state.Runners[name]
 	if r == nil || r.Incarnation != c.incarnation {
-		return
+		return response
 	}
 	r.EachLease(func(g *state.Lease) {
 		_, over := c.ended[g.ID]
 		switch {
 		case over:
 		case g.RevokeReason != "":
-			a.Stops = append(a.Stops, g.ID)
+			response.Stops = append(response.Stops, g.ID)
 		case !c.running[g.ID] && !c.draining && r.CordonedBy() == "":
-			a.Starts = append(a.Starts, runnerapi.Start{Lease: g.ID, Task: g.Task, Demand: g.Demand, ExpectedRun: g.ExpectedRun, GangLease: s.gangLease(g), Attempt: g.Attempt})
+			response.Starts = append(response.Starts, s.startOrder(g))
 		}
 	})
-	slices.SortFunc(a.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Lease, y.Lease) })
+	slices.SortFunc(response.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Lease, y.Lease) })
 	for id := range c.running {
 		if s.state.Leases[id] == nil {
-			a.Stops = append(a.Stops, id)
+			response.Stops = append(response.Stops, id)
 		}
 	}
-	sortLeases(a.Stops)
+	slices.Sort(response.Stops)
+	return response
 }
 
-func (s *Server) replyJSON(peer wire.Peer, id uint64, status int, doc any) {
-	text, err := json.Marshal(doc)
-	if err != nil {
-		panic(err)
+func (s *Server) startOrder(lease *state.Lease) runnerapi.Start {
+	return runnerapi.Start{
+		Lease:       lease.ID,
+		Task:        lease.Task,
+		Demand:      lease.Demand,
+		ExpectedRun: lease.ExpectedRun,
+		GangLease:   s.gangLease(lease),
+		Attempt:     lease.Attempt,
 	}
-	s.reply(peer, id, status, text, 0)
-}
-
-func (s *Server) reply(peer wire.Peer, id uint64, status int, body []byte, retry clock.Millis) {
-	s.send(peer, wire.Message{Response: &wire.Response{ID: id, Status: status, Body: body, RetryAfter: retry}})
-}
-
-func (s *Server) replyError(peer wire.Peer, id uint64, status int, code, why string, retry clock.Millis) {
-	s.reply(peer, id, status, jsondoc.ErrorBody{Code: code, Message: why, RetryAfter: retry}.JSON(), retry)
 }
--- /dev/null
+++ b/internal/controlplane/scheduling.go
@@ -0,0 +1,48 @@
+package controlplane
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/scheduler"
+	"orchidward/internal/state"
+)
+
+// schedulingCycle says when the leader plans placements next.
+type schedulingCycle struct {
+	// needed says that something changed since the last cycle.
+	needed bool
+	lastAt clock.Monotonic
+	// proposal is the index of the last plan's entry. One plan is under way at a time.
+	proposal identifier.Index
+}
+
+// schedule runs one scheduling cycle when it is time to, and proposes its plan.
+func (s *Server) schedule() {
+	cycle := &s.leader.cycle
+	if !cycle.needed || cycle.proposal > s.appliedIndex || s.now.Since(cycle.lastAt) < schedulingInterval {
+		return
+	}
+	cycle.needed = false
+	cycle.lastAt = s.now
+	plan := scheduler.Schedule(s.state, scheduler.RunnerView{Fresh: s.schedulable(), Pace: s.workRate}, s.policyCache)
+	s.waitReasons = plan.Reasons
+	s.recordPolicyResults(plan.Policies)
+	if len(plan.Preemptions) > 0 {
+		s.logEvent("preemption", "leases", len(plan.Preemptions))
+		cycle.proposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: plan.Preemptions, Reason: state.RevokePreempted}})
+	}
+	if len(plan.Placements) > 0 {
+		cycle.proposal = s.propose(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: plan.Placements}})
+	}
+}
+
+// schedulable gives a test of whether a runner may be given work now: it has polled
+// lately under its present incarnation, is not leaving and is not quarantined.
+func (s *Server) schedulable() func(name identifier.Runner) bool {
+	limit := 2 * s.state.Limits.SiteMillis("startMs")
+	return func(name identifier.Runner) bool {
+		c := s.leader.runners[name]
+		return c != nil && c.hasPolled && !c.draining && c.incarnation == s.state.Runners[name].Incarnation &&
+			c.silentFor(s.now) < limit && !s.quarantined(c)
+	}
+}
--- a/internal/daemon/gatewayd/desk_test.go
+++ b/internal/daemon/gatewayd/desk_test.go
@@ -35,7 +35,7 @@
 	}
 	silent = &atomic.Int64{}
 	members := []raft.Member{{ID: 7, Addr: l.Addr(), Voter: true}}
-	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: limits.Default().Rows}, Lead: identifier.Node(7).String(), Members: members})
+	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: limits.Default().Rows}, Leader: identifier.Node(7).String(), Members: members})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -19,7 +19,7 @@
 	m.HandleMessage("k", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Founded: true, LeaderID: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
 	m.Tick(950)
 	first := limits.Default()
-	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: first.Rows}, Lead: identifier.Node(7).String(), Members: m.members})
+	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: first.Rows}, Leader: identifier.Node(7).String(), Members: m.members})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/sync_test.go
@@ -66,7 +66,7 @@
 		if err != nil {
 			l.t.Fatalf("synced with %s", s.Message.Request.Query)
 		}
-		doc := controlplane.SyncResponse{Epoch: l.table.Epoch, Lead: identifier.Node(7).String(), Members: l.m.members}
+		doc := controlplane.SyncResponse{Epoch: l.table.Epoch, Leader: identifier.Node(7).String(), Members: l.m.members}
 		if identifier.Epoch(since) != l.table.Epoch || q.Get(controlplane.SyncAfterParam) != "" {
 			page := l.history.Page(identifier.Epoch(since), q.Get(controlplane.SyncAfterParam))
 			doc.Page = &page
--- a/internal/gateway/touch.go
+++ b/internal/gateway/touch.go
@@ -159,12 +159,12 @@
 	was := m.Ready(m.now)
 	m.touch = max(m.touch, sent)
 	m.members, m.gates = s.Members, s.Gateways
-	if n, ok := identifier.ParseNode(s.Lead); ok && n != m.lead {
+	if n, ok := identifier.ParseNode(s.Leader); ok && n != m.lead {
 		m.lead = n
 		m.via = ""
 	}
 	if !was && m.Ready(m.now) {
-		m.event("in-touch", "via", to, "lead", s.Lead, "epoch", m.Epoch())
+		m.event("in-touch", "via", to, "lead", s.Leader, "epoch", m.Epoch())
 	}
 	if best := m.choose(); best != to {
 		m.via = best
