--- a/internal/daemon/gatewayd/desk.go
+++ b/internal/daemon/gatewayd/desk.go
@@ -146,7 +146,7 @@
 	g, n := d.gauges, d.mach.Counts
 	g.Set("table_epoch", float64(d.mach.Epoch()))
 	g.Set("requests_in_hand", float64(d.mach.InFlight()))
-	g.Set("requests", float64(n.Forwarded))
+	g.Set("requests", float64(n.Received))
 	g.Set("requests_refused_here", float64(n.Refused))
 	g.Set("requests_returned_stale", float64(n.Stale))
 	g.Set("requests_moved", float64(n.Redirected))
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/gateway_test.go
@@ -15,24 +15,24 @@
 // touched is a gate in touch with a leader, at 1000 ms.
 func touched(t *testing.T) *Gateway {
 	t.Helper()
-	m := New(Config{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
-	m.HandleMessage("k", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Founded: true, LeaderID: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
-	m.Tick(950)
+	g := New(Config{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
+	g.HandleMessage("k", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Founded: true, LeaderID: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
+	g.Tick(950)
 	first := limits.Default()
-	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: first.Rows}, Leader: identifier.Node(7).String(), Members: m.members})
+	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: first.Rows}, Leader: identifier.Node(7).String(), Members: g.servers.members})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range m.TakeOutput().Messages {
+	for _, s := range g.TakeOutput().Messages {
 		if s.Message.Request != nil && s.Message.Request.Method == "SYNC" {
-			m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: s.Message.Request.ID, Status: 200, Body: text}}, 1000)
+			g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: s.Message.Request.ID, Status: 200, Body: text}}, 1000)
 		}
 	}
-	m.TakeOutput()
-	if !m.Ready(1000) {
+	g.TakeOutput()
+	if !g.Ready(1000) {
 		t.Fatal("not in touch")
 	}
-	return m
+	return g
 }
 
 func passed(o Output) *wire.Request {
@@ -48,17 +48,17 @@
 // TestGivenUpAtOnce: what a gate cannot pass on, or no longer expects an answer
 // to, is answered then and there, and never held until its budget is over.
 func TestGivenUpAtOnce(t *testing.T) {
-	m := touched(t)
-	m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/table", Budget: 30000}, 1100)
-	if passed(m.TakeOutput()) == nil {
+	g := touched(t)
+	g.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/table", Budget: 30000}, 1100)
+	if passed(g.TakeOutput()) == nil {
 		t.Fatal("not passed on")
 	}
-	m.Tick(2000)
-	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 || o.Responses[0].RetryAfter == 0 {
+	g.Tick(2000)
+	if o := g.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 || o.Responses[0].RetryAfter == 0 {
 		t.Errorf("out of touch, with 29 s of budget left: %+v", o.Responses)
 	}
-	m.HandleRequest(Request{ID: 2, Method: "GET", Path: "/v1/table", Budget: 30000}, 2100)
-	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 {
+	g.HandleRequest(Request{ID: 2, Method: "GET", Path: "/v1/table", Budget: 30000}, 2100)
+	if o := g.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 {
 		t.Errorf("asked while out of touch: %+v", o.Responses)
 	}
 }
@@ -67,26 +67,26 @@
 // taken is given up on with 504, also when a later try of it was refused.
 func TestOutcomeUnknown(t *testing.T) {
 	put := Request{ID: 1, Method: "PUT", Path: "/v1/jobs/a/b", Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`), Budget: 30000}
-	m := touched(t)
-	m.HandleRequest(put, 1100)
-	if passed(m.TakeOutput()) == nil {
+	g := touched(t)
+	g.HandleRequest(put, 1100)
+	if passed(g.TakeOutput()) == nil {
 		t.Fatal("not passed on")
 	}
-	m.Tick(2000)
-	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 504 || o.Responses[0].RetryAfter == 0 {
+	g.Tick(2000)
+	if o := g.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 504 || o.Responses[0].RetryAfter == 0 {
 		t.Errorf("passed on, then out of touch: %+v", o.Responses)
 	}
-	m = touched(t)
-	m.HandleRequest(put, 1100)
-	first := passed(m.TakeOutput())
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: first.ID, Status: 503, NotLeader: true}}, 1120)
-	m.Tick(1220)
-	again := passed(m.TakeOutput())
+	g = touched(t)
+	g.HandleRequest(put, 1100)
+	first := passed(g.TakeOutput())
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: first.ID, Status: 503, NotLeader: true}}, 1120)
+	g.Tick(1220)
+	again := passed(g.TakeOutput())
 	if again == nil {
 		t.Fatal("not passed on again")
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: again.ID, Status: 503, RetryAfter: 1000}}, 1240)
-	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 {
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: again.ID, Status: 503, RetryAfter: 1000}}, 1240)
+	if o := g.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 503 {
 		t.Errorf("moved, then refused: %+v", o.Responses)
 	}
 }
@@ -94,15 +94,15 @@
 // TestBudget: an answer that does not come leaves the outcome unknown, and the
 // gate says that it is.
 func TestBudget(t *testing.T) {
-	m := touched(t)
-	m.HandleRequest(Request{ID: 1, Method: "PATCH", Path: "/v1/table", Body: []byte(`{"base":1,"cells":{"a.weight":2}}`), Budget: 300}, 1100)
-	m.TakeOutput()
-	m.Tick(1390)
-	if o := m.TakeOutput(); len(o.Responses) > 0 {
+	g := touched(t)
+	g.HandleRequest(Request{ID: 1, Method: "PATCH", Path: "/v1/table", Body: []byte(`{"base":1,"cells":{"a.weight":2}}`), Budget: 300}, 1100)
+	g.TakeOutput()
+	g.Tick(1390)
+	if o := g.TakeOutput(); len(o.Responses) > 0 {
 		t.Errorf("before its time: %+v", o.Responses)
 	}
-	m.Tick(1400)
-	if o := m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 504 {
+	g.Tick(1400)
+	if o := g.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 504 {
 		t.Errorf("after its time: %+v", o.Responses)
 	}
 }
@@ -110,10 +110,10 @@
 // TestStaleTable: a request that met a newer table is checked and passed again
 // by that table; an older one that comes late never replaces it.
 func TestStaleTable(t *testing.T) {
-	m := touched(t)
+	g := touched(t)
 	job := []byte(`{"pending":"default","steps":[{"name":"s","tasks":3}]}`)
-	m.HandleRequest(Request{ID: 1, Method: "PUT", Path: "/v1/jobs/a/b", Body: job, Budget: 3000}, 1100)
-	a := passed(m.TakeOutput())
+	g.HandleRequest(Request{ID: 1, Method: "PUT", Path: "/v1/jobs/a/b", Body: job, Budget: 3000}, 1100)
+	a := passed(g.TakeOutput())
 	if a == nil || a.Epoch != 1 {
 		t.Fatalf("passed on as %+v", a)
 	}
@@ -126,70 +126,70 @@
 		}
 		return text
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(5, "10")}}, 1150)
-	o := m.TakeOutput()
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(5, "10")}}, 1150)
+	o := g.TakeOutput()
 	if b := passed(o); b == nil || b.Epoch != 5 || len(o.Responses) > 0 {
 		t.Fatalf("after the newer table: %+v, %+v", b, o.Responses)
 	} else {
 		a = b
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(4, "1")}}, 1160)
-	if m.Epoch() != 5 {
-		t.Errorf("the table slid back to %d", m.Epoch())
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(4, "1")}}, 1160)
+	if g.Epoch() != 5 {
+		t.Errorf("the table slid back to %d", g.Epoch())
 	}
-	a = passed(m.TakeOutput())
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(6, "2")}}, 1170)
-	if o = m.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 422 {
+	a = passed(g.TakeOutput())
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 409, Stale: true, Body: sheet(6, "2")}}, 1170)
+	if o = g.TakeOutput(); len(o.Responses) != 1 || o.Responses[0].Status != 422 {
 		t.Errorf("by a table that forbids it: %+v", o.Responses)
 	}
 }
 
 // TestFullGate: bodies in hand are bounded by their bytes.
 func TestFullGate(t *testing.T) {
-	m := touched(t)
+	g := touched(t)
 	body := append([]byte(`{"pending":"default","steps":[{"name":"s"}]}`), bytes.Repeat([]byte(" "), 1<<20)...)
 	full := 0
 	for i := uint64(1); i <= 80; i++ {
-		m.HandleRequest(Request{ID: i, Method: "PUT", Path: "/v1/jobs/a/b", Body: body, Budget: 3000}, 1100)
-		for _, a := range m.TakeOutput().Responses {
+		g.HandleRequest(Request{ID: i, Method: "PUT", Path: "/v1/jobs/a/b", Body: body, Budget: 3000}, 1100)
+		for _, a := range g.TakeOutput().Responses {
 			if a.Status == 503 && a.RetryAfter > 0 {
 				full++
 			}
 		}
 	}
-	if full < 10 || full > 20 || m.bytes > mostBytes {
-		t.Errorf("%d of 80 MiB refused, %d bytes in hand", full, m.bytes)
+	if full < 10 || full > 20 || g.requests.bytes > maxInFlightBytes {
+		t.Errorf("%d of 80 MiB refused, %d bytes in hand", full, g.requests.bytes)
 	}
 	for i := uint64(1); i <= 80; i++ {
-		m.Forget(i)
+		g.Forget(i)
 	}
-	if m.bytes != 0 || m.InFlight() != 0 {
-		t.Errorf("all gone, and %d bytes are counted", m.bytes)
+	if g.requests.bytes != 0 || g.InFlight() != 0 {
+		t.Errorf("all gone, and %d bytes are counted", g.requests.bytes)
 	}
 }
 
 // TestReplyFromAnother: a reply counts only from the one that was asked, and
 // only the reply to the last try.
 func TestReplyFromAnother(t *testing.T) {
-	m := touched(t)
-	m.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/table", Budget: 3000}, 1100)
-	a := passed(m.TakeOutput())
-	m.HandleMessage("k2", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200}}, 1110)
-	if o := m.TakeOutput(); len(o.Responses) != 0 {
+	g := touched(t)
+	g.HandleRequest(Request{ID: 1, Method: "GET", Path: "/v1/table", Budget: 3000}, 1100)
+	a := passed(g.TakeOutput())
+	g.HandleMessage("k2", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200}}, 1110)
+	if o := g.TakeOutput(); len(o.Responses) != 0 {
 		t.Errorf("took the reply of one that was not asked: %+v", o.Responses)
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, NotLeader: true}}, 1120)
-	m.Tick(1250)
-	again := passed(m.TakeOutput())
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, NotLeader: true}}, 1120)
+	g.Tick(1250)
+	again := passed(g.TakeOutput())
 	if again == nil || again.ID == a.ID {
 		t.Fatalf("tried again as %+v", again)
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("first")}}, 1260)
-	if o := m.TakeOutput(); len(o.Responses) != 0 {
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: []byte("first")}}, 1260)
+	if o := g.TakeOutput(); len(o.Responses) != 0 {
 		t.Errorf("took the reply to a try that is over: %+v", o.Responses)
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: again.ID, Status: 200, Body: []byte("second")}}, 1270)
-	if o := m.TakeOutput(); len(o.Responses) != 1 || string(o.Responses[0].Body) != "second" {
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: again.ID, Status: 200, Body: []byte("second")}}, 1270)
+	if o := g.TakeOutput(); len(o.Responses) != 1 || string(o.Responses[0].Body) != "second" {
 		t.Errorf("answered %+v", o.Responses)
 	}
 }
@@ -198,19 +198,19 @@
 // again at once with the reading that came back, and not after its budget.
 func TestExpiredTry(t *testing.T) {
 	order := Request{ID: 1, Method: "PUT", Path: "/v1/closings/east", Budget: 900}
-	m := touched(t)
-	m.HandleRequest(order, 1100)
-	a := passed(m.TakeOutput())
+	g := touched(t)
+	g.HandleRequest(order, 1100)
+	a := passed(g.TakeOutput())
 	if !a.HasLeaderTime || a.LeaderTime != (wire.LeaderTime{}) || a.Budget != 900 {
 		t.Fatalf("first sent as %+v", a)
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, Expired: true, LeaderTime: wire.LeaderTime{Term: 4, At: 70}}}, 1110)
-	b := passed(m.TakeOutput())
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 503, Expired: true, LeaderTime: wire.LeaderTime{Term: 4, At: 70}}}, 1110)
+	b := passed(g.TakeOutput())
 	if b == nil || b.LeaderTime != (wire.LeaderTime{Term: 4, At: 70}) || b.Budget != 890 {
 		t.Fatalf("sent again as %+v", b)
 	}
-	m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: b.ID, Status: 503, Expired: true, RetryAfter: 200}}, 2000)
-	o := m.TakeOutput()
+	g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: b.ID, Status: 503, Expired: true, RetryAfter: 200}}, 2000)
+	o := g.TakeOutput()
 	if passed(o) != nil || len(o.Responses) != 1 || o.Responses[0].Status != 503 || o.Responses[0].RetryAfter == 0 {
 		t.Errorf("past its budget: %+v, %+v", passed(o), o.Responses)
 	}
@@ -221,13 +221,13 @@
 func TestLeaderChanged(t *testing.T) {
 	job := []byte(`{"pending":"default","steps":[{"name":"s"}]}`)
 	for path, again := range map[string]bool{"/v1/jobs/a/b": true, "/v1/closings/east": false} {
-		m := touched(t)
-		m.HandleRequest(Request{ID: 1, Method: "PUT", Path: path, Body: job, Budget: 3000}, 1100)
-		a := passed(m.TakeOutput())
-		m.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 504, RetryAfter: 200}}, 1110)
-		o := m.TakeOutput()
-		m.Tick(1250)
-		b := passed(m.TakeOutput())
+		g := touched(t)
+		g.HandleRequest(Request{ID: 1, Method: "PUT", Path: path, Body: job, Budget: 3000}, 1100)
+		a := passed(g.TakeOutput())
+		g.HandleMessage("k", wire.Message{Response: &wire.Response{ID: a.ID, Status: 504, RetryAfter: 200}}, 1110)
+		o := g.TakeOutput()
+		g.Tick(1250)
+		b := passed(g.TakeOutput())
 		if again && (len(o.Responses) != 0 || b == nil) {
 			t.Errorf("%s: answered %+v, sent again %+v", path, o.Responses, b)
 		}
--- /dev/null
+++ b/internal/gateway/leader_sync.go
@@ -0,0 +1,203 @@
+package gateway
+
+import (
+	"encoding/json"
+	"net/http"
+	"net/url"
+	"strconv"
+
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
+)
+
+// leaderSync is how a gateway keeps in touch with the leader.
+type leaderSync struct {
+	// request is the sync under way, nil while there is none.
+	request  *syncRequest
+	lastSync clock.Monotonic
+	// leaderHeardAt is when the last sync was sent that the leader has answered.
+	leaderHeardAt clock.Monotonic
+	lastAnnounce  clock.Monotonic
+}
+
+// syncRequest is a sync under way; after is the name after which its page begins.
+type syncRequest struct {
+	id     uint64
+	sentAt clock.Monotonic
+	to     wire.Peer
+	after  string
+}
+
+// awaits tells whether a response is the one to the sync under way.
+func (s *leaderSync) awaits(from wire.Peer, id uint64) bool {
+	return s.request != nil && id == s.request.id && from == s.request.to
+}
+
+// announce tells the servers of this gateway, and asks the seeds while it has no one
+// better to ask.
+func (g *Gateway) announce() {
+	outOfTouch := !g.Ready(g.now)
+	interval := announceInterval
+	if outOfTouch {
+		interval = announceIntervalOutOfTouch
+	}
+	if g.now.Since(g.sync.lastAnnounce) < interval {
+		return
+	}
+	g.sync.lastAnnounce = g.now
+	a := g.announcement()
+	a.WantReply = outOfTouch
+	known := map[string]bool{g.config.Addr: true}
+	for _, member := range g.servers.members {
+		known[member.Addr] = true
+		g.send(wire.Peer(member.Addr), wire.Message{Announcement: a})
+	}
+	for _, seed := range g.config.Seeds {
+		if outOfTouch && !known[seed] {
+			g.send(wire.Peer(seed), wire.Message{Announcement: a})
+		}
+	}
+}
+
+// announcement is what this gateway tells of itself.
+func (g *Gateway) announcement() *wire.Announcement {
+	return &wire.Announcement{Role: roleGateway, Addr: g.config.Addr, Domain: g.config.Domain, HTTP: g.config.HTTP}
+}
+
+// syncIfDue syncs with the leader when it is time to, and turns to another server when
+// this one is silent.
+func (g *Gateway) syncIfDue() {
+	s := &g.sync
+	if s.request != nil && g.now.Since(s.request.sentAt) > syncTimeout {
+		g.servers.failed(s.request.to, g.now)
+		s.request = nil
+	}
+	if s.request != nil || g.now.Since(s.lastSync) < syncInterval {
+		return
+	}
+	target := g.servers.ensureTarget(g.now)
+	if target == "" {
+		return
+	}
+	s.lastSync = g.now
+	since, after := g.routing.replica.NextRequest()
+	s.request = &syncRequest{id: g.takeAttempt(), sentAt: g.now, to: target, after: after}
+	query := url.Values{
+		controlplane.SyncGatewayParam: {g.config.HTTP},
+		controlplane.SyncSinceParam:   {strconv.FormatUint(uint64(since), 10)},
+	}
+	if after != "" {
+		query.Set(controlplane.SyncAfterParam, after)
+	}
+	g.send(target, wire.Message{Request: &wire.Request{
+		ID:     s.request.id,
+		Method: endpoint.MethodSync,
+		Path:   "/",
+		Query:  query.Encode(),
+		Epoch:  g.Epoch(),
+		Budget: syncTimeout,
+	}})
+}
+
+// syncNow syncs without waiting for the next time.
+func (g *Gateway) syncNow() {
+	g.sync.lastSync = g.now.Add(-syncInterval)
+	g.syncIfDue()
+}
+
+// handleAnnouncement answers who asks for the cluster, turns to a new leader, and learns
+// of servers while it is out of touch.
+func (g *Gateway) handleAnnouncement(from wire.Peer, t *wire.Announcement) {
+	if t.WantReply {
+		reply := g.announcement()
+		reply.Founded = len(g.servers.members) > 0
+		reply.LeaderID = g.servers.leaderID
+		reply.Members = g.servers.members
+		reply.Gateways = g.servers.gateways
+		g.send(from, wire.Message{Announcement: reply})
+		return
+	}
+	byLeader := t.Role == roleServer && t.Node != 0 && t.LeaderID == t.Node
+	if byLeader && len(t.Members) > 0 {
+		g.followLeader(t)
+		return
+	}
+	if t.Founded && len(t.Members) > 0 && !g.Ready(g.now) {
+		g.servers.members = t.Members
+		g.servers.gateways = t.Gateways
+		if t.LeaderID != 0 {
+			g.servers.leaderID = t.LeaderID
+		}
+	}
+}
+
+// followLeader turns to a new leader by its own word: what waits on another server is
+// passed to it at once, if it may be sent again.
+func (g *Gateway) followLeader(t *wire.Announcement) {
+	leader := wire.Peer(t.Addr)
+	g.servers.members = t.Members
+	g.servers.leaderID = t.LeaderID
+	g.servers.target = leader
+	delete(g.servers.failedAt, leader)
+	g.observeLeaderTime(t.LeaderTime)
+	if g.sync.request != nil && g.sync.request.to != leader {
+		g.sync.request = nil
+	}
+	g.syncNow()
+	if !g.Ready(g.now) {
+		return
+	}
+	for _, id := range g.requests.ids() {
+		r := g.requests.byID[id]
+		if r.to != g.servers.target && (r.attempt == 0 || r.idempotent) {
+			g.forward(r)
+		}
+	}
+}
+
+// handleSyncResponse takes what the leader says has changed.
+func (g *Gateway) handleSyncResponse(r *wire.Response) {
+	sync := g.sync.request
+	g.sync.request = nil
+	if r.NotLeader || r.Status != http.StatusOK {
+		g.servers.failed(sync.to, g.now)
+		return
+	}
+	var s controlplane.SyncResponse
+	if err := json.Unmarshal(r.Body, &s); err != nil {
+		g.logEvent("sync-malformed", "error", err)
+		return
+	}
+	switch {
+	case s.Table != nil:
+		g.replaceTable(s.Table)
+	case s.Page != nil:
+		g.useTable(g.routing.replica.AddPage(*s.Page, sync.after))
+	}
+	g.routing.noteLeaderEpoch(s.Epoch, g.now)
+	wasReady := g.Ready(g.now)
+	g.sync.leaderHeardAt = max(g.sync.leaderHeardAt, sync.sentAt)
+	g.updateServers(&s)
+	if !wasReady && g.Ready(g.now) {
+		g.logEvent("in-touch", "via", sync.to, "leader", s.Leader, "epoch", g.Epoch())
+	}
+	if best := g.servers.choose(g.now); best != sync.to {
+		g.servers.target = best
+	}
+	if g.routing.replica.Updating() {
+		g.syncNow()
+	}
+}
+
+// updateServers takes the servers that the leader names.
+func (g *Gateway) updateServers(s *controlplane.SyncResponse) {
+	g.servers.members = s.Members
+	g.servers.gateways = s.Gateways
+	if leader, ok := identifier.ParseNode(s.Leader); ok && leader != g.servers.leaderID {
+		g.servers.leaderID = leader
+		g.servers.target = ""
+	}
+}
--- a/internal/gateway/sync_test.go
+++ b/internal/gateway/leader_sync_test.go
@@ -28,7 +28,7 @@
 
 func newLeading(t *testing.T, places int) *leading {
 	l := &leading{t: t, m: touched(t), now: 1000}
-	l.table = routing.Table{Epoch: 2, Version: 2, Rows: l.m.routes.Rows()}
+	l.table = routing.Table{Epoch: 2, Version: 2, Rows: l.m.routing.replica.Rows()}
 	for i := 0; i < places; i++ {
 		l.table.Routes = append(l.table.Routes, catalog.Route{Queue: fmt.Sprintf("q%05d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i)})
 	}
@@ -66,7 +66,7 @@
 		if err != nil {
 			l.t.Fatalf("synced with %s", s.Message.Request.Query)
 		}
-		doc := controlplane.SyncResponse{Epoch: l.table.Epoch, Leader: identifier.Node(7).String(), Members: l.m.members}
+		doc := controlplane.SyncResponse{Epoch: l.table.Epoch, Leader: identifier.Node(7).String(), Members: l.m.servers.members}
 		if identifier.Epoch(since) != l.table.Epoch || q.Get(controlplane.SyncAfterParam) != "" {
 			page := l.history.Page(identifier.Epoch(since), q.Get(controlplane.SyncAfterParam))
 			doc.Page = &page
@@ -227,7 +227,7 @@
 		t.Errorf("answered %+v", o.Responses)
 	}
 	l.m.HandleMessage("k", again, l.now)
-	if o := l.m.TakeOutput(); len(o.Responses) != 0 || len(l.m.byAsk) != 0 {
-		t.Errorf("after the answer: %+v, %d attempts are kept", o.Responses, len(l.m.byAsk))
+	if o := l.m.TakeOutput(); len(o.Responses) != 0 || len(l.m.requests.byAttempt) != 0 {
+		t.Errorf("after the answer: %+v, %d attempts are kept", o.Responses, len(l.m.requests.byAttempt))
 	}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -1,12 +1,10 @@
-// Requests: taken in, checked by the rules at hand, passed on to the leader, and
-// answered once.
-
 package gateway
 
 import (
 	"encoding/json"
-	"strings"
+	"net/http"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
@@ -17,166 +15,225 @@
 	"orchidward/internal/transport/wire"
 )
 
-// HandleRequest takes one in. It is answered at once when it can't be passed on.
-func (m *Gateway) HandleRequest(r Request, now clock.Monotonic) {
-	m.observe(now)
-	m.Counts.Forwarded++
-	r.Budget = r.patience()
-	c := &call{Request: r, until: m.now.Add(r.Budget), again: r.Repeatable()}
-	m.calls[r.ID] = c
-	m.bytes += len(r.Body)
+// Roles as announcements name them.
+const (
+	roleServer  = "keeper"
+	roleGateway = "gate"
+)
+
+// Codes of the gateway's own error responses; docs/api.md lists them.
+const (
+	codeOutOfTouch = "out-of-touch"
+	codeStalled    = "woken"
+	codeBusy       = "busy"
+	codeNoAnswer   = "no-answer"
+)
+
+const messageOutOfTouch = "this gate has lost touch with the core"
+
+// How long a caller should wait after an error response.
+const (
+	retryAfterFailure clock.Millis = 1000
+	retryAfterStall   clock.Millis = 500
+	retryAfterUnknown clock.Millis = 500
+)
+
+// HandleRequest takes a request in. It is answered at once when it can't be forwarded.
+func (g *Gateway) HandleRequest(in Request, now clock.Monotonic) {
+	g.observe(now)
+	g.Counts.Received++
+	in.Budget = in.budget()
+	r := &request{Request: in, deadline: g.now.Add(in.Budget), idempotent: in.Idempotent()}
+	g.requests.add(r)
 	switch {
-	case !m.Ready(m.now):
-		m.refuse(r.ID, 503, "out-of-touch", "this gate has lost touch with the core", 1000)
-	case r.Method != "GET" && m.paused.Draining(m.now):
-		m.refuse(r.ID, 503, "woken", "this gate stood still and can't tell how old the request is", 500)
-	case len(m.calls) > most || m.bytes > mostBytes:
-		m.refuse(r.ID, 503, "busy", "too many requests under way", 1000)
-	case m.check(c):
-		m.pass(c)
+	case !g.Ready(g.now):
+		g.replyError(r.ID, http.StatusServiceUnavailable, codeOutOfTouch, messageOutOfTouch, retryAfterFailure)
+	case r.Method != http.MethodGet && g.stalls.Draining(g.now):
+		g.replyError(r.ID, http.StatusServiceUnavailable, codeStalled, "this gate stood still and can't tell how old the request is", retryAfterStall)
+	case g.requests.full():
+		g.replyError(r.ID, http.StatusServiceUnavailable, codeBusy, "too many requests under way", retryAfterFailure)
+	case g.validate(r):
+		g.forward(r)
 	}
 }
 
-// Forget forgets a request whose caller has hung up.
-func (m *Gateway) Forget(id uint64) {
-	if c := m.calls[id]; c != nil {
-		delete(m.byAsk, c.ask)
-		delete(m.calls, id)
-		m.bytes -= len(c.Body)
-	}
-}
+// Forget drops a request whose caller has hung up.
+func (g *Gateway) Forget(id uint64) { g.requests.remove(id) }
 
-// check runs what can be judged here: shape and the row's rules.
-func (m *Gateway) check(c *call) bool {
-	var f jsondoc.FieldErrors
-	parts := strings.Split(strings.Trim(c.Path, "/"), "/")
-	switch {
-	case c.Method == "PUT" && len(parts) == 4 && parts[1] == "jobs":
-		for _, p := range parts[2:] {
-			if !identifier.ValidName(p) {
-				f.Invalid("path", "agent and job id want 1 to 64 letters, digits, '.', '-' or '_'")
-			}
-		}
-		if s := job.Read(c.Body, &f); s != nil && !f.Any() && s.Queue == "" {
-			m.rules.Check(s, -1, &f)
-		}
-	case c.Method == "POST" && len(parts) == 4 && parts[3] == "poll":
-		if !identifier.ValidName(parts[2]) {
-			f.Invalid("path", "runner's name wants 1 to 64 letters, digits, '.', '-' or '_'")
+// validate checks what can be judged here: the form of the request, and the limits of its
+// row. A request with faults is answered here.
+func (g *Gateway) validate(r *request) bool {
+	var faults jsondoc.FieldErrors
+	// A path or method that the API lacks is refused by the leader.
+	target, err := endpoint.Parse(r.Method, r.Path)
+	if err != nil {
+		return true
+	}
+	switch target.Kind {
+	case endpoint.SubmitJob:
+		g.validateJob(target, r.Body, &faults)
+	case endpoint.PollRunner:
+		if !identifier.ValidName(target.Name) {
+			faults.Invalid("path", "runner's name wants 1 to 64 letters, digits, '.', '-' or '_'")
 		}
-		runnerapi.Read(c.Body, &f)
-	case c.Method == "PUT" && len(parts) == 2 && parts[1] == "table":
-		limits.ReadWhole(c.Body, &f)
-	case c.Method == "PATCH" && len(parts) == 2 && parts[1] == "table":
-		limits.ReadPatch(c.Body, &f)
-	}
-	if f.Any() {
-		m.settle(Response{ID: c.ID, Status: f.Status(), Body: f.ErrorBody()})
+		runnerapi.Read(r.Body, &faults)
+	case endpoint.ReplaceLimits:
+		limits.ReadWhole(r.Body, &faults)
+	case endpoint.PatchLimits:
+		limits.ReadPatch(r.Body, &faults)
+	}
+	if faults.Any() {
+		g.reply(Response{ID: r.ID, Status: faults.Status(), Body: faults.ErrorBody()})
 		return false
 	}
 	return true
 }
 
-func (m *Gateway) pass(c *call) {
-	to := m.via
+func (g *Gateway) validateJob(target endpoint.Endpoint, body []byte, faults *jsondoc.FieldErrors) {
+	for _, name := range []string{string(target.Client), string(target.JobID)} {
+		if !identifier.ValidName(name) {
+			faults.Invalid("path", "agent and job id want 1 to 64 letters, digits, '.', '-' or '_'")
+		}
+	}
+	spec := job.Read(body, faults)
+	if spec != nil && !faults.Any() && spec.Queue == "" {
+		g.routing.rules.Check(spec, -1, faults)
+	}
+}
+
+// takeAttempt is the number of the next message that awaits a response.
+func (g *Gateway) takeAttempt() uint64 {
+	g.lastAttempt++
+	return g.lastAttempt
+}
+
+// forward sends a request to the leader, or to whichever server may know it. From the
+// second attempt on its outcome is unknown until a server answers.
+func (g *Gateway) forward(r *request) {
+	to := g.servers.target
 	if to == "" {
-		to = m.choose()
-	}
-	if c.ask != 0 && to == c.to && m.now.Since(c.sent) > tryWait {
-		m.bad[to] = m.now
-		m.via = ""
-		to = m.choose()
-	}
-	c.lost = c.lost || c.ask != 0
-	delete(m.byAsk, c.ask)
-	m.nextID++
-	c.ask, c.to, c.sent, c.later = m.nextID, to, m.now, 0
-	m.byAsk[c.ask] = c.ID
-	epoch := m.Epoch()
-	c.epoch = epoch
-	if c.stale >= staleMost {
-		epoch = 0
-	}
-	m.send(to, wire.Message{Request: &wire.Request{ID: c.ask, Method: c.Method, Path: c.Path, Query: c.Query, Body: c.Body, Epoch: epoch, Budget: c.until.Since(m.now),
-		HasLeaderTime: true, LeaderTime: m.leaderClock}})
+		to = g.servers.choose(g.now)
+	}
+	if r.attempt != 0 && to == r.to && g.now.Since(r.sentAt) > attemptTimeout {
+		g.servers.failed(to, g.now)
+		to = g.servers.choose(g.now)
+	}
+	r.outcomeUnknown = r.outcomeUnknown || r.attempt != 0
+	r.epoch = g.Epoch()
+	g.requests.beginAttempt(r, g.takeAttempt(), to, g.now)
+	g.send(to, wire.Message{Request: &wire.Request{
+		ID:            r.attempt,
+		Method:        r.Method,
+		Path:          r.Path,
+		Query:         r.Query,
+		Body:          r.Body,
+		Epoch:         r.checkedEpoch(),
+		Budget:        r.deadline.Since(g.now),
+		HasLeaderTime: true,
+		LeaderTime:    g.latestLeaderTime,
+	}})
 }
 
-// reply takes the answer to a try: only the one that was asked may give it.
-func (m *Gateway) reply(from wire.Peer, r *wire.Response) {
-	id, ok := m.byAsk[r.ID]
-	if !ok || m.calls[id].to != from {
+// checkedEpoch is the epoch of the table by which the leader is told that the request was
+// checked. After several stale returns it is 0: then the leader decides by its own.
+func (r *request) checkedEpoch() identifier.Epoch {
+	if r.staleReturns >= maxStaleReturns {
+		return 0
+	}
+	return r.epoch
+}
+
+// handleResponse takes the response to an attempt.
+func (g *Gateway) handleResponse(from wire.Peer, response *wire.Response) {
+	r := g.requests.awaiting(from, response.ID)
+	if r == nil {
 		return
 	}
-	c := m.calls[id]
+	refused := response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests
 	switch {
-	case r.Expired && m.now < c.until && c.expired < expiredMost:
-		c.expired++
-		delete(m.byAsk, c.ask)
-		c.ask = 0
-		m.pass(c)
-	case r.Stale:
-		m.stale(c, r)
-	case r.NotLeader:
-		m.Counts.Redirected++
-		delete(m.byAsk, c.ask)
-		c.ask, c.later = 0, m.now.Add(againGap)
-		if m.via == c.to {
-			m.bad[c.to] = m.now
-			m.via = ""
-		}
-	case r.Status == 504 && c.again && m.now < c.until:
-		delete(m.byAsk, c.ask)
-		c.lost = true
-		c.ask, c.later = 0, m.now.Add(againGap)
-	case c.lost && c.Method != "GET" && (r.Status == 503 || r.Status == 429):
-		m.refuse(id, 504, "no-answer", "an earlier try may have been taken; the outcome is not known", 500)
+	case response.Expired && g.now < r.deadline && r.expiredReturns < maxExpiredReturns:
+		r.expiredReturns++
+		g.requests.endAttempt(r)
+		g.forward(r)
+	case response.Stale:
+		g.handleStale(r, response)
+	case response.NotLeader:
+		g.handleNotLeader(r)
+	case response.Status == http.StatusGatewayTimeout && r.idempotent && g.now < r.deadline:
+		g.requests.endAttempt(r)
+		r.outcomeUnknown = true
+		r.retryAt = g.now.Add(retryInterval)
+	case r.outcomeUnknown && r.Method != http.MethodGet && refused:
+		g.replyError(r.ID, http.StatusGatewayTimeout, codeNoAnswer, "an earlier try may have been taken; the outcome is not known", retryAfterUnknown)
 	default:
-		m.settle(Response{ID: id, Status: r.Status, Body: r.Body, RetryAfter: r.RetryAfter})
+		g.reply(Response{ID: r.ID, Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter})
 	}
 }
 
-// stale takes the answer that a request was checked by an older table: with it
+// handleNotLeader plans another attempt, as the server that was asked does not lead and
+// knows of no leader.
+func (g *Gateway) handleNotLeader(r *request) {
+	g.Counts.Redirected++
+	g.requests.endAttempt(r)
+	r.retryAt = g.now.Add(retryInterval)
+	if g.servers.target == r.to {
+		g.servers.failed(r.to, g.now)
+	}
+}
+
+// handleStale takes the return of a request that was checked by an older table: with it
 // comes what changed, or the gateway asks for that once for all its requests.
-func (m *Gateway) stale(c *call, r *wire.Response) {
-	m.Counts.Stale++
-	c.stale++
-	delete(m.byAsk, c.ask)
-	c.ask = 0
-	before := m.Epoch()
+func (g *Gateway) handleStale(r *request, response *wire.Response) {
+	g.Counts.Stale++
+	r.staleReturns++
+	g.requests.endAttempt(r)
+	before := g.Epoch()
+	g.takeStaleTable(response.Body)
+	if g.Epoch() == before && before <= r.epoch && len(response.Body) == 0 {
+		g.routing.noteLeaderEpoch(before+1, g.now)
+		r.retryAt = g.now.Add(staleRetryInterval)
+		g.syncNow()
+		return
+	}
+	if g.validate(r) {
+		g.forward(r)
+	}
+}
+
+// takeStaleTable takes the table, or what changed in it, that came with the return of a
+// stale request.
+func (g *Gateway) takeStaleTable(body []byte) {
 	var s controlplane.StaleResponse
-	if err := json.Unmarshal(r.Body, &s); err == nil && s.Page != nil {
-		m.adopted(m.routes.Patch(*s.Page))
-	} else if err == nil && s.Epoch > 0 {
-		m.adopt(&s.RoutingTable)
-	}
-	if m.Epoch() == before && before <= c.epoch && len(r.Body) == 0 {
-		m.compare(before + 1)
-		c.later = m.now.Add(staleGap)
-		m.syncNow()
+	if err := json.Unmarshal(body, &s); err != nil {
 		return
 	}
-	if m.check(c) {
-		m.pass(c)
+	switch {
+	case s.Page != nil:
+		g.useTable(g.routing.replica.Patch(*s.Page))
+	case s.Epoch > 0:
+		g.replaceTable(&s.RoutingTable)
 	}
 }
 
-// giveUp answers a request at once: with 503 if it is certain that no keeper
+// fail gives a request up and answers it at once: with 503 if it is certain that no server
 // took it, and otherwise with 504.
-func (m *Gateway) giveUp(id uint64, code, why string) {
-	if c := m.calls[id]; c.Method != "GET" && (c.lost || c.ask != 0) {
-		m.refuse(id, 504, code, why+"; the outcome is not known", 1000)
+func (g *Gateway) fail(id uint64, code, message string) {
+	r := g.requests.byID[id]
+	if r.Method != http.MethodGet && (r.outcomeUnknown || r.attempt != 0) {
+		g.replyError(id, http.StatusGatewayTimeout, code, message+"; the outcome is not known", retryAfterFailure)
 		return
 	}
-	m.refuse(id, 503, code, why, 1000)
+	g.replyError(id, http.StatusServiceUnavailable, code, message, retryAfterFailure)
 }
 
-func (m *Gateway) refuse(id uint64, status int, code, why string, retry clock.Millis) {
-	m.Counts.Refused++
-	m.settle(Response{ID: id, Status: status, Body: jsondoc.ErrorBody{Code: code, Message: why, RetryAfter: retry}.JSON(), RetryAfter: retry})
+func (g *Gateway) replyError(id uint64, status int, code, message string, retryAfter clock.Millis) {
+	g.Counts.Refused++
+	body := jsondoc.ErrorBody{Code: code, Message: message, RetryAfter: retryAfter}
+	g.reply(Response{ID: id, Status: status, Body: body.JSON(), RetryAfter: retryAfter})
 }
 
-func (m *Gateway) settle(a Response) {
-	m.Counts.Answered++
-	m.Forget(a.ID)
-	m.out.Responses = append(m.out.Responses, a)
+func (g *Gateway) reply(response Response) {
+	g.Counts.Answered++
+	g.Forget(response.ID)
+	g.output.Responses = append(g.output.Responses, response)
 }
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -124,7 +124,7 @@
 	case reply.Expired && left && one.expired < mostExpired:
 		one.expired++
 		r.dispatch(one, now)
-	case reply.Status == 504 && left && one.Repeatable():
+	case reply.Status == 504 && left && one.Idempotent():
 		one.unknown = true
 		one.dispatched, one.retryAt = false, now
 	case one.unknown && one.Method != "GET" && (reply.Status == 503 || reply.Status == 429):
--- a/internal/transport/httpclient/call.go
+++ b/internal/transport/httpclient/call.go
@@ -107,7 +107,7 @@
 func (c *Client) Do(ctx context.Context, verb, path string, body []byte) (Response, error) {
 	var got Response
 	changes := verb != http.MethodGet
-	repeatable := gateway.Request{Method: verb, Path: path}.Repeatable()
+	repeatable := gateway.Request{Method: verb, Path: path}.Idempotent()
 	silent, unknown, most := 0, false, c.Attempts*len(c.Gateways)
 	for try := 1; ; try++ {
 		one := c.once(ctx, c.Gateways[c.at%len(c.Gateways)], verb, path, body)
