--- a/cmd/orchidctl/fleet.go
+++ b/cmd/orchidctl/fleet.go
@@ -5,6 +5,8 @@
 	"encoding/json"
 	"fmt"
 	"net/url"
+
+	"orchidward/internal/api/endpoint"
 )
 
 type closeCmd struct {
@@ -20,7 +22,7 @@
 			return err
 		}
 	}
-	text, err := d.ask("PUT", "/v1/closings/"+url.PathEscape(c.Domain), body)
+	text, err := d.ask("PUT", endpoint.DrainPath(url.PathEscape(c.Domain)), body)
 	if err != nil {
 		return err
 	}
@@ -32,7 +34,7 @@
 }
 
 func (c *reopenCmd) Run(d *desk) error {
-	text, err := d.ask("DELETE", "/v1/closings/"+url.PathEscape(c.Name), nil)
+	text, err := d.ask("DELETE", endpoint.DrainPath(url.PathEscape(c.Name)), nil)
 	if err != nil {
 		return err
 	}
@@ -44,7 +46,7 @@
 }
 
 func (c *closingsCmd) Run(d *desk) error {
-	path := "/v1/closings"
+	path := endpoint.DrainsPath
 	if c.Name != "" {
 		path += "/" + url.PathEscape(c.Name)
 	}
@@ -92,7 +94,7 @@
 type runnersCmd struct{}
 
 func (c *runnersCmd) Run(d *desk) error {
-	text, err := d.ask("GET", "/v1/runners", nil)
+	text, err := d.ask("GET", endpoint.RunnersPath, nil)
 	if err != nil {
 		return err
 	}
@@ -116,7 +118,7 @@
 type keepersCmd struct{}
 
 func (c *keepersCmd) Run(d *desk) error {
-	text, err := d.ask("GET", "/v1/keepers", nil)
+	text, err := d.ask("GET", endpoint.ServersPath, nil)
 	if err != nil {
 		return err
 	}
@@ -141,7 +143,7 @@
 type membersCmd struct{}
 
 func (c *membersCmd) Run(d *desk) error {
-	text, err := d.ask("GET", "/v1/members", nil)
+	text, err := d.ask("GET", endpoint.MembersPath, nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/orchidctl/job.go
+++ b/cmd/orchidctl/job.go
@@ -8,6 +8,9 @@
 	"os"
 	"strings"
 	"time"
+
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/api/identifier"
 )
 
 type jobCmd struct {
@@ -23,7 +26,8 @@
 	if !ok || agent == "" || id == "" || strings.Contains(id, "/") {
 		return "", usage{"a job is named AGENT/ID, have " + name}
 	}
-	return "/v1/jobs/" + url.PathEscape(agent) + "/" + url.PathEscape(id), nil
+	key := identifier.NewJobKey(identifier.Client(url.PathEscape(agent)), identifier.JobID(url.PathEscape(id)))
+	return endpoint.JobPath(key), nil
 }
 
 func readFile(name string) ([]byte, error) {
@@ -168,7 +172,7 @@
 			q.Set(k, v)
 		}
 	}
-	text, err := d.ask("GET", "/v1/jobs?"+q.Encode(), nil)
+	text, err := d.ask("GET", endpoint.JobsPath+"?"+q.Encode(), nil)
 	if err != nil {
 		return err
 	}
--- a/cmd/orchidctl/table.go
+++ b/cmd/orchidctl/table.go
@@ -11,6 +11,7 @@
 	"strconv"
 	"strings"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/limits"
 )
 
@@ -29,7 +30,7 @@
 }
 
 func (d *desk) sheet() (s sheet, text []byte, err error) {
-	if text, err = d.ask("GET", "/v1/table", nil); err != nil {
+	if text, err = d.ask("GET", endpoint.LimitsPath, nil); err != nil {
 		return s, nil, err
 	}
 	return s, text, json.Unmarshal(text, &s)
@@ -160,7 +161,7 @@
 	if err != nil {
 		return err
 	}
-	if text, err = d.ask(verb, "/v1/table", text); err != nil {
+	if text, err = d.ask(verb, endpoint.LimitsPath, text); err != nil {
 		return err
 	}
 	return d.show(text, func(doc map[string]any) { fmt.Printf("epoch %v\n", doc["epoch"]) })
--- a/cmd/orchidward-runner/desk.go
+++ b/cmd/orchidward-runner/desk.go
@@ -16,6 +16,7 @@
 	"github.com/gin-gonic/gin"
 	"go.uber.org/fx"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
@@ -166,7 +167,7 @@
 	ctx, end := context.WithTimeout(context.Background(), p.Timeout.Duration())
 	defer end()
 	status, body := 0, []byte(nil)
-	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+p.Gateway+"/v1/runners/"+d.name+"/poll", bytes.NewReader(p.Body))
+	req, err := http.NewRequestWithContext(ctx, "POST", "http://"+p.Gateway+endpoint.PollPath(identifier.Runner(d.name)), bytes.NewReader(p.Body))
 	if err == nil {
 		req.Header.Set("Content-Type", "application/json")
 		res, err := d.web.Do(req)
--- a/cmd/zone-drill/desk.go
+++ b/cmd/zone-drill/desk.go
@@ -18,6 +18,7 @@
 
 	"github.com/go-faster/errors"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/eventlog"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
@@ -173,7 +174,7 @@
 
 func (d *desk) run() error {
 	c := httpclient.New(d.f.Gates, 2*time.Second)
-	got, err := c.Do(context.Background(), "GET", "/v1/runners", nil)
+	got, err := c.Do(context.Background(), "GET", endpoint.RunnersPath, nil)
 	if err != nil {
 		return err
 	}
@@ -338,7 +339,7 @@
 		}
 		return
 	}
-	d.ask("PUT", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Response, err error) {
+	d.ask("PUT", endpoint.DrainPath(d.f.Domain), nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, d.out)
 			return
@@ -354,7 +355,7 @@
 		return
 	}
 	d.watch.ReopenRequested(d.f.Domain)
-	d.ask("DELETE", "/v1/closings/"+d.f.Domain, nil, func(got httpclient.Response, err error) {
+	d.ask("DELETE", endpoint.DrainPath(d.f.Domain), nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, d.back)
 		}
@@ -367,7 +368,7 @@
 	if len(d.epochs) > 0 {
 		floor = d.epochs[len(d.epochs)-1]
 	}
-	d.ask("GET", "/v1/table", nil, func(got httpclient.Response, err error) {
+	d.ask("GET", endpoint.LimitsPath, nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			return
 		}
--- a/cmd/zone-drill/load.go
+++ b/cmd/zone-drill/load.go
@@ -6,6 +6,7 @@
 	"encoding/json"
 	"fmt"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
@@ -56,7 +57,7 @@
 }
 
 func (d *desk) put(key identifier.JobKey, j *invariants.Job, text []byte) {
-	d.ask("PUT", "/v1/jobs/"+string(key), text, func(got httpclient.Response, err error) {
+	d.ask("PUT", endpoint.JobPath(key), text, func(got httpclient.Response, err error) {
 		switch {
 		case err == nil && got.OK():
 			if j.AckedAt == 0 {
@@ -79,7 +80,7 @@
 
 // read reads a job until it has ended.
 func (d *desk) read(key identifier.JobKey, j *invariants.Job) {
-	d.ask("GET", "/v1/jobs/"+string(key), nil, func(got httpclient.Response, err error) {
+	d.ask("GET", endpoint.JobPath(key), nil, func(got httpclient.Response, err error) {
 		var doc struct {
 			State string `json:"state"`
 		}
@@ -99,7 +100,7 @@
 
 func (d *desk) cancel(key identifier.JobKey, j *invariants.Job) {
 	j.CancelSent = true
-	d.ask("DELETE", "/v1/jobs/"+string(key), nil, func(got httpclient.Response, err error) {
+	d.ask("DELETE", endpoint.JobPath(key), nil, func(got httpclient.Response, err error) {
 		if err != nil || !got.OK() {
 			d.after(300, func() { d.cancel(key, j) })
 			return
--- a/internal/agent/machine.go
+++ b/internal/agent/machine.go
@@ -4,8 +4,10 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"sort"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
@@ -372,7 +374,7 @@
 	m.greeted = m.now
 	m.seq++
 	m.greeting = m.seq
-	m.out.Messages = append(m.out.Messages, wire.Envelope{To: wire.Peer(m.keepers[m.at%len(m.keepers)]), Message: wire.Message{Request: &wire.Request{ID: m.seq, Method: "GET", Path: "/v1/fence", Budget: greetGap}}})
+	m.out.Messages = append(m.out.Messages, wire.Envelope{To: wire.Peer(m.keepers[m.at%len(m.keepers)]), Message: wire.Message{Request: &wire.Request{ID: m.seq, Method: http.MethodGet, Path: endpoint.FencingTokenPath, Budget: greetGap}}})
 	m.at++
 }
 
@@ -418,8 +420,8 @@
 		panic(err)
 	}
 	to := wire.Peer(m.keepers[m.at%len(m.keepers)])
-	m.out.Messages = append(m.out.Messages, wire.Envelope{To: to, Message: wire.Message{Request: &wire.Request{ID: m.seq, Method: "POST",
-		Path: "/v1/runners/" + string(m.boot.Name) + "/poll", Body: body, Budget: pollWait}}})
+	m.out.Messages = append(m.out.Messages, wire.Envelope{To: to, Message: wire.Message{Request: &wire.Request{ID: m.seq, Method: http.MethodPost,
+		Path: endpoint.PollPath(m.boot.Name), Body: body, Budget: pollWait}}})
 }
 
 func (m *Agent) ask() runnerapi.PollRequest {
--- a/internal/daemon/gatewayd/web.go
+++ b/internal/daemon/gatewayd/web.go
@@ -10,6 +10,7 @@
 
 	"github.com/gin-gonic/gin"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/clock"
 	"orchidward/internal/gateway"
 	"orchidward/internal/transport/httpserver"
@@ -18,10 +19,13 @@
 const budgetHead = "Budget-Ms"
 
 func (d *Daemon) routes() {
-	d.http.Gin.GET("/v1/members", d.members)
-	for _, path := range []string{"/v1/jobs", "/v1/runners", "/v1/table", "/v1/closings", "/v1/keepers",
-		"/v1/states/:agent/:id", "/v1/queues/:name", "/v1/catalog",
-		"/v1/jobs/:agent/:id", "/v1/runners/:name/poll", "/v1/closings/:name"} {
+	d.http.Gin.GET(endpoint.MembersPath, d.members)
+	for _, path := range []string{
+		endpoint.JobsPath, endpoint.JobPattern, endpoint.JobStatePattern,
+		endpoint.QueuePattern, endpoint.CatalogPath, endpoint.LimitsPath,
+		endpoint.RunnersPath, endpoint.PollPattern,
+		endpoint.DrainsPath, endpoint.DrainPattern, endpoint.ServersPath,
+	} {
 		d.http.Gin.Any(path, d.serve)
 	}
 }
--- a/tests/simulation/blow.go
+++ b/tests/simulation/blow.go
@@ -6,6 +6,8 @@
 import (
 	"fmt"
 	"sort"
+
+	"orchidward/internal/api/endpoint"
 )
 
 // inZone lists every process of a zone, in a steady order.
@@ -164,7 +166,7 @@
 		w.Watch.ReopenRequested(zone)
 		for i := 0; i < 4; i++ {
 			verb := []string{"PUT", "DELETE"}[i%2]
-			w.http(c.node, w.gates[i%len(w.gates)].addr, verb, "/v1/closings/"+zone, nil, 1000, func(int, []byte) {})
+			w.http(c.node, w.gates[i%len(w.gates)].addr, verb, endpoint.DrainPath(zone), nil, 1000, func(int, []byte) {})
 		}
 	})
 	w.shuts[zone]++
--- a/tests/simulation/callers.go
+++ b/tests/simulation/callers.go
@@ -7,6 +7,7 @@
 	"encoding/json"
 	"fmt"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
@@ -130,7 +131,7 @@
 
 // put hands a job in and, after silence or a refusal to be waited out, again.
 func (c *callers) put(key identifier.JobKey, j *invariants.Job, text []byte) {
-	c.w.http(c.node, c.gate(), "PUT", "/v1/jobs/"+string(key), text, 2000, func(status int, body []byte) {
+	c.w.http(c.node, c.gate(), "PUT", endpoint.JobPath(key), text, 2000, func(status int, body []byte) {
 		switch {
 		case status == 200 || status == 201:
 			if j.AckedAt == 0 {
@@ -162,7 +163,7 @@
 }
 
 func (c *callers) read(key identifier.JobKey) {
-	c.w.http(c.node, c.gate(), "GET", "/v1/jobs/"+string(key), nil, 2000, func(status int, body []byte) {
+	c.w.http(c.node, c.gate(), "GET", endpoint.JobPath(key), nil, 2000, func(status int, body []byte) {
 		if status != 200 && status != 404 {
 			c.w.after(500, func() { c.read(key) })
 			return
@@ -182,7 +183,7 @@
 
 func (c *callers) cancel(key identifier.JobKey, j *invariants.Job) {
 	j.CancelSent = true
-	c.w.http(c.node, c.gate(), "DELETE", "/v1/jobs/"+string(key), nil, 2000, func(status int, _ []byte) {
+	c.w.http(c.node, c.gate(), "DELETE", endpoint.JobPath(key), nil, 2000, func(status int, _ []byte) {
 		if status != 200 {
 			c.w.after(500, func() { c.cancel(key, j) })
 			return
@@ -214,7 +215,7 @@
 
 func (c *callers) readTable(then func(epoch int64)) {
 	floor, low := c.epoch, c.ackedW
-	c.w.http(c.node, c.gate(), "GET", "/v1/table", nil, 1000, func(status int, body []byte) {
+	c.w.http(c.node, c.gate(), "GET", endpoint.LimitsPath, nil, 1000, func(status int, body []byte) {
 		if status != 200 {
 			return
 		}
@@ -277,7 +278,7 @@
 	if err != nil {
 		panic(err)
 	}
-	c.w.http(c.node, c.gate(), "PATCH", "/v1/table", text, 2000, func(status int, body []byte) {
+	c.w.http(c.node, c.gate(), "PATCH", endpoint.LimitsPath, text, 2000, func(status int, body []byte) {
 		var d struct {
 			Epoch int64 `json:"epoch"`
 		}
@@ -288,7 +289,7 @@
 
 // probe asks the service something every now and then.
 func (c *callers) probe() {
-	c.w.http(c.node, c.gate(), "GET", "/v1/table", nil, 1000, func(status int, _ []byte) {
+	c.w.http(c.node, c.gate(), "GET", endpoint.LimitsPath, nil, 1000, func(status int, _ []byte) {
 		if status == 200 {
 			c.served = c.w.Now
 		}
@@ -330,7 +331,7 @@
 		verb = "DELETE"
 		c.w.Watch.ReopenRequested(zone)
 	}
-	c.w.http(c.node, c.gate(), verb, "/v1/closings/"+zone, nil, 2000, func(status int, _ []byte) {
+	c.w.http(c.node, c.gate(), verb, endpoint.DrainPath(zone), nil, 2000, func(status int, _ []byte) {
 		switch {
 		case !still():
 		case status == 200 && shut:
--- a/tests/simulation/side.go
+++ b/tests/simulation/side.go
@@ -5,6 +5,7 @@
 import (
 	"fmt"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
@@ -70,7 +71,7 @@
 	}
 	for _, p := range o.Polls {
 		leaving := r.mach.Mode() == "draining"
-		r.w.http(r.node, p.Gateway, "POST", "/v1/runners/"+r.name+"/poll", p.Body, int64(p.Timeout), func(status int, body []byte) {
+		r.w.http(r.node, p.Gateway, "POST", endpoint.PollPath(identifier.Runner(r.name)), p.Body, int64(p.Timeout), func(status int, body []byte) {
 			r.w.Polled += int64(len(p.Body) + len(body))
 			r.w.Polls++
 			if status == 200 && leaving && r.mach.Mode() == "draining" {
