--- /dev/null
+++ b/internal/agent/heartbeats.go
@@ -0,0 +1,171 @@
+package agent
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
+
+const (
+	// A runner is presumed dead once it has been silent for deadSilence and its lease has
+	// been over for deadSlack.
+	deadSilence clock.Millis = 1000
+	deadSlack   clock.Millis = 100
+	// farewellDelay is how long after its farewell a runner counts as gone.
+	farewellDelay clock.Millis = 300
+	// maxPastIncarnations bounds the incarnations that are remembered.
+	maxPastIncarnations = 16
+)
+
+// runnerState is what the agent knows of its runner.
+type runnerState struct {
+	// heartbeat is the last one, nil before the first of an incarnation, and heardAt when
+	// it came.
+	heartbeat *Heartbeat
+	heardAt   clock.Monotonic
+	// leaseEnd is when the last lease given to the runner, by this process or one before
+	// it, has run out on the slowest clock.
+	leaseEnd clock.Monotonic
+	// deathReported says that the control plane is told that the runner is dead.
+	deathReported bool
+	// leftAt is when the runner said farewell, 0 when it has not.
+	leftAt clock.Monotonic
+	// past are the incarnations that another has replaced.
+	past map[identifier.Incarnation]bool
+}
+
+// presumedDead tells whether the runner is silent and whatever it ran is over.
+func (r *runnerState) presumedDead(now clock.Monotonic) bool {
+	if r.heartbeat == nil {
+		return false
+	}
+	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
+}
+
+// left tells whether the runner has ended in order.
+func (r *runnerState) left(now clock.Monotonic) bool {
+	return r.leftAt > 0 && now.Since(r.leftAt) > farewellDelay
+}
+
+// is tells whether the last heartbeat came from this incarnation.
+func (r *runnerState) is(incarnation identifier.Incarnation) bool {
+	return r.heartbeat != nil && r.heartbeat.Runner == incarnation
+}
+
+// HandleHeartbeat takes a heartbeat of the runner and answers it at once. One that comes
+// late, or from an incarnation that another has replaced, is answered without a lease.
+func (a *Agent) HandleHeartbeat(b Heartbeat, now clock.Monotonic) Orders {
+	a.now = max(a.now, now)
+	orders := Orders{NextHeartbeat: a.config.HeartbeatInterval}
+	switch {
+	case a.runner.past[b.Runner]:
+		return orders
+	case !a.runner.is(b.Runner):
+		a.beginIncarnation(b.Runner)
+	case b.Seq <= a.runner.heartbeat.Seq:
+		return orders
+	}
+	a.compareWithOrders(&b)
+	a.recordProgress(&b)
+	a.runner.heartbeat = &b
+	a.runner.heardAt = a.now
+	a.runner.leftAt = 0
+	a.runner.deathReported = false
+	orders.FencingToken = a.token.value
+	orders.ObservedThrough = a.orders.observedThrough
+	if left := a.contact.leaseLeft(a.now); left > 0 {
+		orders.Lease = min(left, a.usualLease())
+		a.runner.leaseEnd = max(a.runner.leaseEnd, a.now.Add(withDrift(orders.Lease)))
+		orders.Start = a.orders.takeStarts(a.now)
+	}
+	orders.Stop = a.orders.stopsForRunner()
+	a.pollIfDue()
+	return orders
+}
+
+// RunnerLeft takes the runner's farewell.
+func (a *Agent) RunnerLeft(incarnation identifier.Incarnation, now clock.Monotonic) {
+	a.now = max(a.now, now)
+	if a.runner.is(incarnation) {
+		a.runner.leftAt = a.now
+	}
+}
+
+// usualLease is the longest lease to give the runner now.
+func (a *Agent) usualLease() clock.Millis {
+	if a.config.UsualLease == 0 || a.stopping {
+		return a.config.MaxLease
+	}
+	return min(a.config.UsualLease, a.config.MaxLease)
+}
+
+// beginIncarnation notes that another incarnation of the runner reports: whatever the
+// earlier one ran is dead.
+func (a *Agent) beginIncarnation(incarnation identifier.Incarnation) {
+	if a.runner.heartbeat != nil {
+		previous := a.runner.heartbeat.Runner
+		if len(a.runner.past) >= maxPastIncarnations {
+			clear(a.runner.past)
+		}
+		a.runner.past[previous] = true
+		a.logEvent("runner-restarted", "was", previous, "is", incarnation)
+	}
+	a.forgetRuns()
+	a.runner.heartbeat = nil
+	a.unreported = true
+}
+
+// forgetRuns drops everything that concerns the attempts of one incarnation.
+func (a *Agent) forgetRuns() {
+	a.orders = newPendingOrders()
+	a.progress = map[attempt]runProgress{}
+}
+
+// compareWithOrders compares a heartbeat with the one before it, and with what was
+// ordered.
+func (a *Agent) compareWithOrders(b *Heartbeat) {
+	present := b.attempts()
+	if differs(a.runner.heartbeat, b, present) {
+		a.unreported = true
+	}
+	if a.orders.dropFetched(present, b.Draining, a.now) {
+		a.unreported = true
+	}
+	for _, stopped := range a.orders.noteCleared(present) {
+		a.unreported = true
+		a.logEvent("run-never-started", "task", stopped.task, "run", stopped.number)
+	}
+}
+
+// attempts is the set of those that a heartbeat reports, as running or ended.
+func (b *Heartbeat) attempts() map[attempt]bool {
+	set := map[attempt]bool{}
+	for _, active := range b.Active {
+		set[attempt{active.Task, active.Attempt}] = true
+	}
+	for _, finished := range b.Finished {
+		set[attempt{finished.Task, finished.Attempt}] = true
+	}
+	return set
+}
+
+// differs tells whether a heartbeat says something that the one before it did not, beyond
+// the progress of attempts.
+func differs(previous, b *Heartbeat, present map[attempt]bool) bool {
+	if previous == nil || previous.Draining != b.Draining || previous.Capacity != b.Capacity || previous.Pool != b.Pool {
+		return true
+	}
+	if len(previous.Active) != len(b.Active) || len(previous.Finished) != len(b.Finished) {
+		return true
+	}
+	for _, active := range previous.Active {
+		if !present[attempt{active.Task, active.Attempt}] {
+			return true
+		}
+	}
+	for i := range previous.Finished {
+		if previous.Finished[i].Seq != b.Finished[i].Seq {
+			return true
+		}
+	}
+	return false
+}
--- /dev/null
+++ b/internal/agent/polls.go
@@ -0,0 +1,321 @@
+package agent
+
+import (
+	"encoding/json"
+	"net/http"
+
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
+	"orchidward/internal/transport/wire"
+)
+
+const (
+	// initialPollTimeout is how long a poll is awaited before it is known how long the
+	// control plane keeps one open; after that it is pollSlack longer than that.
+	initialPollTimeout clock.Millis = 1000
+	pollSlack          clock.Millis = 150
+	// searchTimeout takes its place once nothing was heard for lostAfter.
+	searchTimeout clock.Millis = 300
+	lostAfter     clock.Millis = 2000
+	// sentPollLife is how long the time of a poll is remembered.
+	sentPollLife clock.Millis = 5000
+	// minBackoff and maxBackoff bound the pause after a failed poll.
+	minBackoff clock.Millis = 50
+	maxBackoff clock.Millis = 400
+	// replaceDelay is how soon a poll with something to report replaces one still open.
+	replaceDelay clock.Millis = 10
+	// tokenRequestInterval is how often the fencing token is asked for.
+	tokenRequestInterval clock.Millis = 200
+)
+
+// pollState is how the agent polls the control plane: one poll is kept open, and goes to
+// one server after another until one answers.
+type pollState struct {
+	servers []string
+	current int
+	// seq is the number of the last poll or request.
+	seq  uint64
+	open *openPoll
+	// sentAt is when each of the last polls was sent.
+	sentAt  map[uint64]clock.Monotonic
+	nextAt  clock.Monotonic
+	backoff clock.Millis
+	// timeout is how long a poll is awaited.
+	timeout clock.Millis
+	// refusedStatus is the status of the last refusal that was logged.
+	refusedStatus int
+}
+
+// openPoll is the poll under way.
+type openPoll struct {
+	seq         uint64
+	sentAt      clock.Monotonic
+	incarnation identifier.Incarnation
+}
+
+func newPollState(config Config) pollState {
+	p := pollState{
+		servers: config.Seeds,
+		seq:     uint64(config.Seed),
+		timeout: initialPollTimeout,
+		sentAt:  map[uint64]clock.Monotonic{},
+	}
+	if n := len(config.Seeds); n > 0 {
+		p.current = int(uint64(config.Seed) % uint64(n))
+	}
+	return p
+}
+
+// server is the one to ask now.
+func (p *pollState) server() string { return p.servers[p.current%len(p.servers)] }
+
+// failed turns to the next server, after a pause that grows and differs from one agent to
+// another.
+func (p *pollState) failed(now clock.Monotonic) {
+	p.current++
+	p.backoff = min(max(minBackoff, p.backoff*2), maxBackoff)
+	jitter := clock.Millis(p.seq * 7919 % uint64(p.backoff))
+	p.nextAt = now.Add(p.backoff/2 + jitter)
+}
+
+// newAgent opens a poll and forgets when old ones were sent.
+func (p *pollState) begin(incarnation identifier.Incarnation, now clock.Monotonic) {
+	p.seq++
+	p.open = &openPoll{seq: p.seq, sentAt: now, incarnation: incarnation}
+	p.sentAt[p.seq] = now
+	for seq, sentAt := range p.sentAt {
+		if now.Since(sentAt) > sentPollLife {
+			delete(p.sentAt, seq)
+		}
+	}
+}
+
+// pollTimeout is how long to wait for the answer to the open poll. While the agent is out
+// of touch it asks more often, since the control plane answers its first poll at once.
+func (a *Agent) pollTimeout() clock.Millis {
+	if a.polls.backoff > 0 && a.now.Since(a.contact.at) > lostAfter {
+		return searchTimeout
+	}
+	return a.polls.timeout
+}
+
+// pollIfDue keeps one poll open; what is unreported goes out in a new one that takes its
+// place.
+func (a *Agent) pollIfDue() {
+	p := &a.polls
+	if a.runner.heartbeat == nil || len(p.servers) == 0 || a.now < p.nextAt {
+		return
+	}
+	if p.open != nil && (!a.unreported || a.now.Since(p.open.sentAt) < replaceDelay) {
+		return
+	}
+	a.unreported = false
+	p.begin(a.runner.heartbeat.Runner, a.now)
+	body, err := json.Marshal(a.pollRequest())
+	if err != nil {
+		panic("agent: a poll does not encode: " + err.Error())
+	}
+	a.send(p.server(), &wire.Request{
+		ID:     p.seq,
+		Method: http.MethodPost,
+		Path:   endpoint.PollPath(a.config.Name),
+		Body:   body,
+		Budget: initialPollTimeout,
+	})
+}
+
+// pollRequest is what the agent reports of its runner.
+func (a *Agent) pollRequest() runnerapi.PollRequest {
+	b := a.runner.heartbeat
+	silentFor := a.now.Since(a.runner.heardAt)
+	request := runnerapi.PollRequest{
+		Agent:        true,
+		Incarnation:  b.Runner,
+		Seq:          a.polls.seq,
+		Cores:        b.Capacity.Cores,
+		MilliCores:   b.Capacity.MilliCores,
+		Mem:          b.Capacity.Mem,
+		GPUs:         b.Capacity.GPUs,
+		Pool:         b.Pool,
+		AgentAddr:    a.config.Addr,
+		Labels:       b.Labels,
+		Domain:       b.Domain,
+		Rack:         b.Rack,
+		Mode:         runnerapi.ModeActive,
+		SilentFor:    silentFor,
+		Active:       a.activeRuns(),
+		Finished:     b.Finished,
+		Cleared:      a.orders.clearedStops(),
+		LeftInOrder:  a.runner.left(a.now),
+		PresumedDead: a.runner.presumedDead(a.now),
+	}
+	if b.Draining {
+		request.Mode = runnerapi.ModeDraining
+		request.DepartsIn = max(0, b.DepartsIn-silentFor)
+	}
+	return request
+}
+
+// activeRuns lists what runs by the last heartbeat, with what the agent has measured, and
+// what is on its way to the runner.
+func (a *Agent) activeRuns() []runnerapi.RunState {
+	var list []runnerapi.RunState
+	for _, active := range a.runner.heartbeat.Active {
+		p := a.progress[attempt{active.Task, active.Attempt}]
+		if p.stalled(a.now) {
+			active.StalledFor = a.now.Since(p.at)
+		}
+		active.ProgressRate = p.rate
+		list = append(list, active)
+	}
+	for _, order := range a.orders.inOrder() {
+		list = append(list, runnerapi.RunState{Task: order.Task, Attempt: order.Attempt})
+	}
+	return list
+}
+
+// handlePollResponse takes the answer to a poll.
+func (a *Agent) handlePollResponse(from wire.Peer, r *wire.Response) {
+	open := a.polls.open
+	if open == nil || r.ID != open.seq {
+		a.handleReplacedPoll(r)
+		return
+	}
+	a.polls.open = nil
+	delete(a.polls.sentAt, open.seq)
+	response, ok := decodePollResponse(r)
+	if !ok {
+		if !r.NotLeader && r.Status != a.polls.refusedStatus {
+			a.polls.refusedStatus = r.Status
+			a.logEvent("poll-refused", "status", r.Status, "body", string(r.Body), "via", from)
+		}
+		a.polls.failed(a.now)
+		return
+	}
+	a.polls.backoff = 0
+	a.polls.nextAt = a.now
+	a.polls.refusedStatus = 0
+	if !a.InContact() {
+		a.logEvent("in-touch", "via", from)
+	}
+	a.contact.answered(open.sentAt)
+	a.followOrders(response, open)
+	a.pollIfDue()
+}
+
+func decodePollResponse(r *wire.Response) (response *runnerapi.PollResponse, ok bool) {
+	if r.NotLeader || r.Status != http.StatusOK {
+		return nil, false
+	}
+	response = &runnerapi.PollResponse{}
+	return response, json.Unmarshal(r.Body, response) == nil
+}
+
+// handleReplacedPoll takes the answer to a poll that another has replaced or that was given
+// up. What it orders is passed over, since the control plane says it again, but it shows
+// that the control plane has heard this agent since the poll was sent.
+func (a *Agent) handleReplacedPoll(r *wire.Response) {
+	sentAt, ok := a.polls.sentAt[r.ID]
+	if !ok {
+		return
+	}
+	delete(a.polls.sentAt, r.ID)
+	response, ok := decodePollResponse(r)
+	if !ok {
+		return
+	}
+	a.contact.answered(sentAt)
+	a.takeLease(response)
+}
+
+// takeLease takes the length of the lease and the fencing token.
+func (a *Agent) takeLease(response *runnerapi.PollResponse) {
+	if response.Lease > 0 {
+		a.contact.lease = response.Lease
+	}
+	a.token.value = max(a.token.value, response.FencingToken)
+}
+
+// followOrders takes the orders that an answer bears. They are for the incarnation that the
+// poll spoke of.
+func (a *Agent) followOrders(response *runnerapi.PollResponse, open *openPoll) {
+	a.takeLease(response)
+	if response.StartTimeout > 0 {
+		a.polls.timeout = response.StartTimeout*6/10 + pollSlack
+	}
+	a.polls.seq = max(a.polls.seq, response.Seq)
+	if len(response.Servers) > 0 {
+		a.polls.servers = response.Servers
+		a.polls.current = 0
+	}
+	if !a.runner.is(open.incarnation) {
+		return
+	}
+	a.orders.observedThrough = max(a.orders.observedThrough, response.ObservedThrough)
+	a.orders.replaceStops(response.StopRuns)
+	if a.runner.heartbeat.Draining {
+		return
+	}
+	expires := open.sentAt.Add(response.StartTimeout)
+	if a.orders.addStarts(response.Starts, a.runner.heartbeat.attempts(), expires) {
+		a.unreported = true
+	}
+}
+
+// followLeader turns to a new leader by its own word.
+func (a *Agent) followLeader(t *wire.Announcement) {
+	p := &a.polls
+	if len(p.servers) > 0 && p.server() == t.Addr && p.open != nil {
+		return
+	}
+	servers := []string{t.Addr}
+	for _, member := range t.Members {
+		if member.Addr != t.Addr {
+			servers = append(servers, member.Addr)
+		}
+	}
+	p.servers = servers
+	p.current = 0
+	p.backoff = 0
+	p.nextAt = a.now
+	p.open = nil
+	a.pollIfDue()
+}
+
+// fencingToken is the highest fencing token known, and the last request for one.
+type fencingToken struct {
+	value       uint64
+	requestID   uint64
+	requestedAt clock.Monotonic
+}
+
+// requestFencingToken asks the control plane for its fencing token before there is a
+// heartbeat to report: a runner that obeyed an earlier process takes nothing with a lower
+// one.
+func (a *Agent) requestFencingToken() {
+	t := &a.token
+	if a.runner.heartbeat != nil || t.value > 0 || len(a.polls.servers) == 0 {
+		return
+	}
+	if a.now < t.requestedAt.Add(tokenRequestInterval) {
+		return
+	}
+	t.requestedAt = a.now
+	a.polls.seq++
+	t.requestID = a.polls.seq
+	a.send(a.polls.server(), &wire.Request{
+		ID:     t.requestID,
+		Method: http.MethodGet,
+		Path:   endpoint.FencingTokenPath,
+		Budget: tokenRequestInterval,
+	})
+	a.polls.current++
+}
+
+func (a *Agent) handleFencingToken(r *wire.Response) {
+	if response, ok := decodePollResponse(r); ok {
+		a.token.value = max(a.token.value, response.FencingToken)
+	}
+}
