--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -36,7 +36,7 @@
 }
 
 func (f *flags) settings() serverd.Settings {
-	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, Found: true, Elect: clock.Millis(f.ElectMs)}
+	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, MayFound: true, ElectionTimeout: clock.Millis(f.ElectMs)}
 }
 
 func main() {
--- /dev/null
+++ b/internal/daemon/agentd/daemon.go
@@ -0,0 +1,114 @@
+// Package agentd runs an agent as a daemon. It has no HTTP side of its own: the platform's
+// face (package platform) or another one calls it.
+package agentd
+
+import (
+	"context"
+	"runtime/debug"
+
+	"go.uber.org/fx"
+
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/daemon/eventloop"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
+)
+
+// callQueueSize bounds the calls that wait for the agent.
+const callQueueSize = 1024
+
+// Settings are what an agent is started with. Memory is the memory limit of the process in
+// bytes; 0 sets none.
+type Settings struct {
+	Agent  agent.Config
+	Memory int64
+}
+
+// Daemon runs an agent.Agent. It is safe for concurrent use.
+type Daemon struct {
+	log   *logging.Logger
+	clock *clock.System
+	link  *link.Link
+	agent *agent.Agent
+	loop  *eventloop.Loop[*agent.Agent]
+}
+
+// New opens the agent's address. The agent begins, and ends, with the process.
+func New(settings Settings, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle) (*Daemon, error) {
+	if settings.Memory > 0 {
+		debug.SetMemoryLimit(settings.Memory / 10 * 8)
+	}
+	d := &Daemon{log: log, clock: clock.NewSystem()}
+	d.agent = agent.New(settings.Agent, d.clock.Now())
+	d.loop = eventloop.New(d.agent, callQueueSize)
+	var err error
+	if d.link, err = link.Listen(settings.Agent.Addr, group); err != nil {
+		return nil, err
+	}
+	log.Event("start", "program", "agent", "name", settings.Agent.Name, "addr", settings.Agent.Addr, "domain", settings.Agent.Domain)
+	life.Append(fx.Hook{OnStart: func(context.Context) error {
+		d.link.Serve(d.loop.Receive)
+		group.Go(d.run)
+		return nil
+	}})
+	return d, nil
+}
+
+func (d *Daemon) run(stop <-chan struct{}) {
+	d.loop.Run(stop, eventloop.Handlers{
+		TickInterval: agent.TickInterval.Duration(),
+		Tick:         func() { d.agent.Tick(d.clock.Now()) },
+		Message:      d.handleMessage,
+		AfterInput:   d.handOnOutput,
+	})
+}
+
+func (d *Daemon) handleMessage(from wire.Peer, msg wire.Message) {
+	d.agent.HandleMessage(from, msg, d.clock.Now())
+}
+
+func (d *Daemon) handOnOutput() {
+	out := d.agent.TakeOutput()
+	for _, event := range out.Events {
+		d.log.Event(event.Name, event.Fields...)
+	}
+	for _, message := range out.Messages {
+		d.link.Send(message.To, message.Message)
+	}
+}
+
+// Heartbeat answers a heartbeat of the runner. When it is not ok, the agent has not heard
+// of the heartbeat and never will.
+func (d *Daemon) Heartbeat(ctx context.Context, b agent.Heartbeat) (o agent.Orders, ok bool) {
+	ok = d.loop.Do(ctx, func(a *agent.Agent) { o = a.HandleHeartbeat(b, d.clock.Now()) })
+	return o, ok
+}
+
+// RunnerLeft takes the runner's farewell. When it is not ok, the agent has not heard of it
+// and never will.
+func (d *Daemon) RunnerLeft(ctx context.Context, incarnation identifier.Incarnation) (ok bool) {
+	return d.loop.Do(ctx, func(a *agent.Agent) { a.RunnerLeft(incarnation, d.clock.Now()) })
+}
+
+// FencingToken is the highest fencing token that the agent knows of, 0 for none.
+func (d *Daemon) FencingToken(ctx context.Context) uint64 {
+	var token uint64
+	d.loop.Do(ctx, func(a *agent.Agent) { token = a.FencingToken() })
+	return token
+}
+
+// PrepareToStop says that the agent is about to end. It comes before the runner is turned
+// away, whose last heartbeats are then answered with the longest lease.
+func (d *Daemon) PrepareToStop(ctx context.Context) bool {
+	return d.loop.Do(ctx, func(a *agent.Agent) { a.PrepareToStop() })
+}
+
+// Inspect runs f on the agent's own goroutine. When it is not ok, f has not run and never
+// will.
+func (d *Daemon) Inspect(ctx context.Context, f func(a *agent.Agent)) (ok bool) {
+	return d.loop.Do(ctx, f)
+}
--- a/internal/daemon/agentd/desk_test.go
+++ b/internal/daemon/agentd/daemon_test.go
@@ -38,7 +38,7 @@
 	log := logging.New()
 	log.Quiet()
 	l := &life{}
-	d, err := New(Settings{Boot: agent.Config{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, MaxLease: 10000, HeartbeatInterval: 500}}, c, log, l)
+	d, err := New(Settings{Agent: agent.Config{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, MaxLease: 10000, HeartbeatInterval: 500}}, c, log, l)
 	if err != nil {
 		t.Fatal(err)
 	}
--- /dev/null
+++ b/internal/daemon/gatewayd/daemon.go
@@ -0,0 +1,169 @@
+// Package gatewayd runs a gateway as a daemon. Requests come in by its own HTTP server
+// (routes.go) or, without one, by Do from a face of another dialect such as package
+// platform; messages of the control plane come in by the link.
+package gatewayd
+
+import (
+	"context"
+	"math/rand/v2"
+	"runtime/debug"
+	"sync/atomic"
+
+	"go.uber.org/fx"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/daemon/eventloop"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/gateway"
+	"orchidward/internal/transport/httpserver"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
+)
+
+const (
+	// callQueueSize bounds the calls that wait for the gateway.
+	callQueueSize = 4096
+	programName   = "gateway"
+)
+
+// Settings are what a gateway is started with. Without HTTP it serves none of its own.
+// BodyKb bounds a request's body in KiB; Memory is the memory limit of the process in bytes,
+// 0 sets none.
+type Settings struct {
+	Addr   string
+	HTTP   string
+	Domain identifier.Domain
+	Seeds  []string
+	BodyKb int64
+	Memory int64
+}
+
+// Daemon runs a gateway.Gateway. It is safe for concurrent use.
+type Daemon struct {
+	log     *logging.Logger
+	clock   *clock.System
+	link    *link.Link
+	gauges  *httpserver.Gauges
+	gateway *gateway.Gateway
+	loop    *eventloop.Loop[*gateway.Gateway]
+	// http is nil for a gateway without an HTTP side of its own.
+	http         *httpserver.Server
+	maxBodyBytes int64
+
+	ready         atomic.Bool
+	lastRequestID atomic.Uint64
+	// callers are where the responses go, by request. Only the event loop touches them.
+	callers map[uint64]chan<- gateway.Response
+}
+
+// New opens the gateway's addresses. The gateway begins, and ends, with the process.
+func New(settings Settings, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle) (*Daemon, error) {
+	if settings.Memory > 0 {
+		debug.SetMemoryLimit(settings.Memory / 10 * 8)
+	}
+	d := &Daemon{
+		log:          log,
+		clock:        clock.NewSystem(),
+		callers:      map[uint64]chan<- gateway.Response{},
+		maxBodyBytes: settings.BodyKb << 10,
+	}
+	d.gateway = gateway.New(settings.gateway(), d.clock.Now())
+	d.loop = eventloop.New(d.gateway, callQueueSize)
+	var err error
+	if d.link, err = link.Listen(settings.Addr, group); err != nil {
+		return nil, err
+	}
+	begin := func() {
+		d.link.Serve(d.loop.Receive)
+		group.Go(d.run)
+	}
+	if settings.HTTP == "" {
+		d.gauges = httpserver.NewGauges()
+		log.Event("start", "program", programName, "addr", settings.Addr, "domain", settings.Domain)
+		life.Append(fx.Hook{OnStart: func(context.Context) error {
+			begin()
+			return nil
+		}})
+		return d, nil
+	}
+	if d.http, err = httpserver.New(settings.HTTP); err != nil {
+		d.link.Close()
+		return nil, err
+	}
+	d.gauges = d.http.Gauge
+	d.addRoutes()
+	log.Event("start", "program", programName, "addr", settings.Addr, "http", settings.HTTP, "domain", settings.Domain)
+	d.http.Run(life, group, log, programName, begin)
+	return d, nil
+}
+
+// gateway is the configuration of the gateway itself. One without an HTTP side is known by
+// its address within the cluster.
+func (s Settings) gateway() gateway.Config {
+	name := s.HTTP
+	if name == "" {
+		name = s.Addr
+	}
+	return gateway.Config{Addr: s.Addr, HTTP: name, Domain: s.Domain, Seeds: s.Seeds, Seed: rand.Int64()}
+}
+
+func (d *Daemon) run(stop <-chan struct{}) {
+	d.loop.Run(stop, eventloop.Handlers{
+		TickInterval: gateway.TickInterval.Duration(),
+		Tick:         d.tick,
+		Message:      d.handleMessage,
+		AfterInput:   d.handOnOutput,
+	})
+}
+
+func (d *Daemon) tick() {
+	d.gateway.Tick(d.clock.Now())
+	d.updateMetrics()
+}
+
+func (d *Daemon) handleMessage(from wire.Peer, msg wire.Message) {
+	d.gateway.HandleMessage(from, msg, d.clock.Now())
+}
+
+func (d *Daemon) handOnOutput() {
+	out := d.gateway.TakeOutput()
+	for _, event := range out.Events {
+		d.log.Event(event.Name, event.Fields...)
+	}
+	for _, message := range out.Messages {
+		d.link.Send(message.To, message.Message)
+	}
+	for _, response := range out.Responses {
+		if caller := d.callers[response.ID]; caller != nil {
+			caller <- response
+			delete(d.callers, response.ID)
+		}
+	}
+}
+
+// Ready tells whether this gateway is in touch with the leader.
+func (d *Daemon) Ready() bool { return d.ready.Load() }
+
+// Gauges are this gateway's metrics, for a face that shows them.
+func (d *Daemon) Gauges() *httpserver.Gauges { return d.gauges }
+
+// updateMetrics renews the metrics and the readiness; it comes with every tick.
+func (d *Daemon) updateMetrics() {
+	ready := d.gateway.Ready(d.clock.Now())
+	d.ready.Store(ready)
+	if d.http != nil {
+		d.http.SetReady(ready)
+	}
+	counts := d.gateway.Counts
+	sent, dropped := d.link.FrameCounts()
+	d.gauges.Set("table_epoch", float64(d.gateway.Epoch()))
+	d.gauges.Set("requests_in_flight", float64(d.gateway.InFlight()))
+	d.gauges.Set("requests", float64(counts.Received))
+	d.gauges.Set("requests_refused_here", float64(counts.Refused))
+	d.gauges.Set("requests_returned_stale", float64(counts.Stale))
+	d.gauges.Set("requests_redirected", float64(counts.Redirected))
+	d.gauges.Set("frames_sent", float64(sent))
+	d.gauges.Set("frames_dropped", float64(dropped))
+}
--- a/internal/daemon/gatewayd/desk_test.go
+++ b/internal/daemon/gatewayd/daemon_test.go
@@ -105,7 +105,7 @@
 	until(t, "the request did not reach the leader", func() bool { return silent.Load() > 0 })
 	waiting := func() int {
 		var n int
-		if !d.Inspect(context.Background(), func(m *gateway.Gateway) { n = m.InFlight() + len(d.back) }) {
+		if !d.Inspect(context.Background(), func(m *gateway.Gateway) { n = m.InFlight() + len(d.callers) }) {
 			t.Fatal("no look at the machine")
 		}
 		return n
@@ -124,7 +124,7 @@
 func TestAskRefused(t *testing.T) {
 	c := lifecycle.New()
 	d, l := desk(t, c, "127.0.0.1:1")
-	for d.errands.Offer(func(*gateway.Gateway) {}) {
+	for d.loop.Post(func(*gateway.Gateway) {}) {
 	}
 	ask := func() gateway.Response {
 		return d.Do(context.Background(), gateway.Request{Method: "GET", Path: "/v1/table", Budget: 30000})
--- /dev/null
+++ b/internal/daemon/gatewayd/routes.go
@@ -0,0 +1,133 @@
+package gatewayd
+
+import (
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+
+	"github.com/gin-gonic/gin"
+
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/gateway"
+	"orchidward/internal/transport/httpserver"
+)
+
+// budgetHeader says how long the caller waits, in milliseconds.
+const budgetHeader = "Budget-Ms"
+
+// Bounds of a caller's budget.
+const (
+	minBudget clock.Millis = 50
+	maxBudget clock.Millis = 30000
+)
+
+// addRoutes adds the API to the gateway's own HTTP server. The requests of the API go to
+// the gateway, and its responses out as they come.
+func (d *Daemon) addRoutes() {
+	d.http.Gin.GET(endpoint.MembersPath, d.serveMembers)
+	for _, path := range []string{
+		endpoint.JobsPath, endpoint.JobPattern, endpoint.JobStatePattern,
+		endpoint.QueuePattern, endpoint.CatalogPath, endpoint.LimitsPath,
+		endpoint.RunnersPath, endpoint.PollPattern,
+		endpoint.DrainsPath, endpoint.DrainPattern, endpoint.ServersPath,
+	} {
+		d.http.Gin.Any(path, d.serve)
+	}
+}
+
+// memberDoc is a control-plane server as a gateway knows it.
+type memberDoc struct {
+	Addr   string            `json:"addr"`
+	Domain identifier.Domain `json:"domain"`
+	Node   string            `json:"node"`
+	Voter  bool              `json:"voter"`
+}
+
+// membersDoc is the cluster as a gateway knows it.
+type membersDoc struct {
+	Epoch    identifier.Epoch `json:"epoch"`
+	Gateways []string         `json:"gates"`
+	Servers  []memberDoc      `json:"keepers"`
+}
+
+// serveMembers shows what this gateway knows of the cluster, for runners that look for
+// other gateways. It needs no leader.
+func (d *Daemon) serveMembers(c *gin.Context) {
+	doc := membersDoc{Servers: []memberDoc{}}
+	ok := d.Inspect(c.Request.Context(), func(g *gateway.Gateway) {
+		for _, member := range g.Members() {
+			doc.Servers = append(doc.Servers, memberDoc{member.Addr, member.Domain, member.ID.String(), member.Voter})
+		}
+		doc.Gateways = g.Gateways()
+		doc.Epoch = g.Epoch()
+	})
+	switch {
+	case ok:
+		c.JSON(http.StatusOK, doc)
+	case c.Request.Context().Err() == nil:
+		writeResponse(c, overloaded())
+	}
+}
+
+// serve passes a request on to the gateway and waits for its response.
+func (d *Daemon) serve(c *gin.Context) {
+	r, ok := d.readRequest(c)
+	if !ok {
+		return
+	}
+	response := d.Do(c.Request.Context(), r)
+	if c.Request.Context().Err() != nil {
+		return
+	}
+	if d.http.Stopping() {
+		c.Header("Connection", "close")
+	}
+	writeResponse(c, response)
+}
+
+// readRequest reads a request and its body. One that cannot be read is answered here, and
+// ok is false.
+func (d *Daemon) readRequest(c *gin.Context) (r gateway.Request, ok bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, d.maxBodyBytes))
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, "too-large", "the body is over "+strconv.FormatInt(d.maxBodyBytes, 10)+" bytes")
+		return r, false
+	case err != nil:
+		httpserver.WriteError(c, http.StatusBadRequest, "bad-request", "the body could not be read")
+		return r, false
+	}
+	budget, ok := readBudget(c.GetHeader(budgetHeader))
+	if !ok {
+		httpserver.WriteError(c, http.StatusBadRequest, "bad-request", budgetHeader+" wants 50 to 30000")
+		return r, false
+	}
+	return gateway.Request{
+		Method: c.Request.Method,
+		Path:   c.Request.URL.Path,
+		Query:  c.Request.URL.RawQuery,
+		Body:   body,
+		Budget: budget,
+	}, true
+}
+
+// readBudget reads a caller's budget, 0 where it gives none.
+func readBudget(text string) (budget clock.Millis, ok bool) {
+	if text == "" {
+		return 0, true
+	}
+	n, err := strconv.ParseInt(text, 10, 64)
+	budget = clock.Millis(n)
+	return budget, err == nil && budget >= minBudget && budget <= maxBudget
+}
+
+func writeResponse(c *gin.Context, response gateway.Response) {
+	if response.RetryAfter > 0 {
+		c.Header("Retry-After", strconv.FormatInt(int64(response.RetryAfter+999)/1000, 10))
+	}
+	c.Data(response.Status, "application/json", response.Body)
+}
--- /dev/null
+++ b/internal/daemon/lifecycle/group.go
@@ -0,0 +1,68 @@
+// Package lifecycle starts the goroutines of a process, and is the only place that does:
+// each belongs to a [Group], which ends all of them and waits for them. [Queue] is the
+// bounded queue by which they hand values on.
+package lifecycle
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"go.uber.org/fx"
+)
+
+// Group supervises the goroutines of a process: it starts them, tells all of them to end
+// and waits for them. It is safe for concurrent use.
+type Group struct {
+	running  sync.WaitGroup
+	stopOnce sync.Once
+	stop     chan struct{}
+}
+
+// New makes a group without goroutines.
+func New() *Group { return &Group{stop: make(chan struct{})} }
+
+// Go starts a goroutine. run should return soon after stop is closed.
+func (g *Group) Go(run func(stop <-chan struct{})) {
+	g.running.Add(1)
+	go func() {
+		defer g.running.Done()
+		run(g.stop)
+	}()
+}
+
+// Stop tells all goroutines to end and waits for them as long as ctx allows. The error is
+// the context's.
+func (g *Group) Stop(ctx context.Context) error {
+	g.stopOnce.Do(func() { close(g.stop) })
+	ended := make(chan struct{})
+	go func() {
+		g.running.Wait()
+		close(ended)
+	}()
+	select {
+	case <-ended:
+		return nil
+	case <-ctx.Done():
+		return ctx.Err()
+	}
+}
+
+// Every calls do at a steady interval until the stop.
+func Every(interval time.Duration, stop <-chan struct{}, do func()) {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-stop:
+			return
+		case <-ticker.C:
+			do()
+		}
+	}
+}
+
+// Module provides a Group that is stopped with the program.
+var Module = fx.Module("lifecycle", fx.Provide(New), fx.Invoke(func(life fx.Lifecycle, g *Group) {
+	life.Append(fx.Hook{OnStop: g.Stop})
+}))
--- /dev/null
+++ b/internal/daemon/serverd/daemon.go
@@ -0,0 +1,227 @@
+package serverd
+
+import (
+	"context"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+
+	"github.com/go-faster/errors"
+	"go.uber.org/fx"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/consensus/wal"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/daemon/eventloop"
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/daemon/logging"
+	"orchidward/internal/inflight"
+	"orchidward/internal/transport/httpserver"
+	"orchidward/internal/transport/link"
+	"orchidward/internal/transport/wire"
+)
+
+const (
+	// callQueueSize bounds the calls that wait for the server.
+	callQueueSize = 4096
+	programName   = "server"
+	// exitHalted is the exit code of a server that halted or whose disk failed.
+	exitHalted = 1
+)
+
+// Daemon runs a controlplane.Server. It is safe for concurrent use.
+type Daemon struct {
+	log    *logging.Logger
+	clock  *clock.System
+	link   *link.Link
+	gauges *httpserver.Gauges
+	server *controlplane.Server
+	loop   *eventloop.Loop[*controlplane.Server]
+	// http is nil for a server without pages of its own.
+	http     *httpserver.Server
+	shutdown fx.Shutdowner
+
+	// store is the disk, and writes are the operations that wait for it. Only the event
+	// loop touches the latter.
+	store  *store
+	writes wal.WriteQueue
+
+	ready         atomic.Bool
+	lastRequestID atomic.Uint64
+	// requests are those that were made here. Only the event loop touches them.
+	requests *inflight.Requests
+
+	// left is closed once the server has left its group in order.
+	left     chan struct{}
+	leftOnce sync.Once
+}
+
+// New opens the server's folder and addresses. The server begins, and ends, with the
+// process, and ends the process when it must halt.
+func New(settings Settings, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle, shutdown fx.Shutdowner) (*Daemon, error) {
+	if settings.Memory > 0 {
+		debug.SetMemoryLimit(settings.Memory / 10 * 8)
+	}
+	d := &Daemon{
+		log:      log,
+		clock:    clock.NewSystem(),
+		requests: inflight.New(),
+		shutdown: shutdown,
+		left:     make(chan struct{}),
+	}
+	var id identifier.Node
+	var err error
+	if d.store, id, err = newStore(settings); err != nil {
+		return nil, err
+	}
+	d.server = controlplane.New(settings.server(id), d.clock.Now())
+	d.server.LogPercentUsed = d.store.percentUsed
+	d.loop = eventloop.New(d.server, callQueueSize)
+	if err = d.resume(); err != nil {
+		return nil, err
+	}
+	if d.link, err = link.Listen(settings.Addr, group); err != nil {
+		return nil, err
+	}
+	if err = d.begin(settings, group, life, id); err != nil {
+		d.link.Close()
+		return nil, err
+	}
+	return d, nil
+}
+
+// resume gives the server what its disk held.
+func (d *Daemon) resume() error {
+	recovered, err := d.store.open()
+	if err != nil || recovered == nil {
+		return err
+	}
+	if err = d.server.Resume(recovered.HardState, recovered.Snapshot, recovered.Entries); err != nil {
+		return errors.Wrap(err, "snapshot")
+	}
+	d.log.Event("resume", "snapshot", recovered.Snapshot.Index, "entries", len(recovered.Entries),
+		"term", recovered.HardState.Term, "tornTail", recovered.TornTail)
+	return nil
+}
+
+// begin hooks the goroutines into the process's life, by way of the HTTP server if there is
+// one.
+func (d *Daemon) begin(settings Settings, group *lifecycle.Group, life fx.Lifecycle, id identifier.Node) error {
+	begin := func() {
+		d.link.Serve(d.loop.Receive)
+		group.Go(d.store.run)
+		group.Go(d.run)
+	}
+	d.gauges = httpserver.NewGauges()
+	if settings.HTTP != "" {
+		var err error
+		if d.http, err = httpserver.New(settings.HTTP); err != nil {
+			return err
+		}
+		d.gauges = d.http.Gauge
+	}
+	d.log.Event("start", "program", programName, "node", id, "addr", settings.Addr, "domain", settings.Domain)
+	if d.http != nil {
+		d.http.Run(life, group, d.log, programName, begin)
+		return nil
+	}
+	life.Append(fx.Hook{OnStart: func(context.Context) error {
+		begin()
+		return nil
+	}})
+	return nil
+}
+
+func (d *Daemon) run(stop <-chan struct{}) {
+	d.loop.Run(stop, eventloop.Handlers{
+		TickInterval: controlplane.TickInterval.Duration(),
+		Tick:         d.tick,
+		Message:      d.handleMessage,
+		BeforeCall:   d.observe,
+		BeforeInput:  d.submitNextWrite,
+		AfterInput:   d.handOnOutput,
+		Completions:  d.store.completions(d.handleWritten),
+	})
+}
+
+func (d *Daemon) tick() {
+	d.server.Tick(d.clock.Now(), d.clock.Wall())
+	d.requests.Tick(d.clock.Now(), d.server.Connected())
+	d.updateMetrics()
+}
+
+func (d *Daemon) handleMessage(from wire.Peer, msg wire.Message) {
+	d.observe()
+	d.server.HandleMessage(from, msg, d.clock.Now(), d.clock.Wall())
+}
+
+// observe notes that the process runs: it may have stood still.
+func (d *Daemon) observe() { d.requests.Observe(d.clock.Now()) }
+
+// handOnOutput gives the server the requests that wait for it, and hands on what it sends,
+// writes and answers.
+func (d *Daemon) handOnOutput() {
+	for _, dispatch := range d.requests.TakeDispatches() {
+		d.server.HandleMessage(dispatch.Peer, wire.Message{Request: dispatch.Request}, d.clock.Now(), d.clock.Wall())
+	}
+	out := d.server.TakeOutput()
+	for _, event := range out.Events {
+		d.log.Event(event.Name, event.Fields...)
+	}
+	d.writes.Add(out.CreateLog, out.Writes, out.Snapshot)
+	if out.Quit != "" {
+		d.log.Error("server-halted", "why", out.Quit)
+		d.endProcess()
+	}
+	for _, message := range out.Messages {
+		d.deliver(message)
+	}
+	if d.server.Left() {
+		d.leftOnce.Do(func() { close(d.left) })
+	}
+}
+
+// deliver sends a message to another process, or answers a request that was made here.
+func (d *Daemon) deliver(message wire.Envelope) {
+	if !message.To.Local() {
+		d.link.Send(message.To, message.Message)
+		return
+	}
+	if message.Message.Response != nil {
+		d.requests.Complete(message.To, message.Message.Response, d.clock.Now())
+	}
+}
+
+// submitNextWrite gives the disk its next operation, if it is free.
+func (d *Daemon) submitNextWrite() {
+	if operation := d.writes.Next(); operation != nil {
+		d.store.submit(operation)
+	}
+}
+
+// handleWritten takes the outcome of an operation of the disk. A disk that fails ends the
+// process: what it holds is not known any more.
+func (d *Daemon) handleWritten(operation *wal.Operation, err error) error {
+	d.writes.Done(operation)
+	if err != nil {
+		d.log.Error("disk-failed", "error", err, "action", "ending the process")
+		d.endProcess()
+		return err
+	}
+	switch {
+	case operation.Create != nil:
+		d.server.LogCreated(operation.Create, d.clock.Now(), d.clock.Wall())
+	case operation.Write != nil:
+		d.server.Synced(operation.Write.Seq, d.clock.Now(), d.clock.Wall())
+	}
+	return nil
+}
+
+func (d *Daemon) endProcess() { _ = d.shutdown.Shutdown(fx.ExitCode(exitHalted)) }
+
+// Ready tells whether this server knows who leads.
+func (d *Daemon) Ready() bool { return d.ready.Load() }
+
+// Gauges are this server's metrics, for a face that shows them.
+func (d *Daemon) Gauges() *httpserver.Gauges { return d.gauges }
--- a/internal/daemon/serverd/desk_test.go
+++ b/internal/daemon/serverd/daemon_test.go
@@ -66,7 +66,7 @@
 	log := logging.New()
 	log.Quiet()
 	l = &life{down: make(chan bool, 1)}
-	d, err := New(Settings{Data: t.TempDir(), Addr: addr, Domain: "north", Seeds: seeds, Files: 4, FileKb: 256, Found: true}, c, log, l, l)
+	d, err := New(Settings{Data: t.TempDir(), Addr: addr, Domain: "north", Seeds: seeds, Files: 4, FileKb: 256, MayFound: true}, c, log, l, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -119,7 +119,7 @@
 	log := logging.New()
 	log.Quiet()
 	l := &life{down: make(chan bool, 1)}
-	porter, err := New(Settings{Addr: addrs[3], Domain: "north", Seeds: seeds, Found: true}, c, log, l, l)
+	porter, err := New(Settings{Addr: addrs[3], Domain: "north", Seeds: seeds, MayFound: true}, c, log, l, l)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,7 +171,7 @@
 		return d.Do(context.Background(), gateway.Request{Method: "GET", Path: "/v1/table", Budget: budget})
 	}
 	for i := 0; i < 4096; i++ {
-		if !d.errands.Offer(func(*controlplane.Server) {}) {
+		if !d.loop.Post(func(*controlplane.Server) {}) {
 			t.Fatalf("full after %d", i)
 		}
 	}
@@ -194,7 +194,7 @@
 	}
 	open := -1
 	for end := time.Now().Add(60 * time.Second); open != 0; {
-		d.Inspect(context.Background(), func(*controlplane.Server) { open = d.pending.Len() })
+		d.Inspect(context.Background(), func(*controlplane.Server) { open = d.requests.Len() })
 		if time.Now().After(end) {
 			t.Fatalf("%d requests still wait", open)
 		}
--- /dev/null
+++ b/internal/daemon/serverd/metrics.go
@@ -0,0 +1,38 @@
+package serverd
+
+import "orchidward/internal/consensus/raft"
+
+// updateMetrics renews the metrics and the readiness; it comes with every tick.
+func (d *Daemon) updateMetrics() {
+	d.setReady(d.server.KnowsLeader())
+	r := d.server.Raft()
+	if r == nil {
+		return
+	}
+	leads := 0.0
+	if r.Role() == raft.Leader {
+		leads = 1
+	}
+	store := d.server.State()
+	d.gauges.Set("leader", leads)
+	d.gauges.Set("term", float64(r.Term()))
+	d.gauges.Set("commit_index", float64(r.CommitIndex()))
+	d.gauges.Set("snapshot_index", float64(r.SnapshotIndex()))
+	d.gauges.Set("jobs", float64(len(store.Jobs)))
+	d.gauges.Set("remembered_ids", float64(store.Dedup.Len()))
+	d.gauges.Set("leases", float64(len(store.Leases)))
+	d.gauges.Set("table_epoch", float64(store.Limits.Epoch))
+	d.gauges.Set("disk_backlog", float64(d.writes.Bytes()))
+	waiting := int64(0)
+	for _, row := range store.Limits.RowNames() {
+		waiting += store.WaitingTasks(row)
+	}
+	d.gauges.Set("tasks_waiting", float64(waiting))
+}
+
+func (d *Daemon) setReady(ready bool) {
+	d.ready.Store(ready)
+	if d.http != nil {
+		d.http.SetReady(ready)
+	}
+}
--- /dev/null
+++ b/internal/daemon/serverd/requests.go
@@ -0,0 +1,49 @@
+package serverd
+
+import (
+	"context"
+	"net/http"
+
+	"orchidward/internal/clock"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/gateway"
+	"orchidward/internal/inflight"
+)
+
+// retryAfterStop is when a caller may come back to a server that has stopped.
+const retryAfterStop clock.Millis = 1000
+
+// Do has the leader answer a request, wherever it is, within the request's budget. Where no
+// leader has been known for a while the answer is a 503 at once, with when to come back; a
+// 504 means that the outcome is not known. A caller whose context ends is forgotten, and
+// gets a 504 in case it still looks.
+func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
+	r.ID = d.lastRequestID.Add(1)
+	answered := make(chan gateway.Response, 1)
+	taken := d.loop.Post(func(s *controlplane.Server) {
+		d.requests.Admit(r, func(response gateway.Response) { answered <- response }, d.clock.Now(), s.Connected())
+	})
+	if !taken {
+		return inflight.Overloaded()
+	}
+	select {
+	case response := <-answered:
+		return response
+	case <-ctx.Done():
+		d.loop.Post(func(*controlplane.Server) { d.requests.Forget(r.ID) })
+		return inflight.Refusal(http.StatusGatewayTimeout, "no-answer", "the caller left; the outcome is not known", 0)
+	case <-d.loop.Done():
+	}
+	select {
+	case response := <-answered:
+		return response
+	default:
+		return inflight.Refusal(http.StatusGatewayTimeout, "stopping", "this keeper has stopped; the outcome is not known", retryAfterStop)
+	}
+}
+
+// Inspect runs f on the server's own goroutine. When it is not ok, f has not run and never
+// will.
+func (d *Daemon) Inspect(ctx context.Context, f func(s *controlplane.Server)) (ok bool) {
+	return d.loop.Do(ctx, f)
+}
--- a/internal/daemon/serverd/store.go
+++ b/internal/daemon/serverd/store.go
@@ -1,6 +1,3 @@
-// The store is the disk's duty: writes in, one at a time, and word of each
-// once it is synced.
-
 package serverd
 
 import (
@@ -13,69 +10,85 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// done is word of a chore.
-type done struct {
-	chore *wal.Operation
-	err   error
-}
-
+// store is the disk of a server. Its goroutine carries out one operation of the write-ahead
+// log at a time, and reports each once it is synced.
 type store struct {
-	disk  *wal.Folder
-	shape wal.Layout
-	ring  *wal.Log
-	in    *lifecycle.Queue[*wal.Operation]
-	out   *lifecycle.Queue[done]
-	fill  atomic.Int64
+	// folder is nil for a server without a disk.
+	folder *wal.Folder
+	layout wal.Layout
+	log    *wal.Log
+	// submitted and finished hold one operation at most: the write queue hands out the
+	// next one only after the last was reported.
+	submitted *lifecycle.Queue[*wal.Operation]
+	finished  *lifecycle.Queue[func() error]
+	report    func(operation *wal.Operation, err error) error
+	used      atomic.Int64
 }
 
-// newStore opens the folder and reads or makes up the keeper's identity; a
-// porter has neither.
-func newStore(set Settings) (s *store, id identifier.Node, err error) {
-	s = &store{in: lifecycle.NewQueue[*wal.Operation](1), out: lifecycle.NewQueue[done](1)}
-	if set.Data == "" {
+// newStore opens the folder and reads or makes up the server's identity; a server without a
+// disk has neither.
+func newStore(settings Settings) (s *store, id identifier.Node, err error) {
+	s = &store{
+		submitted: lifecycle.NewQueue[*wal.Operation](1),
+		finished:  lifecycle.NewQueue[func() error](1),
+	}
+	if settings.Data == "" {
 		return s, 0, nil
 	}
-	if s.disk, err = wal.OpenFolder(set.Data); err != nil {
+	if s.folder, err = wal.OpenFolder(settings.Data); err != nil {
 		return nil, 0, err
 	}
-	id, s.shape, err = wal.Identity(s.disk, identifier.Node(random()), wal.Layout{Files: int(set.Files), Bytes: int(set.FileKb) << 10})
+	layout := wal.Layout{Files: int(settings.Files), Bytes: int(settings.FileKb) << 10}
+	id, s.layout, err = wal.Identity(s.folder, identifier.Node(randomID()), layout)
 	return s, id, err
 }
 
-func (s *store) full() int { return int(s.fill.Load()) }
-
+// open reads what the disk held, nil where it held nothing.
 func (s *store) open() (*wal.Recovered, error) {
-	var found *wal.Recovered
-	var err error
-	if s.disk == nil {
+	if s.folder == nil {
 		return nil, nil
 	}
-	if s.ring, found, err = wal.Open(s.disk, s.shape); err != nil {
+	var recovered *wal.Recovered
+	var err error
+	if s.log, recovered, err = wal.Open(s.folder, s.layout); err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
-	return found, nil
+	return recovered, nil
+}
+
+// percentUsed is how much of the log is in use. It is safe for concurrent use.
+func (s *store) percentUsed() int { return int(s.used.Load()) }
+
+// completions is where finished operations come, to be reported by the receiver's call.
+func (s *store) completions(report func(operation *wal.Operation, err error) error) <-chan func() error {
+	s.report = report
+	return s.finished.Out()
 }
 
+// submit hands in the next operation. The caller has had the report of the last one.
+func (s *store) submit(operation *wal.Operation) { s.submitted.TryPush(operation) }
+
 func (s *store) run(stop <-chan struct{}) {
-	if s.disk == nil {
+	if s.folder == nil {
 		return
 	}
-	defer s.disk.Close()
+	defer s.folder.Close()
 	for {
 		select {
 		case <-stop:
 			return
-		case c := <-s.in.Out():
-			s.out.Push(s.do(c), stop)
+		case operation := <-s.submitted.Out():
+			err := s.do(operation)
+			s.finished.Push(func() error { return s.report(operation, err) }, stop)
 		}
 	}
 }
 
-func (s *store) do(x *wal.Operation) done {
-	var d done
-	d.chore = x
-	if s.ring, d.err = x.Do(s.disk, s.shape, s.ring); d.err == nil {
-		s.fill.Store(int64(s.ring.PercentUsed()))
+func (s *store) do(operation *wal.Operation) error {
+	var err error
+	if s.log, err = operation.Do(s.folder, s.layout, s.log); err != nil {
+		return err
 	}
-	return d
+	s.used.Store(int64(s.log.PercentUsed()))
+	return nil
 }
--- a/internal/transport/httpserver/bare_test.go
+++ b/internal/transport/httpserver/handler_server_test.go
@@ -57,7 +57,7 @@
 	return s, out, got
 }
 
-// TestStopWaits: a request still in hand when the parting is over and the
+// TestStopWaits: a request still in hand when the drain delay is over and the
 // listener has closed is answered whole, however long it takes.
 func TestStopWaits(t *testing.T) {
 	c := lifecycle.New()
@@ -69,7 +69,7 @@
 	gone(t, s.Addr())
 	close(out)
 	if text := <-got; text != "whole" {
-		t.Errorf("past the parting, the request in hand got %q", text)
+		t.Errorf("past the drain delay, the request in hand got %q", text)
 	}
 	if err := <-over; err != nil {
 		t.Error(err)
@@ -82,7 +82,7 @@
 	c := lifecycle.New()
 	defer c.Stop(context.Background())
 	s, out, got := held(t, c)
-	if s.DrainDelay != parting {
+	if s.DrainDelay != defaultDrainDelay {
 		t.Errorf("parts for %v", s.DrainDelay)
 	}
 	conn, res := get(t, s.Addr(), "/")
@@ -102,7 +102,7 @@
 	conn, res = get(t, s.Addr(), "/")
 	conn.Close()
 	if res.StatusCode != 200 || !res.Close {
-		t.Errorf("while parting: %d, closes: %v", res.StatusCode, res.Close)
+		t.Errorf("while draining: %d, closes: %v", res.StatusCode, res.Close)
 	}
 	close(out)
 	if text := <-got; text != "whole" {
--- /dev/null
+++ b/internal/transport/httpserver/metrics.go
@@ -0,0 +1,43 @@
+package httpserver
+
+import (
+	"maps"
+	"slices"
+	"sync"
+
+	"github.com/prometheus/client_golang/prometheus"
+)
+
+// metricPrefix stands before the name of every metric.
+const metricPrefix = "orchidward_"
+
+// Gauges is a set of named numbers that Prometheus can collect. It is safe for concurrent
+// use.
+type Gauges struct {
+	mu     sync.Mutex
+	values map[string]float64
+}
+
+// NewGauges makes an empty set.
+func NewGauges() *Gauges { return &Gauges{values: map[string]float64{}} }
+
+// Set gives a gauge its value; the first value creates it.
+func (g *Gauges) Set(name string, value float64) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.values[name] = value
+}
+
+// Describe sends nothing: the names are not known beforehand, which makes this an unchecked
+// collector.
+func (g *Gauges) Describe(_ chan<- *prometheus.Desc) {}
+
+// Collect sends every gauge in the order of names.
+func (g *Gauges) Collect(out chan<- prometheus.Metric) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, name := range slices.Sorted(maps.Keys(g.values)) {
+		description := prometheus.NewDesc(metricPrefix+name, name, nil, nil)
+		out <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, g.values[name])
+	}
+}
--- a/internal/transport/httpserver/serve_test.go
+++ b/internal/transport/httpserver/server_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.ln.most = 3
+	s.listener.limit = 3
 	c := lifecycle.New()
 	s.Serve(c)
 	defer c.Stop(context.Background())
@@ -59,7 +59,7 @@
 		t.Errorf("one too many got %d", res.StatusCode)
 	}
 	held[0].Close()
-	for end := time.Now().Add(30 * time.Second); s.ln.open.Load() > 2; {
+	for end := time.Now().Add(30 * time.Second); s.listener.open.Load() > 2; {
 		if time.Now().After(end) {
 			t.Fatal("a closed connection is still counted")
 		}
--- a/tests/scale/measure.go
+++ b/tests/scale/measure.go
@@ -44,7 +44,7 @@
 	}
 	lead, vals := f.leader()
 	if l.lead = lead; lead >= 0 {
-		l.commit, l.view = vals["commit_index"], vals["view_index"]
+		l.commit, l.view = vals["commit_index"], vals["snapshot_index"]
 	}
 	w := f.crowd
 	l.starts, l.ends, l.lapsed, l.sent, l.got = float64(w.starts.Load()), float64(w.ends.Load()), float64(w.lapsed.Load()), float64(w.sent.Load()), float64(w.got.Load())
