--- a/internal/daemon/logging/logs_test.go
+++ b/internal/daemon/logging/run_test.go
@@ -68,7 +68,7 @@
 func TestQuiet(t *testing.T) {
 	var text bytes.Buffer
 	l := New()
-	l.l.SetOutput(&text)
+	l.out.SetOutput(&text)
 	l.Event("first")
 	l.Quiet()
 	l.Event("second")
