--- a/cmd/zone-drill/desk.go
+++ b/cmd/zone-drill/desk.go
@@ -313,7 +313,7 @@
 		if at < d.begun {
 			continue
 		}
-		if agent, _ := e.Task.Job.Split(); agent == agentName || e.Kind == "acked" {
+		if agent, _ := e.Task.Job.Split(); agent == agentName || e.Kind == runner.EventAcked {
 			d.later = append(d.later, seen{at, func() {
 				d.watch.PollAnswered(name)
 				d.watch.RunnerEvent(name, runner.Event{Kind: e.Kind, Lease: e.Lease, Task: e.Task, Demand: e.Demand})
--- a/internal/invariants/watch.go
+++ b/internal/invariants/watch.go
@@ -154,10 +154,10 @@
 	x.Counts["event "+e.Kind]++
 	x.w.Logf("%s %s grant %d %s", name, e.Kind, e.Lease, e.Task)
 	switch e.Kind {
-	case "start":
+	case runner.EventStart:
 		x.started(name, e)
 		return
-	case "acked":
+	case runner.EventAcked:
 		x.acked(name, e.Lease)
 		return
 	}
--- a/tests/simulation/side.go
+++ b/tests/simulation/side.go
@@ -65,7 +65,7 @@
 	o := r.mach.TakeOutput()
 	for _, e := range o.Events {
 		r.w.Watch.RunnerEvent(r.name, e)
-		if e.Kind == "start" && r.seen != nil {
+		if e.Kind == runner.EventStart && r.seen != nil {
 			r.seen(e)
 		}
 	}
