--- a/internal/consensus/raft/backlog.go
+++ b/internal/consensus/raft/backlog.go
@@ -7,21 +7,21 @@
 // Backlog queues the writes that a disk has yet to do, in order, and merges
 // those that wait. Its zero value is empty and ready to use.
 type Backlog struct {
-	list  []*Write
-	bytes int
+	writes []*Write
+	bytes  int
 }
 
-// lotBytes is how much goes to the disk as one write.
-const lotBytes = 1 << 20
+// maxBatchBytes is how much goes to the disk as one write.
+const maxBatchBytes = 1 << 20
 
 // Add queues a write behind all others.
 func (b *Backlog) Add(w *Write) {
-	b.list = append(b.list, w)
+	b.writes = append(b.writes, w)
 	b.bytes += w.size()
 }
 
 // Len is the number of queued writes.
-func (b *Backlog) Len() int { return len(b.list) }
+func (b *Backlog) Len() int { return len(b.writes) }
 
 // Bytes is the size of the queued entries and snapshots together.
 func (b *Backlog) Bytes() int { return b.bytes }
@@ -29,22 +29,22 @@
 // Next takes what is first in line, and with it all that can be written at
 // once. A view goes alone, as what came before it must be down first.
 func (b *Backlog) Next() *Write {
-	if len(b.list) == 0 {
+	if len(b.writes) == 0 {
 		return nil
 	}
-	one := *b.list[0]
-	w, size, n := &one, one.size(), 1
-	for ; n < len(b.list) && w.Snapshot == nil && b.list[n].Snapshot == nil && size < lotBytes; n++ {
-		size += b.list[n].size()
-		w.take(b.list[n])
+	first := *b.writes[0]
+	batch, size, count := &first, first.size(), 1
+	for ; count < len(b.writes) && batch.Snapshot == nil && b.writes[count].Snapshot == nil && size < maxBatchBytes; count++ {
+		size += b.writes[count].size()
+		batch.merge(b.writes[count])
 	}
-	b.list = b.list[n:]
+	b.writes = b.writes[count:]
 	b.bytes -= size
-	return w
+	return batch
 }
 
-// take adds a later write to this one: its entries replace a tail.
-func (w *Write) take(next *Write) {
+// merge adds a later write to this one: its entries replace a tail.
+func (w *Write) merge(next *Write) {
 	w.Seq = next.Seq
 	if next.HardState != nil {
 		w.HardState = next.HardState
@@ -52,11 +52,11 @@
 	if len(next.Entries) == 0 {
 		return
 	}
-	n := 0
-	for n < len(w.Entries) && w.Entries[n].Index < next.Entries[0].Index {
-		n++
+	kept := 0
+	for kept < len(w.Entries) && w.Entries[kept].Index < next.Entries[0].Index {
+		kept++
 	}
-	w.Entries = append(append([]Entry(nil), w.Entries[:n]...), next.Entries...)
+	w.Entries = append(append([]Entry(nil), w.Entries[:kept]...), next.Entries...)
 }
 
 func (w *Write) size() int {
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -8,21 +8,21 @@
 	"orchidward/internal/clock"
 )
 
-func (r *Raft) campaign(kind MessageKind, force bool) {
-	r.heard = r.now
-	r.resetElectionWait()
-	r.lead = 0
+func (r *Raft) campaign(kind MessageKind, leaderTransfer bool) {
+	r.timerResetAt = r.now
+	r.resetElectionTimer()
+	r.leader = 0
 	r.votes = map[identifier.Node]bool{}
-	term := r.hard.Term + 1
+	term := r.hardState.Term + 1
 	if kind == RequestPreVote {
 		r.role = PreCandidate
 	} else {
 		r.role = Candidate
-		r.setHard(HardState{Term: term, Vote: r.id})
+		r.setHardState(HardState{Term: term, Vote: r.id})
 	}
 	for _, m := range r.Members() {
 		if m.Voter && m.ID != r.id {
-			msg := Message{Kind: kind, To: m.ID, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), LeaderTransfer: force}
+			msg := Message{Kind: kind, To: m.ID, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), LeaderTransfer: leaderTransfer}
 			if kind == RequestPreVote {
 				r.send(msg)
 			} else {
@@ -34,18 +34,18 @@
 		r.countVote(r.id)
 		return
 	}
-	r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: r.seq + 1, own: true, msg: Message{Term: term}})
+	r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: r.seq + 1, ownVote: true, message: Message{Term: term}})
 }
 
 func (r *Raft) countVote(from identifier.Node) {
 	r.votes[from] = true
-	n := 0
+	granted := 0
 	for id := range r.votes {
-		if r.voter(id) {
-			n++
+		if r.isVoter(id) {
+			granted++
 		}
 	}
-	if n*2 <= r.voters() {
+	if granted*2 <= r.voterCount() {
 		return
 	}
 	if r.role == PreCandidate {
@@ -56,26 +56,26 @@
 }
 
 func (r *Raft) becomeLeader() {
-	r.role, r.lead = Leader, r.id
-	r.basis = r.log.lastTerm()
-	r.meeting()
+	r.role, r.leader = Leader, r.id
+	r.previousLogTerm = r.log.lastTerm()
+	r.recordFirstKnownTerm()
 	r.peers = map[identifier.Node]*peer{}
 	r.addPeers()
-	r.beat, r.ledSince = r.now, r.now
-	r.first = r.append(EntryBlank, nil)
+	r.heartbeatSentAt, r.electedAt = r.now, r.now
+	r.termStart = r.append(EntryBlank, nil)
 	for _, m := range r.Members() {
 		r.replicateTo(m.ID, false)
 	}
 }
 
-func (r *Raft) becomeFollower(term identifier.Term, lead identifier.Node) {
-	if term > r.hard.Term {
-		r.setHard(HardState{Term: term})
+func (r *Raft) becomeFollower(term identifier.Term, leader identifier.Node) {
+	if term > r.hardState.Term {
+		r.setHardState(HardState{Term: term})
 	}
-	r.role, r.lead = Follower, lead
+	r.role, r.leader = Follower, leader
 	r.votes, r.peers = nil, nil
-	r.heard = r.now
-	r.resetElectionWait()
+	r.timerResetAt = r.now
+	r.resetElectionTimer()
 }
 
 // TransferLeadership gives leadership to the member that has most of the log. The leader
@@ -84,7 +84,7 @@
 	best := identifier.Node(0)
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
-		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.heard) > r.tm.ElectionTimeout {
+		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.lastHeardAt) > r.timing.ElectionTimeout {
 			continue
 		}
 		if best == 0 || p.match > r.peers[best].match {
@@ -95,7 +95,7 @@
 		return false
 	}
 	r.send(Message{Kind: TimeoutNow, To: best})
-	r.becomeFollower(r.hard.Term, 0)
+	r.becomeFollower(r.hardState.Term, 0)
 	return true
 }
 
@@ -108,7 +108,7 @@
 func (r *Raft) Replicated() bool {
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
-		if !m.Voter || p == nil || r.now.Since(p.heard) > r.tm.ElectionTimeout {
+		if !m.Voter || p == nil || r.now.Since(p.lastHeardAt) > r.timing.ElectionTimeout {
 			continue
 		}
 		if p.match < r.log.last() {
@@ -118,12 +118,12 @@
 	return true
 }
 
-func (r *Raft) resetElectionWait() {
-	r.wait = r.tm.ElectionTimeout + clock.Millis(r.rnd.Int63n(int64(r.tm.ElectionTimeout)))
+func (r *Raft) resetElectionTimer() {
+	r.randomizedTimeout = r.timing.ElectionTimeout + clock.Millis(r.random.Int63n(int64(r.timing.ElectionTimeout)))
 }
 
-func (r *Raft) setHard(h HardState) {
-	r.hard = h
+func (r *Raft) setHardState(h HardState) {
+	r.hardState = h
 	r.write.HardState = &h
-	r.hardSeq = r.seq + 1
+	r.hardStateSeq = r.seq + 1
 }
--- a/internal/consensus/raft/changes_test.go
+++ b/internal/consensus/raft/large_entries_test.go
@@ -10,173 +10,173 @@
 )
 
 const (
-	// changeBytes is the size of a large configuration.
-	changeBytes = 300 << 10
+	// largeEntryBytes is the size of a large configuration.
+	largeEntryBytes = 300 << 10
 	// snapshotEvery is how many bytes of changes a keeper logs between
 	// snapshots.
 	snapshotEvery = 8 << 20
 )
 
-// changes is a group that logs large changes and takes snapshots as keepers do.
-type changes struct {
+// largeEntryGroup is a group that logs large changes and takes snapshots as keepers do.
+type largeEntryGroup struct {
 	*group
-	t     *testing.T
-	state []byte
-	most  int
-	loads map[identifier.Index]bool
-	// weighed is what each log was like when it was last weighed.
-	weighed map[identifier.Node][3]identifier.Index
+	t                *testing.T
+	state            []byte
+	maxRetainedBytes int
+	transfers        map[identifier.Index]bool
+	// checkedExtents is what each log was like when it was last weighed.
+	checkedExtents map[identifier.Node][3]identifier.Index
 }
 
-func newChanges(t *testing.T, seed int64, stateBytes int) *changes {
-	g := weather(seed)
-	g.disk, g.size, g.want, g.most, g.hostsMost = 2, changeBytes, 3, 6, 6
-	c := &changes{group: g, t: t, state: bytes.Repeat([]byte("s"), stateBytes), loads: map[identifier.Index]bool{}, weighed: map[identifier.Node][3]identifier.Index{}}
+func newLargeEntryGroup(t *testing.T, seed int64, stateBytes int) *largeEntryGroup {
+	g := newGroup(seed)
+	g.meanWriteMs, g.entryBytes, g.wantVoters, g.maxMembers, g.maxHosts = 2, largeEntryBytes, 3, 6, 6
+	c := &largeEntryGroup{group: g, t: t, state: bytes.Repeat([]byte("s"), stateBytes), transfers: map[identifier.Index]bool{}, checkedExtents: map[identifier.Node][3]identifier.Index{}}
 	list := []Member{}
 	for i := 1; i <= 3; i++ {
 		list = append(list, Member{ID: identifier.Node(i), Addr: fmt.Sprint(i), Voter: true})
 	}
 	for range list {
-		g.begin(g.add(list, 1))
+		g.start(g.addHost(list, 1))
 	}
 	return c
 }
 
-// pass lets some milliseconds pass and judges the memory after each of them.
-func (c *changes) pass(ms int64) {
+// advance lets some milliseconds pass and judges the memory after each of them.
+func (c *largeEntryGroup) advance(ms int64) {
 	c.t.Helper()
-	for end := c.now + ms; c.now < end && c.failed == ""; {
+	for end := c.now + ms; c.now < end && c.failure == ""; {
 		c.step(false)
 		for _, h := range c.hosts {
 			if h.up {
-				c.snapshot(h)
-				c.weigh(h)
+				c.takeSnapshot(h)
+				c.checkMemory(h)
 			}
 		}
 	}
-	if c.failed != "" {
-		c.t.Fatal(c.failed)
+	if c.failure != "" {
+		c.t.Fatal(c.failure)
 	}
 }
 
-// snapshot takes one once enough was applied since the last.
-func (c *changes) snapshot(h *host) {
-	applied := int(h.at-h.r.SnapshotIndex()) * changeBytes
+// takeSnapshot takes one once enough was applied since the last.
+func (c *largeEntryGroup) takeSnapshot(h *host) {
+	applied := int(h.applied-h.raft.SnapshotIndex()) * largeEntryBytes
 	if applied < snapshotEvery {
 		return
 	}
-	h.r.Compact(h.at, append(h.state(), c.state...))
-	c.out(h)
+	h.raft.Compact(h.applied, append(h.encodeState(), c.state...))
+	c.processOutput(h)
 }
 
-// weigh judges the bytes a member keeps in memory: the tail behind its
+// checkMemory judges the bytes a member keeps in memory: the tail behind its
 // snapshot, what came since, and what is not yet committed.
-func (c *changes) weigh(h *host) {
-	for _, p := range h.r.peers {
-		if p.load != nil {
-			c.loads[p.load.Index] = true
+func (c *largeEntryGroup) checkMemory(h *host) {
+	for _, p := range h.raft.peers {
+		if p.snapshot != nil {
+			c.transfers[p.snapshot.Index] = true
 		}
 	}
-	extent := [3]identifier.Index{h.r.log.base, h.r.commit, h.r.log.last()}
-	if c.weighed[h.id] == extent {
+	extent := [3]identifier.Index{h.raft.log.base, h.raft.commit, h.raft.log.last()}
+	if c.checkedExtents[h.id] == extent {
 		return
 	}
-	c.weighed[h.id] = extent
+	c.checkedExtents[h.id] = extent
 	bytes, open := 0, 0
-	for _, e := range h.r.log.list {
+	for _, e := range h.raft.log.entries {
 		bytes += e.size()
-		if e.Index > h.r.commit {
+		if e.Index > h.raft.commit {
 			open += e.size()
 		}
 	}
-	c.most = max(c.most, bytes-open)
-	if limit := defaultTail.loadingBytes + snapshotEvery + 8*changeBytes; bytes-open > limit {
-		c.t.Fatalf("at %d host %d keeps %d bytes of committed entries in %d, limit %d", c.now, h.id, bytes-open, len(h.r.log.list), limit)
+	c.maxRetainedBytes = max(c.maxRetainedBytes, bytes-open)
+	if limit := defaultTail.loadingBytes + snapshotEvery + 8*largeEntryBytes; bytes-open > limit {
+		c.t.Fatalf("at %d host %d keeps %d bytes of committed entries in %d, limit %d", c.now, h.id, bytes-open, len(h.raft.log.entries), limit)
 	}
 }
 
 // catchUp wants a member within some entries of the group in so many ms, while
 // changes go on coming.
-func (c *changes) catchUp(h *host, ms int64) int64 {
+func (c *largeEntryGroup) catchUp(h *host, ms int64) int64 {
 	c.t.Helper()
 	start := c.now
 	for c.now < start+ms {
-		c.pass(100)
-		if h.up && h.at+5 >= c.top {
+		c.advance(100)
+		if h.up && h.applied+5 >= c.lastCommitted {
 			return c.now - start
 		}
 	}
-	c.t.Fatalf("host %d is at %d after %d ms, the group at %d", h.id, h.at, ms, c.top)
+	c.t.Fatalf("host %d is at %d after %d ms, the group at %d", h.id, h.applied, ms, c.lastCommitted)
 	return 0
 }
 
-func (c *changes) follower() *host {
+func (c *largeEntryGroup) randomFollower() *host {
 	for _, one := range c.hosts {
-		if one.up && one != c.head() {
+		if one.up && one != c.leader() {
 			return one
 		}
 	}
 	return nil
 }
 
-// TestHundredsOfChanges: a member is away for some to all of 2,000 changes of
+// TestCatchUpWithLargeEntries: a member is away for some to all of 2,000 changes of
 // 300 KB and catches up, by the log or by a snapshot, while changes go on, also
 // when meanwhile the leader changes, when it restarts itself, and when the
 // snapshot it is sent is superseded. What is kept in memory stays bounded.
-func TestHundredsOfChanges(t *testing.T) {
+func TestCatchUpWithLargeEntries(t *testing.T) {
 	for _, away := range []int{1, 40, 400, 1900} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
 			t.Parallel()
-			c := newChanges(t, int64(away), 3<<20)
-			c.pass(4000)
-			late := c.follower()
+			c := newLargeEntryGroup(t, int64(away), 3<<20)
+			c.advance(4000)
+			late := c.randomFollower()
 			c.crash(late)
-			for from := c.count; c.count < from+away; {
-				c.pass(200)
+			for from := c.proposals; c.proposals < from+away; {
+				c.advance(200)
 			}
-			c.begin(late)
+			c.start(late)
 			plain := c.catchUp(late, 12000)
 			c.crash(late)
-			c.pass(8000)
-			c.begin(late)
-			c.pass(1200)
-			c.bounce(c.head())
+			c.advance(8000)
+			c.start(late)
+			c.advance(1200)
+			c.restart(c.leader())
 			handed := c.catchUp(late, 20000)
 			c.crash(late)
-			c.pass(8000)
-			c.begin(late)
-			c.pass(700)
+			c.advance(8000)
+			c.start(late)
+			c.advance(700)
 			c.crash(late)
-			c.pass(300)
-			c.begin(late)
+			c.advance(300)
+			c.start(late)
 			again := c.catchUp(late, 12000)
-			for c.count < 2000 && away > 1000 {
-				c.pass(1000)
+			for c.proposals < 2000 && away > 1000 {
+				c.advance(1000)
 			}
-			t.Logf("away for %d changes: caught up in %d ms; with the leader gone midway %d ms; restarted midway %d ms; %d changes, at most %d bytes kept", away, plain, handed, again, c.count, c.most)
+			t.Logf("away for %d changes: caught up in %d ms; with the leader gone midway %d ms; restarted midway %d ms; %d changes, at most %d bytes kept", away, plain, handed, again, c.proposals, c.maxRetainedBytes)
 		})
 	}
 }
 
-// TestLoadOutlastsSnapshots: a state so large that sending it takes longer than
+// TestSnapshotTransferOutlastsCompaction: a state so large that sending it takes longer than
 // the leader needs from one snapshot to the next. The follower must find the
 // entries after the snapshot it was sent: it begins again seldom, and never for
 // ever.
-func TestLoadOutlastsSnapshots(t *testing.T) {
+func TestSnapshotTransferOutlastsCompaction(t *testing.T) {
 	restarts, superseded, longest := 0, 0, int64(0)
 	for seed := int64(1); seed <= 6; seed++ {
-		c := newChanges(t, seed, 6<<20)
-		c.pass(4000)
-		late := c.follower()
+		c := newLargeEntryGroup(t, seed, 6<<20)
+		c.advance(4000)
+		late := c.randomFollower()
 		c.crash(late)
-		c.pass(9000)
-		c.begin(late)
-		c.pass(300)
-		clear(c.loads)
-		before := c.head().r.SnapshotIndex()
+		c.advance(9000)
+		c.start(late)
+		c.advance(300)
+		clear(c.transfers)
+		before := c.leader().raft.SnapshotIndex()
 		longest = max(longest, c.catchUp(late, 15000))
-		restarts += len(c.loads) - 1
-		if c.head().r.SnapshotIndex() != before {
+		restarts += len(c.transfers) - 1
+		if c.leader().raft.SnapshotIndex() != before {
 			superseded++
 		}
 	}
@@ -198,15 +198,15 @@
 		for i := range loaded {
 			t.Run(fmt.Sprint(i+1), func(t *testing.T) {
 				t.Parallel()
-				g := weather(int64(i + 1))
-				g.size, g.tail = 4, &tailLimit{entries: 3, bytes: 1 << 20, loadingBytes: 1 << 10}
-				g.want, g.most, g.hostsMost = 3, 6, 6
-				g.compactOften, g.proposeEvery, g.mild = true, 4, 2
+				g := newGroup(int64(i + 1))
+				g.entryBytes, g.tailLimit = 4, &tailLimit{entries: 3, bytes: 1 << 20, loadingBytes: 1 << 10}
+				g.wantVoters, g.maxMembers, g.maxHosts = 3, 6, 6
+				g.compactOften, g.meanProposalMs, g.faultIntervalMs = true, 4, 2
 				g.run(3 + 2*(i%2))
-				if g.failed != "" {
-					t.Errorf("seed %d: %s", i+1, g.failed)
+				if g.failure != "" {
+					t.Errorf("seed %d: %s", i+1, g.failure)
 				}
-				loaded[i] = g.loaded
+				loaded[i] = g.snapshotsInstalled
 			})
 		}
 	})
@@ -220,10 +220,10 @@
 	t.Logf("%d snapshots replaced a member's state", sum)
 }
 
-// TestLateLoad: a snapshot that arrives late, after the entries it stands for
+// TestLateSnapshotKeepsEntries: a snapshot that arrives late, after the entries it stands for
 // and more were acknowledged, must not take any of them away.
-func TestLateLoad(t *testing.T) {
-	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+func TestLateSnapshotKeepsEntries(t *testing.T) {
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: threeVoters()}, nil)
 	m := Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Commit: 1}
 	for i := identifier.Index(2); i <= 100; i++ {
 		m.Entries = append(m.Entries, Entry{Index: i, Term: 3, Kind: EntryCommand})
@@ -234,7 +234,7 @@
 	if o = r.TakeOutput(); len(o.Messages) != 1 || o.Messages[0].Index != 100 {
 		t.Fatalf("acknowledged: %+v", o.Messages)
 	}
-	late := &Snapshot{Index: 80, Term: 3, Members: trio(), Data: []byte("late")}
+	late := &Snapshot{Index: 80, Term: 3, Members: threeVoters(), Data: []byte("late")}
 	r.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, Snapshot: late, Total: 4, Commit: 80}, 20, 0)
 	o = r.TakeOutput()
 	if r.LastIndex() != 100 {
@@ -245,11 +245,11 @@
 	}
 }
 
-// TestStalledDiskHoldsLittle: a follower whose disk stands still is sent
+// TestStalledDiskQueueBounded: a follower whose disk stands still is sent
 // heartbeats for an hour; the acknowledgements that wait for its disk must not
 // pile up, and the one given in the end is for the newest heartbeat.
-func TestStalledDiskHoldsLittle(t *testing.T) {
-	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+func TestStalledDiskQueueBounded(t *testing.T) {
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: threeVoters()}, nil)
 	entry := Entry{Index: 2, Term: 3, Kind: EntryCommand, Data: []byte("x")}
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Entries: []Entry{entry}, SentAt: 1}, 10, 0)
 	write := r.TakeOutput().Write
--- a/internal/consensus/raft/lease.go
+++ b/internal/consensus/raft/lease.go
@@ -11,20 +11,20 @@
 // HasLease tells whether this leader may still act alone: a quorum answered
 // something it sent less than a lease ago, and no other can have been elected.
 func (r *Raft) HasLease(now clock.Monotonic) bool {
-	return r.role == Leader && now.Since(r.quorumAck(now)) < r.tm.LeaseDuration
+	return r.role == Leader && now.Since(r.quorumAck(now)) < r.timing.LeaseDuration
 }
 
 func (r *Raft) quorumAck(now clock.Monotonic) clock.Monotonic {
-	list := []clock.Monotonic{}
+	acks := []clock.Monotonic{}
 	for _, m := range r.Members() {
 		switch {
 		case !m.Voter:
 		case m.ID == r.id:
-			list = append(list, now)
+			acks = append(acks, now)
 		case r.peers[m.ID] != nil:
-			list = append(list, r.peers[m.ID].ack)
+			acks = append(acks, r.peers[m.ID].ackedSentAt)
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i] > list[j] })
-	return list[r.voters()/2]
+	sort.Slice(acks, func(i, j int) bool { return acks[i] > acks[j] })
+	return acks[r.voterCount()/2]
 }
--- a/internal/consensus/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -23,14 +23,14 @@
 type log struct {
 	base     identifier.Index
 	baseTerm identifier.Term
-	list     []Entry
-	view     *Snapshot
+	entries  []Entry
+	snapshot *Snapshot
 }
 
-// size is what an entry weighs in memory, in a message and on disk.
+// entryBytes is what an entry weighs in memory, in a message and on disk.
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
-func (l *log) last() identifier.Index { return l.base + identifier.Index(len(l.list)) }
+func (l *log) last() identifier.Index { return l.base + identifier.Index(len(l.entries)) }
 
 func (l *log) term(i identifier.Index) (t identifier.Term, ok bool) {
 	switch {
@@ -39,7 +39,7 @@
 	case i < l.base || i > l.last():
 		return 0, false
 	}
-	return l.list[i-l.base-1].Term, true
+	return l.entries[i-l.base-1].Term, true
 }
 
 func (l *log) lastTerm() identifier.Term {
@@ -48,47 +48,47 @@
 }
 
 // from returns entries beginning at i, up to some bytes but at least one.
-func (l *log) from(i identifier.Index, bytes int) []Entry {
-	var out []Entry
-	if i <= l.base || i > l.last() {
+func (l *log) entriesFrom(first identifier.Index, bytes int) []Entry {
+	var entries []Entry
+	if first <= l.base || first > l.last() {
 		return nil
 	}
-	for _, e := range l.list[i-l.base-1:] {
+	for _, e := range l.entries[first-l.base-1:] {
 		bytes -= e.size()
-		if len(out) > 0 && bytes < 0 {
+		if len(entries) > 0 && bytes < 0 {
 			break
 		}
-		out = append(out, e)
+		entries = append(entries, e)
 	}
-	return out
+	return entries
 }
 
-// bytes is what the entries from one to another weigh, as far as they are here.
-func (l *log) bytes(from, to identifier.Index) int {
+// entryBytes is what the entries from one to another weigh, as far as they are here.
+func (l *log) entryBytes(from, to identifier.Index) int {
 	var n int
 	for i := max(from, l.base+1); i <= min(to, l.last()); i++ {
-		n += l.list[i-l.base-1].size()
+		n += l.entries[i-l.base-1].size()
 	}
 	return n
 }
 
-func (l *log) cut(from identifier.Index) { l.list = l.list[:from-l.base-1] }
+func (l *log) truncateFrom(index identifier.Index) { l.entries = l.entries[:index-l.base-1] }
 
 // retainFrom is the index behind which entries may be dropped: the tail up to
 // the snapshot is within the limit. Oldest is the oldest snapshot that is being
 // loaded, or the newest one when none is.
 func (l *log) retainFrom(limit tailLimit, oldest identifier.Index) identifier.Index {
-	var keep identifier.Index
+	var first identifier.Index
 	bytes := 0
-	for keep = l.view.Index; keep > l.base; keep-- {
-		bytes += l.list[keep-l.base-1].size()
-		wanted := l.view.Index-keep < limit.entries && bytes <= limit.bytes
-		loading := keep > oldest && bytes <= limit.loadingBytes
-		if !wanted && !loading {
+	for first = l.snapshot.Index; first > l.base; first-- {
+		bytes += l.entries[first-l.base-1].size()
+		inTail := l.snapshot.Index-first < limit.entries && bytes <= limit.bytes
+		loading := first > oldest && bytes <= limit.loadingBytes
+		if !inTail && !loading {
 			break
 		}
 	}
-	return keep
+	return first
 }
 
 // dropTo drops the entries up to and with keep, which must not be past the
@@ -98,6 +98,6 @@
 	if !ok || keep <= l.base {
 		return
 	}
-	l.list = append([]Entry(nil), l.list[keep-l.base:]...)
+	l.entries = append([]Entry(nil), l.entries[keep-l.base:]...)
 	l.base, l.baseTerm = keep, term
 }
--- a/internal/consensus/raft/membership.go
+++ b/internal/consensus/raft/membership.go
@@ -9,15 +9,15 @@
 	"orchidward/internal/api/identifier"
 )
 
-func (r *Raft) learnConfiguration(e Entry) {
+func (r *Raft) recordConfiguration(e Entry) {
 	if e.Kind != EntryConfig {
 		return
 	}
-	var list []Member
-	if err := json.Unmarshal(e.Data, &list); err != nil {
+	var members []Member
+	if err := json.Unmarshal(e.Data, &members); err != nil {
 		panic("raft: unreadable member list in a committed log")
 	}
-	r.configurations = append(r.configurations, configuration{e.Index, list})
+	r.configurations = append(r.configurations, configuration{e.Index, members})
 }
 
 // Members is the list in force, which takes effect as soon as it is logged.
@@ -33,12 +33,12 @@
 	return m, false
 }
 
-func (r *Raft) voter(id identifier.Node) bool {
+func (r *Raft) isVoter(id identifier.Node) bool {
 	m, ok := r.Member(id)
 	return ok && m.Voter
 }
 
-func (r *Raft) voters() int {
+func (r *Raft) voterCount() int {
 	var n int
 	for _, m := range r.Members() {
 		if m.Voter {
@@ -50,11 +50,11 @@
 
 // ProposeMembers logs a new member list, one member different from the last, and only
 // when no earlier change is under way.
-func (r *Raft) ProposeMembers(list []Member) bool {
-	if r.role != Leader || r.commit < r.first || r.configurations[len(r.configurations)-1].index > r.commit {
+func (r *Raft) ProposeMembers(members []Member) bool {
+	if r.role != Leader || r.commit < r.termStart || r.configurations[len(r.configurations)-1].index > r.commit {
 		return false
 	}
-	data, err := json.Marshal(list)
+	data, err := json.Marshal(members)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -6,20 +6,20 @@
 func (r *Raft) send(m Message) {
 	m.From = r.id
 	if m.Term == 0 {
-		m.Term = r.hard.Term
+		m.Term = r.hardState.Term
 	}
 	if m.SentAt == 0 {
 		m.SentAt = r.now
 	}
-	r.stampEvidence(&m)
-	r.out.Messages = append(r.out.Messages, m)
+	r.addClockEvidence(&m)
+	r.output.Messages = append(r.output.Messages, m)
 }
 
-// stampEvidence adds this keeper's evidence for cluster time as a message leaves.
-func (r *Raft) stampEvidence(m *Message) {
-	m.Wall, m.FirstKnownTerm, m.ClusterTime, m.Level, m.Leaving = r.wall, r.met, r.site, r.level, r.leaving
+// addClockEvidence adds this keeper's evidence for cluster time as a message leaves.
+func (r *Raft) addClockEvidence(m *Message) {
+	m.Wall, m.FirstKnownTerm, m.ClusterTime, m.Level, m.Leaving = r.wall, r.firstKnownTerm, r.clusterTime, r.level, r.leaving
 	if m.Kind == AppendReply {
-		m.LogTerm = r.from
+		m.LogTerm = r.clusterTimeTerm
 	}
 }
 
@@ -27,7 +27,7 @@
 func (r *Raft) sendAfterSync(m Message) {
 	m.From = r.id
 	if m.Term == 0 {
-		m.Term = r.hard.Term
+		m.Term = r.hardState.Term
 	}
 	if m.SentAt == 0 {
 		m.SentAt = r.now
@@ -36,22 +36,22 @@
 	if !r.write.empty() {
 		seq++
 	}
-	if n := len(r.pendingMessages); n == 0 || !r.pendingMessages[n-1].absorb(seq, m) {
-		r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: seq, msg: m})
+	if pending := len(r.pendingMessages); pending == 0 || !r.pendingMessages[pending-1].mergeAcknowledgement(seq, m) {
+		r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: seq, message: m})
 	}
 	r.releasePending()
 }
 
-// absorb makes one acknowledgement of two that wait for the same write, so that
+// mergeAcknowledgement makes one acknowledgement of two that wait for the same write, so that
 // those to a leader's heartbeats don't pile up while the disk stands still.
-func (h *pendingMessage) absorb(seq uint64, m Message) bool {
-	was := h.msg
-	acks := !h.own && was.Kind == AppendReply && m.Kind == AppendReply && !was.Reject && !m.Reject
-	if !acks || h.seq != seq || was.To != m.To || was.Term != m.Term {
+func (p *pendingMessage) mergeAcknowledgement(seq uint64, m Message) bool {
+	earlier := p.message
+	acks := !p.ownVote && earlier.Kind == AppendReply && m.Kind == AppendReply && !earlier.Reject && !m.Reject
+	if !acks || p.seq != seq || earlier.To != m.To || earlier.Term != m.Term {
 		return false
 	}
-	m.Index, m.SentAt = max(m.Index, was.Index), max(m.SentAt, was.SentAt)
-	h.msg = m
+	m.Index, m.SentAt = max(m.Index, earlier.Index), max(m.SentAt, earlier.SentAt)
+	p.message = m
 	return true
 }
 
@@ -62,27 +62,27 @@
 		w := r.write
 		w.Seq = r.seq
 		r.write = Write{}
-		r.out.Write = &w
+		r.output.Write = &w
 		last := r.log.last()
-		r.inFlight = append(r.inFlight, flight{w.Seq, last, r.now})
+		r.inFlight = append(r.inFlight, inFlightWrite{w.Seq, last, r.now})
 	}
 	r.releasePending()
-	if r.commit > r.taken {
-		r.out.Committed = append(r.out.Committed, r.log.list[r.taken-r.log.base:r.commit-r.log.base]...)
-		r.taken = r.commit
+	if r.commit > r.delivered {
+		r.output.Committed = append(r.output.Committed, r.log.entries[r.delivered-r.log.base:r.commit-r.log.base]...)
+		r.delivered = r.commit
 	}
-	out := r.out
-	r.out = Output{}
+	out := r.output
+	r.output = Output{}
 	return out
 }
 
 // Synced says that all writes up to seq are on disk.
 func (r *Raft) Synced(seq uint64) {
-	r.done = max(r.done, seq)
+	r.syncedSeq = max(r.syncedSeq, seq)
 	for len(r.inFlight) > 0 && r.inFlight[0].seq <= seq {
 		f := r.inFlight[0]
 		r.inFlight = r.inFlight[1:]
-		r.synced = max(r.synced, min(f.last, r.log.last()))
+		r.syncedIndex = max(r.syncedIndex, min(f.lastIndex, r.log.last()))
 	}
 	r.releasePending()
 	if r.role == Leader {
@@ -93,21 +93,21 @@
 func (r *Raft) releasePending() {
 	kept := r.pendingMessages[:0]
 	for _, h := range r.pendingMessages {
-		if h.seq > r.done {
+		if h.seq > r.syncedSeq {
 			kept = append(kept, h)
 			continue
 		}
-		if h.own {
-			if r.role == Candidate && h.msg.Term == r.hard.Term {
+		if h.ownVote {
+			if r.role == Candidate && h.message.Term == r.hardState.Term {
 				defer r.countVote(r.id)
 			}
 			continue
 		}
-		if h.msg.Term < r.hard.Term {
+		if h.message.Term < r.hardState.Term {
 			continue
 		}
-		r.stampEvidence(&h.msg)
-		r.out.Messages = append(r.out.Messages, h.msg)
+		r.addClockEvidence(&h.message)
+		r.output.Messages = append(r.output.Messages, h.message)
 	}
 	r.pendingMessages = kept
 }
--- a/internal/consensus/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -10,33 +10,33 @@
 )
 
 type peer struct {
-	next  identifier.Index
-	match identifier.Index
-	ack   clock.Monotonic
-	heard clock.Monotonic
-	wall  clock.WallTime
-	at    clock.Monotonic
-	met   identifier.Term
-	site  clock.ClusterTime
-	from  identifier.Term
-	probe bool
-	out   bool
-	prev  identifier.Index
-	load  *Snapshot
-	off   int64
-	sent  clock.Monotonic
-	level uint16
+	next            identifier.Index
+	match           identifier.Index
+	ackedSentAt     clock.Monotonic
+	lastHeardAt     clock.Monotonic
+	wallTime        clock.WallTime
+	wallTimeReadAt  clock.Monotonic
+	firstKnownTerm  identifier.Term
+	clusterTime     clock.ClusterTime
+	clusterTimeTerm identifier.Term
+	probing         bool
+	appendInFlight  bool
+	lastPrevIndex   identifier.Index
+	snapshot        *Snapshot
+	snapshotOffset  int64
+	chunkSentAt     clock.Monotonic
+	level           uint16
 	// leaving is a member that has said that it stops soon.
 	leaving bool
 }
 
-// hear takes what any answer of the peer says of it. Only an answer to what was
+// recordReply takes what any answer of the peer says of it. Only an answer to what was
 // sent in this leadership renews the lease: a stamp from before may be of a
 // former life of this process, whose clock was another.
-func (p *peer) hear(m Message, rose, now clock.Monotonic) {
-	if m.SentAt >= rose && m.SentAt <= now {
-		p.ack = max(p.ack, m.SentAt)
+func (p *peer) recordReply(m Message, electedAt, now clock.Monotonic) {
+	if m.SentAt >= electedAt && m.SentAt <= now {
+		p.ackedSentAt = max(p.ackedSentAt, m.SentAt)
 	}
-	p.heard, p.wall, p.at, p.met, p.site, p.level = now, m.Wall, now, m.FirstKnownTerm, m.ClusterTime, m.Level
+	p.lastHeardAt, p.wallTime, p.wallTimeReadAt, p.firstKnownTerm, p.clusterTime, p.level = now, m.Wall, now, m.FirstKnownTerm, m.ClusterTime, m.Level
 	p.leaving = m.Leaving
 }
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -27,10 +27,10 @@
 )
 
 const (
-	appendBytes = 256 << 10
-	window      = 2048
-	windowBytes = 8 << 20
-	chunk       = 256 << 10
+	maxAppendBytes     = 256 << 10
+	maxInFlightEntries = 2048
+	maxInFlightBytes   = 8 << 20
+	snapshotChunkBytes = 256 << 10
 )
 
 // never is a time before all others.
@@ -42,9 +42,9 @@
 }
 
 type pendingMessage struct {
-	seq uint64
-	msg Message
-	own bool
+	seq     uint64
+	message Message
+	ownVote bool
 }
 
 // Raft is one member of the group as a pure state machine. It does no input or
@@ -52,71 +52,71 @@
 // finished writes, and collects the results with Take. It is not safe for
 // concurrent use.
 type Raft struct {
-	id    identifier.Node
-	tm    Timing
-	rnd   *rand.Rand
-	start clock.Monotonic
-	now   clock.Monotonic
-	wall  clock.WallTime
-
-	hard           HardState
+	id        identifier.Node
+	timing    Timing
+	random    *rand.Rand
+	startedAt clock.Monotonic
+	now       clock.Monotonic
+	wall      clock.WallTime
+
+	hardState      HardState
 	role           Role
-	lead           identifier.Node
+	leader         identifier.Node
 	log            log
 	tail           tailLimit
 	configurations []configuration
 	commit         identifier.Index
-	taken          identifier.Index
-
-	heard clock.Monotonic
-	// followed is when a leader was last heard, of whatever term.
-	followed      clock.Monotonic
-	wait          clock.Millis
-	votes         map[identifier.Node]bool
-	peers         map[identifier.Node]*peer
-	beat          clock.Monotonic
-	ledSince      clock.Monotonic
-	met           identifier.Term
-	site          clock.ClusterTime
-	from          identifier.Term
-	basis         identifier.Term
-	first         identifier.Index
-	receiving     *Snapshot
-	receivingFrom identifier.Node
-	level         uint16
-	truncatedFrom identifier.Index
+	delivered      identifier.Index
+
+	timerResetAt clock.Monotonic
+	// leaderHeardAt is when a leader was last heard, of whatever term.
+	leaderHeardAt     clock.Monotonic
+	randomizedTimeout clock.Millis
+	votes             map[identifier.Node]bool
+	peers             map[identifier.Node]*peer
+	heartbeatSentAt   clock.Monotonic
+	electedAt         clock.Monotonic
+	firstKnownTerm    identifier.Term
+	clusterTime       clock.ClusterTime
+	clusterTimeTerm   identifier.Term
+	previousLogTerm   identifier.Term
+	termStart         identifier.Index
+	incomingSnapshot  *Snapshot
+	incomingFrom      identifier.Node
+	level             uint16
+	truncatedFrom     identifier.Index
 	// leaving says that this member is about to stop for good or for a while.
 	leaving bool
 
 	seq             uint64
-	done            uint64
-	hardSeq         uint64
-	synced          identifier.Index
-	inFlight        []flight
+	syncedSeq       uint64
+	hardStateSeq    uint64
+	syncedIndex     identifier.Index
+	inFlight        []inFlightWrite
 	pendingMessages []pendingMessage
 	write           Write
-	out             Output
+	output          Output
 }
 
-// flight is a write handed out and not yet synced.
-type flight struct {
-	seq  uint64
-	last identifier.Index
-	at   clock.Monotonic
+// inFlightWrite is a write handed out and not yet synced.
+type inFlightWrite struct {
+	seq       uint64
+	lastIndex identifier.Index
+	issuedAt  clock.Monotonic
 }
 
 // New starts from what the disk gave: the hard state, the last view (nil for a
 // founding log, whose members are given), and the entries after it.
-func New(id identifier.Node, tm Timing, seed int64, now clock.Monotonic, hard HardState, view *Snapshot, list []Entry) *Raft {
-	r := &Raft{id: id, tm: tm, rnd: rand.New(rand.NewSource(seed)), start: now, now: now, hard: hard, heard: now, followed: never, tail: defaultTail}
-	r.log = log{base: view.Index, baseTerm: view.Term, view: view, list: list}
-	r.commit, r.taken = view.Index, view.Index
-	r.configurations = []configuration{{view.Index, view.Members}}
-	for _, e := range list {
-		r.learnConfiguration(e)
+func New(id identifier.Node, timing Timing, seed int64, now clock.Monotonic, hardState HardState, snapshot *Snapshot, entries []Entry) *Raft {
+	r := &Raft{id: id, timing: timing, random: rand.New(rand.NewSource(seed)), startedAt: now, now: now, hardState: hardState, timerResetAt: now, leaderHeardAt: never, tail: defaultTail}
+	r.log = log{base: snapshot.Index, baseTerm: snapshot.Term, snapshot: snapshot, entries: entries}
+	r.commit, r.delivered = snapshot.Index, snapshot.Index
+	r.configurations = []configuration{{snapshot.Index, snapshot.Members}}
+	for _, e := range entries {
+		r.recordConfiguration(e)
 	}
-	r.synced = r.log.last()
-	r.resetElectionWait()
+	r.syncedIndex = r.log.last()
+	r.resetElectionTimer()
 	return r
 }
 
@@ -125,10 +125,10 @@
 
 // Leader is the leader of the current term as far as this member knows, 0 for
 // none.
-func (r *Raft) Leader() identifier.Node { return r.lead }
+func (r *Raft) Leader() identifier.Node { return r.leader }
 
 // Term is the current term. It may not have been synced to disk yet.
-func (r *Raft) Term() identifier.Term { return r.hard.Term }
+func (r *Raft) Term() identifier.Term { return r.hardState.Term }
 
 // CommitIndex is the highest index known to be committed.
 func (r *Raft) CommitIndex() identifier.Index { return r.commit }
@@ -149,23 +149,23 @@
 
 // ClusterTimeTerm is the term of the last entry this leader found in its log: only a
 // cluster time carried on from that term counts beside its own.
-func (r *Raft) ClusterTimeTerm() identifier.Term { return r.basis }
+func (r *Raft) ClusterTimeTerm() identifier.Term { return r.previousLogTerm }
 
 // CarryClusterTime takes the cluster time this keeper would go on from, and the term of the
 // entry it has it from.
-func (r *Raft) CarryClusterTime(site clock.ClusterTime, from identifier.Term) {
-	r.site, r.from = site, from
+func (r *Raft) CarryClusterTime(clusterTime clock.ClusterTime, term identifier.Term) {
+	r.clusterTime, r.clusterTimeTerm = clusterTime, term
 }
 
 // FirstKnownTerm is the first term in which this process knew a leader, 0 before that.
-func (r *Raft) FirstKnownTerm() identifier.Term { return r.met }
+func (r *Raft) FirstKnownTerm() identifier.Term { return r.firstKnownTerm }
 
 // SnapshotIndex is the index that the newest snapshot covers.
-func (r *Raft) SnapshotIndex() identifier.Index { return r.log.view.Index }
+func (r *Raft) SnapshotIndex() identifier.Index { return r.log.snapshot.Index }
 
 // TermStart is the index of the blank entry a leader opens its term with: once
 // that is applied the leader's state holds all that was ever acknowledged.
-func (r *Raft) TermStart() identifier.Index { return r.first }
+func (r *Raft) TermStart() identifier.Index { return r.termStart }
 
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
 // down when no quorum has answered it for two election timeouts; any other voter
@@ -176,22 +176,22 @@
 		r.tickLeader()
 		return
 	}
-	if now.Since(r.heard) >= r.wait && r.voter(r.id) && !r.leaving {
+	if now.Since(r.timerResetAt) >= r.randomizedTimeout && r.isVoter(r.id) && !r.leaving {
 		r.campaign(RequestPreVote, false)
 	}
 }
 
 func (r *Raft) tickLeader() {
-	if r.now.Since(max(r.ledSince, r.quorumAck(r.now))) >= 2*r.tm.ElectionTimeout {
-		r.becomeFollower(r.hard.Term, 0)
+	if r.now.Since(max(r.electedAt, r.quorumAck(r.now))) >= 2*r.timing.ElectionTimeout {
+		r.becomeFollower(r.hardState.Term, 0)
 		return
 	}
-	if r.slow() {
+	if r.diskStalled() {
 		r.TransferLeadership()
 		return
 	}
-	if r.now.Since(r.beat) >= r.tm.HeartbeatInterval {
-		r.beat = r.now
+	if r.now.Since(r.heartbeatSentAt) >= r.timing.HeartbeatInterval {
+		r.heartbeatSentAt = r.now
 		for _, m := range r.Members() {
 			r.replicateTo(m.ID, true)
 		}
@@ -200,15 +200,15 @@
 
 // slow tells whether this leader's own disk holds the group up: a write of its
 // own is long overdue while a quorum of the others has synced past it.
-func (r *Raft) slow() bool {
-	if len(r.inFlight) == 0 || r.now.Since(r.inFlight[0].at) < r.tm.ElectionTimeout {
+func (r *Raft) diskStalled() bool {
+	if len(r.inFlight) == 0 || r.now.Since(r.inFlight[0].issuedAt) < r.timing.ElectionTimeout {
 		return false
 	}
 	ahead := 0
 	for _, m := range r.Members() {
-		if p := r.peers[m.ID]; m.Voter && p != nil && p.match > r.synced {
+		if p := r.peers[m.ID]; m.Voter && p != nil && p.match > r.syncedIndex {
 			ahead++
 		}
 	}
-	return ahead > 0 && ahead >= r.voters()/2
+	return ahead > 0 && ahead >= r.voterCount()/2
 }
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -10,10 +10,10 @@
 )
 
 func (r *Raft) append(kind EntryKind, data []byte) identifier.Index {
-	e := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: kind, Data: data}
-	r.log.list = append(r.log.list, e)
+	e := Entry{Index: r.log.last() + 1, Term: r.hardState.Term, Kind: kind, Data: data}
+	r.log.entries = append(r.log.entries, e)
 	r.write.Entries = append(r.write.Entries, e)
-	r.learnConfiguration(e)
+	r.recordConfiguration(e)
 	return e.Index
 }
 
@@ -37,67 +37,67 @@
 	}
 }
 
-func (r *Raft) replicateTo(to identifier.Node, beat bool) {
+func (r *Raft) replicateTo(to identifier.Node, heartbeat bool) {
 	p := r.peers[to]
 	if p == nil {
 		return
 	}
-	if p.load != nil || p.next <= r.log.base {
-		r.sendSnapshot(to, p, beat)
+	if p.snapshot != nil || p.next <= r.log.base {
+		r.sendSnapshot(to, p, heartbeat)
 		return
 	}
-	if p.probe && p.out {
-		if !beat {
+	if p.probing && p.appendInFlight {
+		if !heartbeat {
 			return
 		}
-		p.next = p.prev + 1
+		p.next = p.lastPrevIndex + 1
 	}
 	prev := p.next - 1
-	t, _ := r.log.term(prev)
-	m := Message{Kind: AppendEntries, To: to, Index: prev, LogTerm: t, Commit: r.commit}
-	if p.next-p.match < window && r.log.bytes(p.match+1, p.next-1) < windowBytes {
-		m.Entries = r.log.from(p.next, appendBytes)
+	prevTerm, _ := r.log.term(prev)
+	m := Message{Kind: AppendEntries, To: to, Index: prev, LogTerm: prevTerm, Commit: r.commit}
+	if p.next-p.match < maxInFlightEntries && r.log.entryBytes(p.match+1, p.next-1) < maxInFlightBytes {
+		m.Entries = r.log.entriesFrom(p.next, maxAppendBytes)
 	}
-	if len(m.Entries) == 0 && !beat {
+	if len(m.Entries) == 0 && !heartbeat {
 		return
 	}
 	p.next += identifier.Index(len(m.Entries))
-	p.prev, p.out = prev, true
+	p.lastPrevIndex, p.appendInFlight = prev, true
 	r.send(m)
 }
 
-func (r *Raft) sendSnapshot(to identifier.Node, p *peer, beat bool) {
-	if p.load == nil || p.load != r.log.view && r.silent(p) {
-		p.load, p.off, p.sent = r.log.view, 0, 0
+func (r *Raft) sendSnapshot(to identifier.Node, p *peer, heartbeat bool) {
+	if p.snapshot == nil || p.snapshot != r.log.snapshot && r.unresponsive(p) {
+		p.snapshot, p.snapshotOffset, p.chunkSentAt = r.log.snapshot, 0, 0
 	}
-	end := min(p.off+chunk, int64(len(p.load.Data)))
-	if p.sent != 0 && r.now.Since(p.sent) < r.tm.ElectionTimeout {
-		if !beat {
+	end := min(p.snapshotOffset+snapshotChunkBytes, int64(len(p.snapshot.Data)))
+	if p.chunkSentAt != 0 && r.now.Since(p.chunkSentAt) < r.timing.ElectionTimeout {
+		if !heartbeat {
 			return
 		}
-		end = p.off
+		end = p.snapshotOffset
 	} else {
-		p.sent = r.now
+		p.chunkSentAt = r.now
 	}
-	part := &Snapshot{Index: p.load.Index, Term: p.load.Term, Members: p.load.Members, Data: p.load.Data[p.off:end]}
-	r.send(Message{Kind: InstallSnapshot, To: to, Snapshot: part, Offset: p.off, Total: int64(len(p.load.Data)), Commit: r.commit})
+	part := &Snapshot{Index: p.snapshot.Index, Term: p.snapshot.Term, Members: p.snapshot.Members, Data: p.snapshot.Data[p.snapshotOffset:end]}
+	r.send(Message{Kind: InstallSnapshot, To: to, Snapshot: part, Offset: p.snapshotOffset, Total: int64(len(p.snapshot.Data)), Commit: r.commit})
 }
 
 func (r *Raft) advanceCommit() {
-	list := []identifier.Index{}
+	matches := []identifier.Index{}
 	for _, m := range r.Members() {
 		switch {
 		case !m.Voter:
 		case m.ID == r.id:
-			list = append(list, r.synced)
+			matches = append(matches, r.syncedIndex)
 		case r.peers[m.ID] != nil:
-			list = append(list, r.peers[m.ID].match)
+			matches = append(matches, r.peers[m.ID].match)
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i] > list[j] })
-	at := list[r.voters()/2]
-	if t, ok := r.log.term(at); ok && at > r.commit && t == r.hard.Term {
-		r.commit = at
+	sort.Slice(matches, func(i, j int) bool { return matches[i] > matches[j] })
+	quorumMatch := matches[r.voterCount()/2]
+	if term, ok := r.log.term(quorumMatch); ok && quorumMatch > r.commit && term == r.hardState.Term {
+		r.commit = quorumMatch
 	}
 }
 
@@ -105,42 +105,44 @@
 func (r *Raft) addPeers() {
 	for _, m := range r.Members() {
 		if m.ID != r.id && r.peers[m.ID] == nil {
-			r.peers[m.ID] = &peer{next: r.log.last() + 1, probe: true, ack: never, heard: r.now}
+			r.peers[m.ID] = &peer{next: r.log.last() + 1, probing: true, ackedSentAt: never, lastHeardAt: r.now}
 		}
 	}
 }
 
-// oldestLoad is the index of the oldest snapshot that a live follower is being
+// oldestTransfer is the index of the oldest snapshot that a live follower is being
 // sent, or that of the newest snapshot when none is.
-func (r *Raft) oldestLoad() identifier.Index {
-	oldest := r.log.view.Index
+func (r *Raft) oldestTransfer() identifier.Index {
+	oldest := r.log.snapshot.Index
 	for _, p := range r.peers {
-		if p.load != nil && !r.silent(p) {
-			oldest = min(oldest, p.load.Index)
+		if p.snapshot != nil && !r.unresponsive(p) {
+			oldest = min(oldest, p.snapshot.Index)
 		}
 	}
 	return oldest
 }
 
-// silent tells whether a peer has not been heard for so long that a load to it
+// unresponsive tells whether a peer has not been heard for so long that a load to it
 // may as well begin anew.
-func (r *Raft) silent(p *peer) bool { return r.now.Since(p.heard) > 2*r.tm.ElectionTimeout }
+func (r *Raft) unresponsive(p *peer) bool {
+	return r.now.Since(p.lastHeardAt) > 2*r.timing.ElectionTimeout
+}
 
 // Compact takes a view of the state at an applied index.
 func (r *Raft) Compact(index identifier.Index, data []byte) {
-	t, ok := r.log.term(index)
-	if !ok || index <= r.log.view.Index {
+	term, ok := r.log.term(index)
+	if !ok || index <= r.log.snapshot.Index {
 		return
 	}
-	v := &Snapshot{Index: index, Term: t, Data: data}
+	snapshot := &Snapshot{Index: index, Term: term, Data: data}
 	for _, c := range r.configurations {
 		if c.index <= index {
-			v.Members = c.members
+			snapshot.Members = c.members
 		}
 	}
-	r.log.view = v
-	r.out.LocalSnapshot = v
-	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestLoad()))
+	r.log.snapshot = snapshot
+	r.output.LocalSnapshot = snapshot
+	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestTransfer()))
 	for len(r.configurations) > 1 && r.configurations[1].index <= index {
 		r.configurations = r.configurations[1:]
 	}
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -21,30 +21,30 @@
 		r.handlePreVoteRequest(m)
 		return
 	case RequestVote:
-		if !m.LeaderTransfer && r.busy() {
+		if !m.LeaderTransfer && r.leaseMayBeActive() {
 			return
 		}
 	case PreVoteReply:
-		if m.Reject && m.Term > r.hard.Term {
+		if m.Reject && m.Term > r.hardState.Term {
 			r.becomeFollower(m.Term, 0)
 		}
-		if r.role == PreCandidate && !m.Reject && m.Term == r.hard.Term+1 {
+		if r.role == PreCandidate && !m.Reject && m.Term == r.hardState.Term+1 {
 			r.countVote(m.From)
 		}
 		return
 	}
-	if m.Term < r.hard.Term {
+	if m.Term < r.hardState.Term {
 		if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
 			r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, NextHint: r.log.last(), SentAt: never})
 		}
 		return
 	}
-	if m.Term > r.hard.Term {
-		lead := identifier.Node(0)
+	if m.Term > r.hardState.Term {
+		leader := identifier.Node(0)
 		if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
-			lead = m.From
+			leader = m.From
 		}
-		r.becomeFollower(m.Term, lead)
+		r.becomeFollower(m.Term, leader)
 	}
 	switch m.Kind {
 	case AppendEntries:
@@ -64,69 +64,69 @@
 	case SnapshotReply:
 		r.handleSnapshotReply(m)
 	case TimeoutNow:
-		if r.voter(r.id) && r.role != Leader && !r.leaving {
+		if r.isVoter(r.id) && r.role != Leader && !r.leaving {
 			r.campaign(RequestVote, true)
 		}
 	}
 }
 
-// busy tells whether a leader has been heard too lately to help elect another.
+// leaseMayBeActive tells whether a leader has been heard too lately to help elect another.
 // Word of a newer term does not end this: the older leader has its answer and
 // may count on it for the length of its lease.
 // A process just started counts as having heard one: before it stopped it may
 // have, and that leader's lease may still stand.
-func (r *Raft) busy() bool {
-	if r.now.Since(r.start) < r.tm.ElectionTimeout {
+func (r *Raft) leaseMayBeActive() bool {
+	if r.now.Since(r.startedAt) < r.timing.ElectionTimeout {
 		return true
 	}
 	if r.role == Leader {
 		return r.HasLease(r.now)
 	}
-	return r.now.Since(r.followed) < r.tm.ElectionTimeout
+	return r.now.Since(r.leaderHeardAt) < r.timing.ElectionTimeout
 }
 
-func (r *Raft) upToDate(m Message) bool {
-	t := r.log.lastTerm()
-	return m.LogTerm > t || m.LogTerm == t && m.Index >= r.log.last()
+func (r *Raft) candidateUpToDate(m Message) bool {
+	lastTerm := r.log.lastTerm()
+	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= r.log.last()
 }
 
 func (r *Raft) handlePreVoteRequest(m Message) {
-	no := m.Term <= r.hard.Term || !r.upToDate(m) || r.busy() || r.log.last() == 0
+	reject := m.Term <= r.hardState.Term || !r.candidateUpToDate(m) || r.leaseMayBeActive() || r.log.last() == 0
 	term := m.Term
-	if m.Term <= r.hard.Term {
-		term = r.hard.Term
-	} else if no {
+	if m.Term <= r.hardState.Term {
+		term = r.hardState.Term
+	} else if reject {
 		return
 	}
-	r.send(Message{Kind: PreVoteReply, To: m.From, Term: term, Reject: no})
+	r.send(Message{Kind: PreVoteReply, To: m.From, Term: term, Reject: reject})
 }
 
 func (r *Raft) handleVoteRequest(m Message) {
-	ok := (r.hard.Vote == 0 || r.hard.Vote == m.From) && r.upToDate(m) && r.role == Follower && r.log.last() > 0
-	if !ok {
+	grant := (r.hardState.Vote == 0 || r.hardState.Vote == m.From) && r.candidateUpToDate(m) && r.role == Follower && r.log.last() > 0
+	if !grant {
 		r.sendAfterSync(Message{Kind: VoteReply, To: m.From, Reject: true})
 		return
 	}
-	if r.hard.Vote == 0 {
-		r.setHard(HardState{Term: r.hard.Term, Vote: m.From})
+	if r.hardState.Vote == 0 {
+		r.setHardState(HardState{Term: r.hardState.Term, Vote: m.From})
 	}
-	r.heard = r.now
+	r.timerResetAt = r.now
 	r.sendAfterSync(Message{Kind: VoteReply, To: m.From})
 }
 
 // followLeader takes a message of the term's leader as a sign of its life.
 func (r *Raft) followLeader(m Message) {
-	if r.role != Follower || r.lead != m.From {
+	if r.role != Follower || r.leader != m.From {
 		r.becomeFollower(m.Term, m.From)
 	}
-	r.meeting()
-	r.heard, r.followed = r.now, r.now
+	r.recordFirstKnownTerm()
+	r.timerResetAt, r.leaderHeardAt = r.now, r.now
 }
 
-// meeting notes the first term in which this process knew a leader.
-func (r *Raft) meeting() {
-	if r.met == 0 {
-		r.met = r.hard.Term
+// recordFirstKnownTerm notes the first term in which this process knew a leader.
+func (r *Raft) recordFirstKnownTerm() {
+	if r.firstKnownTerm == 0 {
+		r.firstKnownTerm = r.hardState.Term
 	}
 }
 
@@ -154,9 +154,9 @@
 			r.truncate(e.Index)
 		}
 		for _, e := range m.Entries[i:] {
-			r.log.list = append(r.log.list, e)
+			r.log.entries = append(r.log.entries, e)
 			r.write.Entries = append(r.write.Entries, e)
-			r.learnConfiguration(e)
+			r.recordConfiguration(e)
 		}
 		break
 	}
@@ -169,11 +169,11 @@
 	if from <= r.commit {
 		panic("raft: a committed entry would be cut")
 	}
-	r.log.cut(from)
+	r.log.truncateFrom(from)
 	if r.truncatedFrom == 0 || from < r.truncatedFrom {
 		r.truncatedFrom = from
 	}
-	r.synced = min(r.synced, from-1)
+	r.syncedIndex = min(r.syncedIndex, from-1)
 	kept := r.write.Entries[:0]
 	for _, e := range r.write.Entries {
 		if e.Index < from {
@@ -185,24 +185,24 @@
 		r.configurations = r.configurations[:len(r.configurations)-1]
 	}
 	for i := range r.inFlight {
-		r.inFlight[i].last = min(r.inFlight[i].last, from-1)
+		r.inFlight[i].lastIndex = min(r.inFlight[i].lastIndex, from-1)
 	}
 }
 
 // acknowledge acknowledges at once what is on disk already, so that a slow disk
 // never looks like a lost link, and the rest when it is synced.
 func (r *Raft) acknowledge(m Message, match identifier.Index) {
-	now := min(match, r.synced)
-	back := Message{Kind: AppendReply, To: m.From, Index: now, SentAt: m.SentAt}
-	if r.hardSeq > r.done {
-		back.Index = match
-		r.sendAfterSync(back)
+	synced := min(match, r.syncedIndex)
+	reply := Message{Kind: AppendReply, To: m.From, Index: synced, SentAt: m.SentAt}
+	if r.hardStateSeq > r.syncedSeq {
+		reply.Index = match
+		r.sendAfterSync(reply)
 		return
 	}
-	r.send(back)
-	if now < match {
-		back.Index = match
-		r.sendAfterSync(back)
+	r.send(reply)
+	if synced < match {
+		reply.Index = match
+		r.sendAfterSync(reply)
 	}
 }
 
@@ -211,29 +211,29 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.hear(m, r.ledSince, r.now)
-	p.from = m.LogTerm
+	p.recordReply(m, r.electedAt, r.now)
+	p.clusterTimeTerm = m.LogTerm
 	if m.Reject {
-		if p.probe && m.Index != p.prev || m.Index < p.match {
+		if p.probing && m.Index != p.lastPrevIndex || m.Index < p.match {
 			return
 		}
 		p.next = max(p.match+1, min(m.NextHint+1, r.log.last()+1))
-		p.probe, p.out = true, false
+		p.probing, p.appendInFlight = true, false
 		r.replicateTo(m.From, false)
 		return
 	}
-	if p.probe && m.Index >= p.prev {
-		p.probe = false
+	if p.probing && m.Index >= p.lastPrevIndex {
+		p.probing = false
 	}
 	if m.Index > p.match {
 		p.match = m.Index
 		p.next = max(p.next, p.match+1)
 		r.advanceCommit()
 	}
-	if p.load != nil && p.match >= p.load.Index {
-		p.load = nil
+	if p.snapshot != nil && p.match >= p.snapshot.Index {
+		p.snapshot = nil
 	}
-	if p.next <= r.log.last() && p.load == nil {
+	if p.next <= r.log.last() && p.snapshot == nil {
 		r.replicateTo(m.From, false)
 	}
 }
@@ -242,48 +242,48 @@
 // already only tells that this entry is committed: entries behind it may have
 // been acknowledged, and must stay.
 func (r *Raft) handleSnapshot(m Message) {
-	v := m.Snapshot
-	if v == nil {
+	chunk := m.Snapshot
+	if chunk == nil {
 		return
 	}
-	if v.Index <= r.commit {
+	if chunk.Index <= r.commit {
 		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: r.commit, SentAt: m.SentAt})
 		return
 	}
-	if term, ok := r.log.term(v.Index); ok && term == v.Term {
-		r.commit = v.Index
-		r.acknowledge(m, v.Index)
+	if term, ok := r.log.term(chunk.Index); ok && term == chunk.Term {
+		r.commit = chunk.Index
+		r.acknowledge(m, chunk.Index)
 		return
 	}
-	if r.receiving == nil || r.receiving.Index != v.Index || r.receivingFrom != m.From {
-		r.receivingFrom = m.From
-		r.receiving = &Snapshot{Index: v.Index, Term: v.Term, Members: v.Members}
+	if r.incomingSnapshot == nil || r.incomingSnapshot.Index != chunk.Index || r.incomingFrom != m.From {
+		r.incomingFrom = m.From
+		r.incomingSnapshot = &Snapshot{Index: chunk.Index, Term: chunk.Term, Members: chunk.Members}
 	}
-	if m.Offset == int64(len(r.receiving.Data)) {
-		r.receiving.Data = append(r.receiving.Data, v.Data...)
+	if m.Offset == int64(len(r.incomingSnapshot.Data)) {
+		r.incomingSnapshot.Data = append(r.incomingSnapshot.Data, chunk.Data...)
 	}
-	if int64(len(r.receiving.Data)) < m.Total {
-		r.send(Message{Kind: SnapshotReply, To: m.From, Index: v.Index, Offset: int64(len(r.receiving.Data)), SentAt: m.SentAt})
+	if int64(len(r.incomingSnapshot.Data)) < m.Total {
+		r.send(Message{Kind: SnapshotReply, To: m.From, Index: chunk.Index, Offset: int64(len(r.incomingSnapshot.Data)), SentAt: m.SentAt})
 		return
 	}
-	whole := r.receiving
-	r.receiving = nil
-	r.replaceLog(whole)
-	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: whole.Index, SentAt: m.SentAt})
+	complete := r.incomingSnapshot
+	r.incomingSnapshot = nil
+	r.replaceLog(complete)
+	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: complete.Index, SentAt: m.SentAt})
 }
 
 // replaceLog goes on from a snapshot of the leader's: all of the log is either
 // covered by it or contradicts it.
-func (r *Raft) replaceLog(whole *Snapshot) {
-	r.log = log{base: whole.Index, baseTerm: whole.Term, view: whole}
-	r.configurations = []configuration{{whole.Index, whole.Members}}
-	r.commit, r.taken, r.synced = whole.Index, whole.Index, 0
+func (r *Raft) replaceLog(snapshot *Snapshot) {
+	r.log = log{base: snapshot.Index, baseTerm: snapshot.Term, snapshot: snapshot}
+	r.configurations = []configuration{{snapshot.Index, snapshot.Members}}
+	r.commit, r.delivered, r.syncedIndex = snapshot.Index, snapshot.Index, 0
 	for i := range r.inFlight {
-		r.inFlight[i].last = 0
+		r.inFlight[i].lastIndex = 0
 	}
 	r.write.Entries = nil
-	r.write.Snapshot = whole
-	r.out.Committed, r.out.InstalledSnapshot = nil, whole
+	r.write.Snapshot = snapshot
+	r.output.Committed, r.output.InstalledSnapshot = nil, snapshot
 }
 
 func (r *Raft) handleSnapshotReply(m Message) {
@@ -291,9 +291,9 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.hear(m, r.ledSince, r.now)
-	if p.load != nil && p.load.Index == m.Index && m.Offset != p.off {
-		p.off, p.sent = m.Offset, 0
+	p.recordReply(m, r.electedAt, r.now)
+	if p.snapshot != nil && p.snapshot.Index == m.Index && m.Offset != p.snapshotOffset {
+		p.snapshotOffset, p.chunkSentAt = m.Offset, 0
 		r.sendSnapshot(m.From, p, true)
 	}
 }
@@ -315,11 +315,11 @@
 
 // MemberStatuses lists the other members as the leader sees them.
 func (r *Raft) MemberStatuses() []MemberStatus {
-	var out []MemberStatus
+	var statuses []MemberStatus
 	for _, m := range r.Members() {
 		if p := r.peers[m.ID]; p != nil {
-			out = append(out, MemberStatus{Member: m, Match: p.match, SilentFor: r.now.Since(p.heard), WallTime: p.wall, WallTimeReadAt: p.at, FirstKnownTerm: p.met, ClusterTime: p.site, ClusterTimeTerm: p.from, Level: p.level, Leaving: p.leaving})
+			statuses = append(statuses, MemberStatus{Member: m, Match: p.match, SilentFor: r.now.Since(p.lastHeardAt), WallTime: p.wallTime, WallTimeReadAt: p.wallTimeReadAt, FirstKnownTerm: p.firstKnownTerm, ClusterTime: p.clusterTime, ClusterTimeTerm: p.clusterTimeTerm, Level: p.level, Leaving: p.leaving})
 		}
 	}
-	return out
+	return statuses
 }
--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -144,6 +144,6 @@
 func DefaultTiming() Timing { return NewTiming(1000) }
 
 // NewTiming is the timing for a least election wait, in milliseconds.
-func NewTiming(elect clock.Millis) Timing {
-	return Timing{HeartbeatInterval: elect / 5, ElectionTimeout: elect, LeaseDuration: elect * 4 / 5}
+func NewTiming(electionTimeout clock.Millis) Timing {
+	return Timing{HeartbeatInterval: electionTimeout / 5, ElectionTimeout: electionTimeout, LeaseDuration: electionTimeout * 4 / 5}
 }
--- a/internal/consensus/raft/raft_test.go
+++ b/internal/consensus/raft/voting_test.go
@@ -7,7 +7,7 @@
 	"orchidward/internal/clock"
 )
 
-func trio() []Member {
+func threeVoters() []Member {
 	var list []Member
 	for i := 1; i <= 3; i++ {
 		list = append(list, Member{ID: identifier.Node(i), Voter: true})
@@ -15,9 +15,9 @@
 	return list
 }
 
-// votes tells how an ask for a vote at this moment is answered, once all that
+// grantsVote tells how an ask for a vote at this moment is answered, once all that
 // was written is on disk.
-func votes(r *Raft, term identifier.Term, now clock.Monotonic) bool {
+func grantsVote(r *Raft, term identifier.Term, now clock.Monotonic) bool {
 	var yes bool
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9}, now, 0)
 	o := r.TakeOutput()
@@ -32,22 +32,22 @@
 	return yes
 }
 
-// TestYoungVotesForNobody: a process just started may have heard a leader a
+// TestNoVoteSoonAfterStart: a process just started may have heard a leader a
 // moment before it stopped, whose lease still stands.
-func TestYoungVotesForNobody(t *testing.T) {
-	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
-	if votes(r, 4, 700) {
+func TestNoVoteSoonAfterStart(t *testing.T) {
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: threeVoters()}, nil)
+	if grantsVote(r, 4, 700) {
 		t.Error("700 ms after its start it helped to elect another")
 	}
-	if !votes(r, 4, 1100) {
+	if !grantsVote(r, 4, 1100) {
 		t.Error("1100 ms after its start it still helps nobody")
 	}
 }
 
-// TestOlderTermByCount: an entry of an older term is not decided by being on a
+// TestOlderTermNotCommittedByCount: an entry of an older term is not decided by being on a
 // majority's disks; only an entry of the leader's own term decides it.
-func TestOlderTermByCount(t *testing.T) {
-	view := &Snapshot{Index: 1, Term: 1, Members: trio()}
+func TestOlderTermNotCommittedByCount(t *testing.T) {
+	view := &Snapshot{Index: 1, Term: 1, Members: threeVoters()}
 	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, view, []Entry{{Index: 2, Term: 2, Kind: EntryCommand, Data: []byte("x")}})
 	sync := func() {
 		for o := r.TakeOutput(); o.Write != nil; o = r.TakeOutput() {
@@ -76,9 +76,9 @@
 	}
 }
 
-// TestBacklog: what waits for a slow disk is done as one, later tails over
+// TestBacklogMergesWrites: what waits for a slow disk is done as one, later tails over
 // earlier ones, and a view alone.
-func TestBacklog(t *testing.T) {
+func TestBacklogMergesWrites(t *testing.T) {
 	var b Backlog
 	e := func(list ...identifier.Index) []Entry {
 		var out []Entry
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestVoteIsOnDisk: a vote is told only once it is synced; one told before and
+// TestVoteSyncedBeforeSent: a vote is told only once it is synced; one told before and
 // lost with the power could be given twice.
-func TestVoteIsOnDisk(t *testing.T) {
-	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: trio()}, nil)
+func TestVoteSyncedBeforeSent(t *testing.T) {
+	r := New(1, DefaultTiming(), 1, 0, HardState{Term: 3}, &Snapshot{Index: 1, Term: 1, Members: threeVoters()}, nil)
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: 4, Index: 9, LogTerm: 9}, 1100, 0)
 	o := r.TakeOutput()
 	if o.Write == nil || o.Write.HardState == nil || o.Write.HardState.Vote != 2 || len(o.Messages) > 0 {
