--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -5,7 +5,6 @@
 
 import (
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/clock"
 )
 
 func (r *Raft) campaign(kind MessageKind, leaderTransfer bool) {
@@ -37,24 +36,6 @@
 	r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: r.seq + 1, ownVote: true, message: Message{Term: term}})
 }
 
-func (r *Raft) countVote(from identifier.Node) {
-	r.votes[from] = true
-	granted := 0
-	for id := range r.votes {
-		if r.isVoter(id) {
-			granted++
-		}
-	}
-	if granted*2 <= r.voterCount() {
-		return
-	}
-	if r.role == PreCandidate {
-		r.campaign(RequestVote, false)
-		return
-	}
-	r.becomeLeader()
-}
-
 func (r *Raft) becomeLeader() {
 	r.role, r.leader = Leader, r.id
 	r.previousLogTerm = r.log.lastTerm()
@@ -78,50 +59,6 @@
 	r.resetElectionTimer()
 }
 
-// TransferLeadership gives leadership to the member that has most of the log. The leader
-// stands down at once: it must not act on a lease it has let another break.
-func (r *Raft) TransferLeadership() bool {
-	best := identifier.Node(0)
-	for _, m := range r.Members() {
-		p := r.peers[m.ID]
-		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.lastHeardAt) > r.timing.ElectionTimeout {
-			continue
-		}
-		if best == 0 || p.match > r.peers[best].match {
-			best = m.ID
-		}
-	}
-	if best == 0 {
-		return false
-	}
-	r.send(Message{Kind: TimeoutNow, To: best})
-	r.becomeFollower(r.hardState.Term, 0)
-	return true
-}
-
-// PrepareToLeave makes this member one that stops soon: it asks for no election, takes
-// no leadership that is handed to it, and says so to the leader.
-func (r *Raft) PrepareToLeave() { r.leaving = true }
-
-// Replicated tells whether every other voter that this leader hears has the
-// whole log on its disk.
-func (r *Raft) Replicated() bool {
-	for _, m := range r.Members() {
-		p := r.peers[m.ID]
-		if !m.Voter || p == nil || r.now.Since(p.lastHeardAt) > r.timing.ElectionTimeout {
-			continue
-		}
-		if p.match < r.log.last() {
-			return false
-		}
-	}
-	return true
-}
-
-func (r *Raft) resetElectionTimer() {
-	r.randomizedTimeout = r.timing.ElectionTimeout + clock.Millis(r.random.Int63n(int64(r.timing.ElectionTimeout)))
-}
-
 func (r *Raft) setHardState(h HardState) {
 	r.hardState = h
 	r.write.HardState = &h
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -66,23 +66,6 @@
 	r.send(m)
 }
 
-func (r *Raft) sendSnapshot(to identifier.Node, p *peer, heartbeat bool) {
-	if p.snapshot == nil || p.snapshot != r.log.snapshot && r.unresponsive(p) {
-		p.snapshot, p.snapshotOffset, p.chunkSentAt = r.log.snapshot, 0, 0
-	}
-	end := min(p.snapshotOffset+snapshotChunkBytes, int64(len(p.snapshot.Data)))
-	if p.chunkSentAt != 0 && r.now.Since(p.chunkSentAt) < r.timing.ElectionTimeout {
-		if !heartbeat {
-			return
-		}
-		end = p.snapshotOffset
-	} else {
-		p.chunkSentAt = r.now
-	}
-	part := &Snapshot{Index: p.snapshot.Index, Term: p.snapshot.Term, Members: p.snapshot.Members, Data: p.snapshot.Data[p.snapshotOffset:end]}
-	r.send(Message{Kind: InstallSnapshot, To: to, Snapshot: part, Offset: p.snapshotOffset, Total: int64(len(p.snapshot.Data)), Commit: r.commit})
-}
-
 func (r *Raft) advanceCommit() {
 	matches := []identifier.Index{}
 	for _, m := range r.Members() {
@@ -110,40 +93,34 @@
 	}
 }
 
-// oldestTransfer is the index of the oldest snapshot that a live follower is being
-// sent, or that of the newest snapshot when none is.
-func (r *Raft) oldestTransfer() identifier.Index {
-	oldest := r.log.snapshot.Index
-	for _, p := range r.peers {
-		if p.snapshot != nil && !r.unresponsive(p) {
-			oldest = min(oldest, p.snapshot.Index)
-		}
-	}
-	return oldest
-}
-
-// unresponsive tells whether a peer has not been heard for so long that a load to it
-// may as well begin anew.
-func (r *Raft) unresponsive(p *peer) bool {
-	return r.now.Since(p.lastHeardAt) > 2*r.timing.ElectionTimeout
-}
-
-// Compact takes a view of the state at an applied index.
-func (r *Raft) Compact(index identifier.Index, data []byte) {
-	term, ok := r.log.term(index)
-	if !ok || index <= r.log.snapshot.Index {
+func (r *Raft) handleAppendReply(m Message) {
+	p := r.peers[m.From]
+	if r.role != Leader || p == nil {
 		return
 	}
-	snapshot := &Snapshot{Index: index, Term: term, Data: data}
-	for _, c := range r.configurations {
-		if c.index <= index {
-			snapshot.Members = c.members
+	p.recordReply(m, r.electedAt, r.now)
+	p.clusterTimeTerm = m.LogTerm
+	if m.Reject {
+		if p.probing && m.Index != p.lastPrevIndex || m.Index < p.match {
+			return
 		}
+		p.next = max(p.match+1, min(m.NextHint+1, r.log.last()+1))
+		p.probing, p.appendInFlight = true, false
+		r.replicateTo(m.From, false)
+		return
+	}
+	if p.probing && m.Index >= p.lastPrevIndex {
+		p.probing = false
+	}
+	if m.Index > p.match {
+		p.match = m.Index
+		p.next = max(p.next, p.match+1)
+		r.advanceCommit()
+	}
+	if p.snapshot != nil && p.match >= p.snapshot.Index {
+		p.snapshot = nil
 	}
-	r.log.snapshot = snapshot
-	r.output.LocalSnapshot = snapshot
-	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestTransfer()))
-	for len(r.configurations) > 1 && r.configurations[1].index <= index {
-		r.configurations = r.configurations[1:]
+	if p.next <= r.log.last() && p.snapshot == nil {
+		r.replicateTo(m.From, false)
 	}
 }
