--- a/internal/consensus/raft/backlog.go
+++ b/internal/consensus/raft/backlog.go
@@ -1,19 +1,16 @@
-// A Backlog is the writes a disk has yet to do, in order. Those that wait are
-// done as one: a disk that takes its time for every sync falls behind by one
-// write and no further, however many came meanwhile.
-
 package raft
 
+// maxBatchBytes is the size from which on a batch takes no further writes.
+const maxBatchBytes = 1 << 20
+
 // Backlog queues the writes that a disk has yet to do, in order, and merges
-// those that wait. Its zero value is empty and ready to use.
+// those that wait, so that a slow disk falls behind by one write and no further,
+// however many come meanwhile. Its zero value is empty and ready to use.
 type Backlog struct {
 	writes []*Write
 	bytes  int
 }
 
-// maxBatchBytes is how much goes to the disk as one write.
-const maxBatchBytes = 1 << 20
-
 // Add queues a write behind all others.
 func (b *Backlog) Add(w *Write) {
 	b.writes = append(b.writes, w)
@@ -26,24 +23,28 @@
 // Bytes is the size of the queued entries and snapshots together.
 func (b *Backlog) Bytes() int { return b.bytes }
 
-// Next takes what is first in line, and with it all that can be written at
-// once. A view goes alone, as what came before it must be down first.
+// Next removes the oldest write, merged with as many of those behind it as fit
+// in a batch; nil when none waits. A snapshot is never merged with other writes,
+// as those before it must be on disk first.
 func (b *Backlog) Next() *Write {
 	if len(b.writes) == 0 {
 		return nil
 	}
-	first := *b.writes[0]
-	batch, size, count := &first, first.size(), 1
-	for ; count < len(b.writes) && batch.Snapshot == nil && b.writes[count].Snapshot == nil && size < maxBatchBytes; count++ {
-		size += b.writes[count].size()
+	batch := *b.writes[0]
+	bytes := batch.size()
+	count := 1
+	for count < len(b.writes) && bytes < maxBatchBytes && batch.Snapshot == nil && b.writes[count].Snapshot == nil {
+		bytes += b.writes[count].size()
 		batch.merge(b.writes[count])
+		count++
 	}
 	b.writes = b.writes[count:]
-	b.bytes -= size
-	return batch
+	b.bytes -= bytes
+	return &batch
 }
 
-// merge adds a later write to this one: its entries replace a tail.
+// merge adds a later write to this one. Its entries replace those from the first
+// one's index on.
 func (w *Write) merge(next *Write) {
 	w.Seq = next.Seq
 	if next.HardState != nil {
@@ -60,12 +61,12 @@
 }
 
 func (w *Write) size() int {
-	var n int
+	var bytes int
 	for _, e := range w.Entries {
-		n += e.size()
+		bytes += e.size()
 	}
 	if w.Snapshot != nil {
-		n += len(w.Snapshot.Data)
+		bytes += len(w.Snapshot.Data)
 	}
-	return n
+	return bytes
 }
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -1,16 +1,13 @@
-// Elections: when a member asks for one, how votes are counted, and what changes
-// when it becomes leader or follower.
-
 package raft
 
-import (
-	"orchidward/internal/api/identifier"
-)
+import "orchidward/internal/api/identifier"
 
+// campaign starts a pre-vote or an election, as kind is RequestPreVote or
+// RequestVote (Ongaro's thesis, sections 3.4 and 9.6). leaderTransfer says that
+// the leader itself asked for the election.
 func (r *Raft) campaign(kind MessageKind, leaderTransfer bool) {
-	r.timerResetAt = r.now
-	r.resetElectionTimer()
-	r.leader = 0
+	r.timer.restart(r.now)
+	r.leader = noLeader
 	r.votes = map[identifier.Node]bool{}
 	term := r.hardState.Term + 1
 	if kind == RequestPreVote {
@@ -21,29 +18,64 @@
 	}
 	for _, m := range r.Members() {
 		if m.Voter && m.ID != r.id {
-			msg := Message{Kind: kind, To: m.ID, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), LeaderTransfer: leaderTransfer}
-			if kind == RequestPreVote {
-				r.send(msg)
-			} else {
-				r.sendAfterSync(msg)
-			}
+			r.requestVote(kind, m.ID, term, leaderTransfer)
 		}
 	}
 	if kind == RequestPreVote {
 		r.countVote(r.id)
 		return
 	}
-	r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: r.seq + 1, ownVote: true, message: Message{Term: term}})
+	r.outbox.holdOwnVote(term)
+}
+
+func (r *Raft) requestVote(kind MessageKind, to identifier.Node, term identifier.Term, leaderTransfer bool) {
+	request := Message{
+		Kind:           kind,
+		To:             to,
+		Term:           term,
+		Index:          r.log.last(),
+		LogTerm:        r.log.lastTerm(),
+		LeaderTransfer: leaderTransfer,
+	}
+	if kind == RequestPreVote {
+		r.send(request)
+		return
+	}
+	r.sendAfterSync(request)
+}
+
+// countVote counts a vote, or a promise of one in a pre-vote, and goes on once a
+// quorum of voters has given theirs.
+func (r *Raft) countVote(from identifier.Node) {
+	r.votes[from] = true
+	granted := 0
+	for id := range r.votes {
+		if r.isVoter(id) {
+			granted++
+		}
+	}
+	if granted*2 <= r.voterCount() {
+		return
+	}
+	if r.role == PreCandidate {
+		r.campaign(RequestVote, false)
+		return
+	}
+	r.becomeLeader()
 }
 
 func (r *Raft) becomeLeader() {
-	r.role, r.leader = Leader, r.id
-	r.previousLogTerm = r.log.lastTerm()
+	r.role = Leader
+	r.leader = r.id
 	r.recordFirstKnownTerm()
 	r.peers = map[identifier.Node]*peer{}
 	r.addPeers()
-	r.heartbeatSentAt, r.electedAt = r.now, r.now
-	r.termStart = r.append(EntryBlank, nil)
+	r.leadership = leadership{
+		electedAt:       r.now,
+		heartbeatSentAt: r.now,
+		previousLogTerm: r.log.lastTerm(),
+	}
+	r.leadership.termStart = r.append(EntryBlank, nil)
 	for _, m := range r.Members() {
 		r.replicateTo(m.ID, false)
 	}
@@ -53,14 +85,9 @@
 	if term > r.hardState.Term {
 		r.setHardState(HardState{Term: term})
 	}
-	r.role, r.leader = Follower, leader
-	r.votes, r.peers = nil, nil
-	r.timerResetAt = r.now
-	r.resetElectionTimer()
-}
-
-func (r *Raft) setHardState(h HardState) {
-	r.hardState = h
-	r.write.HardState = &h
-	r.hardStateSeq = r.seq + 1
+	r.role = Follower
+	r.leader = leader
+	r.votes = nil
+	r.peers = nil
+	r.timer.restart(r.now)
 }
--- a/internal/consensus/raft/isolation_test.go
+++ b/internal/consensus/raft/isolation_test.go
@@ -72,12 +72,12 @@
 			switch {
 			case !h.up:
 			case h.raft.role == PreCandidate:
-				h.raft.randomizedTimeout = 10
+				h.raft.timer.timeout = 10
 			case h.raft.role == Follower:
-				h.raft.randomizedTimeout = h.raft.timing.ElectionTimeout
+				h.raft.timer.timeout = h.raft.timing.ElectionTimeout
 			}
 			if h.id > 1 && e.leaders[1] == 0 {
-				h.raft.randomizedTimeout = 1 << 30
+				h.raft.timer.timeout = 1 << 30
 			}
 		}
 		e.step(false)
@@ -97,7 +97,7 @@
 		e.blockedLinks[[2]identifier.Node{1, identifier.Node(p.voters)}] = true
 		e.advance(int64(p.electionTimeout) * 3 / 2)
 	}
-	for leader.raft.now != leader.raft.heartbeatSentAt {
+	for leader.raft.now != leader.raft.leadership.heartbeatSentAt {
 		e.advance(1)
 	}
 	e.advance(p.offset)
--- a/internal/consensus/raft/large_entries_test.go
+++ b/internal/consensus/raft/large_entries_test.go
@@ -73,8 +73,8 @@
 // snapshot, what came since, and what is not yet committed.
 func (c *largeEntryGroup) checkMemory(h *host) {
 	for _, p := range h.raft.peers {
-		if p.snapshot != nil {
-			c.transfers[p.snapshot.Index] = true
+		if p.transfer.snapshot != nil {
+			c.transfers[p.transfer.snapshot.Index] = true
 		}
 	}
 	extent := [3]identifier.Index{h.raft.log.base, h.raft.commit, h.raft.log.last()}
@@ -90,7 +90,7 @@
 		}
 	}
 	c.maxRetainedBytes = max(c.maxRetainedBytes, bytes-open)
-	if limit := defaultTail.loadingBytes + snapshotEvery + 8*largeEntryBytes; bytes-open > limit {
+	if limit := defaultTail.transferBytes + snapshotEvery + 8*largeEntryBytes; bytes-open > limit {
 		c.t.Fatalf("at %d host %d keeps %d bytes of committed entries in %d, limit %d", c.now, h.id, bytes-open, len(h.raft.log.entries), limit)
 	}
 }
@@ -199,7 +199,7 @@
 			t.Run(fmt.Sprint(i+1), func(t *testing.T) {
 				t.Parallel()
 				g := newGroup(int64(i + 1))
-				g.entryBytes, g.tailLimit = 4, &tailLimit{entries: 3, bytes: 1 << 20, loadingBytes: 1 << 10}
+				g.entryBytes, g.tailLimit = 4, &tailLimit{entries: 3, bytes: 1 << 20, transferBytes: 1 << 10}
 				g.wantVoters, g.maxMembers, g.maxHosts = 3, 6, 6
 				g.compactOften, g.meanProposalMs, g.faultIntervalMs = true, 4, 2
 				g.run(3 + 2*(i%2))
@@ -259,8 +259,8 @@
 		r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 2, LogTerm: 3, SentAt: now}, now, 0)
 		r.TakeOutput()
 	}
-	if len(r.pendingMessages) > 2 {
-		t.Errorf("%d messages wait for the disk", len(r.pendingMessages))
+	if len(r.outbox.pending) > 2 {
+		t.Errorf("%d messages wait for the disk", len(r.outbox.pending))
 	}
 	r.Synced(write.Seq)
 	best := Message{}
--- a/internal/consensus/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -1,25 +1,24 @@
-// The log in memory: entries after some base, and the view that stands for
-// what came before.
-
 package raft
 
 import "orchidward/internal/api/identifier"
 
-// entryOverhead is what an entry weighs besides its data.
+// entryOverhead is what an entry takes besides its data, in bytes, estimated.
 const entryOverhead = 32
 
 // tailLimit bounds the entries kept in memory behind the snapshot, so that a
-// follower a little behind is served from the log. A follower that is loading
+// follower a little behind is served from the log. A follower that is being sent
 // an older snapshot needs all entries after that one: for its sake the tail may
-// grow up to loadingBytes, whatever the number of entries.
+// grow up to transferBytes, whatever the number of entries.
 type tailLimit struct {
-	entries      identifier.Index
-	bytes        int
-	loadingBytes int
+	entries       identifier.Index
+	bytes         int
+	transferBytes int
 }
 
-var defaultTail = tailLimit{entries: 4096, bytes: 8 << 20, loadingBytes: 16 << 20}
+var defaultTail = tailLimit{entries: 4096, bytes: 8 << 20, transferBytes: 16 << 20}
 
+// log is the replicated log in memory: the entries after base, and the newest
+// snapshot, which covers base and perhaps some of the entries.
 type log struct {
 	base     identifier.Index
 	baseTerm identifier.Term
@@ -27,35 +26,38 @@
 	snapshot *Snapshot
 }
 
-// entryBytes is what an entry weighs in memory, in a message and on disk.
+// size is about what an entry takes in memory, in a message and on disk, in bytes.
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
 func (l *log) last() identifier.Index { return l.base + identifier.Index(len(l.entries)) }
 
-func (l *log) term(i identifier.Index) (t identifier.Term, ok bool) {
+// term is the term of the entry at an index; ok is false when the log does not
+// hold it.
+func (l *log) term(index identifier.Index) (term identifier.Term, ok bool) {
 	switch {
-	case i == l.base:
+	case index == l.base:
 		return l.baseTerm, true
-	case i < l.base || i > l.last():
+	case index < l.base || index > l.last():
 		return 0, false
 	}
-	return l.entries[i-l.base-1].Term, true
+	return l.entries[index-l.base-1].Term, true
 }
 
 func (l *log) lastTerm() identifier.Term {
-	t, _ := l.term(l.last())
-	return t
+	term, _ := l.term(l.last())
+	return term
 }
 
-// from returns entries beginning at i, up to some bytes but at least one.
-func (l *log) entriesFrom(first identifier.Index, bytes int) []Entry {
+// entriesFrom returns the entries from an index on, up to maxBytes in all but at
+// least one.
+func (l *log) entriesFrom(first identifier.Index, maxBytes int) []Entry {
 	var entries []Entry
 	if first <= l.base || first > l.last() {
 		return nil
 	}
 	for _, e := range l.entries[first-l.base-1:] {
-		bytes -= e.size()
-		if len(entries) > 0 && bytes < 0 {
+		maxBytes -= e.size()
+		if len(entries) > 0 && maxBytes < 0 {
 			break
 		}
 		entries = append(entries, e)
@@ -63,32 +65,34 @@
 	return entries
 }
 
-// entryBytes is what the entries from one to another weigh, as far as they are here.
+// entryBytes is the size of the entries between two indexes, both included, as
+// far as the log holds them.
 func (l *log) entryBytes(from, to identifier.Index) int {
-	var n int
+	var bytes int
 	for i := max(from, l.base+1); i <= min(to, l.last()); i++ {
-		n += l.entries[i-l.base-1].size()
+		bytes += l.entries[i-l.base-1].size()
 	}
-	return n
+	return bytes
 }
 
+// truncateFrom drops the entries from an index on.
 func (l *log) truncateFrom(index identifier.Index) { l.entries = l.entries[:index-l.base-1] }
 
-// retainFrom is the index behind which entries may be dropped: the tail up to
-// the snapshot is within the limit. Oldest is the oldest snapshot that is being
-// loaded, or the newest one when none is.
-func (l *log) retainFrom(limit tailLimit, oldest identifier.Index) identifier.Index {
-	var first identifier.Index
+// retainFrom is the index up to which entries may be dropped, so that the tail
+// behind it is within the limit. oldestTransfer is the index of the oldest
+// snapshot that is being sent, or that of the newest snapshot when none is.
+func (l *log) retainFrom(limit tailLimit, oldestTransfer identifier.Index) identifier.Index {
+	var keep identifier.Index
 	bytes := 0
-	for first = l.snapshot.Index; first > l.base; first-- {
-		bytes += l.entries[first-l.base-1].size()
-		inTail := l.snapshot.Index-first < limit.entries && bytes <= limit.bytes
-		loading := first > oldest && bytes <= limit.loadingBytes
-		if !inTail && !loading {
+	for keep = l.snapshot.Index; keep > l.base; keep-- {
+		bytes += l.entries[keep-l.base-1].size()
+		inTail := l.snapshot.Index-keep < limit.entries && bytes <= limit.bytes
+		transferring := keep > oldestTransfer && bytes <= limit.transferBytes
+		if !inTail && !transferring {
 			break
 		}
 	}
-	return first
+	return keep
 }
 
 // dropTo drops the entries up to and with keep, which must not be past the
@@ -99,5 +103,6 @@
 		return
 	}
 	l.entries = append([]Entry(nil), l.entries[keep-l.base:]...)
-	l.base, l.baseTerm = keep, term
+	l.base = keep
+	l.baseTerm = term
 }
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -1,113 +1,173 @@
-// What leaves a member: messages at once, and those that wait until all that was
-// written before them is on disk.
-
 package raft
 
-func (r *Raft) send(m Message) {
-	m.From = r.id
-	if m.Term == 0 {
-		m.Term = r.hardState.Term
-	}
-	if m.SentAt == 0 {
-		m.SentAt = r.now
-	}
-	r.addClockEvidence(&m)
-	r.output.Messages = append(r.output.Messages, m)
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
+
+// outbox collects what a member's inputs led to until TakeOutput hands it over,
+// and tracks which writes are on disk. Messages that depend on a write wait in
+// pending until it is synced.
+type outbox struct {
+	output Output
+	// write gathers what the next write will carry.
+	write Write
+	// lastSeq is the number of the last write handed out, syncedSeq that of the
+	// last one on disk, and hardStateSeq that of the last one that carries a hard
+	// state.
+	lastSeq      uint64
+	syncedSeq    uint64
+	hardStateSeq uint64
+	// syncedIndex is the last entry on disk.
+	syncedIndex identifier.Index
+	// inFlight are the writes handed out and not yet synced, oldest first.
+	inFlight []inFlightWrite
+	pending  []pendingMessage
 }
 
-// addClockEvidence adds this keeper's evidence for cluster time as a message leaves.
-func (r *Raft) addClockEvidence(m *Message) {
-	m.Wall, m.FirstKnownTerm, m.ClusterTime, m.Level, m.Leaving = r.wall, r.firstKnownTerm, r.clusterTime, r.level, r.leaving
-	if m.Kind == AppendReply {
-		m.LogTerm = r.clusterTimeTerm
-	}
+// inFlightWrite is a write handed out and not yet synced. lastIndex is the last
+// entry of the log that is on disk once it is.
+type inFlightWrite struct {
+	seq       uint64
+	lastIndex identifier.Index
+	issuedAt  clock.Monotonic
 }
 
-// sendAfterSync keeps a message back until everything written so far is on disk.
-func (r *Raft) sendAfterSync(m Message) {
-	m.From = r.id
-	if m.Term == 0 {
-		m.Term = r.hardState.Term
-	}
-	if m.SentAt == 0 {
-		m.SentAt = r.now
-	}
-	seq := r.seq
-	if !r.write.empty() {
-		seq++
-	}
-	if pending := len(r.pendingMessages); pending == 0 || !r.pendingMessages[pending-1].mergeAcknowledgement(seq, m) {
-		r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: seq, message: m})
-	}
-	r.releasePending()
+// pendingMessage is a message that may leave once the write seq is synced. With
+// ownVote set it is not sent: it is the candidate's vote for itself in the
+// message's term, which counts only once it is on disk.
+type pendingMessage struct {
+	seq     uint64
+	message Message
+	ownVote bool
 }
 
-// mergeAcknowledgement makes one acknowledgement of two that wait for the same write, so that
-// those to a leader's heartbeats don't pile up while the disk stands still.
+// mergeAcknowledgement replaces a pending acknowledgement by a later one to the
+// same leader that waits for the same write, so that acknowledgements of
+// heartbeats do not pile up while the disk stands still. It tells whether it did.
 func (p *pendingMessage) mergeAcknowledgement(seq uint64, m Message) bool {
 	earlier := p.message
-	acks := !p.ownVote && earlier.Kind == AppendReply && m.Kind == AppendReply && !earlier.Reject && !m.Reject
-	if !acks || p.seq != seq || earlier.To != m.To || earlier.Term != m.Term {
+	if p.ownVote || !isAcknowledgement(earlier) || !isAcknowledgement(m) {
 		return false
 	}
-	m.Index, m.SentAt = max(m.Index, earlier.Index), max(m.SentAt, earlier.SentAt)
+	if p.seq != seq || earlier.To != m.To || earlier.Term != m.Term {
+		return false
+	}
+	m.Index = max(m.Index, earlier.Index)
+	m.SentAt = max(m.SentAt, earlier.SentAt)
 	p.message = m
 	return true
 }
 
-// TakeOutput hands over what the inputs so far led to.
-func (r *Raft) TakeOutput() Output {
-	if !r.write.empty() {
-		r.seq++
-		w := r.write
-		w.Seq = r.seq
-		r.write = Write{}
-		r.output.Write = &w
-		last := r.log.last()
-		r.inFlight = append(r.inFlight, inFlightWrite{w.Seq, last, r.now})
+func isAcknowledgement(m Message) bool { return m.Kind == AppendReply && !m.Reject }
+
+func (o *outbox) setHardState(h HardState) {
+	o.write.HardState = &h
+	o.hardStateSeq = o.lastSeq + 1
+}
+
+// hardStateSynced tells whether the current term and vote are on disk.
+func (o *outbox) hardStateSynced() bool { return o.hardStateSeq <= o.syncedSeq }
+
+func (o *outbox) addEntry(e Entry) { o.write.Entries = append(o.write.Entries, e) }
+
+// truncate drops the entries from an index on, which are no longer in the log.
+func (o *outbox) truncate(from identifier.Index) {
+	kept := o.write.Entries[:0]
+	for _, e := range o.write.Entries {
+		if e.Index < from {
+			kept = append(kept, e)
+		}
 	}
-	r.releasePending()
-	if r.commit > r.delivered {
-		r.output.Committed = append(r.output.Committed, r.log.entries[r.delivered-r.log.base:r.commit-r.log.base]...)
-		r.delivered = r.commit
+	o.write.Entries = kept
+	o.syncedIndex = min(o.syncedIndex, from-1)
+	for i := range o.inFlight {
+		o.inFlight[i].lastIndex = min(o.inFlight[i].lastIndex, from-1)
 	}
-	out := r.output
-	r.output = Output{}
-	return out
 }
 
-// Synced says that all writes up to seq are on disk.
-func (r *Raft) Synced(seq uint64) {
-	r.syncedSeq = max(r.syncedSeq, seq)
-	for len(r.inFlight) > 0 && r.inFlight[0].seq <= seq {
-		f := r.inFlight[0]
-		r.inFlight = r.inFlight[1:]
-		r.syncedIndex = max(r.syncedIndex, min(f.lastIndex, r.log.last()))
+// installSnapshot replaces the log, also what is yet to be written of it, by a
+// leader's snapshot.
+func (o *outbox) installSnapshot(s *Snapshot) {
+	o.syncedIndex = 0
+	for i := range o.inFlight {
+		o.inFlight[i].lastIndex = 0
 	}
-	r.releasePending()
-	if r.role == Leader {
-		r.advanceCommit()
+	o.write.Entries = nil
+	o.write.Snapshot = s
+	o.output.Committed = nil
+	o.output.InstalledSnapshot = s
+}
+
+// hold keeps a message back until everything written so far is on disk.
+func (o *outbox) hold(m Message) {
+	seq := o.lastSeq
+	if !o.write.empty() {
+		seq++
+	}
+	count := len(o.pending)
+	if count == 0 || !o.pending[count-1].mergeAcknowledgement(seq, m) {
+		o.pending = append(o.pending, pendingMessage{seq: seq, message: m})
 	}
 }
 
-func (r *Raft) releasePending() {
-	kept := r.pendingMessages[:0]
-	for _, h := range r.pendingMessages {
-		if h.seq > r.syncedSeq {
-			kept = append(kept, h)
-			continue
-		}
-		if h.ownVote {
-			if r.role == Candidate && h.message.Term == r.hardState.Term {
-				defer r.countVote(r.id)
-			}
-			continue
-		}
-		if h.message.Term < r.hardState.Term {
-			continue
+// holdOwnVote keeps a candidate's vote for itself back until the next write,
+// which carries it, is on disk.
+func (o *outbox) holdOwnVote(term identifier.Term) {
+	vote := pendingMessage{seq: o.lastSeq + 1, ownVote: true, message: Message{Term: term}}
+	o.pending = append(o.pending, vote)
+}
+
+// takeReady removes and returns the pending messages whose writes are synced.
+func (o *outbox) takeReady() []pendingMessage {
+	var ready []pendingMessage
+	waiting := o.pending[:0]
+	for _, p := range o.pending {
+		if p.seq > o.syncedSeq {
+			waiting = append(waiting, p)
+		} else {
+			ready = append(ready, p)
 		}
-		r.addClockEvidence(&h.message)
-		r.output.Messages = append(r.output.Messages, h.message)
 	}
-	r.pendingMessages = kept
+	o.pending = waiting
+	return ready
+}
+
+// takeWrite moves what gathered into the output as one write. lastIndex is the
+// last entry of the log.
+func (o *outbox) takeWrite(lastIndex identifier.Index, now clock.Monotonic) {
+	if o.write.empty() {
+		return
+	}
+	o.lastSeq++
+	write := o.write
+	write.Seq = o.lastSeq
+	o.write = Write{}
+	o.output.Write = &write
+	o.inFlight = append(o.inFlight, inFlightWrite{write.Seq, lastIndex, now})
+}
+
+// markSynced notes that all writes up to seq are on disk. lastIndex is the last
+// entry of the log.
+func (o *outbox) markSynced(seq uint64, lastIndex identifier.Index) {
+	o.syncedSeq = max(o.syncedSeq, seq)
+	for len(o.inFlight) > 0 && o.inFlight[0].seq <= seq {
+		synced := o.inFlight[0]
+		o.inFlight = o.inFlight[1:]
+		o.syncedIndex = max(o.syncedIndex, min(synced.lastIndex, lastIndex))
+	}
+}
+
+// oldestWrite tells when the oldest write that is not yet synced was handed out.
+func (o *outbox) oldestWrite() (issuedAt clock.Monotonic, ok bool) {
+	if len(o.inFlight) == 0 {
+		return 0, false
+	}
+	return o.inFlight[0].issuedAt, true
+}
+
+func (o *outbox) takeOutput() Output {
+	output := o.output
+	o.output = Output{}
+	return output
 }
--- a/internal/consensus/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -1,7 +1,3 @@
-// A peer is the leader's knowledge of one other member. While it is probed,
-// one append at a time is out, and only that one's refusal counts: answering
-// every refusal of a pipeline with a new pipeline would never end.
-
 package raft
 
 import (
@@ -9,34 +5,55 @@
 	"orchidward/internal/clock"
 )
 
+// peer is a leader's knowledge of one other member.
 type peer struct {
-	next            identifier.Index
-	match           identifier.Index
-	ackedSentAt     clock.Monotonic
-	lastHeardAt     clock.Monotonic
-	wallTime        clock.WallTime
-	wallTimeReadAt  clock.Monotonic
-	firstKnownTerm  identifier.Term
-	clusterTime     clock.ClusterTime
-	clusterTimeTerm identifier.Term
-	probing         bool
-	appendInFlight  bool
-	lastPrevIndex   identifier.Index
-	snapshot        *Snapshot
-	snapshotOffset  int64
-	chunkSentAt     clock.Monotonic
-	level           uint16
-	// leaving is a member that has said that it stops soon.
+	// match is the last entry known to be on the peer's disk, next the first one
+	// to send it.
+	match identifier.Index
+	next  identifier.Index
+	// probing is set while match is not known to be a prefix of this log. Only
+	// one append is then in flight, and only its refusal counts: to answer every
+	// refusal of a pipeline with a new pipeline would never end.
+	probing        bool
+	appendInFlight bool
+	// lastPrevIndex is the index before the entries of the last append.
+	lastPrevIndex identifier.Index
+	transfer      snapshotTransfer
+
+	// ackedSentAt is the latest time at which this leader sent a message that the
+	// peer has answered; lastHeardAt is when the peer last answered any.
+	ackedSentAt clock.Monotonic
+	lastHeardAt clock.Monotonic
+	// wallTime is the peer's clock, as read at wallTimeReadAt of this one's.
+	wallTime       clock.WallTime
+	wallTimeReadAt clock.Monotonic
+	evidence       clockEvidence
+	level          uint16
+	// leaving says that the peer has announced that it stops soon.
 	leaving bool
 }
 
-// recordReply takes what any answer of the peer says of it. Only an answer to what was
-// sent in this leadership renews the lease: a stamp from before may be of a
-// former life of this process, whose clock was another.
+// snapshotTransfer is a snapshot on its way to a peer, or none while snapshot is
+// nil. offset is the number of bytes that the peer has acknowledged, chunkSentAt
+// when the chunk behind them was sent, 0 if it was not.
+type snapshotTransfer struct {
+	snapshot    *Snapshot
+	offset      int64
+	chunkSentAt clock.Monotonic
+}
+
+// recordReply notes what any reply tells of its sender. Only a reply to a message
+// sent in this leadership renews the lease: an earlier send time may come from
+// before a restart of this process, whose clock was another.
 func (p *peer) recordReply(m Message, electedAt, now clock.Monotonic) {
 	if m.SentAt >= electedAt && m.SentAt <= now {
 		p.ackedSentAt = max(p.ackedSentAt, m.SentAt)
 	}
-	p.lastHeardAt, p.wallTime, p.wallTimeReadAt, p.firstKnownTerm, p.clusterTime, p.level = now, m.Wall, now, m.FirstKnownTerm, m.ClusterTime, m.Level
+	p.lastHeardAt = now
+	p.wallTime = m.Wall
+	p.wallTimeReadAt = now
+	p.evidence.firstKnownTerm = m.FirstKnownTerm
+	p.evidence.clusterTime = m.ClusterTime
+	p.level = m.Level
 	p.leaving = m.Leaving
 }
--- a/internal/consensus/raft/recovery_test.go
+++ b/internal/consensus/raft/recovery_test.go
@@ -219,7 +219,7 @@
 				t.Parallel()
 				g := newGroup(int64(i + 1))
 				g.meanWriteMs, g.entryBytes, g.wantVoters, g.maxMembers, g.maxHosts, g.losePairs, g.compactOften = 2, 4, 5, 7, 60, true, true
-				g.tailLimit = &tailLimit{entries: 20, bytes: 1 << 20, loadingBytes: 1 << 20}
+				g.tailLimit = &tailLimit{entries: 20, bytes: 1 << 20, transferBytes: 1 << 20}
 				g.bootstrap(5)
 				g.runRepairs()
 				for n := 0; n < 8 && g.failure == ""; n++ {
--- a/internal/consensus/raft/snapshot.go
+++ b/internal/consensus/raft/snapshot.go
@@ -1,10 +1,43 @@
 package raft
 
-import "orchidward/internal/api/identifier"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
 
-// handleSnapshot takes a part of a snapshot. One whose last entry is in the log
-// already only tells that this entry is committed: entries behind it may have
-// been acknowledged, and must stay.
+const (
+	// snapshotChunkBytes is the size of one chunk of a snapshot on the wire.
+	snapshotChunkBytes = 256 << 10
+	// unresponsiveTimeouts is after how many election timeouts of silence the
+	// transfer of a snapshot to a peer may as well start anew.
+	unresponsiveTimeouts = 2
+)
+
+// incomingSnapshot gathers the chunks of a snapshot from one leader; snapshot is
+// nil while there is none.
+type incomingSnapshot struct {
+	snapshot *Snapshot
+	from     identifier.Node
+}
+
+// add appends a chunk that goes on from those before. A chunk of another
+// snapshot, or from another leader, starts anew.
+func (s *incomingSnapshot) add(m Message) {
+	chunk := m.Snapshot
+	if s.snapshot == nil || s.snapshot.Index != chunk.Index || s.from != m.From {
+		s.from = m.From
+		s.snapshot = &Snapshot{Index: chunk.Index, Term: chunk.Term, Members: chunk.Members}
+	}
+	if m.Offset == s.size() {
+		s.snapshot.Data = append(s.snapshot.Data, chunk.Data...)
+	}
+}
+
+func (s *incomingSnapshot) size() int64 { return int64(len(s.snapshot.Data)) }
+
+// handleSnapshot takes one chunk of a snapshot (Ongaro's thesis, section 5.3).
+// One whose last entry is in the log already only tells that this entry is
+// committed: entries behind it may have been acknowledged, and must stay.
 func (r *Raft) handleSnapshot(m Message) {
 	chunk := m.Snapshot
 	if chunk == nil {
@@ -19,100 +52,115 @@
 		r.acknowledge(m, chunk.Index)
 		return
 	}
-	if r.incomingSnapshot == nil || r.incomingSnapshot.Index != chunk.Index || r.incomingFrom != m.From {
-		r.incomingFrom = m.From
-		r.incomingSnapshot = &Snapshot{Index: chunk.Index, Term: chunk.Term, Members: chunk.Members}
-	}
-	if m.Offset == int64(len(r.incomingSnapshot.Data)) {
-		r.incomingSnapshot.Data = append(r.incomingSnapshot.Data, chunk.Data...)
-	}
-	if int64(len(r.incomingSnapshot.Data)) < m.Total {
-		r.send(Message{Kind: SnapshotReply, To: m.From, Index: chunk.Index, Offset: int64(len(r.incomingSnapshot.Data)), SentAt: m.SentAt})
+	r.incoming.add(m)
+	if r.incoming.size() < m.Total {
+		r.send(Message{Kind: SnapshotReply, To: m.From, Index: chunk.Index, Offset: r.incoming.size(), SentAt: m.SentAt})
 		return
 	}
-	complete := r.incomingSnapshot
-	r.incomingSnapshot = nil
+	complete := r.incoming.snapshot
+	r.incoming.snapshot = nil
 	r.replaceLog(complete)
 	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: complete.Index, SentAt: m.SentAt})
 }
 
-// replaceLog goes on from a snapshot of the leader's: all of the log is either
-// covered by it or contradicts it.
+// replaceLog continues from a leader's snapshot: the log is either covered by it
+// or contradicts it.
 func (r *Raft) replaceLog(snapshot *Snapshot) {
 	r.log = log{base: snapshot.Index, baseTerm: snapshot.Term, snapshot: snapshot}
 	r.configurations = []configuration{{snapshot.Index, snapshot.Members}}
-	r.commit, r.delivered, r.syncedIndex = snapshot.Index, snapshot.Index, 0
-	for i := range r.inFlight {
-		r.inFlight[i].lastIndex = 0
-	}
-	r.write.Entries = nil
-	r.write.Snapshot = snapshot
-	r.output.Committed, r.output.InstalledSnapshot = nil, snapshot
+	r.commit = snapshot.Index
+	r.delivered = snapshot.Index
+	r.outbox.installSnapshot(snapshot)
 }
 
+// handleSnapshotReply sends the chunk after those that the peer has.
 func (r *Raft) handleSnapshotReply(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.recordReply(m, r.electedAt, r.now)
-	if p.snapshot != nil && p.snapshot.Index == m.Index && m.Offset != p.snapshotOffset {
-		p.snapshotOffset, p.chunkSentAt = m.Offset, 0
+	p.recordReply(m, r.leadership.electedAt, r.now)
+	transfer := &p.transfer
+	if transfer.snapshot != nil && transfer.snapshot.Index == m.Index && m.Offset != transfer.offset {
+		transfer.offset = m.Offset
+		transfer.chunkSentAt = 0
 		r.sendSnapshot(m.From, p, true)
 	}
 }
 
+// sendSnapshot sends a peer the next chunk of the snapshot that it is being sent,
+// or of the newest one. A chunk is repeated when it has no answer within an
+// election timeout; a heartbeat in between carries no data.
 func (r *Raft) sendSnapshot(to identifier.Node, p *peer, heartbeat bool) {
-	if p.snapshot == nil || p.snapshot != r.log.snapshot && r.unresponsive(p) {
-		p.snapshot, p.snapshotOffset, p.chunkSentAt = r.log.snapshot, 0, 0
+	superseded := p.transfer.snapshot != r.log.snapshot
+	if p.transfer.snapshot == nil || superseded && r.unresponsive(p) {
+		p.transfer = snapshotTransfer{snapshot: r.log.snapshot}
 	}
-	end := min(p.snapshotOffset+snapshotChunkBytes, int64(len(p.snapshot.Data)))
-	if p.chunkSentAt != 0 && r.now.Since(p.chunkSentAt) < r.timing.ElectionTimeout {
+	chunkBytes := int64(snapshotChunkBytes)
+	if p.transfer.awaitingReply(r.now, r.timing.ElectionTimeout) {
 		if !heartbeat {
 			return
 		}
-		end = p.snapshotOffset
+		chunkBytes = 0
 	} else {
-		p.chunkSentAt = r.now
+		p.transfer.chunkSentAt = r.now
+	}
+	r.send(Message{
+		Kind:     InstallSnapshot,
+		To:       to,
+		Snapshot: p.transfer.nextChunk(chunkBytes),
+		Offset:   p.transfer.offset,
+		Total:    int64(len(p.transfer.snapshot.Data)),
+		Commit:   r.commit,
+	})
+}
+
+// awaitingReply tells whether a chunk is on its way that may still be answered.
+func (t *snapshotTransfer) awaitingReply(now clock.Monotonic, timeout clock.Millis) bool {
+	return t.chunkSentAt != 0 && now.Since(t.chunkSentAt) < timeout
+}
+
+// nextChunk is the snapshot with only the data behind what the peer has
+// acknowledged, up to maxBytes of it.
+func (t *snapshotTransfer) nextChunk(maxBytes int64) *Snapshot {
+	end := min(t.offset+maxBytes, int64(len(t.snapshot.Data)))
+	return &Snapshot{
+		Index:   t.snapshot.Index,
+		Term:    t.snapshot.Term,
+		Members: t.snapshot.Members,
+		Data:    t.snapshot.Data[t.offset:end],
 	}
-	part := &Snapshot{Index: p.snapshot.Index, Term: p.snapshot.Term, Members: p.snapshot.Members, Data: p.snapshot.Data[p.snapshotOffset:end]}
-	r.send(Message{Kind: InstallSnapshot, To: to, Snapshot: part, Offset: p.snapshotOffset, Total: int64(len(p.snapshot.Data)), Commit: r.commit})
 }
 
-// oldestTransfer is the index of the oldest snapshot that a live follower is being
-// sent, or that of the newest snapshot when none is.
+// oldestTransfer is the index of the oldest snapshot that a live follower is
+// being sent, or that of the newest snapshot when none is.
 func (r *Raft) oldestTransfer() identifier.Index {
 	oldest := r.log.snapshot.Index
 	for _, p := range r.peers {
-		if p.snapshot != nil && !r.unresponsive(p) {
-			oldest = min(oldest, p.snapshot.Index)
+		if p.transfer.snapshot != nil && !r.unresponsive(p) {
+			oldest = min(oldest, p.transfer.snapshot.Index)
 		}
 	}
 	return oldest
 }
 
-// unresponsive tells whether a peer has not been heard for so long that a load to it
-// may as well begin anew.
+// unresponsive tells whether a peer has been silent for so long that the
+// transfer of a snapshot to it may as well start anew.
 func (r *Raft) unresponsive(p *peer) bool {
-	return r.now.Since(p.lastHeardAt) > 2*r.timing.ElectionTimeout
+	return r.now.Since(p.lastHeardAt) > unresponsiveTimeouts*r.timing.ElectionTimeout
 }
 
-// Compact takes a view of the state at an applied index.
+// Compact makes data, the encoded state at an applied index, this member's newest
+// snapshot, and drops the entries before it that no follower needs. It does
+// nothing when the index is not in the log or is covered by a snapshot already.
 func (r *Raft) Compact(index identifier.Index, data []byte) {
 	term, ok := r.log.term(index)
 	if !ok || index <= r.log.snapshot.Index {
 		return
 	}
-	snapshot := &Snapshot{Index: index, Term: term, Data: data}
-	for _, c := range r.configurations {
-		if c.index <= index {
-			snapshot.Members = c.members
-		}
-	}
+	snapshot := &Snapshot{Index: index, Term: term, Members: r.membersAt(index), Data: data}
 	r.log.snapshot = snapshot
-	r.output.LocalSnapshot = snapshot
+	r.outbox.output.LocalSnapshot = snapshot
 	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestTransfer()))
-	for len(r.configurations) > 1 && r.configurations[1].index <= index {
-		r.configurations = r.configurations[1:]
-	}
+	r.compactConfigurations(index)
 }
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -1,9 +1,6 @@
-// Step takes one message from another keeper.
-
 package raft
 
 import (
-	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
 )
 
@@ -12,7 +9,8 @@
 // message of a newer term makes this member a follower in it, except that a vote
 // request is ignored while a leader may still hold its lease.
 func (r *Raft) Step(m Message, now clock.Monotonic, wall clock.WallTime) {
-	r.now, r.wall = now, wall
+	r.now = now
+	r.wall = wall
 	if m.To != r.id {
 		return
 	}
@@ -20,32 +18,47 @@
 	case RequestPreVote:
 		r.handlePreVoteRequest(m)
 		return
+	case PreVoteReply:
+		r.handlePreVoteReply(m)
+		return
 	case RequestVote:
 		if !m.LeaderTransfer && r.leaseMayBeActive() {
 			return
 		}
-	case PreVoteReply:
-		if m.Reject && m.Term > r.hardState.Term {
-			r.becomeFollower(m.Term, 0)
-		}
-		if r.role == PreCandidate && !m.Reject && m.Term == r.hardState.Term+1 {
-			r.countVote(m.From)
-		}
-		return
 	}
 	if m.Term < r.hardState.Term {
-		if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
-			r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, NextHint: r.log.last(), SentAt: never})
-		}
+		r.rejectStaleLeader(m)
 		return
 	}
 	if m.Term > r.hardState.Term {
-		leader := identifier.Node(0)
-		if m.Kind == AppendEntries || m.Kind == InstallSnapshot {
-			leader = m.From
-		}
-		r.becomeFollower(m.Term, leader)
+		r.followNewerTerm(m)
+	}
+	r.handleCurrentTerm(m)
+}
+
+// rejectStaleLeader tells the leader of an older term of the current one. Its
+// reply acknowledges no send time, so that it renews no lease.
+func (r *Raft) rejectStaleLeader(m Message) {
+	if fromLeader(m) {
+		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, NextHint: r.log.last(), SentAt: never})
+	}
+}
+
+func (r *Raft) followNewerTerm(m Message) {
+	leader := noLeader
+	if fromLeader(m) {
+		leader = m.From
 	}
+	r.becomeFollower(m.Term, leader)
+}
+
+// fromLeader tells whether a message is of a kind that only the leader of its
+// term sends.
+func fromLeader(m Message) bool { return m.Kind == AppendEntries || m.Kind == InstallSnapshot }
+
+// handleCurrentTerm handles a message of the current term. Messages of kinds
+// that this version does not know are ignored.
+func (r *Raft) handleCurrentTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries:
 		r.followLeader(m)
@@ -56,16 +69,12 @@
 	case RequestVote:
 		r.handleVoteRequest(m)
 	case VoteReply:
-		if r.role == Candidate && !m.Reject {
-			r.countVote(m.From)
-		}
+		r.handleVoteReply(m)
 	case AppendReply:
 		r.handleAppendReply(m)
 	case SnapshotReply:
 		r.handleSnapshotReply(m)
 	case TimeoutNow:
-		if r.isVoter(r.id) && r.role != Leader && !r.leaving {
-			r.campaign(RequestVote, true)
-		}
+		r.handleTimeoutNow()
 	}
 }
--- a/internal/consensus/raft/tick.go
+++ b/internal/consensus/raft/tick.go
@@ -1,34 +1,38 @@
 package raft
 
-import (
-	"orchidward/internal/clock"
-)
+import "orchidward/internal/clock"
+
+// quorumLossTimeouts is after how many election timeouts without an answer from
+// a quorum a leader steps down.
+const quorumLossTimeouts = 2
 
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
 // down when no quorum has answered it for two election timeouts; any other voter
 // starts a pre-vote once its election timeout has passed without a leader.
 func (r *Raft) Tick(now clock.Monotonic, wall clock.WallTime) {
-	r.now, r.wall = now, wall
+	r.now = now
+	r.wall = wall
 	if r.role == Leader {
 		r.tickLeader()
 		return
 	}
-	if now.Since(r.timerResetAt) >= r.randomizedTimeout && r.isVoter(r.id) && !r.leaving {
+	if r.timer.expired(now) && r.isVoter(r.id) && !r.leaving {
 		r.campaign(RequestPreVote, false)
 	}
 }
 
 func (r *Raft) tickLeader() {
-	if r.now.Since(max(r.electedAt, r.quorumAck(r.now))) >= 2*r.timing.ElectionTimeout {
-		r.becomeFollower(r.hardState.Term, 0)
+	lastQuorum := max(r.leadership.electedAt, r.quorumAck(r.now))
+	if r.now.Since(lastQuorum) >= quorumLossTimeouts*r.timing.ElectionTimeout {
+		r.becomeFollower(r.hardState.Term, noLeader)
 		return
 	}
 	if r.diskStalled() {
 		r.TransferLeadership()
 		return
 	}
-	if r.now.Since(r.heartbeatSentAt) >= r.timing.HeartbeatInterval {
-		r.heartbeatSentAt = r.now
+	if r.now.Since(r.leadership.heartbeatSentAt) >= r.timing.HeartbeatInterval {
+		r.leadership.heartbeatSentAt = r.now
 		for _, m := range r.Members() {
 			r.replicateTo(m.ID, true)
 		}
--- a/internal/consensus/raft/timing.go
+++ b/internal/consensus/raft/timing.go
@@ -1,21 +1,29 @@
 package raft
 
-import (
-	"orchidward/internal/clock"
-)
+import "orchidward/internal/clock"
 
-// Timing in spans of the monotonic clock. Lease is shorter than Elect, the
-// least a follower waits, by what clocks may drift in that time.
+// defaultElectionTimeout is the election timeout of a group, in milliseconds.
+const defaultElectionTimeout clock.Millis = 1000
+
+// Timing holds the intervals of the protocol, in milliseconds of a monotonic
+// clock. LeaseDuration must be shorter than ElectionTimeout by what two clocks
+// may drift apart in that time.
 type Timing struct {
 	HeartbeatInterval clock.Millis
-	ElectionTimeout   clock.Millis
-	LeaseDuration     clock.Millis
+	// ElectionTimeout is the least time that a follower waits for its leader.
+	ElectionTimeout clock.Millis
+	LeaseDuration   clock.Millis
 }
 
 // DefaultTiming is the timing with an election timeout of one second.
-func DefaultTiming() Timing { return NewTiming(1000) }
+func DefaultTiming() Timing { return NewTiming(defaultElectionTimeout) }
 
-// NewTiming is the timing for a least election wait, in milliseconds.
+// NewTiming is the timing for an election timeout in milliseconds: five heartbeats
+// fit in it, and a lease lasts four fifths of it.
 func NewTiming(electionTimeout clock.Millis) Timing {
-	return Timing{HeartbeatInterval: electionTimeout / 5, ElectionTimeout: electionTimeout, LeaseDuration: electionTimeout * 4 / 5}
+	return Timing{
+		HeartbeatInterval: electionTimeout / 5,
+		ElectionTimeout:   electionTimeout,
+		LeaseDuration:     electionTimeout * 4 / 5,
+	}
 }
--- a/internal/consensus/raft/transfer.go
+++ b/internal/consensus/raft/transfer.go
@@ -1,40 +1,37 @@
 package raft
 
-import (
-	"orchidward/internal/api/identifier"
-)
-
-// TransferLeadership gives leadership to the member that has most of the log. The leader
-// stands down at once: it must not act on a lease it has let another break.
+// TransferLeadership hands leadership to the voter that has most of the log
+// (Ongaro's thesis, section 3.10) and tells whether there was one. The leader
+// steps down at once: it must not act on a lease that it has let another break.
 func (r *Raft) TransferLeadership() bool {
-	best := identifier.Node(0)
+	best := noLeader
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
-		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.lastHeardAt) > r.timing.ElectionTimeout {
+		if !m.Voter || p == nil || p.leaving || p.match < r.commit || !r.recentlyHeard(p) {
 			continue
 		}
-		if best == 0 || p.match > r.peers[best].match {
+		if best == noLeader || p.match > r.peers[best].match {
 			best = m.ID
 		}
 	}
-	if best == 0 {
+	if best == noLeader {
 		return false
 	}
 	r.send(Message{Kind: TimeoutNow, To: best})
-	r.becomeFollower(r.hardState.Term, 0)
+	r.becomeFollower(r.hardState.Term, noLeader)
 	return true
 }
 
-// PrepareToLeave makes this member one that stops soon: it asks for no election, takes
-// no leadership that is handed to it, and says so to the leader.
+// PrepareToLeave marks this member as one that stops soon: it starts no election,
+// refuses leadership that is handed to it, and tells the leader.
 func (r *Raft) PrepareToLeave() { r.leaving = true }
 
 // Replicated tells whether every other voter that this leader hears has the
-// whole log on its disk.
+// complete log on its disk.
 func (r *Raft) Replicated() bool {
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
-		if !m.Voter || p == nil || r.now.Since(p.lastHeardAt) > r.timing.ElectionTimeout {
+		if !m.Voter || p == nil || !r.recentlyHeard(p) {
 			continue
 		}
 		if p.match < r.log.last() {
@@ -44,15 +41,22 @@
 	return true
 }
 
-// slow tells whether this leader's own disk holds the group up: a write of its
-// own is long overdue while a quorum of the others has synced past it.
+// recentlyHeard tells whether a peer has answered within the election timeout.
+func (r *Raft) recentlyHeard(p *peer) bool {
+	return r.now.Since(p.lastHeardAt) <= r.timing.ElectionTimeout
+}
+
+// diskStalled tells whether this leader's own disk delays the group: its oldest
+// write has been under way for an election timeout, while enough of the other
+// voters to form a quorum with it have synced past it.
 func (r *Raft) diskStalled() bool {
-	if len(r.inFlight) == 0 || r.now.Since(r.inFlight[0].issuedAt) < r.timing.ElectionTimeout {
+	issuedAt, ok := r.outbox.oldestWrite()
+	if !ok || r.now.Since(issuedAt) < r.timing.ElectionTimeout {
 		return false
 	}
 	ahead := 0
 	for _, m := range r.Members() {
-		if p := r.peers[m.ID]; m.Voter && p != nil && p.match > r.syncedIndex {
+		if p := r.peers[m.ID]; m.Voter && p != nil && p.match > r.outbox.syncedIndex {
 			ahead++
 		}
 	}
--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -1,13 +1,9 @@
-// Members, entries, messages, and what a step asks for.
-
 package raft
 
-import (
-	"orchidward/internal/api/identifier"
-)
+import "orchidward/internal/api/identifier"
 
-// Member is one keeper of the group. A learner receives the log and does not
-// count towards any quorum.
+// Member is one server of the group. One that is not a voter is a learner: it
+// receives the log and does not count towards any quorum.
 type Member struct {
 	ID     identifier.Node   `json:"id"`
 	Addr   string            `json:"addr"`
@@ -23,8 +19,8 @@
 	EntryBlank EntryKind = iota
 	// EntryCommand carries a command for the replicated state machine.
 	EntryCommand
-	// EntryConfig carries the whole member list as JSON; it is in force as soon as it
-	// is in a member's log.
+	// EntryConfig carries the complete member list as JSON; it is in force as soon as
+	// it is in a member's log.
 	EntryConfig
 )
 
@@ -37,22 +33,27 @@
 	Data  []byte
 }
 
-// Snapshot is the state up to and with Index, by which older entries may go.
+// Snapshot is the state after the entry at Index, which replaces that entry and
+// all before it.
 type Snapshot struct {
-	Index   identifier.Index
-	Term    identifier.Term
+	Index identifier.Index
+	Term  identifier.Term
+	// Members is the member list in force at Index.
 	Members []Member
-	Data    []byte
+	// Data is the encoded state.
+	Data []byte
 }
 
-// HardState is what must be on disk before it is acted on.
+// HardState is what must be on disk before a member acts on it. A Vote of 0 is
+// none.
 type HardState struct {
 	Term identifier.Term
 	Vote identifier.Node
 }
 
-// Write goes to the disk as one batch. Entries replace whatever is kept from
-// the first one's index on. Seq comes back in Synced.
+// Write goes to the disk as one batch; fields that are nil or empty stay as they
+// are on disk. Entries replace all that the disk has from the first one's index
+// on. Seq is to be passed to Synced.
 type Write struct {
 	Seq       uint64
 	HardState *HardState
@@ -62,14 +63,18 @@
 
 func (w *Write) empty() bool { return w.HardState == nil && len(w.Entries) == 0 && w.Snapshot == nil }
 
-// Output is what one step asks for. Load is set when a view from the leader
-// replaces the state; Commit lists entries to apply, in order.
+// Output is what the inputs since the last TakeOutput led to.
 type Output struct {
-	Messages          []Message
-	Write             *Write
+	// Messages may be sent at once.
+	Messages []Message
+	// Write is to go to disk, after the ones before it; nil for none.
+	Write *Write
+	// InstalledSnapshot, unless nil, is a leader's snapshot that replaces the state.
+	// It comes before the entries in Committed.
 	InstalledSnapshot *Snapshot
-	Committed         []Entry
-	// LocalSnapshot is a view this member took itself. Nothing waits for it: it may be
-	// written whenever the disk has time.
+	// Committed lists entries to apply, in order.
+	Committed []Entry
+	// LocalSnapshot is a snapshot that this member took itself. Nothing waits for it:
+	// it may be written whenever the disk has time.
 	LocalSnapshot *Snapshot
 }
--- a/internal/consensus/raft/voting.go
+++ b/internal/consensus/raft/voting.go
@@ -1,12 +1,9 @@
 package raft
 
-import "orchidward/internal/api/identifier"
-
-// leaseMayBeActive tells whether a leader has been heard too lately to help elect another.
-// Word of a newer term does not end this: the older leader has its answer and
-// may count on it for the length of its lease.
-// A process just started counts as having heard one: before it stopped it may
-// have, and that leader's lease may still stand.
+// leaseMayBeActive tells whether a leader was heard too recently to help elect
+// another. A newer term does not end this: the earlier leader has this member's
+// answer and may rely on it for the duration of its lease. A process that has
+// just started counts as having heard a leader: it may have before it stopped.
 func (r *Raft) leaseMayBeActive() bool {
 	if r.now.Since(r.startedAt) < r.timing.ElectionTimeout {
 		return true
@@ -17,24 +14,45 @@
 	return r.now.Since(r.leaderHeardAt) < r.timing.ElectionTimeout
 }
 
+// candidateUpToDate tells whether the log of a candidate that sent m is at least
+// as up to date as this one (Ongaro's thesis, section 3.6.1).
 func (r *Raft) candidateUpToDate(m Message) bool {
 	lastTerm := r.log.lastTerm()
 	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= r.log.last()
 }
 
+// handlePreVoteRequest tells a member whether its request for a vote would be
+// granted. A refusal is sent only to one that has missed a term; any other hears
+// nothing, as it would from a lost message.
 func (r *Raft) handlePreVoteRequest(m Message) {
-	reject := m.Term <= r.hardState.Term || !r.candidateUpToDate(m) || r.leaseMayBeActive() || r.log.last() == 0
+	staleTerm := m.Term <= r.hardState.Term
+	reject := staleTerm || !r.candidateUpToDate(m) || r.leaseMayBeActive() || r.log.last() == 0
+	if reject && !staleTerm {
+		return
+	}
 	term := m.Term
-	if m.Term <= r.hardState.Term {
+	if staleTerm {
 		term = r.hardState.Term
-	} else if reject {
-		return
 	}
 	r.send(Message{Kind: PreVoteReply, To: m.From, Term: term, Reject: reject})
 }
 
+// handlePreVoteReply counts a promise of a vote for the next term. A refusal
+// tells of a newer term.
+func (r *Raft) handlePreVoteReply(m Message) {
+	if m.Reject && m.Term > r.hardState.Term {
+		r.becomeFollower(m.Term, noLeader)
+	}
+	if r.role == PreCandidate && !m.Reject && m.Term == r.hardState.Term+1 {
+		r.countVote(m.From)
+	}
+}
+
+// handleVoteRequest votes for a candidate of the current term, unless this member
+// has voted for another in it. The vote is sent only once it is on disk.
 func (r *Raft) handleVoteRequest(m Message) {
-	grant := (r.hardState.Vote == 0 || r.hardState.Vote == m.From) && r.candidateUpToDate(m) && r.role == Follower && r.log.last() > 0
+	free := r.hardState.Vote == 0 || r.hardState.Vote == m.From
+	grant := free && r.candidateUpToDate(m) && r.role == Follower && r.log.last() > 0
 	if !grant {
 		r.sendAfterSync(Message{Kind: VoteReply, To: m.From, Reject: true})
 		return
@@ -42,24 +60,20 @@
 	if r.hardState.Vote == 0 {
 		r.setHardState(HardState{Term: r.hardState.Term, Vote: m.From})
 	}
-	r.timerResetAt = r.now
+	r.timer.postpone(r.now)
 	r.sendAfterSync(Message{Kind: VoteReply, To: m.From})
 }
 
-func (r *Raft) countVote(from identifier.Node) {
-	r.votes[from] = true
-	granted := 0
-	for id := range r.votes {
-		if r.isVoter(id) {
-			granted++
-		}
-	}
-	if granted*2 <= r.voterCount() {
-		return
+func (r *Raft) handleVoteReply(m Message) {
+	if r.role == Candidate && !m.Reject {
+		r.countVote(m.From)
 	}
-	if r.role == PreCandidate {
-		r.campaign(RequestVote, false)
-		return
+}
+
+// handleTimeoutNow starts an election at once, as the leader has stepped down in
+// this member's favour.
+func (r *Raft) handleTimeoutNow() {
+	if r.isVoter(r.id) && r.role != Leader && !r.leaving {
+		r.campaign(RequestVote, true)
 	}
-	r.becomeLeader()
 }
