--- a/internal/consensus/wal/former_test.go
+++ b/internal/consensus/wal/compatibility_test.go
@@ -12,10 +12,10 @@
 	"orchidward/internal/state"
 )
 
-// former reads a data folder as the first version left it.
-func former(t *testing.T) memory {
+// readFirstVersionFolder reads a data folder as the first version left it.
+func readFirstVersionFolder(t *testing.T) memoryDisk {
 	t.Helper()
-	m := memory{}
+	m := memoryDisk{}
 	list, err := filepath.Glob("testdata/folder-1/*.gz")
 	if err != nil || len(list) != 5 {
 		t.Fatalf("files of the former version: %v %v", list, err)
@@ -34,18 +34,18 @@
 			t.Fatal(err)
 		}
 		f.Close()
-		m[trim(filepath.Base(name))] = text
+		m[trimGzip(filepath.Base(name))] = text
 	}
 	return m
 }
 
-func trim(name string) string { return name[:len(name)-len(".gz")] }
+func trimGzip(name string) string { return name[:len(name)-len(".gz")] }
 
-// TestFormerFolder opens a folder of the first version, goes on in it, and
+// TestFirstVersionFolder opens a folder of the first version, goes on in it, and
 // applies the commands that version logged; then a step back: what this
 // version added must again be read by the same rules.
-func TestFormerFolder(t *testing.T) {
-	m := former(t)
+func TestFirstVersionFolder(t *testing.T) {
+	m := readFirstVersionFolder(t)
 	r, f := reopen(t, m)
 	if f.HardState != (raft.HardState{Term: 4, Vote: 5}) || f.Snapshot.Index != 3 || len(f.Entries) != 2 {
 		t.Fatalf("hard %v, view at %d, %d entries", f.HardState, f.Snapshot.Index, len(f.Entries))
--- a/internal/consensus/wal/disk.go
+++ b/internal/consensus/wal/disk.go
@@ -29,29 +29,29 @@
 
 // Folder is the real disk: one data folder, locked while it is open.
 type Folder struct {
-	files fileSystem
-	lock  *os.File
-	open  map[string]file
+	files     fileSystem
+	lock      *os.File
+	openFiles map[string]file
 }
 
 // OpenFolder creates the data folder if need be and locks it. It fails when
 // another process holds the lock.
 func OpenFolder(path string) (*Folder, error) {
 	var err error
-	if err = makeFolder(path); err != nil {
+	if err = createFolder(path); err != nil {
 		return nil, errors.Wrap(err, "data folder")
 	}
 	lock, err := lockFolder(path)
 	if err != nil {
 		return nil, err
 	}
-	d := &Folder{files: osFolder(path), lock: lock, open: map[string]file{}}
+	d := &Folder{files: osFolder(path), lock: lock, openFiles: map[string]file{}}
 	return d, d.files.syncFolder()
 }
 
 // Close closes the open files and releases the lock.
 func (d *Folder) Close() {
-	for _, f := range d.open {
+	for _, f := range d.openFiles {
 		f.Close()
 	}
 	d.lock.Close()
@@ -74,21 +74,21 @@
 func (d *Folder) file(name string) (file, error) {
 	var f file
 	var err error
-	if f = d.open[name]; f != nil {
+	if f = d.openFiles[name]; f != nil {
 		return f, nil
 	}
 	f, err = d.files.open(name, os.O_RDWR)
 	if err == nil {
-		d.open[name] = f
+		d.openFiles[name] = f
 	}
 	return f, err
 }
 
-// forget closes a file whose name is about to be given to another.
-func (d *Folder) forget(name string) {
-	if old := d.open[name]; old != nil {
+// closeFile closes a file whose name is about to be given to another.
+func (d *Folder) closeFile(name string) {
+	if old := d.openFiles[name]; old != nil {
 		old.Close()
-		delete(d.open, name)
+		delete(d.openFiles, name)
 	}
 }
 
@@ -106,32 +106,32 @@
 // Replace replaces a file as a whole: after a crash either the old content is there
 // or all of the new.
 func (d *Folder) Replace(name string, data []byte) error {
-	if err := d.put(name+fresh, 0, data); err != nil {
+	if err := d.writeReplacement(name+newSuffix, 0, data); err != nil {
 		return err
 	}
-	return d.rename(name+fresh, name)
+	return d.rename(name+newSuffix, name)
 }
 
 // What is not yet in a name's place ends in fresh when it goes down at once,
 // in grown when it goes down in parts.
 const (
-	fresh = ".new"
-	grown = ".part"
+	newSuffix  = ".new"
+	partSuffix = ".part"
 )
 
 // AppendReplacement writes a part of a replacement file and syncs it, without touching the
 // file it is to replace. A part at offset 0 starts it anew.
 func (d *Folder) AppendReplacement(name string, off int, data []byte) error {
-	return d.put(name+grown, off, data)
+	return d.writeReplacement(name+partSuffix, off, data)
 }
 
 // CommitReplacement puts the replacement file that Grow wrote in the place of the named
 // one, and syncs the folder.
-func (d *Folder) CommitReplacement(name string) error { return d.rename(name+grown, name) }
+func (d *Folder) CommitReplacement(name string) error { return d.rename(name+partSuffix, name) }
 
 // put writes into a file that may not be there yet, synced; what is written at
 // its beginning begins it anew.
-func (d *Folder) put(name string, off int, data []byte) error {
+func (d *Folder) writeReplacement(name string, off int, data []byte) error {
 	flags := os.O_CREATE | os.O_WRONLY
 	if off == 0 {
 		flags |= os.O_TRUNC
@@ -149,7 +149,7 @@
 
 // rename puts a synced file in a name's place, synced.
 func (d *Folder) rename(from, to string) error {
-	d.forget(to)
+	d.closeFile(to)
 	if err := d.files.rename(from, to); err != nil {
 		return err
 	}
--- a/internal/consensus/wal/files.go
+++ b/internal/consensus/wal/filesystem.go
@@ -62,9 +62,9 @@
 	return f.Sync()
 }
 
-// makeFolder makes a folder, with those above it, and syncs the one above: a
+// createFolder makes a folder, with those above it, and syncs the one above: a
 // folder whose name is lost with the power takes all that is in it along.
-func makeFolder(path string) error {
+func createFolder(path string) error {
 	var err error
 	path, err = filepath.Abs(path)
 	if err != nil {
@@ -74,7 +74,7 @@
 	_, err = os.Stat(path)
 	there := err == nil
 	if !there && parent != path {
-		if err = makeFolder(parent); err != nil {
+		if err = createFolder(parent); err != nil {
 			return err
 		}
 	}
--- a/internal/consensus/wal/ring.go
+++ b/internal/consensus/wal/log.go
@@ -26,15 +26,15 @@
 // snapshot. It is not safe for concurrent use, and after an error from its disk
 // it must be opened anew.
 type Log struct {
-	disk  Disk
-	shape Layout
-	seq   uint64
-	at    int
-	off   int
-	high  []identifier.Index
-	hard  raft.HardState
-	view  identifier.Index
-	Node  identifier.Node
+	disk          Disk
+	layout        Layout
+	nextSeq       uint64
+	file          int
+	offset        int
+	lastIndexes   []identifier.Index
+	hardState     raft.HardState
+	snapshotIndex identifier.Index
+	Node          identifier.Node
 }
 
 // Recovered is what the disk held.
@@ -46,41 +46,41 @@
 	TornTail bool
 }
 
-// paper is the identity file: who this folder is, and that it was founded.
-type paper struct {
-	Who   string `json:"who"`
+// identityFile is the identity file: who this folder is, and that it was founded.
+type identityFile struct {
+	Node  string `json:"who"`
 	Files int    `json:"files"`
 	Bytes int    `json:"bytes"`
 }
 
 const (
-	viewName = "view"
-	whoName  = "identity"
+	snapshotFileName = "view"
+	identityFileName = "identity"
 )
 
-func fileName(i int) string { return fmt.Sprintf("ring-%02d", i) }
+func logFileName(i int) string { return fmt.Sprintf("ring-%02d", i) }
 
 // Identity reads the folder's identity, or gives it the one offered.
 func Identity(d Disk, offer identifier.Node, shape Layout) (who identifier.Node, kept Layout, err error) {
-	data, err := d.Read(whoName)
+	data, err := d.Read(identityFileName)
 	if err != nil {
 		return 0, shape, errors.Wrap(err, "identity")
 	}
 	if data == nil {
-		data, err = json.Marshal(paper{offer.String(), shape.Files, shape.Bytes})
+		data, err = json.Marshal(identityFile{offer.String(), shape.Files, shape.Bytes})
 		if err != nil {
 			panic(err)
 		}
-		if err = d.Replace(whoName, data); err != nil {
+		if err = d.Replace(identityFileName, data); err != nil {
 			return 0, shape, errors.Wrap(err, "identity")
 		}
 		return offer, shape, nil
 	}
-	var p paper
+	var p identityFile
 	if err = json.Unmarshal(data, &p); err != nil {
 		return 0, shape, errors.Wrap(err, "identity file is damaged")
 	}
-	who, ok := identifier.ParseNode(p.Who)
+	who, ok := identifier.ParseNode(p.Node)
 	if !ok || p.Files < 2 || p.Bytes < 4096 {
 		return 0, shape, errors.New("identity file is damaged")
 	}
@@ -89,65 +89,65 @@
 
 // Create lays out a new ring with the founding view.
 func Create(d Disk, shape Layout, v *raft.Snapshot) (*Log, error) {
-	r := &Log{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), seq: 1}
+	r := &Log{disk: d, layout: shape, lastIndexes: make([]identifier.Index, shape.Files), nextSeq: 1}
 	for i := 0; i < shape.Files; i++ {
-		if err := d.Create(fileName(i), shape.Bytes); err != nil {
+		if err := d.Create(logFileName(i), shape.Bytes); err != nil {
 			return nil, errors.Wrap(err, "ring")
 		}
 	}
-	return r, r.saveView(v)
+	return r, r.saveSnapshot(v)
 }
 
 // Open reads a ring back; found is nil when the folder holds none.
 func Open(d Disk, shape Layout) (r *Log, found *Recovered, err error) {
-	data, err := d.Read(viewName)
+	data, err := d.Read(snapshotFileName)
 	if err != nil {
 		return nil, nil, errors.Wrap(err, "view")
 	}
 	if data == nil {
 		return nil, nil, nil
 	}
-	v, err := readView(data)
+	v, err := decodeSnapshot(data)
 	if err != nil {
 		return nil, nil, err
 	}
-	r = &Log{disk: d, shape: shape, high: make([]identifier.Index, shape.Files), view: v.Index}
+	r = &Log{disk: d, layout: shape, lastIndexes: make([]identifier.Index, shape.Files), snapshotIndex: v.Index}
 	found = &Recovered{Snapshot: v}
 	files := make([][]byte, shape.Files)
 	for i := range files {
-		if files[i], err = d.Read(fileName(i)); err != nil {
-			return nil, nil, errors.Wrap(err, fileName(i))
+		if files[i], err = d.Read(logFileName(i)); err != nil {
+			return nil, nil, errors.Wrap(err, logFileName(i))
 		}
 		if len(files[i]) != shape.Bytes {
-			return nil, nil, errors.Errorf("%s is missing or has the wrong size", fileName(i))
+			return nil, nil, errors.Errorf("%s is missing or has the wrong size", logFileName(i))
 		}
 	}
-	return r, found, r.read(files, found)
+	return r, found, r.recoverRecords(files, found)
 }
 
-type spot struct {
-	file, off int
-	seq       uint64
-	body      []byte
+type locatedRecord struct {
+	file, offset int
+	seq          uint64
+	body         []byte
 }
 
-// read walks the records in the order of their numbers and stops at the first
+// recoverRecords walks the records in the order of their numbers and stops at the first
 // gap; whatever valid lies behind a gap proves damage, not a torn tail.
-func (r *Log) read(files [][]byte, found *Recovered) error {
-	all := []spot{}
+func (r *Log) recoverRecords(files [][]byte, found *Recovered) error {
+	all := []locatedRecord{}
 	for i, buf := range files {
-		for off := 0; off+head <= len(buf); {
-			seq, body, ok := open(buf[off:])
+		for off := 0; off+headerBytes <= len(buf); {
+			seq, body, ok := decodeRecord(buf[off:])
 			if !ok {
 				off += 8
 				continue
 			}
-			all = append(all, spot{i, off, seq, body})
-			off += pad(head + len(body))
+			all = append(all, locatedRecord{i, off, seq, body})
+			off += align(headerBytes + len(body))
 		}
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].seq < all[j].seq })
-	r.seq = 1
+	r.nextSeq = 1
 	if len(all) == 0 {
 		return nil
 	}
@@ -156,7 +156,7 @@
 			return errors.Errorf("ring: record %d stands twice", all[i].seq)
 		}
 		if all[i].seq != all[i-1].seq+1 {
-			if err := r.gap(all[:i], all[i]); err != nil {
+			if err := r.checkGap(all[:i], all[i]); err != nil {
 				return err
 			}
 			all = all[i:]
@@ -164,49 +164,49 @@
 		}
 	}
 	for _, s := range all {
-		h, list, err := decode(s.body)
+		h, list, err := decodeBatch(s.body)
 		if err != nil {
-			return errors.Wrapf(err, "%s at %d", fileName(s.file), s.off)
+			return errors.Wrapf(err, "%s at %d", logFileName(s.file), s.offset)
 		}
 		found.HardState = h
 		for _, e := range list {
-			r.high[s.file] = max(r.high[s.file], e.Index)
+			r.lastIndexes[s.file] = max(r.lastIndexes[s.file], e.Index)
 			if err = found.add(e); err != nil {
-				return errors.Wrapf(err, "%s at %d", fileName(s.file), s.off)
+				return errors.Wrapf(err, "%s at %d", logFileName(s.file), s.offset)
 			}
 		}
-		r.seq, r.at, r.off = s.seq+1, s.file, s.off+pad(head+len(s.body))
+		r.nextSeq, r.file, r.offset = s.seq+1, s.file, s.offset+align(headerBytes+len(s.body))
 	}
-	r.hard = found.HardState
-	found.TornTail = r.torn(files[r.at])
+	r.hardState = found.HardState
+	found.TornTail = r.tornTail(files[r.file])
 	return nil
 }
 
-// gap judges a hole in the numbers. Records of a file's former lap are
+// checkGap judges a hole in the numbers. Records of a file's former lap are
 // overwritten from its front, so a hole is sound only if the view covers all
 // that stands before it.
-func (r *Log) gap(old []spot, next spot) error {
+func (r *Log) checkGap(old []locatedRecord, next locatedRecord) error {
 	for _, s := range old {
-		_, list, err := decode(s.body)
+		_, list, err := decodeBatch(s.body)
 		if err != nil {
-			return errors.Wrapf(err, "%s at %d", fileName(s.file), s.off)
+			return errors.Wrapf(err, "%s at %d", logFileName(s.file), s.offset)
 		}
 		for _, e := range list {
-			if e.Index > r.view {
-				return errors.Errorf("ring: records before %d in %s are damaged: entry %d follows a gap", next.seq, fileName(next.file), e.Index)
+			if e.Index > r.snapshotIndex {
+				return errors.Errorf("ring: records before %d in %s are damaged: entry %d follows a gap", next.seq, logFileName(next.file), e.Index)
 			}
 		}
 	}
 	return nil
 }
 
-// torn tells whether the next record was begun: its number stands there, but
+// tornTail tells whether the next record was begun: its number stands there, but
 // the record does not hold. What a former lap left there has an older number.
-func (r *Log) torn(buf []byte) bool {
-	if r.off+head > len(buf) || binary.LittleEndian.Uint32(buf[r.off:]) != magic {
+func (r *Log) tornTail(buf []byte) bool {
+	if r.offset+headerBytes > len(buf) || binary.LittleEndian.Uint32(buf[r.offset:]) != recordMagic {
 		return false
 	}
-	return binary.LittleEndian.Uint64(buf[r.off+8:]) == r.seq
+	return binary.LittleEndian.Uint64(buf[r.offset+8:]) == r.nextSeq
 }
 
 // add puts an entry where it belongs; a later record replaces a tail. Terms
@@ -229,38 +229,38 @@
 	return nil
 }
 
-func pad(n int) int { return (n + 7) &^ 7 }
+func align(n int) int { return (n + 7) &^ 7 }
 
 // PercentUsed tells how much of the ring holds entries the view doesn't cover, in
 // percent; the keeper takes a view in time.
 func (r *Log) PercentUsed() int {
 	n := 0
-	for _, h := range r.high {
-		if h > r.view {
+	for _, h := range r.lastIndexes {
+		if h > r.snapshotIndex {
 			n++
 		}
 	}
-	return n * 100 / r.shape.Files
+	return n * 100 / r.layout.Files
 }
 
 // Save makes one batch last. The view goes first: entries may rest on it.
 func (r *Log) Save(w *raft.Write) error {
 	if w.Snapshot != nil {
-		if err := r.saveView(w.Snapshot); err != nil {
+		if err := r.saveSnapshot(w.Snapshot); err != nil {
 			return err
 		}
 	}
 	if w.HardState != nil {
-		r.hard = *w.HardState
+		r.hardState = *w.HardState
 	}
 	list := w.Entries
 	for first := true; first || len(list) > 0; first = false {
 		part, size := 0, 0
-		for part < len(list) && (part == 0 || size+len(list[part].Data)+32 < r.shape.Bytes/4) {
+		for part < len(list) && (part == 0 || size+len(list[part].Data)+32 < r.layout.Bytes/4) {
 			size += len(list[part].Data) + 32
 			part++
 		}
-		if err := r.put(list[:part]); err != nil {
+		if err := r.appendRecord(list[:part]); err != nil {
 			return err
 		}
 		list = list[part:]
@@ -268,27 +268,27 @@
 	return nil
 }
 
-func (r *Log) put(list []raft.Entry) error {
-	body := encode(r.hard, list)
-	if pad(head+len(body)) > r.shape.Bytes {
+func (r *Log) appendRecord(list []raft.Entry) error {
+	body := encodeBatch(r.hardState, list)
+	if align(headerBytes+len(body)) > r.layout.Bytes {
 		return errors.Errorf("ring: a batch of %d bytes is larger than a file", len(body))
 	}
-	if r.off+pad(head+len(body)) > r.shape.Bytes {
-		next := (r.at + 1) % r.shape.Files
-		if r.high[next] > r.view {
+	if r.offset+align(headerBytes+len(body)) > r.layout.Bytes {
+		next := (r.file + 1) % r.layout.Files
+		if r.lastIndexes[next] > r.snapshotIndex {
 			return errors.New("ring: full, and the view is not far enough along")
 		}
-		r.at, r.off, r.high[next] = next, 0, 0
+		r.file, r.offset, r.lastIndexes[next] = next, 0, 0
 	}
-	rec := make([]byte, pad(head+len(body)))
-	copy(rec, seal(r.seq, body))
-	if err := r.disk.Write(fileName(r.at), r.off, rec); err != nil {
+	rec := make([]byte, align(headerBytes+len(body)))
+	copy(rec, encodeRecord(r.nextSeq, body))
+	if err := r.disk.Write(logFileName(r.file), r.offset, rec); err != nil {
 		return errors.Wrap(err, "ring")
 	}
-	r.seq++
-	r.off += len(rec)
+	r.nextSeq++
+	r.offset += len(rec)
 	for _, e := range list {
-		r.high[r.at] = max(r.high[r.at], e.Index)
+		r.lastIndexes[r.file] = max(r.lastIndexes[r.file], e.Index)
 	}
 	return nil
 }
--- a/internal/consensus/wal/ring_test.go
+++ b/internal/consensus/wal/log_test.go
@@ -9,39 +9,39 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// memory is a disk that can be read and damaged at will.
-type memory map[string][]byte
+// memoryDisk is a disk that can be read and damaged at will.
+type memoryDisk map[string][]byte
 
-func (m memory) Read(name string) ([]byte, error) { return bytes.Clone(m[name]), nil }
-func (m memory) Create(name string, size int) error {
+func (m memoryDisk) Read(name string) ([]byte, error) { return bytes.Clone(m[name]), nil }
+func (m memoryDisk) Create(name string, size int) error {
 	m[name] = make([]byte, size)
 	return nil
 }
-func (m memory) Write(name string, off int, data []byte) error {
+func (m memoryDisk) Write(name string, off int, data []byte) error {
 	copy(m[name][off:], data)
 	return nil
 }
-func (m memory) Replace(name string, data []byte) error {
+func (m memoryDisk) Replace(name string, data []byte) error {
 	m[name] = bytes.Clone(data)
 	return nil
 }
 
-func (m memory) AppendReplacement(name string, off int, data []byte) error {
+func (m memoryDisk) AppendReplacement(name string, off int, data []byte) error {
 	m[name+".part"] = append(m[name+".part"][:off:off], data...)
 	return nil
 }
-func (m memory) CommitReplacement(name string) error {
+func (m memoryDisk) CommitReplacement(name string) error {
 	m[name] = m[name+".part"]
 	delete(m, name+".part")
 	return nil
 }
 
-var shape = Layout{Files: 4, Bytes: 4096}
+var testLayout = Layout{Files: 4, Bytes: 4096}
 
-func start(t *testing.T) (m memory, r *Log) {
+func newLog(t *testing.T) (m memoryDisk, r *Log) {
 	t.Helper()
-	m = memory{}
-	r, err := Create(m, shape, &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: []byte("founding")})
+	m = memoryDisk{}
+	r, err := Create(m, testLayout, &raft.Snapshot{Index: 1, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: []byte("founding")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,19 +59,19 @@
 	}
 }
 
-func reopen(t *testing.T, m memory) (r *Log, f *Recovered) {
+func reopen(t *testing.T, m memoryDisk) (r *Log, f *Recovered) {
 	t.Helper()
-	r, f, err := Open(m, shape)
+	r, f, err := Open(m, testLayout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return r, f
 }
 
-// TestRoundAndRound writes many laps, with views that let files go, and opens
+// TestRotation writes many laps, with views that let files go, and opens
 // the ring again after every batch.
-func TestRoundAndRound(t *testing.T) {
-	m, r := start(t)
+func TestRotation(t *testing.T) {
+	m, r := newLog(t)
 	hard := raft.HardState{Term: 3, Vote: 5}
 	save(t, r, raft.Write{HardState: &hard})
 	at := 1
@@ -101,18 +101,18 @@
 // TestTornTail cuts the last record at every length: what was synced before
 // stays, and nothing of the torn one is taken.
 func TestTornTail(t *testing.T) {
-	m, r := start(t)
+	m, r := newLog(t)
 	save(t, r, raft.Write{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2), entry(3, 2)}})
-	from := r.off
+	from := r.offset
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(4, 2)}})
-	for cut := from; cut < r.off; cut++ {
-		torn := memory{}
+	for cut := from; cut < r.offset; cut++ {
+		torn := memoryDisk{}
 		for k, v := range m {
 			torn[k] = bytes.Clone(v)
 		}
-		clear(torn[fileName(0)][cut:])
+		clear(torn[logFileName(0)][cut:])
 		again, f := reopen(t, torn)
-		whole := bytes.Equal(torn[fileName(0)], m[fileName(0)])
+		whole := bytes.Equal(torn[logFileName(0)], m[logFileName(0)])
 		if n := len(f.Entries); n != 2 && !whole {
 			t.Fatalf("cut at %d: %d entries", cut, n)
 		}
@@ -126,32 +126,32 @@
 	}
 }
 
-// TestDamage flips each byte of a record that others follow: the ring must
+// TestDamageRefused flips each byte of a record that others follow: the ring must
 // refuse to open, never go on without it.
-func TestDamage(t *testing.T) {
-	m, r := start(t)
+func TestDamageRefused(t *testing.T) {
+	m, r := newLog(t)
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(2, 1)}})
-	from := r.off
+	from := r.offset
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(3, 1)}})
-	to := r.off
+	to := r.offset
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(4, 1)}})
-	size := head + len(encode(raft.HardState{}, []raft.Entry{entry(3, 1)}))
+	size := headerBytes + len(encodeBatch(raft.HardState{}, []raft.Entry{entry(3, 1)}))
 	for i := from; i < to && i < from+size; i++ {
-		m[fileName(0)][i] ^= 0x41
-		if _, f, err := Open(m, shape); err == nil {
+		m[logFileName(0)][i] ^= 0x41
+		if _, f, err := Open(m, testLayout); err == nil {
 			t.Fatalf("byte %d damaged, and it opens with %d entries", i, len(f.Entries))
 		}
-		m[fileName(0)][i] ^= 0x41
+		m[logFileName(0)][i] ^= 0x41
 	}
-	m[viewName][30] ^= 1
-	if _, _, err := Open(m, shape); err == nil {
+	m[snapshotFileName][30] ^= 1
+	if _, _, err := Open(m, testLayout); err == nil {
 		t.Fatal("a damaged view opens")
 	}
 }
 
-// TestRewrite: a later leader's entries replace a tail.
-func TestRewrite(t *testing.T) {
-	m, r := start(t)
+// TestRewriteReplacesTail: a later leader's entries replace a tail.
+func TestRewriteReplacesTail(t *testing.T) {
+	m, r := newLog(t)
 	save(t, r, raft.Write{Entries: []raft.Entry{entry(2, 1), entry(3, 1), entry(4, 1)}})
 	save(t, r, raft.Write{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(3, 2)}})
 	if _, f := reopen(t, m); len(f.Entries) != 2 || f.Entries[1].Term != 2 {
@@ -159,8 +159,8 @@
 	}
 }
 
-func TestFullRefuses(t *testing.T) {
-	_, r := start(t)
+func TestFullLogRefusesWrites(t *testing.T) {
+	_, r := newLog(t)
 	for i := 2; ; i++ {
 		if err := r.Save(&raft.Write{Entries: []raft.Entry{entry(i, 1)}}); err != nil {
 			if r.PercentUsed() < 100 {
@@ -175,27 +175,27 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	f.Add(seal(7, encode(raft.HardState{Term: 1}, []raft.Entry{entry(2, 1)})))
+	f.Add(encodeRecord(7, encodeBatch(raft.HardState{Term: 1}, []raft.Entry{entry(2, 1)})))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		if seq, body, ok := open(data); ok {
-			if h, list, err := decode(body); err == nil && !bytes.Equal(encode(h, list), body) {
+		if seq, body, ok := decodeRecord(data); ok {
+			if h, list, err := decodeBatch(body); err == nil && !bytes.Equal(encodeBatch(h, list), body) {
 				t.Errorf("record %d does not come back as it was", seq)
 			}
 		}
-		_, _, _ = decode(data)
-		_, _ = readView(data)
+		_, _, _ = decodeBatch(data)
+		_, _ = decodeSnapshot(data)
 	})
 }
 
-// TestDraft: a view goes down in slices with entries saved between them. Until
+// TestSnapshotWriter: a view goes down in slices with entries saved between them. Until
 // the last one the old view counts, also after a crash; a draft that a view
 // from the leader has overtaken changes nothing.
-func TestDraft(t *testing.T) {
-	m, r := start(t)
+func TestSnapshotWriter(t *testing.T) {
+	m, r := newLog(t)
 	for i := 2; i <= 20; i++ {
 		save(t, r, raft.Write{Entries: []raft.Entry{entry(i, 1)}})
 	}
-	d := NewSnapshotWriter(&raft.Snapshot{Index: 15, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 3*sliceBytes)})
+	d := NewSnapshotWriter(&raft.Snapshot{Index: 15, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 3*chunkBytes)})
 	slices := 0
 	for over := false; !over; slices++ {
 		var err error
@@ -215,7 +215,7 @@
 	if slices != 4 {
 		t.Errorf("%d slices", slices)
 	}
-	old := NewSnapshotWriter(&raft.Snapshot{Index: 18, Term: 1, Data: bytes.Repeat([]byte("o"), 2*sliceBytes)})
+	old := NewSnapshotWriter(&raft.Snapshot{Index: 18, Term: 1, Data: bytes.Repeat([]byte("o"), 2*chunkBytes)})
 	if over, err := r.WriteChunk(old); over || err != nil {
 		t.Fatal(over, err)
 	}
@@ -228,14 +228,14 @@
 	}
 }
 
-// TestChores: one thing at a time, what gathers goes as one, and slices of a
+// TestWriteQueueOrder: one thing at a time, what gathers goes as one, and slices of a
 // view take turns with writes; a newer view waits for the one half down, so
 // that many views never keep each other from the disk.
-func TestChores(t *testing.T) {
-	m, r := start(t)
+func TestWriteQueueOrder(t *testing.T) {
+	m, r := newLog(t)
 	var c WriteQueue
 	view := func(i identifier.Index) *raft.Snapshot {
-		return &raft.Snapshot{Index: i, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 2*sliceBytes)}
+		return &raft.Snapshot{Index: i, Term: 1, Members: []raft.Member{{ID: 5, Voter: true}}, Data: bytes.Repeat([]byte("v"), 2*chunkBytes)}
 	}
 	write := func(i int) []*raft.Write {
 		return []*raft.Write{{Seq: uint64(i), Entries: []raft.Entry{entry(i, 1)}}}
@@ -249,12 +249,12 @@
 			t.Fatal("not one thing at a time")
 		}
 		c.Add(nil, write(i), view(identifier.Index(i-1)))
-		if _, err := x.Do(m, shape, r); err != nil {
+		if _, err := x.Do(m, testLayout, r); err != nil {
 			t.Fatal(err)
 		}
 		c.Done(x)
 		if x.Snapshot != nil {
-			order += fmt.Sprint("v", x.Snapshot.view.Index, " ")
+			order += fmt.Sprint("v", x.Snapshot.snapshot.Index, " ")
 		} else {
 			order += fmt.Sprint("w", x.Write.Seq, " ")
 		}
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -14,47 +14,47 @@
 )
 
 const (
-	magic = 0x4f524b31
-	head  = 24
+	recordMagic = 0x4f524b31
+	headerBytes = 24
 )
 
-var table = crc32.MakeTable(crc32.Castagnoli)
+var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// seal frames a record: magic, length, number, checksum, body.
-func seal(seq uint64, body []byte) []byte {
-	out := make([]byte, head+len(body))
-	binary.LittleEndian.PutUint32(out[0:], magic)
+// encodeRecord frames a record: magic, length, number, checksum, body.
+func encodeRecord(seq uint64, body []byte) []byte {
+	out := make([]byte, headerBytes+len(body))
+	binary.LittleEndian.PutUint32(out[0:], recordMagic)
 	binary.LittleEndian.PutUint32(out[4:], uint32(len(body)))
 	binary.LittleEndian.PutUint64(out[8:], seq)
-	copy(out[head:], body)
-	binary.LittleEndian.PutUint32(out[16:], sum(out))
+	copy(out[headerBytes:], body)
+	binary.LittleEndian.PutUint32(out[16:], recordChecksum(out))
 	return out
 }
 
-// sum covers the head, but for its own place, and the body.
-func sum(rec []byte) uint32 {
-	c := crc32.Update(0, table, rec[:16])
-	return crc32.Update(c, table, rec[20:])
+// recordChecksum covers the head, but for its own place, and the body.
+func recordChecksum(rec []byte) uint32 {
+	c := crc32.Update(0, castagnoli, rec[:16])
+	return crc32.Update(c, castagnoli, rec[20:])
 }
 
 // open reads the record at the start of buf.
-func open(buf []byte) (seq uint64, body []byte, ok bool) {
-	if len(buf) < head || binary.LittleEndian.Uint32(buf) != magic {
+func decodeRecord(buf []byte) (seq uint64, body []byte, ok bool) {
+	if len(buf) < headerBytes || binary.LittleEndian.Uint32(buf) != recordMagic {
 		return 0, nil, false
 	}
 	size := int(binary.LittleEndian.Uint32(buf[4:]))
-	if size > len(buf)-head {
+	if size > len(buf)-headerBytes {
 		return 0, nil, false
 	}
-	rec := buf[:head+size]
-	if binary.LittleEndian.Uint32(rec[16:]) != sum(rec) {
+	rec := buf[:headerBytes+size]
+	if binary.LittleEndian.Uint32(rec[16:]) != recordChecksum(rec) {
 		return 0, nil, false
 	}
-	return binary.LittleEndian.Uint64(rec[8:]), rec[head:], true
+	return binary.LittleEndian.Uint64(rec[8:]), rec[headerBytes:], true
 }
 
 // A batch's body: the hard state, always, then entries.
-func encode(h raft.HardState, list []raft.Entry) []byte {
+func encodeBatch(h raft.HardState, list []raft.Entry) []byte {
 	var out []byte
 	out = binary.LittleEndian.AppendUint64(out, uint64(h.Term))
 	out = binary.LittleEndian.AppendUint64(out, uint64(h.Vote))
@@ -69,11 +69,11 @@
 	return out
 }
 
-var errBody = errors.New("record body does not parse")
+var errMalformedBatch = errors.New("record body does not parse")
 
-func decode(buf []byte) (h raft.HardState, list []raft.Entry, err error) {
+func decodeBatch(buf []byte) (h raft.HardState, list []raft.Entry, err error) {
 	if len(buf) < 20 {
-		return h, nil, errBody
+		return h, nil, errMalformedBatch
 	}
 	h.Term = identifier.Term(binary.LittleEndian.Uint64(buf))
 	h.Vote = identifier.Node(binary.LittleEndian.Uint64(buf[8:]))
@@ -81,20 +81,20 @@
 	buf = buf[20:]
 	for ; n > 0; n-- {
 		if len(buf) < 21 {
-			return h, nil, errBody
+			return h, nil, errMalformedBatch
 		}
 		e := raft.Entry{Index: identifier.Index(binary.LittleEndian.Uint64(buf)), Term: identifier.Term(binary.LittleEndian.Uint64(buf[8:])), Kind: raft.EntryKind(buf[16])}
 		size := int(binary.LittleEndian.Uint32(buf[17:]))
 		buf = buf[21:]
 		if size > len(buf) {
-			return h, nil, errBody
+			return h, nil, errMalformedBatch
 		}
 		e.Data = append([]byte(nil), buf[:size]...)
 		buf = buf[size:]
 		list = append(list, e)
 	}
 	if len(buf) > 0 {
-		return h, nil, errBody
+		return h, nil, errMalformedBatch
 	}
 	return h, list, nil
 }
--- a/internal/consensus/wal/view.go
+++ b/internal/consensus/wal/snapshot_file.go
@@ -12,16 +12,16 @@
 	"github.com/go-faster/errors"
 )
 
-func (r *Log) saveView(v *raft.Snapshot) error {
-	if err := r.disk.Replace(viewName, pack(v)); err != nil {
+func (r *Log) saveSnapshot(v *raft.Snapshot) error {
+	if err := r.disk.Replace(snapshotFileName, encodeSnapshot(v)); err != nil {
 		return errors.Wrap(err, "view")
 	}
-	r.view = v.Index
+	r.snapshotIndex = v.Index
 	return nil
 }
 
-// pack puts a view into the form its file has.
-func pack(v *raft.Snapshot) []byte {
+// encodeSnapshot puts a view into the form its file has.
+func encodeSnapshot(v *raft.Snapshot) []byte {
 	list, err := json.Marshal(v.Members)
 	if err != nil {
 		panic(err)
@@ -29,11 +29,11 @@
 	body := binary.LittleEndian.AppendUint64(nil, uint64(v.Index))
 	body = binary.LittleEndian.AppendUint64(body, uint64(v.Term))
 	body = binary.LittleEndian.AppendUint32(body, uint32(len(list)))
-	return seal(uint64(v.Index), append(append(body, list...), v.Data...))
+	return encodeRecord(uint64(v.Index), append(append(body, list...), v.Data...))
 }
 
-func readView(data []byte) (*raft.Snapshot, error) {
-	_, body, ok := open(data)
+func decodeSnapshot(data []byte) (*raft.Snapshot, error) {
+	_, body, ok := decodeRecord(data)
 	if !ok || len(body) < 20 {
 		return nil, errors.New("view file is damaged")
 	}
--- a/internal/consensus/wal/draft.go
+++ b/internal/consensus/wal/snapshot_writer.go
@@ -10,39 +10,39 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// sliceBytes is how much of a draft goes down between entries.
-const sliceBytes = 512 << 10
+// chunkBytes is how much of a draft goes down between entries.
+const chunkBytes = 512 << 10
 
 // SnapshotWriter is a snapshot that is written in the background, a chunk at a time.
 type SnapshotWriter struct {
-	view *raft.Snapshot
-	body []byte
-	off  int
+	snapshot *raft.Snapshot
+	encoded  []byte
+	written  int
 }
 
 // NewSnapshotWriter begins with nothing written. The snapshot must not be changed while
 // the draft is in use.
-func NewSnapshotWriter(v *raft.Snapshot) *SnapshotWriter { return &SnapshotWriter{view: v} }
+func NewSnapshotWriter(v *raft.Snapshot) *SnapshotWriter { return &SnapshotWriter{snapshot: v} }
 
 // WriteChunk writes the next part of a draft and tells whether that was all of it.
 // A draft that a later view has overtaken is dropped.
 func (r *Log) WriteChunk(d *SnapshotWriter) (over bool, err error) {
-	if d.view.Index <= r.view {
+	if d.snapshot.Index <= r.snapshotIndex {
 		return true, nil
 	}
-	if d.body == nil {
-		d.body = pack(d.view)
+	if d.encoded == nil {
+		d.encoded = encodeSnapshot(d.snapshot)
 	}
-	end := min(d.off+sliceBytes, len(d.body))
-	if err = r.disk.AppendReplacement(viewName, d.off, d.body[d.off:end]); err != nil {
+	end := min(d.written+chunkBytes, len(d.encoded))
+	if err = r.disk.AppendReplacement(snapshotFileName, d.written, d.encoded[d.written:end]); err != nil {
 		return false, errors.Wrap(err, "view")
 	}
-	if d.off = end; end < len(d.body) {
+	if d.written = end; end < len(d.encoded) {
 		return false, nil
 	}
-	if err = r.disk.CommitReplacement(viewName); err != nil {
+	if err = r.disk.CommitReplacement(snapshotFileName); err != nil {
 		return false, errors.Wrap(err, "view")
 	}
-	r.view = d.view.Index
+	r.snapshotIndex = d.snapshot.Index
 	return true, nil
 }
--- a/internal/consensus/wal/chores.go
+++ b/internal/consensus/wal/write_queue.go
@@ -9,75 +9,75 @@
 
 // Operation is one thing for the disk: exactly one of the pointers is set.
 type Operation struct {
-	Create   *raft.Snapshot
-	Write    *raft.Write
-	Snapshot *SnapshotWriter
-	over     bool
-	// full is how full the ring was afterwards, in percent.
-	full int
+	Create       *raft.Snapshot
+	Write        *raft.Write
+	Snapshot     *SnapshotWriter
+	snapshotDone bool
+	// percentUsed is how full the ring was afterwards, in percent.
+	percentUsed int
 }
 
-// draftFirst is how full the ring may be, in percent, before a view that is
+// snapshotFirstPercent is how full the ring may be, in percent, before a view that is
 // half down goes before all writes: only it frees the ring.
-const draftFirst = 50
+const snapshotFirstPercent = 50
 
 // WriteQueue schedules the work of one disk: creating the log, writing batches, and
 // writing a snapshot in chunks between them. At most one operation is under way.
 // Its zero value has nothing to do.
 type WriteQueue struct {
-	start *raft.Snapshot
-	todo  raft.Backlog
-	draft *SnapshotWriter
-	next  *raft.Snapshot
-	wrote bool
-	busy  bool
-	full  int
+	create       *raft.Snapshot
+	backlog      raft.Backlog
+	writing      *SnapshotWriter
+	nextSnapshot *raft.Snapshot
+	lastWasWrite bool
+	busy         bool
+	percentUsed  int
 }
 
 // Add takes what one step of a keeper asks for.
 func (c *WriteQueue) Add(start *raft.Snapshot, writes []*raft.Write, draft *raft.Snapshot) {
 	if start != nil {
-		c.start = start
+		c.create = start
 	}
 	for _, w := range writes {
-		c.todo.Add(w)
+		c.backlog.Add(w)
 	}
 	if draft != nil {
-		c.next = draft
+		c.nextSnapshot = draft
 	}
 }
 
 // Bytes is the size of the batches that wait to be written, snapshots in the
 // background not included.
-func (c *WriteQueue) Bytes() int { return c.todo.Bytes() }
+func (c *WriteQueue) Bytes() int { return c.backlog.Bytes() }
 
 // Next is what to do now, or nil while something is under way or nothing waits.
 func (c *WriteQueue) Next() *Operation {
 	var x *Operation
-	if c.draft == nil && c.next != nil {
-		c.draft, c.next = NewSnapshotWriter(c.next), nil
+	if c.writing == nil && c.nextSnapshot != nil {
+		c.writing, c.nextSnapshot = NewSnapshotWriter(c.nextSnapshot), nil
 	}
 	switch {
 	case c.busy:
 		return nil
-	case c.start != nil:
-		x, c.start = &Operation{Create: c.start}, nil
-	case c.draft != nil && (c.wrote || c.todo.Len() == 0 || c.full >= draftFirst):
-		x = &Operation{Snapshot: c.draft}
-	case c.todo.Len() > 0:
-		x = &Operation{Write: c.todo.Next()}
+	case c.create != nil:
+		x, c.create = &Operation{Create: c.create}, nil
+	case c.writing != nil && (c.lastWasWrite || c.backlog.Len() == 0 || c.percentUsed >= snapshotFirstPercent):
+		x = &Operation{Snapshot: c.writing}
+	case c.backlog.Len() > 0:
+		x = &Operation{Write: c.backlog.Next()}
 	default:
 		return nil
 	}
-	c.busy, c.wrote = true, x.Snapshot == nil
+	c.busy, c.lastWasWrite = true, x.Snapshot == nil
 	return x
 }
 
 // Done hears that the chore under way is over with.
 func (c *WriteQueue) Done(x *Operation) {
-	c.busy, c.full = false, x.full
-	if x.over {
-		c.draft = nil
+	c.busy, c.percentUsed = false, x.percentUsed
+	if x.snapshotDone {
+		c.writing = nil
 	}
 }
 
@@ -85,13 +85,13 @@
 func (x *Operation) Do(d Disk, shape Layout, r *Log) (*Log, error) {
 	var out *Log
 	var err error
-	if out, err = x.carryOut(d, shape, r); out != nil {
-		x.full = out.PercentUsed()
+	if out, err = x.run(d, shape, r); out != nil {
+		x.percentUsed = out.PercentUsed()
 	}
 	return out, err
 }
 
-func (x *Operation) carryOut(d Disk, shape Layout, r *Log) (*Log, error) {
+func (x *Operation) run(d Disk, shape Layout, r *Log) (*Log, error) {
 	var err error
 	switch {
 	case x.Create != nil:
@@ -99,6 +99,6 @@
 	case x.Write != nil:
 		return r, r.Save(x.Write)
 	}
-	x.over, err = r.WriteChunk(x.Snapshot)
+	x.snapshotDone, err = r.WriteChunk(x.Snapshot)
 	return r, err
 }
--- a/internal/consensus/wal/fill_test.go
+++ b/internal/consensus/wal/write_queue_test.go
@@ -9,18 +9,18 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// TestRingNeverFillsUnderADraft: large changes come as fast as the disk takes
+// TestLogNeverFillsDuringSnapshot: large changes come as fast as the disk takes
 // them, while snapshots of a large state go down in parts between them. The
 // ring must not fill up before the snapshot that frees it is down: a keeper
 // whose ring is full stops.
-func TestRingNeverFillsUnderADraft(t *testing.T) {
+func TestLogNeverFillsDuringSnapshot(t *testing.T) {
 	const (
 		changeBytes   = 300 << 10
 		snapshotEvery = 8 << 20
 	)
 	for _, stateMB := range []int{4, 12} {
 		t.Run(fmt.Sprintf("%d MB", stateMB), func(t *testing.T) {
-			m, shape := memory{}, Layout{Files: 6, Bytes: 4 << 20}
+			m, shape := memoryDisk{}, Layout{Files: 6, Bytes: 4 << 20}
 			r, err := Create(m, shape, &raft.Snapshot{Index: 1, Term: 1})
 			if err != nil {
 				t.Fatal(err)
@@ -42,7 +42,7 @@
 				if _, err := x.Do(m, shape, r); err != nil {
 					t.Fatalf("entry %d, %d%% full: %v", last, r.PercentUsed(), err)
 				}
-				if x.over {
+				if x.snapshotDone {
 					drafts++
 				}
 				c.Done(x)
