--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -20,24 +20,24 @@
 )
 
 const (
-	usualBudget   clock.Millis = 2000
-	retryGap      clock.Millis = 100
-	noLeaderRetry clock.Millis = 500
-	mostRequests               = 4096
-	mostBytes                  = 64 << 20
-	mostExpired                = 4
+	defaultBudget      clock.Millis = 2000
+	retryInterval      clock.Millis = 100
+	noLeaderRetryAfter clock.Millis = 500
+	maxRequests                     = 4096
+	maxBodyBytes                    = 64 << 20
+	maxExpired                      = 4
 )
 
 // request is one that waits. While dispatched is set the machine has it; else
 // it is due at retryAt.
 type request struct {
 	gateway.Request
-	done       func(a gateway.Response)
-	until      clock.Monotonic
+	respond    func(a gateway.Response)
+	deadline   clock.Monotonic
 	dispatched bool
 	retryAt    clock.Monotonic
-	// unknown says that an earlier dispatch may have been carried out.
-	unknown bool
+	// outcomeUnknown says that an earlier dispatch may have been carried out.
+	outcomeUnknown bool
 	// expired counts the dispatches that were refused as too old.
 	expired int
 }
@@ -51,30 +51,30 @@
 // Requests are those that wait at one server. They are bounded by number and by
 // the bytes of their bodies.
 type Requests struct {
-	open   map[uint64]*request
-	bytes  int
-	out    []Dispatch
-	paused stalldetector.Detector
+	pending    map[uint64]*request
+	bodyBytes  int
+	dispatches []Dispatch
+	stalls     stalldetector.Detector
 }
 
 // New makes an empty set of requests.
-func New() *Requests { return &Requests{open: map[uint64]*request{}} }
+func New() *Requests { return &Requests{pending: map[uint64]*request{}} }
 
 // LocalPeer is the name under which the machine knows a request made here.
 func LocalPeer(id uint64) wire.Peer { return wire.Peer("@" + strconv.FormatUint(id, 10)) }
 
 // Len is how many requests wait.
-func (r *Requests) Len() int { return len(r.open) }
+func (r *Requests) Len() int { return len(r.pending) }
 
 // TakeDispatches hands over what is to be given to the machine.
 func (r *Requests) TakeDispatches() []Dispatch {
 	var list []Dispatch
-	list, r.out = r.out, nil
+	list, r.dispatches = r.dispatches, nil
 	return list
 }
 
 // Observe notes that the process runs; it is called at every input of it, first.
-func (r *Requests) Observe(now clock.Monotonic) { r.paused.Observe(now) }
+func (r *Requests) Observe(now clock.Monotonic) { r.stalls.Observe(now) }
 
 // Admit takes a request in. Done is called once with its answer, at once when
 // it can't be dispatched: connected tells whether the server knows a leader, or
@@ -86,51 +86,51 @@
 		done(a)
 	}
 	switch {
-	case len(r.open) >= mostRequests || r.bytes+len(q.Body) > mostBytes:
+	case len(r.pending) >= maxRequests || r.bodyBytes+len(q.Body) > maxBodyBytes:
 		refuse(Overloaded())
 		return
-	case q.Method != "GET" && r.paused.Draining(now):
-		refuse(Refusal(503, "woken", "this server stood still and can't tell how old the request is", retryGap))
+	case q.Method != "GET" && r.stalls.Draining(now):
+		refuse(Refusal(503, "woken", "this server stood still and can't tell how old the request is", retryInterval))
 		return
 	case !connected:
 		refuse(noLeader())
 		return
 	}
 	if q.Budget <= 0 {
-		q.Budget = usualBudget
+		q.Budget = defaultBudget
 	}
-	one := &request{Request: q, done: done, until: now.Add(q.Budget)}
-	r.open[q.ID] = one
-	r.bytes += len(q.Body)
+	one := &request{Request: q, respond: done, deadline: now.Add(q.Budget)}
+	r.pending[q.ID] = one
+	r.bodyBytes += len(q.Body)
 	r.dispatch(one, now)
 }
 
 func (r *Requests) dispatch(one *request, now clock.Monotonic) {
 	one.dispatched = true
-	ask := &wire.Request{ID: one.ID, Method: one.Method, Path: one.Path, Query: one.Query, Body: one.Body, Budget: one.until.Since(now)}
-	r.out = append(r.out, Dispatch{LocalPeer(one.ID), ask})
+	ask := &wire.Request{ID: one.ID, Method: one.Method, Path: one.Path, Query: one.Query, Body: one.Body, Budget: one.deadline.Since(now)}
+	r.dispatches = append(r.dispatches, Dispatch{LocalPeer(one.ID), ask})
 }
 
 // Complete takes the machine's reply to a dispatch.
 func (r *Requests) Complete(to wire.Peer, reply *wire.Response, now clock.Monotonic) {
-	one := r.open[reply.ID]
+	one := r.pending[reply.ID]
 	if one == nil || to != LocalPeer(reply.ID) || !one.dispatched {
 		return
 	}
-	left := now < one.until
+	left := now < one.deadline
 	switch {
 	case reply.NotLeader:
-		one.dispatched, one.retryAt = false, now.Add(retryGap)
-	case reply.Expired && left && one.expired < mostExpired:
+		one.dispatched, one.retryAt = false, now.Add(retryInterval)
+	case reply.Expired && left && one.expired < maxExpired:
 		one.expired++
 		r.dispatch(one, now)
 	case reply.Status == 504 && left && one.Repeatable():
-		one.unknown = true
+		one.outcomeUnknown = true
 		one.dispatched, one.retryAt = false, now
-	case one.unknown && one.Method != "GET" && (reply.Status == 503 || reply.Status == 429):
-		r.settle(one, outcomeUnknown())
+	case one.outcomeUnknown && one.Method != "GET" && (reply.Status == 503 || reply.Status == 429):
+		r.complete(one, outcomeUnknown())
 	default:
-		r.settle(one, gateway.Response{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter})
+		r.complete(one, gateway.Response{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter})
 	}
 }
 
@@ -138,48 +138,48 @@
 // again what is due.
 func (r *Requests) Tick(now clock.Monotonic, connected bool) {
 	r.Observe(now)
-	for _, id := range r.order() {
-		one := r.open[id]
+	for _, id := range r.sortedIDs() {
+		one := r.pending[id]
 		switch {
-		case now >= one.until && one.dispatched:
-			r.settle(one, outcomeUnknown())
-		case now >= one.until, !one.dispatched && !connected:
-			r.giveUp(one)
+		case now >= one.deadline && one.dispatched:
+			r.complete(one, outcomeUnknown())
+		case now >= one.deadline, !one.dispatched && !connected:
+			r.completeWithoutLeader(one)
 		case !one.dispatched && now >= one.retryAt:
 			r.dispatch(one, now)
 		}
 	}
 }
 
-// giveUp answers a request that no leader has at this moment.
-func (r *Requests) giveUp(one *request) {
-	if one.unknown && one.Method != "GET" {
-		r.settle(one, outcomeUnknown())
+// completeWithoutLeader answers a request that no leader has at this moment.
+func (r *Requests) completeWithoutLeader(one *request) {
+	if one.outcomeUnknown && one.Method != "GET" {
+		r.complete(one, outcomeUnknown())
 		return
 	}
-	r.settle(one, noLeader())
+	r.complete(one, noLeader())
 }
 
-func (r *Requests) order() []uint64 {
+func (r *Requests) sortedIDs() []uint64 {
 	var list []uint64
-	for id := range r.open {
+	for id := range r.pending {
 		list = append(list, id)
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i] < list[j] })
 	return list
 }
 
-func (r *Requests) settle(one *request, a gateway.Response) {
+func (r *Requests) complete(one *request, a gateway.Response) {
 	a.ID = one.ID
 	r.Forget(a.ID)
-	one.done(a)
+	one.respond(a)
 }
 
 // Forget drops a request whose caller has gone.
 func (r *Requests) Forget(id uint64) {
-	if one := r.open[id]; one != nil {
-		delete(r.open, id)
-		r.bytes -= len(one.Body)
+	if one := r.pending[id]; one != nil {
+		delete(r.pending, id)
+		r.bodyBytes -= len(one.Body)
 	}
 }
 
@@ -192,7 +192,7 @@
 func Overloaded() gateway.Response { return Refusal(503, "busy", "this server is full", 1000) }
 
 func noLeader() gateway.Response {
-	return Refusal(503, "no-leader", "no leader is known here", noLeaderRetry)
+	return Refusal(503, "no-leader", "no leader is known here", noLeaderRetryAfter)
 }
 
 func outcomeUnknown() gateway.Response {
--- a/internal/inflight/requests_test.go
+++ b/internal/inflight/requests_test.go
@@ -39,8 +39,8 @@
 	default:
 		t.Errorf("no answer, want %d", status)
 	}
-	if len(h.open) > 0 || h.bytes != 0 {
-		t.Errorf("%d requests of %d bytes are still waiting", len(h.open), h.bytes)
+	if len(h.pending) > 0 || h.bodyBytes != 0 {
+		t.Errorf("%d requests of %d bytes are still waiting", len(h.pending), h.bodyBytes)
 	}
 }
 
@@ -111,8 +111,8 @@
 	h.Forget(7)
 	h.Complete("@7", &wire.Response{ID: 7, Status: 201}, 1010)
 	none(t, back)
-	if len(h.open) > 0 || h.bytes != 0 {
-		t.Errorf("%d requests of %d bytes are still waiting", len(h.open), h.bytes)
+	if len(h.pending) > 0 || h.bodyBytes != 0 {
+		t.Errorf("%d requests of %d bytes are still waiting", len(h.pending), h.bodyBytes)
 	}
 }
 
@@ -123,7 +123,7 @@
 		var refused int
 		for i := 0; i < n; i++ {
 			back := make(chan gateway.Response, 1)
-			h.Admit(gateway.Request{ID: uint64(len(h.open) + 1), Body: body}, into(back), 0, true)
+			h.Admit(gateway.Request{ID: uint64(len(h.pending) + 1), Body: body}, into(back), 0, true)
 			if len(back) > 0 {
 				if a := <-back; a.Status == 503 && a.RetryAfter > 0 {
 					refused++
@@ -136,7 +136,7 @@
 		t.Errorf("%d of 80 MiB refused, want 16", n)
 	}
 	h = New()
-	if n := full(mostRequests+3, nil); n != 3 {
+	if n := full(maxRequests+3, nil); n != 3 {
 		t.Errorf("%d requests refused, want 3", n)
 	}
 }
@@ -171,7 +171,7 @@
 // again at once, a few times at most and only within its budget.
 func TestExpired(t *testing.T) {
 	h, back := admitted(t, 3000)
-	for i := 0; i < mostExpired; i++ {
+	for i := 0; i < maxExpired; i++ {
 		h.Complete("@7", &wire.Response{ID: 7, Status: 503, Expired: true}, 1010)
 		if list := h.TakeDispatches(); len(list) != 1 || list[0].Request.Budget != 2990 {
 			t.Fatalf("try %d: dispatched %+v", i, list)
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// droppedMost bounds the dropped items that are remembered.
-	droppedMost = 4096
-	// insertMost is how many new names are put in one by one; more are sorted in.
-	insertMost = 16
+	// maxDroppedItems bounds the dropped items that are remembered.
+	maxDroppedItems = 4096
+	// maxInsertions is how many new names are put in one by one; more are sorted in.
+	maxInsertions = 16
 )
 
 // item is a place and the epoch of its last change; a dropped one is gone.
 type item struct {
-	place   catalog.Route
-	changed identifier.Epoch
-	dropped bool
+	route     catalog.Route
+	changedAt identifier.Epoch
+	dropped   bool
 }
 
 // Table is a routing table as the state has it.
@@ -46,7 +46,7 @@
 // NewHistory begins with a table and knows of no change before it.
 func NewHistory(t Table) *History {
 	h := &History{horizon: t.Epoch, rowsChanged: t.Epoch, items: map[string]item{}}
-	h.take(t)
+	h.update(t)
 	return h
 }
 
@@ -60,16 +60,16 @@
 }
 
 // RoutesChanged takes a table of which only the places changed.
-func (h *History) RoutesChanged(t Table) { h.take(t) }
+func (h *History) RoutesChanged(t Table) { h.update(t) }
 
-func (h *History) take(t Table) {
+func (h *History) update(t Table) {
 	h.table = t
 	present := make(map[string]bool, len(t.Routes))
 	added := []string{}
 	for _, p := range t.Routes {
 		present[p.Queue] = true
 		was, known := h.items[p.Queue]
-		if known && !was.dropped && was.place == p {
+		if known && !was.dropped && was.route == p {
 			continue
 		}
 		if was.dropped {
@@ -78,56 +78,56 @@
 		if !known {
 			added = append(added, p.Queue)
 		}
-		h.items[p.Queue] = item{place: p, changed: t.Epoch}
+		h.items[p.Queue] = item{route: p, changedAt: t.Epoch}
 	}
 	for _, name := range h.names {
 		if one := h.items[name]; !one.dropped && !present[name] {
-			h.items[name] = item{changed: t.Epoch, dropped: true}
+			h.items[name] = item{changedAt: t.Epoch, dropped: true}
 			h.dropped++
 		}
 	}
 	switch {
-	case h.dropped > droppedMost:
-		h.forget()
-		h.sort()
-	case len(added) > insertMost:
-		h.sort()
+	case h.dropped > maxDroppedItems:
+		h.compact()
+		h.sortNames()
+	case len(added) > maxInsertions:
+		h.sortNames()
 	default:
-		h.insert(added)
+		h.insertNames(added)
 	}
 }
 
-// insert puts a few new names where they belong in the order.
-func (h *History) insert(added []string) {
+// insertNames puts a few new names where they belong in the order.
+func (h *History) insertNames(added []string) {
 	for _, name := range added {
 		at, _ := slices.BinarySearch(h.names, name)
 		h.names = slices.Insert(h.names, at, name)
 	}
 }
 
-// forget drops the oldest half of the dropped items when they are too many, and
+// compact drops the oldest half of the dropped items when they are too many, and
 // moves the horizon past them.
-func (h *History) forget() {
-	if h.dropped <= droppedMost {
+func (h *History) compact() {
+	if h.dropped <= maxDroppedItems {
 		return
 	}
 	epochs := []identifier.Epoch{}
 	for _, one := range h.items {
 		if one.dropped {
-			epochs = append(epochs, one.changed)
+			epochs = append(epochs, one.changedAt)
 		}
 	}
 	slices.Sort(epochs)
 	h.horizon = max(h.horizon, epochs[len(epochs)/2])
 	for name, one := range h.items {
-		if one.dropped && one.changed <= h.horizon {
+		if one.dropped && one.changedAt <= h.horizon {
 			delete(h.items, name)
 			h.dropped--
 		}
 	}
 }
 
-func (h *History) sort() {
+func (h *History) sortNames() {
 	h.names = h.names[:0]
 	for name := range h.items {
 		h.names = append(h.names, name)
@@ -152,24 +152,24 @@
 	bytes := 0
 	for _, name := range h.names[from:] {
 		one := h.items[name]
-		if one.changed <= since || since == 0 && one.dropped {
+		if one.changedAt <= since || since == 0 && one.dropped {
 			continue
 		}
 		if bytes > pageBytes {
 			return p
 		}
-		p.add(name, one)
+		p.addItem(name, one)
 		p.NextAfter = name
-		bytes += size(name, one.place)
+		bytes += routeBytes(name, one.route)
 	}
 	p.NextAfter = ""
 	return p
 }
 
-func (p *Page) add(name string, one item) {
+func (p *Page) addItem(name string, one item) {
 	if one.dropped {
 		p.Dropped = append(p.Dropped, name)
 		return
 	}
-	p.Routes = append(p.Routes, one.place)
+	p.Routes = append(p.Routes, one.route)
 }
--- a/internal/routing/page.go
+++ b/internal/routing/page.go
@@ -31,8 +31,8 @@
 	NextAfter string `json:"next,omitempty"`
 }
 
-// size is about what a place takes in a page.
-func size(name string, p catalog.Route) int {
+// routeBytes is about what a place takes in a page.
+func routeBytes(name string, p catalog.Route) int {
 	const frame = 40
 	return frame + len(name) + len(p.Host) + len(p.Prefix)
 }
--- a/internal/routing/replica.go
+++ b/internal/routing/replica.go
@@ -14,20 +14,20 @@
 	epoch   identifier.Epoch
 	version uint64
 	rows    map[identifier.Row]map[string]string
-	places  map[string]catalog.Route
+	routes  map[string]catalog.Route
 	update  *update
-	// whole says that the leader's history does not reach back to the epoch.
-	whole bool
+	// needsFullTable says that the leader's history does not reach back to the epoch.
+	needsFullTable bool
 }
 
 // update gathers the pages of one update. Pages after the first may be cut from
 // a newer table: the update then counts as being of the first page's epoch, and
 // what it has of newer ones will only come again.
 type update struct {
-	first Page
-	put   map[string]catalog.Route
-	drop  map[string]bool
-	after string
+	first     Page
+	routes    map[string]catalog.Route
+	dropped   map[string]bool
+	nextAfter string
 }
 
 // Epoch is that of the table in use, 0 while there is none.
@@ -42,13 +42,13 @@
 // Routes lists the places in use, in the order of names.
 func (r *Replica) Routes() []catalog.Route {
 	var list []catalog.Route
-	names := make([]string, 0, len(r.places))
-	for name := range r.places {
+	names := make([]string, 0, len(r.routes))
+	for name := range r.routes {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		list = append(list, r.places[name])
+		list = append(list, r.routes[name])
 	}
 	return list
 }
@@ -60,9 +60,9 @@
 // name.
 func (r *Replica) NextRequest() (since identifier.Epoch, after string) {
 	if r.update != nil {
-		return r.update.first.Since, r.update.after
+		return r.update.first.Since, r.update.nextAfter
 	}
-	if r.whole {
+	if r.needsFullTable {
 		return 0, ""
 	}
 	return r.epoch, ""
@@ -74,9 +74,9 @@
 		return false
 	}
 	r.epoch, r.version, r.rows = t.Epoch, t.Version, t.Rows
-	r.places, r.update, r.whole = map[string]catalog.Route{}, nil, false
+	r.routes, r.update, r.needsFullTable = map[string]catalog.Route{}, nil, false
 	for _, p := range t.Routes {
-		r.places[p.Queue] = p
+		r.routes[p.Queue] = p
 	}
 	return true
 }
@@ -89,7 +89,7 @@
 	}
 	u := newUpdate(p)
 	u.add(p)
-	return r.finish(u)
+	return r.apply(u)
 }
 
 // AddPage adds a page that was asked for and tells whether the table in use is
@@ -103,55 +103,55 @@
 	case after == "":
 		r.update = newUpdate(p)
 	case p.Since != since || p.Epoch < r.update.first.Epoch:
-		r.update, r.whole = nil, p.Since == 0
+		r.update, r.needsFullTable = nil, p.Since == 0
 		return false
 	}
 	r.update.add(p)
 	if p.NextAfter != "" {
-		r.update.after = p.NextAfter
+		r.update.nextAfter = p.NextAfter
 		return false
 	}
 	u := r.update
-	r.update, r.whole = nil, false
-	return r.finish(u)
+	r.update, r.needsFullTable = nil, false
+	return r.apply(u)
 }
 
 func newUpdate(first Page) *update {
-	return &update{first: first, put: map[string]catalog.Route{}, drop: map[string]bool{}}
+	return &update{first: first, routes: map[string]catalog.Route{}, dropped: map[string]bool{}}
 }
 
 func (u *update) add(p Page) {
 	for _, place := range p.Routes {
-		u.put[place.Queue] = place
+		u.routes[place.Queue] = place
 	}
 	for _, name := range p.Dropped {
-		u.drop[name] = true
+		u.dropped[name] = true
 	}
 }
 
-func (r *Replica) finish(u *update) bool {
+func (r *Replica) apply(u *update) bool {
 	if u.first.Epoch <= r.epoch || u.first.Since > r.epoch {
 		return false
 	}
-	places := u.put
+	places := u.routes
 	if u.first.Since > 0 {
-		places = r.merged(u)
+		places = r.merge(u)
 	}
 	if u.first.Rows != nil {
 		r.rows = u.first.Rows
 	}
-	r.epoch, r.version, r.places = u.first.Epoch, u.first.Version, places
+	r.epoch, r.version, r.routes = u.first.Epoch, u.first.Version, places
 	return true
 }
 
-func (r *Replica) merged(u *update) map[string]catalog.Route {
-	places := make(map[string]catalog.Route, len(r.places)+len(u.put))
-	for name, p := range r.places {
-		if !u.drop[name] {
+func (r *Replica) merge(u *update) map[string]catalog.Route {
+	places := make(map[string]catalog.Route, len(r.routes)+len(u.routes))
+	for name, p := range r.routes {
+		if !u.dropped[name] {
 			places[name] = p
 		}
 	}
-	for name, p := range u.put {
+	for name, p := range u.routes {
 		places[name] = p
 	}
 	return places
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,60 +11,60 @@
 	"orchidward/internal/api/identifier"
 )
 
-// leader is a table that changes, its history, and every table it ever had.
-type leader struct {
-	rnd     *rand.Rand
-	now     map[string]catalog.Route
-	table   Table
-	history *History
-	past    map[identifier.Epoch]map[string]catalog.Route
+// tableHistory is a table that changes, its history, and every table it ever had.
+type tableHistory struct {
+	random     *rand.Rand
+	routes     map[string]catalog.Route
+	table      Table
+	history    *History
+	pastTables map[identifier.Epoch]map[string]catalog.Route
 }
 
-func newLeader(seed int64, places int) *leader {
-	l := &leader{rnd: rand.New(rand.NewSource(seed)), now: map[string]catalog.Route{}, past: map[identifier.Epoch]map[string]catalog.Route{}}
+func newTableHistory(seed int64, places int) *tableHistory {
+	l := &tableHistory{random: rand.New(rand.NewSource(seed)), routes: map[string]catalog.Route{}, pastTables: map[identifier.Epoch]map[string]catalog.Route{}}
 	for i := 0; i < places; i++ {
-		l.put(fmt.Sprintf("queue-%04d", i))
+		l.changeRoute(fmt.Sprintf("queue-%04d", i))
 	}
 	l.table = Table{Epoch: 1, Version: 1, Rows: map[identifier.Row]map[string]string{"a": {"weight": "1"}}}
-	l.list()
+	l.publish()
 	l.history = NewHistory(l.table)
 	return l
 }
 
-func (l *leader) put(name string) {
-	l.now[name] = catalog.Route{Queue: name, Host: "host.example", Prefix: fmt.Sprintf("/%s/%d/", name, l.rnd.Intn(1000))}
+func (l *tableHistory) changeRoute(name string) {
+	l.routes[name] = catalog.Route{Queue: name, Host: "host.example", Prefix: fmt.Sprintf("/%s/%d/", name, l.random.Intn(1000))}
 }
 
-func (l *leader) list() {
+func (l *tableHistory) publish() {
 	l.table.Routes = nil
-	for _, p := range l.now {
+	for _, p := range l.routes {
 		l.table.Routes = append(l.table.Routes, p)
 	}
-	l.past[l.table.Epoch] = maps.Clone(l.now)
+	l.pastTables[l.table.Epoch] = maps.Clone(l.routes)
 }
 
-// change is one change of some places, or of the rows.
-func (l *leader) change() {
+// changeRandomly is one change of some places, or of the rows.
+func (l *tableHistory) changeRandomly() {
 	l.table.Epoch++
-	if l.rnd.Intn(6) == 0 {
+	if l.random.Intn(6) == 0 {
 		l.table.Rows = map[identifier.Row]map[string]string{"a": {"weight": fmt.Sprint(l.table.Epoch)}}
-		l.past[l.table.Epoch] = maps.Clone(l.now)
+		l.pastTables[l.table.Epoch] = maps.Clone(l.routes)
 		l.history.RowsChanged(l.table)
 		return
 	}
 	l.table.Version = uint64(l.table.Epoch)
-	for n := l.rnd.Intn(4); n >= 0; n-- {
-		l.put(fmt.Sprintf("queue-%04d", l.rnd.Intn(400)))
+	for n := l.random.Intn(4); n >= 0; n-- {
+		l.changeRoute(fmt.Sprintf("queue-%04d", l.random.Intn(400)))
 	}
-	for n := l.rnd.Intn(3); n > 0; n-- {
-		delete(l.now, fmt.Sprintf("queue-%04d", l.rnd.Intn(400)))
+	for n := l.random.Intn(3); n > 0; n-- {
+		delete(l.routes, fmt.Sprintf("queue-%04d", l.random.Intn(400)))
 	}
-	l.list()
+	l.publish()
 	l.history.RoutesChanged(l.table)
 }
 
-// ask sends a replica's question and its answer over the wire.
-func ask(t *testing.T, h *History, r *Replica) (p Page, changed bool) {
+// fetchPage sends a replica's question and its answer over the wire.
+func fetchPage(t *testing.T, h *History, r *Replica) (p Page, changed bool) {
 	t.Helper()
 	since, after := r.NextRequest()
 	text, err := json.Marshal(h.Page(since, after))
@@ -80,7 +80,7 @@
 	return p, r.AddPage(p, after)
 }
 
-func same(r *Replica, want map[string]catalog.Route) bool {
+func hasRoutes(r *Replica, want map[string]catalog.Route) bool {
 	list := r.Routes()
 	for _, p := range list {
 		if want[p.Queue] != p {
@@ -90,22 +90,22 @@
 	return len(list) == len(want)
 }
 
-// TestReplicaFollows: while the table goes on changing, a replica that asks for
+// TestReplicaConverges: while the table goes on changing, a replica that asks for
 // one page after another, now and then of a new leader whose history is short,
 // never goes back, holds only places of tables between its own epoch and the
 // newest, and has the very table once the changes end.
-func TestReplicaFollows(t *testing.T) {
+func TestReplicaConverges(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		l, r := newLeader(seed, 400), &Replica{}
+		l, r := newTableHistory(seed, 400), &Replica{}
 		epoch, changes := identifier.Epoch(0), 0
 		for step := 0; step < 400; step++ {
-			if l.rnd.Intn(3) == 0 {
-				l.change()
+			if l.random.Intn(3) == 0 {
+				l.changeRandomly()
 			}
-			if l.rnd.Intn(120) == 0 {
+			if l.random.Intn(120) == 0 {
 				l.history = NewHistory(l.table)
 			}
-			if _, changed := ask(t, l.history, r); changed {
+			if _, changed := fetchPage(t, l.history, r); changed {
 				changes++
 			}
 			if r.Epoch() < epoch {
@@ -113,16 +113,16 @@
 			}
 			epoch = r.Epoch()
 			for _, p := range r.Routes() {
-				if !everHeld(l, p, epoch) {
+				if !everHad(l, p, epoch) {
 					t.Fatalf("seed %d: at epoch %d it holds %+v, which no table had since", seed, epoch, p)
 				}
 			}
 		}
 		for i := 0; i < 200 && r.Epoch() < l.table.Epoch; i++ {
-			ask(t, l.history, r)
+			fetchPage(t, l.history, r)
 		}
-		if r.Epoch() != l.table.Epoch || !same(r, l.now) || r.Rows()["a"]["weight"] != l.table.Rows["a"]["weight"] || r.Version() != l.table.Version {
-			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d places of %d", seed, r.Epoch(), l.table.Epoch, r.Version(), l.table.Version, len(r.Routes()), len(l.now))
+		if r.Epoch() != l.table.Epoch || !hasRoutes(r, l.routes) || r.Rows()["a"]["weight"] != l.table.Rows["a"]["weight"] || r.Version() != l.table.Version {
+			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d places of %d", seed, r.Epoch(), l.table.Epoch, r.Version(), l.table.Version, len(r.Routes()), len(l.routes))
 		}
 		if changes < 20 {
 			t.Errorf("seed %d: too little evidence: %d changes taken", seed, changes)
@@ -130,43 +130,43 @@
 	}
 }
 
-// everHeld tells whether some table from an epoch on had this place.
-func everHeld(l *leader, p catalog.Route, from identifier.Epoch) bool {
+// everHad tells whether some table from an epoch on had this place.
+func everHad(l *tableHistory, p catalog.Route, from identifier.Epoch) bool {
 	for e := from; e <= l.table.Epoch; e++ {
-		if l.past[e][p.Queue] == p {
+		if l.pastTables[e][p.Queue] == p {
 			return true
 		}
 	}
 	return false
 }
 
-// TestChangesAreSmall: what a gateway is sent for a change does not grow with the
+// TestPatchSizeIndependentOfTable: what a gateway is sent for a change does not grow with the
 // table, many changes at once are sent as one, and a whole table comes in pages.
-func TestChangesAreSmall(t *testing.T) {
+func TestPatchSizeIndependentOfTable(t *testing.T) {
 	for _, places := range []int{3, 400, 1400, 10000} {
-		l, r := newLeader(7, places), &Replica{}
+		l, r := newTableHistory(7, places), &Replica{}
 		pages, whole := 0, 0
 		for r.Epoch() != l.table.Epoch {
-			p, _ := ask(t, l.history, r)
+			p, _ := fetchPage(t, l.history, r)
 			text, _ := json.Marshal(p)
 			pages, whole = pages+1, whole+len(text)
 		}
 		l.table.Epoch++
-		l.put("queue-0001")
-		l.list()
+		l.changeRoute("queue-0001")
+		l.publish()
 		l.history.RoutesChanged(l.table)
-		p, _ := ask(t, l.history, r)
+		p, _ := fetchPage(t, l.history, r)
 		one, _ := json.Marshal(p)
 		for i := 0; i < 50; i++ {
 			l.table.Epoch++
-			l.put("queue-0002")
-			l.list()
+			l.changeRoute("queue-0002")
+			l.publish()
 			l.history.RoutesChanged(l.table)
 		}
-		p, _ = ask(t, l.history, r)
+		p, _ = fetchPage(t, l.history, r)
 		fifty, _ := json.Marshal(p)
 		t.Logf("%5d places: whole %d bytes in %d pages, a change %d bytes, 50 of one place %d bytes", places, whole, pages, len(one), len(fifty))
-		if len(one) > 300 || len(fifty) > 300 || !same(r, l.now) {
+		if len(one) > 300 || len(fifty) > 300 || !hasRoutes(r, l.routes) {
 			t.Errorf("%d places: a change takes %d bytes, 50 of one place %d", places, len(one), len(fifty))
 		}
 		if pages < whole/(3*pageBytes) {
@@ -175,32 +175,32 @@
 	}
 }
 
-// TestDroppedAreBounded: however many places come and go, what is remembered of
+// TestDroppedItemsBounded: however many places come and go, what is remembered of
 // them is bounded; a replica from before the horizon gets the whole.
-func TestDroppedAreBounded(t *testing.T) {
-	l, r := newLeader(3, 10), &Replica{}
-	ask(t, l.history, r)
-	for i := 0; i < 2*droppedMost; i++ {
+func TestDroppedItemsBounded(t *testing.T) {
+	l, r := newTableHistory(3, 10), &Replica{}
+	fetchPage(t, l.history, r)
+	for i := 0; i < 2*maxDroppedItems; i++ {
 		l.table.Epoch++
-		l.put(fmt.Sprintf("passing-%d", i))
-		delete(l.now, fmt.Sprintf("passing-%d", i-1))
+		l.changeRoute(fmt.Sprintf("passing-%d", i))
+		delete(l.routes, fmt.Sprintf("passing-%d", i-1))
 		l.table.Routes = nil
-		for _, p := range l.now {
+		for _, p := range l.routes {
 			l.table.Routes = append(l.table.Routes, p)
 		}
 		l.history.RoutesChanged(l.table)
 	}
-	if n := len(l.history.items); n > droppedMost+20 {
+	if n := len(l.history.items); n > maxDroppedItems+20 {
 		t.Errorf("%d items are kept", n)
 	}
-	if p, _ := ask(t, l.history, r); p.Since != 0 || !same(r, l.now) {
+	if p, _ := fetchPage(t, l.history, r); p.Since != 0 || !hasRoutes(r, l.routes) {
 		t.Errorf("from before the horizon: since %d, %d places", p.Since, len(r.Routes()))
 	}
 }
 
-// TestOldPages: pages that come late, twice, or of another update change nothing.
-func TestOldPages(t *testing.T) {
-	l, r := newLeader(5, 1400), &Replica{}
+// TestStalePagesIgnored: pages that come late, twice, or of another update change nothing.
+func TestStalePagesIgnored(t *testing.T) {
+	l, r := newTableHistory(5, 1400), &Replica{}
 	first := l.history.Page(0, "")
 	if r.AddPage(first, "") || !r.Updating() {
 		t.Fatal("a first page of several was the whole")
@@ -209,14 +209,14 @@
 		t.Error("a page that was not asked for was taken")
 	}
 	for r.Updating() {
-		ask(t, l.history, r)
+		fetchPage(t, l.history, r)
 	}
-	if !same(r, l.now) {
+	if !hasRoutes(r, l.routes) {
 		t.Error("not the whole table")
 	}
 	old := l.history.Page(1, "")
-	l.change()
-	ask(t, l.history, r)
+	l.changeRandomly()
+	fetchPage(t, l.history, r)
 	epoch := r.Epoch()
 	if r.Patch(old) || r.Patch(Page{Since: epoch + 1, Epoch: epoch + 2}) || r.Epoch() != epoch {
 		t.Error("took an older page, or one from a later epoch")
--- a/internal/stalldetector/pause.go
+++ b/internal/stalldetector/detector.go
@@ -17,21 +17,21 @@
 // Detector finds pauses from the moments at which its process is seen to run.
 // The zero value has seen nothing.
 type Detector struct {
-	seen  bool
-	last  clock.Monotonic
-	until clock.Monotonic
+	seen       bool
+	lastSeen   clock.Monotonic
+	drainUntil clock.Monotonic
 }
 
 // Observe notes that the process runs. It must be called at every input of the
 // process, before the input is acted on, and at least every Limit.
 func (d *Detector) Observe(now clock.Monotonic) {
-	if d.seen && now.Since(d.last) > Limit {
-		d.until = now.Add(Drain)
+	if d.seen && now.Since(d.lastSeen) > Limit {
+		d.drainUntil = now.Add(Drain)
 	}
 	d.seen = true
-	d.last = max(d.last, now)
+	d.lastSeen = max(d.lastSeen, now)
 }
 
 // Draining tells whether a request read at this moment may have arrived before
 // or during a pause.
-func (d *Detector) Draining(now clock.Monotonic) bool { return d.seen && now < d.until }
+func (d *Detector) Draining(now clock.Monotonic) bool { return d.seen && now < d.drainUntil }
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -23,34 +23,34 @@
 // Messages can be lost and there is no acknowledgement. It is safe for
 // concurrent use.
 type Link struct {
-	crew *lifecycle.Group
-	take Handler
-	ln   net.Listener
+	group    *lifecycle.Group
+	handler  Handler
+	listener net.Listener
 
-	mu    sync.Mutex
-	lines map[wire.Peer]*line
-	next  uint64
-	down  bool
-	lost  uint64
-	sent  uint64
+	mu          sync.Mutex
+	connections map[wire.Peer]*connection
+	accepted    uint64
+	closed      bool
+	dropped     uint64
+	sent        uint64
 }
 
-type line struct {
-	out  *lifecycle.Queue[wire.Message]
-	conn net.Conn
+type connection struct {
+	queue *lifecycle.Queue[wire.Message]
+	conn  net.Conn
 }
 
 const (
-	ringSize = 4096
+	queueLength = 4096
 	// A peer that has lost power says nothing and answers a first packet only
 	// after seconds, so that it is dialled anew often; what it has not taken in
 	// for unheard, in milliseconds, ends the line.
-	dialWait  = 400 * time.Millisecond
-	dialGap   = 60 * time.Millisecond
-	unheard   = 800
-	writeWait = 3 * time.Second
-	idleDrop  = 60 * time.Second
-	mostLines = 1024
+	dialTimeout    = 400 * time.Millisecond
+	redialInterval = 60 * time.Millisecond
+	userTimeoutMs  = 800
+	writeTimeout   = 3 * time.Second
+	idleTimeout    = 60 * time.Second
+	maxConnections = 1024
 )
 
 // Listen opens the address; frames come in once Serve is called.
@@ -59,27 +59,27 @@
 	if err != nil {
 		return nil, err
 	}
-	return &Link{crew: c, ln: ln, lines: map[wire.Peer]*line{}}, nil
+	return &Link{group: c, listener: ln, connections: map[wire.Peer]*connection{}}, nil
 }
 
 // Addr is the listening address, with the actual port when 0 was asked for.
-func (l *Link) Addr() string { return l.ln.Addr().String() }
+func (l *Link) Addr() string { return l.listener.Addr().String() }
 
 // Serve starts to accept connections and returns at once; it must be called
 // before the first Send. take is called from one goroutine for each connection,
 // also at the same time.
 func (l *Link) Serve(take Handler) {
-	l.take = take
-	l.crew.Go(func(_ <-chan struct{}) {
+	l.handler = take
+	l.group.Go(func(_ <-chan struct{}) {
 		for {
-			conn, err := l.ln.Accept()
+			conn, err := l.listener.Accept()
 			if err != nil {
 				return
 			}
 			l.accept(conn)
 		}
 	})
-	l.crew.Go(func(stop <-chan struct{}) {
+	l.group.Go(func(stop <-chan struct{}) {
 		<-stop
 		l.Close()
 	})
@@ -90,17 +90,17 @@
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.down = true
-	l.ln.Close()
-	for _, x := range l.lines {
+	l.closed = true
+	l.listener.Close()
+	for _, x := range l.connections {
 		if x.conn != nil {
 			x.conn.Close()
 		}
 	}
 }
 
-// hurry has the kernel give a line up when the other end takes nothing in.
-func hurry(conn net.Conn) {
+// setUserTimeout has the kernel give a line up when the other end takes nothing in.
+func setUserTimeout(conn net.Conn) {
 	t, ok := conn.(*net.TCPConn)
 	if !ok {
 		return
@@ -109,34 +109,36 @@
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(fd uintptr) { _ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, unheard) })
+	_ = raw.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
+	})
 }
 
 func (l *Link) accept(conn net.Conn) {
-	hurry(conn)
+	setUserTimeout(conn)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.down || len(l.lines) >= mostLines {
+	if l.closed || len(l.connections) >= maxConnections {
 		conn.Close()
 		return
 	}
-	l.next++
-	peer := wire.Peer("#" + strconv.FormatUint(l.next, 10))
-	x := &line{out: lifecycle.NewQueue[wire.Message](ringSize), conn: conn}
-	l.lines[peer] = x
-	l.crew.Go(func(stop <-chan struct{}) { l.write(peer, x, conn, stop) })
-	l.crew.Go(func(_ <-chan struct{}) {
-		l.read(peer, conn)
-		l.drop(peer, x)
+	l.accepted++
+	peer := wire.Peer("#" + strconv.FormatUint(l.accepted, 10))
+	x := &connection{queue: lifecycle.NewQueue[wire.Message](queueLength), conn: conn}
+	l.connections[peer] = x
+	l.group.Go(func(stop <-chan struct{}) { l.writeLoop(peer, x, conn, stop) })
+	l.group.Go(func(_ <-chan struct{}) {
+		l.readLoop(peer, conn)
+		l.remove(peer, x)
 	})
 }
 
-// drop forgets a line that was accepted; a dialled one is dialled again.
-func (l *Link) drop(peer wire.Peer, x *line) {
+// remove forgets a line that was accepted; a dialled one is dialled again.
+func (l *Link) remove(peer wire.Peer, x *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lines[peer] == x {
-		delete(l.lines, peer)
+	if l.connections[peer] == x {
+		delete(l.connections, peer)
 	}
 	x.conn.Close()
 }
@@ -145,69 +147,69 @@
 func (l *Link) Send(to wire.Peer, msg wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	x := l.lines[to]
+	x := l.connections[to]
 	if x == nil {
-		if l.down || to == "" || to[0] == '#' || len(l.lines) >= mostLines {
-			l.lost++
+		if l.closed || to == "" || to[0] == '#' || len(l.connections) >= maxConnections {
+			l.dropped++
 			return
 		}
-		x = &line{out: lifecycle.NewQueue[wire.Message](ringSize)}
-		l.lines[to] = x
-		l.crew.Go(func(stop <-chan struct{}) { l.dial(to, x, stop) })
+		x = &connection{queue: lifecycle.NewQueue[wire.Message](queueLength)}
+		l.connections[to] = x
+		l.group.Go(func(stop <-chan struct{}) { l.dialLoop(to, x, stop) })
 	}
 	l.sent++
-	if !x.out.TryPush(msg) {
-		l.lost++
+	if !x.queue.TryPush(msg) {
+		l.dropped++
 	}
 }
 
-// dial keeps one line up for as long as there is something to send on it.
-func (l *Link) dial(to wire.Peer, x *line, stop <-chan struct{}) {
+// dialLoop keeps one line up for as long as there is something to send on it.
+func (l *Link) dialLoop(to wire.Peer, x *connection, stop <-chan struct{}) {
 	for {
-		conn, err := net.DialTimeout("tcp", string(to), dialWait)
+		conn, err := net.DialTimeout("tcp", string(to), dialTimeout)
 		if err == nil {
-			hurry(conn)
+			setUserTimeout(conn)
 		}
 		if err == nil {
 			l.mu.Lock()
 			x.conn = conn
-			down := l.down
+			down := l.closed
 			l.mu.Unlock()
 			if down {
 				conn.Close()
 				return
 			}
-			l.crew.Go(func(<-chan struct{}) { l.read(to, conn) })
-			if idle := l.write(to, x, conn, stop); idle {
-				l.drop(to, x)
+			l.group.Go(func(<-chan struct{}) { l.readLoop(to, conn) })
+			if idle := l.writeLoop(to, x, conn, stop); idle {
+				l.remove(to, x)
 				return
 			}
 			conn.Close()
 		}
-		drain(x.out)
+		discard(x.queue)
 		select {
 		case <-stop:
 			return
-		case <-time.After(dialGap):
+		case <-time.After(redialInterval):
 		}
-		if err != nil && x.out.Len() == 0 {
+		if err != nil && x.queue.Len() == 0 {
 			l.forget(to, x)
 			return
 		}
 	}
 }
 
-func (l *Link) forget(to wire.Peer, x *line) {
+func (l *Link) forget(to wire.Peer, x *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.lines[to] == x {
-		delete(l.lines, to)
+	if l.connections[to] == x {
+		delete(l.connections, to)
 	}
 }
 
-// drain throws away what waited for a line that is down: all of it will be
+// discard throws away what waited for a line that is down: all of it will be
 // asked for again, and old news is worse than none.
-func drain(r *lifecycle.Queue[wire.Message]) {
+func discard(r *lifecycle.Queue[wire.Message]) {
 	for {
 		select {
 		case <-r.Out():
@@ -217,25 +219,25 @@
 	}
 }
 
-func (l *Link) write(_ wire.Peer, x *line, conn net.Conn, stop <-chan struct{}) bool {
+func (l *Link) writeLoop(_ wire.Peer, x *connection, conn net.Conn, stop <-chan struct{}) bool {
 	buf := bufio.NewWriterSize(conn, 64<<10)
 	enc := wire.NewEncoder(buf)
-	t := time.NewTimer(idleDrop)
+	t := time.NewTimer(idleTimeout)
 	defer t.Stop()
 	for {
-		t.Reset(idleDrop)
+		t.Reset(idleTimeout)
 		select {
 		case <-stop:
 			return false
 		case <-t.C:
 			return true
-		case msg := <-x.out.Out():
-			conn.SetWriteDeadline(time.Now().Add(writeWait))
+		case msg := <-x.queue.Out():
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if enc.Encode(msg) != nil {
 				conn.Close()
 				return false
 			}
-			if x.out.Len() == 0 && buf.Flush() != nil {
+			if x.queue.Len() == 0 && buf.Flush() != nil {
 				conn.Close()
 				return false
 			}
@@ -243,7 +245,7 @@
 	}
 }
 
-func (l *Link) read(peer wire.Peer, conn net.Conn) {
+func (l *Link) readLoop(peer wire.Peer, conn net.Conn) {
 	defer conn.Close()
 	dec := wire.NewDecoder(bufio.NewReaderSize(conn, 64<<10))
 	for {
@@ -251,7 +253,7 @@
 		if err != nil {
 			return
 		}
-		l.take(peer, msg)
+		l.handler(peer, msg)
 	}
 }
 
@@ -259,5 +261,5 @@
 func (l *Link) FrameCounts() (sent, lost uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sent, l.lost
+	return l.sent, l.dropped
 }
--- a/internal/transport/wire/codec.go
+++ b/internal/transport/wire/codec.go
@@ -20,7 +20,7 @@
 
 // Encoder writes messages to a stream, one frame each. It does not buffer and is
 // not safe for concurrent use.
-type Encoder struct{ w io.Writer }
+type Encoder struct{ writer io.Writer }
 
 // NewEncoder makes an encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{w} }
@@ -36,31 +36,31 @@
 	if err != nil {
 		return err
 	}
-	if err = fill(f, m); err != nil {
+	if err = encodeMessage(f, m); err != nil {
 		return err
 	}
-	return capnp.NewEncoder(e.w).Encode(msg)
+	return capnp.NewEncoder(e.writer).Encode(msg)
 }
 
-func fill(f frame.Frame, m Message) error {
+func encodeMessage(f frame.Frame, m Message) error {
 	switch {
 	case m.Raft != nil:
 		r, err := f.NewRaft()
 		if err != nil {
 			return err
 		}
-		return putRaft(r, m.Raft)
+		return encodeRaft(r, m.Raft)
 	case m.Request != nil:
-		return putAsk(f, m.Request)
+		return encodeRequest(f, m.Request)
 	case m.Response != nil:
-		return putReply(f, m.Response)
+		return encodeResponse(f, m.Response)
 	case m.Announcement != nil:
-		return putTell(f, m.Announcement)
+		return encodeAnnouncement(f, m.Announcement)
 	}
 	return nil
 }
 
-func putAsk(f frame.Frame, a *Request) error {
+func encodeRequest(f frame.Frame, a *Request) error {
 	o, err := f.NewAsk()
 	if err != nil {
 		return err
@@ -72,10 +72,10 @@
 	o.SetDated(a.HasLeaderTime)
 	o.SetLeaderTerm(uint64(a.LeaderTime.Term))
 	o.SetLeaderAt(int64(a.LeaderTime.At))
-	return first(o.SetVerb(a.Method), o.SetPath(a.Path), o.SetQuery(a.Query), o.SetBody(a.Body))
+	return firstError(o.SetVerb(a.Method), o.SetPath(a.Path), o.SetQuery(a.Query), o.SetBody(a.Body))
 }
 
-func putReply(f frame.Frame, r *Response) error {
+func encodeResponse(f frame.Frame, r *Response) error {
 	o, err := f.NewReply()
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	return o.SetBody(r.Body)
 }
 
-func putTell(f frame.Frame, t *Announcement) error {
+func encodeAnnouncement(f frame.Frame, t *Announcement) error {
 	o, err := f.NewTell()
 	if err != nil {
 		return err
@@ -102,13 +102,13 @@
 	o.SetAsk(t.WantReply)
 	o.SetLeaderTerm(uint64(t.LeaderTime.Term))
 	o.SetLeaderAt(int64(t.LeaderTime.At))
-	if err = first(o.SetRole(t.Role), o.SetAddr(t.Addr), o.SetDomain(string(t.Domain)), o.SetHttp(t.HTTP)); err != nil {
+	if err = firstError(o.SetRole(t.Role), o.SetAddr(t.Addr), o.SetDomain(string(t.Domain)), o.SetHttp(t.HTTP)); err != nil {
 		return err
 	}
-	if err = putMembers(o.NewMembers, t.Members); err != nil {
+	if err = encodeMembers(o.NewMembers, t.Members); err != nil {
 		return err
 	}
-	if err = putMembers(o.NewFounders, t.Founders); err != nil {
+	if err = encodeMembers(o.NewFounders, t.Founders); err != nil {
 		return err
 	}
 	gates, err := o.NewGates(int32(len(t.Gateways)))
@@ -123,7 +123,7 @@
 	return nil
 }
 
-func putMembers(allocate func(n int32) (frame.Member_List, error), list []raft.Member) error {
+func encodeMembers(allocate func(n int32) (frame.Member_List, error), list []raft.Member) error {
 	if len(list) == 0 {
 		return nil
 	}
@@ -135,14 +135,14 @@
 		o := out.At(i)
 		o.SetId(uint64(m.ID))
 		o.SetVoter(m.Voter)
-		if err = first(o.SetAddr(m.Addr), o.SetDomain(string(m.Domain))); err != nil {
+		if err = firstError(o.SetAddr(m.Addr), o.SetDomain(string(m.Domain))); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func putRaft(o frame.Raft, m *raft.Message) error {
+func encodeRaft(o frame.Raft, m *raft.Message) error {
 	o.SetKind(uint8(m.Kind))
 	o.SetFrom(uint64(m.From))
 	o.SetTo(uint64(m.To))
@@ -182,13 +182,13 @@
 	o.SetViewTerm(uint64(m.Snapshot.Term))
 	o.SetViewOff(m.Offset)
 	o.SetViewTotal(m.Total)
-	if err := putMembers(o.NewViewMembers, m.Snapshot.Members); err != nil {
+	if err := encodeMembers(o.NewViewMembers, m.Snapshot.Members); err != nil {
 		return err
 	}
 	return o.SetViewData(m.Snapshot.Data)
 }
 
-func first(errs ...error) error {
+func firstError(errs ...error) error {
 	var err error
 	for _, err = range errs {
 		if err != nil {
@@ -200,23 +200,23 @@
 
 // Decoder reads messages from a stream, one frame each. It is not safe for
 // concurrent use.
-type Decoder struct{ d *capnp.Decoder }
+type Decoder struct{ frames *capnp.Decoder }
 
 // NewDecoder makes a decoder that reads from r and refuses frames larger than
 // MaxFrame bytes.
 func NewDecoder(r io.Reader) *Decoder {
 	d := &Decoder{capnp.NewDecoder(r)}
-	d.d.MaxMessageSize = MaxFrame
+	d.frames.MaxMessageSize = MaxFrame
 	return d
 }
 
-var errEmpty = errors.New("frame carries nothing known")
+var errEmptyFrame = errors.New("frame carries nothing known")
 
 // Decode reads the next message. Any error, the end of the stream included, means
 // that the stream cannot be read any further.
 func (d *Decoder) Decode() (Message, error) {
 	var m Message
-	msg, err := d.d.Decode()
+	msg, err := d.frames.Decode()
 	if err != nil {
 		return m, err
 	}
@@ -226,66 +226,66 @@
 	}
 	switch {
 	case f.HasRaft():
-		m.Raft, err = getRaft(f)
+		m.Raft, err = decodeRaft(f)
 	case f.HasAsk():
-		m.Request, err = getAsk(f)
+		m.Request, err = decodeRequest(f)
 	case f.HasReply():
-		m.Response, err = getReply(f)
+		m.Response, err = decodeResponse(f)
 	case f.HasTell():
-		m.Announcement, err = getTell(f)
+		m.Announcement, err = decodeAnnouncement(f)
 	default:
-		err = errEmpty
+		err = errEmptyFrame
 	}
 	return m, err
 }
 
-// look reads texts one after another and keeps the first error.
-type look struct{ err error }
+// fieldReader reads texts one after another and keeps the first error.
+type fieldReader struct{ err error }
 
-func (l *look) text(s string, err error) string {
-	l.err = first(l.err, err)
+func (l *fieldReader) text(s string, err error) string {
+	l.err = firstError(l.err, err)
 	return s
 }
 
-func (l *look) data(b []byte, err error) []byte {
-	l.err = first(l.err, err)
+func (l *fieldReader) data(b []byte, err error) []byte {
+	l.err = firstError(l.err, err)
 	return append([]byte(nil), b...)
 }
 
-func getAsk(f frame.Frame) (*Request, error) {
+func decodeRequest(f frame.Frame) (*Request, error) {
 	o, err := f.Ask()
 	if err != nil {
 		return nil, err
 	}
-	var l look
+	var l fieldReader
 	a := &Request{ID: o.Id(), Method: l.text(o.Verb()), Path: l.text(o.Path()), Query: l.text(o.Query()), Body: l.data(o.Body()),
 		Epoch: identifier.Epoch(o.Epoch()), Budget: clock.Millis(o.Budget()), Hops: o.Hops(),
 		HasLeaderTime: o.Dated(), LeaderTime: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	return a, l.err
 }
 
-func getReply(f frame.Frame) (*Response, error) {
+func decodeResponse(f frame.Frame) (*Response, error) {
 	o, err := f.Reply()
 	if err != nil {
 		return nil, err
 	}
-	var l look
+	var l fieldReader
 	r := &Response{ID: o.Id(), Status: int(o.Status()), Body: l.data(o.Body()), RetryAfter: clock.Millis(o.Retry()), NotLeader: o.Moved(), Stale: o.Stale(),
 		Expired: o.Expired(), LeaderTime: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
 	return r, l.err
 }
 
-func getTell(f frame.Frame) (*Announcement, error) {
+func decodeAnnouncement(f frame.Frame) (*Announcement, error) {
 	o, err := f.Tell()
 	if err != nil {
 		return nil, err
 	}
-	var l look
+	var l fieldReader
 	t := &Announcement{WantReply: o.Ask(), Role: l.text(o.Role()), Node: identifier.Node(o.Node()), Addr: l.text(o.Addr()), Domain: identifier.Domain(l.text(o.Domain())),
 		HTTP: l.text(o.Http()), Founded: o.Founded(), LeaderID: identifier.Node(o.Lead()),
 		LeaderTime: LeaderTime{Term: identifier.Term(o.LeaderTerm()), At: clock.Monotonic(o.LeaderAt())}}
-	t.Members = getMembers(&l, o.Members)
-	t.Founders = getMembers(&l, o.Founders)
+	t.Members = decodeMembers(&l, o.Members)
+	t.Founders = decodeMembers(&l, o.Founders)
 	gates, err := o.Gates()
 	if err != nil {
 		return nil, err
@@ -296,10 +296,10 @@
 	return t, l.err
 }
 
-func getMembers(l *look, get func() (frame.Member_List, error)) []raft.Member {
+func decodeMembers(l *fieldReader, get func() (frame.Member_List, error)) []raft.Member {
 	var list []raft.Member
 	in, err := get()
-	l.err = first(l.err, err)
+	l.err = firstError(l.err, err)
 	if err != nil {
 		return nil
 	}
@@ -310,12 +310,12 @@
 	return list
 }
 
-func getRaft(f frame.Frame) (*raft.Message, error) {
+func decodeRaft(f frame.Frame) (*raft.Message, error) {
 	o, err := f.Raft()
 	if err != nil {
 		return nil, err
 	}
-	var l look
+	var l fieldReader
 	m := &raft.Message{Kind: raft.MessageKind(o.Kind()), From: identifier.Node(o.From()), To: identifier.Node(o.To()), Term: identifier.Term(o.Term()),
 		Index: identifier.Index(o.Index()), LogTerm: identifier.Term(o.LogTerm()), Commit: identifier.Index(o.Commit()), Reject: o.No(), LeaderTransfer: o.Force(),
 		NextHint: identifier.Index(o.Hint()), SentAt: clock.Monotonic(o.Stamp()), Wall: clock.WallTime(o.Wall()), FirstKnownTerm: identifier.Term(o.Met()), ClusterTime: clock.ClusterTime(o.Site()), Level: o.Level(), Leaving: o.Leaving()}
@@ -329,7 +329,7 @@
 	}
 	if o.HasView() {
 		m.Snapshot = &raft.Snapshot{Index: identifier.Index(o.ViewIndex()), Term: identifier.Term(o.ViewTerm()), Data: l.data(o.ViewData())}
-		m.Snapshot.Members = getMembers(&l, o.ViewMembers)
+		m.Snapshot.Members = decodeMembers(&l, o.ViewMembers)
 		m.Offset, m.Total = o.ViewOff(), o.ViewTotal()
 	}
 	return m, l.err
--- a/internal/transport/wire/former_test.go
+++ b/internal/transport/wire/compatibility_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// TestFormer reads frames as the first version wrote them, byte for byte, and
+// TestFirstVersionFrames reads frames as the first version wrote them, byte for byte, and
 // has what this version writes read as the same. The files are never made
 // anew: a version that cannot read them cannot run beside the former one.
-func TestFormer(t *testing.T) {
-	for i, want := range full() {
+func TestFirstVersionFrames(t *testing.T) {
+	for i, want := range firstVersionMessages() {
 		name := filepath.Join("testdata", "frame-1-"+string(rune('a'+i))+".bin")
 		text, err := os.ReadFile(name)
 		if err != nil {
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/wire_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/consensus/raft"
 )
 
-func full() []Message {
+func firstVersionMessages() []Message {
 	members := []raft.Member{{ID: 7, Addr: "127.0.0.1:1", Domain: "north", Voter: true}, {ID: 9, Addr: "127.0.0.1:2", Domain: "east"}}
 	return []Message{
 		{Request: &Request{ID: 3, Method: "PUT", Path: "/v1/jobs/a/b", Query: "x=1", Body: []byte("{}"), Epoch: 5, Budget: 900, Hops: 1}},
@@ -21,8 +21,8 @@
 	}
 }
 
-// dated are messages with what the first version did not have.
-func dated() []Message {
+// laterMessages are messages with what the first version did not have.
+func laterMessages() []Message {
 	reading := LeaderTime{Term: 9, At: -4}
 	return []Message{
 		{Request: &Request{ID: 3, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: 900, HasLeaderTime: true, LeaderTime: reading}},
@@ -32,7 +32,7 @@
 	}
 }
 
-func turn(t *testing.T, m Message) Message {
+func roundTrip(t *testing.T, m Message) Message {
 	t.Helper()
 	var buf bytes.Buffer
 	if err := NewEncoder(&buf).Encode(m); err != nil {
@@ -45,28 +45,28 @@
 	return back
 }
 
-func TestThereAndBack(t *testing.T) {
-	for _, m := range append(full(), dated()...) {
-		if back := turn(t, m); !reflect.DeepEqual(m, back) {
+func TestRoundTrip(t *testing.T) {
+	for _, m := range append(firstVersionMessages(), laterMessages()...) {
+		if back := roundTrip(t, m); !reflect.DeepEqual(m, back) {
 			t.Errorf("sent %+v, came back as %+v", m, back)
 		}
 	}
 }
 
-// TestLarge: an append of many entries outgrew the encoder's first segment
+// TestLargeAppend: an append of many entries outgrew the encoder's first segment
 // and the arena of several segments then refused to link them.
-func TestLarge(t *testing.T) {
+func TestLargeAppend(t *testing.T) {
 	m := Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
 		m.Raft.Entries = append(m.Raft.Entries, raft.Entry{Index: identifier.Index(i + 1), Term: 1, Kind: raft.EntryCommand, Data: bytes.Repeat([]byte{byte(i)}, i+1)})
 	}
-	if back := turn(t, m); !reflect.DeepEqual(m, back) {
+	if back := roundTrip(t, m); !reflect.DeepEqual(m, back) {
 		t.Error("a large append does not come back as it was sent")
 	}
 }
 
 func FuzzFrame(f *testing.F) {
-	for _, m := range full() {
+	for _, m := range firstVersionMessages() {
 		var buf bytes.Buffer
 		if err := NewEncoder(&buf).Encode(m); err != nil {
 			f.Fatal(err)
