--- a/cmd/orchidward-runner/desk.go
+++ b/cmd/orchidward-runner/desk.go
@@ -69,7 +69,7 @@
 	if d.http, err = httpserver.New(f.HTTP); err != nil {
 		return nil, err
 	}
-	d.self = wire.Announcement{Role: "runner", Addr: f.Addr, Domain: set.Domain}
+	d.self = wire.Announcement{Role: wire.RoleRunner, Addr: f.Addr, Domain: set.Domain}
 	d.http.Gin.POST("/v1/stand-in", d.control)
 	d.http.Gin.GET("/v1/stand-in/events", d.events)
 	d.note = newNote(set)
--- a/internal/agent/machine_test.go
+++ b/internal/agent/machine_test.go
@@ -115,11 +115,11 @@
 	if to, _ := asked(t, m); to == "k9" {
 		t.Fatal("who told it of k9")
 	}
-	m.HandleMessage("k9", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: 9, LeaderID: 9, Addr: "k9", Members: []raft.Member{{ID: 9, Addr: "k9"}, {ID: 2, Addr: "k2"}}}}, 1050)
+	m.HandleMessage("k9", wire.Message{Announcement: &wire.Announcement{Role: wire.RoleServer, Node: 9, LeaderID: 9, Addr: "k9", Members: []raft.Member{{ID: 9, Addr: "k9"}, {ID: 2, Addr: "k2"}}}}, 1050)
 	if to, _ := asked(t, m); to != "k9" {
 		t.Errorf("polls %s", to)
 	}
-	m.HandleMessage("k2", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: 2, LeaderID: 9, Addr: "k2"}}, 1060)
+	m.HandleMessage("k2", wire.Message{Announcement: &wire.Announcement{Role: wire.RoleServer, Node: 2, LeaderID: 9, Addr: "k2"}}, 1060)
 	if n := len(m.TakeOutput().Messages); n > 0 {
 		t.Error("a keeper that only knows the leader was followed")
 	}
--- a/internal/controlplane/find.go
+++ b/internal/controlplane/find.go
@@ -42,9 +42,9 @@
 )
 
 func (m *Server) self(ask bool) *wire.Announcement {
-	t := &wire.Announcement{WantReply: ask, Role: "keeper", Node: m.config.ID, Addr: m.config.Addr, Domain: m.config.Domain, Gateways: m.liveGates()}
+	t := &wire.Announcement{WantReply: ask, Role: wire.RoleServer, Node: m.config.ID, Addr: m.config.Addr, Domain: m.config.Domain, Gateways: m.liveGates()}
 	if p := m.porter; p != nil {
-		t.Role, t.Node, t.Founded, t.Members = "porter", 0, p.knows(), p.members
+		t.Role, t.Node, t.Founded, t.Members = wire.RoleForwarder, 0, p.knows(), p.members
 		if mem, ok := p.leader(m.now); ok {
 			t.LeaderID = mem.ID
 		}
@@ -129,7 +129,7 @@
 }
 
 func (m *Server) tell(from wire.Peer, t *wire.Announcement) {
-	if t.Role == "gate" {
+	if t.Role == wire.RoleGateway {
 		m.gateSeen(t.HTTP)
 		if _, known := m.edge[t.Addr]; known || len(m.edge) < mostGates {
 			m.edge[t.Addr] = m.now
@@ -165,10 +165,10 @@
 		m.join(from, t)
 		return
 	}
-	if t.Role == "porter" {
+	if t.Role == wire.RoleForwarder {
 		m.find.seen[string(from)], m.find.porters[string(from)] = m.now, true
 	}
-	if t.Role == "keeper" {
+	if t.Role == wire.RoleServer {
 		m.find.seen[string(from)], m.find.porters[string(from)] = m.now, false
 		m.find.empty[string(from)] = raft.Member{ID: t.Node, Addr: t.Addr, Domain: t.Domain, Voter: true}
 	}
@@ -198,7 +198,7 @@
 		panic(err)
 	}
 	to := []wire.Peer{from}
-	if t.Role != "keeper" {
+	if t.Role != wire.RoleServer {
 		to = nil
 		for _, one := range t.Members {
 			to = append(to, wire.Peer(one.Addr))
--- a/internal/controlplane/porter.go
+++ b/internal/controlplane/porter.go
@@ -93,16 +93,16 @@
 	if !t.Founded || len(t.Members) == 0 {
 		return
 	}
-	own := t.Role == "keeper" && t.Node != 0 && t.Node == t.LeaderID
+	own := t.Role == wire.RoleServer && t.Node != 0 && t.Node == t.LeaderID
 	switch {
 	case own:
 		p.own = m.now
 		m.heardLeader(t.LeaderTime)
-	case t.Role == "keeper" && t.LeaderID != 0:
+	case t.Role == wire.RoleServer && t.LeaderID != 0:
 		if _, ok := p.leader(m.now); ok && m.now.Since(p.own) < ownLife {
 			return
 		}
-	case t.Role == "keeper":
+	case t.Role == wire.RoleServer:
 		p.rumour = m.now
 		return
 	default:
--- a/internal/controlplane/relay_test.go
+++ b/internal/controlplane/relay_test.go
@@ -26,7 +26,7 @@
 // hear has a keeper say that it leads.
 func hear(m *controlplane.Server, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
 	members := []raft.Member{{ID: relayLeader, Addr: "k7", Voter: true}, {ID: 8, Addr: "k8", Voter: true}}
-	m.HandleMessage(wire.Peer(addr), wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: id, Addr: addr, Founded: true, LeaderID: id, Members: members, LeaderTime: reading}}, now, 0)
+	m.HandleMessage(wire.Peer(addr), wire.Message{Announcement: &wire.Announcement{Role: wire.RoleServer, Node: id, Addr: addr, Founded: true, LeaderID: id, Members: members, LeaderTime: reading}}, now, 0)
 }
 
 // forwarded is the request that was passed on, and to whom.
--- a/internal/daemon/gatewayd/desk_test.go
+++ b/internal/daemon/gatewayd/desk_test.go
@@ -42,7 +42,7 @@
 	l.Serve(func(from wire.Peer, msg wire.Message) {
 		switch a := msg.Request; {
 		case msg.Announcement != nil && msg.Announcement.WantReply:
-			l.Send(from, wire.Message{Announcement: &wire.Announcement{Role: "keeper", Node: 7, Founded: true, LeaderID: 7, Members: members}})
+			l.Send(from, wire.Message{Announcement: &wire.Announcement{Role: wire.RoleServer, Node: 7, Founded: true, LeaderID: 7, Members: members}})
 		case a != nil && a.Method == "SYNC":
 			l.Send(from, wire.Message{Response: &wire.Response{ID: a.ID, Status: 200, Body: text}})
 		case a != nil && a.Path == "/v1/table":
--- a/internal/gateway/machine_test.go
+++ b/internal/gateway/machine_test.go
@@ -16,7 +16,7 @@
 func touched(t *testing.T) *Gateway {
 	t.Helper()
 	m := New(Config{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{"k"}}, 0)
-	m.HandleMessage("k", wire.Message{Announcement: &wire.Announcement{Role: "keeper", Founded: true, LeaderID: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
+	m.HandleMessage("k", wire.Message{Announcement: &wire.Announcement{Role: wire.RoleServer, Founded: true, LeaderID: 7, Members: []raft.Member{{ID: 7, Addr: "k", Voter: true}}}}, 900)
 	m.Tick(950)
 	first := limits.Default()
 	text, err := json.Marshal(controlplane.SyncResponse{Epoch: 1, Table: &controlplane.RoutingTable{Epoch: 1, Rows: first.Rows}, Lead: identifier.Node(7).String(), Members: m.members})
--- a/internal/gateway/touch.go
+++ b/internal/gateway/touch.go
@@ -26,7 +26,7 @@
 		return
 	}
 	m.told = m.now
-	t := &wire.Announcement{WantReply: lost, Role: "gate", Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP}
+	t := &wire.Announcement{WantReply: lost, Role: wire.RoleGateway, Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP}
 	seen := map[string]bool{m.boot.Addr: true}
 	for _, mem := range m.members {
 		seen[mem.Addr] = true
@@ -99,11 +99,11 @@
 
 func (m *Gateway) tell(from wire.Peer, t *wire.Announcement) {
 	if t.WantReply {
-		m.send(from, wire.Message{Announcement: &wire.Announcement{Role: "gate", Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP,
+		m.send(from, wire.Message{Announcement: &wire.Announcement{Role: wire.RoleGateway, Addr: m.boot.Addr, Domain: m.boot.Domain, HTTP: m.boot.HTTP,
 			Founded: len(m.members) > 0, LeaderID: m.lead, Members: m.members, Gateways: m.gates}})
 		return
 	}
-	if t.Role == "keeper" && t.Node != 0 && t.LeaderID == t.Node && len(t.Members) > 0 {
+	if t.Role == wire.RoleServer && t.Node != 0 && t.LeaderID == t.Node && len(t.Members) > 0 {
 		m.follow(t)
 		return
 	}
--- a/internal/transport/wire/wire_test.go
+++ b/internal/transport/wire/codec_test.go
@@ -9,12 +9,13 @@
 	"orchidward/internal/consensus/raft"
 )
 
+// firstVersionMessages are those that the first version knew.
 func firstVersionMessages() []Message {
 	members := []raft.Member{{ID: 7, Addr: "127.0.0.1:1", Domain: "north", Voter: true}, {ID: 9, Addr: "127.0.0.1:2", Domain: "east"}}
 	return []Message{
 		{Request: &Request{ID: 3, Method: "PUT", Path: "/v1/jobs/a/b", Query: "x=1", Body: []byte("{}"), Epoch: 5, Budget: 900, Hops: 1}},
 		{Response: &Response{ID: 3, Status: 201, Body: []byte("ok"), RetryAfter: 5, NotLeader: true, Stale: true}},
-		{Announcement: &Announcement{WantReply: true, Role: "gate", Node: 4, Addr: "a", Domain: "d", HTTP: "h", Founded: true, LeaderID: 7, Members: members, Founders: members[:1], Gateways: []string{"g1", "g2"}}},
+		{Announcement: &Announcement{WantReply: true, Role: RoleGateway, Node: 4, Addr: "a", Domain: "d", HTTP: "h", Founded: true, LeaderID: 7, Members: members, Founders: members[:1], Gateways: []string{"g1", "g2"}}},
 		{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2, Term: 3, Index: 4, LogTerm: 5, Commit: 6, Reject: true, LeaderTransfer: true, NextHint: 7, SentAt: -8, Wall: 9, FirstKnownTerm: 10, ClusterTime: 11,
 			Entries: []raft.Entry{{Index: 5, Term: 3, Kind: raft.EntryCommand, Data: []byte("x")}}}},
 		{Raft: &raft.Message{Kind: raft.InstallSnapshot, From: 1, To: 2, Snapshot: &raft.Snapshot{Index: 4, Term: 5, Members: members, Data: []byte("view")}, Offset: 3, Total: 9}},
@@ -27,44 +28,48 @@
 	return []Message{
 		{Request: &Request{ID: 3, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: 900, HasLeaderTime: true, LeaderTime: reading}},
 		{Response: &Response{ID: 3, Status: 503, Body: []byte("{}"), Expired: true, LeaderTime: reading}},
-		{Announcement: &Announcement{Role: "keeper", Node: 4, LeaderID: 4, LeaderTime: reading}},
+		{Announcement: &Announcement{Role: RoleServer, Node: 4, LeaderID: 4, LeaderTime: reading}},
 		{Raft: &raft.Message{Kind: raft.AppendReply, From: 2, To: 1, Term: 3, Index: 4, Leaving: true}},
 	}
 }
 
+// roundTrip encodes a message and decodes it.
 func roundTrip(t *testing.T, m Message) Message {
+	t.Helper()
 	t.Helper()
 	var buf bytes.Buffer
 	if err := NewEncoder(&buf).Encode(m); err != nil {
 		t.Fatal(err)
 	}
-	back, err := NewDecoder(&buf).Decode()
+	decoded, err := NewDecoder(&buf).Decode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return back
+	return decoded
 }
 
+// TestRoundTrip: every message is decoded as it was encoded.
 func TestRoundTrip(t *testing.T) {
 	for _, m := range append(firstVersionMessages(), laterMessages()...) {
-		if back := roundTrip(t, m); !reflect.DeepEqual(m, back) {
-			t.Errorf("sent %+v, came back as %+v", m, back)
+		if decoded := roundTrip(t, m); !reflect.DeepEqual(m, decoded) {
+			t.Errorf("encoded %+v, decoded %+v", m, decoded)
 		}
 	}
 }
 
-// TestLargeAppend: an append of many entries outgrew the encoder's first segment
-// and the arena of several segments then refused to link them.
+// TestLargeAppend: an append of many entries needs more than the encoder's first
+// segment, which an arena of several segments once refused to link.
 func TestLargeAppend(t *testing.T) {
 	m := Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
 		m.Raft.Entries = append(m.Raft.Entries, raft.Entry{Index: identifier.Index(i + 1), Term: 1, Kind: raft.EntryCommand, Data: bytes.Repeat([]byte{byte(i)}, i+1)})
 	}
-	if back := roundTrip(t, m); !reflect.DeepEqual(m, back) {
-		t.Error("a large append does not come back as it was sent")
+	if decoded := roundTrip(t, m); !reflect.DeepEqual(m, decoded) {
+		t.Error("a large append is not decoded as it was encoded")
 	}
 }
 
+// FuzzFrame: whatever comes in, decoding neither panics nor returns an empty message.
 func FuzzFrame(f *testing.F) {
 	for _, m := range firstVersionMessages() {
 		var buf bytes.Buffer
@@ -79,7 +84,7 @@
 			return
 		}
 		if m.Raft == nil && m.Request == nil && m.Response == nil && m.Announcement == nil {
-			t.Error("an empty frame was passed")
+			t.Error("an empty message was decoded")
 		}
 	})
 }
--- /dev/null
+++ b/internal/transport/wire/doc.go
@@ -0,0 +1,13 @@
+// Package wire holds the messages among the project's processes: Go values here,
+// Cap'n Proto frames in the stream encoding on the connection (package frame, which
+// is generated).
+//
+// An [Encoder] writes a [Message] to a stream and a [Decoder] reads one from it. What
+// this package decodes is checked in form only; its receiver judges the content.
+//
+// What holds at all times: a frame that does not decode is an error after which the
+// connection must be closed, never a panic; its size is bounded before it is read;
+// and frames of the first version read as they always did (testdata).
+//
+// Begin with message.go, then encode.go and decode.go.
+package wire
