--- /dev/null
+++ b/internal/transport/link/connection.go
@@ -0,0 +1,190 @@
+package link
+
+import (
+	"bufio"
+	"net"
+	"time"
+
+	"golang.org/x/sys/unix"
+
+	"orchidward/internal/daemon/lifecycle"
+	"orchidward/internal/transport/wire"
+)
+
+const (
+	// A peer that has lost power sends nothing and answers a first packet only after
+	// seconds, so that it is dialled anew often. Data that it has not acknowledged for
+	// userTimeoutMs milliseconds ends the connection.
+	dialTimeout    = 400 * time.Millisecond
+	redialInterval = 60 * time.Millisecond
+	userTimeoutMs  = 800
+	writeTimeout   = 3 * time.Second
+	// idleTimeout ends a connection on which nothing was sent.
+	idleTimeout = 60 * time.Second
+	// bufferBytes is the size of the buffers on both sides of a connection.
+	bufferBytes = 64 << 10
+)
+
+// connection is what is to be sent to one peer. conn is nil while it is not yet
+// dialled, and is guarded by the link's mutex.
+type connection struct {
+	queue *lifecycle.Queue[wire.Message]
+	conn  net.Conn
+}
+
+func newConnection() *connection {
+	return &connection{queue: lifecycle.NewQueue[wire.Message](queueLength)}
+}
+
+// discard drops what waits for a connection that is down: all of it will be asked for
+// again, and another process may be at the address by then.
+func (c *connection) discard() {
+	for {
+		select {
+		case <-c.queue.Out():
+		default:
+			return
+		}
+	}
+}
+
+func (l *Link) acceptLoop() {
+	for {
+		conn, err := l.listener.Accept()
+		if err != nil {
+			return
+		}
+		l.accept(conn)
+	}
+}
+
+func (l *Link) accept(conn net.Conn) {
+	setUserTimeout(conn)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed || len(l.connections) >= maxConnections {
+		conn.Close()
+		return
+	}
+	l.accepted++
+	peer := wire.AcceptedPeer(l.accepted)
+	c := newConnection()
+	c.conn = conn
+	l.connections[peer] = c
+	l.group.Go(func(stop <-chan struct{}) { l.writeLoop(c, conn, stop) })
+	l.group.Go(func(_ <-chan struct{}) {
+		l.readLoop(peer, conn)
+		l.remove(peer, c)
+	})
+}
+
+// remove forgets a connection. A peer that was dialled is dialled again by the next
+// Send.
+func (l *Link) remove(peer wire.Peer, c *connection) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.connections[peer] == c {
+		delete(l.connections, peer)
+	}
+}
+
+// dialLoop keeps a peer connected for as long as there is something to send to it.
+func (l *Link) dialLoop(to wire.Peer, c *connection, stop <-chan struct{}) {
+	for {
+		conn, err := net.DialTimeout("tcp", string(to), dialTimeout)
+		if err == nil && l.runDialled(to, c, conn, stop) {
+			return
+		}
+		c.discard()
+		select {
+		case <-stop:
+			return
+		case <-time.After(redialInterval):
+		}
+		if err != nil && c.queue.Len() == 0 {
+			l.remove(to, c)
+			return
+		}
+	}
+}
+
+// runDialled runs a connection until it ends, and tells whether it is not to be
+// dialled again: it was idle, or the link is closed.
+func (l *Link) runDialled(to wire.Peer, c *connection, conn net.Conn, stop <-chan struct{}) (done bool) {
+	defer conn.Close()
+	setUserTimeout(conn)
+	if !l.attach(c, conn) {
+		return true
+	}
+	l.group.Go(func(<-chan struct{}) { l.readLoop(to, conn) })
+	idle := l.writeLoop(c, conn, stop)
+	if idle {
+		l.remove(to, c)
+	}
+	return idle
+}
+
+// attach records what was dialled, unless the link is closed.
+func (l *Link) attach(c *connection, conn net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c.conn = conn
+	return !l.closed
+}
+
+// writeLoop sends what is queued until the connection fails, the link stops, or
+// nothing was sent for idleTimeout. It tells whether it ended for the last reason.
+func (l *Link) writeLoop(c *connection, conn net.Conn, stop <-chan struct{}) (idle bool) {
+	buffer := bufio.NewWriterSize(conn, bufferBytes)
+	encoder := wire.NewEncoder(buffer)
+	timer := time.NewTimer(idleTimeout)
+	defer timer.Stop()
+	for {
+		timer.Reset(idleTimeout)
+		select {
+		case <-stop:
+			return false
+		case <-timer.C:
+			return true
+		case message := <-c.queue.Out():
+			conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+			err := encoder.Encode(message)
+			if err == nil && c.queue.Len() == 0 {
+				err = buffer.Flush()
+			}
+			if err != nil {
+				conn.Close()
+				return false
+			}
+		}
+	}
+}
+
+func (l *Link) readLoop(peer wire.Peer, conn net.Conn) {
+	defer conn.Close()
+	decoder := wire.NewDecoder(bufio.NewReaderSize(conn, bufferBytes))
+	for {
+		message, err := decoder.Decode()
+		if err != nil {
+			return
+		}
+		l.handler(peer, message)
+	}
+}
+
+// setUserTimeout has the kernel end a connection whose other end acknowledges
+// nothing for userTimeoutMs (RFC 5482). A connection that cannot be set stays as it
+// is.
+func setUserTimeout(conn net.Conn) {
+	tcp, ok := conn.(*net.TCPConn)
+	if !ok {
+		return
+	}
+	raw, err := tcp.SyscallConn()
+	if err != nil {
+		return
+	}
+	_ = raw.Control(func(fd uintptr) {
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
+	})
+}
