--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -1,10 +1,7 @@
-// What the leader knows of when each item last changed. Every replica of the
-// state keeps this as it applies entries, so that a new leader can go on telling
-// changes since its own start.
-
 package routing
 
 import (
+	"maps"
 	"slices"
 
 	"orchidward/internal/api/catalog"
@@ -14,162 +11,161 @@
 const (
 	// maxDroppedItems bounds the dropped items that are remembered.
 	maxDroppedItems = 4096
-	// maxInsertions is how many new names are put in one by one; more are sorted in.
+	// maxInsertions is how many new names are inserted one by one; with more of them
+	// all names are sorted anew.
 	maxInsertions = 16
 )
 
-// item is a place and the epoch of its last change; a dropped one is gone.
+// item is a route and the epoch of its last change. A dropped one has no route.
 type item struct {
 	route     catalog.Route
 	changedAt identifier.Epoch
 	dropped   bool
 }
 
-// Table is a routing table as the state has it.
-type Table struct {
-	Epoch   identifier.Epoch
-	Version uint64
-	Rows    map[identifier.Row]map[string]string
-	Routes  []catalog.Route
-}
-
-// History tells what changed since any epoch from its horizon on.
+// History tells what changed since any epoch from its horizon on. Every replica of the
+// state keeps one as it applies entries, so that a new leader can tell changes since
+// before its own start.
 type History struct {
-	table       Table
-	horizon     identifier.Epoch
-	rowsChanged identifier.Epoch
-	items       map[string]item
-	names       []string
-	dropped     int
+	table Table
+	// horizon is the epoch before which the history does not reach back.
+	horizon       identifier.Epoch
+	rowsChangedAt identifier.Epoch
+	// items holds each route by its name, dropped ones included, and names the keys
+	// of items in order.
+	items   map[string]item
+	names   []string
+	dropped int
 }
 
 // NewHistory begins with a table and knows of no change before it.
 func NewHistory(t Table) *History {
-	h := &History{horizon: t.Epoch, rowsChanged: t.Epoch, items: map[string]item{}}
-	h.update(t)
+	h := &History{horizon: t.Epoch, rowsChangedAt: t.Epoch, items: map[string]item{}}
+	h.RoutesChanged(t)
 	return h
 }
 
-// Epoch is that of the table the history has come to.
+// Epoch is that of the newest table.
 func (h *History) Epoch() identifier.Epoch { return h.table.Epoch }
 
-// RowsChanged takes a table of which only the rows changed.
+// RowsChanged takes a newer table of which only the rows changed.
 func (h *History) RowsChanged(t Table) {
-	t.Routes, t.Version = h.table.Routes, h.table.Version
-	h.table, h.rowsChanged = t, t.Epoch
+	t.Routes = h.table.Routes
+	t.Version = h.table.Version
+	h.table = t
+	h.rowsChangedAt = t.Epoch
 }
 
-// RoutesChanged takes a table of which only the places changed.
-func (h *History) RoutesChanged(t Table) { h.update(t) }
-
-func (h *History) update(t Table) {
+// RoutesChanged takes a newer table of which only the routes changed.
+func (h *History) RoutesChanged(t Table) {
 	h.table = t
-	present := make(map[string]bool, len(t.Routes))
-	added := []string{}
-	for _, p := range t.Routes {
-		present[p.Queue] = true
-		was, known := h.items[p.Queue]
-		if known && !was.dropped && was.route == p {
+	added := h.recordPresent(t)
+	h.recordDropped(t)
+	switch {
+	case h.dropped > maxDroppedItems:
+		h.compact()
+		h.sortNames()
+	case len(added) > maxInsertions:
+		h.sortNames()
+	default:
+		h.insertNames(added)
+	}
+}
+
+// recordPresent records the routes of a table that are new or changed, and returns
+// the names that were not known.
+func (h *History) recordPresent(t Table) []string {
+	var added []string
+	for _, route := range t.Routes {
+		last, known := h.items[route.Queue]
+		if known && !last.dropped && last.route == route {
 			continue
 		}
-		if was.dropped {
+		if last.dropped {
 			h.dropped--
 		}
 		if !known {
-			added = append(added, p.Queue)
+			added = append(added, route.Queue)
 		}
-		h.items[p.Queue] = item{route: p, changedAt: t.Epoch}
+		h.items[route.Queue] = item{route: route, changedAt: t.Epoch}
+	}
+	return added
+}
+
+// recordDropped records the routes that a table no longer has.
+func (h *History) recordDropped(t Table) {
+	present := make(map[string]bool, len(t.Routes))
+	for _, route := range t.Routes {
+		present[route.Queue] = true
 	}
 	for _, name := range h.names {
-		if one := h.items[name]; !one.dropped && !present[name] {
+		if !h.items[name].dropped && !present[name] {
 			h.items[name] = item{changedAt: t.Epoch, dropped: true}
 			h.dropped++
 		}
 	}
-	switch {
-	case h.dropped > maxDroppedItems:
-		h.compact()
-		h.sortNames()
-	case len(added) > maxInsertions:
-		h.sortNames()
-	default:
-		h.insertNames(added)
-	}
 }
 
-// insertNames puts a few new names where they belong in the order.
+// insertNames inserts a few new names where they belong in the order.
 func (h *History) insertNames(added []string) {
 	for _, name := range added {
-		at, _ := slices.BinarySearch(h.names, name)
-		h.names = slices.Insert(h.names, at, name)
+		position, _ := slices.BinarySearch(h.names, name)
+		h.names = slices.Insert(h.names, position, name)
 	}
 }
 
-// compact drops the oldest half of the dropped items when they are too many, and
-// moves the horizon past them.
+func (h *History) sortNames() { h.names = slices.Sorted(maps.Keys(h.items)) }
+
+// compact forgets the older half of the dropped items, and moves the horizon past
+// them.
 func (h *History) compact() {
-	if h.dropped <= maxDroppedItems {
-		return
-	}
-	epochs := []identifier.Epoch{}
-	for _, one := range h.items {
-		if one.dropped {
-			epochs = append(epochs, one.changedAt)
+	var epochs []identifier.Epoch
+	for _, i := range h.items {
+		if i.dropped {
+			epochs = append(epochs, i.changedAt)
 		}
 	}
 	slices.Sort(epochs)
 	h.horizon = max(h.horizon, epochs[len(epochs)/2])
-	for name, one := range h.items {
-		if one.dropped && one.changedAt <= h.horizon {
+	for name, i := range h.items {
+		if i.dropped && i.changedAt <= h.horizon {
 			delete(h.items, name)
 			h.dropped--
 		}
 	}
 }
 
-func (h *History) sortNames() {
-	h.names = h.names[:0]
-	for name := range h.items {
-		h.names = append(h.names, name)
-	}
-	slices.Sort(h.names)
-}
-
-// Page is the part that begins after a name of what changed since an epoch. One
-// that the history does not reach back to is answered with the whole.
+// Page is the part that begins after a name of what changed since an epoch. Since an
+// epoch that the history does not reach back to, that is the full table.
 func (h *History) Page(since identifier.Epoch, after string) Page {
 	if since < h.horizon || since > h.table.Epoch {
 		since = 0
 	}
 	p := Page{Since: since, Epoch: h.table.Epoch, Version: h.table.Version}
-	if after == "" && (since == 0 || h.rowsChanged > since) {
+	if after == "" && (since == 0 || h.rowsChangedAt > since) {
 		p.Rows = h.table.Rows
 	}
-	from, found := slices.BinarySearch(h.names, after)
-	if found {
-		from++
-	}
 	bytes := 0
-	for _, name := range h.names[from:] {
-		one := h.items[name]
-		if one.changedAt <= since || since == 0 && one.dropped {
+	for _, name := range h.namesAfter(after) {
+		i := h.items[name]
+		if i.changedAt <= since || since == 0 && i.dropped {
 			continue
 		}
 		if bytes > pageBytes {
 			return p
 		}
-		p.addItem(name, one)
+		p.addItem(name, i)
 		p.NextAfter = name
-		bytes += routeBytes(name, one.route)
+		bytes += routeBytes(name, i.route)
 	}
 	p.NextAfter = ""
 	return p
 }
 
-func (p *Page) addItem(name string, one item) {
-	if one.dropped {
-		p.Dropped = append(p.Dropped, name)
-		return
+func (h *History) namesAfter(after string) []string {
+	position, found := slices.BinarySearch(h.names, after)
+	if found {
+		position++
 	}
-	p.Routes = append(p.Routes, one.route)
+	return h.names[position:]
 }
--- a/internal/routing/page.go
+++ b/internal/routing/page.go
@@ -1,11 +1,3 @@
-// Package routing replicates the routing table (limits by row, and the places at
-// which queues are found) from the leader to gateways. A gateway asks for what
-// changed since the version that it has. The answer is cut into pages, so that a
-// table of any size goes over a thin link without holding up anything else, and
-// however many changes came meanwhile, each item travels once, as it is now.
-//
-// History is the leader's side and Replica the gateway's. Both are pure values:
-// no clock, no I/O.
 package routing
 
 import (
@@ -13,26 +5,49 @@
 	"orchidward/internal/api/identifier"
 )
 
-// pageBytes bounds the items of one page, about, in bytes.
-const pageBytes = 24 << 10
+const (
+	// pageBytes is the size of the items from which on a page takes no more.
+	pageBytes = 24 << 10
+	// routeOverheadBytes is about what a route takes besides its texts.
+	routeOverheadBytes = 40
+)
+
+// Table is a routing table as the state has it.
+type Table struct {
+	// Epoch counts all changes, Version those of the routes.
+	Epoch   identifier.Epoch
+	Version uint64
+	// Rows are the limits by row, Routes the routes to queues, in any order.
+	Rows   map[identifier.Row]map[string]string
+	Routes []catalog.Route
+}
 
 // Page is a part of what changed after an epoch, in the order of names.
 type Page struct {
-	// Since is the epoch after which all changes are told; 0 is the whole table.
+	// Since is the epoch after which all changes are listed; 0 is the full table.
 	Since identifier.Epoch `json:"since"`
-	// Epoch is that of the table from which this page was cut.
+	// Epoch is that of the table from which this page was taken.
 	Epoch   identifier.Epoch `json:"epoch"`
 	Version uint64           `json:"version,omitempty"`
 	// Rows are all rows; none where they did not change, and on later pages.
-	Rows    map[identifier.Row]map[string]string `json:"rows,omitempty"`
-	Routes  []catalog.Route                      `json:"places,omitempty"`
-	Dropped []string                             `json:"dropped,omitempty"`
+	Rows map[identifier.Row]map[string]string `json:"rows,omitempty"`
+	// Routes are those that were added or changed, Dropped the names of those that
+	// are gone.
+	Routes  []catalog.Route `json:"places,omitempty"`
+	Dropped []string        `json:"dropped,omitempty"`
 	// NextAfter is the name after which the next page begins, empty on the last.
 	NextAfter string `json:"next,omitempty"`
 }
 
-// routeBytes is about what a place takes in a page.
-func routeBytes(name string, p catalog.Route) int {
-	const frame = 40
-	return frame + len(name) + len(p.Host) + len(p.Prefix)
+func (p *Page) addItem(name string, i item) {
+	if i.dropped {
+		p.Dropped = append(p.Dropped, name)
+		return
+	}
+	p.Routes = append(p.Routes, i.route)
+}
+
+// routeBytes is about what a route takes in a page.
+func routeBytes(name string, r catalog.Route) int {
+	return routeOverheadBytes + len(name) + len(r.Host) + len(r.Prefix)
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -5,124 +5,162 @@
 	"fmt"
 	"maps"
 	"math/rand"
+	"slices"
 	"testing"
 
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
 )
 
-// tableHistory is a table that changes, its history, and every table it ever had.
+// tableHistory is a table that changes, its history, and the routes of every table
+// that it was.
 type tableHistory struct {
 	random     *rand.Rand
 	routes     map[string]catalog.Route
 	table      Table
 	history    *History
-	pastTables map[identifier.Epoch]map[string]catalog.Route
+	pastRoutes map[identifier.Epoch]map[string]catalog.Route
 }
 
-func newTableHistory(seed int64, places int) *tableHistory {
-	l := &tableHistory{random: rand.New(rand.NewSource(seed)), routes: map[string]catalog.Route{}, pastTables: map[identifier.Epoch]map[string]catalog.Route{}}
-	for i := 0; i < places; i++ {
-		l.changeRoute(fmt.Sprintf("queue-%04d", i))
-	}
-	l.table = Table{Epoch: 1, Version: 1, Rows: map[identifier.Row]map[string]string{"a": {"weight": "1"}}}
-	l.publish()
-	l.history = NewHistory(l.table)
-	return l
+func newTableHistory(seed int64, routes int) *tableHistory {
+	h := &tableHistory{
+		random:     rand.New(rand.NewSource(seed)),
+		routes:     map[string]catalog.Route{},
+		table:      Table{Epoch: 1, Version: 1, Rows: weightRow("1")},
+		pastRoutes: map[identifier.Epoch]map[string]catalog.Route{},
+	}
+	for i := 0; i < routes; i++ {
+		h.setRoute(queueName(i))
+	}
+	h.listRoutes()
+	h.history = NewHistory(h.table)
+	return h
 }
 
-func (l *tableHistory) changeRoute(name string) {
-	l.routes[name] = catalog.Route{Queue: name, Host: "host.example", Prefix: fmt.Sprintf("/%s/%d/", name, l.random.Intn(1000))}
+func weightRow(weight string) map[identifier.Row]map[string]string {
+	return map[identifier.Row]map[string]string{"a": {"weight": weight}}
 }
 
-func (l *tableHistory) publish() {
-	l.table.Routes = nil
-	for _, p := range l.routes {
-		l.table.Routes = append(l.table.Routes, p)
-	}
-	l.pastTables[l.table.Epoch] = maps.Clone(l.routes)
+func queueName(i int) string { return fmt.Sprintf("queue-%04d", i) }
+
+// setRoute adds a route to a queue, or changes it.
+func (h *tableHistory) setRoute(name string) {
+	prefix := fmt.Sprintf("/%s/%d/", name, h.random.Intn(1000))
+	h.routes[name] = catalog.Route{Queue: name, Host: "host.example", Prefix: prefix}
+}
+
+// listRoutes puts the routes into the table and remembers them.
+func (h *tableHistory) listRoutes() {
+	h.table.Routes = slices.Collect(maps.Values(h.routes))
+	h.pastRoutes[h.table.Epoch] = maps.Clone(h.routes)
+}
+
+// changeOne makes one change of one route.
+func (h *tableHistory) changeOne(name string) {
+	h.table.Epoch++
+	h.setRoute(name)
+	h.listRoutes()
+	h.history.RoutesChanged(h.table)
 }
 
-// changeRandomly is one change of some places, or of the rows.
-func (l *tableHistory) changeRandomly() {
-	l.table.Epoch++
-	if l.random.Intn(6) == 0 {
-		l.table.Rows = map[identifier.Row]map[string]string{"a": {"weight": fmt.Sprint(l.table.Epoch)}}
-		l.pastTables[l.table.Epoch] = maps.Clone(l.routes)
-		l.history.RowsChanged(l.table)
+// changeRandomly makes one change of some routes, or of the rows.
+func (h *tableHistory) changeRandomly() {
+	h.table.Epoch++
+	if h.random.Intn(6) == 0 {
+		h.table.Rows = weightRow(fmt.Sprint(h.table.Epoch))
+		h.pastRoutes[h.table.Epoch] = maps.Clone(h.routes)
+		h.history.RowsChanged(h.table)
 		return
 	}
-	l.table.Version = uint64(l.table.Epoch)
-	for n := l.random.Intn(4); n >= 0; n-- {
-		l.changeRoute(fmt.Sprintf("queue-%04d", l.random.Intn(400)))
+	h.table.Version = uint64(h.table.Epoch)
+	for n := h.random.Intn(4); n >= 0; n-- {
+		h.setRoute(queueName(h.random.Intn(400)))
 	}
-	for n := l.random.Intn(3); n > 0; n-- {
-		delete(l.routes, fmt.Sprintf("queue-%04d", l.random.Intn(400)))
+	for n := h.random.Intn(3); n > 0; n-- {
+		delete(h.routes, queueName(h.random.Intn(400)))
 	}
-	l.publish()
-	l.history.RoutesChanged(l.table)
+	h.listRoutes()
+	h.history.RoutesChanged(h.table)
 }
 
-// fetchPage sends a replica's question and its answer over the wire.
-func fetchPage(t *testing.T, h *History, r *Replica) (p Page, changed bool) {
+// everHad tells whether some table from an epoch on had a route.
+func (h *tableHistory) everHad(route catalog.Route, from identifier.Epoch) bool {
+	for epoch := from; epoch <= h.table.Epoch; epoch++ {
+		if h.pastRoutes[epoch][route.Queue] == route {
+			return true
+		}
+	}
+	return false
+}
+
+// fetchPage answers a replica's next request, with the page encoded as it travels.
+func fetchPage(t *testing.T, h *History, r *Replica) (page Page, changed bool) {
 	t.Helper()
 	since, after := r.NextRequest()
-	text, err := json.Marshal(h.Page(since, after))
-	if err != nil {
-		t.Fatal(err)
+	data := encodePage(t, h.Page(since, after))
+	if len(data) > pageBytes*3 {
+		t.Errorf("a page of %d bytes", len(data))
 	}
-	if len(text) > pageBytes*3 {
-		t.Errorf("a page of %d bytes", len(text))
+	if err := json.Unmarshal(data, &page); err != nil {
+		t.Fatal(err)
 	}
-	if err = json.Unmarshal(text, &p); err != nil {
+	return page, r.AddPage(page, after)
+}
+
+func encodePage(t *testing.T, p Page) []byte {
+	t.Helper()
+	data, err := json.Marshal(p)
+	if err != nil {
 		t.Fatal(err)
 	}
-	return p, r.AddPage(p, after)
+	return data
 }
 
 func hasRoutes(r *Replica, want map[string]catalog.Route) bool {
-	list := r.Routes()
-	for _, p := range list {
-		if want[p.Queue] != p {
+	routes := r.Routes()
+	for _, route := range routes {
+		if want[route.Queue] != route {
 			return false
 		}
 	}
-	return len(list) == len(want)
+	return len(routes) == len(want)
 }
 
-// TestReplicaConverges: while the table goes on changing, a replica that asks for
-// one page after another, now and then of a new leader whose history is short,
-// never goes back, holds only places of tables between its own epoch and the
-// newest, and has the very table once the changes end.
+// TestReplicaConverges: while the table goes on changing, a replica that asks for one
+// page after another, now and then of a new leader whose history is short, never goes
+// back, has only routes of tables between its own epoch and the newest, and has the
+// very table once the changes end.
 func TestReplicaConverges(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
-		l, r := newTableHistory(seed, 400), &Replica{}
-		epoch, changes := identifier.Epoch(0), 0
+		h := newTableHistory(seed, 400)
+		r := &Replica{}
+		epoch := identifier.Epoch(0)
+		changes := 0
 		for step := 0; step < 400; step++ {
-			if l.random.Intn(3) == 0 {
-				l.changeRandomly()
+			if h.random.Intn(3) == 0 {
+				h.changeRandomly()
 			}
-			if l.random.Intn(120) == 0 {
-				l.history = NewHistory(l.table)
+			if h.random.Intn(120) == 0 {
+				h.history = NewHistory(h.table)
 			}
-			if _, changed := fetchPage(t, l.history, r); changed {
+			if _, changed := fetchPage(t, h.history, r); changed {
 				changes++
 			}
 			if r.Epoch() < epoch {
 				t.Fatalf("seed %d: went back from %d to %d", seed, epoch, r.Epoch())
 			}
 			epoch = r.Epoch()
-			for _, p := range r.Routes() {
-				if !everHad(l, p, epoch) {
-					t.Fatalf("seed %d: at epoch %d it holds %+v, which no table had since", seed, epoch, p)
+			for _, route := range r.Routes() {
+				if !h.everHad(route, epoch) {
+					t.Fatalf("seed %d: at epoch %d it has %+v, which no table had since", seed, epoch, route)
 				}
 			}
 		}
-		for i := 0; i < 200 && r.Epoch() < l.table.Epoch; i++ {
-			fetchPage(t, l.history, r)
+		for i := 0; i < 200 && r.Epoch() < h.table.Epoch; i++ {
+			fetchPage(t, h.history, r)
 		}
-		if r.Epoch() != l.table.Epoch || !hasRoutes(r, l.routes) || r.Rows()["a"]["weight"] != l.table.Rows["a"]["weight"] || r.Version() != l.table.Version {
-			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d places of %d", seed, r.Epoch(), l.table.Epoch, r.Version(), l.table.Version, len(r.Routes()), len(l.routes))
+		if r.Epoch() != h.table.Epoch || !hasRoutes(r, h.routes) || r.Rows()["a"]["weight"] != h.table.Rows["a"]["weight"] || r.Version() != h.table.Version {
+			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d routes of %d", seed, r.Epoch(), h.table.Epoch, r.Version(), h.table.Version, len(r.Routes()), len(h.routes))
 		}
 		if changes < 20 {
 			t.Errorf("seed %d: too little evidence: %d changes taken", seed, changes)
@@ -130,93 +168,83 @@
 	}
 }
 
-// everHad tells whether some table from an epoch on had this place.
-func everHad(l *tableHistory, p catalog.Route, from identifier.Epoch) bool {
-	for e := from; e <= l.table.Epoch; e++ {
-		if l.pastTables[e][p.Queue] == p {
-			return true
-		}
-	}
-	return false
-}
-
-// TestPatchSizeIndependentOfTable: what a gateway is sent for a change does not grow with the
-// table, many changes at once are sent as one, and a whole table comes in pages.
+// TestPatchSizeIndependentOfTable: what a gateway is sent for a change does not grow
+// with the table, many changes at once are sent as one, and a full table comes in
+// pages.
 func TestPatchSizeIndependentOfTable(t *testing.T) {
-	for _, places := range []int{3, 400, 1400, 10000} {
-		l, r := newTableHistory(7, places), &Replica{}
-		pages, whole := 0, 0
-		for r.Epoch() != l.table.Epoch {
-			p, _ := fetchPage(t, l.history, r)
-			text, _ := json.Marshal(p)
-			pages, whole = pages+1, whole+len(text)
+	for _, routes := range []int{3, 400, 1400, 10000} {
+		h := newTableHistory(7, routes)
+		r := &Replica{}
+		pages := 0
+		tableBytes := 0
+		for r.Epoch() != h.table.Epoch {
+			page, _ := fetchPage(t, h.history, r)
+			pages++
+			tableBytes += len(encodePage(t, page))
 		}
-		l.table.Epoch++
-		l.changeRoute("queue-0001")
-		l.publish()
-		l.history.RoutesChanged(l.table)
-		p, _ := fetchPage(t, l.history, r)
-		one, _ := json.Marshal(p)
+
+		h.changeOne(queueName(1))
+		page, _ := fetchPage(t, h.history, r)
+		oneBytes := len(encodePage(t, page))
+
 		for i := 0; i < 50; i++ {
-			l.table.Epoch++
-			l.changeRoute("queue-0002")
-			l.publish()
-			l.history.RoutesChanged(l.table)
+			h.changeOne(queueName(2))
 		}
-		p, _ = fetchPage(t, l.history, r)
-		fifty, _ := json.Marshal(p)
-		t.Logf("%5d places: whole %d bytes in %d pages, a change %d bytes, 50 of one place %d bytes", places, whole, pages, len(one), len(fifty))
-		if len(one) > 300 || len(fifty) > 300 || !hasRoutes(r, l.routes) {
-			t.Errorf("%d places: a change takes %d bytes, 50 of one place %d", places, len(one), len(fifty))
+		page, _ = fetchPage(t, h.history, r)
+		fiftyBytes := len(encodePage(t, page))
+
+		t.Logf("%5d routes: %d bytes in %d pages, a change %d bytes, 50 of one route %d bytes", routes, tableBytes, pages, oneBytes, fiftyBytes)
+		if oneBytes > 300 || fiftyBytes > 300 || !hasRoutes(r, h.routes) {
+			t.Errorf("%d routes: a change takes %d bytes, 50 of one route %d", routes, oneBytes, fiftyBytes)
 		}
-		if pages < whole/(3*pageBytes) {
-			t.Errorf("%d bytes in %d pages", whole, pages)
+		if pages < tableBytes/(3*pageBytes) {
+			t.Errorf("%d bytes in %d pages", tableBytes, pages)
 		}
 	}
 }
 
-// TestDroppedItemsBounded: however many places come and go, what is remembered of
-// them is bounded; a replica from before the horizon gets the whole.
+// TestDroppedItemsBounded: however many routes come and go, what is remembered of them
+// is bounded; a replica from before the horizon gets the full table.
 func TestDroppedItemsBounded(t *testing.T) {
-	l, r := newTableHistory(3, 10), &Replica{}
-	fetchPage(t, l.history, r)
+	h := newTableHistory(3, 10)
+	r := &Replica{}
+	fetchPage(t, h.history, r)
 	for i := 0; i < 2*maxDroppedItems; i++ {
-		l.table.Epoch++
-		l.changeRoute(fmt.Sprintf("passing-%d", i))
-		delete(l.routes, fmt.Sprintf("passing-%d", i-1))
-		l.table.Routes = nil
-		for _, p := range l.routes {
-			l.table.Routes = append(l.table.Routes, p)
-		}
-		l.history.RoutesChanged(l.table)
+		h.table.Epoch++
+		h.setRoute(fmt.Sprintf("passing-%d", i))
+		delete(h.routes, fmt.Sprintf("passing-%d", i-1))
+		h.table.Routes = slices.Collect(maps.Values(h.routes))
+		h.history.RoutesChanged(h.table)
 	}
-	if n := len(l.history.items); n > maxDroppedItems+20 {
-		t.Errorf("%d items are kept", n)
+	if kept := len(h.history.items); kept > maxDroppedItems+20 {
+		t.Errorf("%d items are kept", kept)
 	}
-	if p, _ := fetchPage(t, l.history, r); p.Since != 0 || !hasRoutes(r, l.routes) {
-		t.Errorf("from before the horizon: since %d, %d places", p.Since, len(r.Routes()))
+	if page, _ := fetchPage(t, h.history, r); page.Since != 0 || !hasRoutes(r, h.routes) {
+		t.Errorf("from before the horizon: since %d, %d routes", page.Since, len(r.Routes()))
 	}
 }
 
-// TestStalePagesIgnored: pages that come late, twice, or of another update change nothing.
+// TestStalePagesIgnored: pages that come late, twice, or of another update change
+// nothing.
 func TestStalePagesIgnored(t *testing.T) {
-	l, r := newTableHistory(5, 1400), &Replica{}
-	first := l.history.Page(0, "")
+	h := newTableHistory(5, 1400)
+	r := &Replica{}
+	first := h.history.Page(0, "")
 	if r.AddPage(first, "") || !r.Updating() {
-		t.Fatal("a first page of several was the whole")
+		t.Fatal("a first page of several was the full table")
 	}
-	if r.AddPage(first, "") || r.AddPage(l.history.Page(0, "queue-1300"), "queue-1300") {
+	if r.AddPage(first, "") || r.AddPage(h.history.Page(0, queueName(1300)), queueName(1300)) {
 		t.Error("a page that was not asked for was taken")
 	}
 	for r.Updating() {
-		fetchPage(t, l.history, r)
+		fetchPage(t, h.history, r)
 	}
-	if !hasRoutes(r, l.routes) {
-		t.Error("not the whole table")
+	if !hasRoutes(r, h.routes) {
+		t.Error("not the full table")
 	}
-	old := l.history.Page(1, "")
-	l.changeRandomly()
-	fetchPage(t, l.history, r)
+	old := h.history.Page(1, "")
+	h.changeRandomly()
+	fetchPage(t, h.history, r)
 	epoch := r.Epoch()
 	if r.Patch(old) || r.Patch(Page{Since: epoch + 1, Epoch: epoch + 2}) || r.Epoch() != epoch {
 		t.Error("took an older page, or one from a later epoch")
