--- /dev/null
+++ b/internal/inflight/inflight_test.go
@@ -0,0 +1,273 @@
+package inflight
+
+import (
+	"net/http"
+	"testing"
+
+	"orchidward/internal/clock"
+	"orchidward/internal/gateway"
+	"orchidward/internal/transport/wire"
+)
+
+// testID is the number of the request in these tests, testPeer whom it is dispatched
+// for.
+const (
+	testID             = 7
+	testPeer wire.Peer = "@7"
+)
+
+// repeatable is a request that may be dispatched again when its outcome is not known.
+var repeatable = gateway.Request{ID: testID, Method: "PUT", Path: "/v1/catalog", Budget: 3000}
+
+// single is a set with one request in it, dispatched at 1000 ms.
+type single struct {
+	*Requests
+	t         *testing.T
+	responses chan gateway.Response
+}
+
+// admit admits a request that may not be repeated.
+func admit(t *testing.T, budget clock.Millis) *single {
+	t.Helper()
+	return admitRequest(t, gateway.Request{ID: testID, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: budget})
+}
+
+func admitRequest(t *testing.T, q gateway.Request) *single {
+	t.Helper()
+	s := &single{Requests: New(), t: t, responses: make(chan gateway.Response, 1)}
+	s.Admit(q, s.respond, 1000, true)
+	dispatched := s.wantDispatch()
+	if dispatched.Peer != testPeer || dispatched.Request.Method != q.Method || !dispatched.Peer.Local() {
+		t.Fatalf("dispatched: %+v", dispatched)
+	}
+	return s
+}
+
+func (s *single) respond(response gateway.Response) { s.responses <- response }
+
+// reply passes in the server's reply to the dispatch.
+func (s *single) reply(reply wire.Response, now clock.Monotonic) {
+	reply.ID = testID
+	s.Complete(testPeer, &reply, now)
+}
+
+// wantDispatch wants the request to be dispatched once.
+func (s *single) wantDispatch() Dispatch {
+	s.t.Helper()
+	dispatches := s.TakeDispatches()
+	if len(dispatches) != 1 {
+		s.t.Fatalf("dispatched %+v, want one", dispatches)
+	}
+	return dispatches[0]
+}
+
+func (s *single) wantNoDispatch() {
+	s.t.Helper()
+	if dispatches := s.TakeDispatches(); len(dispatches) != 0 {
+		s.t.Fatalf("dispatched %+v, want none", dispatches)
+	}
+}
+
+func (s *single) wantResponse(status int) {
+	s.t.Helper()
+	select {
+	case response := <-s.responses:
+		if response.ID != testID || response.Status != status {
+			s.t.Errorf("answered %+v, want %d", response, status)
+		}
+	default:
+		s.t.Errorf("no answer, want %d", status)
+	}
+	s.wantEmpty()
+}
+
+func (s *single) wantNoResponse() {
+	s.t.Helper()
+	select {
+	case response := <-s.responses:
+		s.t.Fatalf("answered %+v before its time", response)
+	default:
+	}
+}
+
+func (s *single) wantEmpty() {
+	s.t.Helper()
+	if s.Len() > 0 || s.bodyBytes != 0 {
+		s.t.Errorf("%d requests of %d bytes are still waiting", s.Len(), s.bodyBytes)
+	}
+}
+
+// TestReplyIsResponse: the reply to the request's own peer is its response, and no
+// other.
+func TestReplyIsResponse(t *testing.T) {
+	s := admit(t, 0)
+	s.Complete("@8", &wire.Response{ID: testID, Status: http.StatusInternalServerError}, 1010)
+	s.Complete("@8", &wire.Response{ID: 8, Status: http.StatusInternalServerError}, 1010)
+	s.wantNoResponse()
+	s.reply(wire.Response{Status: http.StatusCreated}, 1020)
+	s.wantResponse(http.StatusCreated)
+	s.reply(wire.Response{Status: http.StatusInternalServerError}, 1030)
+	s.wantNoResponse()
+}
+
+// TestNotLeaderRetried: a dispatch that met no leader is made again after 100 ms with
+// what is left of the budget; when all of them did, the caller is told to come back.
+func TestNotLeaderRetried(t *testing.T) {
+	notLeader := wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}
+	s := admit(t, 0)
+	for now := clock.Monotonic(1000); now < 2900; now += 100 {
+		s.reply(notLeader, now)
+		s.Tick(now+99, true)
+		s.wantNoDispatch()
+		s.Tick(now+100, true)
+		if d := s.wantDispatch(); d.Request.Budget != clock.Monotonic(3000).Since(now+100) {
+			t.Fatalf("at %d dispatched: %+v", now+100, d)
+		}
+		s.wantNoResponse()
+	}
+	s.reply(notLeader, 2900)
+	s.Tick(2999, true)
+	s.wantNoResponse()
+	s.Tick(3000, true)
+	s.wantResponse(http.StatusServiceUnavailable)
+}
+
+// TestNoReplyOutcomeUnknown: a dispatch that a leader was given and nothing came back
+// from leaves the outcome unknown, also when dispatches before it met none.
+func TestNoReplyOutcomeUnknown(t *testing.T) {
+	s := admit(t, 300)
+	s.Tick(1299, true)
+	s.wantNoResponse()
+	s.Tick(1300, true)
+	s.wantResponse(http.StatusGatewayTimeout)
+
+	s = admit(t, 300)
+	s.reply(wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}, 1050)
+	s.Tick(1150, true)
+	s.Tick(1300, true)
+	s.wantResponse(http.StatusGatewayTimeout)
+}
+
+// TestForget: a request whose caller left is forgotten.
+func TestForget(t *testing.T) {
+	s := admit(t, 0)
+	s.Forget(testID)
+	s.reply(wire.Response{Status: http.StatusCreated}, 1010)
+	s.wantNoResponse()
+	s.wantEmpty()
+}
+
+// TestBounds: the set is bounded by requests and by the bytes of their bodies.
+func TestBounds(t *testing.T) {
+	tests := []struct {
+		name     string
+		requests int
+		body     []byte
+		refused  int
+	}{
+		{"80 MiB", 80, make([]byte, 1<<20), 16},
+		{"three requests too many", maxRequests + 3, nil, 3},
+	}
+	for _, test := range tests {
+		requests := New()
+		refused := 0
+		for i := 0; i < test.requests; i++ {
+			id := uint64(requests.Len() + 1)
+			requests.Admit(gateway.Request{ID: id, Body: test.body}, func(response gateway.Response) {
+				if response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0 {
+					refused++
+				}
+			}, 0, true)
+		}
+		if refused != test.refused {
+			t.Errorf("%s: %d refused, want %d", test.name, refused, test.refused)
+		}
+	}
+}
+
+// TestNoLeader: a request that finds no leader is answered at once, when it comes and
+// while it waits, and told when to come back; one that a leader may have carried out is
+// told that its outcome is not known.
+func TestNoLeader(t *testing.T) {
+	var refusal gateway.Response
+	New().Admit(gateway.Request{ID: testID, Method: "GET", Path: "/v1/table", Budget: 3000}, func(response gateway.Response) { refusal = response }, 1000, false)
+	if refusal.Status != http.StatusServiceUnavailable || refusal.RetryAfter == 0 || refusal.ID != testID {
+		t.Errorf("without a leader: %+v", refusal)
+	}
+
+	s := admit(t, 3000)
+	s.reply(wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}, 1050)
+	s.Tick(1060, false)
+	s.wantResponse(http.StatusServiceUnavailable)
+
+	s = admit(t, 3000)
+	s.Tick(1060, false)
+	s.wantNoResponse()
+
+	s = admitRequest(t, repeatable)
+	s.reply(wire.Response{Status: http.StatusGatewayTimeout}, 1050)
+	s.wantNoResponse()
+	s.Tick(1060, false)
+	s.wantResponse(http.StatusGatewayTimeout)
+}
+
+// TestExpired: an order that a leader could not tell the age of is dispatched again at
+// once, a few times at most and only within its budget.
+func TestExpired(t *testing.T) {
+	expired := wire.Response{Status: http.StatusServiceUnavailable, Expired: true, RetryAfter: 200}
+	s := admit(t, 3000)
+	for i := 0; i < maxExpired; i++ {
+		s.reply(expired, 1010)
+		if d := s.wantDispatch(); d.Request.Budget != 2990 {
+			t.Fatalf("dispatch %d: %+v", i, d)
+		}
+	}
+	s.reply(expired, 1020)
+	s.wantResponse(http.StatusServiceUnavailable)
+
+	s = admit(t, 300)
+	s.reply(expired, 1300)
+	s.wantNoDispatch()
+	s.wantResponse(http.StatusServiceUnavailable)
+}
+
+// TestOutcomeUnknownRepeated: what a leader does not know the outcome of is dispatched
+// again if it may be; what may have been carried out is never refused as not taken.
+func TestOutcomeUnknownRepeated(t *testing.T) {
+	s := admitRequest(t, repeatable)
+	s.reply(wire.Response{Status: http.StatusGatewayTimeout}, 1010)
+	s.wantNoResponse()
+	s.Tick(1020, true)
+	s.wantDispatch()
+	s.reply(wire.Response{Status: http.StatusTooManyRequests}, 1030)
+	s.wantResponse(http.StatusGatewayTimeout)
+
+	s = admit(t, 3000)
+	s.reply(wire.Response{Status: http.StatusGatewayTimeout}, 1010)
+	s.wantResponse(http.StatusGatewayTimeout)
+}
+
+// TestOrdersRefusedAfterStall: what is read right after this process stood still may be
+// as old as the pause was long, so that no order is taken then; reads are.
+func TestOrdersRefusedAfterStall(t *testing.T) {
+	requests := New()
+	for now := clock.Monotonic(0); now <= 1000; now += 20 {
+		requests.Tick(now, true)
+	}
+	admitAt := func(id uint64, method string, now clock.Monotonic) (response gateway.Response) {
+		requests.Admit(gateway.Request{ID: id, Method: method, Path: "/v1/closings/a", Budget: 900}, func(r gateway.Response) { response = r }, now, true)
+		return response
+	}
+	if response := admitAt(1, "PUT", 9000); response.Status != http.StatusServiceUnavailable || response.RetryAfter == 0 {
+		t.Errorf("an order read at the end of the pause: %+v", response)
+	}
+	if response := admitAt(2, "GET", 9000); response.Status != 0 || requests.Len() != 1 {
+		t.Errorf("a read at the end of the pause: %+v", response)
+	}
+	for now := clock.Monotonic(9020); now < 9600; now += 20 {
+		requests.Tick(now, true)
+	}
+	if response := admitAt(3, "PUT", 9600); response.Status != 0 || requests.Len() != 2 {
+		t.Errorf("an order 600 ms after: %+v", response)
+	}
+}
--- a/internal/stalldetector/detector_test.go
+++ b/internal/stalldetector/detector_test.go
@@ -6,7 +6,7 @@
 	"orchidward/internal/clock"
 )
 
-// TestDetector: gaps up to the limit are none; a longer one makes requests
+// TestDetector: gaps up to the limit are no stall; after a longer one, requests are
 // suspect for as long as those that waited may still be read.
 func TestDetector(t *testing.T) {
 	var d Detector
@@ -16,14 +16,23 @@
 	for now := clock.Monotonic(5000); now <= 10000; now = now.Add(Limit) {
 		d.Observe(now)
 		if d.Draining(now) {
-			t.Fatalf("at %d draining without a pause", now)
+			t.Fatalf("at %d draining without a stall", now)
 		}
 	}
-	woken := clock.Monotonic(10000).Add(Limit + 1)
-	d.Observe(woken)
-	for after, want := range map[clock.Millis]bool{0: true, Drain - 1: true, Drain: false, 10 * Drain: false} {
-		if got := d.Draining(woken.Add(after)); got != want {
-			t.Errorf("%d ms after the pause: draining %v, want %v", after, got, want)
+	resumed := clock.Monotonic(10000).Add(Limit + 1)
+	d.Observe(resumed)
+	tests := []struct {
+		after clock.Millis
+		want  bool
+	}{
+		{0, true},
+		{Drain - 1, true},
+		{Drain, false},
+		{10 * Drain, false},
+	}
+	for _, test := range tests {
+		if got := d.Draining(resumed.Add(test.after)); got != test.want {
+			t.Errorf("%d ms after the stall: draining %v, want %v", test.after, got, test.want)
 		}
 	}
 }
