--- a/internal/consensus/raft/doc.go
+++ b/internal/consensus/raft/doc.go
@@ -22,7 +22,7 @@
 //   - LocalSnapshot is a snapshot of the member's own. It may be written at any
 //     time.
 //
-// What holds at all times:
+// Invariants:
 //
 //   - A term has at most one leader, and a member's vote is on disk before it is
 //     sent.
@@ -46,5 +46,5 @@
 // The tests run groups of members on simulated clocks, disks and networks:
 // simulation_test.go, with faults_test.go for what goes wrong and
 // invariants_test.go for what must hold. docs/notes/agreement.md and membership.md
-// tell what was weighed.
+// describe the alternatives.
 package raft
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -25,9 +25,11 @@
 		r.countVote(r.id)
 		return
 	}
-	r.outbox.holdOwnVote(term)
+	r.outbox.deferOwnVote(term)
 }
 
+// requestVote asks one member for a vote, or for a promise of one. A vote is asked
+// for only once the new term is on disk.
 func (r *Raft) requestVote(kind MessageKind, to identifier.Node, term identifier.Term, leaderTransfer bool) {
 	request := Message{
 		Kind:           kind,
@@ -64,6 +66,8 @@
 	r.becomeLeader()
 }
 
+// becomeLeader opens the term with a blank entry, by which all entries before it can
+// be committed.
 func (r *Raft) becomeLeader() {
 	r.role = Leader
 	r.leader = r.id
@@ -81,6 +85,8 @@
 	}
 }
 
+// becomeFollower follows a leader in a term that is not older than the current one;
+// the leader may be unknown.
 func (r *Raft) becomeFollower(term identifier.Term, leader identifier.Node) {
 	if term > r.hardState.Term {
 		r.setHardState(HardState{Term: term})
--- a/internal/consensus/raft/faults_test.go
+++ b/internal/consensus/raft/faults_test.go
@@ -73,7 +73,7 @@
 	g.restart(voters[1])
 }
 
-// quorumSurvives tells whether, with one more host lost for good, the last two
+// quorumSurvives reports whether, with one more host lost for good, the last two
 // member lists that any host goes by or has on its disk keep a majority of voters.
 func (g *group) quorumSurvives(lost *host) bool {
 	for _, h := range g.hosts {
@@ -258,7 +258,7 @@
 	return append(members, Member{ID: added.id, Addr: fmt.Sprint(added.id)})
 }
 
-// canAddHost tells whether another host may join.
+// canAddHost reports whether another host may join.
 func (g *group) canAddHost(members []Member) bool {
 	return len(g.hosts) < g.maxHosts && len(members) < g.maxMembers
 }
--- a/internal/consensus/raft/follower.go
+++ b/internal/consensus/raft/follower.go
@@ -39,7 +39,7 @@
 	r.acknowledge(m, match)
 }
 
-// rejectAppend tells the leader where its log and this one may still be equal.
+// rejectAppend refuses entries and says up to which index both logs may be equal.
 func (r *Raft) rejectAppend(m Message) {
 	hint := max(r.commit, min(r.log.last(), m.Index-1))
 	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, Index: m.Index, NextHint: hint, SentAt: m.SentAt})
--- a/internal/consensus/raft/invariants_test.go
+++ b/internal/consensus/raft/invariants_test.go
@@ -9,9 +9,9 @@
 
 // history is what the hosts of a group have done, by which they are judged.
 type history struct {
-	// leaders tells who led each term.
+	// leaders is who led each term.
 	leaders map[identifier.Term]identifier.Node
-	// committed tells what was committed at each index, up to lastCommitted.
+	// committed is what was committed at each index, up to lastCommitted.
 	committed     map[identifier.Index]string
 	lastCommitted identifier.Index
 	// newestCommittedTerm is the newest term in which a leader has committed.
@@ -28,7 +28,7 @@
 	}
 }
 
-// entryKey tells entries apart.
+// entryKey distinguishes entries.
 func entryKey(e Entry) string {
 	return fmt.Sprint(e.Term, e.Kind, string(e.Data[max(0, len(e.Data)-64):]))
 }
--- a/internal/consensus/raft/large_entries_test.go
+++ b/internal/consensus/raft/large_entries_test.go
@@ -30,7 +30,7 @@
 	checkedExtents   map[identifier.Node]logExtent
 }
 
-// logExtent tells whether a log has changed.
+// logExtent reports whether a log has changed.
 type logExtent struct{ base, commit, last identifier.Index }
 
 func newLargeEntryGroup(t *testing.T, seed int64, stateBytes int) *largeEntryGroup {
--- a/internal/consensus/raft/lease.go
+++ b/internal/consensus/raft/lease.go
@@ -2,7 +2,7 @@
 
 import "orchidward/internal/clock"
 
-// HasLease tells whether this leader may still act without asking the others: a
+// HasLease reports whether this leader may still act without asking the others: a
 // quorum has answered messages that it sent less than LeaseDuration ago, and
 // until that ends no other member can have been elected (Ongaro's thesis,
 // section 6.4.1).
--- a/internal/consensus/raft/member_test.go
+++ b/internal/consensus/raft/member_test.go
@@ -59,7 +59,7 @@
 	return now
 }
 
-// grantsVote tells whether member 1 votes for member 2 at this moment, once all
+// grantsVote reports whether member 1 votes for member 2 at this moment, once all
 // that was written is on disk.
 func grantsVote(r *Raft, term identifier.Term, now clock.Monotonic) bool {
 	granted := false
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -44,7 +44,7 @@
 
 // mergeAcknowledgement replaces a pending acknowledgement by a later one to the
 // same leader that waits for the same write, so that acknowledgements of
-// heartbeats do not pile up while the disk stands still. It tells whether it did.
+// heartbeats do not pile up while the disk stands still. It reports whether it did.
 func (p *pendingMessage) mergeAcknowledgement(seq uint64, m Message) bool {
 	earlier := p.message
 	if p.ownVote || !isAcknowledgement(earlier) || !isAcknowledgement(m) {
@@ -66,7 +66,7 @@
 	o.hardStateSeq = o.lastSeq + 1
 }
 
-// hardStateSynced tells whether the current term and vote are on disk.
+// hardStateSynced reports whether the current term and vote are on disk.
 func (o *outbox) hardStateSynced() bool { return o.hardStateSeq <= o.syncedSeq }
 
 func (o *outbox) addEntry(e Entry) { o.write.Entries = append(o.write.Entries, e) }
@@ -99,8 +99,8 @@
 	o.output.InstalledSnapshot = s
 }
 
-// hold keeps a message back until everything written so far is on disk.
-func (o *outbox) hold(m Message) {
+// deferUntilSynced keeps a message back until everything written so far is on disk.
+func (o *outbox) deferUntilSynced(m Message) {
 	seq := o.lastSeq
 	if !o.write.empty() {
 		seq++
@@ -111,9 +111,9 @@
 	}
 }
 
-// holdOwnVote keeps a candidate's vote for itself back until the next write,
+// deferOwnVote keeps a candidate's vote for itself back until the next write,
 // which carries it, is on disk.
-func (o *outbox) holdOwnVote(term identifier.Term) {
+func (o *outbox) deferOwnVote(term identifier.Term) {
 	vote := pendingMessage{seq: o.lastSeq + 1, ownVote: true, message: Message{Term: term}}
 	o.pending = append(o.pending, vote)
 }
@@ -158,7 +158,7 @@
 	}
 }
 
-// oldestWrite tells when the oldest write that is not yet synced was handed out.
+// oldestWrite is when the oldest write that is not yet synced was handed out.
 func (o *outbox) oldestWrite() (issuedAt clock.Monotonic, ok bool) {
 	if len(o.inFlight) == 0 {
 		return 0, false
--- a/internal/consensus/raft/output.go
+++ b/internal/consensus/raft/output.go
@@ -5,7 +5,7 @@
 
 // sendAfterSync sends a message once everything written so far is on disk.
 func (r *Raft) sendAfterSync(m Message) {
-	r.outbox.hold(r.address(m))
+	r.outbox.deferUntilSynced(r.address(m))
 	r.releasePending()
 }
 
--- a/internal/consensus/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -42,7 +42,7 @@
 	chunkSentAt clock.Monotonic
 }
 
-// recordReply notes what any reply tells of its sender. Only a reply to a message
+// recordReply records what any reply says of its sender. Only a reply to a message
 // sent in this leadership renews the lease: an earlier send time may come from
 // before a restart of this process, whose clock was another.
 func (p *peer) recordReply(m Message, electedAt, now clock.Monotonic) {
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -143,8 +143,8 @@
 // acknowledged.
 func (r *Raft) TermStart() identifier.Index { return r.leadership.termStart }
 
-// SetLevel sets the highest level of commands that this member tells the others
-// it knows.
+// SetLevel sets the highest level of commands that this member knows, which it
+// sends along with each message.
 func (r *Raft) SetLevel(level uint16) { r.level = level }
 
 // TakeTruncatedFrom returns the lowest index whose entry was replaced by another
--- a/internal/consensus/raft/recovery_test.go
+++ b/internal/consensus/raft/recovery_test.go
@@ -183,7 +183,7 @@
 	g.proposeMembers(leader, g.withLearner(members))
 }
 
-// complete tells whether five vote, all of them up and close behind.
+// complete reports whether five vote, all of them up and close behind.
 func (g *group) complete() bool {
 	leader := g.leader()
 	if leader == nil {
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -83,12 +83,13 @@
 	r.send(m)
 }
 
-// mayPipeline tells whether more entries may be sent to a peer before it has
+// mayPipeline reports whether more entries may be sent to a peer before it has
 // acknowledged the ones in flight.
 func (r *Raft) mayPipeline(p *peer) bool {
 	return p.next-p.match < maxInFlightEntries && r.log.entryBytes(p.match+1, p.next-1) < maxInFlightBytes
 }
 
+// handleAppendReply notes what a peer has on disk and sends what it needs next.
 func (r *Raft) handleAppendReply(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil {
--- a/internal/consensus/raft/snapshot.go
+++ b/internal/consensus/raft/snapshot.go
@@ -35,8 +35,8 @@
 
 func (s *incomingSnapshot) size() int64 { return int64(len(s.snapshot.Data)) }
 
-// handleSnapshot takes one chunk of a snapshot (Ongaro's thesis, section 5.3).
-// One whose last entry is in the log already only tells that this entry is
+// handleSnapshot takes one chunk of a snapshot (Ongaro's thesis, figure 5.3). A
+// snapshot whose last entry is in the log already only shows that this entry is
 // committed: entries behind it may have been acknowledged, and must stay.
 func (r *Raft) handleSnapshot(m Message) {
 	chunk := m.Snapshot
@@ -115,7 +115,7 @@
 	})
 }
 
-// awaitingReply tells whether a chunk is on its way that may still be answered.
+// awaitingReply reports whether a chunk is on its way that may still be answered.
 func (t *snapshotTransfer) awaitingReply(now clock.Monotonic, timeout clock.Millis) bool {
 	return t.chunkSentAt != 0 && now.Since(t.chunkSentAt) < timeout
 }
@@ -144,7 +144,7 @@
 	return oldest
 }
 
-// unresponsive tells whether a peer has been silent for so long that the
+// unresponsive reports whether a peer has been silent for so long that the
 // transfer of a snapshot to it may as well start anew.
 func (r *Raft) unresponsive(p *peer) bool {
 	return r.now.Since(p.lastHeardAt) > unresponsiveTimeouts*r.timing.ElectionTimeout
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -36,7 +36,7 @@
 	r.handleCurrentTerm(m)
 }
 
-// rejectStaleLeader tells the leader of an older term of the current one. Its
+// rejectStaleLeader informs the leader of an older term of the current one. Its
 // reply acknowledges no send time, so that it renews no lease.
 func (r *Raft) rejectStaleLeader(m Message) {
 	if fromLeader(m) {
@@ -52,7 +52,7 @@
 	r.becomeFollower(m.Term, leader)
 }
 
-// fromLeader tells whether a message is of a kind that only the leader of its
+// fromLeader reports whether a message is of a kind that only the leader of its
 // term sends.
 func fromLeader(m Message) bool { return m.Kind == AppendEntries || m.Kind == InstallSnapshot }
 
--- a/internal/consensus/raft/tick.go
+++ b/internal/consensus/raft/tick.go
@@ -3,7 +3,7 @@
 import "orchidward/internal/clock"
 
 // quorumLossTimeouts is after how many election timeouts without an answer from
-// a quorum a leader steps down.
+// a quorum a leader steps down (Ongaro's thesis, section 6.2).
 const quorumLossTimeouts = 2
 
 // Tick passes in the time. A leader sends heartbeats that are due, and steps
@@ -21,6 +21,8 @@
 	}
 }
 
+// tickLeader steps down without a quorum, hands leadership over when its own disk
+// stands still, and otherwise sends the heartbeats that are due.
 func (r *Raft) tickLeader() {
 	lastQuorum := max(r.leadership.electedAt, r.quorumAck(r.now))
 	if r.now.Since(lastQuorum) >= quorumLossTimeouts*r.timing.ElectionTimeout {
--- a/internal/consensus/raft/timer.go
+++ b/internal/consensus/raft/timer.go
@@ -6,7 +6,7 @@
 	"orchidward/internal/clock"
 )
 
-// electionTimer tells a follower or candidate when to start the next election.
+// electionTimer decides when a follower or candidate is to start the next election.
 // Its timeout is drawn anew from [base, 2*base) at each restart, so that members
 // seldom stand against each other (Ongaro's thesis, section 3.4).
 type electionTimer struct {
--- a/internal/consensus/raft/transfer.go
+++ b/internal/consensus/raft/transfer.go
@@ -1,7 +1,7 @@
 package raft
 
 // TransferLeadership hands leadership to the voter that has most of the log
-// (Ongaro's thesis, section 3.10) and tells whether there was one. The leader
+// (Ongaro's thesis, section 3.10) and reports whether there was one. The leader
 // steps down at once: it must not act on a lease that it has let another break.
 func (r *Raft) TransferLeadership() bool {
 	best := noLeader
@@ -23,10 +23,10 @@
 }
 
 // PrepareToLeave marks this member as one that stops soon: it starts no election,
-// refuses leadership that is handed to it, and tells the leader.
+// refuses leadership that is handed to it, and informs the leader.
 func (r *Raft) PrepareToLeave() { r.leaving = true }
 
-// Replicated tells whether every other voter that this leader hears has the
+// Replicated reports whether every other voter that this leader hears has the
 // complete log on its disk.
 func (r *Raft) Replicated() bool {
 	for _, m := range r.Members() {
@@ -41,12 +41,12 @@
 	return true
 }
 
-// recentlyHeard tells whether a peer has answered within the election timeout.
+// recentlyHeard reports whether a peer has answered within the election timeout.
 func (r *Raft) recentlyHeard(p *peer) bool {
 	return r.now.Since(p.lastHeardAt) <= r.timing.ElectionTimeout
 }
 
-// diskStalled tells whether this leader's own disk delays the group: its oldest
+// diskStalled reports whether this leader's own disk delays the group: its oldest
 // write has been under way for an election timeout, while enough of the other
 // voters to form a quorum with it have synced past it.
 func (r *Raft) diskStalled() bool {
--- a/internal/consensus/raft/voting.go
+++ b/internal/consensus/raft/voting.go
@@ -1,9 +1,10 @@
 package raft
 
-// leaseMayBeActive tells whether a leader was heard too recently to help elect
+// leaseMayBeActive reports whether a leader was heard too recently to help elect
 // another. A newer term does not end this: the earlier leader has this member's
 // answer and may rely on it for the duration of its lease. A process that has
-// just started counts as having heard a leader: it may have before it stopped.
+// just started counts as having heard a leader: it may have before it stopped. See
+// Ongaro's thesis, sections 4.2.3 and 6.4.1.
 func (r *Raft) leaseMayBeActive() bool {
 	if r.now.Since(r.startedAt) < r.timing.ElectionTimeout {
 		return true
@@ -14,16 +15,16 @@
 	return r.now.Since(r.leaderHeardAt) < r.timing.ElectionTimeout
 }
 
-// candidateUpToDate tells whether the log of a candidate that sent m is at least
+// candidateUpToDate reports whether the log of a candidate that sent m is at least
 // as up to date as this one (Ongaro's thesis, section 3.6.1).
 func (r *Raft) candidateUpToDate(m Message) bool {
 	lastTerm := r.log.lastTerm()
 	return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= r.log.last()
 }
 
-// handlePreVoteRequest tells a member whether its request for a vote would be
-// granted. A refusal is sent only to one that has missed a term; any other hears
-// nothing, as it would from a lost message.
+// handlePreVoteRequest answers whether a request for a vote would be granted
+// (Ongaro's thesis, section 9.6). A refusal is sent only to a member that has missed
+// a term; any other gets no reply, as if the message had been lost.
 func (r *Raft) handlePreVoteRequest(m Message) {
 	staleTerm := m.Term <= r.hardState.Term
 	reject := staleTerm || !r.candidateUpToDate(m) || r.leaseMayBeActive() || r.log.last() == 0
@@ -38,7 +39,7 @@
 }
 
 // handlePreVoteReply counts a promise of a vote for the next term. A refusal
-// tells of a newer term.
+// carries a newer term.
 func (r *Raft) handlePreVoteReply(m Message) {
 	if m.Reject && m.Term > r.hardState.Term {
 		r.becomeFollower(m.Term, noLeader)
--- a/internal/consensus/wal/disk.go
+++ b/internal/consensus/wal/disk.go
@@ -6,7 +6,7 @@
 type Disk interface {
 	// Read returns the content of a file, or nil when there is none.
 	Read(name string) ([]byte, error)
-	// Create creates a file of so many zero bytes.
+	// Create creates a file of zero bytes with the given size.
 	Create(name string, size int) error
 	// Write overwrites part of a file.
 	Write(name string, offset int, data []byte) error
--- a/internal/consensus/wal/doc.go
+++ b/internal/consensus/wal/doc.go
@@ -11,7 +11,7 @@
 // background snapshots by a [WriteQueue]. Output is what Open reads back after a
 // restart, a [Recovered].
 //
-// What holds at all times:
+// Invariants:
 //
 //   - What Save has returned for without error is read back after a power loss at
 //     any later moment.
--- a/internal/consensus/wal/filesystem.go
+++ b/internal/consensus/wal/filesystem.go
@@ -90,7 +90,7 @@
 	return err
 }
 
-// mayRefuseSync tells whether an error is one with which the sync of a folder that
+// mayRefuseSync reports whether an error is one with which the sync of a folder that
 // existed before may fail: it is not ours to read, or its file system cannot sync
 // folders.
 func mayRefuseSync(err error) bool {
--- a/internal/consensus/wal/identity.go
+++ b/internal/consensus/wal/identity.go
@@ -22,8 +22,8 @@
 	Bytes int
 }
 
-// identityFile tells which member a data folder belongs to and how its log is laid
-// out. It is the first file to be written into a folder.
+// identityFile holds the member that a data folder belongs to and the layout of its
+// log. It is the first file to be written into a folder.
 type identityFile struct {
 	Node  string `json:"who"`
 	Files int    `json:"files"`
--- a/internal/consensus/wal/powerloss_test.go
+++ b/internal/consensus/wal/powerloss_test.go
@@ -26,7 +26,7 @@
 	// operation is what is being done.
 	operation string
 
-	// identified and created tell whether the identity and the log were acknowledged.
+	// identified and created report whether the identity and the log were acknowledged.
 	identified bool
 	created    bool
 	// hardStates are those that may be read back: the last one acknowledged, and the
--- a/internal/consensus/wal/recovery.go
+++ b/internal/consensus/wal/recovery.go
@@ -153,7 +153,7 @@
 	return records[start:], nil
 }
 
-// checkGap tells whether a gap between records is sound. A file is overwritten from
+// checkGap reports whether a gap between records is sound. A file is overwritten from
 // its beginning, so that the records at its end may be left from an earlier
 // rotation: then the snapshot covers all that stands before the gap.
 func (l *Log) checkGap(before []locatedRecord, next locatedRecord) error {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// hasTornRecord tells whether the next record was begun: its number stands in its
+// hasTornRecord reports whether the next record was begun: its number stands in its
 // place, but the record is not valid. What an earlier rotation left there has an
 // older number.
 func (l *Log) hasTornRecord(file []byte) bool {
--- a/internal/consensus/wal/snapshot_writer.go
+++ b/internal/consensus/wal/snapshot_writer.go
@@ -14,7 +14,8 @@
 // counts until the last chunk is on disk and the file has replaced the earlier one.
 type SnapshotWriter struct {
 	snapshot *raft.Snapshot
-	// encoded is the content of the file, of which so many bytes are written.
+	// encoded is the content of the file, nil until the first chunk, and written is
+	// how many bytes of it are on disk.
 	encoded []byte
 	written int
 }
@@ -23,7 +24,7 @@
 // while the writer is in use.
 func NewSnapshotWriter(s *raft.Snapshot) *SnapshotWriter { return &SnapshotWriter{snapshot: s} }
 
-// WriteChunk writes the next chunk of a snapshot and tells whether that was the last.
+// WriteChunk writes the next chunk of a snapshot and reports whether that was the last.
 // A snapshot that a newer one has superseded is done at once.
 func (l *Log) WriteChunk(w *SnapshotWriter) (done bool, err error) {
 	if w.snapshot.Index <= l.snapshotIndex {
--- a/internal/consensus/wal/unsynced_folder_test.go
+++ b/internal/consensus/wal/unsynced_folder_test.go
@@ -117,7 +117,7 @@
 	fateCount
 )
 
-// survives tells whether a sector of a write of so many is on the disk.
+// survives reports whether a sector of a write of so many is on the disk.
 func (f fate) survives(sector, sectors int) bool {
 	switch f {
 	case fateComplete:
--- a/internal/consensus/wal/write_queue_test.go
+++ b/internal/consensus/wal/write_queue_test.go
@@ -51,49 +51,57 @@
 // not fill up before the snapshot that frees it is written: a server whose log is
 // full stops.
 func TestLogNeverFillsDuringSnapshot(t *testing.T) {
-	const (
-		largeEntryBytes    = 300 << 10
-		snapshotEveryBytes = 8 << 20
-		lastEntry          = 160
-	)
 	for _, stateMB := range []int{4, 12} {
 		t.Run(fmt.Sprintf("%d MB", stateMB), func(t *testing.T) {
-			disk := memoryDisk{}
-			layout := Layout{Files: 6, Bytes: 4 << 20}
-			log, err := Create(disk, layout, &raft.Snapshot{Index: 1, Term: 1})
-			if err != nil {
-				t.Fatal(err)
-			}
-			state := bytes.Repeat([]byte("s"), stateMB<<20)
-			data := bytes.Repeat([]byte("c"), largeEntryBytes)
-			var queue WriteQueue
-			last := identifier.Index(1)
-			sinceSnapshot := 0
-			snapshots := 0
-			for last < lastEntry {
-				for queue.Bytes() < 2<<20 {
-					last++
-					sinceSnapshot += largeEntryBytes
-					e := raft.Entry{Index: last, Term: 1, Kind: raft.EntryCommand, Data: data}
-					queue.Add(nil, []*raft.Write{{Entries: []raft.Entry{e}}}, nil)
-				}
-				if sinceSnapshot >= snapshotEveryBytes {
-					queue.Add(nil, nil, &raft.Snapshot{Index: last - 8, Term: 1, Data: state})
-					sinceSnapshot = 0
-				}
-				operation := queue.Next()
-				if _, err := operation.Do(disk, layout, log); err != nil {
-					t.Fatalf("entry %d, %d%% full: %v", last, log.PercentUsed(), err)
-				}
-				if operation.snapshotDone {
-					snapshots++
-				}
-				queue.Done(operation)
-			}
+			const entries = 160
+			snapshots := writeLargeEntries(t, entries, stateMB<<20)
 			if snapshots < 3 {
 				t.Errorf("too little evidence: %d snapshots were written", snapshots)
 			}
-			t.Logf("%d snapshots were written during %d entries", snapshots, last)
+			t.Logf("%d snapshots were written during %d entries", snapshots, entries)
 		})
 	}
 }
+
+// writeLargeEntries writes entries up to an index, with a snapshot of so many bytes for
+// every few of them, and returns how many snapshots were completed.
+func writeLargeEntries(t *testing.T, lastEntry identifier.Index, stateBytes int) (snapshots int) {
+	t.Helper()
+	const (
+		largeEntryBytes    = 300 << 10
+		snapshotEveryBytes = 8 << 20
+		maxQueuedBytes     = 2 << 20
+	)
+	disk := memoryDisk{}
+	layout := Layout{Files: 6, Bytes: 4 << 20}
+	log, err := Create(disk, layout, &raft.Snapshot{Index: 1, Term: 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	state := bytes.Repeat([]byte("s"), stateBytes)
+	data := bytes.Repeat([]byte("c"), largeEntryBytes)
+	var queue WriteQueue
+	last := identifier.Index(1)
+	sinceSnapshot := 0
+	for last < lastEntry {
+		for queue.Bytes() < maxQueuedBytes {
+			last++
+			sinceSnapshot += largeEntryBytes
+			e := raft.Entry{Index: last, Term: 1, Kind: raft.EntryCommand, Data: data}
+			queue.Add(nil, []*raft.Write{{Entries: []raft.Entry{e}}}, nil)
+		}
+		if sinceSnapshot >= snapshotEveryBytes {
+			queue.Add(nil, nil, &raft.Snapshot{Index: last - 8, Term: 1, Data: state})
+			sinceSnapshot = 0
+		}
+		operation := queue.Next()
+		if _, err := operation.Do(disk, layout, log); err != nil {
+			t.Fatalf("entry %d, %d%% full: %v", last, log.PercentUsed(), err)
+		}
+		if operation.snapshotDone {
+			snapshots++
+		}
+		queue.Done(operation)
+	}
+	return snapshots
+}
--- a/internal/inflight/doc.go
+++ b/internal/inflight/doc.go
@@ -7,7 +7,7 @@
 // little later. When the server knows no leader, whatever waits is answered at once, so
 // that the caller can go on to another server.
 //
-// What holds at all times: an admitted request is answered exactly once, by the end of
+// Invariants: an admitted request is answered exactly once, by the end of
 // its budget, unless its caller leaves; and one that a leader may have carried out is
 // never answered as if it had not been.
 //
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -38,7 +38,7 @@
 	expired int
 }
 
-// mayHaveChanged tells whether an earlier dispatch may have changed something.
+// mayHaveChanged reports whether an earlier dispatch may have changed something.
 func (r *request) mayHaveChanged() bool { return r.maybeDone && r.Method != http.MethodGet }
 
 // Dispatch is a request on its way to the server's state machine.
@@ -77,7 +77,7 @@
 func (r *Requests) Observe(now clock.Monotonic) { r.stalls.Observe(now) }
 
 // Admit takes a request. respond is called once with its response, at once when it
-// can't be dispatched: connected tells whether the server knows a leader, or did a
+// can't be dispatched: connected reports whether the server knows a leader, or did a
 // moment ago. A budget of 0 is 2 s.
 func (r *Requests) Admit(admitted gateway.Request, respond func(response gateway.Response), now clock.Monotonic, connected bool) {
 	r.Observe(now)
@@ -95,7 +95,7 @@
 	r.dispatch(pending, now)
 }
 
-// refuse tells whether and how a request is refused at once.
+// refuse reports whether and how a request is refused at once.
 func (r *Requests) refuse(q gateway.Request, now clock.Monotonic, connected bool) (refusal gateway.Response, refused bool) {
 	switch {
 	case len(r.pending) >= maxRequests || r.bodyBytes+len(q.Body) > maxBodyBytes:
@@ -150,7 +150,7 @@
 	}
 }
 
-// isRefusal tells whether a status says that a request was not carried out, and may be
+// isRefusal reports whether a status says that a request was not carried out, and may be
 // made again later.
 func isRefusal(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -8,7 +8,7 @@
 // gateway's: pages go in, requests for the next one and the table come out. Both are
 // pure values, without a clock, input or output.
 //
-// What holds at all times: a replica's epoch never goes back, and each of its routes
+// Invariants: a replica's epoch never goes back, and each of its routes
 // is one that some table had at that epoch or later.
 //
 // Begin with page.go, which is what travels, then history.go and replica.go.
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -23,8 +23,8 @@
 	dropped   bool
 }
 
-// History tells what changed since any epoch from its horizon on. Every replica of the
-// state keeps one as it applies entries, so that a new leader can tell changes since
+// History lists what changed since any epoch from its horizon on. Every replica of the
+// state keeps one as it applies entries, so that a new leader can list changes since
 // before its own start.
 type History struct {
 	table Table
--- a/internal/routing/replica.go
+++ b/internal/routing/replica.go
@@ -75,7 +75,7 @@
 	return routes
 }
 
-// Updating tells whether more pages of an update are to come.
+// Updating reports whether more pages of an update are to come.
 func (r *Replica) Updating() bool { return r.update != nil }
 
 // NextRequest is what to ask the leader for next: the page that begins after a name of
@@ -108,7 +108,7 @@
 	return true
 }
 
-// Patch takes an update of a single page, whichever way it came, and tells whether it
+// Patch takes an update of a single page, whichever way it came, and reports whether it
 // did. It changes nothing unless the page reaches back to the table in use and is
 // newer.
 func (r *Replica) Patch(p Page) bool {
@@ -120,7 +120,7 @@
 	return r.apply(u)
 }
 
-// AddPage adds a page that was asked for and tells whether the table in use has
+// AddPage adds a page that was asked for and reports whether the table in use has
 // changed. A page that does not go on from the ones before ends the update, which then
 // begins anew.
 func (r *Replica) AddPage(p Page, after string) bool {
@@ -146,7 +146,7 @@
 	return r.apply(complete)
 }
 
-// apply takes a complete update, and tells whether it reaches back to the table in use
+// apply takes a complete update, and reports whether it reaches back to the table in use
 // and is newer.
 func (r *Replica) apply(u *update) bool {
 	if u.first.Epoch <= r.epoch || u.first.Since > r.epoch {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -83,7 +83,7 @@
 	h.history.RoutesChanged(h.table)
 }
 
-// everHad tells whether some table from an epoch on had a route.
+// everHad reports whether some table from an epoch on had a route.
 func (h *tableHistory) everHad(route catalog.Route, from identifier.Epoch) bool {
 	for epoch := from; epoch <= h.table.Epoch; epoch++ {
 		if h.pastRoutes[epoch][route.Queue] == route {
--- a/internal/stalldetector/detector.go
+++ b/internal/stalldetector/detector.go
@@ -36,6 +36,6 @@
 	d.lastSeen = max(d.lastSeen, now)
 }
 
-// Draining tells whether a request read at this moment may have arrived before or during
+// Draining reports whether a request read at this moment may have arrived before or during
 // a stall.
 func (d *Detector) Draining(now clock.Monotonic) bool { return d.seen && now < d.drainUntil }
--- a/internal/transport/link/connection.go
+++ b/internal/transport/link/connection.go
@@ -108,7 +108,7 @@
 	}
 }
 
-// runDialled runs a connection until it ends, and tells whether it is not to be
+// runDialled runs a connection until it ends, and reports whether it is not to be
 // dialled again: it was idle, or the link is closed.
 func (l *Link) runDialled(to wire.Peer, c *connection, conn net.Conn, stop <-chan struct{}) (done bool) {
 	defer conn.Close()
@@ -133,7 +133,7 @@
 }
 
 // writeLoop sends what is queued until the connection fails, the link stops, or
-// nothing was sent for idleTimeout. It tells whether it ended for the last reason.
+// nothing was sent for idleTimeout. It reports whether it ended for the last reason.
 func (l *Link) writeLoop(c *connection, conn net.Conn, stop <-chan struct{}) (idle bool) {
 	buffer := bufio.NewWriterSize(conn, bufferBytes)
 	encoder := wire.NewEncoder(buffer)
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -95,12 +95,12 @@
 	}
 }
 
-// mayDial tells whether a peer without a connection may get one.
+// mayDial reports whether a peer without a connection may get one.
 func (l *Link) mayDial(to wire.Peer) bool {
 	return !l.closed && to != "" && !to.Accepted() && len(l.connections) < maxConnections
 }
 
-// FrameCounts tells how many messages were queued and how many were dropped.
+// FrameCounts returns how many messages were queued and how many were dropped.
 func (l *Link) FrameCounts() (sent, dropped uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/wire/decode.go
+++ b/internal/transport/wire/decode.go
@@ -196,19 +196,7 @@
 		Leaving:        in.Leaving(),
 	}
 	var fields fieldReader
-	list, err := in.Entries()
-	if err != nil {
-		return nil, err
-	}
-	for i := 0; i < list.Len(); i++ {
-		e := list.At(i)
-		m.Entries = append(m.Entries, raft.Entry{
-			Index: identifier.Index(e.Index()),
-			Term:  identifier.Term(e.Term()),
-			Kind:  raft.EntryKind(e.Kind()),
-			Data:  fields.data(e.Data()),
-		})
-	}
+	m.Entries = fields.entries(in.Entries())
 	if in.HasView() {
 		m.Snapshot = &raft.Snapshot{
 			Index:   identifier.Index(in.ViewIndex()),
@@ -221,3 +209,21 @@
 	}
 	return m, fields.err
 }
+
+func (r *fieldReader) entries(list frame.Entry_List, err error) []raft.Entry {
+	r.err = firstError(r.err, err)
+	if err != nil {
+		return nil
+	}
+	var entries []raft.Entry
+	for i := 0; i < list.Len(); i++ {
+		in := list.At(i)
+		entries = append(entries, raft.Entry{
+			Index: identifier.Index(in.Index()),
+			Term:  identifier.Term(in.Term()),
+			Kind:  raft.EntryKind(in.Kind()),
+			Data:  r.data(in.Data()),
+		})
+	}
+	return entries
+}
--- a/internal/transport/wire/doc.go
+++ b/internal/transport/wire/doc.go
@@ -5,7 +5,7 @@
 // An [Encoder] writes a [Message] to a stream and a [Decoder] reads one from it. What
 // this package decodes is checked in form only; its receiver judges the content.
 //
-// What holds at all times: a frame that does not decode is an error after which the
+// Invariants: a frame that does not decode is an error after which the
 // connection must be closed, never a panic; its size is bounded before it is read;
 // and frames of the first version read as they always did (testdata).
 //
--- a/internal/transport/wire/message.go
+++ b/internal/transport/wire/message.go
@@ -46,7 +46,7 @@
 	At   clock.Monotonic
 }
 
-// Later tells whether this reading was taken after another one.
+// Later reports whether this reading was taken after another one.
 func (t LeaderTime) Later(than LeaderTime) bool {
 	return t.Term > than.Term || t.Term == than.Term && t.At > than.At
 }
@@ -71,7 +71,7 @@
 	LeaderTime    LeaderTime
 }
 
-// IsOrder tells whether the request changes something: an order that its sender has
+// IsOrder reports whether the request changes something: an order that its sender has
 // given up on must not be carried out later.
 func (r *Request) IsOrder() bool {
 	switch r.Method {
@@ -99,7 +99,7 @@
 	LeaderTime LeaderTime
 }
 
-// Announcement is how processes discover one another: it tells who the sender is and
+// Announcement is how processes discover one another: it says who the sender is and
 // whom it knows.
 type Announcement struct {
 	// WantReply asks for an announcement in return.
--- a/internal/transport/wire/peer.go
+++ b/internal/transport/wire/peer.go
@@ -21,8 +21,8 @@
 	return Peer(strconv.AppendUint([]byte{prefix}, n, 10))
 }
 
-// Accepted tells whether the peer is a connection that was accepted.
+// Accepted reports whether the peer is a connection that was accepted.
 func (p Peer) Accepted() bool { return p != "" && p[0] == acceptedPrefix }
 
-// Local tells whether the peer is a request that was made at this process.
+// Local reports whether the peer is a request that was made at this process.
 func (p Peer) Local() bool { return p != "" && p[0] == localPrefix }
