--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -59,9 +59,6 @@
 // New makes an empty set of requests.
 func New() *Requests { return &Requests{pending: map[uint64]*request{}} }
 
-// LocalPeer is the peer that a request with this number is dispatched for.
-func LocalPeer(id uint64) wire.Peer { return wire.LocalPeer(id) }
-
 // Len is how many requests wait.
 func (r *Requests) Len() int { return len(r.pending) }
 
@@ -111,7 +108,7 @@
 func (r *Requests) dispatch(q *request, now clock.Monotonic) {
 	q.dispatched = true
 	r.dispatches = append(r.dispatches, Dispatch{
-		Peer: LocalPeer(q.ID),
+		Peer: wire.LocalPeer(q.ID),
 		Request: &wire.Request{
 			ID:     q.ID,
 			Method: q.Method,
@@ -128,7 +125,7 @@
 // changes nothing.
 func (r *Requests) Complete(to wire.Peer, reply *wire.Response, now clock.Monotonic) {
 	q := r.pending[reply.ID]
-	if q == nil || to != LocalPeer(reply.ID) || !q.dispatched {
+	if q == nil || to != wire.LocalPeer(reply.ID) || !q.dispatched {
 		return
 	}
 	inTime := now < q.deadline
