--- a/internal/consensus/raft/backlog.go
+++ b/internal/consensus/raft/backlog.go
@@ -1,50 +1,51 @@
-// A Backlog is the writes a disk has yet to do, in order. Those that wait are
-// done as one: a disk that takes its time for every sync falls behind by one
-// write and no further, however many came meanwhile.
-
 package raft
 
+// maxBatchBytes is the size from which on a batch takes no further writes.
+const maxBatchBytes = 1 << 20
+
 // Backlog queues the writes that a disk has yet to do, in order, and merges
-// those that wait. Its zero value is empty and ready to use.
+// those that wait, so that a slow disk falls behind by one write and no further,
+// however many come meanwhile. Its zero value is empty and ready to use.
 type Backlog struct {
-	list  []*Write
-	bytes int
+	writes []*Write
+	bytes  int
 }
 
-// lotBytes is how much goes to the disk as one write.
-const lotBytes = 1 << 20
-
 // Add queues a write behind all others.
 func (b *Backlog) Add(w *Write) {
-	b.list = append(b.list, w)
+	b.writes = append(b.writes, w)
 	b.bytes += w.size()
 }
 
 // Len is the number of queued writes.
-func (b *Backlog) Len() int { return len(b.list) }
+func (b *Backlog) Len() int { return len(b.writes) }
 
 // Bytes is the size of the queued entries and snapshots together.
 func (b *Backlog) Bytes() int { return b.bytes }
 
-// Next takes what is first in line, and with it all that can be written at
-// once. A view goes alone, as what came before it must be down first.
+// Next removes the oldest write, merged with as many of those behind it as fit
+// in a batch; nil when none waits. A snapshot is never merged with other writes,
+// as those before it must be on disk first.
 func (b *Backlog) Next() *Write {
-	if len(b.list) == 0 {
+	if len(b.writes) == 0 {
 		return nil
 	}
-	one := *b.list[0]
-	w, size, n := &one, one.size(), 1
-	for ; n < len(b.list) && w.Snapshot == nil && b.list[n].Snapshot == nil && size < lotBytes; n++ {
-		size += b.list[n].size()
-		w.take(b.list[n])
+	batch := *b.writes[0]
+	bytes := batch.size()
+	count := 1
+	for count < len(b.writes) && bytes < maxBatchBytes && batch.Snapshot == nil && b.writes[count].Snapshot == nil {
+		bytes += b.writes[count].size()
+		batch.merge(b.writes[count])
+		count++
 	}
-	b.list = b.list[n:]
-	b.bytes -= size
-	return w
+	b.writes = b.writes[count:]
+	b.bytes -= bytes
+	return &batch
 }
 
-// take adds a later write to this one: its entries replace a tail.
-func (w *Write) take(next *Write) {
+// merge adds a later write to this one. Its entries replace those from the first
+// one's index on.
+func (w *Write) merge(next *Write) {
 	w.Seq = next.Seq
 	if next.HardState != nil {
 		w.HardState = next.HardState
@@ -52,20 +53,20 @@
 	if len(next.Entries) == 0 {
 		return
 	}
-	n := 0
-	for n < len(w.Entries) && w.Entries[n].Index < next.Entries[0].Index {
-		n++
+	kept := 0
+	for kept < len(w.Entries) && w.Entries[kept].Index < next.Entries[0].Index {
+		kept++
 	}
-	w.Entries = append(append([]Entry(nil), w.Entries[:n]...), next.Entries...)
+	w.Entries = append(append([]Entry(nil), w.Entries[:kept]...), next.Entries...)
 }
 
 func (w *Write) size() int {
-	var n int
+	var bytes int
 	for _, e := range w.Entries {
-		n += e.size()
+		bytes += e.size()
 	}
 	if w.Snapshot != nil {
-		n += len(w.Snapshot.Data)
+		bytes += len(w.Snapshot.Data)
 	}
-	return n
+	return bytes
 }
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -1,51 +1,62 @@
-// Elections: when a member asks for one, how votes are counted, and what changes
-// when it becomes leader or follower.
-
 package raft
 
-import (
-	"orchidward/internal/api/identifier"
-	"orchidward/internal/clock"
-)
+import "orchidward/internal/api/identifier"
 
-func (r *Raft) campaign(kind MessageKind, force bool) {
-	r.heard = r.now
-	r.resetElectionWait()
-	r.lead = 0
+// campaign starts a pre-vote or an election, as kind is RequestPreVote or
+// RequestVote (Ongaro's thesis, sections 3.4 and 9.6). leaderTransfer says that
+// the leader itself asked for the election.
+func (r *Raft) campaign(kind MessageKind, leaderTransfer bool) {
+	r.timer.restart(r.now)
+	r.leader = noLeader
 	r.votes = map[identifier.Node]bool{}
-	term := r.hard.Term + 1
+	term := r.hardState.Term + 1
 	if kind == RequestPreVote {
 		r.role = PreCandidate
 	} else {
 		r.role = Candidate
-		r.setHard(HardState{Term: term, Vote: r.id})
+		r.setHardState(HardState{Term: term, Vote: r.id})
 	}
 	for _, m := range r.Members() {
 		if m.Voter && m.ID != r.id {
-			msg := Message{Kind: kind, To: m.ID, Term: term, Index: r.log.last(), LogTerm: r.log.lastTerm(), LeaderTransfer: force}
-			if kind == RequestPreVote {
-				r.send(msg)
-			} else {
-				r.sendAfterSync(msg)
-			}
+			r.requestVote(kind, m.ID, term, leaderTransfer)
 		}
 	}
 	if kind == RequestPreVote {
 		r.countVote(r.id)
 		return
 	}
-	r.pendingMessages = append(r.pendingMessages, pendingMessage{seq: r.seq + 1, own: true, msg: Message{Term: term}})
+	r.outbox.deferOwnVote(term)
+}
+
+// requestVote asks one member for a vote, or for a promise of one. A vote is asked
+// for only once the new term is on disk.
+func (r *Raft) requestVote(kind MessageKind, to identifier.Node, term identifier.Term, leaderTransfer bool) {
+	request := Message{
+		Kind:           kind,
+		To:             to,
+		Term:           term,
+		Index:          r.log.last(),
+		LogTerm:        r.log.lastTerm(),
+		LeaderTransfer: leaderTransfer,
+	}
+	if kind == RequestPreVote {
+		r.send(request)
+		return
+	}
+	r.sendAfterSync(request)
 }
 
+// countVote counts a vote, or a promise of one in a pre-vote, and goes on once a
+// quorum of voters has given theirs.
 func (r *Raft) countVote(from identifier.Node) {
 	r.votes[from] = true
-	n := 0
+	granted := 0
 	for id := range r.votes {
-		if r.voter(id) {
-			n++
+		if r.isVoter(id) {
+			granted++
 		}
 	}
-	if n*2 <= r.voters() {
+	if granted*2 <= r.voterCount() {
 		return
 	}
 	if r.role == PreCandidate {
@@ -55,75 +66,34 @@
 	r.becomeLeader()
 }
 
+// becomeLeader opens the term with a blank entry, by which all entries before it can
+// be committed.
 func (r *Raft) becomeLeader() {
-	r.role, r.lead = Leader, r.id
-	r.basis = r.log.lastTerm()
-	r.meeting()
+	r.role = Leader
+	r.leader = r.id
+	r.recordFirstKnownTerm()
 	r.peers = map[identifier.Node]*peer{}
 	r.addPeers()
-	r.beat, r.ledSince = r.now, r.now
-	r.first = r.append(EntryBlank, nil)
-	for _, m := range r.Members() {
-		r.replicateTo(m.ID, false)
-	}
-}
-
-func (r *Raft) becomeFollower(term identifier.Term, lead identifier.Node) {
-	if term > r.hard.Term {
-		r.setHard(HardState{Term: term})
+	r.leadership = leadership{
+		electedAt:       r.now,
+		heartbeatSentAt: r.now,
+		previousLogTerm: r.log.lastTerm(),
 	}
-	r.role, r.lead = Follower, lead
-	r.votes, r.peers = nil, nil
-	r.heard = r.now
-	r.resetElectionWait()
-}
-
-// TransferLeadership gives leadership to the member that has most of the log. The leader
-// stands down at once: it must not act on a lease it has let another break.
-func (r *Raft) TransferLeadership() bool {
-	best := identifier.Node(0)
+	r.leadership.termStart = r.append(EntryBlank, nil)
 	for _, m := range r.Members() {
-		p := r.peers[m.ID]
-		if !m.Voter || p == nil || p.leaving || p.match < r.commit || r.now.Since(p.heard) > r.tm.ElectionTimeout {
-			continue
-		}
-		if best == 0 || p.match > r.peers[best].match {
-			best = m.ID
-		}
-	}
-	if best == 0 {
-		return false
+		r.replicateTo(m.ID, false)
 	}
-	r.send(Message{Kind: TimeoutNow, To: best})
-	r.becomeFollower(r.hard.Term, 0)
-	return true
 }
 
-// PrepareToLeave makes this member one that stops soon: it asks for no election, takes
-// no leadership that is handed to it, and says so to the leader.
-func (r *Raft) PrepareToLeave() { r.leaving = true }
-
-// Replicated tells whether every other voter that this leader hears has the
-// whole log on its disk.
-func (r *Raft) Replicated() bool {
-	for _, m := range r.Members() {
-		p := r.peers[m.ID]
-		if !m.Voter || p == nil || r.now.Since(p.heard) > r.tm.ElectionTimeout {
-			continue
-		}
-		if p.match < r.log.last() {
-			return false
-		}
+// becomeFollower follows a leader in a term that is not older than the current one;
+// the leader may be unknown.
+func (r *Raft) becomeFollower(term identifier.Term, leader identifier.Node) {
+	if term > r.hardState.Term {
+		r.setHardState(HardState{Term: term})
 	}
-	return true
-}
-
-func (r *Raft) resetElectionWait() {
-	r.wait = r.tm.ElectionTimeout + clock.Millis(r.rnd.Int63n(int64(r.tm.ElectionTimeout)))
-}
-
-func (r *Raft) setHard(h HardState) {
-	r.hard = h
-	r.write.HardState = &h
-	r.hardSeq = r.seq + 1
+	r.role = Follower
+	r.leader = leader
+	r.votes = nil
+	r.peers = nil
+	r.timer.restart(r.now)
 }
--- /dev/null
+++ b/internal/consensus/raft/recovery_test.go
@@ -0,0 +1,241 @@
+package raft
+
+import (
+	"testing"
+
+	"orchidward/internal/api/identifier"
+)
+
+const (
+	// maxRecoveryMs is how soon a group must commit again after a loss that it has
+	// to bear; repairMs is how long it then has to be complete again.
+	maxRecoveryMs = 8000
+	repairMs      = 6000
+	// fiveVoters is how many voters a complete group has.
+	fiveVoters = 5
+)
+
+// lossKind is a way to lose up to two of five voters.
+type lossKind int
+
+const (
+	leaderTransfersAndStops lossKind = iota
+	twoVotersLost
+	voterLostDuringChange
+	staleMembersReturn
+	lossKinds
+)
+
+// injectLoss has the group bear one loss and checks that it commits again in time.
+func (g *group) injectLoss(kind lossKind) {
+	g.losses++
+	before := g.lastCommitted
+	switch kind {
+	case leaderTransfersAndStops:
+		g.transferAndStop()
+	case twoVotersLost:
+		g.loseVoters(2)
+	case voterLostDuringChange:
+		g.addLearner()
+		g.loseVoters(1)
+	case staleMembersReturn:
+		before = g.returnStaleMembers()
+	}
+	for end := g.now + maxRecoveryMs; g.now < end && g.lastCommitted < before+5 && g.failure == ""; {
+		g.step(false)
+	}
+	if g.lastCommitted < before+5 {
+		g.failf("loss %d: %d ms later %d entries are committed, %d before", kind, maxRecoveryMs, g.lastCommitted, before)
+	}
+	g.runRepairs()
+}
+
+func (g *group) loseVoters(count int) {
+	for _, h := range g.randomVoters(count) {
+		g.lose(h)
+	}
+}
+
+// transferAndStop stops a leader in order: it transfers leadership and exits, and
+// comes back later.
+func (g *group) transferAndStop() {
+	leader := g.leader()
+	leader.raft.TransferLeadership()
+	g.processOutput(leader)
+	g.after(1+g.random.Int63n(60), func() { leader.crash() })
+	g.after(1500, func() { g.start(leader) })
+}
+
+// returnStaleMembers has two members be away for long; in the moment they are back,
+// two of those that know more are lost. It returns what was committed then.
+func (g *group) returnStaleMembers() identifier.Index {
+	stale := g.randomVoters(2)
+	for _, h := range stale {
+		h.crash()
+	}
+	for end := g.now + 4000; g.now < end; {
+		g.step(false)
+	}
+	away := g.randomVoters(2)
+	for _, h := range away {
+		h.crash()
+	}
+	for _, h := range stale {
+		g.start(h)
+	}
+	g.after(maxRecoveryMs+100, func() {
+		for _, h := range away {
+			g.startIfDown(h)
+		}
+	})
+	return g.lastCommitted
+}
+
+// randomVoters picks voters of the leader's list that are up, the leader among them
+// or not.
+func (g *group) randomVoters(count int) []*host {
+	leader := g.leader()
+	if leader == nil {
+		return nil
+	}
+	var voters []*host
+	members := leader.raft.Members()
+	for _, i := range g.random.Perm(len(members)) {
+		if h := g.host(members[i].ID); members[i].Voter && h.up && len(voters) < count {
+			voters = append(voters, h)
+		}
+	}
+	return voters
+}
+
+// runRepairs gives the group time, with empty hosts that replace the lost ones.
+func (g *group) runRepairs() {
+	for end := g.now + maxRecoveryMs + repairMs; g.now < end && g.failure == ""; {
+		g.step(false)
+		if g.now%150 == 0 {
+			g.repair()
+		}
+	}
+}
+
+// membership is the leader's member list with what the simulation knows of those on
+// it. A Node of 0 is none.
+type membership struct {
+	members      []Member
+	voters       int
+	learners     int
+	lostVoter    identifier.Node
+	lostLearner  identifier.Node
+	readyLearner identifier.Node
+}
+
+func (g *group) membershipOf(leader *host) membership {
+	s := membership{members: append([]Member(nil), leader.raft.Members()...)}
+	for _, m := range s.members {
+		lost := g.host(m.ID).lost
+		switch {
+		case m.Voter && lost:
+			s.lostVoter = m.ID
+		case lost:
+			s.lostLearner = m.ID
+		case !m.Voter && caughtUp(leader, m.ID):
+			s.readyLearner = m.ID
+		}
+		if m.Voter {
+			s.voters++
+		} else if !lost {
+			s.learners++
+		}
+	}
+	return s
+}
+
+// repair makes one change as the control plane does: a learner that has caught up
+// replaces a voter that is lost for good, which is then removed.
+func (g *group) repair() {
+	leader := g.leader()
+	if leader == nil {
+		return
+	}
+	s := g.membershipOf(leader)
+	switch {
+	case s.lostVoter != 0 && s.voters > fiveVoters:
+		g.proposeMembers(leader, withoutMember(s.members, s.lostVoter))
+	case s.readyLearner != 0 && (s.lostVoter != 0 || s.voters < fiveVoters):
+		for i := range s.members {
+			s.members[i].Voter = s.members[i].Voter || s.members[i].ID == s.readyLearner
+		}
+		g.proposeMembers(leader, s.members)
+	case s.lostLearner != 0:
+		g.proposeMembers(leader, withoutMember(s.members, s.lostLearner))
+	case s.learners == 0:
+		g.addLearner()
+	}
+}
+
+// addLearner adds an empty host as a learner.
+func (g *group) addLearner() {
+	leader := g.leader()
+	if leader == nil || len(g.hosts) >= g.maxHosts {
+		return
+	}
+	members := append([]Member(nil), leader.raft.Members()...)
+	g.proposeMembers(leader, g.withLearner(members))
+}
+
+// complete reports whether five vote, all of them up and close behind.
+func (g *group) complete() bool {
+	leader := g.leader()
+	if leader == nil {
+		return false
+	}
+	voters := 0
+	for _, m := range leader.raft.Members() {
+		if !m.Voter {
+			continue
+		}
+		voters++
+		if h := g.host(m.ID); !h.up || h.applied+50 < g.lastCommitted {
+			return false
+		}
+	}
+	return voters == fiveVoters
+}
+
+// TestFiveVotersProgress: losses one after another, each of two of five at most, by
+// an orderly stop of the leader, lost disks, a replacement during a membership
+// change, and members long away that return in the moment others are lost. The
+// group commits again in time after each, its members have the same state at the
+// same index, and none that lacks a committed entry ever leads.
+func TestFiveVotersProgress(t *testing.T) {
+	const (
+		seeds  = 10
+		losses = 8
+	)
+	sum := runSeeds(t, "seeds", seeds, func(seed int64) *group {
+		g := newGroup(seed)
+		g.meanWriteMs = 2
+		g.entryBytes = 4
+		g.wantVoters = fiveVoters
+		g.maxMembers = 7
+		g.maxHosts = 60
+		g.losePairs = true
+		g.compactOften = true
+		g.tailLimit = &tailLimit{entries: 20, bytes: 1 << 20, transferBytes: 1 << 20}
+		g.bootstrap(fiveVoters)
+		g.runRepairs()
+		for i := 0; i < losses && g.failure == ""; i++ {
+			if !g.complete() {
+				g.failf("loss %d: not complete after %d ms", i, maxRecoveryMs+repairMs)
+				break
+			}
+			g.injectLoss(lossKind(int(seed-1)+i) % lossKinds)
+		}
+		return g
+	})
+	seen := sum.counters
+	if seen.losses < losses*seeds || seen.hostsLost < 3*seeds {
+		t.Errorf("too little evidence: %d losses, %d disks lost", seen.losses, seen.hostsLost)
+	}
+	t.Logf("%d losses, %d disks lost for good", seen.losses, seen.hostsLost)
+}
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -1,31 +1,45 @@
-// Replication: how the leader's log gets to the others, and when an entry is
-// committed.
-
 package raft
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"orchidward/internal/api/identifier"
 )
 
-func (r *Raft) append(kind EntryKind, data []byte) identifier.Index {
-	e := Entry{Index: r.log.last() + 1, Term: r.hard.Term, Kind: kind, Data: data}
-	r.log.list = append(r.log.list, e)
-	r.write.Entries = append(r.write.Entries, e)
-	r.learnConfiguration(e)
-	return e.Index
-}
+const (
+	// maxAppendBytes bounds the entries of one message.
+	maxAppendBytes = 256 << 10
+	// maxInFlightEntries and maxInFlightBytes bound what is sent to a peer beyond
+	// what it has acknowledged.
+	maxInFlightEntries = 2048
+	maxInFlightBytes   = 8 << 20
+)
 
-// Propose logs a command; it is decided once Commit hands it out again.
-func (r *Raft) Propose(data []byte) (i identifier.Index, ok bool) {
+// Propose appends a command to the log. It is committed once TakeOutput hands it
+// out again, which may never happen. It returns false unless this member leads.
+func (r *Raft) Propose(data []byte) (index identifier.Index, ok bool) {
 	if r.role != Leader {
 		return 0, false
 	}
 	return r.append(EntryCommand, data), true
 }
 
-// Flush sends what has been appended since, without waiting for a beat.
+// append adds an entry of the current term to the log.
+func (r *Raft) append(kind EntryKind, data []byte) identifier.Index {
+	e := Entry{Index: r.log.last() + 1, Term: r.hardState.Term, Kind: kind, Data: data}
+	r.appendEntry(e)
+	return e.Index
+}
+
+// appendEntry adds an entry to the log and to the next write.
+func (r *Raft) appendEntry(e Entry) {
+	r.log.entries = append(r.log.entries, e)
+	r.outbox.addEntry(e)
+	r.recordConfiguration(e)
+}
+
+// Flush sends what has been appended since, without waiting for a heartbeat.
 func (r *Raft) Flush() {
 	if r.role != Leader {
 		return
@@ -37,111 +51,117 @@
 	}
 }
 
-func (r *Raft) replicateTo(to identifier.Node, beat bool) {
+// replicateTo sends a peer the entries or the part of a snapshot that it needs
+// next. With heartbeat set a message is sent even if it carries nothing.
+func (r *Raft) replicateTo(to identifier.Node, heartbeat bool) {
 	p := r.peers[to]
 	if p == nil {
 		return
 	}
-	if p.load != nil || p.next <= r.log.base {
-		r.sendSnapshot(to, p, beat)
+	if p.transfer.snapshot != nil || p.next <= r.log.base {
+		r.sendSnapshot(to, p, heartbeat)
 		return
 	}
-	if p.probe && p.out {
-		if !beat {
+	if p.probing && p.appendInFlight {
+		if !heartbeat {
 			return
 		}
-		p.next = p.prev + 1
+		p.next = p.lastPrevIndex + 1
 	}
-	prev := p.next - 1
-	t, _ := r.log.term(prev)
-	m := Message{Kind: AppendEntries, To: to, Index: prev, LogTerm: t, Commit: r.commit}
-	if p.next-p.match < window && r.log.bytes(p.match+1, p.next-1) < windowBytes {
-		m.Entries = r.log.from(p.next, appendBytes)
+	prevIndex := p.next - 1
+	prevTerm, _ := r.log.term(prevIndex)
+	m := Message{Kind: AppendEntries, To: to, Index: prevIndex, LogTerm: prevTerm, Commit: r.commit}
+	if r.mayPipeline(p) {
+		m.Entries = r.log.entriesFrom(p.next, maxAppendBytes)
 	}
-	if len(m.Entries) == 0 && !beat {
+	if len(m.Entries) == 0 && !heartbeat {
 		return
 	}
 	p.next += identifier.Index(len(m.Entries))
-	p.prev, p.out = prev, true
+	p.lastPrevIndex = prevIndex
+	p.appendInFlight = true
 	r.send(m)
 }
 
-func (r *Raft) sendSnapshot(to identifier.Node, p *peer, beat bool) {
-	if p.load == nil || p.load != r.log.view && r.silent(p) {
-		p.load, p.off, p.sent = r.log.view, 0, 0
+// mayPipeline reports whether more entries may be sent to a peer before it has
+// acknowledged the ones in flight.
+func (r *Raft) mayPipeline(p *peer) bool {
+	return p.next-p.match < maxInFlightEntries && r.log.entryBytes(p.match+1, p.next-1) < maxInFlightBytes
+}
+
+// handleAppendReply notes what a peer has on disk and sends what it needs next.
+func (r *Raft) handleAppendReply(m Message) {
+	p := r.peers[m.From]
+	if r.role != Leader || p == nil {
+		return
 	}
-	end := min(p.off+chunk, int64(len(p.load.Data)))
-	if p.sent != 0 && r.now.Since(p.sent) < r.tm.ElectionTimeout {
-		if !beat {
-			return
-		}
-		end = p.off
-	} else {
-		p.sent = r.now
+	p.recordReply(m, r.leadership.electedAt, r.now)
+	p.evidence.clusterTimeTerm = m.LogTerm
+	if m.Reject {
+		r.handleAppendReject(m, p)
+		return
+	}
+	if p.probing && m.Index >= p.lastPrevIndex {
+		p.probing = false
+	}
+	if m.Index > p.match {
+		p.match = m.Index
+		p.next = max(p.next, p.match+1)
+		r.advanceCommit()
+	}
+	if p.transfer.snapshot != nil && p.match >= p.transfer.snapshot.Index {
+		p.transfer = snapshotTransfer{}
+	}
+	if p.next <= r.log.last() && p.transfer.snapshot == nil {
+		r.replicateTo(m.From, false)
 	}
-	part := &Snapshot{Index: p.load.Index, Term: p.load.Term, Members: p.load.Members, Data: p.load.Data[p.off:end]}
-	r.send(Message{Kind: InstallSnapshot, To: to, Snapshot: part, Offset: p.off, Total: int64(len(p.load.Data)), Commit: r.commit})
 }
 
+// handleAppendReject probes where the peer's log and this one may still be equal.
+func (r *Raft) handleAppendReject(m Message, p *peer) {
+	if p.probing && m.Index != p.lastPrevIndex || m.Index < p.match {
+		return
+	}
+	p.next = max(p.match+1, min(m.NextHint+1, r.log.last()+1))
+	p.probing = true
+	p.appendInFlight = false
+	r.replicateTo(m.From, false)
+}
+
+// advanceCommit commits the entries that a quorum of voters has on disk. Only an
+// entry of the leader's own term is committed by being counted, and with it all
+// before it (Ongaro's thesis, section 3.6.2).
 func (r *Raft) advanceCommit() {
-	list := []identifier.Index{}
+	matches := voterValues(r, r.outbox.syncedIndex, func(p *peer) identifier.Index { return p.match })
+	quorumMatch := matches[r.voterCount()/2]
+	if term, ok := r.log.term(quorumMatch); ok && quorumMatch > r.commit && term == r.hardState.Term {
+		r.commit = quorumMatch
+	}
+}
+
+// voterValues lists one value for each voter, the largest first: own for this
+// member, ofPeer for the others. The value at voterCount()/2 is one that a quorum
+// has reached.
+func voterValues[T cmp.Ordered](r *Raft, own T, ofPeer func(p *peer) T) []T {
+	var values []T
 	for _, m := range r.Members() {
 		switch {
 		case !m.Voter:
 		case m.ID == r.id:
-			list = append(list, r.synced)
+			values = append(values, own)
 		case r.peers[m.ID] != nil:
-			list = append(list, r.peers[m.ID].match)
+			values = append(values, ofPeer(r.peers[m.ID]))
 		}
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i] > list[j] })
-	at := list[r.voters()/2]
-	if t, ok := r.log.term(at); ok && at > r.commit && t == r.hard.Term {
-		r.commit = at
-	}
+	slices.SortFunc(values, func(a, b T) int { return cmp.Compare(b, a) })
+	return values
 }
 
 // addPeers makes sure that every other member has a peer.
 func (r *Raft) addPeers() {
 	for _, m := range r.Members() {
 		if m.ID != r.id && r.peers[m.ID] == nil {
-			r.peers[m.ID] = &peer{next: r.log.last() + 1, probe: true, ack: never, heard: r.now}
-		}
-	}
-}
-
-// oldestLoad is the index of the oldest snapshot that a live follower is being
-// sent, or that of the newest snapshot when none is.
-func (r *Raft) oldestLoad() identifier.Index {
-	oldest := r.log.view.Index
-	for _, p := range r.peers {
-		if p.load != nil && !r.silent(p) {
-			oldest = min(oldest, p.load.Index)
-		}
-	}
-	return oldest
-}
-
-// silent tells whether a peer has not been heard for so long that a load to it
-// may as well begin anew.
-func (r *Raft) silent(p *peer) bool { return r.now.Since(p.heard) > 2*r.tm.ElectionTimeout }
-
-// Compact takes a view of the state at an applied index.
-func (r *Raft) Compact(index identifier.Index, data []byte) {
-	t, ok := r.log.term(index)
-	if !ok || index <= r.log.view.Index {
-		return
-	}
-	v := &Snapshot{Index: index, Term: t, Data: data}
-	for _, c := range r.configurations {
-		if c.index <= index {
-			v.Members = c.members
+			r.peers[m.ID] = &peer{next: r.log.last() + 1, probing: true, ackedSentAt: never, lastHeardAt: r.now}
 		}
 	}
-	r.log.view = v
-	r.out.LocalSnapshot = v
-	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestLoad()))
-	for len(r.configurations) > 1 && r.configurations[1].index <= index {
-		r.configurations = r.configurations[1:]
-	}
 }
--- a/internal/controlplane/announcements.go
+++ b/internal/controlplane/announcements.go
@@ -7,13 +7,6 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Roles as announcements name them.
-const (
-	roleServer    = "keeper"
-	roleForwarder = "porter"
-	roleGateway   = "gate"
-)
-
 // seedAnnounceInterval is how often a leader announces the group to the seeds that
 // are no members.
 const seedAnnounceInterval clock.Millis = 1000
@@ -22,7 +15,7 @@
 func (s *Server) announcement(wantReply bool) *wire.Announcement {
 	a := &wire.Announcement{
 		WantReply: wantReply,
-		Role:      roleServer,
+		Role:      wire.RoleServer,
 		Node:      s.config.ID,
 		Addr:      s.config.Addr,
 		Domain:    s.config.Domain,
@@ -45,7 +38,7 @@
 
 // handleAnnouncement takes what another process tells of itself and the group.
 func (s *Server) handleAnnouncement(from wire.Peer, t *wire.Announcement) {
-	if t.Role == roleGateway {
+	if t.Role == wire.RoleGateway {
 		s.gateways.clientAddrSeen(t.HTTP, s.now)
 		s.gateways.peerAddrSeen(t.Addr, s.now)
 	}
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -93,10 +93,10 @@
 	}
 	seed := string(from)
 	switch t.Role {
-	case roleForwarder:
+	case wire.RoleForwarder:
 		s.discovery.lastSeen[seed] = s.now
 		s.discovery.diskless[seed] = true
-	case roleServer:
+	case wire.RoleServer:
 		s.discovery.lastSeen[seed] = s.now
 		s.discovery.diskless[seed] = false
 		s.discovery.emptySeeds[seed] = raft.Member{ID: t.Node, Addr: t.Addr, Domain: t.Domain, Voter: true}
@@ -196,7 +196,7 @@
 		panic("controlplane: a request to join does not encode: " + err.Error())
 	}
 	to := []wire.Peer{from}
-	if t.Role != roleServer {
+	if t.Role != wire.RoleServer {
 		to = nil
 		for _, member := range t.Members {
 			to = append(to, wire.Peer(member.Addr))
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -51,7 +51,7 @@
 
 // describe puts what this server knows of the group into an announcement.
 func (f *forwarderNode) describe(a *wire.Announcement, now clock.Monotonic) {
-	a.Role = roleForwarder
+	a.Role = wire.RoleForwarder
 	a.Node = 0
 	a.Founded = f.knowsGroup()
 	a.Members = f.members
@@ -103,16 +103,16 @@
 	if !t.Founded || len(t.Members) == 0 {
 		return
 	}
-	byLeader := t.Role == roleServer && t.Node != 0 && t.Node == t.LeaderID
+	byLeader := t.Role == wire.RoleServer && t.Node != 0 && t.Node == t.LeaderID
 	switch {
 	case byLeader:
 		f.selfVouchedAt = s.now
 		s.observeLeaderTime(t.LeaderTime)
-	case t.Role == roleServer && t.LeaderID != 0:
+	case t.Role == wire.RoleServer && t.LeaderID != 0:
 		if _, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchLife {
 			return
 		}
-	case t.Role == roleServer:
+	case t.Role == wire.RoleServer:
 		f.leaderlessGroupAt = s.now
 		return
 	default:
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -64,7 +64,7 @@
 
 // announcement is what this gateway tells of itself.
 func (g *Gateway) announcement() *wire.Announcement {
-	return &wire.Announcement{Role: roleGateway, Addr: g.config.Addr, Domain: g.config.Domain, HTTP: g.config.HTTP}
+	return &wire.Announcement{Role: wire.RoleGateway, Addr: g.config.Addr, Domain: g.config.Domain, HTTP: g.config.HTTP}
 }
 
 // syncIfDue syncs with the leader when it is time to, and turns to another server when
@@ -120,7 +120,7 @@
 		g.send(from, wire.Message{Announcement: reply})
 		return
 	}
-	byLeader := t.Role == roleServer && t.Node != 0 && t.LeaderID == t.Node
+	byLeader := t.Role == wire.RoleServer && t.Node != 0 && t.LeaderID == t.Node
 	if byLeader && len(t.Members) > 0 {
 		g.followLeader(t)
 		return
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -15,12 +15,6 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Roles as announcements name them.
-const (
-	roleServer  = "keeper"
-	roleGateway = "gate"
-)
-
 // Codes of the gateway's own error responses; docs/api.md lists them.
 const (
 	codeOutOfTouch = "out-of-touch"
