--- a/cmd/orchidctl/job.go
+++ b/cmd/orchidctl/job.go
@@ -1,52 +1,63 @@
-// Commands on jobs.
 package main
 
 import (
+	"encoding/json"
 	"fmt"
 	"io"
+	"net/http"
 	"net/url"
 	"os"
 	"strings"
 	"time"
 
+	"github.com/go-faster/errors"
+
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/state"
 )
 
-type jobCmd struct {
-	Put    jobPut    `cmd:"" help:"Hand in a job from a JSON file, or - for standard input."`
+// waitInterval is how often a job's state is asked for.
+const waitInterval = 250 * time.Millisecond
+
+type jobCommand struct {
+	Put    jobSubmit `cmd:"" help:"Submit a job from a JSON file, or - for standard input."`
 	Get    jobGet    `cmd:"" help:"Show a job, step by step and task by task."`
 	Wait   jobWait   `cmd:"" help:"Wait until a job has ended and show it; exits 1 unless it ended well."`
 	Cancel jobCancel `cmd:"" help:"Cancel a job."`
 	List   jobList   `cmd:"" help:"List jobs."`
 }
 
-func jobPath(name string) (path string, err error) {
-	agent, id, ok := strings.Cut(name, "/")
-	if !ok || agent == "" || id == "" || strings.Contains(id, "/") {
-		return "", usage{"a job is named AGENT/ID, have " + name}
+// jobPath is the path of the job that the command line names.
+func jobPath(name string) (string, error) {
+	client, id, ok := strings.Cut(name, "/")
+	if !ok || client == "" || id == "" || strings.Contains(id, "/") {
+		return "", usageError{"a job is named AGENT/ID, have " + name}
 	}
-	key := identifier.NewJobKey(identifier.Client(url.PathEscape(agent)), identifier.JobID(url.PathEscape(id)))
+	key := identifier.NewJobKey(identifier.Client(url.PathEscape(client)), identifier.JobID(url.PathEscape(id)))
 	return endpoint.JobPath(key), nil
 }
 
+// readFile reads a file that the command line names, or standard input for "-".
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
 	}
 	text, err := os.ReadFile(name)
 	if err != nil {
-		return nil, usage{err.Error()}
+		return nil, usageError{err.Error()}
 	}
 	return text, nil
 }
 
-type jobPut struct {
+type jobSubmit struct {
 	Job  string `arg:"" help:"AGENT/ID"`
 	File string `arg:"" help:"JSON file or -"`
 }
 
-func (c *jobPut) Run(d *desk) error {
+// Run submits a job.
+func (c *jobSubmit) Run(a *api) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
@@ -55,26 +66,22 @@
 	if err != nil {
 		return err
 	}
-	if text, err = d.ask("PUT", path, text); err != nil {
-		return err
-	}
-	return d.show(text, func(doc map[string]any) { fmt.Printf("accepted %v at %v\n", doc["job"], doc["accepted"]) })
+	return callAndShow(a, http.MethodPut, path, text, func(ack state.SubmitAck) {
+		fmt.Printf("accepted %v at %v\n", ack.Job, ack.Accepted)
+	})
 }
 
 type jobGet struct {
 	Job string `arg:"" help:"AGENT/ID"`
 }
 
-func (c *jobGet) Run(d *desk) error {
+// Run shows a job.
+func (c *jobGet) Run(a *api) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
 	}
-	text, err := d.ask("GET", path, nil)
-	if err != nil {
-		return err
-	}
-	return d.show(text, printJob)
+	return callAndShow(a, http.MethodGet, path, nil, printJob)
 }
 
 type jobWait struct {
@@ -82,79 +89,86 @@
 	MostMs int64  `help:"Give up after so long." default:"600000"`
 }
 
-func (c *jobWait) Run(d *desk) error {
+// Run waits until a job has ended and shows it.
+func (c *jobWait) Run(a *api) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
 	}
-	end := time.Now().Add(time.Duration(c.MostMs) * time.Millisecond)
-	for pace := time.NewTicker(250 * time.Millisecond); ; <-pace.C {
-		text, err := d.ask("GET", path, nil)
+	deadline := time.Now().Add(time.Duration(c.MostMs) * time.Millisecond)
+	ticker := time.NewTicker(waitInterval)
+	defer ticker.Stop()
+	for ; ; <-ticker.C {
+		text, err := a.call(http.MethodGet, path, nil)
 		if err != nil {
 			return err
 		}
-		state := ""
-		if err = (&desk{}).show(text, func(doc map[string]any) { state = fmt.Sprint(doc["state"]) }); err != nil {
-			return err
+		var job controlplane.JobStateDoc
+		if err = json.Unmarshal(text, &job); err != nil {
+			return errors.Wrap(err, "answer does not parse")
 		}
-		over := state == "well" || state == "failed" || state == "cancelled"
-		if !over && time.Now().Before(end) {
+		current := state.TaskState(job.State)
+		if !current.Ended() && time.Now().Before(deadline) {
 			continue
 		}
-		if err = d.show(text, printJob); err != nil {
+		if err = show(a, text, printJob); err != nil {
 			return err
 		}
-		if state != "well" {
-			return fmt.Errorf("job %s is %s", c.Job, state)
+		if current != state.Succeeded {
+			return fmt.Errorf("job %s is %s", c.Job, current)
 		}
 		return nil
 	}
 }
 
-func printJob(doc map[string]any) {
-	fmt.Printf("%v  %v  row %v  urgency %v  accepted %v", doc["job"], doc["state"], doc["pending"], doc["urgency"], doc["accepted"])
-	for _, k := range []string{"notBefore", "ended", "why"} {
-		if doc[k] != nil {
-			fmt.Printf("  %s %v", k, doc[k])
-		}
-	}
+func printJob(j controlplane.JobDoc) {
+	fmt.Printf("%v  %v  row %v  urgency %v  accepted %v", j.Job, j.State, j.Row, j.Urgency, j.Accepted)
+	printField("notBefore", j.NotBefore)
+	printField("ended", j.Ended)
+	printField("why", j.Reason)
 	fmt.Println()
-	steps, _ := doc["steps"].([]any)
-	for _, s := range steps {
-		step, _ := s.(map[string]any)
-		fmt.Printf("  step %v", step["name"])
-		if step["why"] != nil {
-			fmt.Printf("  (%v)", step["why"])
+	for _, step := range j.Steps {
+		fmt.Printf("  step %v", step.Name)
+		if step.Reason != "" {
+			fmt.Printf("  (%v)", step.Reason)
 		}
 		fmt.Println()
-		tasks, _ := step["tasks"].([]any)
-		for i, t := range tasks {
-			task, _ := t.(map[string]any)
-			fmt.Printf("    %d  %v", i, task["state"])
-			for _, k := range []string{"runner", "defects", "why"} {
-				if v := task[k]; v != nil && v != float64(0) {
-					fmt.Printf("  %s %v", k, v)
-				}
-			}
-			fmt.Println()
+		for i, task := range step.Tasks {
+			printTask(i, task)
 		}
 	}
 }
 
+func printTask(number int, task controlplane.TaskDoc) {
+	fmt.Printf("    %d  %v", number, task.State)
+	printField("runner", string(task.Runner))
+	if task.Defects != 0 {
+		fmt.Printf("  defects %v", task.Defects)
+	}
+	printField("why", task.Reason)
+	fmt.Println()
+}
+
+// printField prints a field that is not empty.
+func printField(name, value string) {
+	if value != "" {
+		fmt.Printf("  %s %s", name, value)
+	}
+}
+
 type jobCancel struct {
 	Job string `arg:"" help:"AGENT/ID"`
 }
 
-func (c *jobCancel) Run(d *desk) error {
+// Run cancels a job.
+func (c *jobCancel) Run(a *api) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
 		return err
 	}
-	text, err := d.ask("DELETE", path, nil)
-	if err != nil {
-		return err
-	}
-	return d.show(text, func(doc map[string]any) { fmt.Printf("%v  %v\n", doc["job"], doc["state"]) })
+	return callAndShow(a, http.MethodDelete, path, nil, func(doc controlplane.CancelledJobDoc) {
+		fmt.Printf("%v  %v\n", doc.Job, doc.State)
+	})
 }
 
 type jobList struct {
@@ -165,25 +179,20 @@
 	Limit   int    `help:"At most so many." default:"100"`
 }
 
-func (c *jobList) Run(d *desk) error {
-	q := url.Values{"limit": {fmt.Sprint(c.Limit)}}
-	for k, v := range map[string]string{"agent": c.Agent, "pending": c.Pending, "state": c.State, "after": c.After} {
-		if v != "" {
-			q.Set(k, v)
+// Run lists jobs.
+func (c *jobList) Run(a *api) error {
+	query := url.Values{"limit": {fmt.Sprint(c.Limit)}}
+	for name, value := range map[string]string{"agent": c.Agent, "pending": c.Pending, "state": c.State, "after": c.After} {
+		if value != "" {
+			query.Set(name, value)
 		}
 	}
-	text, err := d.ask("GET", endpoint.JobsPath+"?"+q.Encode(), nil)
-	if err != nil {
-		return err
-	}
-	return d.show(text, func(doc map[string]any) {
-		list, _ := doc["jobs"].([]any)
-		for _, j := range list {
-			one, _ := j.(map[string]any)
-			fmt.Printf("%-10v %-12v %v\n", one["state"], one["pending"], one["job"])
+	return callAndShow(a, http.MethodGet, endpoint.JobsPath+"?"+query.Encode(), nil, func(page controlplane.JobListDoc) {
+		for _, job := range page.Jobs {
+			fmt.Printf("%-10v %-12v %v\n", job.State, job.Row, job.Job)
 		}
-		if doc["next"] != nil {
-			fmt.Printf("more after %v\n", doc["next"])
+		if page.Next != "" {
+			fmt.Printf("more after %v\n", page.Next)
 		}
 	})
 }
--- a/cmd/orchidctl/main.go
+++ b/cmd/orchidctl/main.go
@@ -1,6 +1,6 @@
-// Command orchidctl is the command line of clients and operators. It exits 0 when done,
-// 1 when the fleet refused, 2 on bad usage, 3 when no gate could be reached,
-// 4 when a change may have been made and its answer is not known.
+// Command orchidctl is the command line of clients and operators. It exits 0 when done, 1
+// when the cluster refused, 2 on bad usage, 3 when no gateway could be reached, 4 when a
+// change may have been made and its outcome is not known.
 package main
 
 import (
@@ -18,94 +18,122 @@
 	"orchidward/internal/transport/httpclient"
 )
 
+const programName = "orchidctl"
+
+// Exit codes.
+const (
+	exitDone           = 0
+	exitRefused        = 1
+	exitUsage          = 2
+	exitUnreachable    = 3
+	exitOutcomeUnknown = 4
+)
+
+const outputJSON = "json"
+
 type flags struct {
 	Boot   string   `help:"Settings file, JSON, keys as the flags." placeholder:"FILE"`
-	Gates  []string `help:"IP:PORT of gates, tried in turn." default:"127.0.0.1:7200" env:"ORCHIDWARD_GATES"`
+	Gates  []string `help:"IP:PORT of gateways, tried in turn." default:"127.0.0.1:7200" env:"ORCHIDWARD_GATES"`
 	Output string   `help:"How to print: text or json." default:"text" enum:"text,json"`
 	WaitMs int64    `help:"How long to wait for one answer." default:"6000"`
 
-	Job     jobCmd      `cmd:"" help:"Submit, read, list and cancel jobs."`
-	Table   tableCmd    `cmd:"" help:"Read and change the table of weights and limits."`
-	Drain   closeCmd    `cmd:"" aliases:"close" help:"Drain a zone."`
-	Reopen  reopenCmd   `cmd:"" help:"Put a drained zone back into use, by the drain's id or its zone."`
-	Drains  closingsCmd `cmd:"" aliases:"closings" help:"Show drains, or one."`
-	Runners runnersCmd  `cmd:"" help:"Show runners."`
-	Servers keepersCmd  `cmd:"" aliases:"keepers" help:"Show the control-plane servers."`
-	Members membersCmd  `cmd:"" help:"Show what one gateway knows of the cluster."`
+	Job     jobCommand     `cmd:"" help:"Submit, read, list and cancel jobs."`
+	Table   limitsCommand  `cmd:"" help:"Read and change the table of weights and limits."`
+	Drain   drainCommand   `cmd:"" aliases:"close" help:"Drain a zone."`
+	Reopen  reopenCommand  `cmd:"" help:"Put a drained zone back into use, by the drain's id or its zone."`
+	Drains  drainsCommand  `cmd:"" aliases:"closings" help:"Show drains, or one."`
+	Runners runnersCommand `cmd:"" help:"Show runners."`
+	Servers serversCommand `cmd:"" aliases:"keepers" help:"Show the control-plane servers."`
+	Members membersCommand `cmd:"" help:"Show what one gateway knows of the cluster."`
 }
 
-// desk is what every command works with.
-type desk struct {
-	call *httpclient.Client
-	json bool
+// api is what every command works with: the cluster's API, and how to print.
+type api struct {
+	client   *httpclient.Client
+	printRaw bool
 }
 
-// refused is an answer of the fleet that is not a success.
-type refused struct{ got httpclient.Response }
+// refusedError is a response of the cluster that is not a success.
+type refusedError struct{ response httpclient.Response }
 
-func (r refused) Error() string { return r.got.Message() }
+func (e refusedError) Error() string { return e.response.Message() }
 
-// ask sends a request and hands back the document of a success.
-func (d *desk) ask(verb, path string, body []byte) ([]byte, error) {
-	got, err := d.call.Do(context.Background(), verb, path, body)
+// usageError is a fault in what was asked of orchidctl itself.
+type usageError struct{ message string }
+
+func (e usageError) Error() string { return e.message }
+
+// call sends a request and returns the document of a success.
+func (a *api) call(method, path string, body []byte) ([]byte, error) {
+	response, err := a.client.Do(context.Background(), method, path, body)
 	if err != nil {
 		return nil, err
 	}
-	if !got.OK() {
-		if d.json {
-			fmt.Println(string(got.Body))
+	if !response.OK() {
+		if a.printRaw {
+			fmt.Println(string(response.Body))
 		}
-		return nil, refused{got}
+		return nil, refusedError{response}
 	}
-	return got.Body, nil
+	return response.Body, nil
 }
 
 // show prints a document: as it came, or by the given printer.
-func (d *desk) show(text []byte, printer func(doc map[string]any)) error {
-	if d.json {
+func show[T any](a *api, text []byte, printDoc func(doc T)) error {
+	if a.printRaw {
 		fmt.Println(string(text))
 		return nil
 	}
-	doc := map[string]any{}
+	var doc T
 	if err := json.Unmarshal(text, &doc); err != nil {
 		return errors.Wrap(err, "answer does not parse")
 	}
-	printer(doc)
+	printDoc(doc)
 	return nil
 }
 
+// callAndShow sends a request and prints the document of a success.
+func callAndShow[T any](a *api, method, path string, body []byte, printDoc func(doc T)) error {
+	text, err := a.call(method, path, body)
+	if err != nil {
+		return err
+	}
+	return show(a, text, printDoc)
+}
+
 func main() {
 	f := &flags{}
-	ctx := settings.Parse(f, "orchidctl", "Command line for callers and operators of orchidward.", func(c *settings.Validator) {
-		c.Addrs("gates", f.Gates, 1)
-		c.Range("wait-ms", f.WaitMs, 100, 60000)
+	ctx := settings.Parse(f, programName, "Command line for callers and operators of orchidward.", func(v *settings.Validator) {
+		v.Addrs("gates", f.Gates, 1)
+		v.Range("wait-ms", f.WaitMs, 100, 60000)
 	})
-	d := &desk{call: httpclient.New(f.Gates, time.Duration(f.WaitMs)*time.Millisecond), json: f.Output == "json"}
-	os.Exit(code(ctx, d))
+	client := httpclient.New(f.Gates, time.Duration(f.WaitMs)*time.Millisecond)
+	os.Exit(run(ctx, &api{client: client, printRaw: f.Output == outputJSON}))
 }
 
-func code(ctx *kong.Context, d *desk) int {
-	err := ctx.Run(d)
-	if err == nil {
-		return 0
+// run runs the command and returns the exit code.
+func run(ctx *kong.Context, a *api) int {
+	err := ctx.Run(a)
+	if err != nil {
+		fmt.Fprintf(os.Stderr, "%s: %v\n", programName, err)
 	}
-	fmt.Fprintf(os.Stderr, "orchidctl: %v\n", err)
-	var no refused
-	var use usage
+	return exitCode(err)
+}
+
+func exitCode(err error) int {
+	var refused refusedError
+	var usage usageError
 	switch {
+	case err == nil:
+		return exitDone
 	case errors.Is(err, httpclient.ErrUnreachable):
-		return 3
-	case errors.Is(err, httpclient.ErrOutcomeUnknown), errors.As(err, &no) && no.got.Status == http.StatusGatewayTimeout:
-		return 4
-	case errors.As(err, &no):
-		return 1
-	case errors.As(err, &use):
-		return 2
+		return exitUnreachable
+	case errors.Is(err, httpclient.ErrOutcomeUnknown):
+		return exitOutcomeUnknown
+	case errors.As(err, &refused) && refused.response.Status == http.StatusGatewayTimeout:
+		return exitOutcomeUnknown
+	case errors.As(err, &usage):
+		return exitUsage
 	}
-	return 1
+	return exitRefused
 }
-
-// usage is a fault in what was asked of orchidctl itself.
-type usage struct{ why string }
-
-func (u usage) Error() string { return u.why }
--- a/cmd/orchidward-gateway/main.go
+++ b/cmd/orchidward-gateway/main.go
@@ -22,12 +22,12 @@
 	BodyKb int64    `help:"Largest request body in KiB." default:"1024"`
 }
 
-func (f *flags) check(c *settings.Validator) {
-	c.Addr("addr", f.Addr)
-	c.Addr("http", f.HTTP)
-	c.Name("domain", f.Domain)
-	c.Addrs("seeds", f.Seeds, 1)
-	c.Range("body-kb", f.BodyKb, 16, 4096)
+func (f *flags) check(v *settings.Validator) {
+	v.Addr("addr", f.Addr)
+	v.Addr("http", f.HTTP)
+	v.Name("domain", f.Domain)
+	v.Addrs("seeds", f.Seeds, 1)
+	v.Range("body-kb", f.BodyKb, 16, 4096)
 }
 
 func (f *flags) settings() gatewayd.Settings {
--- a/cmd/orchidward-runner/main.go
+++ b/cmd/orchidward-runner/main.go
@@ -25,24 +25,24 @@
 	Faulty int64    `help:"Share of runs that end in a defect, in percent." default:"0"`
 }
 
-func (f *flags) check(c *settings.Validator) {
-	c.Name("name", f.Name)
-	c.Addr("addr", f.Addr)
-	c.Addr("http", f.HTTP)
-	c.Name("domain", f.Domain)
-	c.Name("rack", f.Rack)
-	c.Addrs("seeds", f.Seeds, 1)
-	c.Range("cores", f.Cores, 1, 1<<20)
-	c.Range("mem-mb", f.MemMb, 1, 1<<30)
-	c.Range("slow", f.Slow, 0, 100000)
-	c.Range("faulty", f.Faulty, 0, 100)
+func (f *flags) check(v *settings.Validator) {
+	v.Name("name", f.Name)
+	v.Addr("addr", f.Addr)
+	v.Addr("http", f.HTTP)
+	v.Name("domain", f.Domain)
+	v.Name("rack", f.Rack)
+	v.Addrs("seeds", f.Seeds, 1)
+	v.Range("cores", f.Cores, 1, 1<<20)
+	v.Range("mem-mb", f.MemMb, 1, 1<<30)
+	v.Range("slow", f.Slow, 0, 100000)
+	v.Range("faulty", f.Faulty, 0, 100)
 	for _, l := range f.Labels {
-		c.Name("labels", l)
+		v.Name("labels", l)
 	}
 }
 
 func main() {
 	f := &flags{}
 	settings.Parse(f, "orchidward-runner", "Stand-in back end of orchidward.", f.check)
-	logging.Run(fx.Supply(f), lifecycle.Module, fx.Provide(newDesk), fx.Invoke(func(*desk) {}))
+	logging.Run(fx.Supply(f), lifecycle.Module, fx.Provide(newDaemon), fx.Invoke(func(*daemon) {}))
 }
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -25,14 +25,14 @@
 	ElectMs int64    `help:"Least wait for word of a leader before an election, in ms; the same for all keepers." default:"1000"`
 }
 
-func (f *flags) check(c *settings.Validator) {
-	c.Addr("addr", f.Addr)
-	c.Addr("http", f.HTTP)
-	c.Name("domain", f.Domain)
-	c.Addrs("seeds", f.Seeds, 3)
-	c.Range("files", f.Files, 3, 99)
-	c.Range("file-kb", f.FileKb, 256, 1<<20)
-	c.Range("elect-ms", f.ElectMs, 200, 10000)
+func (f *flags) check(v *settings.Validator) {
+	v.Addr("addr", f.Addr)
+	v.Addr("http", f.HTTP)
+	v.Name("domain", f.Domain)
+	v.Addrs("seeds", f.Seeds, 3)
+	v.Range("files", f.Files, 3, 99)
+	v.Range("file-kb", f.FileKb, 256, 1<<20)
+	v.Range("elect-ms", f.ElectMs, 200, 10000)
 }
 
 func (f *flags) settings() serverd.Settings {
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -128,15 +128,15 @@
 	s.proposeFor(r, &state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: *spec}})
 }
 
-// cancelledJobDoc is the answer to the cancellation of a job that has ended.
-type cancelledJobDoc struct {
+// CancelledJobDoc is the answer to the cancellation of a job that has ended.
+type CancelledJobDoc struct {
 	Job   identifier.JobKey `json:"job"`
 	State string            `json:"state"`
 }
 
 func (s *Server) cancelJob(r *apiRequest, key identifier.JobKey) {
 	if j := s.state.Jobs[key]; j != nil && j.EndState != "" {
-		s.replyJSON(r.peer, r.ID, http.StatusOK, cancelledJobDoc{key, j.State()})
+		s.replyJSON(r.peer, r.ID, http.StatusOK, CancelledJobDoc{key, j.State()})
 		return
 	}
 	s.proposeFor(r, &state.Command{CancelJob: &state.CancelJob{Key: key}})
--- a/internal/daemon/gatewayd/routes.go
+++ b/internal/daemon/gatewayd/routes.go
@@ -38,28 +38,28 @@
 	}
 }
 
-// memberDoc is a control-plane server as a gateway knows it.
-type memberDoc struct {
+// MemberDoc is a control-plane server as a gateway knows it.
+type MemberDoc struct {
 	Addr   string            `json:"addr"`
 	Domain identifier.Domain `json:"domain"`
 	Node   string            `json:"node"`
 	Voter  bool              `json:"voter"`
 }
 
-// membersDoc is the cluster as a gateway knows it.
-type membersDoc struct {
+// MembersDoc is the cluster as a gateway knows it.
+type MembersDoc struct {
 	Epoch    identifier.Epoch `json:"epoch"`
 	Gateways []string         `json:"gates"`
-	Servers  []memberDoc      `json:"keepers"`
+	Servers  []MemberDoc      `json:"keepers"`
 }
 
 // serveMembers shows what this gateway knows of the cluster, for runners that look for
 // other gateways. It needs no leader.
 func (d *Daemon) serveMembers(c *gin.Context) {
-	doc := membersDoc{Servers: []memberDoc{}}
+	doc := MembersDoc{Servers: []MemberDoc{}}
 	ok := d.Inspect(c.Request.Context(), func(g *gateway.Gateway) {
 		for _, member := range g.Members() {
-			doc.Servers = append(doc.Servers, memberDoc{member.Addr, member.Domain, member.ID.String(), member.Voter})
+			doc.Servers = append(doc.Servers, MemberDoc{member.Addr, member.Domain, member.ID.String(), member.Voter})
 		}
 		doc.Gateways = g.Gateways()
 		doc.Epoch = g.Epoch()
