--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -21,133 +21,133 @@
 // OK tells whether the command was accepted.
 func (r Result) OK() bool { return r.Status < 300 }
 
-func refuse(status int, code, why string) Result {
-	return Result{Status: status, Code: code, Message: why}
+func rejected(status int, code, message string) Result {
+	return Result{Status: status, Code: code, Message: message}
 }
 
 // Apply carries out one command. It must be called with the commands of the log
 // in order. A refused command is not an error: the result bears a status of 400
 // or more, and only what is due by cluster time changes (appointed starts, records
 // whose time is up). Cluster time never goes back, whatever c.At says.
-func (b *Store) Apply(c *Command) Result {
-	var r Result
-	b.Now = max(b.Now, c.At)
-	b.wake()
+func (s *Store) Apply(command *Command) Result {
+	var result Result
+	s.Now = max(s.Now, command.At)
+	s.startDelayedJobs()
 	switch {
-	case c.SubmitJob != nil:
-		r = b.submit(c.SubmitJob)
-	case c.CancelJob != nil:
-		r = b.cancel(c.CancelJob)
-	case c.ChangeLimits != nil:
-		r = b.change(c.ChangeLimits)
-	case c.StartDrain != nil:
-		r = b.close(c.StartDrain)
-	case c.EndDrain != nil:
-		r = b.reopen(c.EndDrain)
-	case c.ReportRunner != nil:
-		r = b.report(c.ReportRunner)
-	case c.ReportEnds != nil:
-		b.ends(c.ReportEnds)
-	case c.PlaceTasks != nil:
-		b.place(c.PlaceTasks)
-	case c.RevokeLeases != nil:
-		for _, id := range c.RevokeLeases.Leases {
-			if g := b.Leases[id]; g != nil {
-				b.stop(g, c.RevokeLeases.Reason)
+	case command.SubmitJob != nil:
+		result = s.submitJob(command.SubmitJob)
+	case command.CancelJob != nil:
+		result = s.cancelJob(command.CancelJob)
+	case command.ChangeLimits != nil:
+		result = s.changeLimits(command.ChangeLimits)
+	case command.StartDrain != nil:
+		result = s.startDrain(command.StartDrain)
+	case command.EndDrain != nil:
+		result = s.endDrain(command.EndDrain)
+	case command.ReportRunner != nil:
+		result = s.reportRunner(command.ReportRunner)
+	case command.ReportEnds != nil:
+		s.reportEnds(command.ReportEnds)
+	case command.PlaceTasks != nil:
+		s.placeTasks(command.PlaceTasks)
+	case command.RevokeLeases != nil:
+		for _, id := range command.RevokeLeases.Leases {
+			if lease := s.Leases[id]; lease != nil {
+				s.revokeLease(lease, command.RevokeLeases.Reason)
 			}
 		}
-	case c.LoseRunner != nil:
-		b.lost(c.LoseRunner)
-	case c.AdvanceDrain != nil:
-		b.step(c.AdvanceDrain)
-	case c.ChangeCatalog != nil:
-		r = b.publish(c.ChangeCatalog)
-	case c.RaiseLevel != nil:
-		b.raise(c.RaiseLevel.Level)
+	case command.LoseRunner != nil:
+		s.loseRunner(command.LoseRunner)
+	case command.AdvanceDrain != nil:
+		s.advanceDrain(command.AdvanceDrain)
+	case command.ChangeCatalog != nil:
+		result = s.changeCatalog(command.ChangeCatalog)
+	case command.RaiseLevel != nil:
+		s.raiseLevel(command.RaiseLevel.Level)
 	}
-	b.fold(uint64(b.Now), uint64(b.NextLease), uint64(b.NextJobSeq), uint64(b.Limits.Epoch), uint64(r.Status))
-	b.tidy()
-	return r
+	s.foldChecksum(uint64(s.Now), uint64(s.NextLease), uint64(s.NextJobSeq), uint64(s.Limits.Epoch), uint64(result.Status))
+	s.expireRecords()
+	return result
 }
 
-// raise lifts the level and brings the state to the form it has from there on.
-func (b *Store) raise(level uint16) {
-	b.Level = max(b.Level, level)
-	if b.Level >= ResendLevel && b.Catalog != nil {
-		b.Catalog = b.Catalog.Deduplicated()
+// raiseLevel lifts the level and brings the state to the form it has from there on.
+func (s *Store) raiseLevel(level uint16) {
+	s.Level = max(s.Level, level)
+	if s.Level >= ResendLevel && s.Catalog != nil {
+		s.Catalog = s.Catalog.Deduplicated()
 	}
 }
 
-// wake moves jobs whose appointed time has come onto their lanes.
-func (b *Store) wake() {
-	b.spawn()
+// startDelayedJobs moves jobs whose appointed time has come onto their lanes.
+func (s *Store) startDelayedJobs() {
+	s.startDueOccurrences()
 	for {
-		it := b.later.Iterator()
+		it := s.delayed.Iterator()
 		if !it.Next() {
 			return
 		}
 		j := it.Value().(*Job)
-		if j.StartAt > b.Now {
+		if j.StartAt > s.Now {
 			return
 		}
-		b.index(j)
+		s.reindexJob(j)
 	}
 }
 
-// tidy forgets what its time has run out for, a little with every command.
-func (b *Store) tidy() {
-	retain := b.Limits.SiteMillis("retainMs")
-	for n := 0; n < 8 && len(b.EndedJobs) > 0; n++ {
-		j := b.Jobs[b.EndedJobs[0]]
-		if j.EndedAt.Add(retain) > b.Now {
+// expireRecords forgets what its time has run out for, a little with every command.
+func (s *Store) expireRecords() {
+	retain := s.Limits.SiteMillis("retainMs")
+	for n := 0; n < 8 && len(s.EndedJobs) > 0; n++ {
+		j := s.Jobs[s.EndedJobs[0]]
+		if j.EndedAt.Add(retain) > s.Now {
 			break
 		}
 		if j.Parent == "" {
-			b.Dedup.add(j, b.Now)
+			s.Dedup.add(j, s.Now)
 		}
-		delete(b.Jobs, j.Key)
-		b.names.Remove(j.Key)
-		b.EndedJobs = b.EndedJobs[1:]
+		delete(s.Jobs, j.Key)
+		s.jobsByKey.Remove(j.Key)
+		s.EndedJobs = s.EndedJobs[1:]
 	}
-	b.Dedup.drop(b.Now.Add(-b.Limits.SiteMillis("knownMs")))
-	b.dropHolds()
-	if len(b.Drains) <= closeKept {
+	s.Dedup.expire(s.Now.Add(-s.Limits.SiteMillis("knownMs")))
+	s.expireTombstones()
+	if len(s.Drains) <= maxDrains {
 		return
 	}
-	for _, id := range b.DrainIDs() {
-		if b.Drains[id].Stage == Open && len(b.Drains) > closeKept {
-			delete(b.Drains, id)
+	for _, id := range s.DrainIDs() {
+		if s.Drains[id].Stage == Open && len(s.Drains) > maxDrains {
+			delete(s.Drains, id)
 		}
 	}
 }
 
-func (b *Store) close(c *StartDrain) Result {
-	if c.ID != "" && b.Drains[c.ID] != nil {
-		old := b.Drains[c.ID]
-		if old.Kind != KindDomain || old.Domain != c.Domain {
-			return refuse(409, "id-taken", "this id names another closing")
+func (s *Store) startDrain(command *StartDrain) Result {
+	if command.ID != "" && s.Drains[command.ID] != nil {
+		old := s.Drains[command.ID]
+		if old.Kind != KindDomain || old.Domain != command.Domain {
+			return rejected(409, "id-taken", "this id names another closing")
 		}
-		return b.show(old)
+		return s.drainResult(old)
 	}
-	known := c.AllowUnknown
-	for _, one := range b.Runners {
-		known = known || one.Domain == c.Domain
+	known := command.AllowUnknown
+	for _, one := range s.Runners {
+		known = known || one.Domain == command.Domain
 	}
 	if !known {
-		return refuse(404, "no-domain", "no runner of this domain is known")
+		return rejected(404, "no-domain", "no runner of this domain is known")
 	}
-	for _, id := range b.DrainIDs() {
-		if one := b.Drains[id]; one.Kind == KindDomain && one.Domain == c.Domain && one.Stage.Cordons() && one.Stage != Preopen {
-			return b.show(one)
+	for _, id := range s.DrainIDs() {
+		if one := s.Drains[id]; one.Kind == KindDomain && one.Domain == command.Domain && one.Stage.Cordons() && one.Stage != Preopen {
+			return s.drainResult(one)
 		}
 	}
-	one := b.open(c.ID, KindDomain, c.Domain, "")
-	b.refence()
-	return b.show(one)
+	one := s.createDrain(command.ID, KindDomain, command.Domain, "")
+	s.updateCordons()
+	return s.drainResult(one)
 }
 
-func (b *Store) show(c *Drain) Result {
-	text, err := json.Marshal(c)
+func (s *Store) drainResult(drain *Drain) Result {
+	text, err := json.Marshal(drain)
 	if err != nil {
 		panic(err)
 	}
--- a/internal/state/sum.go
+++ b/internal/state/checksum.go
@@ -21,19 +21,19 @@
 // not find, and reopening a domain finds the closing in force.
 const ResendLevel uint16 = 4
 
-const prime = 1099511628211
+const fnvPrime = 1099511628211
 
-func (b *Store) fold(list ...uint64) {
-	if b.Level < 1 {
+func (s *Store) foldChecksum(list ...uint64) {
+	if s.Level < 1 {
 		return
 	}
 	for _, n := range list {
-		b.Checksum = (b.Checksum ^ n) * prime
-		b.Checksum ^= b.Checksum >> 29
+		s.Checksum = (s.Checksum ^ n) * fnvPrime
+		s.Checksum ^= s.Checksum >> 29
 	}
 }
 
-func text(word string) uint64 {
+func hashText(word string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(word))
 	return h.Sum64()
--- a/internal/state/cmd.go
+++ b/internal/state/commands.go
@@ -182,11 +182,11 @@
 // DecodeCommand wants to know every word of an entry: what this program does not
 // know it would not do, and its book would part from the others'.
 func DecodeCommand(text []byte) (*Command, error) {
-	c := &Command{}
+	command := &Command{}
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
-	if err := d.Decode(c); err != nil {
+	if err := d.Decode(command); err != nil {
 		return nil, err
 	}
-	return c, nil
+	return command, nil
 }
--- a/internal/state/closing.go
+++ b/internal/state/drain.go
@@ -89,21 +89,21 @@
 	KindDomain = "domain"
 	// KindRack is a drain that follows from runners of a rack reporting that
 	// they leave.
-	KindRack  = "rack"
-	marksKept = 64
+	KindRack        = "rack"
+	maxStageHistory = 64
 )
 
-func (c *Drain) enter(s Stage, now clock.ClusterTime) {
-	c.Stage = s
-	c.History = append(c.History, StageEntry{s, now})
-	if len(c.History) > marksKept {
-		c.History = c.History[len(c.History)-marksKept:]
+func (d *Drain) enterStage(stage Stage, now clock.ClusterTime) {
+	d.Stage = stage
+	d.History = append(d.History, StageEntry{stage, now})
+	if len(d.History) > maxStageHistory {
+		d.History = d.History[len(d.History)-maxStageHistory:]
 	}
 }
 
-func (c *Drain) has(r identifier.Runner) bool {
-	for _, s := range c.Scope {
-		if s == r {
+func (d *Drain) inScope(name identifier.Runner) bool {
+	for _, member := range d.Scope {
+		if member == name {
 			return true
 		}
 	}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -34,18 +34,18 @@
 	Terms       *QueueTerms       `json:"terms,omitempty"`
 	Occurrences int64             `json:"times,omitempty"`
 	Parent      identifier.JobKey `json:"parent,omitempty"`
-	// kids counts the times that have come and not ended.
-	kids int
+	// openOccurrences counts the times that have come and not ended.
+	openOccurrences int
 
-	count []count
-	open  int
-	moved int
-	lane  *lane
+	stepCounts     []stepCount
+	openLeases     int
+	displacedTasks int
+	queue          *jobQueue
 }
 
 // count is the tally of one step.
-type count struct {
-	wait, placed, well, ended int
+type stepCount struct {
+	waiting, placed, succeeded, ended int
 }
 
 // Task finds a task by step and number, nil when the job has no such task. The
@@ -61,7 +61,7 @@
 func (j *Job) DependenciesMet(step int) bool {
 	for _, name := range j.Spec.Steps[step].After {
 		for i := range j.Spec.Steps {
-			if j.Spec.Steps[i].Name == name && j.count[i].well < len(j.Steps[i]) {
+			if j.Spec.Steps[i].Name == name && j.stepCounts[i].succeeded < len(j.Steps[i]) {
 				return false
 			}
 		}
@@ -72,11 +72,11 @@
 // Ready tells whether the step has tasks to place now. A gang waits until
 // none of its members holds a grant, so that all start together.
 func (j *Job) Ready(step int) bool {
-	c := j.count[step]
-	if c.wait == 0 || j.Cancelled || j.Failure != "" {
+	counts := j.stepCounts[step]
+	if counts.waiting == 0 || j.Cancelled || j.Failure != "" {
 		return false
 	}
-	if j.Spec.Steps[step].Gang && (c.placed > 0 || c.wait+c.ended < len(j.Steps[step])) {
+	if j.Spec.Steps[step].Gang && (counts.placed > 0 || counts.waiting+counts.ended < len(j.Steps[step])) {
 		return false
 	}
 	return j.DependenciesMet(step)
@@ -92,7 +92,7 @@
 	at := make([]clock.Millis, len(steps))
 	for range steps {
 		for i := range steps {
-			if j.count[i].well == len(j.Steps[i]) {
+			if j.stepCounts[i].succeeded == len(j.Steps[i]) {
 				continue
 			}
 			from := clock.Millis(0)
@@ -111,8 +111,8 @@
 // WaitingTasks lists the numbers of the step's waiting tasks.
 func (j *Job) WaitingTasks(step int) []int {
 	var nums []int
-	for i, t := range j.Steps[step] {
-		if t.State == Waiting {
+	for i, task := range j.Steps[step] {
+		if task.State == Waiting {
 			nums = append(nums, i)
 		}
 	}
@@ -128,7 +128,7 @@
 		return "cancelling"
 	case j.Failure != "":
 		return "failing"
-	case j.open > 0 || j.Occurrences > 0:
+	case j.openLeases > 0 || j.Occurrences > 0:
 		return "running"
 	}
 	return "waiting"
--- a/internal/state/lane.go
+++ b/internal/state/job_queue.go
@@ -10,15 +10,15 @@
 	"github.com/emirpasic/gods/sets/treeset"
 )
 
-type lane struct {
-	urgent *treeset.Set
-	aged   *treeset.Set
+type jobQueue struct {
+	byPriority *treeset.Set
+	byAge      *treeset.Set
 }
 
-func byUrgency(a, b any) int {
+func comparePriority(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if x.Terms != nil && y.Terms != nil {
-		return byTerms(x, y)
+		return compareQueueTerms(x, y)
 	}
 	if x.Spec.Urgency != y.Spec.Urgency {
 		if x.Spec.Urgency > y.Spec.Urgency {
@@ -26,10 +26,10 @@
 		}
 		return 1
 	}
-	return byAge(a, b)
+	return compareAge(a, b)
 }
 
-func byAge(a, b any) int {
+func compareAge(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	switch {
 	case x.Seq < y.Seq:
@@ -40,7 +40,7 @@
 	return 0
 }
 
-func byStart(a, b any) int {
+func compareStart(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if x.StartAt != y.StartAt {
 		if x.StartAt < y.StartAt {
@@ -48,61 +48,61 @@
 		}
 		return 1
 	}
-	return byAge(a, b)
+	return compareAge(a, b)
 }
 
-func newLane() *lane {
-	return &lane{urgent: treeset.NewWith(byUrgency), aged: treeset.NewWith(byAge)}
+func newJobQueue() *jobQueue {
+	return &jobQueue{byPriority: treeset.NewWith(comparePriority), byAge: treeset.NewWith(compareAge)}
 }
 
-func (l *lane) add(j *Job) {
-	l.urgent.Add(j)
-	l.aged.Add(j)
+func (q *jobQueue) add(j *Job) {
+	q.byPriority.Add(j)
+	q.byAge.Add(j)
 }
 
-func (l *lane) drop(j *Job) {
-	l.urgent.Remove(j)
-	l.aged.Remove(j)
+func (q *jobQueue) remove(j *Job) {
+	q.byPriority.Remove(j)
+	q.byAge.Remove(j)
 }
 
 // PendingIterator yields the row's jobs in the order they should bid, every fourth one
 // taken by age alone.
 type PendingIterator struct {
-	urgent, aged treeset.Iterator
-	seen         map[*Job]bool
-	n            int
+	byPriority, byAge treeset.Iterator
+	seen              map[*Job]bool
+	steps             int
 }
 
 // Next returns the next job, each one once, or nil at the end.
-func (w *PendingIterator) Next() *Job {
+func (p *PendingIterator) Next() *Job {
 	for {
-		it := &w.urgent
-		if w.n++; w.n%4 == 0 {
-			it = &w.aged
+		it := &p.byPriority
+		if p.steps++; p.steps%4 == 0 {
+			it = &p.byAge
 		}
 		if !it.Next() {
-			other := &w.aged
+			other := &p.byAge
 			if it == other {
-				other = &w.urgent
+				other = &p.byPriority
 			}
 			if it = other; !it.Next() {
 				return nil
 			}
 		}
-		if j := it.Value().(*Job); !w.seen[j] {
-			w.seen[j] = true
+		if j := it.Value().(*Job); !p.seen[j] {
+			p.seen[j] = true
 			return j
 		}
 	}
 }
 
-// byTerms orders jobs of queues by rank, then by when they are due.
-func byTerms(x, y *Job) int {
+// compareQueueTerms orders jobs of queues by rank, then by when they are due.
+func compareQueueTerms(x, y *Job) int {
 	switch {
 	case x.Terms.Priority != y.Terms.Priority:
 		return cmp.Compare(x.Terms.Priority, y.Terms.Priority)
 	case x.Terms.DueAt != y.Terms.DueAt:
 		return cmp.Compare(x.Terms.DueAt, y.Terms.DueAt)
 	}
-	return byAge(x, y)
+	return compareAge(x, y)
 }
--- a/internal/state/queue_test.go
+++ b/internal/state/queue_jobs_test.go
@@ -170,7 +170,7 @@
 		t.Errorf("time 1 is due at %d", due)
 	}
 	back, err := Decode(d.b.Encode())
-	if err != nil || back.QueuedJobs("q") != 2 || back.Jobs["q/r"].kids != 2 {
+	if err != nil || back.QueuedJobs("q") != 2 || back.Jobs["q/r"].openOccurrences != 2 {
 		t.Errorf("read back: %v, %d queued", err, back.QueuedJobs("q"))
 	}
 	d.must(200, &Command{CancelJob: &CancelJob{Key: "q/c"}})
--- a/internal/state/orders_test.go
+++ b/internal/state/reordering_test.go
@@ -213,7 +213,7 @@
 		}
 	}
 	reopen("north", "own")
-	for n := 1; n < closeKept; n++ {
+	for n := 1; n < maxDrains; n++ {
 		reopen("east", fmt.Sprint("other-", n))
 	}
 	d.closingOrder(post, "own")
--- a/internal/state/runner.go
+++ b/internal/state/runner.go
@@ -30,9 +30,9 @@
 	// AgentAddr is where the agent that speaks for it listens, if one does.
 	AgentAddr string `json:"addr,omitempty"`
 
-	used   job.Demand
-	grants map[identifier.LeaseID]*Lease
-	fence  string
+	used       job.Demand
+	leases     map[identifier.LeaseID]*Lease
+	cordonedBy string
 }
 
 // Used is the room taken by the runner's open leases, revoked ones included.
@@ -43,35 +43,35 @@
 func (r *Runner) Free() job.Demand { return r.Capacity.Minus(r.used) }
 
 // CordonedBy is the id of the drain that cordons the runner, empty when none does.
-func (r *Runner) CordonedBy() string { return r.fence }
+func (r *Runner) CordonedBy() string { return r.cordonedBy }
 
 // OpenLeases is the number of open leases, revoked ones included.
-func (r *Runner) OpenLeases() int { return len(r.grants) }
+func (r *Runner) OpenLeases() int { return len(r.leases) }
 
 // WasIncarnation tells whether inc is one this runner has left behind.
-func (r *Runner) WasIncarnation(inc identifier.Incarnation) bool {
+func (r *Runner) WasIncarnation(incarnation identifier.Incarnation) bool {
 	for _, p := range r.PastIncarnations {
-		if p == inc {
+		if p == incarnation {
 			return true
 		}
 	}
 	return false
 }
 
-const incKept = 16
+const maxPastIncarnations = 16
 
-func (r *Runner) renew(inc identifier.Incarnation) {
+func (r *Runner) startIncarnation(incarnation identifier.Incarnation) {
 	r.PastIncarnations = append(r.PastIncarnations, r.Incarnation)
-	if len(r.PastIncarnations) > incKept {
-		r.PastIncarnations = r.PastIncarnations[len(r.PastIncarnations)-incKept:]
+	if len(r.PastIncarnations) > maxPastIncarnations {
+		r.PastIncarnations = r.PastIncarnations[len(r.PastIncarnations)-maxPastIncarnations:]
 	}
-	r.Incarnation = inc
+	r.Incarnation = incarnation
 }
 
 // mark keeps the standing: recent outcomes weigh more, since both tallies are
 // halved whenever they grow past a bound.
-func (r *Runner) mark(good bool) {
-	if good {
+func (r *Runner) recordOutcome(success bool) {
+	if success {
 		r.Successes++
 	} else {
 		r.Defects++
--- a/internal/state/book.go
+++ b/internal/state/store.go
@@ -45,41 +45,41 @@
 	// Tombstones are in the order in which their time is up.
 	Tombstones []Tombstone `json:"idHolds,omitempty"`
 
-	rules   *admission.Rules
-	lanes   map[identifier.Row]*lane
-	later   *treeset.Set
-	moved   *treeset.Set
-	names   *redblacktree.Tree
-	waiting map[identifier.Row]int64
-	jobs    map[identifier.Row]int
-	inUse   map[identifier.Row]job.Demand
-	order   []identifier.Runner
-	hot     map[identifier.Runner]bool
-	// due orders the repeated jobs by when their next time comes, queued counts
+	rules          *admission.Rules
+	pending        map[identifier.Row]*jobQueue
+	delayed        *treeset.Set
+	displaced      *treeset.Set
+	jobsByKey      *redblacktree.Tree
+	waitingTasks   map[identifier.Row]int64
+	unfinishedJobs map[identifier.Row]int
+	inUse          map[identifier.Row]job.Demand
+	runnerNames    []identifier.Runner
+	changedRunners map[identifier.Runner]bool
+	// repeating orders the repeated jobs by when their next time comes, queued counts
 	// the unfinished jobs of each queue.
-	due    *treeset.Set
-	queued map[string]int64
+	repeating  *treeset.Set
+	queuedJobs map[string]int64
 }
 
 // MaxJobIDs bounds the jobs and remembered ids together, MaxRunners the runners.
 const (
 	MaxJobIDs  = 1_500_000
 	MaxRunners = 2048
-	closeKept  = 64
+	maxDrains  = 64
 )
 
 // New is the state before the first command.
 func New() *Store {
-	b := &Store{
+	s := &Store{
 		NextLease: 1, NextJobSeq: 1, NextDrain: 1, Limits: limits.Default(),
 		Jobs: map[identifier.JobKey]*Job{}, Leases: map[identifier.LeaseID]*Lease{}, Runners: map[identifier.Runner]*Runner{},
-		Drains: map[string]*Drain{}, Dedup: newKnown(),
+		Drains: map[string]*Drain{}, Dedup: newDedupCache(),
 	}
-	b.derive()
-	return b
+	s.rebuildIndexes()
+	return s
 }
 
-func byKey(x, y any) int {
+func compareKeys(x, y any) int {
 	a, b := x.(identifier.JobKey), y.(identifier.JobKey)
 	switch {
 	case a < b:
@@ -90,139 +90,139 @@
 	return 0
 }
 
-func (b *Store) derive() {
-	b.rules = admission.Compile(b.Limits)
-	b.lanes = map[identifier.Row]*lane{}
-	b.later = treeset.NewWith(byStart)
-	b.moved = treeset.NewWith(byAge)
-	b.names = redblacktree.NewWith(byKey)
-	b.waiting, b.jobs = map[identifier.Row]int64{}, map[identifier.Row]int{}
-	b.inUse = map[identifier.Row]job.Demand{}
-	b.due, b.queued = treeset.NewWith(byDue), map[string]int64{}
-	b.order, b.hot = nil, map[identifier.Runner]bool{}
-	for _, r := range b.Runners {
-		b.enlist(r.Name)
-		r.used, r.grants, r.fence = job.Demand{}, map[identifier.LeaseID]*Lease{}, ""
+func (s *Store) rebuildIndexes() {
+	s.rules = admission.Compile(s.Limits)
+	s.pending = map[identifier.Row]*jobQueue{}
+	s.delayed = treeset.NewWith(compareStart)
+	s.displaced = treeset.NewWith(compareAge)
+	s.jobsByKey = redblacktree.NewWith(compareKeys)
+	s.waitingTasks, s.unfinishedJobs = map[identifier.Row]int64{}, map[identifier.Row]int{}
+	s.inUse = map[identifier.Row]job.Demand{}
+	s.repeating, s.queuedJobs = treeset.NewWith(compareNextOccurrence), map[string]int64{}
+	s.runnerNames, s.changedRunners = nil, map[identifier.Runner]bool{}
+	for _, runner := range s.Runners {
+		s.addRunnerName(runner.Name)
+		runner.used, runner.leases, runner.cordonedBy = job.Demand{}, map[identifier.LeaseID]*Lease{}, ""
 	}
-	for _, j := range b.Jobs {
-		j.count, j.open, j.moved, j.lane, j.kids = make([]count, len(j.Steps)), 0, 0, nil, 0
+	for _, j := range s.Jobs {
+		j.stepCounts, j.openLeases, j.displacedTasks, j.queue, j.openOccurrences = make([]stepCount, len(j.Steps)), 0, 0, nil, 0
 	}
-	b.recount()
-	for _, g := range b.Leases {
-		r := b.Runners[g.Runner]
-		r.grants[g.ID] = g
-		r.used = r.used.Plus(g.Demand)
-		b.inUse[g.Row] = b.inUse[g.Row].Plus(g.Demand)
-		b.Jobs[g.Task.Job].open++
+	s.rebuildQueueIndexes()
+	for _, lease := range s.Leases {
+		runner := s.Runners[lease.Runner]
+		runner.leases[lease.ID] = lease
+		runner.used = runner.used.Plus(lease.Demand)
+		s.inUse[lease.Row] = s.inUse[lease.Row].Plus(lease.Demand)
+		s.Jobs[lease.Task.Job].openLeases++
 	}
-	for _, j := range b.Jobs {
-		b.names.Put(j.Key, j)
+	for _, j := range s.Jobs {
+		s.jobsByKey.Put(j.Key, j)
 		if j.EndState == "" {
-			b.jobs[j.Spec.Row]++
+			s.unfinishedJobs[j.Spec.Row]++
 		}
 		for i, tasks := range j.Steps {
-			for _, t := range tasks {
-				b.tally(j, i, t.State, 1)
-				if t.DisplacedBy != "" {
-					j.moved++
-					b.moved.Add(j)
+			for _, task := range tasks {
+				s.countTasks(j, i, task.State, 1)
+				if task.DisplacedBy != "" {
+					j.displacedTasks++
+					s.displaced.Add(j)
 				}
 			}
 		}
-		b.index(j)
+		s.reindexJob(j)
 	}
-	b.refence()
+	s.updateCordons()
 }
 
-// viewMark begins a view of the second version: the document's length, the
+// snapshotMagic begins a view of the second version: the document's length, the
 // document, and the remembered ids packed behind it. The first version was the
 // document alone, ids and all.
-const viewMark = "OWVIEW2\n"
+const snapshotMagic = "OWVIEW2\n"
 
 // Encode makes the view.
-func (b *Store) Encode() []byte {
-	bare := *b
+func (s *Store) Encode() []byte {
+	bare := *s
 	bare.Dedup = nil
 	doc, err := json.Marshal(&bare)
 	if err != nil {
 		panic(err)
 	}
-	text := make([]byte, 0, len(viewMark)+4+len(doc)+len(b.Dedup.blob))
-	text = binary.LittleEndian.AppendUint32(append(text, viewMark...), uint32(len(doc)))
-	return append(append(text, doc...), b.Dedup.blob...)
+	text := make([]byte, 0, len(snapshotMagic)+4+len(doc)+len(s.Dedup.records))
+	text = binary.LittleEndian.AppendUint32(append(text, snapshotMagic...), uint32(len(doc)))
+	return append(append(text, doc...), s.Dedup.records...)
 }
 
 // Decode reads a snapshot that Encode made, or one of the first version, and
 // rebuilds the derived fields.
 func Decode(text []byte) (*Store, error) {
-	b := New()
-	b.Limits = nil
-	doc, blob := text, []byte(nil)
-	if rest, ok := bytes.CutPrefix(text, []byte(viewMark)); ok {
+	s := New()
+	s.Limits = nil
+	doc, records := text, []byte(nil)
+	if rest, ok := bytes.CutPrefix(text, []byte(snapshotMagic)); ok {
 		if len(rest) < 4 || uint64(binary.LittleEndian.Uint32(rest)) > uint64(len(rest)-4) {
 			return nil, errors.New("view is cut short")
 		}
 		n := binary.LittleEndian.Uint32(rest)
-		doc, blob = rest[4:4+n], rest[4+n:]
+		doc, records = rest[4:4+n], rest[4+n:]
 	}
-	if err := json.Unmarshal(doc, b); err != nil {
+	if err := json.Unmarshal(doc, s); err != nil {
 		return nil, err
 	}
-	if blob != nil {
-		b.Dedup.load(blob)
+	if records != nil {
+		s.Dedup.load(records)
 	}
-	b.derive()
-	return b, nil
+	s.rebuildIndexes()
+	return s, nil
 }
 
 // Admission is the compiled table of limits in force.
-func (b *Store) Admission() *admission.Rules { return b.rules }
+func (s *Store) Admission() *admission.Rules { return s.rules }
 
 // WaitingTasks is the number of unplaced tasks in a row, as its limit counts them.
-func (b *Store) WaitingTasks(row identifier.Row) int64 { return b.waiting[row] }
+func (s *Store) WaitingTasks(row identifier.Row) int64 { return s.waitingTasks[row] }
 
 // InUse is the room taken by the row's open leases.
-func (b *Store) InUse(row identifier.Row) job.Demand { return b.inUse[row] }
+func (s *Store) InUse(row identifier.Row) job.Demand { return s.inUse[row] }
 
 // Cordoned tells whether the runner is known and cordoned by a drain.
-func (b *Store) Cordoned(r identifier.Runner) bool {
-	return b.Runners[r] != nil && b.Runners[r].fence != ""
+func (s *Store) Cordoned(r identifier.Runner) bool {
+	return s.Runners[r] != nil && s.Runners[r].cordonedBy != ""
 }
 
 // LeaseSpan is how long a runner may yet be living on its last contact. After
 // the cell was lowered the longer span counts until nobody can hold it.
-func (b *Store) LeaseSpan() clock.Millis {
-	s := b.Limits.SiteMillis("grantMs")
-	if b.PreviousLeaseSpan > s && b.Now < b.LeaseSpanChangedAt.Add(3*b.PreviousLeaseSpan) {
-		return b.PreviousLeaseSpan
+func (s *Store) LeaseSpan() clock.Millis {
+	span := s.Limits.SiteMillis("grantMs")
+	if s.PreviousLeaseSpan > span && s.Now < s.LeaseSpanChangedAt.Add(3*s.PreviousLeaseSpan) {
+		return s.PreviousLeaseSpan
 	}
-	return s
+	return span
 }
 
 // PendingJobs visits the row's placeable jobs in bidding order.
-func (b *Store) PendingJobs(row identifier.Row) *PendingIterator {
-	l := b.lanes[row]
-	if l == nil {
-		l = newLane()
+func (s *Store) PendingJobs(row identifier.Row) *PendingIterator {
+	queue := s.pending[row]
+	if queue == nil {
+		queue = newJobQueue()
 	}
-	return &PendingIterator{urgent: l.urgent.Iterator(), aged: l.aged.Iterator(), seen: map[*Job]bool{}}
+	return &PendingIterator{byPriority: queue.byPriority.Iterator(), byAge: queue.byAge.Iterator(), seen: map[*Job]bool{}}
 }
 
 // Backlog counts the row's jobs that have something to place.
-func (b *Store) Backlog(row identifier.Row) int {
-	if l := b.lanes[row]; l != nil {
-		return l.aged.Size()
+func (s *Store) Backlog(row identifier.Row) int {
+	if queue := s.pending[row]; queue != nil {
+		return queue.byAge.Size()
 	}
 	return 0
 }
 
 // HasPending tells whether any job has something to place, or has displaced work.
-func (b *Store) HasPending() bool {
-	if !b.moved.Empty() {
+func (s *Store) HasPending() bool {
+	if !s.displaced.Empty() {
 		return true
 	}
-	for _, l := range b.lanes {
-		if !l.aged.Empty() {
+	for _, queue := range s.pending {
+		if !queue.byAge.Empty() {
 			return true
 		}
 	}
@@ -230,14 +230,14 @@
 }
 
 // NextScheduledStart is the soonest appointed start still to come.
-func (b *Store) NextScheduledStart() (at clock.ClusterTime, ok bool) {
-	it := b.later.Iterator()
+func (s *Store) NextScheduledStart() (at clock.ClusterTime, ok bool) {
+	it := s.delayed.Iterator()
 	if it.Next() {
 		at, ok = it.Value().(*Job).StartAt, true
 	}
-	if it = b.due.Iterator(); it.Next() {
-		if j := it.Value().(*Job); !ok || j.nextTime() < at {
-			at, ok = j.nextTime(), true
+	if it = s.repeating.Iterator(); it.Next() {
+		if j := it.Value().(*Job); !ok || j.nextOccurrence() < at {
+			at, ok = j.nextOccurrence(), true
 		}
 	}
 	return at, ok
@@ -245,36 +245,36 @@
 
 // RunnerNames lists the runners in order, so that walks are alike everywhere.
 // The list is the book's own and not to be changed.
-func (b *Store) RunnerNames() []identifier.Runner { return b.order }
+func (s *Store) RunnerNames() []identifier.Runner { return s.runnerNames }
 
-func (b *Store) enlist(n identifier.Runner) {
-	at := sort.Search(len(b.order), func(i int) bool { return b.order[i] >= n })
-	b.order = append(b.order, "")
-	copy(b.order[at+1:], b.order[at:])
-	b.order[at] = n
-	b.hot[n] = true
+func (s *Store) addRunnerName(n identifier.Runner) {
+	at := sort.Search(len(s.runnerNames), func(i int) bool { return s.runnerNames[i] >= n })
+	s.runnerNames = append(s.runnerNames, "")
+	copy(s.runnerNames[at+1:], s.runnerNames[at:])
+	s.runnerNames[at] = n
+	s.changedRunners[n] = true
 }
 
 // TakeChangedRunners forgets the runners that may have something new to hear, after telling
 // of each, in no order.
-func (b *Store) TakeChangedRunners(tell func(n identifier.Runner)) {
-	for n := range b.hot {
+func (s *Store) TakeChangedRunners(tell func(n identifier.Runner)) {
+	for n := range s.changedRunners {
 		tell(n)
 	}
-	clear(b.hot)
+	clear(s.changedRunners)
 }
 
 // EachLease shows the runner's grants, in no order.
-func (r *Runner) EachLease(see func(g *Lease)) {
-	for _, g := range r.grants {
-		see(g)
+func (r *Runner) EachLease(visit func(lease *Lease)) {
+	for _, lease := range r.leases {
+		visit(lease)
 	}
 }
 
 // LeaseIDs lists the runner's open leases in ascending order.
 func (r *Runner) LeaseIDs() []identifier.LeaseID {
-	out := make([]identifier.LeaseID, 0, len(r.grants))
-	for id := range r.grants {
+	out := make([]identifier.LeaseID, 0, len(r.leases))
+	for id := range r.leases {
 		out = append(out, id)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
@@ -282,13 +282,13 @@
 }
 
 // DrainIDs lists the drains by the time they began, then by id.
-func (b *Store) DrainIDs() []string {
+func (s *Store) DrainIDs() []string {
 	var out []string
-	for id := range b.Drains {
+	for id := range s.Drains {
 		out = append(out, id)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		x, y := b.Drains[out[i]], b.Drains[out[j]]
+		x, y := s.Drains[out[i]], s.Drains[out[j]]
 		if x.StartedAt != y.StartedAt {
 			return x.StartedAt < y.StartedAt
 		}
@@ -298,12 +298,12 @@
 }
 
 // JobsAfter lists jobs by key from after onward, as far as keep says to go on.
-func (b *Store) JobsAfter(after identifier.JobKey, keep func(j *Job) (more bool)) {
-	node, ok := b.names.Ceiling(after)
+func (s *Store) JobsAfter(after identifier.JobKey, keep func(j *Job) (more bool)) {
+	node, ok := s.jobsByKey.Ceiling(after)
 	if !ok {
 		return
 	}
-	it := b.names.IteratorAt(node)
+	it := s.jobsByKey.IteratorAt(node)
 	for ok = true; ok; ok = it.Next() {
 		if j := it.Value().(*Job); j.Key != after && !keep(j) {
 			return
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -8,7 +8,7 @@
 // Task is one unit of work of a step, with the lease it holds, if any. Shun is
 // the runner of its last defect, which placement avoids; Closing is the drain
 // that displaced it; On is the runner of its last lease; Past are the leases
-// counted lost, newest last, at most pastKept of them.
+// counted lost, newest last, at most maxLostLeases of them.
 type Task struct {
 	State       TaskState            `json:"state"`
 	Defects     int64                `json:"defects,omitempty"`
@@ -26,26 +26,26 @@
 	Checkpoint           string   `json:"saved,omitempty"`
 }
 
-const pastKept = 8
+const maxLostLeases = 8
 
-func (t *Task) lose(g *Lease) {
-	t.LostLeases = append(t.LostLeases, g.ID)
-	if len(t.LostLeases) > pastKept {
-		t.LostLeases = t.LostLeases[len(t.LostLeases)-pastKept:]
+func (t *Task) recordLostLease(lease *Lease) {
+	t.LostLeases = append(t.LostLeases, lease.ID)
+	if len(t.LostLeases) > maxLostLeases {
+		t.LostLeases = t.LostLeases[len(t.LostLeases)-maxLostLeases:]
 	}
-	if g.Attempt == 0 {
+	if lease.Attempt == 0 {
 		return
 	}
-	t.LostAttempts = append(t.LostAttempts, g.Attempt)
-	if len(t.LostAttempts) > pastKept {
-		t.LostAttempts = t.LostAttempts[len(t.LostAttempts)-pastKept:]
+	t.LostAttempts = append(t.LostAttempts, lease.Attempt)
+	if len(t.LostAttempts) > maxLostLeases {
+		t.LostAttempts = t.LostAttempts[len(t.LostAttempts)-maxLostLeases:]
 	}
 }
 
-// recall takes a past grant off the list and tells whether it was there.
-func (t *Task) recall(g identifier.LeaseID) bool {
+// forgetLostLease takes a past grant off the list and tells whether it was there.
+func (t *Task) forgetLostLease(lease identifier.LeaseID) bool {
 	for i, p := range t.LostLeases {
-		if p == g {
+		if p == lease {
 			t.LostLeases = append(append([]identifier.LeaseID(nil), t.LostLeases[:i]...), t.LostLeases[i+1:]...)
 			if i < len(t.LostAttempts) {
 				t.LostAttempts = append(append([]uint64(nil), t.LostAttempts[:i]...), t.LostAttempts[i+1:]...)
