--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// TestFormerLevel: a view and entries that the last program of a level wrote are
+// TestEarlierLevels: a view and entries that the last program of a level wrote are
 // read, and done to the book as that program did: after each entry the answer
 // and the sum are the ones it had. testdata/level-N.txt is its own output.
-func TestFormerLevel(t *testing.T) {
+func TestEarlierLevels(t *testing.T) {
 	for _, former := range []struct {
 		level   uint16
 		entries int
 	}{{2, 15}, {3, 52}} {
-		t.Run(fmt.Sprint(former.level), func(t *testing.T) { replayFormer(t, former.level, former.entries) })
+		t.Run(fmt.Sprint(former.level), func(t *testing.T) { replayEntries(t, former.level, former.entries) })
 	}
 }
 
-func replayFormer(t *testing.T, level uint16, entries int) {
+func replayEntries(t *testing.T, level uint16, entries int) {
 	text, err := os.ReadFile(fmt.Sprintf("testdata/level-%d.txt", level))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/state/lease_lifecycle.go
+++ b/internal/state/lease_lifecycle.go
@@ -177,7 +177,7 @@
 	s.completeJob(j)
 }
 
-// end closes a grant and decides what becomes of its task.
+// reportEnd closes a grant and decides what becomes of its task.
 func (s *Store) endLease(lease *Lease, outcome Outcome) {
 	s.closeLease(lease)
 	j, runner := s.Jobs[lease.Task.Job], s.Runners[lease.Runner]
--- a/internal/state/reordering_test.go
+++ b/internal/state/reordering_test.go
@@ -14,9 +14,9 @@
 // a job in and cancelling it. Their copies are let arrive in every order, and
 // what comes of each is stated.
 
-// arrivals lists every order in which the copies can arrive: each of them a
+// permutations lists every order in which the copies can arrive: each of them a
 // different one, and those alike not told apart.
-func arrivals(copies []string) [][]string {
+func permutations(copies []string) [][]string {
 	var list [][]string
 	if len(copies) == 0 {
 		return [][]string{nil}
@@ -27,7 +27,7 @@
 			continue
 		}
 		seen[first] = true
-		for _, rest := range arrivals(slices.Delete(slices.Clone(copies), i, i+1)) {
+		for _, rest := range permutations(slices.Delete(slices.Clone(copies), i, i+1)) {
 			list = append(list, append([]string{first}, rest...))
 		}
 	}
@@ -35,79 +35,79 @@
 }
 
 const (
-	post, remove = "POST", "DELETE"
-	put          = "PUT"
+	methodPost, methodDelete = "POST", "DELETE"
+	methodPut                = "PUT"
 )
 
-func (d *desk) closingOrder(verb, id string) {
-	d.Helper()
-	if verb == post {
-		d.must(200, &Command{StartDrain: &StartDrain{Domain: "north", ID: id, AllowUnknown: true}})
+func (f *fixture) sendDrainRequest(verb, id string) {
+	f.Helper()
+	if verb == methodPost {
+		f.apply(200, &Command{StartDrain: &StartDrain{Domain: "north", ID: id, AllowUnknown: true}})
 		return
 	}
-	if r := d.b.Apply(&Command{EndDrain: &EndDrain{Name: "north"}}); r.Status != 200 && r.Status != 404 {
-		d.Fatalf("reopening got %+v", r)
+	if r := f.store.Apply(&Command{EndDrain: &EndDrain{Name: "north"}}); r.Status != 200 && r.Status != 404 {
+		f.Fatalf("reopening got %+v", r)
 	}
 }
 
-// closed tells whether the domain is closed for good: a closing is in force that
+// domainDrained tells whether the domain is closed for good: a closing is in force that
 // is not on its way to being reopened.
-func (d *desk) closed() bool {
+func (f *fixture) domainDrained() bool {
 	var yes bool
-	for _, c := range d.b.Drains {
+	for _, c := range f.store.Drains {
 		yes = yes || c.Domain == "north" && !c.Stage.Reopening()
 	}
 	return yes
 }
 
-// TestClosingArrivals: the last to arrive decides. So an order and its copies do
+// TestDrainRequestOrders: the last to arrive decides. So an order and its copies do
 // no harm unless a copy arrives after a later order did: those copies must be
 // dropped on their way. A closing with an id of its own is not begun again by a
 // copy; only its overtaking is left.
-func TestClosingArrivals(t *testing.T) {
+func TestDrainRequestOrders(t *testing.T) {
 	for _, id := range []string{"", "own"} {
-		for _, arrival := range arrivals([]string{post, post, remove, remove}) {
-			d := newDeskAt(t, ResendLevel)
+		for _, arrival := range permutations([]string{methodPost, methodPost, methodDelete, methodDelete}) {
+			f := newFixtureAtLevel(t, ResendLevel)
 			for _, verb := range arrival {
-				d.closingOrder(verb, id)
+				f.sendDrainRequest(verb, id)
 			}
-			want := arrival[len(arrival)-1] == post
+			want := arrival[len(arrival)-1] == methodPost
 			if id != "" {
-				want = !slices.Contains(arrival[slices.Index(arrival, post):], remove)
+				want = !slices.Contains(arrival[slices.Index(arrival, methodPost):], methodDelete)
 			}
-			if d.closed() != want {
-				t.Errorf("id %q, %s: closed is %v, want %v", id, strings.Join(arrival, " "), d.closed(), want)
+			if f.domainDrained() != want {
+				t.Errorf("id %q, %s: closed is %v, want %v", id, strings.Join(arrival, " "), f.domainDrained(), want)
 			}
 		}
 	}
 }
 
-// TestClosingsWithoutStrays: with copies of a superseded order dropped, every
+// TestDrainRequestsInOrder: with copies of a superseded order dropped, every
 // arrival ends as the operator's last order has it.
-func TestClosingsWithoutStrays(t *testing.T) {
-	for _, given := range [][]string{{post, remove}, {post, remove, post}, {remove, post}, {post, remove, post, remove}} {
-		d := newDeskAt(t, ResendLevel)
+func TestDrainRequestsInOrder(t *testing.T) {
+	for _, given := range [][]string{{methodPost, methodDelete}, {methodPost, methodDelete, methodPost}, {methodDelete, methodPost}, {methodPost, methodDelete, methodPost, methodDelete}} {
+		f := newFixtureAtLevel(t, ResendLevel)
 		for _, verb := range given {
-			d.closingOrder(verb, "")
-			d.closingOrder(verb, "")
+			f.sendDrainRequest(verb, "")
+			f.sendDrainRequest(verb, "")
 		}
-		if want := given[len(given)-1] == post; d.closed() != want {
-			t.Errorf("%s: closed is %v, want %v", strings.Join(given, " "), d.closed(), want)
+		if want := given[len(given)-1] == methodPost; f.domainDrained() != want {
+			t.Errorf("%s: closed is %v, want %v", strings.Join(given, " "), f.domainDrained(), want)
 		}
 	}
 }
 
-// TestReopenWithinAMoment: however many closings of a domain began within one
+// TestEndDrainWithinOneMillisecond: however many closings of a domain began within one
 // millisecond, reopening it reopens the one in force.
-func TestReopenWithinAMoment(t *testing.T) {
-	d := newDeskAt(t, ResendLevel)
+func TestEndDrainWithinOneMillisecond(t *testing.T) {
+	f := newFixtureAtLevel(t, ResendLevel)
 	for turn := 1; turn <= 30; turn++ {
-		d.closingOrder(post, "")
-		if !d.closed() {
+		f.sendDrainRequest(methodPost, "")
+		if !f.domainDrained() {
 			t.Fatalf("turn %d: closed, and it is open", turn)
 		}
-		d.closingOrder(remove, "")
-		if d.closed() {
+		f.sendDrainRequest(methodDelete, "")
+		if f.domainDrained() {
 			t.Fatalf("turn %d: the reopening was acknowledged, and the domain stays closed", turn)
 		}
 	}
@@ -118,39 +118,39 @@
 	return &Command{SubmitJob: &SubmitJob{Key: key, Spec: job.Spec{Row: "a", Steps: steps}}}
 }
 
-// jobOrder applies one copy and returns its status.
-func (d *desk) jobOrder(verb string, key identifier.JobKey) int {
-	if verb == put {
-		return d.b.Apply(submission(key)).Status
+// sendJobRequest applies one copy and returns its status.
+func (f *fixture) sendJobRequest(verb string, key identifier.JobKey) int {
+	if verb == methodPut {
+		return f.store.Apply(submission(key)).Status
 	}
-	return d.b.Apply(&Command{CancelJob: &CancelJob{Key: key}}).Status
+	return f.store.Apply(&Command{CancelJob: &CancelJob{Key: key}}).Status
 }
 
-// mayRun tells whether the job has anything that could be placed.
-func (d *desk) mayRun(key identifier.JobKey) bool {
-	d.place(key, 0, []int{0}, "r1")
-	return d.open(key) > 0
+// canBePlaced tells whether the job has anything that could be placed.
+func (f *fixture) canBePlaced(key identifier.JobKey) bool {
+	f.place(key, 0, []int{0}, "r1")
+	return f.openLeases(key) > 0
 }
 
-// TestCancelArrivals: once a cancel has arrived, no copy of the job's submission
+// TestCancelOrders: once a cancel has arrived, no copy of the job's submission
 // makes it run, whichever came first, also from a view, and no cancel is
 // refused.
-func TestCancelArrivals(t *testing.T) {
-	for _, arrival := range arrivals([]string{put, put, remove, remove}) {
-		d := newDeskAt(t, ResendLevel)
+func TestCancelOrders(t *testing.T) {
+	for _, arrival := range permutations([]string{methodPut, methodPut, methodDelete, methodDelete}) {
+		f := newFixtureAtLevel(t, ResendLevel)
 		statuses := []int{}
 		for _, verb := range arrival {
-			statuses = append(statuses, d.jobOrder(verb, "a/x"))
-			d.reload()
+			statuses = append(statuses, f.sendJobRequest(verb, "a/x"))
+			f.reload()
 		}
 		name := strings.Join(arrival, " ")
-		if d.mayRun("a/x") {
+		if f.canBePlaced("a/x") {
 			t.Errorf("%s: cancelled, and the job runs", name)
 		}
 		for i, status := range statuses {
-			accepted := slices.Contains(arrival[:i+1], put) && arrival[0] == put
-			want := map[bool]map[string]int{true: {put: 200, remove: 200}, false: {put: 503, remove: 404}}[accepted][arrival[i]]
-			if i == 0 && arrival[i] == put {
+			accepted := slices.Contains(arrival[:i+1], methodPut) && arrival[0] == methodPut
+			want := map[bool]map[string]int{true: {methodPut: 200, methodDelete: 200}, false: {methodPut: 503, methodDelete: 404}}[accepted][arrival[i]]
+			if i == 0 && arrival[i] == methodPut {
 				want = 201
 			}
 			if status != want {
@@ -160,69 +160,69 @@
 	}
 }
 
-// TestIDHeldBack: a cancel that finds no job holds its id for as long as a
+// TestTombstones: a cancel that finds no job holds its id for as long as a
 // submission can still be under way and no longer; holding is bounded and
 // waits for its level.
-func TestIDHeldBack(t *testing.T) {
+func TestTombstones(t *testing.T) {
 	const holdMs, holdsMost = 31_000, 4096
-	d := newDeskAt(t, ResendLevel)
-	d.must(404, &Command{At: 2000, CancelJob: &CancelJob{Key: "a/x"}})
+	f := newFixtureAtLevel(t, ResendLevel)
+	f.apply(404, &Command{At: 2000, CancelJob: &CancelJob{Key: "a/x"}})
 	early := submission("a/x")
 	early.At = 2000 + holdMs - 1
-	if r := d.b.Apply(early); r.Status != 503 || r.Code != "just-cancelled" || r.RetryAfter != 1 {
+	if r := f.store.Apply(early); r.Status != 503 || r.Code != "just-cancelled" || r.RetryAfter != 1 {
 		t.Errorf("a submission just after the cancel got %+v", r)
 	}
 	later := submission("a/x")
 	later.At = 2000 + holdMs
-	d.must(201, later)
-	if !d.mayRun("a/x") {
+	f.apply(201, later)
+	if !f.canBePlaced("a/x") {
 		t.Error("submitted after the hold, the job does not run")
 	}
 
 	for i := 0; i < holdsMost; i++ {
-		d.must(404, &Command{CancelJob: &CancelJob{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
+		f.apply(404, &Command{CancelJob: &CancelJob{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
 	}
-	d.must(503, &Command{CancelJob: &CancelJob{Key: "a/more"}})
-	d.must(404, &Command{CancelJob: &CancelJob{Key: "a/17"}})
-	if n := len(d.b.Tombstones); n != holdsMost {
+	f.apply(503, &Command{CancelJob: &CancelJob{Key: "a/more"}})
+	f.apply(404, &Command{CancelJob: &CancelJob{Key: "a/17"}})
+	if n := len(f.store.Tombstones); n != holdsMost {
 		t.Errorf("%d ids are held, want %d at most", n, holdsMost)
 	}
-	d.must(404, &Command{At: later.At + 2*holdMs, CancelJob: &CancelJob{Key: "a/more"}})
+	f.apply(404, &Command{At: later.At + 2*holdMs, CancelJob: &CancelJob{Key: "a/more"}})
 	for i := 0; i < holdsMost; i++ {
-		d.must(0, &Command{})
+		f.apply(0, &Command{})
 	}
-	if n := len(d.b.Tombstones); n != 1 {
+	if n := len(f.store.Tombstones); n != 1 {
 		t.Errorf("%d ids are still held after their time", n)
 	}
 
-	former := newDeskAt(t, CatalogLevel)
-	former.must(404, &Command{CancelJob: &CancelJob{Key: "a/x"}})
-	former.must(201, submission("a/x"))
+	former := newFixtureAtLevel(t, CatalogLevel)
+	former.apply(404, &Command{CancelJob: &CancelJob{Key: "a/x"}})
+	former.apply(201, submission("a/x"))
 }
 
-// TestClosingForgotten: a closing's id is known while the closing is, which is
+// TestDrainIDRetention: a closing's id is known while the closing is, which is
 // for 64 others; a copy of its order that comes later begins it again, and must
 // be dropped on its way.
-func TestClosingForgotten(t *testing.T) {
-	d := newDeskAt(t, ResendLevel)
+func TestDrainIDRetention(t *testing.T) {
+	f := newFixtureAtLevel(t, ResendLevel)
 	reopen := func(domain identifier.Domain, id string) {
-		d.must(200, &Command{At: d.b.Now + 1, StartDrain: &StartDrain{Domain: domain, ID: id, AllowUnknown: true}})
-		d.must(200, &Command{EndDrain: &EndDrain{Name: string(domain)}})
+		f.apply(200, &Command{At: f.store.Now + 1, StartDrain: &StartDrain{Domain: domain, ID: id, AllowUnknown: true}})
+		f.apply(200, &Command{EndDrain: &EndDrain{Name: string(domain)}})
 		for _, stage := range []Stage{Preopen, Opening, Postopen} {
-			d.b.Apply(&Command{AdvanceDrain: &AdvanceDrain{ID: id, From: stage}})
+			f.store.Apply(&Command{AdvanceDrain: &AdvanceDrain{ID: id, From: stage}})
 		}
 	}
 	reopen("north", "own")
 	for n := 1; n < maxDrains; n++ {
 		reopen("east", fmt.Sprint("other-", n))
 	}
-	d.closingOrder(post, "own")
-	if d.closed() {
+	f.sendDrainRequest(methodPost, "own")
+	if f.domainDrained() {
 		t.Error("a copy closed the domain again while the closing was known")
 	}
 	reopen("east", "one more")
-	d.closingOrder(post, "own")
-	if !d.closed() {
+	f.sendDrainRequest(methodPost, "own")
+	if !f.domainDrained() {
 		t.Error("the closing is still known after 64 others")
 	}
 }
--- a/internal/state/snapshot_bench_test.go
+++ b/internal/state/snapshot_bench_test.go
@@ -8,24 +8,24 @@
 	"orchidward/internal/api/job"
 )
 
-// day is a book after a day at the usual rate: ids kept for a day, details
+// storeAfterOneDay is a book after a day at the usual rate: ids kept for a day, details
 // for ten minutes.
-func day(known, kept int) *Store {
-	b := New()
+func storeAfterOneDay(known, kept int) *Store {
+	store := New()
 	for i := 0; i < known; i++ {
-		b.Dedup.add(&Job{Key: identifier.JobKey(fmt.Sprintf("gilde/j%d", i)), Checksum: fmt.Sprint(i), EndState: Succeeded}, 1000)
+		store.Dedup.add(&Job{Key: identifier.JobKey(fmt.Sprintf("gilde/j%d", i)), Checksum: fmt.Sprint(i), EndState: Succeeded}, 1000)
 	}
 	for i := 0; i < kept; i++ {
 		s := job.Spec{Row: "default", Steps: []job.Step{{Name: "check", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}, MaxDefects: 1, ExpectedRun: 100}}}
-		b.Apply(&Command{At: 1000, SubmitJob: &SubmitJob{Key: identifier.JobKey(fmt.Sprintf("gilde/k%d", i)), Spec: s}})
+		store.Apply(&Command{At: 1000, SubmitJob: &SubmitJob{Key: identifier.JobKey(fmt.Sprintf("gilde/k%d", i)), Spec: s}})
 	}
-	return b
+	return store
 }
 
-// BenchmarkView is the pause a keeper takes to make a view, and its size.
-func BenchmarkView(bench *testing.B) {
+// BenchmarkSnapshot is the pause a keeper takes to make a view, and its size.
+func BenchmarkSnapshot(bench *testing.B) {
 	for _, size := range []struct{ ids, kept int }{{0, 1000}, {0, 7000}, {100_000, 7000}, {1_000_000, 7000}} {
-		b := day(size.ids, size.kept)
+		b := storeAfterOneDay(size.ids, size.kept)
 		bench.Run(fmt.Sprintf("encode/ids=%d/kept=%d", size.ids, size.kept), func(bench *testing.B) {
 			n := 0
 			for bench.Loop() {
