--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -82,15 +82,11 @@
 func (s *Store) startDelayedJobs() {
 	s.startDueOccurrences()
 	for {
-		it := s.delayed.Iterator()
-		if !it.Next() {
+		j := s.jobIndex.nextDelayed()
+		if j == nil || j.StartAt > s.Now {
 			return
 		}
-		j := it.Value().(*Job)
-		if j.StartAt > s.Now {
-			return
-		}
-		s.reindexJob(j)
+		s.jobIndex.update(j, s.Now)
 	}
 }
 
@@ -106,7 +102,7 @@
 			s.Dedup.add(j, s.Now)
 		}
 		delete(s.Jobs, j.Key)
-		s.jobsByKey.Remove(j.Key)
+		s.jobIndex.remove(j.Key)
 		s.EndedJobs = s.EndedJobs[1:]
 	}
 	s.Dedup.expire(s.Now.Add(-s.Limits.SiteMillis("knownMs")))
--- a/internal/state/drain_stages.go
+++ b/internal/state/drain_stages.go
@@ -9,7 +9,6 @@
 	"sort"
 
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
 	"orchidward/internal/scheduler/feasibility"
 )
@@ -124,7 +123,7 @@
 func (s *Store) updateCordons() {
 	for name, runner := range s.Runners {
 		if runner.cordonedBy != "" {
-			s.changedRunners[name] = true
+			s.runnerIndex.markChanged(name)
 		}
 		runner.cordonedBy = ""
 	}
@@ -323,21 +322,10 @@
 		if task.DisplacedBy != drain.ID {
 			return
 		}
-		s.clearDisplaced(j, task)
+		s.jobIndex.clearDisplaced(j, task)
 		if task.State == Suspended {
 			s.setTaskState(j, ref, Waiting)
 			task.Reason = ""
 		}
 	})
 }
-
-// TotalCapacity is the room of all live runners, the measure shares are taken of.
-func (s *Store) TotalCapacity() job.Demand {
-	var total job.Demand
-	for _, r := range s.Runners {
-		if !r.Gone {
-			total = total.Plus(r.Capacity)
-		}
-	}
-	return total
-}
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -43,9 +43,36 @@
 	queue          *jobQueue
 }
 
-// count is the tally of one step.
+// resetDerived clears what rebuildIndexes derives.
+func (j *Job) resetDerived() {
+	j.stepCounts = make([]stepCount, len(j.Steps))
+	j.openOccurrences = 0
+	j.openLeases = 0
+	j.displacedTasks = 0
+	j.queue = nil
+}
+
+// stepCount counts the tasks of one step by their state. Succeeded tasks are among
+// the ended ones.
 type stepCount struct {
-	waiting, placed, succeeded, ended int
+	waiting   int
+	placed    int
+	succeeded int
+	ended     int
+}
+
+func (c *stepCount) add(taskState TaskState, delta int) {
+	switch {
+	case taskState == Waiting:
+		c.waiting += delta
+	case taskState == Placed:
+		c.placed += delta
+	case taskState.Ended():
+		c.ended += delta
+		if taskState == Succeeded {
+			c.succeeded += delta
+		}
+	}
 }
 
 // Task finds a task by step and number, nil when the job has no such task. The
@@ -108,6 +135,16 @@
 	return span
 }
 
+// anyStepReady tells whether any step has tasks to place now.
+func (j *Job) anyStepReady() bool {
+	for step := range j.Steps {
+		if j.Ready(step) {
+			return true
+		}
+	}
+	return false
+}
+
 // WaitingTasks lists the numbers of the step's waiting tasks.
 func (j *Job) WaitingTasks(step int) []int {
 	var nums []int
--- a/internal/state/job_queue.go
+++ b/internal/state/job_queue.go
@@ -1,91 +1,97 @@
-// A lane orders the jobs of one row that have something to place: by urgency
-// and then by age, and once more by age alone, so that a stream of urgent work
-// cannot starve the rest of its row.
-
 package state
 
 import (
 	"cmp"
 
 	"github.com/emirpasic/gods/sets/treeset"
+
+	"orchidward/internal/api/identifier"
 )
 
+// jobQueue orders the jobs of one row that have something to place: by priority and
+// then by age, and once more by age alone, so that a stream of urgent work cannot
+// starve the rest of its row.
 type jobQueue struct {
 	byPriority *treeset.Set
 	byAge      *treeset.Set
 }
 
+func newJobQueue() *jobQueue {
+	return &jobQueue{
+		byPriority: treeset.NewWith(comparePriority),
+		byAge:      treeset.NewWith(compareAge),
+	}
+}
+
+func (q *jobQueue) add(j *Job) {
+	q.byPriority.Add(j)
+	q.byAge.Add(j)
+}
+
+func (q *jobQueue) remove(j *Job) {
+	q.byPriority.Remove(j)
+	q.byAge.Remove(j)
+}
+
+func (q *jobQueue) len() int { return q.byAge.Size() }
+
+// comparePriority puts the job first that is to be placed first.
 func comparePriority(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if x.Terms != nil && y.Terms != nil {
 		return compareQueueTerms(x, y)
 	}
-	if x.Spec.Urgency != y.Spec.Urgency {
-		if x.Spec.Urgency > y.Spec.Urgency {
-			return -1
-		}
-		return 1
-	}
-	return compareAge(a, b)
+	return cmp.Or(cmp.Compare(y.Spec.Urgency, x.Spec.Urgency), compareAge(a, b))
 }
 
-func compareAge(a, b any) int {
-	x, y := a.(*Job), b.(*Job)
-	switch {
-	case x.Seq < y.Seq:
-		return -1
-	case x.Seq > y.Seq:
-		return 1
-	}
-	return 0
+// compareQueueTerms orders jobs of queues by priority, where 0 is the highest, then
+// by when they are due.
+func compareQueueTerms(x, y *Job) int {
+	return cmp.Or(
+		cmp.Compare(x.Terms.Priority, y.Terms.Priority),
+		cmp.Compare(x.Terms.DueAt, y.Terms.DueAt),
+		compareAge(x, y),
+	)
 }
 
-func compareStart(a, b any) int {
-	x, y := a.(*Job), b.(*Job)
-	if x.StartAt != y.StartAt {
-		if x.StartAt < y.StartAt {
-			return -1
-		}
-		return 1
-	}
-	return compareAge(a, b)
+func compareAge(a, b any) int {
+	return cmp.Compare(a.(*Job).Seq, b.(*Job).Seq)
 }
 
-func newJobQueue() *jobQueue {
-	return &jobQueue{byPriority: treeset.NewWith(comparePriority), byAge: treeset.NewWith(compareAge)}
+func compareStart(a, b any) int {
+	return cmp.Or(cmp.Compare(a.(*Job).StartAt, b.(*Job).StartAt), compareAge(a, b))
 }
 
-func (q *jobQueue) add(j *Job) {
-	q.byPriority.Add(j)
-	q.byAge.Add(j)
+func compareNextOccurrence(a, b any) int {
+	x, y := a.(*Job), b.(*Job)
+	return cmp.Or(cmp.Compare(x.nextOccurrence(), y.nextOccurrence()), compareAge(a, b))
 }
 
-func (q *jobQueue) remove(j *Job) {
-	q.byPriority.Remove(j)
-	q.byAge.Remove(j)
-}
+// agedJobInterval is how many jobs a PendingIterator yields for one that is taken
+// by age alone.
+const agedJobInterval = 4
 
-// PendingIterator yields the row's jobs in the order they should bid, every fourth one
-// taken by age alone.
+// PendingIterator yields the row's jobs in the order in which they should be
+// placed, every fourth one taken by age alone.
 type PendingIterator struct {
-	byPriority, byAge treeset.Iterator
-	seen              map[*Job]bool
-	steps             int
+	byPriority treeset.Iterator
+	byAge      treeset.Iterator
+	seen       map[*Job]bool
+	steps      int
 }
 
 // Next returns the next job, each one once, or nil at the end.
 func (p *PendingIterator) Next() *Job {
 	for {
-		it := &p.byPriority
-		if p.steps++; p.steps%4 == 0 {
-			it = &p.byAge
+		first, second := &p.byPriority, &p.byAge
+		p.steps++
+		if p.steps%agedJobInterval == 0 {
+			first, second = second, first
 		}
+		it := first
 		if !it.Next() {
-			other := &p.byAge
-			if it == other {
-				other = &p.byPriority
-			}
-			if it = other; !it.Next() {
+			it = second
+			if !it.Next() {
 				return nil
 			}
 		}
@@ -96,13 +102,41 @@
 	}
 }
 
-// compareQueueTerms orders jobs of queues by rank, then by when they are due.
-func compareQueueTerms(x, y *Job) int {
-	switch {
-	case x.Terms.Priority != y.Terms.Priority:
-		return cmp.Compare(x.Terms.Priority, y.Terms.Priority)
-	case x.Terms.DueAt != y.Terms.DueAt:
-		return cmp.Compare(x.Terms.DueAt, y.Terms.DueAt)
+// PendingJobs iterates over the row's jobs that have something to place.
+func (s *Store) PendingJobs(row identifier.Row) *PendingIterator {
+	queue := s.jobIndex.pending[row]
+	if queue == nil {
+		queue = newJobQueue()
+	}
+	return &PendingIterator{
+		byPriority: queue.byPriority.Iterator(),
+		byAge:      queue.byAge.Iterator(),
+		seen:       map[*Job]bool{},
+	}
+}
+
+// Backlog is the number of the row's jobs that have something to place.
+func (s *Store) Backlog(row identifier.Row) int {
+	queue := s.jobIndex.pending[row]
+	if queue == nil {
+		return 0
+	}
+	return queue.len()
+}
+
+// queueJobsRow is the row that the jobs of all queues are counted under.
+const queueJobsRow identifier.Row = ""
+
+// EachQueueJob visits the jobs of queues that have something to place, by priority
+// and then by when they are due, for as long as visit returns true.
+func (s *Store) EachQueueJob(visit func(j *Job) (more bool)) {
+	queue := s.jobIndex.pending[queueJobsRow]
+	if queue == nil {
+		return
+	}
+	for it := queue.byPriority.Iterator(); it.Next(); {
+		if !visit(it.Value().(*Job)) {
+			return
+		}
 	}
-	return compareAge(x, y)
 }
--- a/internal/state/lease_lifecycle.go
+++ b/internal/state/lease_lifecycle.go
@@ -80,11 +80,11 @@
 			lease.Attempt = task.Attempt
 			s.foldChecksum(lease.Attempt)
 		}
-		s.clearDisplaced(j, task)
+		s.jobIndex.clearDisplaced(j, task)
 		s.openLease(lease)
 		s.setTaskState(j, ref, Placed)
 	}
-	s.reindexJob(j)
+	s.jobIndex.update(j, s.Now)
 }
 
 // revokeLease calls a grant back; a gang's other members are called back with it.
@@ -93,7 +93,7 @@
 		return
 	}
 	lease.RevokeReason = reason
-	s.changedRunners[lease.Runner] = true
+	s.runnerIndex.markChanged(lease.Runner)
 	if reason != RevokeDoneElsewhere {
 		s.revokeGang(lease)
 	}
@@ -105,7 +105,7 @@
 			if partner.RevokeReason = RevokeGangMemberGone; lease.RevokeReason == RevokePreempted && s.Level >= CatalogLevel {
 				partner.RevokeReason = RevokePreempted
 			}
-			s.changedRunners[partner.Runner] = true
+			s.runnerIndex.markChanged(partner.Runner)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 }
 
 func (s *Store) reportEnds(command *ReportEnds) {
-	s.changedRunners[command.Runner] = true
+	s.runnerIndex.markChanged(command.Runner)
 	for _, end := range command.Ends {
 		lease := s.Leases[end.Lease]
 		if lease != nil && lease.Runner == command.Runner && lease.Incarnation == command.Incarnation {
@@ -236,7 +236,7 @@
 	}
 	id, ok := strings.CutPrefix(lease.RevokeReason, RevokeDrainPrefix)
 	if drain := s.Drains[id]; ok && drain != nil && drain.Stage.Cordons() {
-		s.markDisplaced(j, task, id)
+		s.jobIndex.markDisplaced(j, task, id)
 		if !drain.Fits && s.Limits.Cell(row, "onOutage") == "ride" {
 			s.setTaskState(j, lease.Task, Suspended)
 			task.Reason = "waits out closing " + id
@@ -252,7 +252,7 @@
 	}
 	for _, id := range s.DrainIDs() {
 		if drain := s.Drains[id]; drain.Stage.Cordons() && drain.PreflightDone && !drain.Fits {
-			s.markDisplaced(j, task, id)
+			s.jobIndex.markDisplaced(j, task, id)
 			return
 		}
 	}
--- a/internal/state/queue_jobs.go
+++ b/internal/state/queue_jobs.go
@@ -72,7 +72,7 @@
 		return rejected(422, "bad-id", "the id of a job for a queue has no dot: that is how its times are told apart")
 	case queue == nil:
 		return rejected(404, "no-queue", "no such queue")
-	case s.waitingTasks[""]+command.Spec.TaskCount() > maxQueuedTasks:
+	case s.jobIndex.waitingTasks[queueJobsRow]+command.Spec.TaskCount() > maxQueuedTasks:
 		return Result{Status: 429, Code: "queue-full", Message: "too many tasks wait", RetryAfter: 2000}
 	case len(s.Jobs)+s.Dedup.Len() >= MaxJobIDs:
 		return Result{Status: 503, Code: "ids-full", Message: "no room to remember another job id", RetryAfter: 60000}
@@ -81,7 +81,7 @@
 	j := &Job{Key: command.Key, Seq: s.NextJobSeq, AcceptedAt: s.Now, Checksum: checksum, Spec: command.Spec}
 	j.Terms = &QueueTerms{Queue: queue.Name, Pool: queue.Pool, Priority: queue.Priority, MaxAttempts: max(1, queue.MaxAttempts), Target: target, DueAt: s.Now.Add(target)}
 	s.NextJobSeq++
-	s.queuedJobs[queue.Name]++
+	s.jobIndex.unfinishedByQueue[queue.Name]++
 	if command.Spec.Repeat == nil {
 		j.StartAt = command.Spec.NotBefore
 		if command.Spec.Delay > 0 {
@@ -90,9 +90,8 @@
 		s.addJob(j)
 	} else {
 		s.Jobs[j.Key] = j
-		s.jobsByKey.Put(j.Key, j)
-		s.unfinishedJobs[j.Spec.Row]++
-		s.repeating.Add(j)
+		s.jobIndex.add(j)
+		s.jobIndex.repeating.Add(j)
 	}
 	return Result{Status: 201, Body: SubmitAck{j.Key, j.Checksum, FormatTime(j.AcceptedAt)}}
 }
@@ -102,16 +101,13 @@
 		return
 	}
 	if j.Parent == "" {
-		s.queuedJobs[j.Terms.Queue]--
-		s.repeating.Remove(j)
+		s.jobIndex.unfinishedByQueue[j.Terms.Queue]--
+		s.jobIndex.repeating.Remove(j)
 		return
 	}
 	s.occurrenceEnded(j)
 }
 
-// QueuedJobs counts the unfinished jobs of a queue.
-func (s *Store) QueuedJobs(name string) int64 { return s.queuedJobs[name] }
-
 // FindJob looks a job up by its key. The only time of a job that isn't repeated
 // may be named as its time 0.
 func (s *Store) FindJob(key identifier.JobKey) *Job {
@@ -236,7 +232,7 @@
 	}
 	id, ok := strings.CutPrefix(lease.RevokeReason, RevokeDrainPrefix)
 	if drain := s.Drains[id]; ok && drain != nil && drain.Stage.Cordons() {
-		s.markDisplaced(j, task, id)
+		s.jobIndex.markDisplaced(j, task, id)
 	}
 	s.revokeGang(lease)
 	if outcome == OutcomeDefect && !step.Service {
@@ -287,17 +283,3 @@
 	j.Failure = "task " + ref.String() + " used up its allowed failures"
 	s.abortTasks(j, RevokeJobFailed)
 }
-
-// EachQueueJob visits the jobs of queues that have something to place: by rank,
-// and within one by when they are due.
-func (s *Store) EachQueueJob(visit func(j *Job) (more bool)) {
-	queue := s.pending[""]
-	if queue == nil {
-		return
-	}
-	for it := queue.byPriority.Iterator(); it.Next(); {
-		if !visit(it.Value().(*Job)) {
-			return
-		}
-	}
-}
--- a/internal/state/repeat.go
+++ b/internal/state/repeat.go
@@ -1,6 +1,3 @@
-// Repeated jobs. Only the job itself is kept until a time comes; then that time
-// becomes a job of its own, due from its appointed moment. Times may overlap.
-
 package state
 
 import (
@@ -10,62 +7,66 @@
 	"orchidward/internal/clock"
 )
 
-// maxOccurrencesPerCommand bounds the times that one entry begins.
+// maxOccurrencesPerCommand bounds the occurrences that one command starts.
 const maxOccurrencesPerCommand = 64
 
+// nextOccurrence is when the next occurrence of a repeated job is due.
 func (j *Job) nextOccurrence() clock.ClusterTime { return j.Spec.Repeat.DueAt(j.Occurrences) }
 
-// occurrencesDone tells whether every time has come and ended, or none is to come.
-func (j *Job) occurrencesDone() bool {
-	return j.openOccurrences == 0 && (j.Cancelled || j.Occurrences >= j.Spec.Repeat.Count)
-}
+// moreOccurrences tells whether a repeated job has occurrences to come.
+func (j *Job) moreOccurrences() bool { return j.Occurrences < j.Spec.Repeat.Count }
 
-func compareNextOccurrence(a, b any) int {
-	x, y := a.(*Job), b.(*Job)
-	if m, n := x.nextOccurrence(), y.nextOccurrence(); m != n {
-		if m < n {
-			return -1
-		}
-		return 1
-	}
-	return compareAge(a, b)
+// occurrencesDone tells whether no occurrence is open and none is to come.
+func (j *Job) occurrencesDone() bool {
+	return j.openOccurrences == 0 && (j.Cancelled || !j.moreOccurrences())
 }
 
-// occurrenceKey names one time of a repeated job.
-func occurrenceKey(parent identifier.JobKey, k int64) identifier.JobKey {
-	return identifier.JobKey(string(parent) + "." + strconv.FormatInt(k, 10))
+// occurrenceKey is the key of one occurrence of a repeated job, counted from 0.
+func occurrenceKey(parent identifier.JobKey, number int64) identifier.JobKey {
+	return identifier.JobKey(string(parent) + "." + strconv.FormatInt(number, 10))
 }
 
-// startDueOccurrences begins the times that have come.
+// startDueOccurrences makes a job of its own from each occurrence that is due.
+// Occurrences of one job may overlap.
 func (s *Store) startDueOccurrences() {
-	for n := 0; n < maxOccurrencesPerCommand; n++ {
-		it := s.repeating.Iterator()
-		if !it.Next() {
+	for range maxOccurrencesPerCommand {
+		parent := s.jobIndex.nextRepeating()
+		if parent == nil {
 			return
 		}
-		parent := it.Value().(*Job)
 		dueAt := parent.nextOccurrence()
 		if dueAt > s.Now {
 			return
 		}
-		s.repeating.Remove(parent)
-		occurrence := &Job{Key: occurrenceKey(parent.Key, parent.Occurrences), Seq: s.NextJobSeq, AcceptedAt: dueAt, Spec: parent.Spec, Parent: parent.Key}
-		occurrence.Spec.Repeat = nil
-		terms := *parent.Terms
-		terms.DueAt = dueAt.Add(terms.Target)
-		occurrence.Terms = &terms
-		s.NextJobSeq++
-		parent.Occurrences++
-		parent.openOccurrences++
-		if parent.Occurrences < parent.Spec.Repeat.Count {
-			s.repeating.Add(parent)
-		}
-		s.addJob(occurrence)
-		s.foldChecksum(occurrence.Seq)
+		s.startOccurrence(parent, dueAt)
+	}
+}
+
+func (s *Store) startOccurrence(parent *Job, dueAt clock.ClusterTime) {
+	terms := *parent.Terms
+	terms.DueAt = dueAt.Add(terms.Target)
+	occurrence := &Job{
+		Key:        occurrenceKey(parent.Key, parent.Occurrences),
+		Seq:        s.NextJobSeq,
+		AcceptedAt: dueAt,
+		Spec:       parent.Spec,
+		Terms:      &terms,
+		Parent:     parent.Key,
+	}
+	occurrence.Spec.Repeat = nil
+	s.NextJobSeq++
+
+	s.jobIndex.repeating.Remove(parent)
+	parent.Occurrences++
+	parent.openOccurrences++
+	if parent.moreOccurrences() {
+		s.jobIndex.repeating.Add(parent)
 	}
+	s.addJob(occurrence)
+	s.foldChecksum(occurrence.Seq)
 }
 
-// occurrenceEnded hears that one time has ended.
+// occurrenceEnded tells the repeated job that one of its occurrences has ended.
 func (s *Store) occurrenceEnded(occurrence *Job) {
 	parent := s.Jobs[occurrence.Parent]
 	if parent == nil {
@@ -78,14 +79,16 @@
 	s.completeJob(parent)
 }
 
-// abortOccurrences cancels the times under way; no further one comes.
+// abortOccurrences cancels the open occurrences of a repeated job and starts no
+// further ones.
 func (s *Store) abortOccurrences(j *Job, reason string) {
 	if j.Spec.Repeat == nil {
 		return
 	}
-	s.repeating.Remove(j)
-	for number := int64(0); number < j.Occurrences; number++ {
-		if occurrence := s.Jobs[occurrenceKey(j.Key, number)]; occurrence != nil && occurrence.EndState == "" {
+	s.jobIndex.repeating.Remove(j)
+	for number := range j.Occurrences {
+		occurrence := s.Jobs[occurrenceKey(j.Key, number)]
+		if occurrence != nil && occurrence.EndState == "" {
 			occurrence.Cancelled = true
 			s.abortTasks(occurrence, reason)
 		}
@@ -93,8 +96,9 @@
 	s.completeJob(j)
 }
 
-// rebuildQueueIndexes derives what is known of queues and times from the jobs alone.
-func (s *Store) rebuildQueueIndexes() {
+// indexQueueJobs counts the unfinished jobs of queues and the open occurrences of
+// repeated jobs, and orders the repeated jobs by their next occurrence.
+func (s *Store) indexQueueJobs() {
 	for _, j := range s.Jobs {
 		if j.Terms == nil || j.EndState != "" {
 			continue
@@ -105,9 +109,9 @@
 			}
 			continue
 		}
-		s.queuedJobs[j.Terms.Queue]++
-		if j.Spec.Repeat != nil && !j.Cancelled && j.Occurrences < j.Spec.Repeat.Count {
-			s.repeating.Add(j)
+		s.jobIndex.unfinishedByQueue[j.Terms.Queue]++
+		if j.Spec.Repeat != nil && !j.Cancelled && j.moreOccurrences() {
+			s.jobIndex.repeating.Add(j)
 		}
 	}
 }
--- a/internal/state/runner.go
+++ b/internal/state/runner.go
@@ -4,6 +4,8 @@
 package state
 
 import (
+	"slices"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
@@ -58,6 +60,30 @@
 	return false
 }
 
+// resetDerived clears what rebuildIndexes derives.
+func (r *Runner) resetDerived() {
+	r.used = job.Demand{}
+	r.leases = map[identifier.LeaseID]*Lease{}
+	r.cordonedBy = ""
+}
+
+// EachLease visits the runner's open leases, in no order.
+func (r *Runner) EachLease(visit func(lease *Lease)) {
+	for _, lease := range r.leases {
+		visit(lease)
+	}
+}
+
+// LeaseIDs lists the runner's open leases in ascending order.
+func (r *Runner) LeaseIDs() []identifier.LeaseID {
+	ids := make([]identifier.LeaseID, 0, len(r.leases))
+	for id := range r.leases {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids)
+	return ids
+}
+
 const maxPastIncarnations = 16
 
 func (r *Runner) startIncarnation(incarnation identifier.Incarnation) {
--- a/internal/state/runner_report.go
+++ b/internal/state/runner_report.go
@@ -14,7 +14,7 @@
 	case runner == nil:
 		runner = &Runner{Name: command.Runner, Incarnation: command.Incarnation, leases: map[identifier.LeaseID]*Lease{}}
 		s.Runners[command.Runner] = runner
-		s.addRunnerName(command.Runner)
+		s.runnerIndex.add(command.Runner)
 	case runner.WasIncarnation(command.Incarnation):
 		return rejected(409, "old-incarnation", "a newer incarnation of this runner has reported")
 	case runner.Incarnation != command.Incarnation:
@@ -26,7 +26,7 @@
 	runner.Capacity, runner.Labels, runner.Domain, runner.Rack = command.Capacity, command.Labels, command.Domain, command.Rack
 	runner.Draining, runner.DepartsAt, runner.Gone, runner.Pool = command.Draining, command.DepartsAt, false, command.Pool
 	runner.AgentAddr = command.AgentAddr
-	s.changedRunners[command.Runner] = true
+	s.runnerIndex.markChanged(command.Runner)
 	s.updateRackDrains()
 	return Result{Status: 200}
 }
@@ -41,19 +41,3 @@
 		}
 	})
 }
-
-// eachUnfinishedTask visits the tasks of every unfinished job in order of age of key.
-func (s *Store) eachUnfinishedTask(visit func(j *Job, ref identifier.TaskRef, task *Task)) {
-	for _, key := range s.jobsByKey.Keys() {
-		j := s.Jobs[key.(identifier.JobKey)]
-		if j.EndState != "" {
-			continue
-		}
-		for i, tasks := range j.Steps {
-			for n, task := range tasks {
-				visit(j, identifier.TaskRef{Job: j.Key, Step: i, Num: n}, task)
-			}
-		}
-		s.completeJob(j)
-	}
-}
--- a/internal/state/submit.go
+++ b/internal/state/submit.go
@@ -45,7 +45,7 @@
 		return s.submitToQueue(command, checksum)
 	}
 	var f jsondoc.FieldErrors
-	verdict := s.rules.Check(&command.Spec, s.waitingTasks[command.Spec.Row], &f)
+	verdict := s.rules.Check(&command.Spec, s.jobIndex.waitingTasks[command.Spec.Row], &f)
 	switch {
 	case f.Any():
 		return Result{Status: 422, Code: "over-limit", Message: "the job breaks its row's limits", Body: f.List}
@@ -73,12 +73,11 @@
 			tasks[n] = &Task{State: Waiting}
 		}
 		j.Steps = append(j.Steps, tasks)
-		s.countTasks(j, i, Waiting, len(tasks))
+		s.jobIndex.countTasks(j, i, Waiting, len(tasks))
 	}
 	s.Jobs[j.Key] = j
-	s.jobsByKey.Put(j.Key, j)
-	s.unfinishedJobs[j.Spec.Row]++
-	s.reindexJob(j)
+	s.jobIndex.add(j)
+	s.jobIndex.update(j, s.Now)
 }
 
 func (s *Store) cancelJob(command *CancelJob) Result {
@@ -116,7 +115,7 @@
 
 // completeJob ends the job when all its tasks have ended and nothing of it runs.
 func (s *Store) completeJob(j *Job) {
-	s.reindexJob(j)
+	s.jobIndex.update(j, s.Now)
 	if j.EndState != "" || j.openLeases > 0 || j.Spec.Repeat != nil && !j.occurrencesDone() {
 		return
 	}
@@ -137,7 +136,7 @@
 	}
 	j.EndState, j.EndedAt = end, s.Now
 	s.EndedJobs = append(s.EndedJobs, j.Key)
-	s.unfinishedJobs[j.Spec.Row]--
+	s.jobIndex.unfinishedByRow[j.Spec.Row]--
 	s.leaveQueue(j)
 }
 
@@ -147,7 +146,7 @@
 			Body: map[string]any{"epoch": s.Limits.Epoch, "cells": cells}}
 	}
 	for _, row := range s.Limits.Dropped(change) {
-		if n := s.unfinishedJobs[row]; n > 0 {
+		if n := s.jobIndex.unfinishedByRow[row]; n > 0 {
 			return Result{Status: 409, Code: "row-in-use", Message: fmt.Sprintf("row %s still has %d jobs", row, n)}
 		}
 	}
