--- /dev/null
+++ b/internal/state/catalog.go
@@ -0,0 +1,50 @@
+package state
+
+import (
+	"net/http"
+
+	"orchidward/internal/api/catalog"
+)
+
+// catalogAck is the answer to a change of the catalogue: the version that it led
+// to, or the one in force when it is rejected.
+type catalogAck struct {
+	Version uint64 `json:"version"`
+}
+
+// changeCatalog takes a change of the catalogue when it builds on the version in
+// force. A resend of an accepted change is acknowledged for as long as the change
+// is remembered.
+func (s *Store) changeCatalog(change *catalog.Change) Result {
+	current := s.currentCatalog()
+	if current.Has(change) {
+		return accepted(http.StatusOK, catalogAck{Version: change.Version})
+	}
+	if current.MayHaveForgotten(change) {
+		return rejected(http.StatusGatewayTimeout, codeOutcomeUnknown, "this change may have been taken, longer ago than is remembered")
+	}
+	if current.Version != change.Base {
+		return rejectedWithBody(http.StatusPreconditionFailed, codeStaleBase, "another version is in force", catalogAck{Version: current.Version})
+	}
+	next, why := current.With(change)
+	if why != "" {
+		return rejected(http.StatusUnprocessableEntity, codeInvalid, why)
+	}
+	s.Catalog = next
+	s.Limits.Epoch++
+	s.rules.Epoch = s.Limits.Epoch
+	s.foldChecksum(next.Version, hashText(change.Checksum))
+	return accepted(http.StatusOK, catalogAck{Version: change.Version})
+}
+
+// currentCatalog is the catalogue in force, an empty one while there is none.
+func (s *Store) currentCatalog() *catalog.Catalog {
+	if s.Catalog != nil {
+		return s.Catalog
+	}
+	empty := &catalog.Catalog{}
+	if s.Level >= ResendLevel {
+		return empty.Deduplicated()
+	}
+	return empty
+}
--- /dev/null
+++ b/internal/state/checkpoints.go
@@ -0,0 +1,29 @@
+package state
+
+// saveCheckpoint keeps the checkpoint that an attempt has reported, for the next
+// attempt of the task. In a gang every member's checkpoint is the gang's.
+func (s *Store) saveCheckpoint(lease *Lease, data string) {
+	j := s.Jobs[lease.Task.Job]
+	step := j.Spec.Steps[lease.Task.Step]
+	if data == "" || j.Terms == nil || !step.Checkpoints {
+		return
+	}
+	if step.Gang {
+		for _, member := range j.Steps[lease.Task.Step] {
+			member.Checkpoint = data
+		}
+		return
+	}
+	j.Task(lease.Task).Checkpoint = data
+}
+
+// saveCheckpoints keeps the last checkpoints of a runner's attempts that are about
+// to be counted lost.
+func (s *Store) saveCheckpoints(checkpoints []Checkpoint, runner *Runner) {
+	for _, checkpoint := range checkpoints {
+		lease := s.Leases[checkpoint.Lease]
+		if lease != nil && lease.belongsTo(runner.Name, runner.Incarnation) {
+			s.saveCheckpoint(lease, checkpoint.Data)
+		}
+	}
+}
--- a/internal/state/checksum.go
+++ b/internal/state/checksum.go
@@ -1,40 +1,27 @@
-// The sum runs along with the book: whatever an entry does to tasks, grants,
-// closings, the table and the counters is folded into it, from level 1 on. Two
-// books that were given the same entries and did not do the same part in it.
-
 package state
 
 import "hash/fnv"
 
-// SupportedLevel is the level of commands and rules that this program knows.
-const SupportedLevel uint16 = 4
-
-// PolicyLevel is the level from which on a table may hold policies.
-const PolicyLevel uint16 = 2
-
-// CatalogLevel is the level from which on there are a catalogue, jobs for its
-// queues, and agents.
-const CatalogLevel uint16 = 3
-
-// ResendLevel is the level from which on accepted changes of the catalogue are
-// remembered by the thousand, a cancel holds back the id of a job that it does
-// not find, and reopening a domain finds the closing in force.
-const ResendLevel uint16 = 4
-
+// fnvPrime is the 64-bit prime of the FNV hash.
 const fnvPrime = 1099511628211
 
-func (s *Store) foldChecksum(list ...uint64) {
-	if s.Level < 1 {
+// foldChecksum folds values into the running checksum. Whatever a command does to
+// tasks, leases, drains, the limits table, the catalogue and the counters is folded,
+// from ChecksumLevel on, so that two stores which were given the same commands and
+// differ in what they made of them differ in their checksum.
+func (s *Store) foldChecksum(values ...uint64) {
+	if s.Level < ChecksumLevel {
 		return
 	}
-	for _, n := range list {
-		s.Checksum = (s.Checksum ^ n) * fnvPrime
+	for _, value := range values {
+		s.Checksum = (s.Checksum ^ value) * fnvPrime
 		s.Checksum ^= s.Checksum >> 29
 	}
 }
 
-func hashText(word string) uint64 {
+// hashText is the 64-bit FNV-1a hash of a text.
+func hashText(text string) uint64 {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(word))
+	_, _ = h.Write([]byte(text))
 	return h.Sum64()
 }
--- a/internal/state/commands.go
+++ b/internal/state/commands.go
@@ -1,6 +1,3 @@
-// Commands are the entries of the log. Exactly one of the pointers is set; At
-// is the leader's cluster time when it proposed, and only ever moves Now forward.
-
 package state
 
 import (
--- a/internal/state/dedup.go
+++ b/internal/state/dedup.go
@@ -1,8 +1,3 @@
-// Known remembers the ids of jobs whose details are forgotten, so that a late
-// resend never runs a job again. Records stay packed as they stand in the
-// view, so that a day's ids cost a view no more than a copy, and leave in the
-// order they came.
-
 package state
 
 import (
@@ -14,92 +9,147 @@
 	"orchidward/internal/clock"
 )
 
+// shortHashSize is the number of bytes kept of a SHA-256 hash.
+const shortHashSize = 12
+
+type hash [shortHashSize]byte
+
+// shortHash is the beginning of the text's SHA-256 hash.
+func shortHash(text string) hash {
+	full := sha256.Sum256([]byte(text))
+	return hash(full[:shortHashSize])
+}
+
+// dedupRecord is what is kept of a job whose details were dropped.
 type dedupRecord struct {
-	key        [12]byte
-	checksum   [12]byte
+	key        hash
+	checksum   hash
 	acceptedAt clock.ClusterTime
 	droppedAt  clock.ClusterTime
 	endCode    byte
 }
 
-const dedupRecordSize = 12 + 12 + 8 + 8 + 1
+// The positions of the fields in a packed record. Times are in little-endian order.
+const (
+	dedupChecksumAt   = shortHashSize
+	dedupAcceptedAt   = dedupChecksumAt + shortHashSize
+	dedupDroppedAt    = dedupAcceptedAt + 8
+	dedupEndCodeAt    = dedupDroppedAt + 8
+	dedupRecordSize   = dedupEndCodeAt + 1
+	maxRecordsExpired = 16
+)
 
-// DedupCache is the cache that deduplicates requests: for every job whose details
-// were dropped it keeps the hash of the key, the checksum of the content, when
-// it was accepted and how it ended.
-type DedupCache struct {
-	records   []byte
-	positions map[[12]byte]int
-	dropped   int
+// The codes of the states that a job ends in.
+const (
+	endCodeUnknown   byte = 0
+	endCodeSucceeded byte = 1
+	endCodeFailed    byte = 2
+	endCodeCancelled byte = 3
+)
+
+func endCodeOf(taskState TaskState) byte {
+	switch taskState {
+	case Succeeded:
+		return endCodeSucceeded
+	case Failed:
+		return endCodeFailed
+	case Cancelled:
+		return endCodeCancelled
+	}
+	return endCodeUnknown
 }
 
-func newDedupCache() *DedupCache { return &DedupCache{positions: map[[12]byte]int{}} }
+// endState is the state that the job ended in.
+func (r *dedupRecord) endState() TaskState {
+	switch r.endCode {
+	case endCodeSucceeded:
+		return Succeeded
+	case endCodeFailed:
+		return Failed
+	case endCodeCancelled:
+		return Cancelled
+	}
+	return ""
+}
 
-func shortHash(text string) [12]byte {
-	var h [12]byte
-	full := sha256.Sum256([]byte(text))
-	copy(h[:], full[:12])
-	return h
+// DedupCache remembers the ids of jobs whose details were dropped, so that a late
+// resend never runs a job again. The records stay packed as they are written to a
+// snapshot, so that a day's ids cost a snapshot no more than a copy, and are dropped
+// in the order in which they came.
+type DedupCache struct {
+	records []byte
+	// positions has the number of each key's record, counted from the first record
+	// that was ever added; dropped is the number of those dropped since.
+	positions map[hash]int
+	dropped   int
 }
 
-var endCodes = map[TaskState]byte{Succeeded: 1, Failed: 2, Cancelled: 3}
-var endStates = map[byte]TaskState{1: Succeeded, 2: Failed, 3: Cancelled}
+func newDedupCache() *DedupCache { return &DedupCache{positions: map[hash]int{}} }
+
+// Len is the number of remembered jobs.
+func (c *DedupCache) Len() int { return len(c.records) / dedupRecordSize }
 
+// add remembers an ended job.
 func (c *DedupCache) add(j *Job, now clock.ClusterTime) {
-	key, checksum := shortHash(string(j.Key)), shortHash(j.Checksum)
+	key := shortHash(string(j.Key))
+	checksum := shortHash(j.Checksum)
 	c.positions[key] = c.dropped + c.Len()
-	c.records = append(append(c.records, key[:]...), checksum[:]...)
+	c.records = append(c.records, key[:]...)
+	c.records = append(c.records, checksum[:]...)
 	c.records = binary.LittleEndian.AppendUint64(c.records, uint64(j.AcceptedAt))
 	c.records = binary.LittleEndian.AppendUint64(c.records, uint64(now))
-	c.records = append(c.records, endCodes[j.EndState])
+	c.records = append(c.records, endCodeOf(j.EndState))
 }
 
-// at unpacks the i-th record.
+// record unpacks a record, counted from the oldest one kept.
 func (c *DedupCache) record(i int) dedupRecord {
-	var record dedupRecord
-	b := c.records[i*dedupRecordSize:]
-	copy(record.key[:], b)
-	copy(record.checksum[:], b[12:])
-	record.acceptedAt = clock.ClusterTime(binary.LittleEndian.Uint64(b[24:]))
-	record.droppedAt = clock.ClusterTime(binary.LittleEndian.Uint64(b[32:]))
-	record.endCode = b[40]
-	return record
+	packed := c.records[i*dedupRecordSize : (i+1)*dedupRecordSize]
+	return dedupRecord{
+		key:        hash(packed[:dedupChecksumAt]),
+		checksum:   hash(packed[dedupChecksumAt:dedupAcceptedAt]),
+		acceptedAt: clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupAcceptedAt:])),
+		droppedAt:  clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupDroppedAt:])),
+		endCode:    packed[dedupEndCodeAt],
+	}
 }
 
 func (c *DedupCache) lookup(key identifier.JobKey) (record dedupRecord, ok bool) {
-	i, ok := c.positions[shortHash(string(key))]
+	position, ok := c.positions[shortHash(string(key))]
 	if !ok {
-		return record, false
+		return dedupRecord{}, false
 	}
-	return c.record(i - c.dropped), true
+	return c.record(position - c.dropped), true
 }
 
-// Len is the number of remembered jobs.
-func (c *DedupCache) Len() int { return len(c.records) / dedupRecordSize }
-
+// expire drops the records of jobs whose details were dropped before the given time,
+// a few with every command.
 func (c *DedupCache) expire(before clock.ClusterTime) {
-	for n := 0; n < 16 && c.Len() > 0; n++ {
-		record := c.record(0)
-		if record.droppedAt >= before {
+	for range min(c.Len(), maxRecordsExpired) {
+		oldest := c.record(0)
+		if oldest.droppedAt >= before {
 			return
 		}
-		delete(c.positions, record.key)
+		delete(c.positions, oldest.key)
 		c.records = c.records[dedupRecordSize:]
 		c.dropped++
 	}
 }
 
+// load replaces the content by packed records; an incomplete one at the end is
+// left out.
 func (c *DedupCache) load(records []byte) {
-	*c = DedupCache{records: append([]byte(nil), records[:len(records)/dedupRecordSize*dedupRecordSize]...), positions: make(map[[12]byte]int, len(records)/dedupRecordSize)}
-	for i := 0; i < c.Len(); i++ {
-		var key [12]byte
-		copy(key[:], c.records[i*dedupRecordSize:])
+	count := len(records) / dedupRecordSize
+	c.records = append([]byte(nil), records[:count*dedupRecordSize]...)
+	c.positions = make(map[hash]int, count)
+	c.dropped = 0
+	for i := range count {
+		key := hash(c.records[i*dedupRecordSize:][:shortHashSize])
 		c.positions[key] = i
 	}
 }
 
-// UnmarshalJSON reads the first version's views, which had the records inside
-// the document.
+// UnmarshalJSON reads the records of a snapshot of the first version, which had them
+// inside the document.
 func (c *DedupCache) UnmarshalJSON(text []byte) error {
 	var records []byte
 	if err := json.Unmarshal(text, &records); err != nil {
@@ -109,8 +159,12 @@
 	return nil
 }
 
-// RememberedJob tells of a job that is only remembered by its id.
-func (s *Store) RememberedJob(key identifier.JobKey) (at clock.ClusterTime, end TaskState, ok bool) {
+// RememberedJob is when a job was accepted and how it ended, of which only the id is
+// still remembered.
+func (s *Store) RememberedJob(key identifier.JobKey) (acceptedAt clock.ClusterTime, end TaskState, ok bool) {
 	record, ok := s.Dedup.lookup(key)
-	return record.acceptedAt, endStates[record.endCode], ok
+	if !ok {
+		return 0, "", false
+	}
+	return record.acceptedAt, record.endState(), true
 }
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -1,16 +1,16 @@
-// A Closing is one maintenance operation, the paper's handler: preflight,
-// pre-drain, cordon, post-drain, and their mirror. Each stage is committed, so
-// whoever holds the duty next goes on from where the last owner stopped.
-
 package state
 
 import (
+	"slices"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
 )
 
-// Stage is how far a drain of a zone or rack has come.
+// Stage is how far a drain of a domain or rack has come. The stages up to Closed are
+// those of "Making Facebook Self-Healing: Automating Proactive Rack Maintenance"
+// (Facebook Engineering, 2016); the ones after it undo them.
 type Stage string
 
 const (
@@ -37,7 +37,7 @@
 	Open Stage = "open"
 )
 
-// Cordons tells whether the stage keeps the fence up.
+// Cordons tells whether the scope is cordoned in this stage.
 func (s Stage) Cordons() bool {
 	switch s {
 	case Preflight, Predrain, Cordon, Postdrain, Closed, Preopen:
@@ -46,7 +46,7 @@
 	return false
 }
 
-// Reopening tells whether the stage is part of the mirror.
+// Reopening tells whether the drain is on its way to being undone, or undone.
 func (s Stage) Reopening() bool {
 	switch s {
 	case Preopen, Opening, Postopen, Open:
@@ -55,57 +55,54 @@
 	return false
 }
 
-// StageEntry notes when a stage was entered.
+// StageEntry records when a stage was entered.
 type StageEntry struct {
 	Stage Stage             `json:"stage"`
 	At    clock.ClusterTime `json:"at"`
 }
 
-// Drain is one drain of a zone or a rack, from its start until it is open
-// again. Scope is the set of runners it concerns. Judged says that Fits, Short
-// and Displaced are known: Fits tells whether the displaced work has room
-// elsewhere, and Short what is missing. Loose counts the stops that no runner
-// has confirmed, and Verdict is the outcome for operators.
-type Drain struct {
-	ID               string               `json:"id"`
-	Kind             string               `json:"kind"`
-	Domain           identifier.Domain    `json:"domain"`
-	Rack             identifier.Rack      `json:"rack,omitempty"`
-	Stage            Stage                `json:"stage"`
-	StartedAt        clock.ClusterTime    `json:"at"`
-	Scope            []identifier.Runner  `json:"scope"`
-	PreflightDone    bool                 `json:"judged"`
-	Fits             bool                 `json:"fits"`
-	Shortage         job.Demand           `json:"short"`
-	Displaced        []identifier.TaskRef `json:"displaced,omitempty"`
-	DisplacedGangs   int                  `json:"gangs"`
-	Verdict          string               `json:"verdict,omitempty"`
-	UnconfirmedStops int                  `json:"loose"`
-	History          []StageEntry         `json:"marks"`
-}
-
+// The kinds of drain.
 const (
-	// KindDomain is a drain that an operator ordered for a zone.
+	// KindDomain is a drain that an operator ordered for a failure domain.
 	KindDomain = "domain"
-	// KindRack is a drain that follows from runners of a rack reporting that
-	// they leave.
-	KindRack        = "rack"
-	maxStageHistory = 64
+	// KindRack is a drain that follows from runners of a rack announcing that they
+	// leave.
+	KindRack = "rack"
 )
 
+// Drain is one drain of a failure domain or a rack, from its start until it is open
+// again.
+type Drain struct {
+	ID        string            `json:"id"`
+	Kind      string            `json:"kind"`
+	Domain    identifier.Domain `json:"domain"`
+	Rack      identifier.Rack   `json:"rack,omitempty"`
+	Stage     Stage             `json:"stage"`
+	StartedAt clock.ClusterTime `json:"at"`
+	// Scope is the runners concerned, in ascending order.
+	Scope []identifier.Runner `json:"scope"`
+	// PreflightDone says that Fits, Shortage, Displaced and DisplacedGangs are known.
+	PreflightDone bool `json:"judged"`
+	// Fits tells whether the displaced tasks fit on runners that are not cordoned;
+	// Shortage is the demand of those that don't.
+	Fits           bool                 `json:"fits"`
+	Shortage       job.Demand           `json:"short"`
+	Displaced      []identifier.TaskRef `json:"displaced,omitempty"`
+	DisplacedGangs int                  `json:"gangs"`
+	// Verdict is the outcome of the post-drain check, for operators.
+	Verdict string `json:"verdict,omitempty"`
+	// UnconfirmedStops is the number of revoked leases whose end no runner had
+	// confirmed at the post-drain check.
+	UnconfirmedStops int `json:"loose"`
+	// History has the last stages entered, at most maxStageHistory of them.
+	History []StageEntry `json:"marks"`
+}
+
+const maxStageHistory = 64
+
 func (d *Drain) enterStage(stage Stage, now clock.ClusterTime) {
 	d.Stage = stage
-	d.History = append(d.History, StageEntry{stage, now})
-	if len(d.History) > maxStageHistory {
-		d.History = d.History[len(d.History)-maxStageHistory:]
-	}
+	d.History = keepLast(append(d.History, StageEntry{Stage: stage, At: now}), maxStageHistory)
 }
 
-func (d *Drain) inScope(name identifier.Runner) bool {
-	for _, member := range d.Scope {
-		if member == name {
-			return true
-		}
-	}
-	return false
-}
+func (d *Drain) inScope(name identifier.Runner) bool { return slices.Contains(d.Scope, name) }
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -1,6 +1,3 @@
-// A Job is an accepted job with the standing of each of its tasks. The
-// counters per step are derived and let readiness be judged without a walk.
-
 package state
 
 import (
@@ -11,36 +8,46 @@
 	"orchidward/internal/clock"
 )
 
-// Job is an accepted job and the state of each of its tasks, by step and number.
-// At is when it was accepted, Start the earliest time of its first placement (0
-// for at once) and Ended the time of its end, all in cluster time. Sum is the
-// checksum of Spec. Cancel and Fail say that it is being ended; End is set once
-// it has ended.
+// Job is an accepted job and the state of each of its tasks.
 type Job struct {
-	Key        identifier.JobKey `json:"key"`
+	Key identifier.JobKey `json:"key"`
+	// Seq numbers the jobs in the order in which they were accepted.
 	Seq        uint64            `json:"seq"`
 	AcceptedAt clock.ClusterTime `json:"at"`
-	StartAt    clock.ClusterTime `json:"start,omitempty"`
-	Checksum   string            `json:"sum"`
-	Spec       job.Spec          `json:"spec"`
-	Steps      [][]*Task         `json:"steps"`
-	Cancelled  bool              `json:"cancel,omitempty"`
-	Failure    string            `json:"fail,omitempty"`
-	EndState   TaskState         `json:"end,omitempty"`
-	EndedAt    clock.ClusterTime `json:"ended,omitempty"`
-	// QueueTerms are those of the job's queue when it was accepted, nil for a job of
-	// a pending row. Times counts the times of a repeated job that have come;
-	// each is a job of its own, whose Parent is this one.
-	Terms       *QueueTerms       `json:"terms,omitempty"`
+	// StartAt is the earliest time of the first placement, 0 for at once.
+	StartAt clock.ClusterTime `json:"start,omitempty"`
+	// Checksum is the checksum of Spec as submitted, by which a resend is told from
+	// another job of the same key.
+	Checksum string   `json:"sum"`
+	Spec     job.Spec `json:"spec"`
+	// Steps has the tasks of each step, by their number.
+	Steps [][]*Task `json:"steps"`
+	// Cancelled and Failure say that the job is being ended; Failure is the reason,
+	// for people.
+	Cancelled bool   `json:"cancel,omitempty"`
+	Failure   string `json:"fail,omitempty"`
+	// EndState and EndedAt are set once the job has ended.
+	EndState TaskState         `json:"end,omitempty"`
+	EndedAt  clock.ClusterTime `json:"ended,omitempty"`
+	// Terms are those of the job's queue, nil for a job of a row.
+	Terms *QueueTerms `json:"terms,omitempty"`
+	// Occurrences is the number of occurrences of a repeated job that were started.
+	// Each is a job of its own, whose Parent is this one.
 	Occurrences int64             `json:"times,omitempty"`
 	Parent      identifier.JobKey `json:"parent,omitempty"`
-	// openOccurrences counts the times that have come and not ended.
-	openOccurrences int
 
-	stepCounts     []stepCount
-	openLeases     int
+	// The rest is derived, see rebuildIndexes.
+
+	// openOccurrences is the number of occurrences that have not ended.
+	openOccurrences int
+	// stepCounts has the counts of each step's tasks.
+	stepCounts []stepCount
+	// openLeases is the number of open leases of the job's tasks.
+	openLeases int
+	// displacedTasks is the number of tasks that a drain displaced.
 	displacedTasks int
-	queue          *jobQueue
+	// queue is the queue of pending jobs that the job is in, nil for none.
+	queue *jobQueue
 }
 
 // resetDerived clears what rebuildIndexes derives.
@@ -75,20 +82,24 @@
 	}
 }
 
-// Task finds a task by step and number, nil when the job has no such task. The
-// job named in r is not compared.
-func (j *Job) Task(r identifier.TaskRef) *Task {
-	if r.Step < 0 || r.Step >= len(j.Steps) || r.Num < 0 || r.Num >= len(j.Steps[r.Step]) {
+// Task finds a task by its step and number, nil when the job has no such task. The
+// job named in ref is not compared.
+func (j *Job) Task(ref identifier.TaskRef) *Task {
+	if ref.Step < 0 || ref.Step >= len(j.Steps) {
 		return nil
 	}
-	return j.Steps[r.Step][r.Num]
+	if ref.Num < 0 || ref.Num >= len(j.Steps[ref.Step]) {
+		return nil
+	}
+	return j.Steps[ref.Step][ref.Num]
 }
 
-// DependenciesMet tells whether every step that this one comes after has ended well.
+// DependenciesMet tells whether all tasks of the steps that this one comes after
+// have succeeded.
 func (j *Job) DependenciesMet(step int) bool {
 	for _, name := range j.Spec.Steps[step].After {
 		for i := range j.Spec.Steps {
-			if j.Spec.Steps[i].Name == name && j.stepCounts[i].succeeded < len(j.Steps[i]) {
+			if j.Spec.Steps[i].Name == name && !j.stepSucceeded(i) {
 				return false
 			}
 		}
@@ -96,11 +107,15 @@
 	return true
 }
 
-// Ready tells whether the step has tasks to place now. A gang waits until
-// none of its members holds a grant, so that all start together.
+func (j *Job) stepSucceeded(step int) bool {
+	return j.stepCounts[step].succeeded >= len(j.Steps[step])
+}
+
+// Ready tells whether the step has tasks to place now. A gang is ready when none of
+// its members has a lease, so that all start together.
 func (j *Job) Ready(step int) bool {
 	counts := j.stepCounts[step]
-	if counts.waiting == 0 || j.Cancelled || j.Failure != "" {
+	if counts.waiting == 0 || j.ending() {
 		return false
 	}
 	if j.Spec.Steps[step].Gang && (counts.placed > 0 || counts.waiting+counts.ended < len(j.Steps[step])) {
@@ -109,64 +124,83 @@
 	return j.DependenciesMet(step)
 }
 
-// RemainingCriticalPath is the longest chain through the steps that are not done.
+// anyStepReady tells whether any step has tasks to place now.
+func (j *Job) anyStepReady() bool {
+	for step := range j.Steps {
+		if j.Ready(step) {
+			return true
+		}
+	}
+	return false
+}
+
+// ending tells whether the job is cancelled or failing, so that none of its tasks is
+// to be placed any more.
+func (j *Job) ending() bool { return j.Cancelled || j.Failure != "" }
+
+// RemainingCriticalPath is the expected duration, in milliseconds, of the longest
+// chain of steps that have not succeeded.
 func (j *Job) RemainingCriticalPath() clock.Millis {
-	var span clock.Millis
 	steps := j.Spec.Steps
 	if len(steps) == 1 {
 		return steps[0].ExpectedRun
 	}
-	at := make([]clock.Millis, len(steps))
+	var longest clock.Millis
+	// Steps come in any order, so one pass for each of them settles every chain.
+	chains := make([]clock.Millis, len(steps))
 	for range steps {
 		for i := range steps {
-			if j.stepCounts[i].succeeded == len(j.Steps[i]) {
+			if j.stepSucceeded(i) {
 				continue
 			}
-			from := clock.Millis(0)
-			for k := range steps {
-				if at[k] > from && slices.Contains(steps[i].After, steps[k].Name) {
-					from = at[k]
-				}
-			}
-			at[i] = from + steps[i].ExpectedRun
-			span = max(span, at[i])
+			chains[i] = longestBefore(steps, chains, steps[i].After) + steps[i].ExpectedRun
+			longest = max(longest, chains[i])
 		}
 	}
-	return span
+	return longest
 }
 
-// anyStepReady tells whether any step has tasks to place now.
-func (j *Job) anyStepReady() bool {
-	for step := range j.Steps {
-		if j.Ready(step) {
-			return true
+// longestBefore is the longest of the chains that end with one of the named steps.
+func longestBefore(steps []job.Step, chains []clock.Millis, names []string) clock.Millis {
+	var longest clock.Millis
+	for i := range steps {
+		if chains[i] > longest && slices.Contains(names, steps[i].Name) {
+			longest = chains[i]
 		}
 	}
-	return false
+	return longest
 }
 
 // WaitingTasks lists the numbers of the step's waiting tasks.
 func (j *Job) WaitingTasks(step int) []int {
 	var nums []int
-	for i, task := range j.Steps[step] {
+	for num, task := range j.Steps[step] {
 		if task.State == Waiting {
-			nums = append(nums, i)
+			nums = append(nums, num)
 		}
 	}
 	return nums
 }
 
-// State is the job's own standing in one word.
+// The states of a job that has not ended. An ended job's state is that of a task.
+const (
+	jobWaiting    = "waiting"
+	jobRunning    = "running"
+	jobCancelling = "cancelling"
+	jobFailing    = "failing"
+)
+
+// State is the state of the job in one word.
 func (j *Job) State() string {
 	switch {
 	case j.EndState != "":
 		return string(j.EndState)
 	case j.Cancelled:
-		return "cancelling"
+		return jobCancelling
 	case j.Failure != "":
-		return "failing"
+		return jobFailing
 	case j.openLeases > 0 || j.Occurrences > 0:
-		return "running"
+		return jobRunning
 	}
-	return "waiting"
+	return jobWaiting
 }
--- /dev/null
+++ b/internal/state/queue_attempts.go
@@ -0,0 +1,94 @@
+package state
+
+import "orchidward/internal/api/identifier"
+
+// unknownAttempt stands for the number of an attempt whose lease is no longer kept.
+const unknownAttempt uint64 = 0
+
+// endQueuedAttempt decides what becomes of a task of a queue's job whose lease has
+// ended.
+func (s *Store) endQueuedAttempt(j *Job, lease *Lease, outcome Outcome) {
+	task := j.Task(lease.Task)
+	service := j.Spec.Steps[lease.Task.Step].Service
+	if task.Lease == lease.ID {
+		task.Lease = 0
+	}
+	if task.State != Placed {
+		return
+	}
+	if outcome == outcomeLost || outcome == OutcomeLeaseLapsed {
+		task.recordLostLease(lease)
+	}
+	if outcome == OutcomeSuccess && !service {
+		s.succeedTasks(j, lease.Task)
+		return
+	}
+	if j.ending() {
+		s.setTaskState(j, lease.Task, Cancelled)
+		task.Reason = lease.RevokeReason
+		return
+	}
+	s.setTaskState(j, lease.Task, Waiting)
+	if lease.RevokeReason == RevokeStalled || lease.RevokeReason == RevokeSlow {
+		task.AvoidRunner = lease.Runner
+	}
+	if drain := s.revokingDrain(lease); drain != nil {
+		s.jobIndex.markDisplaced(j, task, drain.ID)
+	}
+	s.revokeGang(lease)
+	if outcome == OutcomeDefect && !service {
+		s.countQueuedDefect(j, lease.Task, lease.Runner, lease.Attempt)
+	}
+}
+
+// succeedTasks ends the task with success, and with it every member of its gang.
+func (s *Store) succeedTasks(j *Job, ref identifier.TaskRef) {
+	s.setTaskState(j, ref, Succeeded)
+	if !j.Spec.Steps[ref.Step].Gang {
+		return
+	}
+	for num, member := range j.Steps[ref.Step] {
+		if !member.State.Ended() {
+			s.setTaskState(j, identifier.TaskRef{Job: j.Key, Step: ref.Step, Num: num}, Succeeded)
+		}
+	}
+}
+
+// countQueuedDefect counts a failed attempt against the terms of the job's queue. An
+// attempt of a gang counts once, whichever members report it; the count is kept with
+// the first member. Services may fail any number of times.
+func (s *Store) countQueuedDefect(j *Job, ref identifier.TaskRef, runner identifier.Runner, attempt uint64) {
+	task := j.Task(ref)
+	task.AvoidRunner = runner
+	step := j.Spec.Steps[ref.Step]
+	if step.Service {
+		return
+	}
+	counted := task
+	if step.Gang {
+		counted = j.Steps[ref.Step][0]
+	}
+	if attempt != unknownAttempt && counted.LastDefectiveAttempt >= attempt {
+		return
+	}
+	counted.LastDefectiveAttempt = max(counted.LastDefectiveAttempt, attempt)
+	counted.Defects++
+	s.foldChecksum(j.Seq, uint64(counted.Defects))
+	if counted.Defects < j.Terms.MaxAttempts || j.ending() {
+		return
+	}
+	s.failQueuedJob(j, ref)
+}
+
+// failQueuedJob fails a job whose task has used up its attempts.
+func (s *Store) failQueuedJob(j *Job, ref identifier.TaskRef) {
+	task := j.Task(ref)
+	if task.State == Placed {
+		s.revokeLease(s.Leases[task.Lease], RevokeJobFailed)
+	} else if !task.State.Ended() {
+		s.setTaskState(j, ref, Failed)
+		task.Reason = "allowed failures used up"
+	}
+	j.Failure = "task " + ref.String() + " used up its allowed failures"
+	s.abortTasks(j, RevokeJobFailed)
+}
--- a/internal/state/repeat.go
+++ b/internal/state/repeat.go
@@ -115,3 +115,10 @@
 		}
 	}
 }
+
+// addRepeatedJob keeps the job itself, without tasks, until an occurrence is due.
+func (s *Store) addRepeatedJob(j *Job) {
+	s.Jobs[j.Key] = j
+	s.jobIndex.add(j)
+	s.jobIndex.repeating.Add(j)
+}
--- a/internal/state/submit.go
+++ b/internal/state/submit.go
@@ -1,14 +1,11 @@
-// Handing in and cancelling jobs, and changing the table they live under.
-
 package state
 
 import (
-	"fmt"
+	"net/http"
 
-	"orchidward/internal/api/admission"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
-	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
 )
 
@@ -19,149 +16,97 @@
 	Accepted string            `json:"accepted"`
 }
 
+func newSubmitAck(key identifier.JobKey, checksum string, acceptedAt clock.ClusterTime) SubmitAck {
+	return SubmitAck{Job: key, Checksum: checksum, Accepted: FormatTime(acceptedAt)}
+}
+
+// timeLayout is RFC 3339 with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
 // FormatTime writes a cluster time as RFC 3339 in UTC, with milliseconds.
 func FormatTime(at clock.ClusterTime) string { return at.Time().Format(timeLayout) }
 
+// submitJob accepts a job, or answers a resend as the first time.
 func (s *Store) submitJob(command *SubmitJob) Result {
 	checksum := command.Spec.Checksum()
 	if j := s.Jobs[command.Key]; j != nil {
 		if j.Checksum != checksum {
-			return rejected(409, "other-content", "the id names a job with other content")
+			return rejected(http.StatusConflict, codeOtherContent, "the id names a job with other content")
 		}
-		return Result{Status: 200, Body: SubmitAck{j.Key, j.Checksum, FormatTime(j.AcceptedAt)}}
+		return accepted(http.StatusOK, newSubmitAck(j.Key, j.Checksum, j.AcceptedAt))
 	}
 	if record, ok := s.Dedup.lookup(command.Key); ok {
 		if record.checksum != shortHash(checksum) {
-			return rejected(409, "other-content", "the id names a past job with other content")
+			return rejected(http.StatusConflict, codeOtherContent, "the id names a past job with other content")
 		}
-		return Result{Status: 200, Body: SubmitAck{command.Key, checksum, FormatTime(record.acceptedAt)}}
+		return accepted(http.StatusOK, newSubmitAck(command.Key, checksum, record.acceptedAt))
 	}
-	if wait := s.tombstoneRemaining(command.Key); wait > 0 {
-		return Result{Status: 503, Code: "just-cancelled", Message: "this id was cancelled a moment ago", RetryAfter: wait}
+	if remaining := s.tombstoneRemaining(command.Key); remaining > 0 {
+		return retryLater(http.StatusServiceUnavailable, codeJustCancelled, "this id was cancelled a moment ago", remaining)
 	}
 	if command.Spec.Queue != "" {
 		return s.submitToQueue(command, checksum)
 	}
-	var f jsondoc.FieldErrors
-	verdict := s.rules.Check(&command.Spec, s.jobIndex.waitingTasks[command.Spec.Row], &f)
+	return s.submitToRow(command, checksum)
+}
+
+// submitToRow takes a job for a row of the limits table.
+func (s *Store) submitToRow(command *SubmitJob, checksum string) Result {
+	var faults jsondoc.FieldErrors
+	row := command.Spec.Row
+	verdict := s.rules.Check(&command.Spec, s.jobIndex.waitingTasks[row], &faults)
 	switch {
-	case f.Any():
-		return Result{Status: 422, Code: "over-limit", Message: "the job breaks its row's limits", Body: f.List}
+	case faults.Any():
+		return rejectedWithBody(http.StatusUnprocessableEntity, codeOverLimit, "the job breaks its row's limits", faults.List)
 	case verdict.QueueFull:
-		return Result{Status: 429, Code: "row-full", Message: "the row has no room for more waiting tasks", RetryAfter: 2000}
-	case len(s.Jobs)+s.Dedup.Len() >= MaxJobIDs:
-		return Result{Status: 503, Code: "ids-full", Message: "no room to remember another job id", RetryAfter: 60000}
-	}
-	j := &Job{Key: command.Key, Seq: s.NextJobSeq, AcceptedAt: s.Now, Checksum: checksum, Spec: command.Spec}
-	s.NextJobSeq++
-	j.StartAt = command.Spec.NotBefore
-	if command.Spec.Delay > 0 {
-		j.StartAt = s.Now.Add(command.Spec.Delay)
+		return retryLater(http.StatusTooManyRequests, codeRowFull, "the row has no room for more waiting tasks", retryAfterPlacing)
+	case s.jobIDsFull():
+		return rejectedIDsFull()
 	}
+	j := s.newJob(command, checksum)
+	j.StartAt = s.startTime(&command.Spec)
 	s.addJob(j)
-	return Result{Status: 201, Body: SubmitAck{j.Key, j.Checksum, FormatTime(j.AcceptedAt)}}
+	return accepted(http.StatusCreated, newSubmitAck(j.Key, j.Checksum, j.AcceptedAt))
 }
 
-// enter lays the job's tasks out and puts it where it bids.
-func (s *Store) addJob(j *Job) {
-	j.stepCounts = make([]stepCount, len(j.Spec.Steps))
-	for i, st := range j.Spec.Steps {
-		tasks := make([]*Task, st.Tasks)
-		for n := range tasks {
-			tasks[n] = &Task{State: Waiting}
-		}
-		j.Steps = append(j.Steps, tasks)
-		s.jobIndex.countTasks(j, i, Waiting, len(tasks))
-	}
-	s.Jobs[j.Key] = j
-	s.jobIndex.add(j)
-	s.jobIndex.update(j, s.Now)
-}
+func (s *Store) jobIDsFull() bool { return len(s.Jobs)+s.Dedup.Len() >= MaxJobIDs }
 
-func (s *Store) cancelJob(command *CancelJob) Result {
-	j := s.Jobs[command.Key]
-	if j == nil {
-		if record, ok := s.Dedup.lookup(command.Key); ok {
-			return Result{Status: 200, Body: map[string]string{"job": string(command.Key), "state": string(endStates[record.endCode])}}
-		}
-		return s.rejectUnknownCancel(command.Key)
-	}
-	if j.EndState == "" && !j.Cancelled {
-		j.Cancelled = true
-		s.abortTasks(j, RevokeCancelled)
-		s.abortOccurrences(j, RevokeCancelled)
-	}
-	return Result{Status: 200, Body: map[string]string{"job": string(command.Key), "state": j.State()}}
+func rejectedIDsFull() Result {
+	return retryLater(http.StatusServiceUnavailable, codeIDsFull, "no room to remember another job id", retryAfterExpiry)
 }
 
-// abortTasks ends every unplaced task of a cancelled or failing job and calls the
-// placed ones back.
-func (s *Store) abortTasks(j *Job, reason string) {
-	for i, tasks := range j.Steps {
-		for n, task := range tasks {
-			switch {
-			case task.State.Unplaced():
-				s.setTaskState(j, identifier.TaskRef{Job: j.Key, Step: i, Num: n}, Cancelled)
-				task.Reason = reason
-			case task.State == Placed:
-				s.revokeLease(s.Leases[task.Lease], reason)
-			}
-		}
+func (s *Store) newJob(command *SubmitJob, checksum string) *Job {
+	j := &Job{
+		Key:        command.Key,
+		Seq:        s.NextJobSeq,
+		AcceptedAt: s.Now,
+		Checksum:   checksum,
+		Spec:       command.Spec,
 	}
-	s.completeJob(j)
+	s.NextJobSeq++
+	return j
 }
 
-// completeJob ends the job when all its tasks have ended and nothing of it runs.
-func (s *Store) completeJob(j *Job) {
-	s.jobIndex.update(j, s.Now)
-	if j.EndState != "" || j.openLeases > 0 || j.Spec.Repeat != nil && !j.occurrencesDone() {
-		return
-	}
-	end := Succeeded
-	for i, tasks := range j.Steps {
-		if j.stepCounts[i].ended < len(tasks) {
-			return
-		}
-		if j.stepCounts[i].succeeded < len(tasks) {
-			end = Cancelled
-		}
-	}
-	if j.Failure != "" {
-		end = Failed
-	}
-	if j.Spec.Repeat != nil && j.Cancelled && end == Succeeded {
-		end = Cancelled
+// startTime is the earliest time of the job's first placement, 0 for at once.
+func (s *Store) startTime(spec *job.Spec) clock.ClusterTime {
+	if spec.Delay > 0 {
+		return s.Now.Add(spec.Delay)
 	}
-	j.EndState, j.EndedAt = end, s.Now
-	s.EndedJobs = append(s.EndedJobs, j.Key)
-	s.jobIndex.unfinishedByRow[j.Spec.Row]--
-	s.leaveQueue(j)
+	return spec.NotBefore
 }
 
-func (s *Store) changeLimits(change *limits.Change) Result {
-	if cells := s.Limits.Conflicts(change); len(cells) > 0 {
-		return Result{Status: 409, Code: "stale-base", Message: fmt.Sprintf("changed since epoch %d", change.Base),
-			Body: map[string]any{"epoch": s.Limits.Epoch, "cells": cells}}
-	}
-	for _, row := range s.Limits.Dropped(change) {
-		if n := s.jobIndex.unfinishedByRow[row]; n > 0 {
-			return Result{Status: 409, Code: "row-in-use", Message: fmt.Sprintf("row %s still has %d jobs", row, n)}
-		}
-	}
-	for row := range change.Drop {
-		if !s.Limits.HasRow(row) {
-			return rejected(404, "no-row", "no such row to drop")
+// addJob creates the job's tasks and makes it pending or delayed.
+func (s *Store) addJob(j *Job) {
+	j.stepCounts = make([]stepCount, len(j.Spec.Steps))
+	for step, spec := range j.Spec.Steps {
+		tasks := make([]*Task, spec.Tasks)
+		for num := range tasks {
+			tasks[num] = &Task{State: Waiting}
 		}
+		j.Steps = append(j.Steps, tasks)
+		s.jobIndex.countTasks(j, step, Waiting, len(tasks))
 	}
-	old := s.LeaseSpan()
-	if !s.Limits.Apply(change) {
-		return rejected(422, "too-many-rows", "the table would have too many rows")
-	}
-	if s.Limits.SiteMillis("grantMs") < old {
-		s.PreviousLeaseSpan, s.LeaseSpanChangedAt = old, s.Now
-	}
-	s.rules = admission.Compile(s.Limits)
-	return Result{Status: 200, Body: map[string]any{"epoch": s.Limits.Epoch}}
+	s.Jobs[j.Key] = j
+	s.jobIndex.add(j)
+	s.jobIndex.update(j, s.Now)
 }
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -1,57 +1,62 @@
-// A Task is the unit of work. Past keeps the last grants it lost, so that a
-// late word from one of them can be told from a stranger's.
-
 package state
 
-import "orchidward/internal/api/identifier"
+import (
+	"slices"
+
+	"orchidward/internal/api/identifier"
+)
 
-// Task is one unit of work of a step, with the lease it holds, if any. Shun is
-// the runner of its last defect, which placement avoids; Closing is the drain
-// that displaced it; On is the runner of its last lease; Past are the leases
-// counted lost, newest last, at most maxLostLeases of them.
+// Task is one unit of work of a step.
 type Task struct {
-	State       TaskState            `json:"state"`
-	Defects     int64                `json:"defects,omitempty"`
-	Lease       identifier.LeaseID   `json:"grant,omitempty"`
-	AvoidRunner identifier.Runner    `json:"shun,omitempty"`
-	DisplacedBy string               `json:"closing,omitempty"`
-	LostLeases  []identifier.LeaseID `json:"past,omitempty"`
-	LastRunner  identifier.Runner    `json:"on,omitempty"`
-	Reason      string               `json:"why,omitempty"`
-	// Attempt is the number of the last run, LostAttempts those of the grants in Past, Bad
-	// the last run that counted as a defect, Saved the progress to go on from.
+	State TaskState `json:"state"`
+	// Defects counts the reported defects, in a gang of a queue's job those of all
+	// members with the first.
+	Defects int64 `json:"defects,omitempty"`
+	// Lease is the open lease of a placed task, 0 for none.
+	Lease identifier.LeaseID `json:"grant,omitempty"`
+	// AvoidRunner is the runner that placement avoids, because of the last defect
+	// there.
+	AvoidRunner identifier.Runner `json:"shun,omitempty"`
+	// DisplacedBy is the drain that displaced the task, empty for none.
+	DisplacedBy string `json:"closing,omitempty"`
+	// LostLeases are the leases that were counted lost, newest last, so that a late
+	// report of one of them is recognised.
+	LostLeases []identifier.LeaseID `json:"past,omitempty"`
+	// LastRunner is the runner of the last lease.
+	LastRunner identifier.Runner `json:"on,omitempty"`
+	// Reason tells people why the task is in its state.
+	Reason string `json:"why,omitempty"`
+	// Attempt is the number of the last attempt, LostAttempts are those of
+	// LostLeases, and LastDefectiveAttempt is the last that counted as a defect.
+	// They are used by the jobs of queues only.
 	Attempt              uint64   `json:"no,omitempty"`
 	LostAttempts         []uint64 `json:"pastNo,omitempty"`
 	LastDefectiveAttempt uint64   `json:"bad,omitempty"`
-	Checkpoint           string   `json:"saved,omitempty"`
+	// Checkpoint is what the next attempt goes on from.
+	Checkpoint string `json:"saved,omitempty"`
 }
 
+// maxLostLeases bounds the lost leases that a task remembers.
 const maxLostLeases = 8
 
 func (t *Task) recordLostLease(lease *Lease) {
-	t.LostLeases = append(t.LostLeases, lease.ID)
-	if len(t.LostLeases) > maxLostLeases {
-		t.LostLeases = t.LostLeases[len(t.LostLeases)-maxLostLeases:]
-	}
+	t.LostLeases = keepLast(append(t.LostLeases, lease.ID), maxLostLeases)
 	if lease.Attempt == 0 {
 		return
 	}
-	t.LostAttempts = append(t.LostAttempts, lease.Attempt)
-	if len(t.LostAttempts) > maxLostLeases {
-		t.LostAttempts = t.LostAttempts[len(t.LostAttempts)-maxLostLeases:]
-	}
+	t.LostAttempts = keepLast(append(t.LostAttempts, lease.Attempt), maxLostLeases)
 }
 
-// forgetLostLease takes a past grant off the list and tells whether it was there.
-func (t *Task) forgetLostLease(lease identifier.LeaseID) bool {
-	for i, p := range t.LostLeases {
-		if p == lease {
-			t.LostLeases = append(append([]identifier.LeaseID(nil), t.LostLeases[:i]...), t.LostLeases[i+1:]...)
-			if i < len(t.LostAttempts) {
-				t.LostAttempts = append(append([]uint64(nil), t.LostAttempts[:i]...), t.LostAttempts[i+1:]...)
-			}
-			return true
-		}
+// forgetLostLease removes a lease from the lost ones and tells whether it was among
+// them.
+func (t *Task) forgetLostLease(id identifier.LeaseID) bool {
+	at := slices.Index(t.LostLeases, id)
+	if at < 0 {
+		return false
+	}
+	t.LostLeases = slices.Delete(slices.Clone(t.LostLeases), at, at+1)
+	if at < len(t.LostAttempts) {
+		t.LostAttempts = slices.Delete(slices.Clone(t.LostAttempts), at, at+1)
 	}
-	return false
+	return true
 }
--- a/internal/state/task_state.go
+++ b/internal/state/task_state.go
@@ -1,5 +1,3 @@
-// The states of a task.
-
 package state
 
 // TaskState is where a task stands.
