--- a/internal/api/limits/column.go
+++ b/internal/api/limits/column.go
@@ -26,37 +26,85 @@
 	Policy bool
 }
 
-const big = 1 << 40
+// Names of the columns of a row.
+const (
+	ColumnWeight     = "weight"
+	ColumnMaxCores   = "maxCores"
+	ColumnMaxMem     = "maxMemMb"
+	ColumnMaxWaiting = "maxWaiting"
+	ColumnMaxTasks   = "maxTasks"
+	ColumnTaskCores  = "taskCores"
+	ColumnTaskMem    = "taskMemMb"
+	ColumnMaxUrgency = "maxUrgency"
+	ColumnLabels     = "labels"
+	ColumnOnOutage   = "onOutage"
+	ColumnOnLoss     = "onLoss"
+	ColumnPolicy     = "policy"
+)
+
+// Names of the columns of SiteRow.
+const (
+	SiteEvacuation        = "evacMs"
+	SiteDrain             = "drainMs"
+	SiteDepartureMargin   = "departMarginMs"
+	SiteLeaseSpan         = "grantMs"
+	SiteStartTimeout      = "startMs"
+	SiteConfirmTimeout    = "confirmMs"
+	SiteStopThreshold     = "thresholdPct"
+	SiteJobRetention      = "retainMs"
+	SiteRememberedJobSpan = "knownMs"
+)
+
+// Values of ColumnOnOutage: what becomes of displaced tasks that fit nowhere else.
+const (
+	// OnOutagePreempt preempts strictly cheaper work for them.
+	OnOutagePreempt = "push"
+	// OnOutageWait places them before other work, once there are resources.
+	OnOutageWait = "wait"
+	// OnOutageSuspend suspends them until the drain is over.
+	OnOutageSuspend = "ride"
+)
+
+// Values of ColumnOnLoss: what becomes of the tasks of a lost runner.
+const (
+	// OnLossReplace places them on another runner.
+	OnLossReplace = "replace"
+	// OnLossAwaitRunner keeps them until the runner reports again.
+	OnLossAwaitRunner = "hold"
+)
+
+// maxAmount is the upper bound of cells for amounts of resources.
+const maxAmount = 1 << 40
 
 // Columns are the cells of a pending row, with their defaults and bounds. Cores
 // are whole cores, memory is in mebibytes.
 var Columns = []Column{
-	{Name: "weight", Default: "1", Min: 1, Max: 10000},
-	{Name: "maxCores", Default: "1000000", Min: 0, Max: big},
-	{Name: "maxMemMb", Default: "1000000000", Min: 0, Max: big},
-	{Name: "maxWaiting", Default: "20000", Min: 0, Max: 1000000},
-	{Name: "maxTasks", Default: "1024", Min: 1, Max: 4096},
-	{Name: "taskCores", Default: "1024", Min: 1, Max: big},
-	{Name: "taskMemMb", Default: "1048576", Min: 1, Max: big},
-	{Name: "maxUrgency", Default: "10", Min: 0, Max: 1000},
-	{Name: "labels", Default: "*", LabelSet: true},
-	{Name: "onOutage", Default: "wait", Enum: []string{"push", "wait", "ride"}},
-	{Name: "onLoss", Default: "replace", Enum: []string{"replace", "hold"}},
-	{Name: "policy", Policy: true},
+	{Name: ColumnWeight, Default: "1", Min: 1, Max: 10000},
+	{Name: ColumnMaxCores, Default: "1000000", Min: 0, Max: maxAmount},
+	{Name: ColumnMaxMem, Default: "1000000000", Min: 0, Max: maxAmount},
+	{Name: ColumnMaxWaiting, Default: "20000", Min: 0, Max: 1000000},
+	{Name: ColumnMaxTasks, Default: "1024", Min: 1, Max: 4096},
+	{Name: ColumnTaskCores, Default: "1024", Min: 1, Max: maxAmount},
+	{Name: ColumnTaskMem, Default: "1048576", Min: 1, Max: maxAmount},
+	{Name: ColumnMaxUrgency, Default: "10", Min: 0, Max: 1000},
+	{Name: ColumnLabels, Default: "*", LabelSet: true},
+	{Name: ColumnOnOutage, Default: OnOutageWait, Enum: []string{OnOutagePreempt, OnOutageWait, OnOutageSuspend}},
+	{Name: ColumnOnLoss, Default: OnLossReplace, Enum: []string{OnLossReplace, OnLossAwaitRunner}},
+	{Name: ColumnPolicy, Policy: true},
 }
 
 // SiteColumns are the cells that hold for the whole site. Names that end in Ms are in
 // milliseconds, those that end in Pct in percent.
 var SiteColumns = []Column{
-	{Name: "evacMs", Default: "5000", Min: 1000, Max: 600000},
-	{Name: "drainMs", Default: "2000", Min: 500, Max: 600000},
-	{Name: "departMarginMs", Default: "3000", Min: 500, Max: 600000},
-	{Name: "grantMs", Default: "10000", Min: 3000, Max: 600000},
-	{Name: "startMs", Default: "1000", Min: 300, Max: 1500},
-	{Name: "confirmMs", Default: "3000", Min: 1000, Max: 60000},
-	{Name: "thresholdPct", Default: "10", Min: 0, Max: 100},
-	{Name: "retainMs", Default: "600000", Min: 1000, Max: 86400000},
-	{Name: "knownMs", Default: "86400000", Min: 60000, Max: 604800000},
+	{Name: SiteEvacuation, Default: "5000", Min: 1000, Max: 600000},
+	{Name: SiteDrain, Default: "2000", Min: 500, Max: 600000},
+	{Name: SiteDepartureMargin, Default: "3000", Min: 500, Max: 600000},
+	{Name: SiteLeaseSpan, Default: "10000", Min: 3000, Max: 600000},
+	{Name: SiteStartTimeout, Default: "1000", Min: 300, Max: 1500},
+	{Name: SiteConfirmTimeout, Default: "3000", Min: 1000, Max: 60000},
+	{Name: SiteStopThreshold, Default: "10", Min: 0, Max: 100},
+	{Name: SiteJobRetention, Default: "600000", Min: 1000, Max: 86400000},
+	{Name: SiteRememberedJobSpan, Default: "86400000", Min: 60000, Max: 604800000},
 }
 
 // SiteRow is the row name under which the site-wide cells are addressed.
--- a/internal/scheduler/plan.go
+++ b/internal/scheduler/plan.go
@@ -10,6 +10,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler/feasibility"
 	"orchidward/internal/scheduler/policy"
 	"orchidward/internal/state"
@@ -144,7 +145,7 @@
 	var at int
 	low := int64(0)
 	for i, one := range bids {
-		share := r.use[one.row].Share(r.total) * 1000 / r.b.Limits.Int(one.row, "weight")
+		share := r.use[one.row].Share(r.total) * 1000 / r.b.Limits.Int(one.row, limits.ColumnWeight)
 		if i == 0 || share < low {
 			at, low = i, share
 		}
@@ -185,7 +186,7 @@
 	for range l.nums {
 		want = want.Plus(st.Demand)
 	}
-	limit := job.Demand{Cores: r.b.Limits.Int(row, "maxCores"), Mem: r.b.Limits.Int(row, "maxMemMb")}
+	limit := job.Demand{Cores: r.b.Limits.Int(row, limits.ColumnMaxCores), Mem: r.b.Limits.Int(row, limits.ColumnMaxMem)}
 	if !want.WithinLimit(limit) {
 		r.why(l, "row "+string(row)+" is at its limit of room in use")
 		return false, true
--- a/internal/scheduler/policy.go
+++ b/internal/scheduler/policy.go
@@ -7,6 +7,7 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler/feasibility"
 	"orchidward/internal/scheduler/policy"
 	"orchidward/internal/state"
@@ -29,7 +30,7 @@
 // pick finds the bin for one task, by the row's policy if it has one.
 func (r *round) pick(l *lump, st job.Step, t *state.Task) *bin {
 	row := l.j.Spec.Row
-	text := r.b.Limits.Cell(row, "policy")
+	text := r.b.Limits.Cell(row, limits.ColumnPolicy)
 	if text == "" {
 		return best(r.bins, st, t.AvoidRunner)
 	}
--- a/internal/scheduler/push.go
+++ b/internal/scheduler/push.go
@@ -9,6 +9,7 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler/feasibility"
 	"orchidward/internal/state"
 )
@@ -22,13 +23,13 @@
 }
 
 func (r *round) price(j *state.Job) int64 {
-	return r.b.Limits.Int(j.Spec.Row, "weight")*1001 + j.Spec.Urgency
+	return r.b.Limits.Int(j.Spec.Row, limits.ColumnWeight)*1001 + j.Spec.Urgency
 }
 
 // mayPush tells whether the lump was displaced by a closing whose preflight
 // came out false, and its row pushes.
 func (r *round) mayPush(l *lump) bool {
-	if r.b.Limits.Cell(l.j.Spec.Row, "onOutage") != "push" {
+	if r.b.Limits.Cell(l.j.Spec.Row, limits.ColumnOnOutage) != limits.OnOutagePreempt {
 		return false
 	}
 	for _, n := range l.nums {
--- a/internal/state/drain_scope.go
+++ b/internal/state/drain_scope.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
 )
 
@@ -139,7 +140,7 @@
 	if runner := s.Runners[name]; runner != nil && runner.Draining {
 		departsAt = runner.DepartsAt
 	}
-	return now >= departsAt.Add(-s.Limits.SiteMillis("departMarginMs"))
+	return now >= departsAt.Add(-s.Limits.SiteMillis(limits.SiteDepartureMargin))
 }
 
 // firstDeparture is when the first runner in scope leaves, 0 when none does.
--- a/internal/state/drain_stages.go
+++ b/internal/state/drain_stages.go
@@ -2,6 +2,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler/feasibility"
 )
 
@@ -161,7 +162,7 @@
 	if drain.UnconfirmedStops == 0 {
 		return verdictConfirmed
 	}
-	percent := s.Limits.Int("site", "thresholdPct")
+	percent := s.Limits.Int(limits.SiteRow, limits.SiteStopThreshold)
 	if int64(drain.UnconfirmedStops)*100 <= percent*int64(len(drain.Displaced)) {
 		return verdictWithinThreshold
 	}
--- a/internal/state/expiry.go
+++ b/internal/state/expiry.go
@@ -1,5 +1,7 @@
 package state
 
+import "orchidward/internal/api/limits"
+
 // maxJobsExpired bounds the ended jobs that one command drops.
 const maxJobsExpired = 8
 
@@ -7,14 +9,14 @@
 // that none takes long.
 func (s *Store) expireRecords() {
 	s.expireEndedJobs()
-	s.Dedup.expire(s.Now.Add(-s.Limits.SiteMillis("knownMs")))
+	s.Dedup.expire(s.Now.Add(-s.Limits.SiteMillis(limits.SiteRememberedJobSpan)))
 	s.expireTombstones()
 	s.expireDrains()
 }
 
 // expireEndedJobs drops the details of ended jobs; their ids go to the dedup cache.
 func (s *Store) expireEndedJobs() {
-	retention := s.Limits.SiteMillis("retainMs")
+	retention := s.Limits.SiteMillis(limits.SiteJobRetention)
 	for range min(len(s.EndedJobs), maxJobsExpired) {
 		j := s.Jobs[s.EndedJobs[0]]
 		if j.EndedAt.Add(retention) > s.Now {
--- a/internal/state/limits.go
+++ b/internal/state/limits.go
@@ -39,7 +39,7 @@
 	if !s.Limits.Apply(change) {
 		return rejected(http.StatusUnprocessableEntity, codeTooManyRows, "the table would have too many rows")
 	}
-	if s.Limits.SiteMillis("grantMs") < previousSpan {
+	if s.Limits.SiteMillis(limits.SiteLeaseSpan) < previousSpan {
 		s.PreviousLeaseSpan = previousSpan
 		s.LeaseSpanChangedAt = s.Now
 	}
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -3,6 +3,7 @@
 import (
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler/feasibility"
 )
 
@@ -45,8 +46,8 @@
 // rowLimit is the demand that the open leases of a row may have together.
 func (s *Store) rowLimit(row identifier.Row) job.Demand {
 	return job.Demand{
-		Cores: s.Limits.Int(row, "maxCores"),
-		Mem:   s.Limits.Int(row, "maxMemMb"),
+		Cores: s.Limits.Int(row, limits.ColumnMaxCores),
+		Mem:   s.Limits.Int(row, limits.ColumnMaxMem),
 	}
 }
 
--- a/internal/state/row_attempts.go
+++ b/internal/state/row_attempts.go
@@ -1,12 +1,8 @@
 package state
 
-import "orchidward/internal/api/identifier"
-
-// Values of the columns onLoss and onOutage of the limits table.
-const (
-	onLossHold      = "hold"
-	onOutagePreempt = "push"
-	onOutageSuspend = "ride"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
 )
 
 // endRowAttempt decides what becomes of a task of a row's job whose lease has
@@ -52,7 +48,7 @@
 		task.recordLostLease(lease)
 		s.revokeGang(lease)
 	}
-	if outcome == outcomeLost && s.Limits.Cell(row, "onLoss") == onLossHold {
+	if outcome == outcomeLost && s.Limits.Cell(row, limits.ColumnOnLoss) == limits.OnLossAwaitRunner {
 		s.setTaskState(j, lease.Task, AwaitingRunner)
 		task.Reason = "held until runner " + string(lease.Runner) + " answers"
 		return
@@ -65,7 +61,7 @@
 		return
 	}
 	s.jobIndex.markDisplaced(j, task, drain.ID)
-	if !drain.Fits && s.Limits.Cell(row, "onOutage") == onOutageSuspend {
+	if !drain.Fits && s.Limits.Cell(row, limits.ColumnOnOutage) == limits.OnOutageSuspend {
 		s.setTaskState(j, lease.Task, Suspended)
 		task.Reason = "waits out closing " + drain.ID
 	}
@@ -75,7 +71,7 @@
 // displaced by the same drain, so that it may preempt strictly cheaper work in its
 // turn.
 func (s *Store) inheritDisplacement(j *Job, task *Task) {
-	if s.Level < CatalogLevel || s.Limits.Cell(j.Spec.Row, "onOutage") != onOutagePreempt {
+	if s.Level < CatalogLevel || s.Limits.Cell(j.Spec.Row, limits.ColumnOnOutage) != limits.OnOutagePreempt {
 		return
 	}
 	for _, id := range s.DrainIDs() {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -118,7 +118,7 @@
 // milliseconds. After the duration was lowered, the longer one counts until no
 // runner can still be using it.
 func (s *Store) LeaseSpan() clock.Millis {
-	span := s.Limits.SiteMillis("grantMs")
+	span := s.Limits.SiteMillis(limits.SiteLeaseSpan)
 	if s.PreviousLeaseSpan > span && s.Now < s.LeaseSpanChangedAt.Add(3*s.PreviousLeaseSpan) {
 		return s.PreviousLeaseSpan
 	}
