--- a/internal/state/commands.go
+++ b/internal/state/commands.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
@@ -28,50 +29,51 @@
 	AdvanceDrain   *AdvanceDrain     `json:"step,omitempty"`
 	RaiseLevel     *RaiseLevel       `json:"raise,omitempty"`
 	VerifyChecksum *VerifyChecksum   `json:"check,omitempty"`
-	// ChangeCatalog is known from CatalogLevel on.
+	// ChangeCatalog is used from CatalogLevel on.
 	ChangeCatalog *catalog.Change `json:"catalog,omitempty"`
 }
 
-// RaiseLevel lifts the level: from this entry on commands and rules of that level
-// may be used, since every member has said that it knows them.
+// RaiseLevel raises the level: from this entry on commands and rules of that level
+// may be used, since every member has said that it supports them.
 type RaiseLevel struct {
 	Level uint16 `json:"level"`
 }
 
-// VerifyChecksum says what the book's sum was, at the leader, after the entry at Index.
+// VerifyChecksum is the checksum of the leader's store after the entry at Index, for
+// the other servers to compare with theirs.
 type VerifyChecksum struct {
 	Index    identifier.Index `json:"index"`
 	Checksum uint64           `json:"sum"`
 }
 
-// SubmitJob accepts a job. A repeated one with the same content gets the same
-// answer.
+// SubmitJob hands a job in. A resend of the same content gets the same answer.
 type SubmitJob struct {
 	Key  identifier.JobKey `json:"key"`
 	Spec job.Spec          `json:"spec"`
 }
 
-// CancelJob ends a job and revokes its leases.
+// CancelJob cancels a job and revokes its leases.
 type CancelJob struct {
 	Key identifier.JobKey `json:"key"`
 }
 
-// StartDrain starts the drain of a zone. ID, when given, names the operation, so that
-// a repeated command starts no second one.
+// StartDrain starts the drain of a failure domain.
 type StartDrain struct {
 	Domain identifier.Domain `json:"domain"`
-	ID     string            `json:"id,omitempty"`
-	// AllowUnknown closes a domain of which no runner is known yet.
+	// ID names the drain, when given, so that a resend starts no second one.
+	ID string `json:"id,omitempty"`
+	// AllowUnknown drains a domain from which no runner has reported yet.
 	AllowUnknown bool `json:"unseen,omitempty"`
 }
 
-// EndDrain names a closing by its id or by its domain.
+// EndDrain reopens the scope of a drain, named by its id or by its domain.
 type EndDrain struct {
 	Name string `json:"name"`
 }
 
-// ReportRunner is what a runner says of itself. A new incarnation ends all leases of
-// the one before as lost, after Saves have been recorded.
+// ReportRunner is what a runner says of itself, committed whenever it changes. A new
+// incarnation ends all leases of the one before as lost, after Checkpoints have been
+// recorded.
 type ReportRunner struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"inc"`
@@ -86,13 +88,13 @@
 	Checkpoints []Checkpoint           `json:"saves,omitempty"`
 }
 
-// Checkpoint is the last progress told of a run that is about to be counted lost.
+// Checkpoint is the last checkpoint of an attempt that is about to be counted lost.
 type Checkpoint struct {
 	Lease identifier.LeaseID `json:"grant"`
 	Data  string             `json:"saved"`
 }
 
-// Outcome an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome string
 
 const (
@@ -100,27 +102,31 @@
 	OutcomeSuccess Outcome = "well"
 	// OutcomeDefect is a failure that counts against the task's allowed defects.
 	OutcomeDefect Outcome = "defect"
-	// OutcomeStopped is a run that ended because its lease was revoked.
+	// OutcomeStopped is an attempt that ended because its lease was revoked.
 	OutcomeStopped Outcome = "stopped"
-	// OutcomeLeaseLapsed is a run that the runner stopped because it had no contact for
-	// as long as its lease lasts.
+	// OutcomeLeaseLapsed is an attempt that the runner stopped because it had no
+	// contact with a server for as long as its lease lasts.
 	OutcomeLeaseLapsed Outcome = "lapsed"
-	// OutcomeGangBroken is a run that ended because another member of its gang did.
+	// OutcomeGangBroken is an attempt that ended because another member of its gang
+	// did.
 	OutcomeGangBroken Outcome = "broken"
-	// OutcomeGangIncomplete is a run that ended because its gang did not gather.
+	// OutcomeGangIncomplete is an attempt that ended because not all members of its
+	// gang started.
 	OutcomeGangIncomplete Outcome = "alone"
-	// OutcomeRejected is a start that the runner turned away; the run never began.
+	// OutcomeRejected is an attempt that the runner refused to start.
 	OutcomeRejected Outcome = "refused"
-	outcomeLost     Outcome = "lost"
+	// outcomeLost is an attempt whose runner was counted lost.
+	outcomeLost Outcome = "lost"
 )
 
-// End is the end of one attempt. Ref names the task again, for a lease that is
-// no longer known; Saved is the last progress, if any.
+// End is the end of one attempt.
 type End struct {
-	Lease      identifier.LeaseID `json:"grant"`
-	Task       identifier.TaskRef `json:"ref"`
-	Outcome    Outcome            `json:"how"`
-	Checkpoint string             `json:"saved,omitempty"`
+	Lease identifier.LeaseID `json:"grant"`
+	// Task names the task again, in case the lease is no longer open.
+	Task    identifier.TaskRef `json:"ref"`
+	Outcome Outcome            `json:"how"`
+	// Checkpoint is the last checkpoint, empty for none.
+	Checkpoint string `json:"saved,omitempty"`
 }
 
 // ReportEnds reports attempts that ended on one incarnation of a runner. Leases of
@@ -131,7 +137,8 @@
 	Ends        []End                  `json:"list"`
 }
 
-// Placement places tasks of one step; a gang's Nums and On cover it whole.
+// Placement places tasks of one step, the i-th of Tasks on the i-th of Runners. For a
+// gang it has all its waiting tasks.
 type Placement struct {
 	Job     identifier.JobKey   `json:"job"`
 	Step    int                 `json:"step"`
@@ -139,48 +146,51 @@
 	Runners []identifier.Runner `json:"on"`
 }
 
-// PlaceTasks opens leases. Each Put is checked against the state again and passed
-// over when it no longer holds.
+// PlaceTasks opens leases. Each placement is checked against the state again and
+// skipped when it is no longer valid.
 type PlaceTasks struct {
 	Placements []Placement `json:"puts"`
 }
 
-// RevokeLeases revokes leases; unknown ones are passed over.
+// RevokeLeases revokes leases; those no longer open are skipped.
 type RevokeLeases struct {
 	Leases []identifier.LeaseID `json:"grants"`
 	Reason string               `json:"why"`
 }
 
-// LoseRunner counts an incarnation of a runner as lost and ends all its leases. It
-// does nothing when the runner has reported another incarnation.
+// LoseRunner counts a runner as lost and ends all its leases, after Checkpoints have
+// been recorded. It does nothing when the runner has reported another incarnation.
 type LoseRunner struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"inc"`
 	Checkpoints []Checkpoint           `json:"saves,omitempty"`
 }
 
-// AdvanceDrain moves one closing on from one stage; Judge says that the time for
-// unconfirmed stops has run out.
+// AdvanceDrain carries out the stage that a drain is in.
 type AdvanceDrain struct {
-	ID       string `json:"id"`
-	From     Stage  `json:"from"`
-	JudgeNow bool   `json:"judge,omitempty"`
+	ID string `json:"id"`
+	// From is the stage that the leader saw; in another stage the command does
+	// nothing.
+	From Stage `json:"from"`
+	// JudgeNow says that the time for confirming stops has run out.
+	JudgeNow bool `json:"judge,omitempty"`
 }
 
-// Encode makes the data of a log entry.
+// Encode returns the data of a log entry.
 func (c *Command) Encode() []byte {
-	text, err := json.Marshal(c)
+	data, err := json.Marshal(c)
 	if err != nil {
-		panic(err)
+		panic(fmt.Sprintf("state: a command must always encode: %v", err))
 	}
-	return text
+	return data
 }
 
-// DecodeCommand wants to know every word of an entry: what this program does not
-// know it would not do, and its book would part from the others'.
-func DecodeCommand(text []byte) (*Command, error) {
+// DecodeCommand reads the data of a log entry. It fails on a field that this program
+// does not know: what the field asks for would not be done, and the state would
+// diverge from that of the other servers.
+func DecodeCommand(data []byte) (*Command, error) {
 	command := &Command{}
-	d := json.NewDecoder(bytes.NewReader(text))
+	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(command); err != nil {
 		return nil, err
--- a/internal/state/task_state.go
+++ b/internal/state/task_state.go
@@ -1,6 +1,6 @@
 package state
 
-// TaskState is where a task stands.
+// TaskState is the state of a task, and of a job that has ended.
 type TaskState string
 
 const (
