--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -8,43 +8,49 @@
 	"testing"
 )
 
-// TestEarlierLevels: a view and entries that the last program of a level wrote are
-// read, and done to the book as that program did: after each entry the answer
-// and the sum are the ones it had. testdata/level-N.txt is its own output.
+// TestEarlierLevels: a snapshot and log entries that the last program of an earlier level
+// wrote are read, and have the same effect as they had there: after each entry the
+// status and the checksum are the same. testdata/level-N.txt is that program's output.
 func TestEarlierLevels(t *testing.T) {
-	for _, former := range []struct {
+	for _, recorded := range []struct {
 		level   uint16
 		entries int
 	}{{2, 15}, {3, 52}} {
-		t.Run(fmt.Sprint(former.level), func(t *testing.T) { replayEntries(t, former.level, former.entries) })
+		t.Run(fmt.Sprint(recorded.level), func(t *testing.T) { replayEntries(t, recorded.level, recorded.entries) })
 	}
 }
 
 func replayEntries(t *testing.T, level uint16, entries int) {
+	t.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("testdata/level-%d.txt", level))
 	if err != nil {
 		t.Fatal(err)
 	}
-	view, rest, ok := bytes.Cut(text, []byte("\n===\n"))
-	b, err := Decode(view)
-	if !ok || err != nil || b.Level != level {
-		t.Fatalf("the former view: %v, level %d", err, b.Level)
+	snapshot, rest, ok := bytes.Cut(text, []byte("\n===\n"))
+	if !ok {
+		t.Fatal("no entries follow the snapshot")
+	}
+	store, err := Decode(snapshot)
+	if err != nil || store.Level != level {
+		t.Fatalf("snapshot of level %d: %v", level, err)
 	}
 	lines := strings.Split(strings.TrimSpace(string(rest)), "\n")
 	if len(lines) != 2*entries {
-		t.Fatalf("%d lines, want %d entries and what came of them", len(lines), entries)
+		t.Fatalf("%d lines, want %d entries and their outcomes", len(lines), entries)
 	}
 	for i := 0; i < len(lines); i += 2 {
-		c, err := DecodeCommand([]byte(lines[i]))
+		entry, outcome := lines[i], lines[i+1]
+		command, err := DecodeCommand([]byte(entry))
 		if err != nil {
 			t.Fatal(err)
 		}
-		r := b.Apply(c)
-		if have := fmt.Sprint(r.Status, " ", b.Checksum); have != lines[i+1] {
-			t.Fatalf("after %s: %s, the former program had %s", lines[i], have, lines[i+1])
+		result := store.Apply(command)
+		if have := fmt.Sprint(result.Status, " ", store.Checksum); have != outcome {
+			t.Fatalf("after %s: %s, the earlier program had %s", entry, have, outcome)
 		}
 	}
-	if back, err := Decode(b.Encode()); err != nil || back.Checksum != b.Checksum || back.Level != level {
+	loaded, err := Decode(store.Encode())
+	if err != nil || loaded.Checksum != store.Checksum || loaded.Level != level {
 		t.Errorf("read back: %v", err)
 	}
 }
--- a/internal/state/reordering_test.go
+++ b/internal/state/reordering_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"strings"
 	"testing"
@@ -10,12 +11,11 @@
 	"orchidward/internal/api/job"
 )
 
-// Orders without a number of their own: closing and reopening a domain, handing
-// a job in and cancelling it. Their copies are let arrive in every order, and
-// what comes of each is stated.
+// These tests are of requests without a version of their own: starting and ending the
+// drain of a domain, submitting and cancelling a job. Copies of them arrive in every
+// order, and each test states what comes of it.
 
-// permutations lists every order in which the copies can arrive: each of them a
-// different one, and those alike not told apart.
+// permutations lists the different orders in which the copies can arrive.
 func permutations(copies []string) [][]string {
 	var list [][]string
 	if len(copies) == 0 {
@@ -34,46 +34,44 @@
 	return list
 }
 
-const (
-	methodPost, methodDelete = "POST", "DELETE"
-	methodPut                = "PUT"
-)
-
-func (f *fixture) sendDrainRequest(verb, id string) {
+// sendDrainRequest starts the drain of the domain north for POST, and ends it for
+// DELETE.
+func (f *fixture) sendDrainRequest(method, id string) {
 	f.Helper()
-	if verb == methodPost {
-		f.apply(200, &Command{StartDrain: &StartDrain{Domain: "north", ID: id, AllowUnknown: true}})
+	if method == http.MethodPost {
+		f.apply(http.StatusOK, &Command{StartDrain: &StartDrain{Domain: "north", ID: id, AllowUnknown: true}})
 		return
 	}
-	if r := f.store.Apply(&Command{EndDrain: &EndDrain{Name: "north"}}); r.Status != 200 && r.Status != 404 {
+	if r := f.store.Apply(&Command{EndDrain: &EndDrain{Name: "north"}}); r.Status != http.StatusOK && r.Status != http.StatusNotFound {
 		f.Fatalf("reopening got %+v", r)
 	}
 }
 
-// domainDrained tells whether the domain is closed for good: a closing is in force that
-// is not on its way to being reopened.
+// domainDrained tells whether a drain of the domain north is in force that is not
+// being undone.
 func (f *fixture) domainDrained() bool {
-	var yes bool
-	for _, c := range f.store.Drains {
-		yes = yes || c.Domain == "north" && !c.Stage.Reopening()
+	for _, drain := range f.store.Drains {
+		if drain.Domain == "north" && !drain.Stage.Reopening() {
+			return true
+		}
 	}
-	return yes
+	return false
 }
 
-// TestDrainRequestOrders: the last to arrive decides. So an order and its copies do
-// no harm unless a copy arrives after a later order did: those copies must be
-// dropped on their way. A closing with an id of its own is not begun again by a
-// copy; only its overtaking is left.
+// TestDrainRequestOrders: the last request to arrive decides. So copies do no harm
+// unless one arrives after a later request did: such copies must be dropped on
+// their way. A drain with an id of its own is not started again by a copy; only
+// overtaking can do harm there.
 func TestDrainRequestOrders(t *testing.T) {
 	for _, id := range []string{"", "own"} {
-		for _, arrival := range permutations([]string{methodPost, methodPost, methodDelete, methodDelete}) {
+		for _, arrival := range permutations([]string{http.MethodPost, http.MethodPost, http.MethodDelete, http.MethodDelete}) {
 			f := newFixtureAtLevel(t, ResendLevel)
-			for _, verb := range arrival {
-				f.sendDrainRequest(verb, id)
+			for _, method := range arrival {
+				f.sendDrainRequest(method, id)
 			}
-			want := arrival[len(arrival)-1] == methodPost
+			want := arrival[len(arrival)-1] == http.MethodPost
 			if id != "" {
-				want = !slices.Contains(arrival[slices.Index(arrival, methodPost):], methodDelete)
+				want = !slices.Contains(arrival[slices.Index(arrival, http.MethodPost):], http.MethodDelete)
 			}
 			if f.domainDrained() != want {
 				t.Errorf("id %q, %s: closed is %v, want %v", id, strings.Join(arrival, " "), f.domainDrained(), want)
@@ -82,31 +80,36 @@
 	}
 }
 
-// TestDrainRequestsInOrder: with copies of a superseded order dropped, every
-// arrival ends as the operator's last order has it.
+// TestDrainRequestsInOrder: when copies of a superseded request are dropped, every
+// arrival ends as the last request says.
 func TestDrainRequestsInOrder(t *testing.T) {
-	for _, given := range [][]string{{methodPost, methodDelete}, {methodPost, methodDelete, methodPost}, {methodDelete, methodPost}, {methodPost, methodDelete, methodPost, methodDelete}} {
+	for _, given := range [][]string{
+		{http.MethodPost, http.MethodDelete},
+		{http.MethodPost, http.MethodDelete, http.MethodPost},
+		{http.MethodDelete, http.MethodPost},
+		{http.MethodPost, http.MethodDelete, http.MethodPost, http.MethodDelete},
+	} {
 		f := newFixtureAtLevel(t, ResendLevel)
-		for _, verb := range given {
-			f.sendDrainRequest(verb, "")
-			f.sendDrainRequest(verb, "")
+		for _, method := range given {
+			f.sendDrainRequest(method, "")
+			f.sendDrainRequest(method, "")
 		}
-		if want := given[len(given)-1] == methodPost; f.domainDrained() != want {
+		if want := given[len(given)-1] == http.MethodPost; f.domainDrained() != want {
 			t.Errorf("%s: closed is %v, want %v", strings.Join(given, " "), f.domainDrained(), want)
 		}
 	}
 }
 
-// TestEndDrainWithinOneMillisecond: however many closings of a domain began within one
-// millisecond, reopening it reopens the one in force.
+// TestEndDrainWithinOneMillisecond: however many drains of a domain started within
+// one millisecond, reopening the domain reopens the one in force.
 func TestEndDrainWithinOneMillisecond(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	for turn := 1; turn <= 30; turn++ {
-		f.sendDrainRequest(methodPost, "")
+		f.sendDrainRequest(http.MethodPost, "")
 		if !f.domainDrained() {
 			t.Fatalf("turn %d: closed, and it is open", turn)
 		}
-		f.sendDrainRequest(methodDelete, "")
+		f.sendDrainRequest(http.MethodDelete, "")
 		if f.domainDrained() {
 			t.Fatalf("turn %d: the reopening was acknowledged, and the domain stays closed", turn)
 		}
@@ -114,33 +117,36 @@
 }
 
 func submission(key identifier.JobKey) *Command {
-	steps := []job.Step{{Name: "one", Tasks: 1, MaxDefects: 1, Demand: job.Demand{Cores: 1, Mem: 1}, ExpectedRun: 1}}
-	return &Command{SubmitJob: &SubmitJob{Key: key, Spec: job.Spec{Row: "a", Steps: steps}}}
+	step := singleTaskStep(1)
+	step.MaxDefects = 1
+	spec := job.Spec{Row: "a", Steps: []job.Step{step}}
+	return &Command{SubmitJob: &SubmitJob{Key: key, Spec: spec}}
 }
 
-// sendJobRequest applies one copy and returns its status.
-func (f *fixture) sendJobRequest(verb string, key identifier.JobKey) int {
-	if verb == methodPut {
+// sendJobRequest applies one copy of a submission (PUT) or a cancel (DELETE) and
+// returns its status.
+func (f *fixture) sendJobRequest(method string, key identifier.JobKey) int {
+	if method == http.MethodPut {
 		return f.store.Apply(submission(key)).Status
 	}
 	return f.store.Apply(&Command{CancelJob: &CancelJob{Key: key}}).Status
 }
 
-// canBePlaced tells whether the job has anything that could be placed.
+// canBePlaced tells whether the job has a task that can be placed.
 func (f *fixture) canBePlaced(key identifier.JobKey) bool {
 	f.place(key, 0, []int{0}, "r1")
 	return f.openLeases(key) > 0
 }
 
-// TestCancelOrders: once a cancel has arrived, no copy of the job's submission
-// makes it run, whichever came first, also from a view, and no cancel is
-// refused.
+// TestCancelOrders: once a cancel has arrived, no copy of the submission makes the
+// job run, whichever came first, also when the store is read from a snapshot in
+// between, and no cancel is rejected.
 func TestCancelOrders(t *testing.T) {
-	for _, arrival := range permutations([]string{methodPut, methodPut, methodDelete, methodDelete}) {
+	for _, arrival := range permutations([]string{http.MethodPut, http.MethodPut, http.MethodDelete, http.MethodDelete}) {
 		f := newFixtureAtLevel(t, ResendLevel)
 		statuses := []int{}
-		for _, verb := range arrival {
-			statuses = append(statuses, f.sendJobRequest(verb, "a/x"))
+		for _, method := range arrival {
+			statuses = append(statuses, f.sendJobRequest(method, "a/x"))
 			f.reload()
 		}
 		name := strings.Join(arrival, " ")
@@ -148,81 +154,90 @@
 			t.Errorf("%s: cancelled, and the job runs", name)
 		}
 		for i, status := range statuses {
-			accepted := slices.Contains(arrival[:i+1], methodPut) && arrival[0] == methodPut
-			want := map[bool]map[string]int{true: {methodPut: 200, methodDelete: 200}, false: {methodPut: 503, methodDelete: 404}}[accepted][arrival[i]]
-			if i == 0 && arrival[i] == methodPut {
-				want = 201
-			}
-			if status != want {
-				t.Errorf("%s: answered %v, want %d at place %d", name, statuses, want, i+1)
+			if want := wantStatus(arrival, i); status != want {
+				t.Errorf("%s: answered %v, want %d as the answer %d", name, statuses, want, i+1)
 			}
 		}
 	}
 }
 
-// TestTombstones: a cancel that finds no job holds its id for as long as a
-// submission can still be under way and no longer; holding is bounded and
-// waits for its level.
+// wantStatus is the status that the i-th request to arrive must get: a job is accepted
+// only when a submission was the first to arrive.
+func wantStatus(arrival []string, i int) int {
+	submittedFirst := arrival[0] == http.MethodPut
+	switch {
+	case submittedFirst && i == 0:
+		return http.StatusCreated
+	case submittedFirst:
+		return http.StatusOK
+	case arrival[i] == http.MethodPut:
+		return http.StatusServiceUnavailable
+	}
+	return http.StatusNotFound
+}
+
+// TestTombstones: a cancel that finds no job rejects submissions of its id for as
+// long as one can still be under way, and no longer. Tombstones are bounded, and
+// below ResendLevel there are none.
 func TestTombstones(t *testing.T) {
-	const holdMs, holdsMost = 31_000, 4096
+	const lifetimeMs, limit = 31_000, 4096
 	f := newFixtureAtLevel(t, ResendLevel)
-	f.apply(404, &Command{At: 2000, CancelJob: &CancelJob{Key: "a/x"}})
+	f.apply(http.StatusNotFound, &Command{At: 2000, CancelJob: &CancelJob{Key: "a/x"}})
 	early := submission("a/x")
-	early.At = 2000 + holdMs - 1
-	if r := f.store.Apply(early); r.Status != 503 || r.Code != "just-cancelled" || r.RetryAfter != 1 {
+	early.At = 2000 + lifetimeMs - 1
+	if r := f.store.Apply(early); r.Status != http.StatusServiceUnavailable || r.Code != "just-cancelled" || r.RetryAfter != 1 {
 		t.Errorf("a submission just after the cancel got %+v", r)
 	}
 	later := submission("a/x")
-	later.At = 2000 + holdMs
-	f.apply(201, later)
+	later.At = 2000 + lifetimeMs
+	f.apply(http.StatusCreated, later)
 	if !f.canBePlaced("a/x") {
-		t.Error("submitted after the hold, the job does not run")
+		t.Error("submitted after the tombstone expired, the job does not run")
 	}
 
-	for i := 0; i < holdsMost; i++ {
-		f.apply(404, &Command{CancelJob: &CancelJob{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
+	for i := range limit {
+		f.apply(http.StatusNotFound, &Command{CancelJob: &CancelJob{Key: identifier.JobKey(fmt.Sprintf("a/%d", i))}})
 	}
-	f.apply(503, &Command{CancelJob: &CancelJob{Key: "a/more"}})
-	f.apply(404, &Command{CancelJob: &CancelJob{Key: "a/17"}})
-	if n := len(f.store.Tombstones); n != holdsMost {
-		t.Errorf("%d ids are held, want %d at most", n, holdsMost)
+	f.apply(http.StatusServiceUnavailable, &Command{CancelJob: &CancelJob{Key: "a/more"}})
+	f.apply(http.StatusNotFound, &Command{CancelJob: &CancelJob{Key: "a/17"}})
+	if n := len(f.store.Tombstones); n != limit {
+		t.Errorf("%d tombstones, want %d at most", n, limit)
 	}
-	f.apply(404, &Command{At: later.At + 2*holdMs, CancelJob: &CancelJob{Key: "a/more"}})
-	for i := 0; i < holdsMost; i++ {
+	f.apply(http.StatusNotFound, &Command{At: later.At + 2*lifetimeMs, CancelJob: &CancelJob{Key: "a/more"}})
+	for range limit {
 		f.apply(0, &Command{})
 	}
 	if n := len(f.store.Tombstones); n != 1 {
-		t.Errorf("%d ids are still held after their time", n)
+		t.Errorf("%d tombstones are left after their time", n)
 	}
 
-	former := newFixtureAtLevel(t, CatalogLevel)
-	former.apply(404, &Command{CancelJob: &CancelJob{Key: "a/x"}})
-	former.apply(201, submission("a/x"))
+	earlier := newFixtureAtLevel(t, CatalogLevel)
+	earlier.apply(http.StatusNotFound, &Command{CancelJob: &CancelJob{Key: "a/x"}})
+	earlier.apply(http.StatusCreated, submission("a/x"))
 }
 
-// TestDrainIDRetention: a closing's id is known while the closing is, which is
-// for 64 others; a copy of its order that comes later begins it again, and must
-// be dropped on its way.
+// TestDrainIDRetention: the id of a drain is known as long as the drain is kept,
+// which is for 64 others. A copy of the request that arrives later starts the drain
+// again; it must be dropped on its way.
 func TestDrainIDRetention(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
-	reopen := func(domain identifier.Domain, id string) {
-		f.apply(200, &Command{At: f.store.Now + 1, StartDrain: &StartDrain{Domain: domain, ID: id, AllowUnknown: true}})
-		f.apply(200, &Command{EndDrain: &EndDrain{Name: string(domain)}})
-		for _, stage := range []Stage{Preopen, Opening, Postopen} {
-			f.store.Apply(&Command{AdvanceDrain: &AdvanceDrain{ID: id, From: stage}})
-		}
+	drainAndReopen := func(domain identifier.Domain, id string) {
+		start := &StartDrain{Domain: domain, ID: id, AllowUnknown: true}
+		f.apply(http.StatusOK, &Command{At: f.store.Now + 1, StartDrain: start})
+		f.apply(http.StatusOK, &Command{EndDrain: &EndDrain{Name: string(domain)}})
+		f.advanceDrain(id, Preopen, Opening, Postopen)
 	}
-	reopen("north", "own")
+	drainAndReopen("north", "own")
 	for n := 1; n < maxDrains; n++ {
-		reopen("east", fmt.Sprint("other-", n))
+		drainAndReopen("east", fmt.Sprint("other-", n))
 	}
-	f.sendDrainRequest(methodPost, "own")
+	f.sendDrainRequest(http.MethodPost, "own")
 	if f.domainDrained() {
-		t.Error("a copy closed the domain again while the closing was known")
+		t.Error("a copy drained the domain again while the drain was known")
 	}
-	reopen("east", "one more")
-	f.sendDrainRequest(methodPost, "own")
+	drainAndReopen("east", "one more")
+	f.sendDrainRequest(http.MethodPost, "own")
 	if !f.domainDrained() {
-		t.Error("the closing is still known after 64 others")
+		t.Error("the drain is still known after 64 others")
 	}
 }
--- /dev/null
+++ b/internal/state/repeat_test.go
@@ -0,0 +1,61 @@
+package state
+
+import (
+	"fmt"
+	"net/http"
+	"testing"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+)
+
+// TestRepeatedJob: a repeated job costs one record until an occurrence is due.
+// Occurrences may overlap, none starts early, the job ends with its last one, and
+// cancelling it ends them all and starts no more.
+func TestRepeatedJob(t *testing.T) {
+	f := newQueueFixture(t)
+	steps := []job.Step{{Tasks: 1}}
+	f.submitToQueue("q/r", job.Spec{Repeat: &job.Repeat{Count: 3, First: 10000, Every: 1000}, Steps: steps})
+	f.submitToQueue("q/c", job.Spec{Repeat: &job.Repeat{Count: 100000, First: 10000, Every: 1000}, Steps: steps})
+	if n := len(f.store.Jobs); n != 2 {
+		t.Errorf("%d jobs before any occurrence is due", n)
+	}
+	f.store.Apply(&Command{At: 9999})
+	f.wantState("q/r", "waiting")
+	if at, ok := f.store.NextScheduledStart(); !ok || at != 10000 {
+		t.Errorf("next start at %d %v", at, ok)
+	}
+	f.store.Apply(&Command{At: 11500})
+	f.wantState("q/r", "running")
+	if f.store.Jobs["q/r.0"] == nil || f.store.Jobs["q/r.1"] == nil || f.store.Jobs["q/r.2"] != nil {
+		t.Error("at 11.5 s occurrences 0 and 1 must have started, and 2 must not")
+	}
+	if due := f.store.Jobs["q/r.1"].Terms.DueAt; due != 11000+2*1000+1000 {
+		t.Errorf("occurrence 1 is due at %d", due)
+	}
+	loaded, err := Decode(f.store.Encode())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if loaded.QueuedJobs("q") != 2 || loaded.Jobs["q/r"].openOccurrences != 2 {
+		t.Errorf("read back: %d queued, %d occurrences", loaded.QueuedJobs("q"), loaded.Jobs["q/r"].openOccurrences)
+	}
+	f.apply(http.StatusOK, &Command{CancelJob: &CancelJob{Key: "q/c"}})
+	f.store.Apply(&Command{At: 60000})
+	f.wantState("q/c", "cancelled")
+	if f.store.Jobs["q/c.2"] != nil {
+		t.Error("an occurrence started after the cancel")
+	}
+	for number := range 3 {
+		key := identifier.JobKey(fmt.Sprintf("q/r.%d", number))
+		f.wantState("q/r", "running")
+		f.place(key, 0, []int{0}, "r5")
+		f.reportEnd("r5", "a", f.firstTask(key).Lease, identifier.TaskRef{Job: key}, OutcomeSuccess)
+	}
+	f.wantState("q/r", "well")
+	if n := f.store.QueuedJobs("q"); n != 0 {
+		t.Errorf("%d jobs are left in the queue", n)
+	}
+	likeOccurrence := job.Spec{Queue: "q", Steps: []job.Step{{Name: "s", Tasks: 1}}}
+	f.apply(http.StatusUnprocessableEntity, &Command{SubmitJob: &SubmitJob{Key: "q/z.1", Spec: likeOccurrence}})
+}
