--- /dev/null
+++ b/internal/scheduler/queues.go
@@ -0,0 +1,237 @@
+package scheduler
+
+import (
+	"cmp"
+	"slices"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
+	"orchidward/internal/scheduler/feasibility"
+	"orchidward/internal/state"
+)
+
+// timeliness tells what a queue's job is still worth if it goes on now.
+type timeliness int
+
+const (
+	// onTime jobs can still be done by when they are due.
+	onTime timeliness = iota
+	// late jobs are worth less.
+	late
+	// tooLate jobs are worth nothing any more.
+	tooLate
+)
+
+// lateFactor is how many times its target a job may take and still be worth something.
+const lateFactor = 3
+
+func timelinessOf(j *state.Job, now clock.ClusterTime) timeliness {
+	end := now.Add(j.RemainingCriticalPath())
+	switch {
+	case end <= j.Terms.DueAt:
+		return onTime
+	case end <= j.Terms.DueAt.Add((lateFactor-1)*j.Terms.Target):
+		return late
+	}
+	return tooLate
+}
+
+// scheduleQueues places the jobs of queues: those on time first, then the late ones, then
+// those that are too late; of each by priority, and then by when they are due.
+func (c *cycle) scheduleQueues() {
+	for want := onTime; want <= tooLate; want++ {
+		misses, seen := 0, 0
+		c.store.EachQueueJob(func(j *state.Job) bool {
+			if timelinessOf(j, c.store.Now) != want {
+				return true
+			}
+			if result := c.tryJob(j, c.tryQueueUnit); !result.placed && result.newShape {
+				misses++
+			}
+			seen++
+			return !c.full() && misses <= maxMisses && seen <= maxJobsSeen
+		})
+	}
+}
+
+// tryQueueUnit tries to place a unit of a queue's job.
+func (c *cycle) tryQueueUnit(u *unit) attempt {
+	shape := queueShape(u)
+	if reason, known := c.unplaceable[shape]; known {
+		c.plan.Reasons.add(u, reason)
+		return attempt{}
+	}
+	nodes := c.findQueueNodes(u)
+	if nodes == nil {
+		reason := c.reserveForQueue(u)
+		c.unplaceable[shape] = reason
+		c.plan.Reasons.add(u, reason)
+		return attempt{newShape: true}
+	}
+	for _, n := range nodes {
+		n.free = n.free.Minus(u.spec().Demand)
+	}
+	c.place(u, nodes)
+	return attempt{placed: true, newShape: true}
+}
+
+func queueShape(u *unit) unitShape {
+	step := u.spec()
+	shape := unitShape{demand: step.Demand, count: len(u.nums)}
+	shape.constraints = u.job.Terms.Pool + "/" + string(step.PreferredRack)
+	for _, label := range step.Labels {
+		shape.constraints += " " + string(label)
+	}
+	if step.MaxPerRunner > 0 {
+		shape.constraints += " apart " + string(u.job.Key)
+	}
+	return shape
+}
+
+// findQueueNodes finds a node for every task of the unit, or none at all; nil is returned
+// when the unit does not fit. It takes no resources yet.
+func (c *cycle) findQueueNodes(u *unit) []*node {
+	pool := c.pools[u.job.Terms.Pool]
+	step := u.spec()
+	if step.Gang && step.OneRack {
+		for _, rack := range nodesByRack(pool, step.PreferredRack) {
+			if nodes := c.assignNodes(u, rack); nodes != nil {
+				return nodes
+			}
+		}
+	}
+	return c.assignNodes(u, pool)
+}
+
+// rackNodes are the nodes of one rack.
+type rackNodes struct {
+	nodes   []*node
+	freeCPU int64
+	// preferred says that the rack is near the data of the task.
+	preferred bool
+}
+
+// nodesByRack groups the nodes by rack: the preferred one first, then those with the
+// least free CPU.
+func nodesByRack(nodes []*node, preferred identifier.Rack) [][]*node {
+	var racks []*rackNodes
+	byName := map[identifier.Rack]*rackNodes{}
+	for _, n := range nodes {
+		name := n.runner.Rack
+		rack := byName[name]
+		if rack == nil {
+			rack = &rackNodes{preferred: name == preferred}
+			byName[name] = rack
+			racks = append(racks, rack)
+		}
+		rack.nodes = append(rack.nodes, n)
+		rack.freeCPU += n.free.CPU()
+	}
+	slices.SortStableFunc(racks, compareRacks)
+	var sorted [][]*node
+	for _, rack := range racks {
+		sorted = append(sorted, rack.nodes)
+	}
+	return sorted
+}
+
+func compareRacks(a, b *rackNodes) int {
+	switch {
+	case a.preferred && !b.preferred:
+		return -1
+	case b.preferred && !a.preferred:
+		return 1
+	}
+	return cmp.Compare(a.freeCPU, b.freeCPU)
+}
+
+// assignment adds up the tasks of one unit on nodes that they are not yet placed on.
+type assignment struct {
+	used  map[*node]job.Demand
+	tasks map[*node]int64
+}
+
+// assignNodes gives each task of the unit the node with the best score at that moment; nil
+// is returned when a task fits on none.
+func (c *cycle) assignNodes(u *unit, candidates []*node) []*node {
+	var assigned []*node
+	sofar := assignment{used: map[*node]job.Demand{}, tasks: map[*node]int64{}}
+	for _, num := range u.nums {
+		n := c.bestQueueNode(u, u.task(num), candidates, sofar)
+		if n == nil {
+			return nil
+		}
+		sofar.used[n] = sofar.used[n].Plus(u.spec().Demand)
+		sofar.tasks[n]++
+		assigned = append(assigned, n)
+	}
+	return assigned
+}
+
+func (c *cycle) bestQueueNode(u *unit, task *state.Task, candidates []*node, sofar assignment) *node {
+	step := u.spec()
+	var best *node
+	var bestScore int64
+	for _, n := range candidates {
+		if !step.Demand.Fits(n.unreserved().Minus(sofar.used[n])) || !n.eligible(step) {
+			continue
+		}
+		if step.MaxPerRunner > 0 && c.tasksOn(u, n)+sofar.tasks[n] >= step.MaxPerRunner {
+			continue
+		}
+		score := n.score(step.Demand, task.AvoidRunner) + n.slowness()
+		if step.PreferredRack != "" && step.PreferredRack != n.runner.Rack {
+			score += otherRackPenalty
+		}
+		if best == nil || score < bestScore {
+			best = n
+			bestScore = score
+		}
+	}
+	return best
+}
+
+// tasksOn is the number of tasks of the unit's step on a node: those with an open lease,
+// and those placed in this cycle.
+func (c *cycle) tasksOn(u *unit, n *node) int64 {
+	count := c.store.TasksBeside(u.job, u.step, n.runner)
+	for _, placement := range c.plan.Placements {
+		if placement.Job != u.job.Key || placement.Step != u.step {
+			continue
+		}
+		for _, name := range placement.Runners {
+			if name == n.runner.Name {
+				count++
+			}
+		}
+	}
+	return count
+}
+
+// reserveForQueue returns the reason why a unit that does not fit waits. For the first one
+// of its pool that only lacks free resources it reserves them.
+func (c *cycle) reserveForQueue(u *unit) string {
+	step := u.spec()
+	pool := u.job.Terms.Pool
+	var eligible []*node
+	for _, n := range c.pools[pool] {
+		if feasibility.HasLabels(n.runner.Labels, step.Labels) && !n.onTrial {
+			eligible = append(eligible, n)
+		}
+	}
+	if len(eligible) == 0 {
+		return reasonNoEligibleRunner
+	}
+	sortBySize(eligible, func(n *node) int64 { return n.unreserved().CPU() })
+	nodes := reservableNodes(u, eligible, step.MaxPerRunner)
+	if nodes == nil {
+		return reasonTooLarge
+	}
+	if c.poolReserved[pool] {
+		return reasonWaits
+	}
+	c.poolReserved[pool] = true
+	reserve(u, nodes)
+	return reasonWaitsReserved
+}
--- /dev/null
+++ b/internal/scheduler/reasons.go
@@ -0,0 +1,42 @@
+package scheduler
+
+import (
+	"fmt"
+
+	"orchidward/internal/api/identifier"
+)
+
+// Reasons tells people, by job and step, why tasks still wait.
+type Reasons map[identifier.JobKey]map[int]string
+
+// maxReasons bounds the jobs that a plan gives reasons for.
+const maxReasons = 500
+
+// The reasons why a unit of work waits.
+const (
+	reasonNoEligibleRunner = "no runner in reach has what it needs"
+	reasonTooLarge         = "larger than the runners in reach could hold"
+	reasonWaits            = "waits for room"
+	reasonWaitsReserved    = "waits for room, which is being kept for it"
+)
+
+func reasonNoLabels(labels []identifier.Label) string {
+	return fmt.Sprintf("no runner in reach has labels %v", labels)
+}
+
+func reasonRowLimit(row identifier.Row) string {
+	return "row " + string(row) + " is at its limit of room in use"
+}
+
+// add records why a step waits, unless there are too many reasons already.
+func (r Reasons) add(u *unit, reason string) {
+	if len(r) >= maxReasons {
+		return
+	}
+	steps := r[u.job.Key]
+	if steps == nil {
+		steps = map[int]string{}
+		r[u.job.Key] = steps
+	}
+	steps[u.step] = reason
+}
--- /dev/null
+++ b/internal/scheduler/schedule.go
@@ -0,0 +1,110 @@
+package scheduler
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/scheduler/policy"
+	"orchidward/internal/state"
+)
+
+// Bounds of one cycle, so that it does not keep the leader from its other work.
+const (
+	// maxPlacedTasks is the number of placed tasks after which a cycle ends.
+	maxPlacedTasks = 128
+	// maxMisses is the number of jobs of one row, or of all queues, that were found
+	// not to fit after which the cycle turns to the next.
+	maxMisses = 64
+	// maxJobsSeen is the number of jobs after which it does so in any case.
+	maxJobsSeen = 600
+)
+
+// Plan is the result of a cycle.
+type Plan struct {
+	Placements []state.Placement
+	// Preemptions are the leases to revoke in favour of displaced work.
+	Preemptions []identifier.LeaseID
+	// Reasons tells why the steps that the cycle looked at still wait.
+	Reasons Reasons
+	// Policies tells how the placement policies of the rows did.
+	Policies PolicyResults
+}
+
+func newPlan() Plan {
+	return Plan{Reasons: Reasons{}, Policies: PolicyResults{}}
+}
+
+// normalPace is the pace of a runner on which tasks take as long as expected.
+const normalPace = 1000
+
+// RunnerView is what a leader knows of runners beyond the state.
+type RunnerView struct {
+	// Fresh tells whether the runner may be given tasks now.
+	Fresh func(r identifier.Runner) bool
+	// Pace is how fast tasks run there, in thousandths of the expected pace.
+	Pace func(r identifier.Runner) int64
+}
+
+// cycle is one scheduling cycle.
+type cycle struct {
+	store    *state.Store
+	capacity job.Demand
+	// nodes are the runners that belong to no pool, pools those of each pool of the
+	// catalogue.
+	nodes []*node
+	pools map[string][]*node
+	// rowUse is the demand of each row's open leases and placements so far.
+	rowUse map[identifier.Row]job.Demand
+	// rowReserved and poolReserved tell where resources are reserved already.
+	rowReserved  bool
+	poolReserved map[string]bool
+	// placed has the first task of each unit of a row's job that was placed.
+	placed map[identifier.TaskRef]bool
+	// unplaceable has the shapes that were found not to fit, with the reason.
+	unplaceable map[unitShape]string
+	placedTasks int
+
+	policies     *policy.Cache
+	policyScores int
+
+	plan Plan
+}
+
+// Schedule plans placements and preemptions from the state as it is and does not change
+// it. The plan is a proposal: the state machine checks every placement again.
+func Schedule(store *state.Store, view RunnerView, policies *policy.Cache) Plan {
+	if !store.HasPending() {
+		return newPlan()
+	}
+	c := newCycle(store, view, policies)
+	c.scheduleQueues()
+	c.scheduleDisplaced()
+	c.scheduleRows()
+	return c.plan
+}
+
+func newCycle(store *state.Store, view RunnerView, policies *policy.Cache) *cycle {
+	nodes, pools := splitByPool(usableNodes(store, view))
+	for _, pool := range pools {
+		for _, n := range pool {
+			n.pace = view.Pace(n.runner.Name)
+		}
+	}
+	c := &cycle{
+		store:        store,
+		capacity:     store.TotalCapacity(),
+		nodes:        nodes,
+		pools:        pools,
+		rowUse:       map[identifier.Row]job.Demand{},
+		poolReserved: map[string]bool{},
+		placed:       map[identifier.TaskRef]bool{},
+		unplaceable:  map[unitShape]string{},
+		policies:     policies,
+		plan:         newPlan(),
+	}
+	for _, row := range store.Limits.RowNames() {
+		c.rowUse[row] = store.InUse(row)
+	}
+	return c
+}
+
+func (c *cycle) full() bool { return c.placedTasks >= maxPlacedTasks }
--- a/internal/scheduler/plan_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -37,7 +37,13 @@
 }
 
 func look(b *state.Store) Plan {
-	return Round(b, func(identifier.Runner) bool { return true }, policy.NewCache())
+	return scheduleOn(b, func(identifier.Runner) bool { return true })
+}
+
+// scheduleOn runs a cycle in which all runners work at the normal pace.
+func scheduleOn(b *state.Store, fresh func(r identifier.Runner) bool) Plan {
+	pace := func(identifier.Runner) int64 { return normalPace }
+	return Schedule(b, RunnerView{Fresh: fresh, Pace: pace}, policy.NewCache())
 }
 
 func place(b *state.Store) Plan {
@@ -239,7 +245,7 @@
 	asked := 0
 	round := func() Plan {
 		asked = 0
-		return Round(b, func(identifier.Runner) bool { asked++; return true }, policy.NewCache())
+		return scheduleOn(b, func(identifier.Runner) bool { asked++; return true })
 	}
 	if out := round(); asked > 0 || out.Reasons == nil || out.Policies == nil || len(out.Placements)+len(out.Preemptions)+len(out.Reasons)+len(out.Policies) > 0 {
 		t.Errorf("with no job at all: %d asked, %+v", asked, out)
