--- a/internal/scheduler/queues_test.go
+++ b/internal/scheduler/queues_test.go
@@ -12,7 +12,7 @@
 	"orchidward/internal/state"
 )
 
-func queues(t *testing.T, runners int) *state.Store {
+func newQueueStore(t *testing.T, runners int) *state.Store {
 	b := state.New()
 	b.Level = state.CatalogLevel
 	c := &catalog.Change{Version: 1, Whole: true, Checksum: "x", Pools: []catalog.Pool{{Name: "p"}}}
@@ -29,7 +29,7 @@
 	return b
 }
 
-func submit(t *testing.T, b *state.Store, id, queue string, at clock.ClusterTime, s job.Step) {
+func submitToQueue(t *testing.T, b *state.Store, id, queue string, at clock.ClusterTime, s job.Step) {
 	t.Helper()
 	s.MaxDefects, s.Name = 1, "s"
 	if s.ExpectedRun == 0 {
@@ -40,29 +40,29 @@
 	}
 }
 
-// TestHope: with room for one, what can still be in time goes before what is
+// TestTimelyJobsFirst: with room for one, what can still be in time goes before what is
 // late, whatever its rank; among equals rank, then the sooner due.
-func TestHope(t *testing.T) {
+func TestTimelyJobsFirst(t *testing.T) {
 	whole := job.Demand{MilliCores: 8000, Mem: 1}
-	b := queues(t, 1)
-	submit(t, b, "late", "q0", 1000, job.Step{Tasks: 1, Demand: whole})
-	submit(t, b, "second", "q2", 60000, job.Step{Tasks: 1, Demand: whole})
-	submit(t, b, "first", "q1", 60001, job.Step{Tasks: 1, Demand: whole})
+	b := newQueueStore(t, 1)
+	submitToQueue(t, b, "late", "q0", 1000, job.Step{Tasks: 1, Demand: whole})
+	submitToQueue(t, b, "second", "q2", 60000, job.Step{Tasks: 1, Demand: whole})
+	submitToQueue(t, b, "first", "q1", 60001, job.Step{Tasks: 1, Demand: whole})
 	for _, want := range []identifier.JobKey{"q/first", "q/second", "q/late"} {
-		out := place(b)
+		out := scheduleAndPlace(b)
 		if len(out.Placements) != 1 || out.Placements[0].Job != want {
 			t.Fatalf("want %s, placed %+v", want, out.Placements)
 		}
-		endAll(b, func(*state.Lease) bool { return false })
+		endLeases(b, func(*state.Lease) bool { return false })
 	}
 }
 
-// TestRacks: a gang that wants one rack gets one that has room for all of it; a
+// TestRackPreferences: a gang that wants one rack gets one that has room for all of it; a
 // task goes near its data while there is room, and elsewhere when there isn't.
-func TestRacks(t *testing.T) {
-	b := queues(t, 6)
-	submit(t, b, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
-	out := place(b)
+func TestRackPreferences(t *testing.T) {
+	b := newQueueStore(t, 6)
+	submitToQueue(t, b, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
+	out := scheduleAndPlace(b)
 	racks := map[identifier.Rack]bool{}
 	for _, on := range out.Placements[0].Runners {
 		racks[b.Runners[on].Rack] = true
@@ -70,9 +70,9 @@
 	if len(out.Placements) != 1 || len(racks) != 1 {
 		t.Errorf("the gang stands in %v", racks)
 	}
-	b = queues(t, 6)
-	submit(t, b, "n", "q0", 10, job.Step{Tasks: 4, PreferredRack: "k1", Demand: job.Demand{MilliCores: 8000, Mem: 1}})
-	out = place(b)
+	b = newQueueStore(t, 6)
+	submitToQueue(t, b, "n", "q0", 10, job.Step{Tasks: 4, PreferredRack: "k1", Demand: job.Demand{MilliCores: 8000, Mem: 1}})
+	out = scheduleAndPlace(b)
 	near := 0
 	for _, p := range out.Placements {
 		if b.Runners[p.Runners[0]].Rack == "k1" {
@@ -84,11 +84,11 @@
 	}
 }
 
-// TestPace: a runner on which work goes slowly comes last, and one that may not
+// TestSlowRunnerComesLast: a runner on which work goes slowly comes last, and one that may not
 // be given work gets none.
-func TestPace(t *testing.T) {
-	b := queues(t, 3)
-	submit(t, b, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
+func TestSlowRunnerComesLast(t *testing.T) {
+	b := newQueueStore(t, 3)
+	submitToQueue(t, b, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
 	out := Schedule(b, RunnerView{Fresh: func(n identifier.Runner) bool { return n != "r01" }, Pace: func(n identifier.Runner) int64 {
 		if n == "r00" {
 			return 200
@@ -104,20 +104,20 @@
 	}
 }
 
-// TestQueueRoundsAreSound: random work with every wish a step can have; whatever
+// TestQueuePlacementsAreValid: random work with every wish a step can have; whatever
 // a round proposes, the book takes it all.
-func TestQueueRoundsAreSound(t *testing.T) {
+func TestQueuePlacementsAreValid(t *testing.T) {
 	for seed := 0; seed < 20; seed++ {
-		b := queues(t, 7)
+		b := newQueueStore(t, 7)
 		n := uint32(seed*7919 + 1)
 		rnd := func(k uint32) int64 { n = n*1664525 + 1013904223; return int64(n >> 8 % k) }
 		for i := 0; i < 40; i++ {
-			submit(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), clock.ClusterTime(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
+			submitToQueue(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), clock.ClusterTime(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
 				MaxPerRunner: rnd(3), PreferredRack: identifier.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{MilliCores: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
 			if i%3 != 0 {
 				continue
 			}
-			out := look(b)
+			out := scheduleOnce(b)
 			want := 0
 			for _, p := range out.Placements {
 				want += len(p.Tasks)
@@ -127,7 +127,7 @@
 			if have := len(b.Leases) - was; have != want {
 				t.Fatalf("seed %d: %d proposed, %d taken", seed, want, have)
 			}
-			endAll(b, func(_ *state.Lease) bool { return rnd(2) == 0 })
+			endLeases(b, func(_ *state.Lease) bool { return rnd(2) == 0 })
 		}
 	}
 }
--- a/internal/scheduler/schedule_test.go
+++ b/internal/scheduler/schedule_test.go
@@ -12,7 +12,7 @@
 	"orchidward/internal/state"
 )
 
-func site(t testing.TB, runners int, cells string) *state.Store {
+func newRowStore(t testing.TB, runners int, cells string) *state.Store {
 	t.Helper()
 	b := state.New()
 	var f jsondoc.FieldErrors
@@ -28,7 +28,7 @@
 	return b
 }
 
-func hand(t testing.TB, b *state.Store, key identifier.JobKey, row identifier.Row, urgency int64, s job.Step) {
+func submitToRow(t testing.TB, b *state.Store, key identifier.JobKey, row identifier.Row, urgency int64, s job.Step) {
 	t.Helper()
 	s.MaxDefects, s.ExpectedRun, s.Demand.Mem = 1, 1, 1
 	if r := b.Apply(&state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: job.Spec{Row: row, Urgency: urgency, Steps: []job.Step{s}}}}); !r.OK() {
@@ -36,7 +36,7 @@
 	}
 }
 
-func look(b *state.Store) Plan {
+func scheduleOnce(b *state.Store) Plan {
 	return scheduleOn(b, func(identifier.Runner) bool { return true })
 }
 
@@ -46,13 +46,13 @@
 	return Schedule(b, RunnerView{Fresh: fresh, Pace: pace}, policy.NewCache())
 }
 
-func place(b *state.Store) Plan {
-	out := look(b)
+func scheduleAndPlace(b *state.Store) Plan {
+	out := scheduleOnce(b)
 	b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
 	return out
 }
 
-func endAll(b *state.Store, keep func(g *state.Lease) bool) {
+func endLeases(b *state.Store, keep func(g *state.Lease) bool) {
 	for id := identifier.LeaseID(1); id < b.NextLease; id++ {
 		if g := b.Leases[id]; g != nil && !keep(g) {
 			b.Apply(&state.Command{ReportEnds: &state.ReportEnds{Runner: g.Runner, Incarnation: g.Incarnation, Ends: []state.End{{Lease: id, Task: g.Task, Outcome: state.OutcomeSuccess}}}})
@@ -60,17 +60,17 @@
 	}
 }
 
-// TestShares: rows that all want more get room by their weights, and even the
+// TestSharesFollowWeights: rows that all want more get room by their weights, and even the
 // lightest is not starved.
-func TestShares(t *testing.T) {
-	b := site(t, 10, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
+func TestSharesFollowWeights(t *testing.T) {
+	b := newRowStore(t, 10, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 	for i := 0; i < 200; i++ {
 		for _, row := range []identifier.Row{"a", "b", "c"} {
-			hand(t, b, identifier.JobKey(fmt.Sprintf("x/%s%d", row, i)), row, 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+			submitToRow(t, b, identifier.JobKey(fmt.Sprintf("x/%s%d", row, i)), row, 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 		}
 	}
-	place(b)
-	place(b)
+	scheduleAndPlace(b)
+	scheduleAndPlace(b)
 	for row, want := range map[identifier.Row]int64{"a": 10, "b": 20, "c": 50} {
 		if have := b.InUse(row).Cores; have < want-1 || have > want+1 {
 			t.Errorf("row %s has %d cores in use, want %d", row, have, want)
@@ -78,23 +78,23 @@
 	}
 }
 
-// TestBigGangGetsItsRoom: small work that keeps coming must not keep a gang
+// TestGangIsNotStarved: small work that keeps coming must not keep a gang
 // out for ever, and meanwhile goes on where the gang won't be.
-func TestBigGangGetsItsRoom(t *testing.T) {
-	b := site(t, 4, `{"big.weight":1,"small.weight":1}`)
+func TestGangIsNotStarved(t *testing.T) {
+	b := newRowStore(t, 4, `{"big.weight":1,"small.weight":1}`)
 	n := 0
 	more := func() {
 		for i := 0; i < 40; i++ {
 			n++
-			hand(t, b, identifier.JobKey(fmt.Sprintf("x/s%d", n)), "small", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+			submitToRow(t, b, identifier.JobKey(fmt.Sprintf("x/s%d", n)), "small", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 		}
 	}
 	more()
-	place(b)
-	hand(t, b, "x/big", "big", 0, job.Step{Name: "g", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 8}})
+	scheduleAndPlace(b)
+	submitToRow(t, b, "x/big", "big", 0, job.Step{Name: "g", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 8}})
 	for turn := 0; turn < 12; turn++ {
 		more()
-		place(b)
+		scheduleAndPlace(b)
 		if b.Jobs["x/big"].State() == "running" {
 			if b.InUse("small").Cores == 0 {
 				t.Error("small work stood still though a runner was free for it")
@@ -102,69 +102,69 @@
 			return
 		}
 		// Half of what runs ends at each turn, as small work comes and goes.
-		endAll(b, func(g *state.Lease) bool { return (int(g.ID)+turn)%2 == 0 })
+		endLeases(b, func(g *state.Lease) bool { return (int(g.ID)+turn)%2 == 0 })
 	}
-	t.Errorf("the gang still waits: %v", look(b).Reasons["x/big"])
+	t.Errorf("the gang still waits: %v", scheduleOnce(b).Reasons["x/big"])
 }
 
-// TestImpossibleBlocksNobody: work no runner could hold waits with its reason.
-func TestImpossibleBlocksNobody(t *testing.T) {
-	b := site(t, 2, `{"x.weight":1}`)
-	hand(t, b, "x/huge", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 99}})
-	hand(t, b, "x/gpu", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}, Labels: []identifier.Label{"gpu"}})
-	hand(t, b, "x/ok", "default", 0, job.Step{Name: "s", Tasks: 16, Demand: job.Demand{Cores: 1}})
-	out := place(b)
+// TestImpossibleWorkBlocksNobody: work no runner could hold waits with its reason.
+func TestImpossibleWorkBlocksNobody(t *testing.T) {
+	b := newRowStore(t, 2, `{"x.weight":1}`)
+	submitToRow(t, b, "x/huge", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 99}})
+	submitToRow(t, b, "x/gpu", "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}, Labels: []identifier.Label{"gpu"}})
+	submitToRow(t, b, "x/ok", "default", 0, job.Step{Name: "s", Tasks: 16, Demand: job.Demand{Cores: 1}})
+	out := scheduleAndPlace(b)
 	if b.InUse("default").Cores != 16 || out.Reasons["x/huge"][0] == "" || out.Reasons["x/gpu"][0] == "" {
 		t.Errorf("in use %v, reasons %v", b.InUse("default"), out.Reasons)
 	}
 }
 
-// TestUrgentDoesNotStarve: in one row, old work gets its turn in a stream of
+// TestOldWorkIsNotStarved: in one row, old work gets its turn in a stream of
 // urgent work.
-func TestUrgentDoesNotStarve(t *testing.T) {
-	b := site(t, 1, `{"x.weight":1}`)
-	hand(t, b, "x/old", "default", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+func TestOldWorkIsNotStarved(t *testing.T) {
+	b := newRowStore(t, 1, `{"x.weight":1}`)
+	submitToRow(t, b, "x/old", "default", 0, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 	for i := 0; i < 50; i++ {
-		hand(t, b, identifier.JobKey(fmt.Sprintf("x/u%d", i)), "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
+		submitToRow(t, b, identifier.JobKey(fmt.Sprintf("x/u%d", i)), "default", 9, job.Step{Name: "s", Tasks: 1, Demand: job.Demand{Cores: 1}})
 	}
-	place(b)
+	scheduleAndPlace(b)
 	if b.Jobs["x/old"].State() != "running" || b.Jobs["x/u0"].State() != "running" {
 		t.Errorf("old is %s, urgent is %s", b.Jobs["x/old"].State(), b.Jobs["x/u0"].State())
 	}
 }
 
-// TestStanding: a runner that fails its work while calling itself healthy
+// TestDefectiveRunnerIsOnTrial: a runner that fails its work while calling itself healthy
 // gets at most a trial task, and a retry goes elsewhere.
-func TestStanding(t *testing.T) {
-	b := site(t, 4, `{"x.weight":1}`)
+func TestDefectiveRunnerIsOnTrial(t *testing.T) {
+	b := newRowStore(t, 4, `{"x.weight":1}`)
 	b.Runners["r01"].Successes, b.Runners["r01"].Defects = 1, 9
 	for _, n := range []identifier.Runner{"r02", "r03", "r04"} {
 		b.Runners[n].Successes = 30
 	}
-	hand(t, b, "x/a", "default", 0, job.Step{Name: "s", Tasks: 24, Demand: job.Demand{Cores: 1}})
-	place(b)
+	submitToRow(t, b, "x/a", "default", 0, job.Step{Name: "s", Tasks: 24, Demand: job.Demand{Cores: 1}})
+	scheduleAndPlace(b)
 	if n := b.Runners["r01"].OpenLeases(); n != 0 {
 		t.Errorf("the failing runner got %d of 24 tasks that fit elsewhere", n)
 	}
-	hand(t, b, "x/b", "default", 0, job.Step{Name: "s", Tasks: 8, Demand: job.Demand{Cores: 1}})
-	place(b)
+	submitToRow(t, b, "x/b", "default", 0, job.Step{Name: "s", Tasks: 8, Demand: job.Demand{Cores: 1}})
+	scheduleAndPlace(b)
 	if n := b.Runners["r01"].OpenLeases(); n != 1 {
 		t.Errorf("the failing runner got %d tasks, want one on trial", n)
 	}
 }
 
-// closed brings a closing of the north past its cordon and confirms the stops.
-func closed(t *testing.T, b *state.Store) *state.Drain {
+// drainNorth brings a closing of the north past its cordon and confirms the stops.
+func drainNorth(t *testing.T, b *state.Store) *state.Drain {
 	t.Helper()
 	b.Apply(&state.Command{StartDrain: &state.StartDrain{Domain: "north", ID: "m"}})
 	for _, s := range []state.Stage{state.Preflight, state.Predrain, state.Cordon} {
 		b.Apply(&state.Command{AdvanceDrain: &state.AdvanceDrain{ID: "m", From: s}})
 	}
-	stops(b)
+	confirmStops(b)
 	return b.Drains["m"]
 }
 
-func stops(b *state.Store) {
+func confirmStops(b *state.Store) {
 	for id := identifier.LeaseID(1); id < b.NextLease; id++ {
 		if g := b.Leases[id]; g != nil && g.RevokeReason != "" {
 			b.Apply(&state.Command{ReportEnds: &state.ReportEnds{Runner: g.Runner, Incarnation: g.Incarnation, Ends: []state.End{{Lease: id, Task: g.Task, Outcome: state.OutcomeStopped}}}})
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestPush plays preflight false out for each class and shape of work.
-func TestPush(t *testing.T) {
+// TestPreemption plays preflight false out for each class and shape of work.
+func TestPreemption(t *testing.T) {
 	for _, c := range []struct {
 		name         string
 		class        string
@@ -190,19 +190,19 @@
 		{"gang still would not fit", "push", true, 8, 5, 1, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			b := site(t, 2, fmt.Sprintf(`{"mine.weight":%d,"theirs.weight":%d,"mine.onOutage":%q}`, c.mine, c.theirs, c.class))
-			hand(t, b, "x/mine", "mine", 0, job.Step{Name: "s", Tasks: 2, Gang: c.gang, Demand: job.Demand{Cores: c.cores}})
+			b := newRowStore(t, 2, fmt.Sprintf(`{"mine.weight":%d,"theirs.weight":%d,"mine.onOutage":%q}`, c.mine, c.theirs, c.class))
+			submitToRow(t, b, "x/mine", "mine", 0, job.Step{Name: "s", Tasks: 2, Gang: c.gang, Demand: job.Demand{Cores: c.cores}})
 			b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: []state.Placement{{Job: "x/mine", Tasks: []int{0, 1}, Runners: []identifier.Runner{"r02", "r02"}}}}})
 			if c.cores == 8 {
 				b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: []state.Placement{{Job: "x/mine", Tasks: []int{0, 1}, Runners: []identifier.Runner{"r02", "r01"}}}}})
 			} else {
-				hand(t, b, "x/theirs", "theirs", 0, job.Step{Name: "s", Tasks: 4, Demand: job.Demand{Cores: 2}})
+				submitToRow(t, b, "x/theirs", "theirs", 0, job.Step{Name: "s", Tasks: 4, Demand: job.Demand{Cores: 2}})
 				b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: []state.Placement{{Job: "x/theirs", Tasks: []int{0, 1, 2, 3}, Runners: []identifier.Runner{"r01", "r01", "r01", "r01"}}}}})
 			}
-			if cl := closed(t, b); cl.Fits {
+			if cl := drainNorth(t, b); cl.Fits {
 				t.Fatalf("preflight says yes: %+v", cl)
 			}
-			out := look(b)
+			out := scheduleOnce(b)
 			if len(out.Preemptions) != c.push {
 				t.Fatalf("pushes %v out, want %d", out.Preemptions, c.push)
 			}
@@ -210,11 +210,11 @@
 				return
 			}
 			b.Apply(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: out.Preemptions, Reason: state.RevokePreempted}})
-			if again := look(b); len(again.Preemptions) != 0 {
+			if again := scheduleOnce(b); len(again.Preemptions) != 0 {
 				t.Fatalf("pushes %v more while stops are under way", again.Preemptions)
 			}
-			stops(b)
-			place(b)
+			confirmStops(b)
+			scheduleAndPlace(b)
 			if s := b.Jobs["x/mine"].State(); s != "running" {
 				t.Fatalf("the work that pushed is %s", s)
 			}
@@ -222,26 +222,26 @@
 	}
 }
 
-// BenchmarkRound measures placement against fleet and backlog.
-func BenchmarkRound(bench *testing.B) {
+// BenchmarkSchedule measures placement against fleet and backlog.
+func BenchmarkSchedule(bench *testing.B) {
 	for _, size := range []struct{ runners, backlog int }{{11, 100}, {11, 10000}, {100, 1000}, {100, 10000}, {500, 10000}} {
 		bench.Run(fmt.Sprintf("runners=%d/backlog=%d", size.runners, size.backlog), func(bench *testing.B) {
-			b := site(bench, size.runners, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
+			b := newRowStore(bench, size.runners, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 			for i := 0; i < size.backlog; i++ {
-				hand(bench, b, identifier.JobKey(fmt.Sprintf("x/%d", i)), identifier.Row([]string{"a", "b", "c"}[i%3]), int64(i%4), job.Step{Name: "s", Tasks: 1 + int64(i%3), Demand: job.Demand{Cores: 1 + int64(i%5)}})
+				submitToRow(bench, b, identifier.JobKey(fmt.Sprintf("x/%d", i)), identifier.Row([]string{"a", "b", "c"}[i%3]), int64(i%4), job.Step{Name: "s", Tasks: 1 + int64(i%3), Demand: job.Demand{Cores: 1 + int64(i%5)}})
 			}
 			bench.ReportAllocs()
 			for bench.Loop() {
-				look(b)
+				scheduleOnce(b)
 			}
 		})
 	}
 }
 
-// TestNothingBids: a round looks at the runners exactly as long as something
+// TestNothingPending: a round looks at the runners exactly as long as something
 // could be placed, were there room, and its outcome is whole without.
-func TestNothingBids(t *testing.T) {
-	b := site(t, 4, `{"a.weight":1}`)
+func TestNothingPending(t *testing.T) {
+	b := newRowStore(t, 4, `{"a.weight":1}`)
 	asked := 0
 	round := func() Plan {
 		asked = 0
@@ -250,20 +250,20 @@
 	if out := round(); asked > 0 || out.Reasons == nil || out.Policies == nil || len(out.Placements)+len(out.Preemptions)+len(out.Reasons)+len(out.Policies) > 0 {
 		t.Errorf("with no job at all: %d asked, %+v", asked, out)
 	}
-	hand(t, b, "x/1", "a", 0, job.Step{Name: "s", Tasks: 40, Demand: job.Demand{Cores: 1}})
+	submitToRow(t, b, "x/1", "a", 0, job.Step{Name: "s", Tasks: 40, Demand: job.Demand{Cores: 1}})
 	if out := round(); asked != 4 || len(out.Placements) != 32 {
 		t.Errorf("40 wait: %d asked, %d placed", asked, len(out.Placements))
 	}
-	place(b)
+	scheduleAndPlace(b)
 	if out := round(); asked != 4 || out.Reasons["x/1"][0] == "" {
 		t.Errorf("8 wait for room: %d asked, %+v", asked, out)
 	}
-	endAll(b, func(g *state.Lease) bool { return g.ID > 8 })
-	place(b)
+	endLeases(b, func(g *state.Lease) bool { return g.ID > 8 })
+	scheduleAndPlace(b)
 	if out := round(); asked > 0 || len(out.Reasons) > 0 {
 		t.Errorf("all placed: %d asked, %+v", asked, out)
 	}
-	endAll(b, func(*state.Lease) bool { return false })
+	endLeases(b, func(*state.Lease) bool { return false })
 	if out := round(); asked > 0 || len(out.Reasons) > 0 {
 		t.Errorf("all ended: %d asked, %+v", asked, out)
 	}
--- a/tests/mutation/main.go
+++ b/tests/mutation/main.go
@@ -98,7 +98,7 @@
 	{"any pool will do", "internal/state/queue_jobs.go", "	return r.Pool == j.Terms.Pool\n", "	return r.Pool != \"\"\n", []string{"./internal/state", "-run", "TestQueuePlacement"}, "outside the pool", nil},
 	{"times begin early", "internal/state/repeat.go", "if dueAt > s.Now {", "if dueAt > s.Now+5000 {", []string{"./internal/state", "-run", "TestRepeatedJob"}, "is running, want waiting", nil},
 	{"progress of another task", "internal/state/checkpoints.go", "	j.Task(lease.Task).Checkpoint = data\n", "	j.Steps[lease.Task.Step][1].Checkpoint = data\n", []string{"./internal/state", "-run", "TestCheckpoints"}, "saved", nil},
-	{"late work first", "internal/scheduler/queues.go", "for want := onTime; want <= tooLate; want++ {", "for want := tooLate; want >= onTime; want-- {", []string{"./internal/scheduler", "-run", "TestHope"}, "want q/first", nil},
+	{"late work first", "internal/scheduler/queues.go", "for want := onTime; want <= tooLate; want++ {", "for want := tooLate; want >= onTime; want-- {", []string{"./internal/scheduler", "-run", "TestTimelyJobsFirst"}, "want q/first", nil},
 	{"answers to replaced polls are nothing", "internal/agent/machine.go", "		m.stale(r)\n", "", []string{"./internal/agent", "-run", "TestReplacedPoll"}, "held for", nil},
 	{"slow runs are left", "internal/controlplane/health.go", "return here > there+there/4+moveCost", "return here > there+1<<40", []string{"./internal/controlplane", "-run", "TestTurnsSlow"}, "turned slow job", nil},
 	{"runs named unlike", "internal/state/attempt_lookup.go", "		ref.Job = occurrenceKey(j.Key, 0)", "		_ = occurrenceKey", []string{"./internal/controlplane", "-run", "TestCancelAtOnce"}, "LIMIT", nil},
