--- a/internal/scheduler/queues_test.go
+++ b/internal/scheduler/queues_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"testing"
 
-	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
@@ -12,122 +11,120 @@
 	"orchidward/internal/state"
 )
 
-func newQueueStore(t *testing.T, runners int) *state.Store {
-	b := state.New()
-	b.Level = state.CatalogLevel
-	c := &catalog.Change{Version: 1, Whole: true, Checksum: "x", Pools: []catalog.Pool{{Name: "p"}}}
-	for rank := int64(0); rank < 3; rank++ {
-		c.Queues = append(c.Queues, catalog.Queue{Name: fmt.Sprint("q", rank), Host: "h", Prefix: fmt.Sprintf("/%d/", rank), Pool: "p", Priority: rank, MaxAttempts: 3, LatencyFactor: 2000, LatencyTarget: 1000, Timeout: 1})
-	}
-	if r := b.Apply(&state.Command{At: 1, ChangeCatalog: c}); !r.OK() {
-		t.Fatal(r)
-	}
-	for i := 0; i < runners; i++ {
-		b.Apply(&state.Command{ReportRunner: &state.ReportRunner{Runner: identifier.Runner(fmt.Sprintf("r%02d", i)), Incarnation: "a", Pool: "p", Capacity: job.Demand{MilliCores: 8000, Mem: 8000},
-			Domain: "d", Rack: identifier.Rack(fmt.Sprint("k", i/3))}})
-	}
-	return b
-}
-
-func submitToQueue(t *testing.T, b *state.Store, id, queue string, at clock.ClusterTime, s job.Step) {
-	t.Helper()
-	s.MaxDefects, s.Name = 1, "s"
-	if s.ExpectedRun == 0 {
-		s.ExpectedRun = 1000
-	}
-	if r := b.Apply(&state.Command{At: at, SubmitJob: &state.SubmitJob{Key: identifier.JobKey("q/" + id), Spec: job.Spec{Queue: queue, Steps: []job.Step{s}}}}); !r.OK() {
-		t.Fatal(r)
-	}
-}
-
-// TestTimelyJobsFirst: with room for one, what can still be in time goes before what is
-// late, whatever its rank; among equals rank, then the sooner due.
+// TestTimelyJobsFirst: when there are resources for one job, those that can still be on
+// time go before the late ones, whatever their priority; then priority decides, then
+// the earlier due time.
 func TestTimelyJobsFirst(t *testing.T) {
-	whole := job.Demand{MilliCores: 8000, Mem: 1}
-	b := newQueueStore(t, 1)
-	submitToQueue(t, b, "late", "q0", 1000, job.Step{Tasks: 1, Demand: whole})
-	submitToQueue(t, b, "second", "q2", 60000, job.Step{Tasks: 1, Demand: whole})
-	submitToQueue(t, b, "first", "q1", 60001, job.Step{Tasks: 1, Demand: whole})
+	store := newQueueStore(t, 1)
+	step := job.Step{Tasks: 1, Demand: job.Demand{MilliCores: 8000, Mem: 1}}
+	submitToQueue(t, store, "late", "q0", 1000, step)
+	submitToQueue(t, store, "second", "q2", 60000, step)
+	submitToQueue(t, store, "first", "q1", 60001, step)
 	for _, want := range []identifier.JobKey{"q/first", "q/second", "q/late"} {
-		out := scheduleAndPlace(b)
-		if len(out.Placements) != 1 || out.Placements[0].Job != want {
-			t.Fatalf("want %s, placed %+v", want, out.Placements)
+		plan := scheduleAndPlace(t, store)
+		if len(plan.Placements) != 1 || plan.Placements[0].Job != want {
+			t.Fatalf("want %s, placed %+v", want, plan.Placements)
 		}
-		endLeases(b, func(*state.Lease) bool { return false })
+		endLeases(t, store, state.OutcomeSuccess, keepNone)
 	}
 }
 
-// TestRackPreferences: a gang that wants one rack gets one that has room for all of it; a
-// task goes near its data while there is room, and elsewhere when there isn't.
+// TestRackPreferences: a gang that wants one rack gets one that has resources for all of
+// it. A task goes to its preferred rack while there are resources, and else elsewhere.
 func TestRackPreferences(t *testing.T) {
-	b := newQueueStore(t, 6)
-	submitToQueue(t, b, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
-	out := scheduleAndPlace(b)
+	store := newQueueStore(t, 6)
+	demand := job.Demand{MilliCores: 4000, Mem: 1}
+	submitToQueue(t, store, "g", "q0", 10, job.Step{Tasks: 5, Gang: true, OneRack: true, Demand: demand})
+	plan := scheduleAndPlace(t, store)
 	racks := map[identifier.Rack]bool{}
-	for _, on := range out.Placements[0].Runners {
-		racks[b.Runners[on].Rack] = true
+	for _, name := range plan.Placements[0].Runners {
+		racks[store.Runners[name].Rack] = true
 	}
-	if len(out.Placements) != 1 || len(racks) != 1 {
-		t.Errorf("the gang stands in %v", racks)
+	if len(plan.Placements) != 1 || len(racks) != 1 {
+		t.Errorf("the gang is placed in %v", racks)
 	}
-	b = newQueueStore(t, 6)
-	submitToQueue(t, b, "n", "q0", 10, job.Step{Tasks: 4, PreferredRack: "k1", Demand: job.Demand{MilliCores: 8000, Mem: 1}})
-	out = scheduleAndPlace(b)
-	near := 0
-	for _, p := range out.Placements {
-		if b.Runners[p.Runners[0]].Rack == "k1" {
-			near++
+
+	store = newQueueStore(t, 6)
+	demand = job.Demand{MilliCores: 8000, Mem: 1}
+	submitToQueue(t, store, "n", "q0", 10, job.Step{Tasks: 4, PreferredRack: "k1", Demand: demand})
+	plan = scheduleAndPlace(t, store)
+	preferred := 0
+	for _, placement := range plan.Placements {
+		if store.Runners[placement.Runners[0]].Rack == "k1" {
+			preferred++
 		}
 	}
-	if len(out.Placements) != 4 || near != 3 {
-		t.Errorf("%d placed, %d near their data, want 4 and 3", len(out.Placements), near)
+	if len(plan.Placements) != 4 || preferred != 3 {
+		t.Errorf("%d placed, %d in the preferred rack, want 4 and 3", len(plan.Placements), preferred)
 	}
 }
 
-// TestSlowRunnerComesLast: a runner on which work goes slowly comes last, and one that may not
-// be given work gets none.
+// TestSlowRunnerComesLast: a runner on which tasks run slowly comes last, and one that may
+// not be given tasks gets none.
 func TestSlowRunnerComesLast(t *testing.T) {
-	b := newQueueStore(t, 3)
-	submitToQueue(t, b, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
-	out := Schedule(b, RunnerView{Fresh: func(n identifier.Runner) bool { return n != "r01" }, Pace: func(n identifier.Runner) int64 {
-		if n == "r00" {
-			return 200
-		}
-		return 1000
-	}}, policy.NewCache())
-	on := map[identifier.Runner]int{}
-	for _, p := range out.Placements {
-		on[p.Runners[0]]++
+	store := newQueueStore(t, 3)
+	submitToQueue(t, store, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
+	view := RunnerView{
+		Fresh: func(name identifier.Runner) bool { return name != "r01" },
+		Pace: func(name identifier.Runner) int64 {
+			if name == "r00" {
+				return 200
+			}
+			return normalPace
+		},
+	}
+	tasks := map[identifier.Runner]int{}
+	for _, placement := range Schedule(store, view, policy.NewCache()).Placements {
+		tasks[placement.Runners[0]]++
 	}
-	if on["r00"] != 1 || on["r01"] != 0 || on["r02"] != 2 {
-		t.Errorf("placed on %v", on)
+	if tasks["r00"] != 1 || tasks["r01"] != 0 || tasks["r02"] != 2 {
+		t.Errorf("placed on %v", tasks)
 	}
 }
 
-// TestQueuePlacementsAreValid: random work with every wish a step can have; whatever
-// a round proposes, the book takes it all.
+// random is a linear congruential generator, so that a failing history can be repeated.
+type random uint32
+
+// below returns a number from 0 to limit-1.
+func (r *random) below(limit uint32) int64 {
+	*r = *r*1664525 + 1013904223
+	return int64(uint32(*r) >> 8 % limit)
+}
+
+// TestQueuePlacementsAreValid: with random jobs that use every option of a step, the store
+// takes every placement that a cycle plans.
 func TestQueuePlacementsAreValid(t *testing.T) {
-	for seed := 0; seed < 20; seed++ {
-		b := newQueueStore(t, 7)
-		n := uint32(seed*7919 + 1)
-		rnd := func(k uint32) int64 { n = n*1664525 + 1013904223; return int64(n >> 8 % k) }
-		for i := 0; i < 40; i++ {
-			submitToQueue(t, b, fmt.Sprint("j", i), fmt.Sprint("q", rnd(3)), clock.ClusterTime(10+i), job.Step{Tasks: 1 + rnd(9), Gang: rnd(3) == 0, OneRack: rnd(2) == 0,
-				MaxPerRunner: rnd(3), PreferredRack: identifier.Rack(fmt.Sprint("k", rnd(4))), Demand: job.Demand{MilliCores: 100 + rnd(4000), Mem: 1 + rnd(3000)}})
+	for seed := range 20 {
+		store := newQueueStore(t, 7)
+		r := random(seed*7919 + 1)
+		for i := range 40 {
+			queue := fmt.Sprint("q", r.below(3))
+			submitToQueue(t, store, fmt.Sprint("j", i), queue, clock.ClusterTime(10+i), randomStep(&r))
 			if i%3 != 0 {
 				continue
 			}
-			out := scheduleOnce(b)
+			plan := scheduleOnce(store)
 			want := 0
-			for _, p := range out.Placements {
-				want += len(p.Tasks)
+			for _, placement := range plan.Placements {
+				want += len(placement.Tasks)
 			}
-			was := len(b.Leases)
-			b.Apply(&state.Command{PlaceTasks: &state.PlaceTasks{Placements: out.Placements}})
-			if have := len(b.Leases) - was; have != want {
-				t.Fatalf("seed %d: %d proposed, %d taken", seed, want, have)
+			before := len(store.Leases)
+			place(t, store, plan.Placements...)
+			if have := len(store.Leases) - before; have != want {
+				t.Fatalf("seed %d: %d planned, %d placed", seed, want, have)
 			}
-			endLeases(b, func(_ *state.Lease) bool { return rnd(2) == 0 })
+			endLeases(t, store, state.OutcomeSuccess, func(*state.Lease) bool { return r.below(2) == 0 })
 		}
 	}
 }
+
+func randomStep(r *random) job.Step {
+	return job.Step{
+		Tasks:         1 + r.below(9),
+		Gang:          r.below(3) == 0,
+		OneRack:       r.below(2) == 0,
+		MaxPerRunner:  r.below(3),
+		PreferredRack: identifier.Rack(fmt.Sprint("k", r.below(4))),
+		Demand:        job.Demand{MilliCores: 100 + r.below(4000), Mem: 1 + r.below(3000)},
+	}
+}
