--- a/internal/scheduler/feasibility/pack.go
+++ b/internal/scheduler/feasibility/pack.go
@@ -1,80 +1,83 @@
-// Package feasibility answers one question for preflight and for placement: do these
-// lumps of work, gangs whole, go into these bins. It is first fit by falling
-// size, which never says yes wrongly; what it leaves over is the shortage.
+// Package feasibility answers one question: do these units of work, gangs complete, fit
+// on these nodes? The preflight check of a drain asks it for what the drain displaces.
+// The input is units and nodes with their free resources; the output is whether all fit,
+// and the demand of those that don't. It is first fit by falling size, which may find no
+// place where a cleverer packing would, and never says yes wrongly.
 package feasibility
 
 import (
-	"sort"
+	"cmp"
+	"slices"
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 )
 
-// Node is a runner's headroom.
+// Node is a runner with its free resources.
 type Node struct {
 	Name   identifier.Runner
 	Free   job.Demand
 	Labels []identifier.Label
 }
 
-// Unit is one task, or a gang of Count like tasks that go in whole or not.
+// Unit is one task, or a gang of Count like tasks that are placed together or not at all.
 type Unit struct {
+	// Demand is that of each task.
 	Demand job.Demand
 	Labels []identifier.Label
 	Count  int
 }
 
-// HasLabels tells whether have, which is sorted or not, covers need.
+// HasLabels tells whether have, in any order, has all of need.
 func HasLabels(have, need []identifier.Label) bool {
-	for _, n := range need {
-		found := false
-		for _, h := range have {
-			found = found || h == n
-		}
-		if !found {
+	for _, label := range need {
+		if !slices.Contains(have, label) {
 			return false
 		}
 	}
 	return true
 }
 
-// Pack packs the lumps and returns the demand that found no room.
-func Pack(lumps []Unit, bins []Node) (ok bool, short job.Demand) {
-	room := append([]Node(nil), bins...)
-	order := append([]Unit(nil), lumps...)
-	sort.SliceStable(order, func(i, j int) bool {
-		a, b := order[i], order[j]
-		if a.Demand.Cores != b.Demand.Cores {
-			return a.Demand.Cores > b.Demand.Cores
-		}
-		return a.Demand.Mem > b.Demand.Mem
-	})
-	for _, l := range order {
-		at, whole := Assign(l, room)
-		if !whole {
-			for i := 0; i < l.Count; i++ {
-				short = short.Plus(l.Demand)
+// Pack tells whether all units fit on the nodes, and the demand of those that don't.
+func Pack(units []Unit, nodes []Node) (ok bool, shortage job.Demand) {
+	left := slices.Clone(nodes)
+	ordered := slices.Clone(units)
+	slices.SortStableFunc(ordered, compareSize)
+	for _, unit := range ordered {
+		assigned, fits := Assign(unit, left)
+		if !fits {
+			for range unit.Count {
+				shortage = shortage.Plus(unit.Demand)
 			}
 			continue
 		}
-		for _, i := range at {
-			room[i].Free = room[i].Free.Minus(l.Demand)
+		for _, i := range assigned {
+			left[i].Free = left[i].Free.Minus(unit.Demand)
 		}
 	}
-	return short == job.Demand{}, short
+	return shortage == job.Demand{}, shortage
+}
+
+// compareSize puts the larger unit first.
+func compareSize(a, b Unit) int {
+	return cmp.Or(
+		cmp.Compare(b.Demand.Cores, a.Demand.Cores),
+		cmp.Compare(b.Demand.Mem, a.Demand.Mem),
+	)
 }
 
-// Assign finds a bin for each member of one lump.
-func Assign(l Unit, bins []Node) (at []int, whole bool) {
-	for i := range bins {
-		if !HasLabels(bins[i].Labels, l.Labels) {
+// Assign returns the position of a node for each task of one unit. When fits is false
+// there are fewer of them than tasks.
+func Assign(unit Unit, nodes []Node) (assigned []int, fits bool) {
+	for i := range nodes {
+		if !HasLabels(nodes[i].Labels, unit.Labels) {
 			continue
 		}
-		room := bins[i].Free
-		for len(at) < l.Count && l.Demand.Fits(room) {
-			room = room.Minus(l.Demand)
-			at = append(at, i)
+		free := nodes[i].Free
+		for len(assigned) < unit.Count && unit.Demand.Fits(free) {
+			free = free.Minus(unit.Demand)
+			assigned = append(assigned, i)
 		}
 	}
-	return at, len(at) == l.Count
+	return assigned, len(assigned) == unit.Count
 }
--- a/internal/scheduler/policy/cache.go
+++ b/internal/scheduler/policy/cache.go
@@ -1,32 +1,32 @@
-// A Shelf keeps compiled policies by their source, so that each is compiled
-// once however often it is asked for.
-
 package policy
 
-// Cache is a cache of compiled policies by their source. It is not safe for
-// concurrent use.
-type Cache struct{ by map[string]*Policy }
+// Cache is a cache of compiled policies by their source, so that each is compiled once
+// however often it is used. It is not safe for concurrent use.
+type Cache struct {
+	// bySource has nil for a source that does not compile.
+	bySource map[string]*Policy
+}
 
-// NewCache makes an empty cache.
-func NewCache() *Cache { return &Cache{by: map[string]*Policy{}} }
+// maxCached is the number of sources above which the cache is emptied.
+const maxCached = 1024
 
-// mostKept is how many sources are kept; past it the shelf is begun anew.
-const mostKept = 1024
+// NewCache returns an empty cache.
+func NewCache() *Cache { return &Cache{bySource: map[string]*Policy{}} }
 
-// Get returns nil for a source that doesn't compile, which a table accepted
-// by an older check may hold.
-func (s *Cache) Get(text string) *Policy {
-	p, known := s.by[text]
-	if known {
-		return p
+// Get returns the compiled policy, or nil for a source that does not compile, which a
+// table may have that was accepted by the checks of an earlier version.
+func (c *Cache) Get(source string) *Policy {
+	compiled, ok := c.bySource[source]
+	if ok {
+		return compiled
 	}
-	if len(s.by) >= mostKept {
-		clear(s.by)
+	if len(c.bySource) >= maxCached {
+		clear(c.bySource)
 	}
-	p, err := Compile(text)
+	compiled, err := Compile(source)
 	if err != nil {
-		p = nil
+		compiled = nil
 	}
-	s.by[text] = p
-	return p
+	c.bySource[source] = compiled
+	return compiled
 }
--- a/internal/scheduler/policy/policy_test.go
+++ b/internal/scheduler/policy/policy_test.go
@@ -5,9 +5,18 @@
 	"testing"
 )
 
+// TestScore: an expression of the fields and functions that policies have gives its number.
 func TestScore(t *testing.T) {
-	f := Inputs{FreeCores: 6, Cores: 16, RunnerDefects: 2, Labels: map[string]bool{"ssd": true}, Zone: "north", NeedCores: 2, Urgency: 3}
-	for text, want := range map[string]float64{
+	inputs := Inputs{
+		FreeCores:     6,
+		Cores:         16,
+		RunnerDefects: 2,
+		Labels:        map[string]bool{"ssd": true},
+		Zone:          "north",
+		NeedCores:     2,
+		Urgency:       3,
+	}
+	for source, want := range map[string]float64{
 		"runner.freeCores - task.cores":                                4,
 		"10 if label(\"ssd\") and not zone(\"east\") else -runner.bad": 10,
 		"max(runner.freeCores * 100 // runner.cores, 5) + 0.5":         37.5,
@@ -15,21 +24,21 @@
 		"(runner.bad > 1) == (task.urgency\n  >= 3)":                              1,
 		"min(runner.cores, abs(-3), task.urgency + label(\"x\") if False else 7)": 3,
 	} {
-		p, err := Compile(text)
+		policy, err := Compile(source)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: %v", source, err)
 			continue
 		}
-		if got, err := p.Score(f); err != nil || got != want {
-			t.Errorf("%s: %v, %v, want %v", text, got, err, want)
+		if score, err := policy.Score(inputs); err != nil || score != want {
+			t.Errorf("%s: %v, %v, want %v", source, score, err, want)
 		}
 	}
 }
 
-// TestRefused: whatever could grow, wait, look outside or call on itself is
-// refused before it is ever in force, with the place in the source.
-func TestRefused(t *testing.T) {
-	for text, want := range map[string]string{
+// TestCompileRejects: whatever could grow, loop, read more than its inputs or call itself
+// is rejected, with its line and column in the source.
+func TestCompileRejects(t *testing.T) {
+	for source, want := range map[string]string{
 		"runner.freeCores +":               "policy:1:19",
 		"(1 +\n  nothing)":                 "policy:2:3: unknown name nothing",
 		"\"a\" * 1000000000":               "text is only for",
@@ -47,23 +56,27 @@
 		"def f(): pass":                    "policy:1:1",
 		strings.Repeat("1+", MaxSourceBytes/2+1) + "1": "longer than",
 	} {
-		if _, err := Compile(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%.40s: %v, want %s", text, err, want)
+		if _, err := Compile(source); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%.40s: %v, want %s", source, err, want)
 		}
 	}
 }
 
-// TestFails: a policy that stands and yet fails when run says so and scores
-// nothing.
-func TestFails(t *testing.T) {
-	for _, text := range []string{"1 // (runner.running - runner.running)", "runner.freeCores / 0", "label(\"a\") + 1 < 2 and 1 // 0", strings.Repeat("runner.freeCores*", 40) + "1e300"} {
-		p, err := Compile(text)
+// TestScoreFails: a policy that compiles and fails when it is evaluated returns an error.
+func TestScoreFails(t *testing.T) {
+	for _, source := range []string{
+		"1 // (runner.running - runner.running)",
+		"runner.freeCores / 0",
+		"label(\"a\") + 1 < 2 and 1 // 0",
+		strings.Repeat("runner.freeCores*", 40) + "1e300",
+	} {
+		policy, err := Compile(source)
 		if err != nil {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: %v", source, err)
 			continue
 		}
-		if n, err := p.Score(Inputs{FreeCores: 1 << 30}); err == nil {
-			t.Errorf("%s gives %v", text, n)
+		if score, err := policy.Score(Inputs{FreeCores: 1 << 30}); err == nil {
+			t.Errorf("%s gives %v", source, score)
 		}
 	}
 }
--- a/tests/mutation/main.go
+++ b/tests/mutation/main.go
@@ -41,7 +41,7 @@
 	{"cluster time believes any clock", "internal/controlplane/clock.go", "if young && diff > coldGap {", "if diff > coldGap || diff < -coldGap {", []string{"./tests/simulation", "-run", "TestClocks"}, "cluster time is off", nil},
 	{"defects not counted", "internal/state/row_attempts.go", "	task.Defects++\n", "", trial("half"), "P5 at", nil},
 	{"cancel calls nothing back", "internal/state/job_lifecycle.go", "		s.abortTasks(j, RevokeCancelled)\n", "", trial("cancelled"), "P6 at", nil},
-	{"labels ignored", "internal/scheduler/feasibility/pack.go", "		if !found {\n			return false", "		if !found {\n			return true", trial("little"), "P7 at", nil},
+	{"labels ignored", "internal/scheduler/feasibility/pack.go", "		if !slices.Contains(have, label) {\n			return false", "		if !slices.Contains(have, label) {\n			return true", trial("little"), "P7 at", nil},
 	{"room ignored", "internal/api/job/demand.go", "return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs", "return true", []string{"./internal/state", "./internal/scheduler"}, "unsound placements", nil},
 	{"partners left alone", "internal/state/lease_lifecycle.go", "if partner.RevokeReason == \"\" {", "if partner.RevokeReason == \"never\" {", []string{"./internal/state", "-run", "TestGangIsRevokedAndPlacedTogether"}, "goes on alone", nil},
 	{"finished while work runs", "internal/state/job_lifecycle.go", "if j.EndState != \"\" || j.openLeases > 0 || j.Spec.Repeat != nil && !j.occurrencesDone() {", "if j.EndState != \"\" {", []string{"./internal/state", "-run", "TestLateEndOfLostLease"}, "job a/x is well, want running", nil},
