--- a/internal/api/job/demand.go
+++ b/internal/api/job/demand.go
@@ -1,53 +1,67 @@
-// Demand is room asked for, held or free: cores, mebibytes and accelerators.
-// Milli are thousandths of a core beyond Cores; only the sum of both counts, so
-// a difference may bear them with unlike signs.
-
 package job
 
-// Demand is an amount of resources: asked for, in use or free. Mem is in
-// mebibytes, Milli in thousandths of a core. A difference may be negative.
+// milliCoresPerCore is the number of thousandths in a core.
+const milliCoresPerCore = 1000
+
+// Demand is an amount of resources: asked for, in use or free. A difference of two may be
+// negative.
 type Demand struct {
-	Cores      int64 `json:"cores"`
-	Mem        int64 `json:"memMb"`
+	Cores int64 `json:"cores"`
+	// Mem is in mebibytes.
+	Mem int64 `json:"memMb"`
+	// MilliCores are thousandths of a core beyond Cores. Only CPU, which adds both,
+	// counts; in a difference the two may have unlike signs.
 	MilliCores int64 `json:"milliCores,omitempty"`
 	GPUs       int64 `json:"gpus,omitempty"`
 }
 
-// CPU is the processor asked for, in thousandths of a core.
-func (d Demand) CPU() int64 { return d.Cores*1000 + d.MilliCores }
+// CPU is the processors, in thousandths of a core.
+func (d Demand) CPU() int64 { return d.Cores*milliCoresPerCore + d.MilliCores }
 
-// Fits tells whether d is no more than room in processor, memory and
-// accelerators.
+// Fits tells whether d is no more than room in processors, memory and GPUs.
 func (d Demand) Fits(room Demand) bool {
 	return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs
 }
 
-// WithinLimit tells whether d keeps within a limit that says nothing of accelerators.
+// WithinLimit tells whether d keeps within a limit that does not mention GPUs.
 func (d Demand) WithinLimit(limit Demand) bool {
 	return d.CPU() <= limit.CPU() && d.Mem <= limit.Mem
 }
 
 // Plus adds field by field.
-func (d Demand) Plus(b Demand) Demand {
-	return Demand{d.Cores + b.Cores, d.Mem + b.Mem, d.MilliCores + b.MilliCores, d.GPUs + b.GPUs}
+func (d Demand) Plus(other Demand) Demand {
+	return Demand{
+		Cores:      d.Cores + other.Cores,
+		Mem:        d.Mem + other.Mem,
+		MilliCores: d.MilliCores + other.MilliCores,
+		GPUs:       d.GPUs + other.GPUs,
+	}
 }
 
 // Minus subtracts field by field; it does not stop at zero.
-func (d Demand) Minus(b Demand) Demand {
-	return Demand{d.Cores - b.Cores, d.Mem - b.Mem, d.MilliCores - b.MilliCores, d.GPUs - b.GPUs}
+func (d Demand) Minus(other Demand) Demand {
+	return Demand{
+		Cores:      d.Cores - other.Cores,
+		Mem:        d.Mem - other.Mem,
+		MilliCores: d.MilliCores - other.MilliCores,
+		GPUs:       d.GPUs - other.GPUs,
+	}
 }
 
-// Share is the largest of the shares of whole, in millionths.
-func (d Demand) Share(whole Demand) int64 {
-	var out int64
-	if whole.CPU() > 0 {
-		out = d.CPU() * 1_000_000 / whole.CPU()
+// shareUnit is a share of 1: shares are in millionths.
+const shareUnit = 1_000_000
+
+// Share is the largest of the shares that d has of the total, in millionths.
+func (d Demand) Share(total Demand) int64 {
+	var share int64
+	if total.CPU() > 0 {
+		share = d.CPU() * shareUnit / total.CPU()
 	}
-	if whole.Mem > 0 {
-		out = max(out, d.Mem*1_000_000/whole.Mem)
+	if total.Mem > 0 {
+		share = max(share, d.Mem*shareUnit/total.Mem)
 	}
-	if whole.GPUs > 0 {
-		out = max(out, d.GPUs*1_000_000/whole.GPUs)
+	if total.GPUs > 0 {
+		share = max(share, d.GPUs*shareUnit/total.GPUs)
 	}
-	return out
+	return share
 }
--- a/internal/api/job/read.go
+++ b/internal/api/job/read.go
@@ -1,12 +1,6 @@
-// Read checks a job's JSON and gathers every fault. What it passes is in
-// normal form, so that equal jobs have equal sums whatever their spelling.
-
 package job
 
 import (
-	"crypto/sha256"
-	"encoding/hex"
-	"encoding/json"
 	"time"
 
 	"orchidward/internal/api/identifier"
@@ -25,41 +19,44 @@
 	MaxQueueNameBytes = 128
 	// MaxRepeats bounds how often a repeated job runs.
 	MaxRepeats = 1 << 20
-	maxRoom    = 1 << 30
-	maxSpan    = int64(30 * 24 * time.Hour / time.Millisecond)
+
+	maxUrgency = 1000
+	maxLabels  = 16
+	maxDefects = 100
+	// maxAmount bounds each amount of resources.
+	maxAmount = 1 << 30
+	// maxSpan bounds spans, in milliseconds.
+	maxSpan = int64(30 * 24 * time.Hour / time.Millisecond)
+	// maxFirstStart bounds the first time of a repeated job, in milliseconds.
+	maxFirstStart = 1 << 45
+	// defaultExpectedRun is in milliseconds.
+	defaultExpectedRun = 1000
 )
 
-// Read reads and checks the JSON of a job. Faults are added to f; the result is
-// nil when the text is not one JSON object, and must not be used when there are
-// any faults.
-func Read(text []byte, f *jsondoc.FieldErrors) *Spec {
-	o := jsondoc.Parse(text, f)
+// Read reads and checks the JSON of a job. Faults are added to faults; the result is nil
+// when the text is not one JSON object, and must not be used when there are any faults.
+func Read(text []byte, faults *jsondoc.FieldErrors) *Spec {
+	o := jsondoc.Parse(text, faults)
 	if o == nil {
 		return nil
 	}
 	queued := o.Has("queue")
-	s := &Spec{Row: identifier.Row(o.Name("pending", !queued)), Urgency: o.Int("urgency", 0, 0, 1000)}
+	s := &Spec{}
+	s.Row = identifier.Row(o.Name("pending", !queued))
+	s.Urgency = o.Int("urgency", 0, 0, maxUrgency)
 	if queued {
 		readQueued(o, s)
 	}
 	readStart(o, s)
-	names := map[string]int{}
-	for i, one := range o.List("steps", MaxSteps) {
-		st := readStep(one, queued)
-		if _, dup := names[st.Name]; dup {
-			f.Invalid(one.Path("name"), "step name used twice")
-		}
-		names[st.Name] = i
-		s.Steps = append(s.Steps, st)
-	}
-	if len(s.Steps) == 0 && !f.Any() {
-		f.Invalid("steps", "want at least one step")
+	positions := readSteps(o, s, queued)
+	if len(s.Steps) == 0 && !faults.Any() {
+		faults.Invalid("steps", "want at least one step")
 	}
 	if s.TaskCount() > MaxTasks {
-		f.Invalid("steps", "at most %d tasks in a job", MaxTasks)
+		faults.Invalid("steps", "at most %d tasks in a job", MaxTasks)
 	}
 	o.Done()
-	order(s, names, f)
+	checkDependencies(s, positions, faults)
 	return s
 }
 
@@ -68,17 +65,19 @@
 		o.Errors().Invalid("delayMs", "give notBefore or delayMs, not both")
 	}
 	s.Delay = clock.Millis(o.Int("delayMs", 0, 0, maxSpan))
-	if text := o.Text("notBefore", ""); text != "" {
-		at, err := time.Parse(time.RFC3339, text)
-		if err != nil || at.UnixMilli() <= 0 {
-			o.Errors().Invalid("notBefore", "want an RFC 3339 time")
-			return
-		}
-		s.NotBefore = clock.ClusterTime(at.UnixMilli())
+	text := o.Text("notBefore", "")
+	if text == "" {
+		return
 	}
+	at, err := time.Parse(time.RFC3339, text)
+	if err != nil || at.UnixMilli() <= 0 {
+		o.Errors().Invalid("notBefore", "want an RFC 3339 time")
+		return
+	}
+	s.NotBefore = clock.ClusterTime(at.UnixMilli())
 }
 
-// readQueued reads what only a job for a queue of the catalogue may bear.
+// readQueued reads the fields that only a job for a queue may have.
 func readQueued(o *jsondoc.Object, s *Spec) {
 	s.Queue = o.Text("queue", "")
 	switch {
@@ -87,30 +86,39 @@
 	case s.Row != "":
 		o.Errors().Invalid("queue", "give pending or queue, not both")
 	}
-	if s.Payload = o.Text("text", ""); len(s.Payload) > MaxPayloadBytes {
+	s.Payload = o.Text("text", "")
+	if len(s.Payload) > MaxPayloadBytes {
 		o.Errors().Invalid("text", "at most %d bytes", MaxPayloadBytes)
 	}
-	if r := o.Object("repeat"); r != nil {
-		s.Repeat = &Repeat{Count: r.Int("times", 1, 1, MaxRepeats), First: clock.ClusterTime(r.Int("firstMs", 0, 0, 1<<45)), Every: clock.Millis(r.Int("everyMs", 0, 0, maxSpan))}
-		r.Done()
-		if s.Repeat.Count > 1 && s.Repeat.Every == 0 {
-			r.Errors().Invalid("repeat.everyMs", "want a span between two times")
-		}
+	if repeat := o.Object("repeat"); repeat != nil {
+		s.Repeat = readRepeat(repeat)
 	}
 }
 
-// readPlace reads where a step's tasks would best stand, and how they end.
-func readPlace(o *jsondoc.Object, s *Step) {
-	s.Demand.Cores = o.Int("cores", 0, 0, maxRoom)
-	s.Demand.MilliCores = o.Int("milliCores", 0, 0, maxRoom)
-	s.Demand.Mem = o.Int("memMb", 0, 0, maxRoom)
-	s.Demand.GPUs = o.Int("gpus", 0, 0, maxRoom)
-	s.PreferredRack = identifier.Rack(o.Text("near", ""))
-	s.OneRack = o.Bool("oneRack", false)
-	s.MaxPerRunner = o.Int("apart", 0, 0, MaxTasks)
-	s.AllowDuplicates = o.Bool("copies", false)
-	s.Service = o.Bool("lasting", false)
-	s.Checkpoints = o.Bool("saves", false)
+func readRepeat(o *jsondoc.Object) *Repeat {
+	r := &Repeat{}
+	r.Count = o.Int("times", 1, 1, MaxRepeats)
+	r.First = clock.ClusterTime(o.Int("firstMs", 0, 0, maxFirstStart))
+	r.Every = clock.Millis(o.Int("everyMs", 0, 0, maxSpan))
+	o.Done()
+	if r.Count > 1 && r.Every == 0 {
+		o.Errors().Invalid("repeat.everyMs", "want a span between two times")
+	}
+	return r
+}
+
+// readSteps reads the steps and returns the position of each by its name.
+func readSteps(o *jsondoc.Object, s *Spec, queued bool) map[string]int {
+	positions := map[string]int{}
+	for i, object := range o.List("steps", MaxSteps) {
+		step := readStep(object, queued)
+		if _, taken := positions[step.Name]; taken {
+			o.Errors().Invalid(object.Path("name"), "step name used twice")
+		}
+		positions[step.Name] = i
+		s.Steps = append(s.Steps, step)
+	}
+	return positions
 }
 
 func readStep(o *jsondoc.Object, queued bool) Step {
@@ -120,66 +128,30 @@
 	s.Tasks = o.Int("tasks", 1, 1, MaxTasks)
 	s.Gang = o.Bool("gang", false)
 	if queued {
-		readPlace(o, &s)
+		readQueuedStep(o, &s)
 	} else {
-		s.Demand.Cores = o.Int("cores", 1, 1, maxRoom)
-		s.Demand.Mem = o.Int("memMb", 1, 1, maxRoom)
+		s.Demand.Cores = o.Int("cores", 1, 1, maxAmount)
+		s.Demand.Mem = o.Int("memMb", 1, 1, maxAmount)
 	}
-	for _, l := range o.Names("labels", 16) {
-		s.Labels = append(s.Labels, identifier.Label(l))
+	for _, label := range o.Names("labels", maxLabels) {
+		s.Labels = append(s.Labels, identifier.Label(label))
 	}
-	s.MaxDefects = o.Int("allowedDefects", 1, 1, 100)
-	s.ExpectedRun = clock.Millis(o.Int("spanMs", 1000, 1, maxSpan))
+	s.MaxDefects = o.Int("allowedDefects", 1, 1, maxDefects)
+	s.ExpectedRun = clock.Millis(o.Int("spanMs", defaultExpectedRun, 1, maxSpan))
 	o.Done()
 	return s
 }
 
-// order refuses unknown steps and cycles.
-func order(s *Spec, names map[string]int, f *jsondoc.FieldErrors) {
-	need := make([]int, len(s.Steps))
-	next := make([][]int, len(s.Steps))
-	for i, st := range s.Steps {
-		last := ""
-		for _, a := range st.After {
-			j, ok := names[a]
-			switch {
-			case !ok:
-				f.Invalid("steps", "step %q comes after unknown step %q", st.Name, a)
-			case a == last:
-				f.Invalid("steps", "step %q names %q twice", st.Name, a)
-			default:
-				need[i]++
-				next[j] = append(next[j], i)
-			}
-			last = a
-		}
-	}
-	free, done := []int{}, 0
-	for i, n := range need {
-		if n == 0 {
-			free = append(free, i)
-		}
-	}
-	for ; len(free) > 0; done++ {
-		i := free[0]
-		free = free[1:]
-		for _, j := range next[i] {
-			if need[j]--; need[j] == 0 {
-				free = append(free, j)
-			}
-		}
-	}
-	if done < len(s.Steps) {
-		f.Invalid("steps", "steps wait for one another in a ring")
-	}
-}
-
-// Checksum identifies the content: the hash of the normal form.
-func (s *Spec) Checksum() string {
-	text, err := json.Marshal(s)
-	if err != nil {
-		panic(err)
-	}
-	h := sha256.Sum256(text)
-	return hex.EncodeToString(h[:12])
+// readQueuedStep reads the fields that differ in, or are only for, a job for a queue.
+func readQueuedStep(o *jsondoc.Object, s *Step) {
+	s.Demand.Cores = o.Int("cores", 0, 0, maxAmount)
+	s.Demand.MilliCores = o.Int("milliCores", 0, 0, maxAmount)
+	s.Demand.Mem = o.Int("memMb", 0, 0, maxAmount)
+	s.Demand.GPUs = o.Int("gpus", 0, 0, maxAmount)
+	s.PreferredRack = identifier.Rack(o.Text("near", ""))
+	s.OneRack = o.Bool("oneRack", false)
+	s.MaxPerRunner = o.Int("apart", 0, 0, MaxTasks)
+	s.AllowDuplicates = o.Bool("copies", false)
+	s.Service = o.Bool("lasting", false)
+	s.Checkpoints = o.Bool("saves", false)
 }
--- a/internal/api/job/read_test.go
+++ b/internal/api/job/read_test.go
@@ -7,7 +7,8 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-func TestBadJobs(t *testing.T) {
+// TestReadRejects: each fault is found, with the status and the path that it must have.
+func TestReadRejects(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
 		status int
@@ -35,30 +36,31 @@
 		"bad name":       {`{"pending":"a b","steps":[{"name":"x"}]}`, 422, "pending"},
 		"too many tasks": {`{"pending":"a","steps":[{"name":"x","tasks":4096},{"name":"y","tasks":1}]}`, 422, "steps"},
 	} {
-		var f jsondoc.FieldErrors
-		Read([]byte(c.text), &f)
-		if !f.Any() || f.Status() != c.status {
-			t.Errorf("%s: want %d, have %v", name, c.status, f.List)
+		var faults jsondoc.FieldErrors
+		Read([]byte(c.text), &faults)
+		if !faults.Any() || faults.Status() != c.status {
+			t.Errorf("%s: want %d, have %v", name, c.status, faults.List)
 			continue
 		}
-		if found := f.List[0].Path; c.path != "" && found != c.path {
-			t.Errorf("%s: want the fault at %s, have %v", name, c.path, f.List)
+		if found := faults.List[0].Path; c.path != "" && found != c.path {
+			t.Errorf("%s: want the fault at %s, have %v", name, c.path, faults.List)
 		}
 	}
 }
 
-// TestSameSum: the same job in other words is the same job.
-func TestSameSum(t *testing.T) {
-	var f jsondoc.FieldErrors
-	a := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p","q"]}]}`), &f)
-	b := Read([]byte(` {"steps":[{"labels":["q","p"],"tasks":1,"cores":1,"name":"x"}],"urgency":0,"pending":"a"}`), &f)
-	c := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p"]}]}`), &f)
-	if f.Any() || a.Checksum() != b.Checksum() || a.Checksum() == c.Checksum() {
-		t.Errorf("sums %s %s %s, faults %v", a.Checksum(), b.Checksum(), c.Checksum(), f.List)
+// TestChecksumOfEqualJobs: the same job written in another way has the same checksum.
+func TestChecksumOfEqualJobs(t *testing.T) {
+	var faults jsondoc.FieldErrors
+	a := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p","q"]}]}`), &faults)
+	b := Read([]byte(` {"steps":[{"labels":["q","p"],"tasks":1,"cores":1,"name":"x"}],"urgency":0,"pending":"a"}`), &faults)
+	c := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p"]}]}`), &faults)
+	if faults.Any() || a.Checksum() != b.Checksum() || a.Checksum() == c.Checksum() {
+		t.Errorf("checksums %s %s %s, faults %v", a.Checksum(), b.Checksum(), c.Checksum(), faults.List)
 	}
 }
 
-func FuzzJob(f *testing.F) {
+// FuzzRead: a text that is read without faults gives a job within the bounds.
+func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"pending":"a","steps":[{"name":"x","after":["y"]},{"name":"y"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var faults jsondoc.FieldErrors
--- a/internal/api/job/spec.go
+++ b/internal/api/job/spec.go
@@ -1,77 +1,105 @@
-// Package job is the caller's description of work: a pending row or a queue of
-// the catalogue, and steps that depend on one another, each a number of like
-// tasks.
 package job
 
 import (
+	"crypto/sha256"
+	"encoding/hex"
+	"encoding/json"
+	"fmt"
+	"slices"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
 )
 
-// Spec is the checked content of a job. A job starts at NotBefore (cluster time) or
-// Delay milliseconds after it was accepted; when both are 0, as soon as there is
-// room. Higher Urgency goes first within a row.
+// Spec is the checked content of a job.
 type Spec struct {
-	Row       identifier.Row    `json:"pending"`
-	Urgency   int64             `json:"urgency"`
+	// Row is the row of the limits table that the job counts for, empty for a job of a
+	// queue.
+	Row identifier.Row `json:"pending"`
+	// Urgency orders the jobs of a row: the higher goes first.
+	Urgency int64 `json:"urgency"`
+	// NotBefore is the earliest cluster time of the first placement, Delay that time
+	// counted from the job's acceptance. When both are 0 the job is placed as soon as
+	// there are resources.
 	NotBefore clock.ClusterTime `json:"notBefore,omitempty"`
 	Delay     clock.Millis      `json:"delayMs,omitempty"`
 	Steps     []Step            `json:"steps"`
-	// Queue names a queue of the catalogue in place of a pending row; Text is
-	// handed to whatever runs the tasks; Repeat runs the steps many times.
-	Queue   string  `json:"queue,omitempty"`
-	Payload string  `json:"text,omitempty"`
-	Repeat  *Repeat `json:"repeat,omitempty"`
+	// Queue is a queue of the catalogue, empty for a job of a row.
+	Queue string `json:"queue,omitempty"`
+	// Payload is handed to whatever runs the tasks.
+	Payload string `json:"text,omitempty"`
+	// Repeat has the steps run many times, nil for once.
+	Repeat *Repeat `json:"repeat,omitempty"`
 }
 
-// Repeat has the steps run Times times, the k-th due at First + k x Every.
+// Repeat has the steps of a job run Count times, the first at First and then one after
+// each span of Every.
 type Repeat struct {
 	Count int64             `json:"times"`
 	First clock.ClusterTime `json:"firstMs"`
 	Every clock.Millis      `json:"everyMs"`
 }
 
-// DueAt is when the k-th time is due.
-func (r *Repeat) DueAt(k int64) clock.ClusterTime { return r.First.Add(clock.Millis(k) * r.Every) }
+// DueAt is when an occurrence is due, counted from 0.
+func (r *Repeat) DueAt(number int64) clock.ClusterTime {
+	return r.First.Add(clock.Millis(number) * r.Every)
+}
 
 // TaskCount is the number of tasks in all steps.
 func (s *Spec) TaskCount() int64 {
-	var sum int64
-	for _, one := range s.Steps {
-		sum += one.Tasks
+	var count int64
+	for _, step := range s.Steps {
+		count += step.Tasks
 	}
-	return sum
+	return count
 }
 
-// HasStartTime tells whether the job has an appointed start.
+// HasStartTime tells whether the job names a time at which it starts.
 func (s *Spec) HasStartTime() bool { return s.NotBefore > 0 || s.Delay > 0 || s.Repeat != nil }
 
-// HasServices tells whether some of it goes on until the job is cancelled.
-func (s *Spec) HasServices() bool {
-	var yes bool
-	for _, one := range s.Steps {
-		yes = yes || one.Service
-	}
-	return yes
+// CriticalPath is the expected duration, in milliseconds, of the longest chain of steps.
+func (s *Spec) CriticalPath() clock.Millis {
+	return s.CriticalPathWithout(func(int) bool { return false })
 }
 
-// CriticalPath is the longest chain of work through the steps, by their rough spans.
-func (s *Spec) CriticalPath() clock.Millis {
-	var span clock.Millis
-	at := make([]clock.Millis, len(s.Steps))
+// CriticalPathWithout is the critical path when the steps for which done returns true take
+// no time.
+func (s *Spec) CriticalPathWithout(done func(step int) bool) clock.Millis {
+	var longest clock.Millis
+	// Steps come in any order, so one pass for each of them settles every chain.
+	chains := make([]clock.Millis, len(s.Steps))
 	for range s.Steps {
-		for i, one := range s.Steps {
-			from := clock.Millis(0)
-			for _, name := range one.After {
-				for k, other := range s.Steps {
-					if other.Name == name {
-						from = max(from, at[k])
-					}
-				}
+		for i, step := range s.Steps {
+			if done(i) {
+				continue
 			}
-			at[i] = from + one.ExpectedRun
-			span = max(span, at[i])
+			chains[i] = s.longestChain(chains, step.After) + step.ExpectedRun
+			longest = max(longest, chains[i])
 		}
 	}
-	return span
+	return longest
+}
+
+// longestChain is the longest of the chains that end with one of the named steps.
+func (s *Spec) longestChain(chains []clock.Millis, names []string) clock.Millis {
+	var longest clock.Millis
+	for i := range s.Steps {
+		if chains[i] > longest && slices.Contains(names, s.Steps[i].Name) {
+			longest = chains[i]
+		}
+	}
+	return longest
+}
+
+// checksumBytes is the number of bytes kept of a SHA-256 hash.
+const checksumBytes = 12
+
+// Checksum identifies the content: the hash of the normal form.
+func (s *Spec) Checksum() string {
+	text, err := json.Marshal(s)
+	if err != nil {
+		panic(fmt.Sprintf("job: a spec must always encode: %v", err))
+	}
+	hash := sha256.Sum256(text)
+	return hex.EncodeToString(hash[:checksumBytes])
 }
--- a/internal/api/job/step.go
+++ b/internal/api/job/step.go
@@ -1,6 +1,3 @@
-// A Step is a number of like tasks that may start once every step named in
-// After has ended well. Defects is how many reported defects use up a task.
-
 package job
 
 import (
@@ -8,27 +5,36 @@
 	"orchidward/internal/clock"
 )
 
-// Step is a number of equal tasks. They may start once every step named in After
-// has ended with success. Run is the expected duration of one task in
-// milliseconds, and Defects the number of reported defects that use up a task.
+// Step is a number of equal tasks.
 type Step struct {
-	Name        string             `json:"name"`
-	After       []string           `json:"after,omitempty"`
-	Tasks       int64              `json:"tasks"`
-	Gang        bool               `json:"gang,omitempty"`
-	Demand      Demand             `json:"demand"`
-	Labels      []identifier.Label `json:"labels,omitempty"`
-	MaxDefects  int64              `json:"allowedDefects"`
-	ExpectedRun clock.Millis       `json:"spanMs"`
-	// PreferredRack is the rack that holds the data; OneRack wants the members of a gang
-	// in one rack. Both cost time where they are missed, and neither forbids.
+	Name string `json:"name"`
+	// After names the steps whose tasks must all have succeeded first.
+	After []string `json:"after,omitempty"`
+	Tasks int64    `json:"tasks"`
+	// Gang has the tasks placed together or not at all.
+	Gang bool `json:"gang,omitempty"`
+	// Demand is that of each task.
+	Demand Demand             `json:"demand"`
+	Labels []identifier.Label `json:"labels,omitempty"`
+	// MaxDefects is the number of reported defects that fail a task.
+	MaxDefects int64 `json:"allowedDefects"`
+	// ExpectedRun is the expected duration of one task, in milliseconds.
+	ExpectedRun clock.Millis `json:"spanMs"`
+
+	// The rest is for jobs of queues only.
+
+	// PreferredRack is the rack that has the data, and OneRack asks for all members of a
+	// gang in one rack. Neither is a requirement.
 	PreferredRack identifier.Rack `json:"near,omitempty"`
 	OneRack       bool            `json:"oneRack,omitempty"`
-	// MaxPerRunner is how many tasks of the step one runner may hold, 0 for any number.
+	// MaxPerRunner is the number of tasks of the step that one runner may have at once,
+	// 0 for any number.
 	MaxPerRunner int64 `json:"apart,omitempty"`
-	// AllowDuplicates may run side by side; Lasting tasks are started again however they
-	// end; Saves says that progress is kept.
+	// AllowDuplicates says that two attempts of one task may run side by side.
 	AllowDuplicates bool `json:"copies,omitempty"`
-	Service         bool `json:"lasting,omitempty"`
-	Checkpoints     bool `json:"saves,omitempty"`
+	// Service tasks are started again however they end, until the job is cancelled.
+	Service bool `json:"lasting,omitempty"`
+	// Checkpoints says that the tasks report checkpoints, which are given to the next
+	// attempt.
+	Checkpoints bool `json:"saves,omitempty"`
 }
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -1,8 +1,6 @@
 package state
 
 import (
-	"slices"
-
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/clock"
@@ -138,37 +136,13 @@
 // to be placed any more.
 func (j *Job) ending() bool { return j.Cancelled || j.Failure != "" }
 
-// RemainingCriticalPath is the expected duration, in milliseconds, of the longest
-// chain of steps that have not succeeded.
+// RemainingCriticalPath is the expected duration, in milliseconds, of the longest chain
+// of steps that have not succeeded.
 func (j *Job) RemainingCriticalPath() clock.Millis {
-	steps := j.Spec.Steps
-	if len(steps) == 1 {
-		return steps[0].ExpectedRun
-	}
-	var longest clock.Millis
-	// Steps come in any order, so one pass for each of them settles every chain.
-	chains := make([]clock.Millis, len(steps))
-	for range steps {
-		for i := range steps {
-			if j.stepSucceeded(i) {
-				continue
-			}
-			chains[i] = longestBefore(steps, chains, steps[i].After) + steps[i].ExpectedRun
-			longest = max(longest, chains[i])
-		}
-	}
-	return longest
-}
-
-// longestBefore is the longest of the chains that end with one of the named steps.
-func longestBefore(steps []job.Step, chains []clock.Millis, names []string) clock.Millis {
-	var longest clock.Millis
-	for i := range steps {
-		if chains[i] > longest && slices.Contains(names, steps[i].Name) {
-			longest = chains[i]
-		}
+	if len(j.Spec.Steps) == 1 {
+		return j.Spec.Steps[0].ExpectedRun
 	}
-	return longest
+	return j.Spec.CriticalPathWithout(j.stepSucceeded)
 }
 
 // WaitingTasks lists the numbers of the step's waiting tasks.
