--- a/internal/api/limits/change.go
+++ b/internal/api/limits/change.go
@@ -1,46 +1,57 @@
-// A Change is a whole table or some cells, read and checked by hand. Rows are
-// JSON objects of cells, numbers as numbers; in a patch each cell is named
-// "row.column". Row names may hold dots nowhere, so the name splits cleanly.
-
 package limits
 
 import (
-	"encoding/json"
-	"strconv"
 	"strings"
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/jsondoc"
 )
 
-// Change is a checked change of the table. Base is the version it was made
-// against. With Whole set, Rows replace all rows of the table; otherwise only
-// the named cells change and the rows in Drop go.
+// Change is a checked change of the table.
 type Change struct {
-	Base  identifier.Epoch                     `json:"base"`
+	// Base is the epoch that the change was made against.
+	Base identifier.Epoch `json:"base"`
+	// Whole says that Rows replace all rows of the table. Otherwise only the named cells
+	// change, and the rows in Drop are dropped.
 	Whole bool                                 `json:"whole"`
 	Rows  map[identifier.Row]map[string]string `json:"rows"`
 	Drop  map[identifier.Row]bool              `json:"drop,omitempty"`
 }
 
+// maxEpoch bounds the epochs that are read: JSON numbers are exact up to it.
+const maxEpoch = 1 << 53
+
+// names tells whether the change names the cell, or the row when cell has no column.
 func (c *Change) names(cell string) bool {
-	row, col, _ := strings.Cut(cell, ".")
+	row, column, _ := strings.Cut(cell, ".")
 	if c.Drop[identifier.Row(row)] {
 		return true
 	}
 	cells, ok := c.Rows[identifier.Row(row)]
-	if !ok || col == "" {
+	if !ok || column == "" {
 		return ok
 	}
-	_, ok = cells[col]
+	_, ok = cells[column]
 	return ok
 }
 
-// ReadWhole reads a change that replaces the whole table. Faults are added to f;
-// the result is nil when the text is not one JSON object, and must not be
-// applied when there are any faults.
-func ReadWhole(text []byte, f *jsondoc.FieldErrors) *Change {
-	o := jsondoc.Parse(text, f)
+// TouchesPolicies tells whether the change has a policy cell.
+func (c *Change) TouchesPolicies() bool {
+	for row, cells := range c.Rows {
+		for column := range cells {
+			if isPolicy(row, column) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// ReadWhole reads a change that replaces the whole table. Faults are added to faults; the
+// result is nil when the text is not one JSON object, and must not be applied when there
+// are any faults.
+func ReadWhole(text []byte, faults *jsondoc.FieldErrors) *Change {
+	o := jsondoc.Parse(text, faults)
 	if o == nil {
 		return nil
 	}
@@ -49,64 +60,73 @@
 	c.Rows[SiteRow] = readRow(o.Object("site"), SiteRow)
 	rows := o.Object("rows")
 	if rows == nil {
-		if !f.Any() {
-			f.Invalid("rows", "want the table's rows")
+		if !faults.Any() {
+			faults.Invalid("rows", "want the table's rows")
 		}
 		return c
 	}
 	for _, name := range rows.Keys() {
-		if !rowName(name) {
-			f.Invalid(rows.Path(name), "not a row name")
+		if !validRowName(name) {
+			faults.Invalid(rows.Path(name), "not a row name")
 		}
 		c.Rows[identifier.Row(name)] = readRow(rows.Object(name), identifier.Row(name))
 	}
 	if len(c.Rows) > maxRows+1 {
-		f.Invalid("rows", "at most %d rows", maxRows)
+		faults.Invalid("rows", "at most %d rows", maxRows)
 	}
 	o.Done()
 	return c
 }
 
-// ReadPatch reads a change of single cells and rows. Faults are added to f; the
-// result is nil when the text is not one JSON object, and must not be applied
-// when there are any faults.
-func ReadPatch(text []byte, f *jsondoc.FieldErrors) *Change {
-	o := jsondoc.Parse(text, f)
+// ReadPatch reads a change of single cells and rows. Faults are added to faults; the result
+// is nil when the text is not one JSON object, and must not be applied when there are any
+// faults.
+func ReadPatch(text []byte, faults *jsondoc.FieldErrors) *Change {
+	o := jsondoc.Parse(text, faults)
 	if o == nil {
 		return nil
 	}
-	c := &Change{Rows: map[identifier.Row]map[string]string{}, Drop: map[identifier.Row]bool{}}
+	c := &Change{
+		Rows: map[identifier.Row]map[string]string{},
+		Drop: map[identifier.Row]bool{},
+	}
 	readBase(o, c)
-	for _, r := range o.Names("drop", maxRows) {
-		if r == string(SiteRow) {
-			f.Invalid("drop", "the site row cannot be dropped")
+	for _, name := range o.Names("drop", maxRows) {
+		if name == string(SiteRow) {
+			faults.Invalid("drop", "the site row cannot be dropped")
 		}
-		c.Drop[identifier.Row(r)] = true
+		c.Drop[identifier.Row(name)] = true
 	}
 	if cells := o.Object("cells"); cells != nil {
 		for _, name := range cells.Keys() {
-			row, col, ok := strings.Cut(name, ".")
-			if !ok || !rowName(row) && row != string(SiteRow) {
-				f.Invalid(cells.Path(name), "want row.column")
-				continue
-			}
-			if c.Drop[identifier.Row(row)] {
-				f.Invalid(cells.Path(name), "row is dropped by the same change")
-			}
-			if c.Rows[identifier.Row(row)] == nil {
-				c.Rows[identifier.Row(row)] = map[string]string{}
-			}
-			readCell(cells, name, identifier.Row(row), col, c.Rows[identifier.Row(row)])
+			readNamedCell(cells, name, c)
 		}
 	}
-	if len(c.Rows) == 0 && len(c.Drop) == 0 && !f.Any() {
-		f.Invalid("cells", "the change names no cell")
+	if len(c.Rows) == 0 && len(c.Drop) == 0 && !faults.Any() {
+		faults.Invalid("cells", "the change names no cell")
 	}
 	o.Done()
 	return c
 }
 
-func rowName(name string) bool {
+// readNamedCell reads a cell that is named "row.column".
+func readNamedCell(o *jsondoc.Object, name string, c *Change) {
+	rowName, column, ok := strings.Cut(name, ".")
+	if !ok || !validRowName(rowName) && rowName != string(SiteRow) {
+		o.Errors().Invalid(o.Path(name), "want row.column")
+		return
+	}
+	row := identifier.Row(rowName)
+	if c.Drop[row] {
+		o.Errors().Invalid(o.Path(name), "row is dropped by the same change")
+	}
+	if c.Rows[row] == nil {
+		c.Rows[row] = map[string]string{}
+	}
+	readCell(o, name, row, column, c.Rows[row])
+}
+
+func validRowName(name string) bool {
 	return identifier.ValidName(name) && !strings.Contains(name, ".") && name != string(SiteRow)
 }
 
@@ -114,25 +134,27 @@
 	if !o.Has("base") {
 		o.Errors().Invalid("base", "want the epoch the change was made against")
 	}
-	c.Base = identifier.Epoch(o.Int("base", 0, 0, 1<<53))
+	c.Base = identifier.Epoch(o.Int("base", 0, 0, maxEpoch))
 }
 
+// readRow reads an object of cells. An empty policy is the same as none.
 func readRow(o *jsondoc.Object, row identifier.Row) map[string]string {
 	cells := map[string]string{}
 	if o == nil {
 		return cells
 	}
-	for _, k := range o.Keys() {
-		readCell(o, k, row, k, cells)
-		if source(row, k) && cells[k] == "" {
-			delete(cells, k)
+	for _, column := range o.Keys() {
+		readCell(o, column, row, column, cells)
+		if isPolicy(row, column) && cells[column] == "" {
+			delete(cells, column)
 		}
 	}
 	return cells
 }
 
-func readCell(o *jsondoc.Object, key string, row identifier.Row, name string, into map[string]string) {
-	col, ok := FindColumn(row, name)
+// readCell reads the field key of o as a cell and adds it to cells.
+func readCell(o *jsondoc.Object, key string, row identifier.Row, column string, cells map[string]string) {
+	c, ok := FindColumn(row, column)
 	if !ok {
 		o.Errors().Malformed(o.Path(key), "unknown column")
 		o.Skip(key)
@@ -142,48 +164,10 @@
 	if !ok {
 		return
 	}
-	text, why := col.Normalize(text)
-	if why != "" {
-		o.Errors().Invalid(o.Path(key), "%s", why)
-		return
-	}
-	into[name] = text
-}
-
-// TouchesPolicies tells whether the change touches a policy cell.
-func (c *Change) TouchesPolicies() bool {
-	var yes bool
-	for r, cells := range c.Rows {
-		for k := range cells {
-			yes = yes || source(r, k)
-		}
-	}
-	return yes
-}
-
-// JSON shows the table as the whole-table form reads it back.
-func (t *Table) JSON() []byte {
-	rows := map[string]map[string]any{}
-	for _, r := range t.RowNames() {
-		rows[string(r)] = show(Columns, t.Rows[r])
-	}
-	out := map[string]any{"epoch": t.Epoch, "site": show(SiteColumns, t.Rows[SiteRow]), "rows": rows}
-	text, err := json.Marshal(out)
+	normal, err := c.Normalize(text)
 	if err != nil {
-		panic(err)
-	}
-	return text
-}
-
-func show(cols []Column, row map[string]string) map[string]any {
-	out := map[string]any{}
-	for _, c := range cols {
-		text := row[c.Name]
-		if n, err := strconv.ParseInt(text, 10, 64); err == nil && c.Enum == nil && !c.LabelSet && !c.Policy {
-			out[c.Name] = n
-			continue
-		}
-		out[c.Name] = text
+		o.Errors().Invalid(o.Path(key), "%s", err)
+		return
 	}
-	return out
+	cells[column] = normal
 }
--- a/internal/api/limits/column.go
+++ b/internal/api/limits/column.go
@@ -1,31 +1,36 @@
-// Package limits is the operators' one table: rows are the pending queues,
-// columns their weights and limits, and one more row, "site", has the few
-// cells that hold for the whole site. Cells are kept as text, as a spreadsheet
-// would, and every cell remembers the epoch that last changed it.
 package limits
 
 import (
+	"slices"
 	"strconv"
 	"strings"
 
+	"github.com/go-faster/errors"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/scheduler/policy"
 )
 
-// Column says what a cell may hold: a number between two bounds, one of some
-// words, or a set of labels ("*" for any).
+// Column is what the cells of one column may be: a number between two bounds, one of some
+// words, a set of labels ("*" for any), or a policy.
 type Column struct {
-	Name     string
-	Default  string
-	Min      int64
-	Max      int64
+	Name    string
+	Default string
+	// Min and Max are the bounds of a number.
+	Min int64
+	Max int64
+	// Enum has the words of a column of words.
 	Enum     []string
 	LabelSet bool
-	// Policy marks a cell that holds a policy. It stands in a row only when it
-	// is given: a table without one is the same as it was before there were any.
+	// Policy marks a column of placement policies. A row has the cell only when it is
+	// given, so that a table without policies is the same as one from before there were
+	// any.
 	Policy bool
 }
 
+// numeric tells whether the cells are numbers.
+func (c Column) numeric() bool { return c.Enum == nil && !c.LabelSet && !c.Policy }
+
 // Names of the columns of a row.
 const (
 	ColumnWeight     = "weight"
@@ -76,8 +81,8 @@
 // maxAmount is the upper bound of cells for amounts of resources.
 const maxAmount = 1 << 40
 
-// Columns are the cells of a pending row, with their defaults and bounds. Cores
-// are whole cores, memory is in mebibytes.
+// Columns are the columns of every row but SiteRow, with their defaults and bounds. Memory
+// is in mebibytes.
 var Columns = []Column{
 	{Name: ColumnWeight, Default: "1", Min: 1, Max: 10000},
 	{Name: ColumnMaxCores, Default: "1000000", Min: 0, Max: maxAmount},
@@ -87,14 +92,14 @@
 	{Name: ColumnTaskCores, Default: "1024", Min: 1, Max: maxAmount},
 	{Name: ColumnTaskMem, Default: "1048576", Min: 1, Max: maxAmount},
 	{Name: ColumnMaxUrgency, Default: "10", Min: 0, Max: 1000},
-	{Name: ColumnLabels, Default: "*", LabelSet: true},
+	{Name: ColumnLabels, Default: AnyLabel, LabelSet: true},
 	{Name: ColumnOnOutage, Default: OnOutageWait, Enum: []string{OnOutagePreempt, OnOutageWait, OnOutageSuspend}},
 	{Name: ColumnOnLoss, Default: OnLossReplace, Enum: []string{OnLossReplace, OnLossAwaitRunner}},
 	{Name: ColumnPolicy, Policy: true},
 }
 
-// SiteColumns are the cells that hold for the whole site. Names that end in Ms are in
-// milliseconds, those that end in Pct in percent.
+// SiteColumns are the columns of SiteRow. Those whose names end in Ms are in milliseconds,
+// those that end in Pct in percent.
 var SiteColumns = []Column{
 	{Name: SiteEvacuation, Default: "5000", Min: 1000, Max: 600000},
 	{Name: SiteDrain, Default: "2000", Min: 500, Max: 600000},
@@ -107,72 +112,80 @@
 	{Name: SiteRememberedJobSpan, Default: "86400000", Min: 60000, Max: 604800000},
 }
 
-// SiteRow is the row name under which the site-wide cells are addressed.
+// SiteRow is the row of the settings of the whole cluster.
 const SiteRow identifier.Row = "site"
 
-// FindColumn looks up a column by name, in Site for the row SiteRow and in Columns for
-// any other; the row need not exist.
-func FindColumn(row identifier.Row, name string) (col Column, ok bool) {
-	list := Columns
+// columnsOf lists the columns of a row, which need not exist.
+func columnsOf(row identifier.Row) []Column {
 	if row == SiteRow {
-		list = SiteColumns
+		return SiteColumns
 	}
-	for _, c := range list {
+	return Columns
+}
+
+// FindColumn looks up a column of a row, which need not exist, by its name.
+func FindColumn(row identifier.Row, name string) (column Column, ok bool) {
+	for _, c := range columnsOf(row) {
 		if c.Name == name {
 			return c, true
 		}
 	}
-	return col, false
+	return Column{}, false
 }
 
-// source tells whether a cell holds a policy.
-func source(row identifier.Row, name string) bool {
-	col, _ := FindColumn(row, name)
-	return col.Policy
+// isPolicy tells whether a cell is a policy.
+func isPolicy(row identifier.Row, name string) bool {
+	column, _ := FindColumn(row, name)
+	return column.Policy
 }
 
-// Normalize puts a cell's text in normal form, or says why it cannot stand.
-func (c Column) Normalize(text string) (out string, why string) {
+// Normalize returns a cell's text in normal form, or why it is not valid.
+func (c Column) Normalize(text string) (string, error) {
 	text = strings.TrimSpace(text)
 	switch {
 	case c.LabelSet:
-		return checkSet(text)
+		return normalizeLabels(text)
 	case c.Policy:
-		return checkSource(text)
+		return normalizePolicy(text)
 	case c.Enum != nil:
-		for _, w := range c.Enum {
-			if w == text {
-				return text, ""
-			}
+		if !slices.Contains(c.Enum, text) {
+			return "", errors.Errorf("want one of %s", strings.Join(c.Enum, ", "))
 		}
-		return "", "want one of " + strings.Join(c.Enum, ", ")
+		return text, nil
 	}
-	n, err := strconv.ParseInt(text, 10, 64)
-	if err != nil || n < c.Min || n > c.Max {
-		return "", "want a whole number from " + strconv.FormatInt(c.Min, 10) + " to " + strconv.FormatInt(c.Max, 10)
+	value, err := strconv.ParseInt(text, 10, 64)
+	if err != nil || value < c.Min || value > c.Max {
+		return "", errors.Errorf("want a whole number from %d to %d", c.Min, c.Max)
 	}
-	return strconv.FormatInt(n, 10), ""
+	return strconv.FormatInt(value, 10), nil
 }
 
-func checkSource(text string) (out string, why string) {
+func normalizePolicy(text string) (string, error) {
 	if text == "" {
-		return "", ""
+		return "", nil
 	}
 	if _, err := policy.Compile(text); err != nil {
-		return "", err.Error()
+		return "", err
 	}
-	return text, ""
+	return text, nil
 }
 
-func checkSet(text string) (out string, why string) {
-	list := strings.Fields(text)
-	if len(list) > 16 {
-		return "", "at most 16 labels"
+const (
+	// AnyLabel in a set of labels allows every label.
+	AnyLabel = "*"
+	// maxLabels bounds the labels of a cell.
+	maxLabels = 16
+)
+
+func normalizeLabels(text string) (string, error) {
+	labels := strings.Fields(text)
+	if len(labels) > maxLabels {
+		return "", errors.Errorf("at most %d labels", maxLabels)
 	}
-	for _, l := range list {
-		if l != "*" && !identifier.ValidName(l) {
-			return "", "want labels parted by spaces, or *"
+	for _, label := range labels {
+		if label != AnyLabel && !identifier.ValidName(label) {
+			return "", errors.New("want labels parted by spaces, or *")
 		}
 	}
-	return strings.Join(list, " "), ""
+	return strings.Join(labels, " "), nil
 }
--- /dev/null
+++ b/internal/api/limits/document.go
@@ -0,0 +1,48 @@
+package limits
+
+import (
+	"encoding/json"
+	"fmt"
+	"strconv"
+
+	"orchidward/internal/api/identifier"
+)
+
+// document is the table in the form that ReadWhole reads, without its base.
+type document struct {
+	Epoch identifier.Epoch          `json:"epoch"`
+	Rows  map[string]map[string]any `json:"rows"`
+	Site  map[string]any            `json:"site"`
+}
+
+// JSON returns the table in the form that ReadWhole reads, without its base.
+func (t *Table) JSON() []byte {
+	doc := document{
+		Epoch: t.Epoch,
+		Rows:  map[string]map[string]any{},
+		Site:  documentRow(SiteColumns, t.Rows[SiteRow]),
+	}
+	for _, name := range t.RowNames() {
+		doc.Rows[string(name)] = documentRow(Columns, t.Rows[name])
+	}
+	text, err := json.Marshal(doc)
+	if err != nil {
+		panic(fmt.Sprintf("limits: a table must always encode: %v", err))
+	}
+	return text
+}
+
+// documentRow returns the cells of a row, numbers as numbers.
+func documentRow(columns []Column, row map[string]string) map[string]any {
+	cells := map[string]any{}
+	for _, column := range columns {
+		text := row[column.Name]
+		value, err := strconv.ParseInt(text, 10, 64)
+		if err == nil && column.numeric() {
+			cells[column.Name] = value
+			continue
+		}
+		cells[column.Name] = text
+	}
+	return cells
+}
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -1,175 +1,204 @@
-// Table holds the cells in force and applies changes to them. A change bears
-// the epoch it was made against; it loses only to a later change of a cell it
-// names itself, or, for a whole table, of any cell.
-
 package limits
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"strconv"
 	"strings"
 
+	"github.com/go-faster/errors"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
 )
 
-// Table is the limits table in force. Epoch is its version; every change raises
-// it by one, and so does every change of the catalogue. Marks tells which version
-// last changed a cell ("row.column") or a whole row ("row"). A change based on a
-// version below Floor is refused, since marks that old may have been dropped.
+// DefaultRow is the row that a new table has.
+const DefaultRow identifier.Row = "default"
+
+// Table is the limits table in force.
 type Table struct {
-	Epoch      identifier.Epoch                     `json:"epoch"`
-	Rows       map[identifier.Row]map[string]string `json:"rows"`
-	ChangedAt  map[string]identifier.Epoch          `json:"marks"`
-	OldestBase identifier.Epoch                     `json:"floor"`
+	// Epoch is the version of the table. Every change raises it by one, and so does
+	// every change of the catalogue.
+	Epoch identifier.Epoch                     `json:"epoch"`
+	Rows  map[identifier.Row]map[string]string `json:"rows"`
+	// ChangedAt is the epoch that last changed a cell ("row.column"), or added or
+	// dropped a row ("row").
+	ChangedAt map[string]identifier.Epoch `json:"marks"`
+	// OldestBase is the oldest epoch that a change may be based on: what dropped rows
+	// changed before it is forgotten.
+	OldestBase identifier.Epoch `json:"floor"`
 }
 
-const maxRows = 512
+const (
+	// maxRows bounds the rows, SiteRow not counted.
+	maxRows = 512
+	// maxDroppedCells is the number of cells of dropped rows above which they are
+	// forgotten.
+	maxDroppedCells = 4096
+)
 
-// Default is the table of a site that has configured nothing yet: one row.
+// ErrTooManyRows is returned by Apply when the table would have too many rows.
+var ErrTooManyRows = errors.New("too many rows")
+
+// Default is the table of a new cluster.
 func Default() *Table {
-	t := &Table{Epoch: 1, Rows: map[identifier.Row]map[string]string{}, ChangedAt: map[string]identifier.Epoch{}}
-	t.Rows[SiteRow] = fill(SiteColumns, nil)
-	t.Rows["default"] = fill(Columns, nil)
-	return t
+	return &Table{
+		Epoch: 1,
+		Rows: map[identifier.Row]map[string]string{
+			SiteRow:    fillRow(SiteColumns, nil),
+			DefaultRow: fillRow(Columns, nil),
+		},
+		ChangedAt: map[string]identifier.Epoch{},
+	}
 }
 
-func fill(cols []Column, from map[string]string) map[string]string {
+// fillRow returns a row with the given cells and the defaults of the others.
+func fillRow(columns []Column, cells map[string]string) map[string]string {
 	row := map[string]string{}
-	for _, c := range cols {
-		text, ok := from[c.Name]
+	for _, column := range columns {
+		text, ok := cells[column.Name]
 		switch {
 		case ok:
-			row[c.Name] = text
-		case !c.Policy:
-			row[c.Name] = c.Default
+			row[column.Name] = text
+		case !column.Policy:
+			row[column.Name] = column.Default
 		}
 	}
 	return row
 }
 
 // Cell is the text of a cell, empty when there is no such cell.
-func (t *Table) Cell(row identifier.Row, name string) string { return t.Rows[row][name] }
+func (t *Table) Cell(row identifier.Row, column string) string { return t.Rows[row][column] }
 
-// Int is the value of a numeric cell, 0 when it is missing or no number.
-func (t *Table) Int(row identifier.Row, name string) int64 {
-	n, _ := strconv.ParseInt(t.Rows[row][name], 10, 64)
-	return n
+// Int is the value of a numeric cell, 0 when it is missing or not a number.
+func (t *Table) Int(row identifier.Row, column string) int64 {
+	value, _ := strconv.ParseInt(t.Rows[row][column], 10, 64)
+	return value
 }
 
-// SiteMillis is a site-wide span in milliseconds.
-func (t *Table) SiteMillis(name string) clock.Millis { return clock.Millis(t.Int(SiteRow, name)) }
+// SiteMillis is a span of the whole cluster, in milliseconds.
+func (t *Table) SiteMillis(column string) clock.Millis { return clock.Millis(t.Int(SiteRow, column)) }
 
-// HasRow tells whether the table has this pending row; SiteRow is none.
+// HasRow tells whether the table has the row, which must not be SiteRow.
 func (t *Table) HasRow(row identifier.Row) bool {
 	_, ok := t.Rows[row]
 	return ok && row != SiteRow
 }
 
-// RowNames lists the pending rows in order, the site row left out.
+// RowNames lists the rows in order, without SiteRow.
 func (t *Table) RowNames() []identifier.Row {
-	var out []identifier.Row
-	for r := range t.Rows {
-		if r != SiteRow {
-			out = append(out, r)
+	var names []identifier.Row
+	for name := range t.Rows {
+		if name != SiteRow {
+			names = append(names, name)
 		}
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// Conflicts names the cells of the change that were changed after its base.
+// Conflicts lists the cells of the change that were changed after its base, "*" when the
+// base is too old or unknown.
 func (t *Table) Conflicts(c *Change) []string {
-	var cells []string
 	if c.Base < t.OldestBase || c.Base > t.Epoch {
 		return []string{"*"}
 	}
+	var cells []string
 	for name, at := range t.ChangedAt {
 		if at > c.Base && (c.Whole || c.names(name)) {
 			cells = append(cells, name)
 		}
 	}
-	sort.Strings(cells)
+	slices.Sort(cells)
 	return cells
 }
 
-// Dropped lists the rows that the change would take away.
+// Dropped lists the rows that the change would drop, in order.
 func (t *Table) Dropped(c *Change) []identifier.Row {
-	var rows []identifier.Row
-	for _, r := range t.RowNames() {
-		if _, kept := c.Rows[r]; c.Drop[r] || (c.Whole && !kept) {
-			rows = append(rows, r)
+	var dropped []identifier.Row
+	for _, row := range t.RowNames() {
+		_, kept := c.Rows[row]
+		if c.Drop[row] || c.Whole && !kept {
+			dropped = append(dropped, row)
 		}
 	}
-	return rows
+	return dropped
 }
 
-// Apply makes the change as one epoch; the caller has asked Clash first. It
-// changes nothing and says false when the rows would become too many.
-func (t *Table) Apply(c *Change) bool {
-	sum := len(t.Rows) - len(t.Dropped(c))
-	for r := range c.Rows {
-		if _, had := t.Rows[r]; !had {
-			sum++
-		}
-	}
-	if sum > maxRows+1 {
-		return false
+// Apply makes the change, of which the caller has made sure that it has no conflicts. It
+// fails with ErrTooManyRows, and then changes nothing.
+func (t *Table) Apply(c *Change) error {
+	if t.rowsAfter(c) > maxRows+1 {
+		return ErrTooManyRows
 	}
 	t.Epoch++
-	for _, r := range t.Dropped(c) {
-		delete(t.Rows, r)
-		t.ChangedAt[string(r)] = t.Epoch
-	}
-	for r, cells := range c.Rows {
-		old, had := t.Rows[r]
-		cols := Columns
-		if r == SiteRow {
-			cols = SiteColumns
-		}
-		if !had {
-			t.ChangedAt[string(r)] = t.Epoch
-		}
-		row := fill(cols, old)
-		if c.Whole {
-			row = fill(cols, nil)
+	for _, row := range t.Dropped(c) {
+		delete(t.Rows, row)
+		t.ChangedAt[string(row)] = t.Epoch
+	}
+	for row, cells := range c.Rows {
+		t.applyRow(row, cells, c.Whole)
+	}
+	t.forgetDropped()
+	return nil
+}
+
+// rowsAfter is the number of rows that the table would have, SiteRow included.
+func (t *Table) rowsAfter(c *Change) int {
+	count := len(t.Rows) - len(t.Dropped(c))
+	for row := range c.Rows {
+		if _, ok := t.Rows[row]; !ok {
+			count++
 		}
-		for k, v := range cells {
-			row[k] = v
-			if v == "" && source(r, k) {
-				delete(row, k)
-			}
+	}
+	return count
+}
+
+// applyRow sets the given cells of a row. When the change is of the whole table the others
+// return to their defaults.
+func (t *Table) applyRow(name identifier.Row, cells map[string]string, whole bool) {
+	previous, existed := t.Rows[name]
+	if !existed {
+		t.ChangedAt[string(name)] = t.Epoch
+	}
+	row := fillRow(columnsOf(name), previous)
+	if whole {
+		row = fillRow(columnsOf(name), nil)
+	}
+	for column, text := range cells {
+		row[column] = text
+		if text == "" && isPolicy(name, column) {
+			delete(row, column)
 		}
-		for k := range old {
-			if _, kept := row[k]; !kept {
-				t.ChangedAt[string(r)+"."+k] = t.Epoch
-			}
+	}
+	for column := range previous {
+		if _, kept := row[column]; !kept {
+			t.ChangedAt[cellName(name, column)] = t.Epoch
 		}
-		for k, v := range row {
-			if old[k] != v || (!c.Whole && cells[k] != "") {
-				t.ChangedAt[string(r)+"."+k] = t.Epoch
-			}
+	}
+	for column, text := range row {
+		if previous[column] != text || !whole && cells[column] != "" {
+			t.ChangedAt[cellName(name, column)] = t.Epoch
 		}
-		t.Rows[r] = row
 	}
-	t.prune()
-	return true
+	t.Rows[name] = row
 }
 
-// prune forgets marks of rows long gone, raising the floor below which a base
-// is too old to be judged.
-func (t *Table) prune() {
-	const keep = 4096
-	if len(t.ChangedAt) <= keep+len(t.Rows)*(len(Columns)+1) {
+// cellName is the name of a cell in changes and in ChangedAt. Names of rows have no dots.
+func cellName(row identifier.Row, column string) string { return string(row) + "." + column }
+
+// forgetDropped forgets when cells of dropped rows were changed, once there are many, and
+// raises OldestBase so that no change is based on what was forgotten.
+func (t *Table) forgetDropped() {
+	if len(t.ChangedAt) <= maxDroppedCells+len(t.Rows)*(len(Columns)+1) {
 		return
 	}
-	for name, at := range t.ChangedAt {
+	maps.DeleteFunc(t.ChangedAt, func(name string, at identifier.Epoch) bool {
 		row, _, _ := strings.Cut(name, ".")
-		if _, ok := t.Rows[identifier.Row(row)]; !ok {
-			if at > t.OldestBase {
-				t.OldestBase = at
-			}
-			delete(t.ChangedAt, name)
+		if _, ok := t.Rows[identifier.Row(row)]; ok {
+			return false
 		}
-	}
+		t.OldestBase = max(t.OldestBase, at)
+		return true
+	})
 }
--- a/internal/api/limits/table_test.go
+++ b/internal/api/limits/table_test.go
@@ -9,20 +9,28 @@
 )
 
 func patch(t *testing.T, text string) *Change {
-	var c *Change
 	t.Helper()
-	var f jsondoc.FieldErrors
-	if c = ReadPatch([]byte(text), &f); f.Any() {
-		t.Fatalf("%s: %v", text, f.List)
+	var faults jsondoc.FieldErrors
+	change := ReadPatch([]byte(text), &faults)
+	if faults.Any() {
+		t.Fatalf("%s: %v", text, faults.List)
 	}
-	return c
+	return change
 }
 
-// TestClash: a change loses only to a later change of a cell it names.
-func TestClash(t *testing.T) {
-	x := Default()
-	x.Apply(patch(t, `{"base":1,"cells":{"stock.weight":3,"push.weight":1}}`))
-	x.Apply(patch(t, `{"base":2,"cells":{"stock.weight":4}}`))
+func apply(t *testing.T, table *Table, change *Change) {
+	t.Helper()
+	if err := table.Apply(change); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestConflicts: a change conflicts only with a later change of a cell that it names, and a
+// change of the whole table with any later change.
+func TestConflicts(t *testing.T) {
+	table := Default()
+	apply(t, table, patch(t, `{"base":1,"cells":{"stock.weight":3,"push.weight":1}}`))
+	apply(t, table, patch(t, `{"base":2,"cells":{"stock.weight":4}}`))
 	for text, want := range map[string][]string{
 		`{"base":2,"cells":{"push.weight":9}}`:                  nil,
 		`{"base":2,"cells":{"stock.maxCores":9}}`:               nil,
@@ -32,23 +40,28 @@
 		`{"base":9,"cells":{"stock.weight":9}}`:                 {"*"},
 		`{"base":1,"cells":{"push.labels":"a","new.weight":2}}`: {"push", "push.labels"},
 	} {
-		if have := x.Conflicts(patch(t, text)); !reflect.DeepEqual(have, want) {
-			t.Errorf("%s clashes with %v, want %v", text, have, want)
+		if have := table.Conflicts(patch(t, text)); !reflect.DeepEqual(have, want) {
+			t.Errorf("%s conflicts with %v, want %v", text, have, want)
 		}
 	}
-	var f jsondoc.FieldErrors
-	if c := ReadWhole([]byte(`{"base":2,"rows":{"a":{}}}`), &f); f.Any() || len(x.Conflicts(c)) == 0 {
-		t.Errorf("a whole table over a later change must lose: %v", f.List)
+
+	var faults jsondoc.FieldErrors
+	stale := ReadWhole([]byte(`{"base":2,"rows":{"a":{}}}`), &faults)
+	if faults.Any() || len(table.Conflicts(stale)) == 0 {
+		t.Errorf("a whole table must conflict with a later change: %v", faults.List)
 	}
-	if c := ReadWhole([]byte(`{"base":3,"rows":{"a":{"weight":2}}}`), &f); f.Any() || len(x.Conflicts(c)) != 0 || !x.Apply(c) {
-		t.Errorf("a whole table on the present epoch must win: %v", f.List)
+	current := ReadWhole([]byte(`{"base":3,"rows":{"a":{"weight":2}}}`), &faults)
+	if faults.Any() || len(table.Conflicts(current)) != 0 {
+		t.Errorf("a whole table based on the epoch in force must not conflict: %v", faults.List)
 	}
-	if names := x.RowNames(); !reflect.DeepEqual(names, []identifier.Row{"a"}) || x.Int("a", "weight") != 2 || x.Epoch != 4 {
-		t.Errorf("rows %v, weight %d, epoch %d", names, x.Int("a", "weight"), x.Epoch)
+	apply(t, table, current)
+	if names := table.RowNames(); !reflect.DeepEqual(names, []identifier.Row{"a"}) || table.Int("a", "weight") != 2 || table.Epoch != 4 {
+		t.Errorf("rows %v, weight %d, epoch %d", names, table.Int("a", "weight"), table.Epoch)
 	}
 }
 
-func TestBadChanges(t *testing.T) {
+// TestReadPatchRejects: each fault is found, with the status that it must have.
+func TestReadPatchRejects(t *testing.T) {
 	for text, status := range map[string]int{
 		`{"cells":{"a.weight":1}}`:                          422,
 		`{"base":1,"cells":{"a.weight":0}}`:                 422,
@@ -66,26 +79,31 @@
 		`{"base":"one","cells":{"a.weight":1}}`:             400,
 		`{"base":1,"cells":{"a.weight":1}} {"more":"data"}`: 400,
 	} {
-		var f jsondoc.FieldErrors
-		ReadPatch([]byte(text), &f)
-		if !f.Any() || f.Status() != status {
-			t.Errorf("%s: want %d, have %v", text, status, f.List)
+		var faults jsondoc.FieldErrors
+		ReadPatch([]byte(text), &faults)
+		if !faults.Any() || faults.Status() != status {
+			t.Errorf("%s: want %d, have %v", text, status, faults.List)
 		}
 	}
 }
 
-func FuzzChange(f *testing.F) {
+// FuzzReadPatch: a change that is read without faults leaves a table of valid cells.
+func FuzzReadPatch(f *testing.F) {
 	f.Add([]byte(`{"base":1,"cells":{"a.weight":2,"site.evacMs":4000},"drop":["b"]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var faults jsondoc.FieldErrors
-		if c := ReadPatch(text, &faults); c != nil && !faults.Any() {
-			x := Default()
-			x.Apply(c)
-			for _, r := range x.RowNames() {
-				for _, col := range Columns {
-					if _, why := col.Normalize(x.Cell(r, col.Name)); why != "" {
-						t.Errorf("%s.%s = %q passed: %s", r, col.Name, x.Cell(r, col.Name), why)
-					}
+		change := ReadPatch(text, &faults)
+		if change == nil || faults.Any() {
+			return
+		}
+		table := Default()
+		// A change that is rejected must leave a valid table, too.
+		_ = table.Apply(change)
+		for _, row := range table.RowNames() {
+			for _, column := range Columns {
+				cell := table.Cell(row, column.Name)
+				if _, err := column.Normalize(cell); err != nil {
+					t.Errorf("%s.%s = %q passed: %s", row, column.Name, cell, err)
 				}
 			}
 		}
--- a/internal/state/limits.go
+++ b/internal/state/limits.go
@@ -36,7 +36,7 @@
 		}
 	}
 	previousSpan := s.LeaseSpan()
-	if !s.Limits.Apply(change) {
+	if err := s.Limits.Apply(change); err != nil {
 		return rejected(http.StatusUnprocessableEntity, codeTooManyRows, "the table would have too many rows")
 	}
 	if s.Limits.SiteMillis(limits.SiteLeaseSpan) < previousSpan {
