--- a/internal/api/admission/rules.go
+++ b/internal/api/admission/rules.go
@@ -1,9 +1,7 @@
-// Rules is the compiled table: one program a row. The same value serves the
-// gates, the leader and the simulator.
-
 package admission
 
 import (
+	"slices"
 	"strings"
 
 	"orchidward/internal/api/identifier"
@@ -12,93 +10,129 @@
 	"orchidward/internal/api/limits"
 )
 
-// Rules is the limits table as a short program for each row. Epoch is the
-// version of the table. It is safe for concurrent use once compiled.
+// Rules are the compiled limits table. They are safe for concurrent use once compiled.
 type Rules struct {
+	// Epoch is the version of the table.
 	Epoch identifier.Epoch
-	rows  map[identifier.Row][]Line
+	rows  map[identifier.Row]*rowRules
+}
+
+// rowRules are the limits of one row.
+type rowRules struct {
+	maximums []maximum
+	// allowedLabels is nil when every label is allowed.
+	allowedLabels map[identifier.Label]bool
+	maxWaiting    int64
 }
 
-// Compile makes the programs of a checked table.
+// maximum bounds one number of a job.
+type maximum struct {
+	measure func(s *job.Spec) int64
+	limit   int64
+	// path and message tell of a job that is over the limit.
+	path    string
+	message string
+}
+
+// Compile compiles a checked table.
 func Compile(t *limits.Table) *Rules {
-	r := &Rules{Epoch: t.Epoch, rows: map[identifier.Row][]Line{}}
-	for _, name := range t.RowNames() {
-		r.rows[name] = compile(t, name)
+	r := &Rules{Epoch: t.Epoch, rows: map[identifier.Row]*rowRules{}}
+	for _, row := range t.RowNames() {
+		r.rows[row] = compileRow(t, row)
 	}
 	return r
 }
 
-func compile(t *limits.Table, row identifier.Row) []Line {
-	var prog []Line
-	limit := func(f Field, col, path, what string) {
-		prog = append(prog, Line{Op: Cap, Field: f, Limit: t.Int(row, col), Path: path, Why: what + " over the row's " + col})
-	}
-	limit(Tasks, "maxTasks", "steps", "tasks in the job")
-	limit(Cores, "taskCores", "steps", "cores of a task")
-	limit(Mem, "taskMemMb", "steps", "memory of a task")
-	limit(Urgency, "maxUrgency", "urgency", "urgency")
-	if set := t.Cell(row, "labels"); !strings.Contains(" "+set+" ", " * ") {
-		only := map[identifier.Label]bool{}
-		for _, l := range strings.Fields(set) {
-			only[identifier.Label(l)] = true
+func compileRow(t *limits.Table, row identifier.Row) *rowRules {
+	newMaximum := func(measure func(s *job.Spec) int64, column, path, what string) maximum {
+		return maximum{
+			measure: measure,
+			limit:   t.Int(row, column),
+			path:    path,
+			message: what + " over the row's " + column,
 		}
-		prog = append(prog, Line{Op: Only, Set: only, Path: "steps", Why: "label not allowed in the row"})
 	}
-	prog = append(prog, Line{Op: Room, Limit: t.Int(row, "maxWaiting"), Why: "row is full"}, Line{Op: Pass})
-	return prog
+	return &rowRules{
+		maximums: []maximum{
+			newMaximum((*job.Spec).TaskCount, limits.ColumnMaxTasks, "steps", "tasks in the job"),
+			newMaximum(largestCores, limits.ColumnTaskCores, "steps", "cores of a task"),
+			newMaximum(largestMem, limits.ColumnTaskMem, "steps", "memory of a task"),
+			newMaximum(urgency, limits.ColumnMaxUrgency, "urgency", "urgency"),
+		},
+		allowedLabels: compileLabels(t.Cell(row, limits.ColumnLabels)),
+		maxWaiting:    t.Int(row, limits.ColumnMaxWaiting),
+	}
+}
+
+// compileLabels returns the set of labels of a cell, nil when it allows every label.
+func compileLabels(cell string) map[identifier.Label]bool {
+	names := strings.Fields(cell)
+	if slices.Contains(names, limits.AnyLabel) {
+		return nil
+	}
+	allowed := map[identifier.Label]bool{}
+	for _, name := range names {
+		allowed[identifier.Label(name)] = true
+	}
+	return allowed
 }
 
-// Verdict of one run: faults (422), or full (429), or neither.
+// largestCores is the most cores that one task of the job asks for.
+func largestCores(s *job.Spec) int64 {
+	var largest int64
+	for _, step := range s.Steps {
+		largest = max(largest, step.Demand.Cores)
+	}
+	return largest
+}
+
+// largestMem is the most memory that one task of the job asks for, in mebibytes.
+func largestMem(s *job.Spec) int64 {
+	var largest int64
+	for _, step := range s.Steps {
+		largest = max(largest, step.Demand.Mem)
+	}
+	return largest
+}
+
+func urgency(s *job.Spec) int64 { return s.Urgency }
+
+// Verdict is the result of a check, besides the faults.
 type Verdict struct {
+	// QueueFull says that the row has too many waiting tasks for the job.
 	QueueFull bool
 }
 
-// Check passes a job through its row's program. used is the number of tasks
-// waiting in the row, or negative where that isn't known.
-func (r *Rules) Check(s *job.Spec, used int64, f *jsondoc.FieldErrors) Verdict {
-	var v Verdict
-	prog, ok := r.rows[s.Row]
+// WaitingUnknown is the number of waiting tasks for a caller that does not know it.
+const WaitingUnknown = -1
+
+// Check checks a job against its row and adds its faults to faults. waiting is the number
+// of tasks that wait in the row, or WaitingUnknown.
+func (r *Rules) Check(s *job.Spec, waiting int64, faults *jsondoc.FieldErrors) Verdict {
+	row, ok := r.rows[s.Row]
 	if !ok {
-		f.Invalid("pending", "no such row in the table")
-		return v
+		faults.Invalid("pending", "no such row in the table")
+		return Verdict{}
 	}
-	for _, l := range prog {
-		switch l.Op {
-		case Cap:
-			if n := measure(s, l.Field); n > l.Limit {
-				f.Invalid(l.Path, "%s: %d, limit %d", l.Why, n, l.Limit)
-			}
-		case Only:
-			for _, st := range s.Steps {
-				for _, one := range st.Labels {
-					if !l.Set[one] {
-						f.Invalid(l.Path, "%s: %s", l.Why, one)
-					}
-				}
-			}
-		case Room:
-			v.QueueFull = used >= 0 && used+s.TaskCount() > l.Limit
-		case Pass:
-			return v
+	for _, m := range row.maximums {
+		if value := m.measure(s); value > m.limit {
+			faults.Invalid(m.path, "%s: %d, limit %d", m.message, value, m.limit)
 		}
 	}
-	return v
+	row.checkLabels(s, faults)
+	full := waiting >= 0 && waiting+s.TaskCount() > row.maxWaiting
+	return Verdict{QueueFull: full}
 }
 
-func measure(s *job.Spec, field Field) int64 {
-	var n int64
-	switch field {
-	case Tasks:
-		return s.TaskCount()
-	case Urgency:
-		return s.Urgency
+func (r *rowRules) checkLabels(s *job.Spec, faults *jsondoc.FieldErrors) {
+	if r.allowedLabels == nil {
+		return
 	}
-	for _, st := range s.Steps {
-		d := st.Demand.Cores
-		if field == Mem {
-			d = st.Demand.Mem
+	for _, step := range s.Steps {
+		for _, label := range step.Labels {
+			if !r.allowedLabels[label] {
+				faults.Invalid("steps", "label not allowed in the row: %s", label)
+			}
 		}
-		n = max(n, d)
 	}
-	return n
 }
--- a/internal/api/admission/rules_test.go
+++ b/internal/api/admission/rules_test.go
@@ -10,26 +10,33 @@
 	"orchidward/internal/api/limits"
 )
 
-// TestRun: each limit of a row holds at its edge and refuses one past it, by
-// name, and a full row is told from a faulty job.
-func TestRun(t *testing.T) {
-	now := limits.Default()
-	row := now.Rows["default"]
-	row["maxTasks"], row["taskCores"], row["taskMemMb"], row["maxUrgency"], row["labels"], row["maxWaiting"] = "4", "2", "100", "3", "ssd std", "10"
-	r := Compile(now)
-	spec := func(change func(s *job.Spec)) *job.Spec {
-		s := &job.Spec{Row: "default", Urgency: 3, Steps: []job.Step{
-			{Name: "a", Tasks: 3, Demand: job.Demand{Cores: 2, Mem: 100}, Labels: []identifier.Label{"ssd"}}, {Name: "b", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}}}}
-		change(s)
-		return s
-	}
-	for name, one := range map[string]struct {
-		change func(s *job.Spec)
-		used   int64
-		fault  string
-		full   bool
+// atEveryLimit is a job that is at every limit of the row that TestCheck makes.
+func atEveryLimit() *job.Spec {
+	return &job.Spec{Row: "default", Urgency: 3, Steps: []job.Step{
+		{Name: "a", Tasks: 3, Demand: job.Demand{Cores: 2, Mem: 100}, Labels: []identifier.Label{"ssd"}},
+		{Name: "b", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 1}},
+	}}
+}
+
+// TestCheck: a job at each limit of a row passes and one past it is rejected, by the name
+// of the limit, and a row with too many waiting tasks is told from a faulty job.
+func TestCheck(t *testing.T) {
+	table := limits.Default()
+	row := table.Rows[limits.DefaultRow]
+	row["maxTasks"] = "4"
+	row["taskCores"] = "2"
+	row["taskMemMb"] = "100"
+	row["maxUrgency"] = "3"
+	row["labels"] = "ssd std"
+	row["maxWaiting"] = "10"
+	rules := Compile(table)
+	for name, c := range map[string]struct {
+		change  func(s *job.Spec)
+		waiting int64
+		fault   string
+		full    bool
 	}{
-		"at every edge":        {func(_ *job.Spec) {}, 6, "", false},
+		"at every limit":       {func(_ *job.Spec) {}, 6, "", false},
 		"one too many waiting": {func(_ *job.Spec) {}, 7, "", true},
 		"waiting not known":    {func(_ *job.Spec) {}, -1, "", false},
 		"tasks":                {func(s *job.Spec) { s.Steps[1].Tasks = 2 }, 0, "maxTasks: 5, limit 4", false},
@@ -39,10 +46,16 @@
 		"label":                {func(s *job.Spec) { s.Steps[1].Labels = []identifier.Label{"gpu"} }, 0, "not allowed in the row: gpu", false},
 		"row":                  {func(s *job.Spec) { s.Row = "other" }, 0, "no such row", false},
 	} {
-		var f jsondoc.FieldErrors
-		v := r.Check(spec(one.change), one.used, &f)
-		if v.QueueFull != one.full || f.Any() != (one.fault != "") || f.Any() && !strings.Contains(string(f.ErrorBody()), one.fault) {
-			t.Errorf("%s: full %v, %s", name, v.QueueFull, f.ErrorBody())
+		spec := atEveryLimit()
+		c.change(spec)
+		var faults jsondoc.FieldErrors
+		verdict := rules.Check(spec, c.waiting, &faults)
+		body := string(faults.ErrorBody())
+		if verdict.QueueFull != c.full || faults.Any() != (c.fault != "") {
+			t.Errorf("%s: full %v, %s", name, verdict.QueueFull, body)
+		}
+		if faults.Any() && !strings.Contains(body, c.fault) {
+			t.Errorf("%s: %s, want %s", name, body, c.fault)
 		}
 	}
 }
