--- a/internal/api/catalog/change.go
+++ b/internal/api/catalog/change.go
@@ -1,6 +1,3 @@
-// A change is read whole and checked by hand before it is proposed; what can
-// only be judged against the catalogue in force is judged when it is applied.
-
 package catalog
 
 import (
@@ -13,20 +10,25 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// Change replaces the catalogue, or some items of it.
+// Change replaces the catalogue, or some items of it. What can be checked without the
+// catalogue in force has been checked.
 type Change struct {
-	Base       uint64          `json:"base"`
-	Version    uint64          `json:"version"`
+	// Base is the version that the change is based on, Version the one it leads to.
+	Base    uint64 `json:"base"`
+	Version uint64 `json:"version"`
+	// Whole says that the change replaces the whole catalogue.
 	Whole      bool            `json:"whole,omitempty"`
 	Queues     []Queue         `json:"queues,omitempty"`
 	Pools      []Pool          `json:"pools,omitempty"`
 	DropQueues []string        `json:"dropQueues,omitempty"`
 	DropPools  []string        `json:"dropPools,omitempty"`
 	Source     json.RawMessage `json:"source,omitempty"`
-	Checksum   string          `json:"sum"`
+	// Checksum is that of the operator's text.
+	Checksum string `json:"sum"`
 }
 
-type whole struct {
+// wholeDocument is the JSON of a complete catalogue.
+type wholeDocument struct {
 	Base    *uint64         `json:"base"`
 	Version *uint64         `json:"version"`
 	Queues  []Queue         `json:"queues"`
@@ -34,7 +36,8 @@
 	Source  json.RawMessage `json:"source"`
 }
 
-type patch struct {
+// patchDocument is the JSON of a change of named items.
+type patchDocument struct {
 	Base    *uint64 `json:"base"`
 	Version *uint64 `json:"version"`
 	Put     struct {
@@ -46,83 +49,99 @@
 		Pools  []string `json:"pools"`
 	} `json:"drop"`
 	Source json.RawMessage `json:"source"`
-	// Rest has no effect. It is what else the operator's text said, so that
-	// changes which differ only in that are told apart by their digests.
+	// Rest has no effect. It is what else the operator's text has, so that changes which
+	// differ only in that have different checksums.
 	Rest json.RawMessage `json:"rest"`
 }
 
-func decode(text []byte, into any, f *jsondoc.FieldErrors) bool {
+// ReadWhole reads a complete catalogue. Faults are added to faults; the result is nil when
+// the text can't be read, and must not be used when there are any faults.
+func ReadWhole(text []byte, faults *jsondoc.FieldErrors) *Change {
+	var doc wholeDocument
+	if !decode(text, &doc, faults) {
+		return nil
+	}
+	change := &Change{Whole: true, Queues: doc.Queues, Pools: doc.Pools, Source: doc.Source}
+	return change.complete(doc.Base, doc.Version, text, faults)
+}
+
+// ReadPatch reads a change of named items. Faults are added to faults; the result is nil
+// when the text can't be read, and must not be used when there are any faults.
+func ReadPatch(text []byte, faults *jsondoc.FieldErrors) *Change {
+	var doc patchDocument
+	if !decode(text, &doc, faults) {
+		return nil
+	}
+	change := &Change{
+		Queues:     doc.Put.Queues,
+		Pools:      doc.Put.Pools,
+		DropQueues: doc.Drop.Queues,
+		DropPools:  doc.Drop.Pools,
+		Source:     doc.Source,
+	}
+	return change.complete(doc.Base, doc.Version, text, faults)
+}
+
+// decode reads one JSON value without unknown fields, and nothing after it.
+func decode(text []byte, into any, faults *jsondoc.FieldErrors) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
-		f.Malformed("", "not a catalogue: %s", err)
+		faults.Malformed("", "not a catalogue: %s", err)
 		return false
 	}
 	if _, err := d.Token(); err != io.EOF {
-		f.Malformed("", "data after the JSON value")
+		faults.Malformed("", "data after the JSON value")
 		return false
 	}
 	return true
 }
 
-// ReadWhole reads a whole catalogue.
-func ReadWhole(text []byte, f *jsondoc.FieldErrors) *Change {
-	var w whole
-	if !decode(text, &w, f) {
-		return nil
-	}
-	c := &Change{Whole: true, Queues: w.Queues, Pools: w.Pools, Source: w.Source}
-	return c.finish(w.Base, w.Version, text, f)
-}
-
-// ReadPatch reads a change of named items.
-func ReadPatch(text []byte, f *jsondoc.FieldErrors) *Change {
-	var p patch
-	if !decode(text, &p, f) {
-		return nil
-	}
-	c := &Change{Queues: p.Put.Queues, Pools: p.Put.Pools, DropQueues: p.Drop.Queues, DropPools: p.Drop.Pools, Source: p.Source}
-	return c.finish(p.Base, p.Version, text, f)
-}
+// checksumBytes is the number of bytes kept of a SHA-256 hash.
+const checksumBytes = 12
 
-func (c *Change) finish(base, version *uint64, text []byte, f *jsondoc.FieldErrors) *Change {
+// complete sets the versions and the checksum and checks the items.
+func (c *Change) complete(base, version *uint64, text []byte, faults *jsondoc.FieldErrors) *Change {
 	if base == nil || version == nil {
-		f.Invalid("base", "base and version must be given")
+		faults.Invalid("base", "base and version must be given")
 		return nil
 	}
-	c.Base, c.Version = *base, *version
+	c.Base = *base
+	c.Version = *version
 	for i := range c.Queues {
-		c.Queues[i].check(f)
+		c.Queues[i].check(faults)
 	}
-	for _, p := range c.Pools {
-		if p.Name == "" || len(p.Name) > maxName {
-			f.Invalid("pools", "want a name of 1 to %d bytes", maxName)
+	for _, pool := range c.Pools {
+		if pool.Name == "" || len(pool.Name) > maxNameBytes {
+			faults.Invalid("pools", "want a name of 1 to %d bytes", maxNameBytes)
 		}
 	}
-	sum := sha256.Sum256(text)
-	c.Checksum = hex.EncodeToString(sum[:12])
+	hash := sha256.Sum256(text)
+	c.Checksum = hex.EncodeToString(hash[:checksumBytes])
 	return c
 }
 
+// Bounds of the fields of queues and pools.
 const (
-	maxName   = 128
-	maxPlace  = 1024
-	maxTries  = 1000
-	maxNumber = 1 << 40
+	maxNameBytes = 128
+	// maxRouteBytes bounds hosts and prefixes.
+	maxRouteBytes = 1024
+	maxAttempts   = 1000
+	maxNumber     = 1 << 40
 )
 
-func (q *Queue) check(f *jsondoc.FieldErrors) {
-	bad := func(ok bool, key, why string) {
-		if !ok {
-			f.Invalid("queues."+q.Name+"."+key, "%s", why)
+func (q *Queue) check(faults *jsondoc.FieldErrors) {
+	require := func(valid bool, key, message string) {
+		if !valid {
+			faults.Invalid("queues."+q.Name+"."+key, "%s", message)
 		}
 	}
-	bad(q.Name != "" && len(q.Name) <= maxName, "name", "want 1 to 128 bytes")
-	bad(q.Host != "" && len(q.Host) <= maxPlace, "host", "must be given")
-	bad(len(q.Prefix) > 0 && len(q.Prefix) <= maxPlace && q.Prefix[0] == '/', "prefix", "want a path")
-	bad(q.Timeout > 0 && q.Timeout < maxNumber, "timeoutMs", "want a span above 0")
-	bad(q.LatencyTarget >= 0 && q.LatencyTarget < maxNumber, "setPointMs", "want a span")
-	bad(q.Priority >= 0 && q.Priority < maxNumber, "rank", "want a number from 0")
-	bad(q.MaxAttempts >= 0 && q.MaxAttempts <= maxTries, "tries", "want 0 to 1000")
-	bad(q.LatencyFactor >= 0 && q.LatencyFactor < maxNumber, "stretch", "want a number from 0")
+	require(q.Name != "" && len(q.Name) <= maxNameBytes, "name", "want 1 to 128 bytes")
+	require(q.Host != "" && len(q.Host) <= maxRouteBytes, "host", "must be given")
+	require(q.Prefix != "" && len(q.Prefix) <= maxRouteBytes && q.Prefix[0] == '/', "prefix", "want a path")
+	require(q.Timeout > 0 && q.Timeout < maxNumber, "timeoutMs", "want a span above 0")
+	require(q.LatencyTarget >= 0 && q.LatencyTarget < maxNumber, "setPointMs", "want a span")
+	require(q.Priority >= 0 && q.Priority < maxNumber, "rank", "want a number from 0")
+	require(q.MaxAttempts >= 0 && q.MaxAttempts <= maxAttempts, "tries", "want 0 to 1000")
+	require(q.LatencyFactor >= 0 && q.LatencyFactor < maxNumber, "stretch", "want a number from 0")
 }
--- a/internal/api/catalog/dedup.go
+++ b/internal/api/catalog/dedup.go
@@ -1,30 +1,28 @@
-// Deduplication of changes. A change that was accepted and is sent again,
-// because its answer was lost, must be recognised however many others were
-// accepted since. The memory is bounded: what it had to forget is known by a
-// horizon, so that a change which may have been accepted and forgotten can be
-// told from one that certainly was not.
-
 package catalog
 
 import (
 	"crypto/sha256"
 	"encoding/binary"
 	"slices"
+	"sort"
 )
 
 const (
-	// dedupMost bounds the remembered changes: more than three days of 1,200.
-	dedupMost = 4096
-	// formerMost is how many changes programs without Dedup remembered.
-	formerMost = 64
-
-	digestSize = 12
-	recordSize = 8 + digestSize
+	// maxRecords bounds the remembered changes: more than three days of 1,200.
+	maxRecords = 4096
+	// maxLegacyRecords is how many changes are remembered without a Dedup.
+	maxLegacyRecords = 64
+
+	versionSize = 8
+	digestSize  = 12
+	recordSize  = versionSize + digestSize
 )
 
-// Dedup remembers the latest accepted changes. Versions only ever rise, so the
-// records are in the order of their versions, and every forgotten version is at
-// most the horizon.
+// Dedup remembers the latest accepted changes, so that one that is sent again because its
+// answer was lost is recognised, however many others were accepted since. The memory is
+// bounded: a change that may have been accepted and forgotten can be told from one that
+// certainly was not accepted by the horizon. Versions only ever rise, so the records are
+// in the order of their versions, and every forgotten version is at most the horizon.
 type Dedup struct {
 	// Records holds for each change its version and the digest of its content,
 	// packed, oldest first.
@@ -41,36 +39,35 @@
 
 type digest [digestSize]byte
 
-// The kinds of change that a digest tells apart. Records taken over from former
-// programs do not say which kind they were of.
+// The kinds of change that a digest tells apart. Legacy records do not say which kind they
+// are of. The texts are part of the digests in snapshots.
 const (
-	kindFormer  = "former"
+	kindLegacy  = "former"
 	kindReplace = "replace"
 	kindPatch   = "patch"
 )
 
-func (ch *Change) kind() string {
-	if ch.Whole {
+func (c *Change) kind() string {
+	if c.Whole {
 		return kindReplace
 	}
 	return kindPatch
 }
 
-func makeDigest(kind, sum string) digest {
-	var d digest
-	full := sha256.Sum256([]byte(kind + " " + sum))
-	copy(d[:], full[:])
-	return d
+func newDigest(kind, checksum string) digest {
+	hash := sha256.Sum256([]byte(kind + " " + checksum))
+	return digest(hash[:digestSize])
 }
 
-// newDedup takes over what a former program remembered.
-func newDedup(former []LegacyRecord) *Dedup {
+// newDedup takes over legacy records. When there are as many as are kept, others may have
+// been forgotten.
+func newDedup(legacy []LegacyRecord) *Dedup {
 	d := &Dedup{}
-	for _, record := range former {
-		d.add(record.Version, makeDigest(kindFormer, record.Checksum))
+	for _, record := range legacy {
+		d.add(record.Version, newDigest(kindLegacy, record.Checksum))
 	}
-	if len(former) >= formerMost {
-		d.Horizon = former[0].Version - 1
+	if len(legacy) >= maxLegacyRecords {
+		d.Horizon = legacy[0].Version - 1
 	}
 	return d
 }
@@ -83,53 +80,44 @@
 }
 
 func (d *Dedup) digest(i int) digest {
-	var sum digest
-	copy(sum[:], d.Records[i*recordSize+8:])
-	return sum
+	record := d.Records[i*recordSize : (i+1)*recordSize]
+	return digest(record[versionSize:])
 }
 
-// find looks the record of a version up.
+// find returns the position of a version's record.
 func (d *Dedup) find(version uint64) (i int, ok bool) {
-	low, high := 0, d.Len()
-	for low < high {
-		middle := (low + high) / 2
-		if d.version(middle) < version {
-			low = middle + 1
-		} else {
-			high = middle
-		}
-	}
-	return low, low < d.Len() && d.version(low) == version
+	i = sort.Search(d.Len(), func(i int) bool { return d.version(i) >= version })
+	return i, i < d.Len() && d.version(i) == version
 }
 
 // has tells whether the change is remembered as accepted.
-func (d *Dedup) has(ch *Change) bool {
-	i, ok := d.find(ch.Version)
+func (d *Dedup) has(change *Change) bool {
+	i, ok := d.find(change.Version)
 	if !ok {
 		return false
 	}
 	known := d.digest(i)
-	return known == makeDigest(ch.kind(), ch.Checksum) || known == makeDigest(kindFormer, ch.Checksum)
+	return known == newDigest(change.kind(), change.Checksum) || known == newDigest(kindLegacy, change.Checksum)
 }
 
-// mayHaveForgotten tells whether the change can have been accepted and
-// forgotten since. A version at or below its own base was never accepted.
-func (d *Dedup) mayHaveForgotten(ch *Change) bool {
-	return ch.Base < ch.Version && ch.Version <= d.Horizon
+// mayHaveForgotten tells whether the change can have been accepted and forgotten since. A
+// version at or below its own base was never accepted.
+func (d *Dedup) mayHaveForgotten(change *Change) bool {
+	return change.Base < change.Version && change.Version <= d.Horizon
 }
 
-// with is the memory after a change was accepted; the one it is called on
-// stays as it is.
-func (d *Dedup) with(ch *Change) *Dedup {
-	out := &Dedup{Records: slices.Clone(d.Records), Horizon: d.Horizon}
-	out.add(ch.Version, makeDigest(ch.kind(), ch.Checksum))
-	return out
+// with is the memory after a change was accepted; the one it is called on stays as it is.
+func (d *Dedup) with(change *Change) *Dedup {
+	next := &Dedup{Records: slices.Clone(d.Records), Horizon: d.Horizon}
+	next.add(change.Version, newDigest(change.kind(), change.Checksum))
+	return next
 }
 
-func (d *Dedup) add(version uint64, sum digest) {
+// add adds a record and forgets the oldest ones above the bound.
+func (d *Dedup) add(version uint64, content digest) {
 	d.Records = binary.BigEndian.AppendUint64(d.Records, version)
-	d.Records = append(d.Records, sum[:]...)
-	for d.Len() > dedupMost {
+	d.Records = append(d.Records, content[:]...)
+	for d.Len() > maxRecords {
 		d.Horizon = d.version(0)
 		d.Records = d.Records[recordSize:]
 	}
--- /dev/null
+++ b/internal/api/catalog/merge.go
@@ -0,0 +1,109 @@
+package catalog
+
+import (
+	"slices"
+	"strings"
+
+	"github.com/go-faster/errors"
+)
+
+// With returns the catalogue after the change, or why the change is not valid. The one it
+// is called on stays as it is.
+func (c *Catalog) With(change *Change) (*Catalog, error) {
+	next := &Catalog{Version: change.Version}
+	if change.Whole {
+		next.Queues = change.Queues
+		next.Pools = change.Pools
+		next.Source = change.Source
+	} else {
+		next.Queues = merge(c.Queues, change.Queues, change.DropQueues, func(q Queue) string { return q.Name })
+		next.Pools = merge(c.Pools, change.Pools, change.DropPools, func(p Pool) string { return p.Name })
+		next.Source = c.Source
+		if len(change.Source) > 0 {
+			next.Source = change.Source
+		}
+	}
+	if err := next.validate(c.Version); err != nil {
+		return nil, err
+	}
+	next.remember(c, change)
+	return next, nil
+}
+
+// remember takes over what the previous catalogue remembered and adds the change.
+func (c *Catalog) remember(previous *Catalog, change *Change) {
+	if previous.Dedup != nil {
+		c.Dedup = previous.Dedup.with(change)
+		return
+	}
+	record := LegacyRecord{Version: change.Version, Checksum: change.Checksum}
+	records := append(slices.Clone(previous.LegacyRecords), record)
+	c.LegacyRecords = records[max(0, len(records)-maxLegacyRecords):]
+}
+
+// merge replaces items by name in their place, adds new ones at the end, and drops some.
+// Of several new items of one name the last counts; an item that is both new and dropped
+// is kept.
+func merge[T any](old, put []T, drop []string, name func(T) string) []T {
+	// latest has the position in put of the item of each name.
+	latest := map[string]int{}
+	for i, item := range put {
+		latest[name(item)] = i
+	}
+	dropped := map[string]bool{}
+	for _, n := range drop {
+		dropped[n] = true
+	}
+	var merged []T
+	for _, item := range old {
+		n := name(item)
+		if i, replaced := latest[n]; replaced {
+			merged = append(merged, put[i])
+			delete(latest, n)
+			dropped[n] = false
+			continue
+		}
+		if !dropped[n] {
+			merged = append(merged, item)
+		}
+	}
+	for i, item := range put {
+		if last, ok := latest[name(item)]; ok && last == i {
+			merged = append(merged, item)
+		}
+	}
+	return merged
+}
+
+// validate checks what a change alone does not show. previous is the version in force.
+func (c *Catalog) validate(previous uint64) error {
+	if c.Version <= previous {
+		return errors.New("the version is not above the current one")
+	}
+	if len(c.Queues) > MaxQueues || len(c.Pools) > MaxPools {
+		return errors.New("too many queues or pools")
+	}
+	pools := map[string]bool{}
+	for _, p := range c.Pools {
+		if pools[p.Name] {
+			return errors.Errorf("two pools are named %s", p.Name)
+		}
+		pools[p.Name] = true
+	}
+	names := map[string]bool{}
+	routes := map[string]bool{}
+	for _, q := range c.Queues {
+		route := strings.ToLower(q.Host) + " " + q.Prefix
+		switch {
+		case names[q.Name]:
+			return errors.Errorf("two queues are named %s", q.Name)
+		case !pools[q.Pool]:
+			return errors.Errorf("queue %s names an unknown pool", q.Name)
+		case routes[route]:
+			return errors.Errorf("two queues share host and prefix %s", route)
+		}
+		names[q.Name] = true
+		routes[route] = true
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/api/catalog/routes.go
@@ -0,0 +1,63 @@
+package catalog
+
+import (
+	"cmp"
+	"slices"
+	"strings"
+)
+
+// Route is the host and the prefix of the paths that belong to a queue.
+type Route struct {
+	Queue  string `json:"name"`
+	Host   string `json:"host"`
+	Prefix string `json:"prefix"`
+}
+
+// Routes lists the routes of all queues, hosts in lower case.
+func (c *Catalog) Routes() []Route {
+	var routes []Route
+	for _, q := range c.Queues {
+		routes = append(routes, Route{Queue: q.Name, Host: strings.ToLower(q.Host), Prefix: q.Prefix})
+	}
+	return routes
+}
+
+// RouteMap finds the queue that a request belongs to.
+type RouteMap struct {
+	// Version is the version of the catalogue.
+	Version uint64
+	// byHost has the routes of each host, the longest prefix first.
+	byHost map[string][]Route
+}
+
+// NewRouteMap returns a map of the routes, whose hosts must be in lower case.
+func NewRouteMap(version uint64, routes []Route) *RouteMap {
+	m := &RouteMap{Version: version, byHost: map[string][]Route{}}
+	for _, route := range routes {
+		m.byHost[route.Host] = append(m.byHost[route.Host], route)
+	}
+	for _, list := range m.byHost {
+		slices.SortFunc(list, func(a, b Route) int { return cmp.Compare(len(b.Prefix), len(a.Prefix)) })
+	}
+	return m
+}
+
+// Find looks up the queue with the longest prefix of the path, under the request's host in
+// any case and with or without a port. rest is what follows the prefix.
+func (m *RouteMap) Find(host, path string) (queue, rest string, ok bool) {
+	for _, route := range m.byHost[withoutPort(strings.ToLower(host))] {
+		if rest, ok = strings.CutPrefix(path, route.Prefix); ok {
+			return route.Queue, rest, true
+		}
+	}
+	return "", "", false
+}
+
+// withoutPort removes the port of a host. An IPv6 address without a port ends in "]".
+func withoutPort(host string) string {
+	i := strings.LastIndexByte(host, ':')
+	if i <= 0 || strings.HasSuffix(host, "]") {
+		return host
+	}
+	return host[:i]
+}
--- a/internal/state/catalog.go
+++ b/internal/state/catalog.go
@@ -26,9 +26,9 @@
 	if current.Version != change.Base {
 		return rejectedWithBody(http.StatusPreconditionFailed, codeStaleBase, "another version is in force", catalogAck{Version: current.Version})
 	}
-	next, why := current.With(change)
-	if why != "" {
-		return rejected(http.StatusUnprocessableEntity, codeInvalid, why)
+	next, err := current.With(change)
+	if err != nil {
+		return rejected(http.StatusUnprocessableEntity, codeInvalid, err.Error())
 	}
 	s.Catalog = next
 	s.Limits.Epoch++
--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -2,13 +2,13 @@
 
 // operatorMutations break how operators' changes and orders are taken.
 var operatorMutations = []wound{
-	{"accepted changes are soon forgotten", "internal/api/catalog/dedup.go", "dedupMost = 4096", "dedupMost = 64", []string{"./internal/state", "-run", "TestCatalogResendAfterOneDay"}, "was refused with", nil},
+	{"accepted changes are soon forgotten", "internal/api/catalog/dedup.go", "maxRecords = 4096", "maxRecords = 64", []string{"./internal/state", "-run", "TestCatalogResendAfterOneDay"}, "was refused with", nil},
 	{"forgotten changes are refused", "internal/state/catalog.go", "if current.MayHaveForgotten(change) {", "if false {", []string{"./internal/state", "-run", "TestForgottenCatalogChange"}, "sent again: 412", nil},
-	{"any old number may have been taken", "internal/api/catalog/dedup.go", "return ch.Base < ch.Version && ch.Version <= d.Horizon", "return ch.Version <= d.Horizon", []string{"./internal/state", "-run", "TestForgottenCatalogChange"}, "a number not above its own base: 504", nil},
+	{"any old number may have been taken", "internal/api/catalog/dedup.go", "return change.Base < change.Version && change.Version <= d.Horizon", "return change.Version <= d.Horizon", []string{"./internal/state", "-run", "TestForgottenCatalogChange"}, "a number not above its own base: 504", nil},
 	{"a patch passes for a whole catalogue", "internal/api/catalog/dedup.go", "	return kindPatch\n", "	return kindReplace\n", []string{"./internal/state", "-run", "TestSameTextOtherMethod"}, "two operators were confirmed under one number", nil},
 	{"accepted changes are forgotten by the raise", "internal/api/catalog/catalog.go", "newDedup(c.LegacyRecords)", "newDedup(nil)", []string{"./internal/state", "-run", "TestRaiseToResendLevel"}, "sent again got 412", nil},
 	{"a resend is taken for another change", "internal/state/catalog.go", "	if current.Has(change) {", "	if false {", []string{"./tests/simulation", "-run", "TestRegisterHistories"}, "no register answers so", nil},
-	{"one number confirmed for any content", "internal/api/catalog/dedup.go", "return known == makeDigest(ch.kind(), ch.Checksum) ||", "return true ||", []string{"./tests/simulation", "-run", "TestRegisterHistories"}, "no register answers so", nil},
+	{"one number confirmed for any content", "internal/api/catalog/dedup.go", "return known == newDigest(change.kind(), change.Checksum) ||", "return true ||", []string{"./tests/simulation", "-run", "TestRegisterHistories"}, "no register answers so", nil},
 	{"the memory of changes is not in views", "internal/api/catalog/catalog.go", "`json:\"dedup,omitempty\"`", "`json:\"-\"`", []string{"./tests/simulation", "-run", "TestRegisterHistories"}, "no register answers so", nil},
 	{"a resend is refused by a whole site", "internal/state/catalog.go", "	if current.Has(change) {", "	if false {", []string{"./tests/simulation", "-run", "TestRegisterExchange"}, "no register answers so", nil},
 	{"given up, and said not to be taken", "internal/gateway/requests.go", "c.Method != \"GET\" && (c.lost || c.ask != 0)", "c.Method == \"\"", []string{"./tests/simulation", "-run", "TestRegisterExchange"}, "no register answers so", nil},
