--- a/internal/api/eventlog/diary.go
+++ b/internal/api/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog is what a stand-in runner tells a drill of its attempts.
-// Now is the time on the runner's clock when the page was made, so that the
-// reader can place each event on its own clock by its age.
+// Package eventlog is the document in which a simulated runner tells a drill what happened
+// to its attempts. Each page has the time on the runner's own clock, so that the reader can
+// place the events on its clock by their age.
 package eventlog
 
 import (
@@ -9,24 +9,25 @@
 	"orchidward/internal/clock"
 )
 
-// Page is the event log of one incarnation of a runner. Now is in milliseconds
-// on the runner's monotonic clock.
+// Page is the event log of one incarnation of a runner.
 type Page struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"incarnation"`
 	Domain      identifier.Domain      `json:"domain"`
 	Labels      []identifier.Label     `json:"labels"`
 	Capacity    job.Demand             `json:"cap"`
-	Now         clock.Monotonic        `json:"now"`
-	// BrokenResponses counts polls whose answer broke off.
+	// Now is when the page was made, in milliseconds on the runner's monotonic clock.
+	Now clock.Monotonic `json:"now"`
+	// BrokenResponses counts polls whose response was incomplete.
 	BrokenResponses int     `json:"broken"`
 	Events          []Event `json:"events"`
 }
 
-// Event is one thing that happened to an attempt. N numbers the events, and At
-// is in milliseconds on the same clock as the page's Now.
+// Event is one thing that happened to an attempt.
 type Event struct {
-	Seq    uint64             `json:"n"`
+	// Seq numbers the events.
+	Seq uint64 `json:"n"`
+	// At is in milliseconds on the same clock as the page's Now.
 	At     clock.Monotonic    `json:"at"`
 	Kind   string             `json:"what"`
 	Lease  identifier.LeaseID `json:"grant"`
--- a/internal/api/jsondoc/parse.go
+++ b/internal/api/jsondoc/parse.go
@@ -1,6 +1,3 @@
-// Parse turns JSON text into plain values while refusing what encoding/json
-// lets pass: doubled keys, data after the value, and nesting without end.
-
 package jsondoc
 
 import (
@@ -10,86 +7,88 @@
 	"io"
 )
 
-const deep = 16
+// maxDepth bounds the nesting of a document.
+const maxDepth = 16
 
-// Parse reads one JSON object. It returns nil, with a fault in f, when the text
-// is not valid JSON, has a key twice, is nested deeper than 16 levels, is no
-// object, or is followed by other data.
-func Parse(text []byte, f *FieldErrors) *Object {
-	dec := json.NewDecoder(bytes.NewReader(text))
-	dec.UseNumber()
-	val, err := read(dec, "", 0)
+// Parse reads one JSON object. It returns nil, with a fault, when the text is not valid
+// JSON, has a key twice in one object, is nested deeper than 16 levels, is no object, or
+// is followed by other data. encoding/json alone lets the keys and the depth pass.
+func Parse(text []byte, faults *FieldErrors) *Object {
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	value, err := readValue(decoder, "", 0)
 	if err != nil {
-		f.Malformed("", "not JSON: %s", err)
+		faults.Malformed("", "not JSON: %s", err)
 		return nil
 	}
-	if _, err = dec.Token(); err != io.EOF {
-		f.Malformed("", "data after the JSON value")
+	if _, err = decoder.Token(); err != io.EOF {
+		faults.Malformed("", "data after the JSON value")
 		return nil
 	}
-	m, ok := val.(map[string]any)
+	values, ok := value.(map[string]any)
 	if !ok {
-		f.Malformed("", "want an object")
+		faults.Malformed("", "want an object")
 		return nil
 	}
-	return &Object{vals: m, seen: map[string]bool{}, f: f}
+	return newObject(values, "", faults)
 }
 
-func read(dec *json.Decoder, path string, depth int) (any, error) {
-	if depth > deep {
-		return nil, fmt.Errorf("nested deeper than %d at %q", deep, path)
+func readValue(decoder *json.Decoder, path string, depth int) (any, error) {
+	if depth > maxDepth {
+		return nil, fmt.Errorf("nested deeper than %d at %q", maxDepth, path)
 	}
-	tok, err := dec.Token()
+	token, err := decoder.Token()
 	if err != nil {
 		return nil, err
 	}
-	switch t := tok.(type) {
-	case json.Delim:
-		if t == '{' {
-			return readMap(dec, path, depth)
-		}
-		return readList(dec, path, depth)
-	default:
-		return tok, nil
+	delimiter, ok := token.(json.Delim)
+	switch {
+	case !ok:
+		return token, nil
+	case delimiter == '{':
+		return readObject(decoder, path, depth)
 	}
+	return readList(decoder, path, depth)
 }
 
-func readMap(dec *json.Decoder, path string, depth int) (any, error) {
-	m := map[string]any{}
-	for dec.More() {
-		tok, err := dec.Token()
+func readObject(decoder *json.Decoder, path string, depth int) (any, error) {
+	values := map[string]any{}
+	for decoder.More() {
+		token, err := decoder.Token()
 		if err != nil {
 			return nil, err
 		}
-		key, ok := tok.(string)
+		key, ok := token.(string)
 		if !ok {
 			return nil, fmt.Errorf("bad key at %q", path)
 		}
-		if _, dup := m[key]; dup {
-			return nil, fmt.Errorf("field given twice: %q", join(path, key))
+		if _, given := values[key]; given {
+			return nil, fmt.Errorf("field given twice: %q", joinPath(path, key))
 		}
-		if m[key], err = read(dec, join(path, key), depth+1); err != nil {
+		value, err := readValue(decoder, joinPath(path, key), depth+1)
+		if err != nil {
 			return nil, err
 		}
+		values[key] = value
 	}
-	_, err := dec.Token()
-	return m, err
+	_, err := decoder.Token()
+	return values, err
 }
 
-func readList(dec *json.Decoder, path string, depth int) (any, error) {
+func readList(decoder *json.Decoder, path string, depth int) (any, error) {
 	list := []any{}
-	for dec.More() {
-		one, err := read(dec, fmt.Sprintf("%s[%d]", path, len(list)), depth+1)
+	for decoder.More() {
+		element, err := readValue(decoder, elementPath(path, len(list)), depth+1)
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, one)
+		list = append(list, element)
 	}
-	_, err := dec.Token()
+	_, err := decoder.Token()
 	return list, err
 }
 
-func join(path, key string) string {
+func joinPath(path, key string) string {
 	if path == "" {
 		return key
 	}
