--- /dev/null
+++ b/internal/api/runnerapi/read.go
@@ -0,0 +1,165 @@
+package runnerapi
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/clock"
+)
+
+// Bounds of the fields of a poll.
+const (
+	// maxItems bounds each list of attempts.
+	maxItems  = 4096
+	maxLabels = 64
+	// maxAmount bounds each amount of resources.
+	maxAmount = 1 << 30
+	// maxMillis bounds spans, in milliseconds.
+	maxMillis = 1 << 40
+	// maxID bounds leases and counters: JSON numbers are exact up to it.
+	maxID = 1 << 53
+	// maxTaskNumber bounds the numbers of steps and tasks.
+	maxTaskNumber = 1 << 20
+	maxPercent    = 1 << 20
+	maxRate       = 1 << 30
+)
+
+// Read reads and checks a poll. Faults are added to faults; the result must not be used
+// when there are any. Polls come once or twice a second from every runner, and nearly all
+// are valid, so the scanner is tried first.
+func Read(text []byte, faults *jsondoc.FieldErrors) *PollRequest {
+	if poll := scanPoll(text); poll != nil {
+		return poll
+	}
+	return readChecked(text, faults)
+}
+
+// readChecked reads any poll and names each of its faults.
+func readChecked(text []byte, faults *jsondoc.FieldErrors) *PollRequest {
+	o := jsondoc.Parse(text, faults)
+	if o == nil {
+		return nil
+	}
+	p := &PollRequest{}
+	p.Incarnation = identifier.Incarnation(o.Name("incarnation", true))
+	p.Seq = uint64(o.Int("seq", 0, 1, maxID))
+	minAmount := minimumAmount(o.Has("agent"))
+	p.Cores = o.Int("cores", 0, minAmount, maxAmount)
+	p.Mem = o.Int("memMb", 0, minAmount, maxAmount)
+	for _, key := range []string{"seq", "cores", "memMb"} {
+		if !o.Has(key) {
+			faults.Invalid(key, "must be given")
+		}
+	}
+	for _, label := range o.Names("labels", maxLabels) {
+		p.Labels = append(p.Labels, identifier.Label(label))
+	}
+	p.Domain = identifier.Domain(o.Name("domain", true))
+	p.Rack = identifier.Rack(o.Name("rack", minAmount > 0))
+	p.Mode = o.OneOf("mode", ModeActive, ModeActive, ModeDraining)
+	p.DepartsIn = clock.Millis(o.Int("departsMs", 0, 0, maxMillis))
+	p.Agent = o.Bool("agent", false)
+	if p.Agent {
+		readAgentFields(o, p)
+	}
+	for _, id := range o.Ints("running", maxItems) {
+		p.Running = append(p.Running, identifier.LeaseID(id))
+	}
+	for _, object := range o.List("ended", maxItems) {
+		p.Ended = append(p.Ended, readEnd(object))
+	}
+	o.Done()
+	return p
+}
+
+// minimumAmount is the least that a runner may have of cores and memory. The runner of an
+// agent may have milli cores alone, and none that matter to the cluster.
+func minimumAmount(agent bool) int64 {
+	if agent {
+		return 0
+	}
+	return 1
+}
+
+// readAgentFields reads the fields that only agents send.
+func readAgentFields(o *jsondoc.Object, p *PollRequest) {
+	p.MilliCores = o.Int("milliCores", 0, 0, maxAmount)
+	p.GPUs = o.Int("gpus", 0, 0, maxAmount)
+	p.Pool = o.Text("pool", "")
+	p.AgentAddr = o.Text("addr", "")
+	p.SilentFor = clock.Millis(o.Int("silentMs", 0, 0, maxMillis))
+	p.LeftInOrder = o.Bool("left", false)
+	p.PresumedDead = o.Bool("dead", false)
+	for _, object := range o.List("active", maxItems) {
+		p.Active = append(p.Active, readRunState(object))
+	}
+	for _, object := range o.List("finished", maxItems) {
+		p.Finished = append(p.Finished, readRunEnd(object))
+	}
+	for _, object := range o.List("gone", maxItems) {
+		p.Cleared = append(p.Cleared, readRunStop(object))
+	}
+}
+
+func readEnd(o *jsondoc.Object) End {
+	var e End
+	e.Lease = identifier.LeaseID(o.Int("grant", 0, 1, maxID))
+	e.Outcome = o.OneOf("how", "", runnerOutcomes...)
+	e.Task = readTask(o)
+	o.Done()
+	return e
+}
+
+func readRunState(o *jsondoc.Object) RunState {
+	var r RunState
+	r.Task = readTask(o)
+	r.Attempt = readAttempt(o)
+	r.Checkpoint = readCheckpoint(o)
+	r.ProgressPercent = o.Int("percent", 0, 0, maxPercent)
+	r.StalledFor = clock.Millis(o.Int("stillMs", 0, 0, maxMillis))
+	r.ProgressRate = o.Int("speed", 0, 0, maxRate)
+	o.Done()
+	return r
+}
+
+func readRunEnd(o *jsondoc.Object) RunEnd {
+	var e RunEnd
+	e.Seq = uint64(o.Int("n", 0, 1, maxID))
+	e.Task = readTask(o)
+	e.Attempt = readAttempt(o)
+	e.Checkpoint = readCheckpoint(o)
+	e.Outcome = o.OneOf("how", "", agentOutcomes...)
+	o.Done()
+	return e
+}
+
+func readRunStop(o *jsondoc.Object) RunStop {
+	var r RunStop
+	r.Task = readTask(o)
+	r.Attempt = readAttempt(o)
+	o.Done()
+	return r
+}
+
+func readAttempt(o *jsondoc.Object) uint64 { return uint64(o.Int("run", 0, 0, maxID)) }
+
+func readCheckpoint(o *jsondoc.Object) string {
+	text := o.Text("saved", "")
+	if len(text) > MaxCheckpointBytes {
+		o.Errors().Invalid(o.Path("saved"), "at most %d bytes", MaxCheckpointBytes)
+		return ""
+	}
+	return text
+}
+
+func readTask(o *jsondoc.Object) identifier.TaskRef {
+	task := o.Object("task")
+	if task == nil {
+		return identifier.TaskRef{}
+	}
+	var ref identifier.TaskRef
+	ref.Job = identifier.JobKey(task.Text("job", ""))
+	ref.Step = int(task.Int("step", 0, 0, maxTaskNumber))
+	ref.Num = int(task.Int("num", 0, 0, maxTaskNumber))
+	task.Done()
+	return ref
+}
