--- a/internal/scheduler/policy_scoring.go
+++ b/internal/scheduler/policy_scoring.go
@@ -34,7 +34,7 @@
 // pickNode finds the node for one task of a row's job, by the row's policy if it has one;
 // nil is returned when the task fits on none. A policy only chooses among the nodes that
 // fit.
-func (c *cycle) pickNode(u *unit, task *state.Task) *node {
+func (c *cycle) pickNode(u unit, task *state.Task) *node {
 	row := u.job.Spec.Row
 	source := c.store.Limits.Cell(row, limits.ColumnPolicy)
 	if source == "" {
@@ -75,7 +75,7 @@
 }
 
 // pickByPolicy finds the fitting node that the policy scores highest.
-func (c *cycle) pickByPolicy(p *policy.Policy, u *unit, task *state.Task) (*node, error) {
+func (c *cycle) pickByPolicy(p *policy.Policy, u unit, task *state.Task) (*node, error) {
 	if p == nil {
 		return nil, errPolicyNotCompiled
 	}
@@ -109,7 +109,7 @@
 	return best.node, nil
 }
 
-func policyInputs(n *node, u *unit, task *state.Task) policy.Inputs {
+func policyInputs(n *node, u unit, task *state.Task) policy.Inputs {
 	step := u.spec()
 	inputs := policy.Inputs{
 		FreeCores:       n.free.Cores,
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -23,7 +23,7 @@
 // preemptFor plans preemptions that make a unit fit: the cheapest that do, and none when
 // it would still not fit. A cycle plans them for one unit only, and not before the last
 // ones have ended.
-func (c *cycle) preemptFor(u *unit) {
+func (c *cycle) preemptFor(u unit) {
 	if len(c.plan.Preemptions) > 0 || !c.mayPreempt(u) || c.preemptionPending() {
 		return
 	}
@@ -38,7 +38,7 @@
 
 // mayPreempt tells whether the unit was displaced by a drain that found too few resources
 // elsewhere, and its row preempts.
-func (c *cycle) mayPreempt(u *unit) bool {
+func (c *cycle) mayPreempt(u unit) bool {
 	if c.store.Limits.Cell(u.job.Spec.Row, limits.ColumnOnOutage) != limits.OnOutagePreempt {
 		return false
 	}
@@ -72,7 +72,7 @@
 	leases []identifier.LeaseID
 }
 
-func newPreemption(c *cycle, u *unit) *preemption {
+func newPreemption(c *cycle, u unit) *preemption {
 	p := &preemption{
 		cycle:  c,
 		step:   u.spec(),
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -56,7 +56,7 @@
 }
 
 // tryQueueUnit tries to place a unit of a queue's job.
-func (c *cycle) tryQueueUnit(u *unit) attempt {
+func (c *cycle) tryQueueUnit(u unit) attempt {
 	shape := queueShape(u)
 	if reason, known := c.unplaceable[shape]; known {
 		c.plan.Reasons.add(u, reason)
@@ -76,7 +76,7 @@
 	return attempt{placed: true, newShape: true}
 }
 
-func queueShape(u *unit) unitShape {
+func queueShape(u unit) unitShape {
 	step := u.spec()
 	shape := unitShape{demand: step.Demand, count: len(u.nums)}
 	shape.constraints = u.job.Terms.Pool + "/" + string(step.PreferredRack)
@@ -91,7 +91,7 @@
 
 // findQueueNodes finds a node for every task of the unit, or none at all; nil is returned
 // when the unit does not fit. It takes no resources yet.
-func (c *cycle) findQueueNodes(u *unit) []*node {
+func (c *cycle) findQueueNodes(u unit) []*node {
 	pool := c.pools[u.job.Terms.Pool]
 	step := u.spec()
 	if step.Gang && step.OneRack {
@@ -154,7 +154,7 @@
 
 // assignNodes gives each task of the unit the node with the best score at that moment; nil
 // is returned when a task fits on none.
-func (c *cycle) assignNodes(u *unit, candidates []*node) []*node {
+func (c *cycle) assignNodes(u unit, candidates []*node) []*node {
 	var assigned []*node
 	sofar := assignment{used: map[*node]job.Demand{}, tasks: map[*node]int64{}}
 	for _, num := range u.nums {
@@ -169,7 +169,7 @@
 	return assigned
 }
 
-func (c *cycle) bestQueueNode(u *unit, task *state.Task, candidates []*node, sofar assignment) *node {
+func (c *cycle) bestQueueNode(u unit, task *state.Task, candidates []*node, sofar assignment) *node {
 	step := u.spec()
 	var best *node
 	var bestScore int64
@@ -194,7 +194,7 @@
 
 // tasksOn is the number of tasks of the unit's step on a node: those with an open lease,
 // and those placed in this cycle.
-func (c *cycle) tasksOn(u *unit, n *node) int64 {
+func (c *cycle) tasksOn(u unit, n *node) int64 {
 	count := c.store.TasksBeside(u.job, u.step, n.runner)
 	for _, placement := range c.plan.Placements {
 		if placement.Job != u.job.Key || placement.Step != u.step {
@@ -211,7 +211,7 @@
 
 // reserveForQueue returns the reason why a unit that does not fit waits. For the first one
 // of its pool that only lacks free resources it reserves them.
-func (c *cycle) reserveForQueue(u *unit) string {
+func (c *cycle) reserveForQueue(u unit) string {
 	step := u.spec()
 	pool := u.job.Terms.Pool
 	var eligible []*node
--- a/internal/scheduler/reasons.go
+++ b/internal/scheduler/reasons.go
@@ -29,7 +29,7 @@
 }
 
 // add records why a step waits, unless there are too many reasons already.
-func (r Reasons) add(u *unit, reason string) {
+func (r Reasons) add(u unit, reason string) {
 	if len(r) >= maxReasons {
 		return
 	}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -8,7 +8,7 @@
 // reservableNodes lists the nodes that the unit would be placed on if they were empty:
 // one for each of its tasks, with at most perNode tasks on one (0 for any number). The
 // first of the nodes are taken first; nil is returned when they are not enough.
-func reservableNodes(u *unit, nodes []*node, perNode int64) []*node {
+func reservableNodes(u unit, nodes []*node, perNode int64) []*node {
 	var chosen []*node
 	demand := u.spec().Demand
 	for _, n := range nodes {
@@ -27,7 +27,7 @@
 }
 
 // reserve reserves the unit's demand on the nodes: other units may use only what is left.
-func reserve(u *unit, nodes []*node) {
+func reserve(u unit, nodes []*node) {
 	for _, n := range nodes {
 		n.reserved = n.reserved.Plus(u.spec().Demand)
 	}
--- a/internal/scheduler/rows.go
+++ b/internal/scheduler/rows.go
@@ -73,7 +73,7 @@
 
 // tryRowUnit tries to place a unit of a row's job. For displaced work that does not fit
 // it may plan preemptions.
-func (c *cycle) tryRowUnit(u *unit) attempt {
+func (c *cycle) tryRowUnit(u unit) attempt {
 	if c.placed[u.firstTask()] {
 		return attempt{placed: true, newShape: true}
 	}
@@ -113,7 +113,7 @@
 	}
 }
 
-func rowShape(u *unit) unitShape {
+func rowShape(u unit) unitShape {
 	shape := unitShape{demand: u.spec().Demand, count: len(u.nums)}
 	for _, label := range u.spec().Labels {
 		shape.constraints += string(label) + " "
@@ -123,7 +123,7 @@
 
 // takeNodes takes resources of a node for every task of the unit, or of none; nil is
 // returned when the unit does not fit.
-func (c *cycle) takeNodes(u *unit) []*node {
+func (c *cycle) takeNodes(u unit) []*node {
 	var taken []*node
 	step := u.spec()
 	for _, num := range u.nums {
@@ -142,7 +142,7 @@
 
 // reserveForRow returns the reason why a unit that does not fit waits. For the first one
 // that only lacks free resources it reserves them.
-func (c *cycle) reserveForRow(u *unit) string {
+func (c *cycle) reserveForRow(u unit) string {
 	var eligible []*node
 	for _, n := range c.nodes {
 		if feasibility.HasLabels(n.runner.Labels, u.spec().Labels) {
--- a/internal/scheduler/unit.go
+++ b/internal/scheduler/unit.go
@@ -13,12 +13,12 @@
 	nums []int
 }
 
-func (u *unit) spec() *job.Step { return &u.job.Spec.Steps[u.step] }
+func (u unit) spec() *job.Step { return &u.job.Spec.Steps[u.step] }
 
-func (u *unit) task(num int) *state.Task { return u.job.Steps[u.step][num] }
+func (u unit) task(num int) *state.Task { return u.job.Steps[u.step][num] }
 
 // firstTask names the unit by its first task.
-func (u *unit) firstTask() identifier.TaskRef {
+func (u unit) firstTask() identifier.TaskRef {
 	return identifier.TaskRef{Job: u.job.Key, Step: u.step, Num: u.nums[0]}
 }
 
@@ -43,7 +43,7 @@
 }
 
 // tryJob tries to place every ready step of a job, unit by unit.
-func (c *cycle) tryJob(j *state.Job, tryUnit func(u *unit) attempt) attempt {
+func (c *cycle) tryJob(j *state.Job, tryUnit func(u unit) attempt) attempt {
 	var total attempt
 	for step, spec := range j.Spec.Steps {
 		if !j.Ready(step) {
@@ -51,11 +51,11 @@
 		}
 		waiting := j.WaitingTasks(step)
 		if spec.Gang {
-			total = total.or(tryUnit(&unit{job: j, step: step, nums: waiting}))
+			total = total.or(tryUnit(unit{job: j, step: step, nums: waiting}))
 			continue
 		}
 		for _, num := range waiting {
-			one := tryUnit(&unit{job: j, step: step, nums: []int{num}})
+			one := tryUnit(unit{job: j, step: step, nums: []int{num}})
 			total = total.or(one)
 			if !one.placed || c.full() {
 				break
@@ -66,7 +66,7 @@
 }
 
 // place adds the placement of a unit, its i-th task on the i-th node, to the plan.
-func (c *cycle) place(u *unit, nodes []*node) {
+func (c *cycle) place(u unit, nodes []*node) {
 	placement := state.Placement{Job: u.job.Key, Step: u.step, Tasks: u.nums}
 	for _, n := range nodes {
 		placement.Runners = append(placement.Runners, n.runner.Name)
