--- a/internal/state/levels.go
+++ b/internal/state/levels.go
@@ -3,7 +3,6 @@
 // The level of commands and rules in use is raised by a command once every member
 // has said that it supports the next one, so that all members of a cluster whose
 // programs differ in version do the same with a command.
-
 const (
 	// SupportedLevel is the highest level that this program supports.
 	SupportedLevel = ResendLevel
