--- /dev/null
+++ b/internal/state/dedup.go
@@ -0,0 +1,170 @@
+package state
+
+import (
+	"crypto/sha256"
+	"encoding/binary"
+	"encoding/json"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+)
+
+// shortHashSize is the number of bytes kept of a SHA-256 hash.
+const shortHashSize = 12
+
+type hash [shortHashSize]byte
+
+// shortHash is the beginning of the text's SHA-256 hash.
+func shortHash(text string) hash {
+	full := sha256.Sum256([]byte(text))
+	return hash(full[:shortHashSize])
+}
+
+// dedupRecord is what is kept of a job whose details were dropped.
+type dedupRecord struct {
+	key        hash
+	checksum   hash
+	acceptedAt clock.ClusterTime
+	droppedAt  clock.ClusterTime
+	endCode    byte
+}
+
+// The positions of the fields in a packed record. Times are in little-endian order.
+const (
+	dedupChecksumAt   = shortHashSize
+	dedupAcceptedAt   = dedupChecksumAt + shortHashSize
+	dedupDroppedAt    = dedupAcceptedAt + 8
+	dedupEndCodeAt    = dedupDroppedAt + 8
+	dedupRecordSize   = dedupEndCodeAt + 1
+	maxRecordsExpired = 16
+)
+
+// The codes of the states that a job ends in.
+const (
+	endCodeUnknown   byte = 0
+	endCodeSucceeded byte = 1
+	endCodeFailed    byte = 2
+	endCodeCancelled byte = 3
+)
+
+func endCodeOf(taskState TaskState) byte {
+	switch taskState {
+	case Succeeded:
+		return endCodeSucceeded
+	case Failed:
+		return endCodeFailed
+	case Cancelled:
+		return endCodeCancelled
+	}
+	return endCodeUnknown
+}
+
+// endState is the state that the job ended in.
+func (r *dedupRecord) endState() TaskState {
+	switch r.endCode {
+	case endCodeSucceeded:
+		return Succeeded
+	case endCodeFailed:
+		return Failed
+	case endCodeCancelled:
+		return Cancelled
+	}
+	return ""
+}
+
+// DedupCache remembers the ids of jobs whose details were dropped, so that a late
+// resend never runs a job again. The records stay packed as they are written to a
+// snapshot, so that a day's ids cost a snapshot no more than a copy, and are dropped
+// in the order in which they came.
+type DedupCache struct {
+	records []byte
+	// positions has the number of each key's record, counted from the first record
+	// that was ever added; dropped is the number of those dropped since.
+	positions map[hash]int
+	dropped   int
+}
+
+func newDedupCache() *DedupCache { return &DedupCache{positions: map[hash]int{}} }
+
+// Len is the number of remembered jobs.
+func (c *DedupCache) Len() int { return len(c.records) / dedupRecordSize }
+
+// add remembers an ended job.
+func (c *DedupCache) add(j *Job, now clock.ClusterTime) {
+	key := shortHash(string(j.Key))
+	checksum := shortHash(j.Checksum)
+	c.positions[key] = c.dropped + c.Len()
+	c.records = append(c.records, key[:]...)
+	c.records = append(c.records, checksum[:]...)
+	c.records = binary.LittleEndian.AppendUint64(c.records, uint64(j.AcceptedAt))
+	c.records = binary.LittleEndian.AppendUint64(c.records, uint64(now))
+	c.records = append(c.records, endCodeOf(j.EndState))
+}
+
+// record unpacks a record, counted from the oldest one kept.
+func (c *DedupCache) record(i int) dedupRecord {
+	packed := c.records[i*dedupRecordSize : (i+1)*dedupRecordSize]
+	return dedupRecord{
+		key:        hash(packed[:dedupChecksumAt]),
+		checksum:   hash(packed[dedupChecksumAt:dedupAcceptedAt]),
+		acceptedAt: clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupAcceptedAt:])),
+		droppedAt:  clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupDroppedAt:])),
+		endCode:    packed[dedupEndCodeAt],
+	}
+}
+
+func (c *DedupCache) lookup(key identifier.JobKey) (record dedupRecord, ok bool) {
+	position, ok := c.positions[shortHash(string(key))]
+	if !ok {
+		return dedupRecord{}, false
+	}
+	return c.record(position - c.dropped), true
+}
+
+// expire drops the records of jobs whose details were dropped before the given time,
+// a few with every command.
+func (c *DedupCache) expire(before clock.ClusterTime) {
+	for range min(c.Len(), maxRecordsExpired) {
+		oldest := c.record(0)
+		if oldest.droppedAt >= before {
+			return
+		}
+		delete(c.positions, oldest.key)
+		c.records = c.records[dedupRecordSize:]
+		c.dropped++
+	}
+}
+
+// load replaces the content by packed records; an incomplete one at the end is
+// left out.
+func (c *DedupCache) load(records []byte) {
+	count := len(records) / dedupRecordSize
+	c.records = append([]byte(nil), records[:count*dedupRecordSize]...)
+	c.positions = make(map[hash]int, count)
+	c.dropped = 0
+	for i := range count {
+		key := hash(c.records[i*dedupRecordSize:][:shortHashSize])
+		c.positions[key] = i
+	}
+}
+
+// UnmarshalJSON reads the records of a snapshot of the first version, which had them
+// inside the document.
+func (c *DedupCache) UnmarshalJSON(text []byte) error {
+	var records []byte
+	if err := json.Unmarshal(text, &records); err != nil {
+		return err
+	}
+	c.load(records)
+	return nil
+}
+
+// RememberedJob is when a job was accepted and how it ended, of which only the id is
+// still remembered.
+func (s *Store) RememberedJob(key identifier.JobKey) (acceptedAt clock.ClusterTime, end TaskState, ok bool) {
+	record, ok := s.Dedup.lookup(key)
+	if !ok {
+		return 0, "", false
+	}
+	return record.acceptedAt, record.endState(), true
+}
--- /dev/null
+++ b/internal/state/drain_stages.go
@@ -0,0 +1,185 @@
+package state
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/scheduler/feasibility"
+)
+
+// advanceDrain carries out the stage that a drain is in. The leader decides when;
+// what a stage does is decided here, from the state alone, so that the next leader
+// goes on where the last one stopped. A command for another stage than the current
+// one does nothing.
+func (s *Store) advanceDrain(command *AdvanceDrain) {
+	drain := s.Drains[command.ID]
+	if drain == nil || drain.Stage != command.From {
+		return
+	}
+	s.carryOutStage(drain, command.JudgeNow)
+	s.foldChecksum(
+		hashText(drain.ID),
+		hashText(string(drain.Stage)),
+		uint64(drain.UnconfirmedStops),
+		uint64(len(drain.Displaced)),
+		hashText(drain.Verdict),
+	)
+}
+
+func (s *Store) carryOutStage(drain *Drain, timedOut bool) {
+	switch drain.Stage {
+	case Preflight:
+		s.runPreflight(drain)
+		drain.enterStage(Predrain, s.Now)
+	case Predrain:
+		s.updateCordons()
+		drain.enterStage(Cordon, s.Now)
+	case Cordon:
+		s.revokeDueLeases(drain)
+	case Postdrain:
+		s.checkPostdrain(drain, timedOut)
+	case Closed:
+		s.checkPostdrain(drain, false)
+	case Preopen:
+		drain.enterStage(Opening, s.Now)
+	case Opening:
+		s.updateCordons()
+		s.releaseDisplaced(drain)
+		drain.enterStage(Postopen, s.Now)
+	case Postopen:
+		drain.enterStage(Open, s.Now)
+	}
+}
+
+// runPreflight records whether the runners that are not cordoned can take the
+// displaced tasks, gangs complete. The drain goes on whatever the answer.
+func (s *Store) runPreflight(drain *Drain) {
+	units := s.recordDisplaced(drain)
+	nodes := []feasibility.Node{}
+	for _, name := range s.RunnerNames() {
+		runner := s.Runners[name]
+		if runner.cordonedBy == "" && !runner.Gone {
+			nodes = append(nodes, feasibility.Node{Name: name, Free: runner.Free(), Labels: runner.Labels})
+		}
+	}
+	drain.PreflightDone = true
+	drain.Fits, drain.Shortage = feasibility.Pack(units, nodes)
+}
+
+// gangID names a gang.
+type gangID struct {
+	job  identifier.JobKey
+	step int
+}
+
+// recordDisplaced records the displaced tasks in the drain and returns them as units
+// to be placed. A gang with a member in scope is displaced with all its members.
+func (s *Store) recordDisplaced(drain *Drain) []feasibility.Unit {
+	drain.Displaced = nil
+	drain.DisplacedGangs = 0
+	var units []feasibility.Unit
+	gangs := map[gangID]bool{}
+	running, unconfirmed := s.OpenLeases(drain)
+	for _, lease := range append(running, unconfirmed...) {
+		j := s.Jobs[lease.Task.Job]
+		step := j.Spec.Steps[lease.Task.Step]
+		displaced := []identifier.TaskRef{lease.Task}
+		if step.Gang {
+			gang := gangID{job: lease.Task.Job, step: lease.Task.Step}
+			if gangs[gang] {
+				continue
+			}
+			gangs[gang] = true
+			drain.DisplacedGangs++
+			displaced = j.openTasks(lease.Task.Step)
+		}
+		drain.Displaced = append(drain.Displaced, displaced...)
+		units = append(units, feasibility.Unit{Demand: step.Demand, Labels: step.Labels, Count: len(displaced)})
+	}
+	return units
+}
+
+// openTasks lists the tasks of a step that have not ended.
+func (j *Job) openTasks(step int) []identifier.TaskRef {
+	var open []identifier.TaskRef
+	for num, task := range j.Steps[step] {
+		if !task.State.Ended() {
+			open = append(open, identifier.TaskRef{Job: j.Key, Step: step, Num: num})
+		}
+	}
+	return open
+}
+
+// revokeDueLeases revokes the leases of those runners in scope whose time has come,
+// and ends the stage once that is all of them.
+func (s *Store) revokeDueLeases(drain *Drain) {
+	allDue := true
+	for _, name := range drain.Scope {
+		runner := s.Runners[name]
+		if runner == nil {
+			continue
+		}
+		if !s.StopDue(drain, name, s.Now) {
+			allDue = false
+			continue
+		}
+		for _, id := range runner.LeaseIDs() {
+			s.revokeLease(s.Leases[id], RevokeDrainPrefix+drain.ID)
+		}
+	}
+	if allDue {
+		drain.enterStage(Postdrain, s.Now)
+	}
+}
+
+// The verdicts of the post-drain check.
+const (
+	verdictConfirmed       = "all cordoned"
+	verdictWithinThreshold = "cordoned, unconfirmed stops within threshold"
+	verdictOverThreshold   = "unconfirmed stops over threshold, operator to look"
+)
+
+// checkPostdrain is the paper's post-disable check. It waits until every stop is
+// confirmed or the time for that has run out, and then compares the unconfirmed ones
+// with the tolerated share of the displaced tasks. A lease that is not revoked yet
+// sends the drain back to the stage that revokes it.
+func (s *Store) checkPostdrain(drain *Drain, timedOut bool) {
+	running, unconfirmed := s.OpenLeases(drain)
+	if len(running) > 0 {
+		drain.enterStage(Cordon, s.Now)
+		return
+	}
+	drain.UnconfirmedStops = len(unconfirmed)
+	if len(unconfirmed) > 0 && drain.Stage == Postdrain && !timedOut {
+		return
+	}
+	drain.Verdict = s.postdrainVerdict(drain)
+	if drain.Stage != Closed {
+		drain.enterStage(Closed, s.Now)
+	}
+}
+
+func (s *Store) postdrainVerdict(drain *Drain) string {
+	if drain.UnconfirmedStops == 0 {
+		return verdictConfirmed
+	}
+	percent := s.Limits.Int(limits.SiteRow, limits.SiteStopThreshold)
+	if int64(drain.UnconfirmedStops)*100 <= percent*int64(len(drain.Displaced)) {
+		return verdictWithinThreshold
+	}
+	return verdictOverThreshold
+}
+
+// releaseDisplaced makes the tasks wait for a placement that waited for the end of
+// the drain.
+func (s *Store) releaseDisplaced(drain *Drain) {
+	s.eachUnfinishedTask(func(j *Job, ref identifier.TaskRef, task *Task) {
+		if task.DisplacedBy != drain.ID {
+			return
+		}
+		s.jobIndex.clearDisplaced(j, task)
+		if task.State == Suspended {
+			s.setTaskState(j, ref, Waiting)
+			task.Reason = ""
+		}
+	})
+}
--- /dev/null
+++ b/internal/state/lease_lifecycle.go
@@ -0,0 +1,130 @@
+package state
+
+import (
+	"orchidward/internal/api/identifier"
+)
+
+// revokeLeases revokes the leases that are still open.
+func (s *Store) revokeLeases(command *RevokeLeases) {
+	for _, id := range command.Leases {
+		if lease := s.Leases[id]; lease != nil {
+			s.revokeLease(lease, command.Reason)
+		}
+	}
+}
+
+// revokeLease revokes a lease, and those of the other members of its gang. The
+// first reason stands.
+func (s *Store) revokeLease(lease *Lease, reason string) {
+	if lease.RevokeReason != "" {
+		return
+	}
+	lease.RevokeReason = reason
+	s.runnerIndex.markChanged(lease.Runner)
+	if reason != RevokeDoneElsewhere {
+		s.revokeGang(lease)
+	}
+}
+
+// revokeGang revokes the leases of the other members of the lease's gang.
+func (s *Store) revokeGang(lease *Lease) {
+	reason := RevokeGangMemberGone
+	if lease.RevokeReason == RevokePreempted && s.Level >= CatalogLevel {
+		reason = RevokePreempted
+	}
+	for _, partner := range s.Partners(lease) {
+		if partner.RevokeReason == "" {
+			partner.RevokeReason = reason
+			s.runnerIndex.markChanged(partner.Runner)
+		}
+	}
+}
+
+// Partners lists the open leases of the other members of the lease's gang, revoked
+// ones included.
+func (s *Store) Partners(lease *Lease) []*Lease {
+	j := s.Jobs[lease.Task.Job]
+	if !j.Spec.Steps[lease.Task.Step].Gang {
+		return nil
+	}
+	var partners []*Lease
+	for _, member := range j.Steps[lease.Task.Step] {
+		partner := s.Leases[member.Lease]
+		if partner != nil && partner.ID != lease.ID {
+			partners = append(partners, partner)
+		}
+	}
+	return partners
+}
+
+// reportEnds takes the ends that a runner reports. An end of a lease that was
+// counted lost may still decide about its task.
+func (s *Store) reportEnds(command *ReportEnds) {
+	s.runnerIndex.markChanged(command.Runner)
+	for _, end := range command.Ends {
+		lease := s.Leases[end.Lease]
+		switch {
+		case lease == nil:
+			s.reportLateEnd(command.Runner, end)
+		case lease.belongsTo(command.Runner, command.Incarnation):
+			s.saveCheckpoint(lease, end.Checkpoint)
+			s.endLease(lease, end.Outcome)
+		}
+	}
+}
+
+// reportLateEnd takes the end of an attempt whose lease was already counted lost.
+func (s *Store) reportLateEnd(runner identifier.Runner, end End) {
+	j, task := s.findTask(end.Task)
+	if task == nil || !task.forgetLostLease(end.Lease) || task.State.Ended() {
+		return
+	}
+	ref := end.Task
+	ref.Job = j.Key
+	switch end.Outcome {
+	case OutcomeSuccess:
+		s.succeedLate(j, ref)
+	case OutcomeDefect:
+		s.Runners[runner].recordOutcome(false)
+		if j.Terms == nil {
+			s.countDefect(j, ref, runner)
+		} else {
+			s.countQueuedDefect(j, ref, runner, unknownAttempt)
+		}
+	default:
+		if task.State == AwaitingRunner && task.LastRunner == runner {
+			s.setTaskState(j, ref, Waiting)
+			task.Reason = ""
+		}
+	}
+	s.completeJob(j)
+}
+
+// succeedLate ends a task by the success of an attempt that was counted lost, and
+// revokes the attempt that replaced it. Services never succeed.
+func (s *Store) succeedLate(j *Job, ref identifier.TaskRef) {
+	if j.Terms != nil && j.Spec.Steps[ref.Step].Service {
+		return
+	}
+	task := j.Task(ref)
+	if task.State == Placed {
+		s.revokeLease(s.Leases[task.Lease], RevokeDoneElsewhere)
+	}
+	s.setTaskState(j, ref, Succeeded)
+	task.Reason = ""
+}
+
+// endLease closes a lease and decides what becomes of its task.
+func (s *Store) endLease(lease *Lease, outcome Outcome) {
+	s.closeLease(lease)
+	if outcome == OutcomeSuccess || outcome == OutcomeDefect {
+		s.Runners[lease.Runner].recordOutcome(outcome == OutcomeSuccess)
+	}
+	j := s.Jobs[lease.Task.Job]
+	if j.Terms != nil {
+		s.endQueuedAttempt(j, lease, outcome)
+	} else {
+		s.endRowAttempt(j, lease, outcome)
+	}
+	s.completeJob(j)
+}
--- /dev/null
+++ b/internal/state/transitions.go
@@ -0,0 +1,45 @@
+package state
+
+import "orchidward/internal/api/identifier"
+
+// setTaskState changes the state of a task. Every change of a task's state passes
+// through here, so that the counts and the checksum follow it.
+func (s *Store) setTaskState(j *Job, ref identifier.TaskRef, taskState TaskState) {
+	task := j.Task(ref)
+	s.jobIndex.countTasks(j, ref.Step, task.State, -1)
+	task.State = taskState
+	s.foldChecksum(j.Seq, uint64(ref.Step), uint64(ref.Num), hashText(string(taskState)), uint64(task.Defects))
+	s.jobIndex.countTasks(j, ref.Step, taskState, 1)
+	if taskState.Ended() {
+		s.jobIndex.clearDisplaced(j, task)
+	}
+}
+
+// openLease adds a new lease.
+func (s *Store) openLease(lease *Lease) {
+	s.runnerIndex.markChanged(lease.Runner)
+	s.foldChecksum(uint64(lease.ID), hashText(string(lease.Runner)), hashText(string(lease.Incarnation)))
+	s.Leases[lease.ID] = lease
+	s.attachLease(lease)
+}
+
+// attachLease counts an open lease at its runner, its row and its job.
+func (s *Store) attachLease(lease *Lease) {
+	runner := s.Runners[lease.Runner]
+	runner.leases[lease.ID] = lease
+	runner.used = runner.used.Plus(lease.Demand)
+	s.inUse[lease.Row] = s.inUse[lease.Row].Plus(lease.Demand)
+	s.Jobs[lease.Task.Job].openLeases++
+}
+
+// closeLease removes a lease and returns its resources.
+func (s *Store) closeLease(lease *Lease) {
+	runner := s.Runners[lease.Runner]
+	s.runnerIndex.markChanged(lease.Runner)
+	s.foldChecksum(uint64(lease.ID), hashText(lease.RevokeReason))
+	delete(s.Leases, lease.ID)
+	delete(runner.leases, lease.ID)
+	runner.used = runner.used.Minus(lease.Demand)
+	s.inUse[lease.Row] = s.inUse[lease.Row].Minus(lease.Demand)
+	s.Jobs[lease.Task.Job].openLeases--
+}
