--- a/internal/state/queue_jobs.go
+++ b/internal/state/queue_jobs.go
@@ -82,7 +82,9 @@
 		return
 	}
 	s.jobIndex.unfinishedByQueue[j.Terms.Queue]--
-	s.jobIndex.repeating.Remove(j)
+	if j.Spec.Repeat != nil {
+		s.jobIndex.repeating.Remove(j)
+	}
 }
 
 // EligibleOn tells whether the runner belongs to the pool of the job's queue. Jobs
--- a/internal/state/repeat_test.go
+++ b/internal/state/repeat_test.go
@@ -2,11 +2,13 @@
 
 import (
 	"fmt"
+	"math/rand"
 	"net/http"
 	"testing"
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/clock"
 )
 
 // TestRepeatedJob: a repeated job costs one record until an occurrence is due.
@@ -59,3 +61,53 @@
 	likeOccurrence := job.Spec{Queue: "q", Steps: []job.Step{{Name: "s", Tasks: 1}}}
 	f.apply(http.StatusUnprocessableEntity, &Command{SubmitJob: &SubmitJob{Key: "q/z.1", Spec: likeOccurrence}})
 }
+
+// TestOtherJobsEndWhileRepeatedJobsWait: jobs that are not repeated end, by success or by
+// a cancel and in any order, while repeated ones of the same queue have occurrences to come.
+func TestOtherJobsEndWhileRepeatedJobsWait(t *testing.T) {
+	for seed := range int64(100) {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			endJobsBesideRepeatedOnes(t, rand.New(rand.NewSource(seed)))
+		})
+	}
+}
+
+func endJobsBesideRepeatedOnes(t *testing.T, random *rand.Rand) {
+	f := newQueueFixture(t)
+	repeated := 1 + random.Intn(3)
+	for i := range repeated {
+		first := clock.ClusterTime(10000 + random.Intn(5000))
+		f.submitToQueue(repeatedKey(i), job.Spec{
+			Repeat: &job.Repeat{Count: 3, First: first, Every: 1000},
+			Steps:  []job.Step{{Tasks: 1}},
+		})
+	}
+	once := 1 + random.Intn(4)
+	for i := range once {
+		f.submitToQueue(onceKey(i), job.Spec{Steps: []job.Step{{Tasks: 1}}})
+	}
+	for _, i := range random.Perm(once) {
+		key := onceKey(i)
+		if random.Intn(2) == 0 {
+			f.apply(http.StatusOK, &Command{CancelJob: &CancelJob{Key: key}})
+			f.wantState(key, "cancelled")
+			continue
+		}
+		f.place(key, 0, []int{0}, "r5")
+		f.reportEnd("r5", "a", f.firstTask(key).Lease, identifier.TaskRef{Job: key}, OutcomeSuccess)
+		f.wantState(key, "well")
+	}
+	if queued := f.store.QueuedJobs("q"); queued != int64(repeated) {
+		t.Errorf("%d jobs are left in the queue, want the %d repeated ones", queued, repeated)
+	}
+	f.store.Apply(&Command{At: 15000})
+	for i := range repeated {
+		if f.store.Jobs[repeatedKey(i)+".0"] == nil {
+			t.Errorf("the first occurrence of %s did not start", repeatedKey(i))
+		}
+	}
+}
+
+func repeatedKey(i int) identifier.JobKey { return identifier.JobKey(fmt.Sprintf("q/r%d", i)) }
+
+func onceKey(i int) identifier.JobKey { return identifier.JobKey(fmt.Sprintf("q/j%d", i)) }
