--- /dev/null
+++ b/internal/invariants/drains.go
@@ -0,0 +1,21 @@
+package invariants
+
+// DrainAcked records that the drain of a failure domain was acknowledged.
+func (c *Checker) DrainAcked(domain string) {
+	if _, drained := c.drainedSince[domain]; drained {
+		return
+	}
+	c.Counts[CountDrained]++
+	c.drainedSince[domain] = c.cluster.Time()
+}
+
+// DrainedSince is when the drain of a domain was acknowledged; ok is false for a
+// domain that is not known to be drained.
+func (c *Checker) DrainedSince(domain string) (at int64, ok bool) {
+	at, ok = c.drainedSince[domain]
+	return at, ok
+}
+
+// ReopenRequested records that a client sent the order to reopen a domain: from
+// then on tasks may start there.
+func (c *Checker) ReopenRequested(domain string) { delete(c.drainedSince, domain) }
