--- a/tests/promises/promises_test.go
+++ b/tests/promises/promises_test.go
@@ -60,7 +60,7 @@
 	if rows < 21 {
 		t.Errorf("only %d rows of promises", rows)
 	}
-	for _, word := range regexp.MustCompile("`TestTrials` ([a-z ]+?)(?:[,;|]|, `| \\|)").FindAllStringSubmatch(string(text), -1) {
+	for _, word := range regexp.MustCompile("`TestFaultSequences` ([a-z ]+?)(?:[,;|]|, `| \\|)").FindAllStringSubmatch(string(text), -1) {
 		if !strings.Contains(tests, `{name: "`+strings.TrimSpace(word[1])) {
 			t.Errorf("no trial begins with %q", word[1])
 		}
--- a/tests/simulation/bounds_test.go
+++ b/tests/simulation/bounds_test.go
@@ -10,37 +10,37 @@
 	"orchidward/internal/invariants"
 )
 
-// TestHandsFull: with every disk at a stand nothing is decided, and what comes
+// TestStalledDisksBoundBacklog: with every disk at a stand nothing is decided, and what comes
 // in is kept only up to a bound: then callers are told so at once. When the
 // disks go on, all that is resent is taken.
-func TestHandsFull(t *testing.T) {
+func TestStalledDisksBoundBacklog(t *testing.T) {
 	t.Parallel()
 	told := map[int]int{}
-	play(t, Plan{Seed: 31, Window: 25000, Settle: 40000, Extra: func(w *World) {
-		w.at(8000, func() {
-			for _, k := range w.keepers {
-				k.stall = w.Now + 3000
+	runScenario(t, Scenario{Seed: 31, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
+		cluster.At(8000, func() {
+			for _, server := range cluster.Servers {
+				server.DiskStalledUntil = cluster.Now + 3000
 			}
 		})
 		pad := bytes.Repeat([]byte(" "), 1<<20)
 		var put func(i int)
 		put = func(i int) {
 			body := append([]byte(fmt.Sprintf(`{"pending":"stock","steps":[{"name":"s%d","spanMs":50}]}`, i)), pad...)
-			w.http(w.callers.node, w.gates[i%3].addr, "PUT", fmt.Sprintf("/v1/jobs/big/j%d", i), body, 1000, func(status int, _ []byte) {
+			cluster.Request(cluster.Clients.Process, cluster.Gateways[i%3].Addr, "PUT", fmt.Sprintf("/v1/jobs/big/j%d", i), body, 1000, func(status int, _ []byte) {
 				told[status]++
 				if status != 200 && status != 201 {
-					w.after(1500, func() { put(i) })
+					cluster.After(1500, func() { put(i) })
 				}
 			})
 		}
-		w.at(8500, func() {
+		cluster.At(8500, func() {
 			for i := 0; i < 50; i++ {
 				st := job.Step{Name: "s", Tasks: 1, MaxDefects: 1, Demand: job.Demand{Cores: 1, Mem: 1}}
-				w.Watch.Jobs[identifier.NewJobKey("big", identifier.JobID(fmt.Sprintf("j%d", i)))] = &invariants.Job{Spec: job.Spec{Steps: []job.Step{st}}, AckedAt: 1, EndState: "well"}
+				cluster.Checker.Jobs[identifier.NewJobKey("big", identifier.JobID(fmt.Sprintf("j%d", i)))] = &invariants.Job{Spec: job.Spec{Steps: []job.Step{st}}, AckedAt: 1, EndState: "well"}
 				put(i)
 			}
 		})
-		w.at(9000, func() {
+		cluster.At(9000, func() {
 			if told[503] < 10 {
 				t.Errorf("half a second after 50 MiB came in, told: %v", told)
 			}
@@ -56,15 +56,15 @@
 func TestTooManyRunners(t *testing.T) {
 	t.Parallel()
 	told := map[int]int{}
-	w := NewWorld(33, Gilde())
-	w.Run(5000)
+	cluster := NewWorld(33, FastNetwork())
+	cluster.Run(5000)
 	for i := 0; i < 2300; i++ {
-		w.at(5000+int64(i), func() {
+		cluster.At(5000+int64(i), func() {
 			body := []byte(fmt.Sprintf(`{"incarnation":"a%d","seq":1,"cores":1,"memMb":1,"domain":"far","rack":"far","mode":"active"}`, i))
-			w.http(w.callers.node, w.gates[i%3].addr, "POST", fmt.Sprintf("/v1/runners/x%d/poll", i), body, 3000, func(status int, _ []byte) { told[status]++ })
+			cluster.Request(cluster.Clients.Process, cluster.Gateways[i%3].Addr, "POST", fmt.Sprintf("/v1/runners/x%d/poll", i), body, 3000, func(status int, _ []byte) { told[status]++ })
 		})
 	}
-	w.Run(12000)
+	cluster.Run(12000)
 	if told[503] != 2300-(2048-11) || told[200] != 2048-11 {
 		t.Errorf("told: %v", told)
 	}
--- a/tests/simulation/clocks_test.go
+++ b/tests/simulation/clocks_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// clockScenes are keepers' clocks, wrong in every way; most is how far ahead
+// wrongClocks are keepers' clocks, wrong in every way; most is how far ahead
 // cluster time may be after 18 s, least how far behind.
-var clockScenes = []struct {
+var wrongClocks = []struct {
 	skews       [3]int64
 	least, most int64
 }{
@@ -19,29 +19,29 @@
 	{[3]int64{7200000, 7200000, 7200000}, -1000, 1000},
 }
 
-func (w *World) siteOff(t *testing.T) int64 {
-	k := w.leader()
-	if k == nil {
+func (cluster *Cluster) clusterTimeError(t *testing.T) int64 {
+	server := cluster.Leader()
+	if server == nil {
 		t.Fatal("no leader")
 	}
-	return int64(k.mach.State().Now) - epoch - w.Now
+	return int64(server.Machine.State().Now) - WallClockStart - cluster.Now
 }
 
 // TestClocks: every keeper's clock jumps, forward and back by hours, leaders
 // change meanwhile. Clocks that all disagree move cluster time nowhere; a wrong
 // majority moves it by a twentieth of the time it is wrong.
 func TestClocks(t *testing.T) {
-	for _, one := range clockScenes {
+	for _, one := range wrongClocks {
 		t.Run(fmt.Sprint(one.skews), func(t *testing.T) {
 			t.Parallel()
-			play(t, Plan{Seed: 40, Window: 25000, Settle: 40000, Extra: func(w *World) {
-				for k, s := range one.skews {
-					w.at(6000, func() { w.keepers[k].skew = s })
+			runScenario(t, Scenario{Seed: 40, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
+				for server, s := range one.skews {
+					cluster.At(6000, func() { cluster.Servers[server].ClockSkew = s })
 				}
-				w.at(9000, func() { w.strike(Fault{Dur: 3000, Kind: "leader-crash"}) })
-				w.at(15000, func() { w.strike(Fault{Dur: 3000, Kind: "leader-freeze"}) })
-				w.at(24000, func() {
-					if off := w.siteOff(t); off > one.most || off < one.least {
+				cluster.At(9000, func() { cluster.Inject(Fault{Duration: 3000, Kind: "leader-crash"}) })
+				cluster.At(15000, func() { cluster.Inject(Fault{Duration: 3000, Kind: "leader-freeze"}) })
+				cluster.At(24000, func() {
+					if off := cluster.clusterTimeError(t); off > one.most || off < one.least {
 						t.Errorf("cluster time is off by %d ms after 18 s", off)
 					}
 				})
@@ -50,41 +50,41 @@
 	}
 }
 
-// TestColdClocks starts a core, for the first time and after its power was
+// TestDisagreeingClocks starts a core, for the first time and after its power was
 // gone, with clocks of which no two agree. Time is not set until two do, and
 // then to these; whatever is appointed waits until then and is not early.
-func TestColdClocks(t *testing.T) {
+func TestDisagreeingClocks(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
 			t.Parallel()
 			from := int64(0)
-			play(t, Plan{Seed: 41, Window: 30000, Settle: 40000, Extra: func(w *World) {
+			runScenario(t, Scenario{Seed: 41, Window: 30000, Recovery: 40000, Setup: func(cluster *Cluster) {
 				wrong := func() {
-					for i, k := range w.keepers {
-						k.skew = int64(i) * 3600000
+					for i, server := range cluster.Servers {
+						server.ClockSkew = int64(i) * 3600000
 					}
 				}
 				if first {
 					wrong()
 				} else {
 					from = 8000
-					w.at(8000, func() {
+					cluster.At(8000, func() {
 						undo := []func(){}
-						for _, k := range w.keepers {
-							undo = append(undo, w.stopKeeper(k))
+						for _, server := range cluster.Servers {
+							undo = append(undo, cluster.CrashServer(server))
 						}
 						wrong()
-						w.after(5000, all(undo))
+						cluster.After(5000, UndoAll(undo))
 					})
 				}
-				w.at(from+9500, func() {
-					if off := w.siteOff(t); off > 100 {
+				cluster.At(from+9500, func() {
+					if off := cluster.clusterTimeError(t); off > 100 {
 						t.Errorf("cluster time is ahead by %d ms", off)
 					}
-					w.keepers[2].skew = 0
+					cluster.Servers[2].ClockSkew = 0
 				})
-				w.at(from+14000, func() {
-					if off := w.siteOff(t); off > 100 || off < -100 {
+				cluster.At(from+14000, func() {
+					if off := cluster.clusterTimeError(t); off > 100 || off < -100 {
 						t.Errorf("cluster time is off by %d ms though two clocks agree", off)
 					}
 				})
@@ -99,37 +99,37 @@
 func TestLateEntry(t *testing.T) {
 	t.Parallel()
 	hit := false
-	play(t, Plan{Seed: 43, Window: 35000, Settle: 40000, Extra: func(w *World) {
-		var old, lead, left *keep
+	runScenario(t, Scenario{Seed: 43, Window: 35000, Recovery: 40000, Setup: func(cluster *Cluster) {
+		var old, lead, left *Server
 		var look func()
 		look = func() {
-			k := w.leader()
-			if k == nil || k == old || k.mach.Raft().CommitIndex() < k.mach.Raft().TermStart() {
-				if w.Now < 15000 {
-					w.after(1, look)
+			server := cluster.Leader()
+			if server == nil || server == old || server.Machine.Raft().CommitIndex() < server.Machine.Raft().TermStart() {
+				if cluster.Now < 15000 {
+					cluster.After(1, look)
 				}
 				return
 			}
-			lead, hit = k, true
-			for _, one := range w.keepers {
+			lead, hit = server, true
+			for _, one := range cluster.Servers {
 				if one != old && one != lead {
 					left = one
 				}
 			}
-			w.sever(left.node, lead.node, false)
-			w.after(500, func() {
-				w.stopKeeper(lead)
-				delete(w.cuts, [2]string{left.name, lead.name})
+			cluster.BlockLink(left.Process, lead.Process, false)
+			cluster.After(500, func() {
+				cluster.CrashServer(lead)
+				delete(cluster.blockedLinks, [2]string{left.Name, lead.Name})
 			})
-			w.after(9000, old.begin)
+			cluster.After(9000, old.Start)
 		}
-		w.at(9000, func() {
-			old = w.leader()
-			w.stopKeeper(old)
+		cluster.At(9000, func() {
+			old = cluster.Leader()
+			cluster.CrashServer(old)
 			look()
 		})
-		w.at(25000, func() {
-			if off := w.siteOff(t); off < -1000 || off > 100 {
+		cluster.At(25000, func() {
+			if off := cluster.clusterTimeError(t); off < -1000 || off > 100 {
 				t.Errorf("cluster time is off by %d ms", off)
 			}
 		})
--- a/tests/simulation/cut_off_test.go
+++ b/tests/simulation/cut_off_test.go
@@ -9,13 +9,13 @@
 	"orchidward/internal/state"
 )
 
-// cutOffAway is how long a server of the control plane is cut off, in ms.
-const cutOffAway = 20000
+// cutOffDuration is how long a server of the control plane is cut off, in ms.
+const cutOffDuration = 20000
 
-// walker sends orders as the operators' tool does: to one server after another,
+// operatorTool sends orders as the operators' tool does: to one server after another,
 // each given a second, with a pause that grows after each that had no answer.
-type walker struct {
-	world *World
+type operatorTool struct {
+	cluster *Cluster
 	// spans are the times from an order's first send to its acknowledgement.
 	spans []int64
 	// refused are answers that say no to a valid order.
@@ -23,22 +23,22 @@
 }
 
 const (
-	walkerPatience = 1000
-	walkerGap      = 100
-	walkerMostGap  = 800
+	operatorTimeout = 1000
+	operatorBackoff      = 100
+	operatorMaxBackoff  = 800
 )
 
 // order sends one until it is acknowledged; done hears of it.
-func (o *walker) order(addrs []string, verb, path string, body []byte, done func()) {
-	o.try(addrs, 0, o.world.Now, verb, path, body, done)
+func (o *operatorTool) send(addrs []string, verb, path string, body []byte, done func()) {
+	o.attempt(addrs, 0, o.cluster.Now, verb, path, body, done)
 }
 
-func (o *walker) try(addrs []string, n int, since int64, verb, path string, body []byte, done func()) {
-	w := o.world
-	w.http(w.callers.node, addrs[n%len(addrs)], verb, path, body, walkerPatience, func(status int, _ []byte) {
+func (o *operatorTool) attempt(addrs []string, n int, since int64, verb, path string, body []byte, done func()) {
+	cluster := o.cluster
+	cluster.Request(cluster.Clients.Process, addrs[n%len(addrs)], verb, path, body, operatorTimeout, func(status int, _ []byte) {
 		switch {
 		case status == 200:
-			o.spans = append(o.spans, w.Now-since)
+			o.spans = append(o.spans, cluster.Now-since)
 			done()
 			return
 		case status >= 400 && status < 500 && status != 429:
@@ -46,18 +46,18 @@
 			done()
 			return
 		}
-		gap := min(walkerGap<<min(n, 6), walkerMostGap)
-		w.after(int64(gap), func() { o.try(addrs, n+1, since, verb, path, body, done) })
+		gap := min(operatorBackoff<<min(n, 6), operatorMaxBackoff)
+		cluster.After(int64(gap), func() { o.attempt(addrs, n+1, since, verb, path, body, done) })
 	})
 }
 
-// keeperAddrs lists the keepers, one of them first.
-func keeperAddrs(w *World, first string) []string {
+// serverAddrs lists the keepers, one of them first.
+func serverAddrs(cluster *Cluster, first string) []string {
 	var addrs []string
 	addrs = append(addrs, first)
-	for _, k := range w.keepers {
-		if k.addr != first {
-			addrs = append(addrs, k.addr)
+	for _, server := range cluster.Servers {
+		if server.Addr != first {
+			addrs = append(addrs, server.Addr)
 		}
 	}
 	return addrs
@@ -73,51 +73,51 @@
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
 
-// cutOffWays are the ways in which one server loses the others.
-var cutOffWays = map[string]func(w *World, k *keep) (undo func()){
-	"both ways":        func(w *World, k *keep) func() { return w.coreCut(k, true, true) },
-	"it is not heard":  func(w *World, k *keep) func() { return w.coreCut(k, true, false) },
-	"it does not hear": func(w *World, k *keep) func() { return w.coreCut(k, false, true) },
-	"frozen":           func(w *World, k *keep) func() { return w.hold(k.node) },
-	"twice, a second between": func(w *World, k *keep) func() {
-		return w.again(k, 9000, 1000)
+// isolations are the ways in which one server loses the others.
+var isolations = map[string]func(w *Cluster, k *Server) (undo func()){
+	"both ways":        func(w *Cluster, k *Server) func() { return w.isolateFromServers(k, true, true) },
+	"it is not heard":  func(w *Cluster, k *Server) func() { return w.isolateFromServers(k, true, false) },
+	"it does not hear": func(w *Cluster, k *Server) func() { return w.isolateFromServers(k, false, true) },
+	"frozen":           func(w *Cluster, k *Server) func() { return w.Freeze(k.Process) },
+	"twice, a second between": func(w *Cluster, k *Server) func() {
+		return w.isolateRepeatedly(k, 9000, 1000)
 	},
-	"healed while an election runs": func(w *World, k *keep) func() {
-		return w.again(k, 600, 250)
+	"healed while an election runs": func(w *Cluster, k *Server) func() {
+		return w.isolateRepeatedly(k, 600, 250)
 	},
 }
 
-// again cuts a keeper from the others for a while and heals it for another, by
+// isolateRepeatedly cuts a keeper from the others for a while and heals it for another, by
 // turns until undone.
-func (w *World) again(k *keep, cut, whole int64) func() {
+func (cluster *Cluster) isolateRepeatedly(server *Server, cut, whole int64) func() {
 	over := false
 	var turn func()
 	turn = func() {
 		if over {
 			return
 		}
-		heal := w.coreCut(k, true, true)
-		w.after(cut, func() {
+		heal := cluster.isolateFromServers(server, true, true)
+		cluster.After(cut, func() {
 			heal()
-			w.after(whole, turn)
+			cluster.After(whole, turn)
 		})
 	}
 	turn()
 	return func() { over = true }
 }
 
-// coreCut cuts a keeper from the other keepers; callers and gates reach it.
-func (w *World) coreCut(k *keep, out, in bool) func() {
+// isolateFromServers cuts a keeper from the other keepers; callers and gates reach it.
+func (cluster *Cluster) isolateFromServers(server *Server, out, in bool) func() {
 	undos := []func(){}
-	for _, other := range w.keepers {
-		if other != k && out {
-			undos = append(undos, w.sever(k.node, other.node, false))
+	for _, other := range cluster.Servers {
+		if other != server && out {
+			undos = append(undos, cluster.BlockLink(server.Process, other.Process, false))
 		}
-		if other != k && in {
-			undos = append(undos, w.sever(other.node, k.node, false))
+		if other != server && in {
+			undos = append(undos, cluster.BlockLink(other.Process, server.Process, false))
 		}
 	}
-	return all(undos)
+	return UndoAll(undos)
 }
 
 // TestServerCutOff cuts one server of the control plane off for 20 s, the leader or a
@@ -126,13 +126,13 @@
 // acknowledged by the others within a few tries.
 func TestServerCutOff(t *testing.T) {
 	t.Parallel()
-	for name, cut := range cutOffWays {
+	for name, cut := range isolations {
 		for _, leads := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s, leader %v", name, leads), func(t *testing.T) {
 				t.Parallel()
 				spans, fast := []int64{}, 0
 				for seed := int64(1); seed <= 4; seed++ {
-					s, early := cutOff(t, seed, cut, leads)
+					s, early := cutOffServer(t, seed, cut, leads)
 					spans, fast = append(spans, s...), fast+early
 				}
 				if len(spans) < 60 {
@@ -150,56 +150,56 @@
 	}
 }
 
-// cutOff plays one cut and returns the spans of all orders sent meanwhile, and
+// cutOffServer plays one cut and returns the spans of all orders sent meanwhile, and
 // how many answers the server gave at once that it can't take them.
-func cutOff(t *testing.T, seed int64, cut func(w *World, k *keep) (undo func()), leads bool) (spans []int64, fast int) {
-	site := Gilde()
-	site.Elect = 250
-	w := NewWorld(seed, site)
-	o := &walker{world: w}
-	last := &settledOrder{}
-	w.at(7000, func() {
-		victim := w.leader()
-		for _, k := range w.keepers {
-			if !leads && k != w.leader() {
-				victim = k
+func cutOffServer(t *testing.T, seed int64, cut func(cluster *Cluster, server *Server) (undo func()), leads bool) (spans []int64, fast int) {
+	site := FastNetwork()
+	site.ElectionTimeout = 250
+	cluster := NewWorld(seed, site)
+	o := &operatorTool{cluster: cluster}
+	last := &ackedOrder{}
+	cluster.At(7000, func() {
+		victim := cluster.Leader()
+		for _, server := range cluster.Servers {
+			if !leads && server != cluster.Leader() {
+				victim = server
 			}
 		}
-		undo := cut(w, victim)
-		w.after(cutOffAway, undo)
-		addrs := keeperAddrs(w, victim.addr)
+		undo := cut(cluster, victim)
+		cluster.After(cutOffDuration, undo)
+		addrs := serverAddrs(cluster, victim.Addr)
 		var next func(n int)
 		next = func(n int) {
 			verb := []string{"PUT", "DELETE"}[n%2]
 			last.underWay, last.count = true, n+1
-			o.order(addrs, verb, "/v1/closings/east", nil, func() {
+			o.send(addrs, verb, "/v1/closings/east", nil, func() {
 				last.underWay, last.closed = false, verb == "PUT"
-				w.after(300, func() {
-					if w.Now < 7000+cutOffAway+2000 {
+				cluster.After(300, func() {
+					if cluster.Now < 7000+cutOffDuration+2000 {
 						next(n + 1)
 					}
 				})
 			})
 		}
-		w.after(seed*37, func() { next(0) })
-		w.readAt(t, victim, last, &fast)
+		cluster.After(seed*37, func() { next(0) })
+		cluster.readDrains(t, victim, last, &fast)
 	})
-	w.Run(7000 + cutOffAway + 6000)
+	cluster.Run(7000 + cutOffDuration + 6000)
 	if len(o.refused) > 0 {
 		t.Errorf("seed %d: valid orders were refused: %v", seed, o.refused)
 	}
 	return o.spans, fast
 }
 
-// settledOrder is the last order that was acknowledged, for a reader to go by:
+// ackedOrder is the last order that was acknowledged, for a reader to go by:
 // how many were sent, whether one is under way, and what the last one says.
-type settledOrder struct {
+type ackedOrder struct {
 	count            int
 	underWay, closed bool
 }
 
-// closedZone tells whether a list of closings says that a zone is closed.
-func closedZone(t *testing.T, body []byte) bool {
+// drainReported tells whether a list of closings says that a zone is closed.
+func drainReported(t *testing.T, body []byte) bool {
 	var yes bool
 	var doc struct {
 		Closings []struct {
@@ -215,23 +215,23 @@
 	return yes
 }
 
-// readAt reads the closings at a server again and again, and counts the answers
+// readDrains reads the closings at a server again and again, and counts the answers
 // that say at once that it can't serve. What it does serve must be no older than
 // the last order that was acknowledged before the read was sent.
-func (w *World) readAt(t *testing.T, k *keep, last *settledOrder, fast *int) {
-	until := w.Now + cutOffAway
+func (cluster *Cluster) readDrains(t *testing.T, server *Server, last *ackedOrder, fast *int) {
+	until := cluster.Now + cutOffDuration
 	var next func()
 	next = func() {
-		sent, before := w.Now, *last
-		w.http(w.callers.node, k.addr, "GET", "/v1/closings", nil, walkerPatience, func(status int, body []byte) {
-			if status == 503 && w.Now-sent < 50 {
+		sent, before := cluster.Now, *last
+		cluster.Request(cluster.Clients.Process, server.Addr, "GET", "/v1/closings", nil, operatorTimeout, func(status int, body []byte) {
+			if status == 503 && cluster.Now-sent < 50 {
 				*fast++
 			}
-			if status == 200 && before == *last && !last.underWay && closedZone(t, body) != last.closed {
-				t.Errorf("at %d: read %s, and after the last order that was acknowledged the zone is closed: %v", w.Now, body, last.closed)
+			if status == 200 && before == *last && !last.underWay && drainReported(t, body) != last.closed {
+				t.Errorf("at %d: read %s, and after the last order that was acknowledged the zone is closed: %v", cluster.Now, body, last.closed)
 			}
-			if w.Now < until {
-				w.after(170, next)
+			if cluster.Now < until {
+				cluster.After(170, next)
 			}
 		})
 	}
--- a/tests/simulation/disk.go
+++ b/tests/simulation/disk.go
@@ -5,64 +5,64 @@
 
 import "github.com/go-faster/errors"
 
-type disk struct {
+type Disk struct {
 	files map[string][]byte
-	tear  int
-	full  bool
+	tornAt  int
+	Full  bool
 }
 
-func newDisk() *disk { return &disk{files: map[string][]byte{}, tear: -1} }
+func newDisk() *Disk { return &Disk{files: map[string][]byte{}, tornAt: -1} }
 
-var errTorn = errors.New("power lost")
-var errFull = errors.New("no space left on the disk")
+var errPowerLost = errors.New("power lost")
+var errDiskFull = errors.New("no space left on the disk")
 
-func (d *disk) Read(name string) ([]byte, error) {
+func (d *Disk) Read(name string) ([]byte, error) {
 	return append([]byte(nil), d.files[name]...), nil
 }
 
-func (d *disk) Create(name string, size int) error {
+func (d *Disk) Create(name string, size int) error {
 	d.files[name] = make([]byte, size)
 	return nil
 }
 
-func (d *disk) Write(name string, off int, data []byte) error {
-	if d.full {
-		return errFull
+func (d *Disk) Write(name string, off int, data []byte) error {
+	if d.Full {
+		return errDiskFull
 	}
-	if d.tear >= 0 {
-		copy(d.files[name][off:], data[:min(d.tear, len(data))])
-		return errTorn
+	if d.tornAt >= 0 {
+		copy(d.files[name][off:], data[:min(d.tornAt, len(data))])
+		return errPowerLost
 	}
 	copy(d.files[name][off:], data)
 	return nil
 }
 
-func (d *disk) AppendReplacement(name string, off int, data []byte) error {
-	if d.full {
-		return errFull
+func (d *Disk) AppendReplacement(name string, off int, data []byte) error {
+	if d.Full {
+		return errDiskFull
 	}
-	if d.tear >= 0 {
-		return errTorn
+	if d.tornAt >= 0 {
+		return errPowerLost
 	}
 	d.files[name+".part"] = append(d.files[name+".part"][:off:off], data...)
 	return nil
 }
 
-func (d *disk) CommitReplacement(name string) error {
-	if d.tear >= 0 {
-		return errTorn
+func (d *Disk) CommitReplacement(name string) error {
+	if d.tornAt >= 0 {
+		return errPowerLost
 	}
 	d.files[name] = d.files[name+".part"]
 	delete(d.files, name+".part")
 	return nil
 }
 
-func (d *disk) Replace(name string, data []byte) error {
-	if d.full {
-		return errFull
+func (d *Disk) Replace(name string, data []byte) error {
+	if d.Full {
+		return errDiskFull
 	}
-	if d.tear >= 0 {
-		return errTorn
+	if d.tornAt >= 0 {
+		return errPowerLost
 	}
 	d.files[name] = append([]byte(nil), data...)
 	return nil
--- /dev/null
+++ b/tests/simulation/diskless_test.go
@@ -0,0 +1,154 @@
+package simulation
+
+import (
+	"fmt"
+	"sort"
+	"testing"
+
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
+)
+
+// TestDisklessServers: keepers without a disk find the group, show who leads, and never
+// become members; an empty keeper and a gate whose only living seeds are porters
+// find their way by them, also after the porters have lost all they knew, and
+// the leader its place, while nobody who is a seed of anyone is left.
+func TestDisklessServers(t *testing.T) {
+	t.Parallel()
+	site := FastNetwork()
+	site.DisklessServers = 2
+	runScenario(t, Scenario{Seed: 361, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *Cluster) {
+		cluster.Spec.LoadPercent = 40
+		porters := append([]*Server(nil), cluster.Servers[3:]...)
+		seeds := []string{"p1", "nobody", "p2"}
+		know := func(when string) {
+			for _, p := range porters {
+				if !p.Machine.KnowsLeader() || p.Machine.Raft() != nil {
+					t.Errorf("%s %s knows of no leader", when, p.Name)
+				}
+			}
+		}
+		cluster.At(7000, func() { know("founded,") })
+		cluster.At(9000, func() {
+			server := cluster.Leader()
+			server.WipeDisk()
+			server.Seeds = seeds
+			cluster.After(2500, server.Start)
+			cluster.Kill(cluster.Gateways[0].Process)
+			cluster.Seeds = seeds
+			cluster.Gateways[0].Start()
+		})
+		cluster.At(14500, func() {
+			know("the leader wiped,")
+			if !cluster.Gateways[0].Machine.Ready(cluster.Monotonic(cluster.Gateways[0].Process)) {
+				t.Error("a gate whose seeds are porters found no way in")
+			}
+		})
+		cluster.At(20000, func() {
+			cluster.After(1000, cluster.CrashServer(porters[0]))
+			cluster.After(1500, cluster.CrashServer(porters[1]))
+		})
+		cluster.At(25000, func() {
+			know("started anew,")
+			for _, server := range cluster.Servers {
+				if server == cluster.Leader() {
+					cluster.ReplaceServer(server)
+					for j := range cluster.Servers {
+						if cluster.Servers[j].Name == server.Name+"b" {
+							cluster.Servers[j].Seeds = seeds
+						}
+					}
+					break
+				}
+			}
+		})
+		cluster.At(38000, func() {
+			know("the leader replaced,")
+			if cluster.Leader() == nil {
+				t.Error("the leader replaced, nobody leads")
+				return
+			}
+			list := []string{}
+			for _, mem := range cluster.Leader().Machine.Raft().Members() {
+				list = append(list, fmt.Sprint(mem.Addr[:2], mem.Voter))
+			}
+			sort.Strings(list)
+			if fmt.Sprint(list) != "[k1true k2true k3true]" {
+				t.Errorf("members: %v", list)
+			}
+		})
+	}})
+}
+
+// TestDisklessSeeds: with one or two porters among the seeds the others found one
+// group, whatever order they come up in, and a keeper that is no seed joins it.
+func TestDisklessSeeds(t *testing.T) {
+	t.Parallel()
+	for seed := int64(1); seed <= 6; seed++ {
+		site := FastNetwork()
+		site.DisklessServers = 2
+		cluster := NewWorld(370+seed, site)
+		cluster.Clients.StopAt = 0
+		cluster.Seeds = []string{"k1", "k2", "p1"}
+		if seed%2 == 0 {
+			cluster.Seeds = []string{"k2", "p2", "p1"}
+		}
+		for _, server := range cluster.Servers {
+			server.Seeds = cluster.Seeds
+		}
+		cluster.Run(20000)
+		founders := map[string]bool{}
+		for _, server := range cluster.Servers[:3] {
+			if server.Machine.Raft() == nil {
+				t.Errorf("seed %d: %s has no group", seed, server.Name)
+				continue
+			}
+			list := []string{}
+			for _, m := range server.Machine.Raft().Members() {
+				list = append(list, fmt.Sprint(m.Addr, m.Voter))
+			}
+			sort.Strings(list)
+			founders[fmt.Sprint(list)] = true
+		}
+		if len(founders) != 1 || !founders["[k1true k2true k3true]"] {
+			t.Errorf("seed %d: %v", seed, founders)
+		}
+	}
+}
+
+// TestDisklessServerForwards: what is asked of a porter the leader answers; with no leader
+// known the asker is told so at once.
+func TestDisklessServerForwards(t *testing.T) {
+	t.Parallel()
+	site := FastNetwork()
+	site.DisklessServers = 1
+	cluster := NewWorld(362, site)
+	cluster.Clients.StopAt = 0
+	porter := cluster.Servers[3]
+	ask := func() []wire.Envelope {
+		m := porter.Machine
+		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: "GET", Path: "/v1/table", Budget: 1000}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
+		list := m.TakeOutput().Messages
+		return list
+	}
+	cluster.Run(400)
+	if list := ask(); len(list) != 1 || list[0].To != "@1" || list[0].Message.Response == nil || !list[0].Message.Response.NotLeader || list[0].Message.Response.ID != 9 {
+		t.Errorf("with no leader known: %+v", list)
+	}
+	cluster.Run(6000)
+	list := ask()
+	if len(list) != 1 || cluster.Leader() == nil || string(list[0].To) != cluster.Leader().Addr || list[0].Message.Request == nil || list[0].Message.Request.Hops != 1 {
+		t.Fatalf("asked with a leader known: %+v", list)
+	}
+	porter.Machine.HandleMessage(list[0].To, wire.Message{Response: &wire.Response{ID: list[0].Message.Request.ID, Status: 200}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
+	if back := porter.Machine.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != 200 {
+		t.Errorf("the leader's answer came back as %+v", back)
+	}
+	for _, server := range cluster.Servers[:3] {
+		cluster.CrashServer(server)
+	}
+	cluster.Run(6000 + 3000 + int64(controlplane.TickInterval))
+	if list = ask(); len(list) != 1 || list[0].Message.Response == nil || !list[0].Message.Response.NotLeader {
+		t.Errorf("3 s after the leader's end: %+v", list)
+	}
+}
--- /dev/null
+++ b/tests/simulation/leader_failpoint_test.go
@@ -0,0 +1,59 @@
+package simulation
+
+// leaderFailpoint takes whoever leads away as soon as its log has grown by n entries
+// since it was armed, for a while.
+type leaderFailpoint struct {
+	cluster      *Cluster
+	how    string
+	entries      int
+	duration   int64
+	armedIndex   uint64
+	fired bool
+}
+
+func (s *leaderFailpoint) install(cluster *Cluster) {
+	s.cluster = cluster
+	cluster.Failpoint = s.check
+}
+
+// arm counts entries from now on.
+func (s *leaderFailpoint) arm() {
+	if server := s.cluster.Leader(); server != nil {
+		s.armedIndex = uint64(server.Machine.Raft().LastIndex())
+	}
+}
+
+func (s *leaderFailpoint) check(server *Server) bool {
+	if s.armedIndex == 0 || s.fired || !server.IsLeader() || uint64(server.Machine.Raft().LastIndex()) < s.armedIndex+uint64(s.entries) {
+		return false
+	}
+	s.fired = true
+	switch s.how {
+	case "crash":
+		s.cluster.After(s.duration, s.cluster.CrashServer(server))
+		return true
+	case "freeze":
+		s.cluster.After(s.duration, s.cluster.Freeze(server.Process))
+	case "alone":
+		s.cluster.After(s.duration, s.cluster.Isolate(server.Process, true, true))
+	}
+	return false
+}
+
+// longest measures the longest time without an answer between two moments.
+func (cluster *Cluster) MeasureOutage(from, to int64, gap *int64) {
+	last := int64(0)
+	var look func()
+	look = func() {
+		if s := cluster.Clients.ServedAt; s != last {
+			if last > 0 {
+				*gap = max(*gap, s-last)
+			}
+			last = s
+		}
+		if cluster.Now < to {
+			cluster.After(10, look)
+		}
+	}
+	cluster.At(from, look)
+}
--- /dev/null
+++ b/tests/simulation/mixed_test.go
@@ -0,0 +1,103 @@
+package simulation
+
+import (
+	"flag"
+	"fmt"
+	"strings"
+	"sync"
+	"testing"
+)
+
+var (
+	seedCount = flag.Int("seeds", 16, "how many seeds of the mixed run")
+	firstSeed = flag.Int64("first", 1, "the first of them")
+	faultCount = flag.Int("faults", 14, "faults in each")
+	showTrace = flag.Bool("show", false, "print the run of a failing seed")
+)
+
+func checkInvariants(t *testing.T, scenario Scenario, cluster *Cluster) {
+	t.Helper()
+	if len(cluster.Checker.Violations) == 0 {
+		return
+	}
+	t.Errorf("seed %d:\n%s", scenario.Seed, strings.Join(cluster.Checker.Violations, "\n"))
+}
+
+// TestCalm is a site with nothing wrong: all promises, and all jobs end.
+func TestCalm(t *testing.T) {
+	for _, site := range []ClusterSpec{FastNetwork(), LossyNetwork()} {
+		scenario := Scenario{Seed: 7, Spec: site, Window: 30000, Recovery: 25000}
+		cluster := Run(scenario)
+		checkInvariants(t, scenario, cluster)
+		if cluster.Checker.Counts["ended well"] < 150 {
+			t.Errorf("too little evidence: %v", cluster.Checker.Counts)
+		}
+		t.Log(cluster.Checker.Counts, cluster.Frames)
+	}
+}
+
+// TestMixed lets everything that fails loose at once, under many seeds.
+func TestMixed(t *testing.T) {
+	t.Cleanup(func() { t.Log("faults in force:", injectedFaults) })
+	for i := int64(0); i < int64(*seedCount); i++ {
+		seed := *firstSeed + i
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			scenario := mixedScenario(seed)
+			cluster := Run(scenario)
+			checkInvariants(t, scenario, cluster)
+			if t.Failed() {
+				small := Shrink(scenario, func(try *Cluster) bool { return sameViolation(cluster, try) })
+				t.Logf("shrunk to: %s", formatScenario(small))
+				if *showTrace {
+					small.Trace = true
+					t.Log(strings.Join(Run(small).Log, "\n"))
+				}
+			}
+			recordInjected(cluster)
+			if cluster.Checker.Counts["ended well"] < 50 {
+				t.Errorf("too little evidence: %v", cluster.Checker.Counts)
+			}
+		})
+	}
+}
+
+// sameViolation tells whether a smaller run fails in a way the first one did.
+func sameViolation(a, b *Cluster) bool {
+	for kind, n := range b.Checker.Counts {
+		if strings.HasPrefix(kind, "breach ") && n > 0 && a.Checker.Counts[kind] > 0 {
+			return true
+		}
+	}
+	return false
+}
+
+// formatScenario prints a plan as it can be pasted into a test.
+func formatScenario(scenario Scenario) string {
+	text := fmt.Sprintf("Plan{Seed: %d, Window: %d, Settle: %d, Faults: []Fault{", scenario.Seed, scenario.Window, scenario.Recovery)
+	for _, f := range scenario.Faults {
+		text += f.String() + ", "
+	}
+	return text + "}}"
+}
+
+var (
+	injectedMutex sync.Mutex
+	injectedFaults  = map[string]int{}
+)
+
+func recordInjected(cluster *Cluster) {
+	injectedMutex.Lock()
+	defer injectedMutex.Unlock()
+	for kind, n := range cluster.Injected {
+		injectedFaults[kind] += n
+	}
+}
+
+func mixedScenario(seed int64) Scenario {
+	site := FastNetwork()
+	if seed%2 == 0 {
+		site = LossyNetwork()
+	}
+	return Scenario{Seed: seed, Spec: site, Window: 40000, Recovery: 60000, Faults: DrawFaults(seed, 5000, 38000, *faultCount)}
+}
--- a/tests/simulation/policy_test.go
+++ b/tests/simulation/policy_test.go
@@ -22,35 +22,35 @@
 		}
 	}
 	starts := map[string]int{}
-	play(t, Plan{Seed: 51, Window: 30000, Settle: 30000, Extra: func(w *World) {
+	runScenario(t, Scenario{Seed: 51, Window: 30000, Recovery: 30000, Setup: func(cluster *Cluster) {
 		set := func(cell, text string) {
-			w.callers.patch(w.callers.epoch, map[string]any{cell: text}, func(status int, epoch int64) {
+			cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{cell: text}, func(status int, epoch int64) {
 				told[cell+text] = status
-				w.callers.epoch = max(w.callers.epoch, epoch)
+				cluster.Clients.Epoch = max(cluster.Clients.Epoch, epoch)
 			})
 		}
-		w.at(8000, func() { set("check.policy", "runner.freeCores if zone(\"west\") else -1") })
-		w.at(8500, func() { set("push.policy", "1 // 0") })
-		w.at(9000, func() { set("stock.policy", "runner.freeCores *") })
-		w.at(9500, func() { set("stock.policy", "[0] * 1000000000") })
-		w.at(12000, func() {
-			for _, r := range w.runners {
-				r.seen = func(e runner.Event) {
-					s := w.Watch.Jobs[e.Task.Job].Spec
-					if w.Now < 28000 && s.Row == "check" && len(s.Steps[0].Labels) == 0 {
-						starts[r.zone]++
+		cluster.At(8000, func() { set("check.policy", "runner.freeCores if zone(\"west\") else -1") })
+		cluster.At(8500, func() { set("push.policy", "1 // 0") })
+		cluster.At(9000, func() { set("stock.policy", "runner.freeCores *") })
+		cluster.At(9500, func() { set("stock.policy", "[0] * 1000000000") })
+		cluster.At(12000, func() {
+			for _, r := range cluster.Runners {
+				r.OnStart = func(e runner.Event) {
+					s := cluster.Checker.Jobs[e.Task.Job].Spec
+					if cluster.Now < 28000 && s.Row == "check" && len(s.Steps[0].Labels) == 0 {
+						starts[r.Domain]++
 					}
 				}
 			}
 		})
-		w.at(28000, func() {
-			w.http(w.callers.node, w.callers.gate(), "GET", "/v1/keepers", nil, 2000, func(_ int, body []byte) {
+		cluster.At(28000, func() {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "GET", "/v1/keepers", nil, 2000, func(_ int, body []byte) {
 				if err := json.Unmarshal(body, &shown); err != nil {
 					t.Error(err)
 				}
 			})
 		})
-		w.at(28500, func() { w.strike(Fault{Dur: 1000, Kind: "zone", B: 2}) })
+		cluster.At(28500, func() { cluster.Inject(Fault{Duration: 1000, Kind: "zone", Parameter: 2}) })
 	}})
 	if told["check.policyrunner.freeCores if zone(\"west\") else -1"] != 200 || told["push.policy1 // 0"] != 200 ||
 		told["stock.policyrunner.freeCores *"] != 422 || told["stock.policy[0] * 1000000000"] != 422 {
--- a/tests/simulation/register_changes_test.go
+++ b/tests/simulation/register_changes_test.go
@@ -19,7 +19,7 @@
 // sound, sometimes of a number that others use too, sometimes invalid, or valid
 // only on its own base.
 func drawChange(rnd *rand.Rand, number int, seen uint64) *change {
-	c := &change{number: number, whole: rnd.Intn(3) == 0, base: seen, version: seen + 1, queues: map[string]string{}}
+	c := &change{number: number, replaces: rnd.Intn(3) == 0, base: seen, version: seen + 1, queues: map[string]string{}}
 	switch rnd.Intn(12) {
 	case 0:
 		c.version = seen + 2
@@ -29,54 +29,54 @@
 		c.base = seen - min(seen, uint64(rnd.Intn(3)))
 	}
 	if rnd.Intn(4) > 0 {
-		c.author = fmt.Sprint("operator ", number)
+		c.source = fmt.Sprint("operator ", number)
 	}
 	for n := rnd.Intn(3); n > 0; n-- {
 		c.queues[pick(rnd, "a", "b", "c")] = pick(rnd, "x", "x", "y")
 	}
-	if c.whole && rnd.Intn(3) > 0 || rnd.Intn(2) == 0 {
+	if c.replaces && rnd.Intn(3) > 0 || rnd.Intn(2) == 0 {
 		c.pools = append(c.pools, "x")
 	}
 	if rnd.Intn(3) == 0 {
 		c.pools = append(c.pools, "y")
 	}
-	if !c.whole && rnd.Intn(4) == 0 {
-		c.dropped = append(c.dropped, pick(rnd, "a", "b", "c"))
+	if !c.replaces && rnd.Intn(4) == 0 {
+		c.droppedQueues = append(c.droppedQueues, pick(rnd, "a", "b", "c"))
 	}
-	if !c.whole && rnd.Intn(6) == 0 {
-		c.unpooled = append(c.unpooled, pick(rnd, "x", "y"))
+	if !c.replaces && rnd.Intn(6) == 0 {
+		c.droppedPools = append(c.droppedPools, pick(rnd, "x", "y"))
 	}
-	c.settleDrops()
+	c.removeContradictions()
 	return c
 }
 
-// settleDrops leaves out of the drops what is also put: the put counts.
-func (c *change) settleDrops() {
+// removeContradictions leaves out of the drops what is also put: the put counts.
+func (c *change) removeContradictions() {
 	for _, pool := range c.pools {
-		if len(c.unpooled) > 0 && c.unpooled[0] == pool {
-			c.unpooled = nil
+		if len(c.droppedPools) > 0 && c.droppedPools[0] == pool {
+			c.droppedPools = nil
 		}
 	}
-	if len(c.dropped) > 0 && c.queues[c.dropped[0]] != "" {
-		c.dropped = nil
+	if len(c.droppedQueues) > 0 && c.queues[c.droppedQueues[0]] != "" {
+		c.droppedQueues = nil
 	}
 }
 
-// proposals are the changes of a history. Two operators who send the very same
+// changeSet are the changes of a history. Two operators who send the very same
 // text send one change: nothing tells the second from a resend.
-type proposals struct {
+type changeSet struct {
 	list   []*change
 	byText map[string]*change
-	// verbless leaves out changes that only their verb tells from another, as
+	// ignoreMethod leaves out changes that only their verb tells from another, as
 	// programs of the former level do not tell them apart.
-	verbless bool
+	ignoreMethod bool
 }
 
-func (p *proposals) draw(rnd *rand.Rand, seen uint64) *change {
+func (p *changeSet) draw(rnd *rand.Rand, seen uint64) *change {
 	c := drawChange(rnd, len(p.list), seen)
-	verb, body := c.text()
+	verb, body := c.encode()
 	text := string(body)
-	if !p.verbless {
+	if !p.ignoreMethod {
 		text = verb + text
 	}
 	if same := p.byText[text]; same != nil {
@@ -89,8 +89,8 @@
 	return c
 }
 
-// text is the change as it is sent.
-func (c *change) text() (verb string, body []byte) {
+// encode is the change as it is sent.
+func (c *change) encode() (verb string, body []byte) {
 	queues, pools := []map[string]any{}, []map[string]any{}
 	for _, name := range slices.Sorted(maps.Keys(c.queues)) {
 		queues = append(queues, map[string]any{"name": name, "host": "h", "prefix": "/" + name + "/", "pool": c.queues[name], "timeoutMs": 1000})
@@ -99,8 +99,8 @@
 		pools = append(pools, map[string]any{"name": name})
 	}
 	doc := map[string]any{"base": c.base, "version": c.version}
-	if c.author != "" {
-		doc["source"] = c.author
+	if c.source != "" {
+		doc["source"] = c.source
 	}
 	items := map[string]any{}
 	if len(queues) > 0 {
@@ -110,15 +110,15 @@
 		items["pools"] = pools
 	}
 	verb = "PUT"
-	if c.whole {
+	if c.replaces {
 		maps.Copy(doc, items)
 	} else {
 		verb = "PATCH"
 		if len(items) > 0 {
 			doc["put"] = items
 		}
-		if len(c.dropped)+len(c.unpooled) > 0 {
-			doc["drop"] = map[string]any{"queues": c.dropped, "pools": c.unpooled}
+		if len(c.droppedQueues)+len(c.droppedPools) > 0 {
+			doc["drop"] = map[string]any{"queues": c.droppedQueues, "pools": c.droppedPools}
 		}
 	}
 	body, err := json.Marshal(doc)
@@ -128,8 +128,8 @@
 	return verb, body
 }
 
-// readRegister reads what GET /v1/catalog answers.
-func readRegister(body []byte) (register, error) {
+// decodeRegister reads what GET /v1/catalog answers.
+func decodeRegister(body []byte) (register, error) {
 	var doc struct {
 		Version uint64 `json:"version"`
 		Source  string `json:"source"`
@@ -140,7 +140,7 @@
 	if err := json.Unmarshal(body, &doc); err != nil {
 		return r, err
 	}
-	r.version, r.author = doc.Version, doc.Source
+	r.version, r.source = doc.Version, doc.Source
 	for _, q := range doc.Queues {
 		r.queues[q.Name] = q.Pool
 	}
@@ -150,8 +150,8 @@
 	return r, nil
 }
 
-// listing prints a history for a failed test.
-func listing(calls []*exchange) string {
+// formatCalls prints a history for a failed test.
+func formatCalls(calls []*registerCall) string {
 	lines := []string{}
 	for _, x := range calls {
 		lines = append(lines, x.String())
--- a/tests/simulation/register_exchange_test.go
+++ b/tests/simulation/register_exchange_test.go
@@ -11,55 +11,55 @@
 	"orchidward/internal/state"
 )
 
-var exchanges = flag.Int("exchanges", 48, "how many exchanges of operators with a whole site")
+var exchangeCount = flag.Int("exchanges", 48, "how many exchanges of operators with a whole site")
 
-// operators change the catalogue of a whole site through its gates, each after
+// catalogOperators change the catalogue of a whole site through its gates, each after
 // reading it, and send a change again as long as its outcome is unclear, and
 // now and then when it is not.
-type operators struct {
-	w       *World
-	rnd     *rand.Rand
-	changes proposals
-	calls   []*exchange
-	stop    int64
+type catalogOperators struct {
+	cluster       *Cluster
+	random     *rand.Rand
+	changes changeSet
+	calls   []*registerCall
+	stopAt    int64
 }
 
 const (
 	operatorCount   = 3
-	operatorsBegin  = 6000
+	operatorsStart  = 6000
 	operatorsWindow = 24000
-	operatorWait    = 2000
+	callTimeout    = 2000
 )
 
-// ask makes one call; then gets the status, 0 when nothing came in time.
-func (o *operators) ask(verb string, body []byte, c *change, then func(x *exchange, body []byte)) {
-	x := &exchange{begin: o.w.Now, end: never, change: c}
+// call makes one call; then gets the status, 0 when nothing came in time.
+func (o *catalogOperators) call(verb string, body []byte, c *change, then func(x *registerCall, body []byte)) {
+	x := &registerCall{startedAt: o.cluster.Now, endedAt: noAnswer, change: c}
 	if c != nil {
 		o.calls = append(o.calls, x)
 	}
-	o.w.http(o.w.callers.node, o.w.callers.gate(), verb, "/v1/catalog", body, operatorWait, func(status int, body []byte) {
+	o.cluster.Request(o.cluster.Clients.Process, o.cluster.Clients.RandomGateway(), verb, "/v1/catalog", body, callTimeout, func(status int, body []byte) {
 		x.status = status
 		if status != 0 && status != 504 {
-			x.end = o.w.Now
+			x.endedAt = o.cluster.Now
 		}
 		then(x, body)
 	})
 }
 
 // read is followed by what is done with the version seen.
-func (o *operators) read(then func(seen uint64)) {
-	o.ask("GET", nil, nil, func(x *exchange, body []byte) {
+func (o *catalogOperators) read(then func(seen uint64)) {
+	o.call("GET", nil, nil, func(x *registerCall, body []byte) {
 		r, err := newRegister(), error(nil)
 		switch x.status {
 		case 200:
-			r, err = readRegister(body)
+			r, err = decodeRegister(body)
 		case 404:
 		default:
-			o.w.after(200, func() { o.read(then) })
+			o.cluster.After(200, func() { o.read(then) })
 			return
 		}
 		if err != nil {
-			o.w.Watch.Violate("register", "reads as %q", body)
+			o.cluster.Checker.Violate("register", "reads as %q", body)
 		}
 		x.content = r.String()
 		o.calls = append(o.calls, x)
@@ -68,29 +68,29 @@
 }
 
 // work is one operator's: read, change, and again.
-func (o *operators) work() {
-	if o.w.Now >= o.stop {
+func (o *catalogOperators) changeCatalog() {
+	if o.cluster.Now >= o.stopAt {
 		return
 	}
 	o.read(func(seen uint64) {
-		c := o.changes.draw(o.rnd, seen)
-		if o.rnd.Intn(6) == 0 {
-			c = pick(o.rnd, o.changes.list...)
+		c := o.changes.draw(o.random, seen)
+		if o.random.Intn(6) == 0 {
+			c = pick(o.random, o.changes.list...)
 		}
-		o.w.after(o.rnd.Int63n(100), func() { o.send(c, 1+o.rnd.Intn(6)) })
+		o.cluster.After(o.random.Int63n(100), func() { o.send(c, 1+o.random.Intn(6)) })
 	})
 }
 
 // send sends a change until its outcome is clear or tries are used up.
-func (o *operators) send(c *change, tries int) {
-	verb, body := c.text()
-	o.ask(verb, body, c, func(x *exchange, _ []byte) {
+func (o *catalogOperators) send(c *change, tries int) {
+	verb, body := c.encode()
+	o.call(verb, body, c, func(x *registerCall, _ []byte) {
 		settled := !x.unclear() && x.status != 503 && x.status != 429
-		if tries > 1 && (!settled || o.rnd.Intn(8) == 0) {
-			o.w.after(50+o.rnd.Int63n(400), func() { o.send(c, tries-1) })
+		if tries > 1 && (!settled || o.random.Intn(8) == 0) {
+			o.cluster.After(50+o.random.Int63n(400), func() { o.send(c, tries-1) })
 			return
 		}
-		o.w.after(o.rnd.Int63n(400), o.work)
+		o.cluster.After(o.random.Int63n(400), o.changeCatalog)
 	})
 }
 
@@ -98,56 +98,56 @@
 var registerFaults = []string{"leader-crash", "leader-freeze", "leader-alone", "leader-alone", "keeper-crash", "keeper-freeze", "keeper-cut", "keeper-deaf",
 	"keeper-slow", "keeper-stall", "keeper-lost", "power", "gate-crash", "gate-freeze", "gate-cut", "gate-alone", "rain"}
 
-// newOperators sets a site up with its faults. In every third the keepers are of
+// newCatalogOperators sets a site up with its faults. In every third the keepers are of
 // the former level and are upgraded under way; in every second one views are
 // taken often, so that keepers that were away or empty are sent one.
-func newOperators(seed int64) *operators {
-	site := Gilde()
+func newCatalogOperators(seed int64) *catalogOperators {
+	site := FastNetwork()
 	site.Runners = 1
 	if seed%2 == 0 {
-		site.Delay, site.Loss = 25, 10
+		site.DelayMs, site.LossPerMille = 25, 10
 	}
-	w := NewWorld(seed, site)
-	o := &operators{w: w, rnd: rand.New(rand.NewSource(seed)), stop: operatorsBegin + operatorsWindow}
+	cluster := NewWorld(seed, site)
+	o := &catalogOperators{cluster: cluster, random: rand.New(rand.NewSource(seed)), stopAt: operatorsStart + operatorsWindow}
 	for n := 0; n < 10; n++ {
-		f := Fault{At: operatorsBegin + o.rnd.Int63n(operatorsWindow-4000), Dur: 200 + o.rnd.Int63n(4000), Kind: pick(o.rnd, registerFaults...), A: o.rnd.Intn(1000), B: o.rnd.Intn(1000)}
-		w.at(f.At, func() { w.strike(f) })
+		f := Fault{At: operatorsStart + o.random.Int63n(operatorsWindow-4000), Duration: 200 + o.random.Int63n(4000), Kind: pick(o.random, registerFaults...), Target: o.random.Intn(1000), Parameter: o.random.Intn(1000)}
+		cluster.At(f.At, func() { cluster.Inject(f) })
 	}
 	if seed%3 == 0 {
 		o.upgrade()
 	}
 	if seed%2 == 0 {
-		for at := int64(operatorsBegin); at < o.stop; at += 4000 {
-			w.at(at, o.fillLog)
+		for at := int64(operatorsStart); at < o.stopAt; at += 4000 {
+			cluster.At(at, o.fillLog)
 		}
 	}
 	for n := 0; n < operatorCount; n++ {
-		w.at(operatorsBegin+o.rnd.Int63n(500), o.work)
+		cluster.At(operatorsStart+o.random.Int63n(500), o.changeCatalog)
 	}
 	return o
 }
 
-func (o *operators) upgrade() {
-	o.changes.verbless = true
-	for i, k := range o.w.keepers {
-		k.level = state.CatalogLevel
-		o.w.at(operatorsBegin+4000+int64(i)*3000, func() { o.w.swap(o.w.keepers[i], state.SupportedLevel) })
+func (o *catalogOperators) upgrade() {
+	o.changes.ignoreMethod = true
+	for i, server := range o.cluster.Servers {
+		server.Level = state.CatalogLevel
+		o.cluster.At(operatorsStart+4000+int64(i)*3000, func() { o.cluster.Restart(o.cluster.Servers[i], state.SupportedLevel) })
 	}
 }
 
 // fillLog proposes empty entries until every log is due to be cut by a view.
-func (o *operators) fillLog() {
-	for _, k := range o.w.keepers {
-		if k.mach != nil {
-			k.mach.LogPercentUsed = func() int { return 100 }
+func (o *catalogOperators) fillLog() {
+	for _, server := range o.cluster.Servers {
+		if server.Machine != nil {
+			server.Machine.LogPercentUsed = func() int { return 100 }
 		}
 	}
-	lead := o.w.leader()
+	lead := o.cluster.Leader()
 	if lead == nil {
 		return
 	}
 	for n := 0; n < 300; n++ {
-		lead.mach.Raft().Propose((&state.Command{}).Encode())
+		lead.Machine.Raft().Propose((&state.Command{}).Encode())
 	}
 }
 
@@ -155,27 +155,27 @@
 // crashes, splits, lost disks, views and an upgrade, against the specification.
 func TestRegisterExchange(t *testing.T) {
 	t.Parallel()
-	for seed := int64(1); seed <= int64(*exchanges); seed++ {
+	for seed := int64(1); seed <= int64(*exchangeCount); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			o := newOperators(seed)
-			o.w.Run(o.stop)
-			o.w.heal()
-			o.w.Run(o.stop + 12000)
+			o := newCatalogOperators(seed)
+			o.cluster.Run(o.stopAt)
+			o.cluster.Heal()
+			o.cluster.Run(o.stopAt + 12000)
 			statuses := map[int]int{}
 			for _, x := range o.calls {
 				statuses[x.status]++
 			}
-			if len(o.w.Watch.Violations) > 0 || !linearizable(newRegister(), nil, o.calls) {
-				t.Fatalf("no register answers so: %v\n%s", o.w.Watch.Violations, listing(o.calls))
+			if len(o.cluster.Checker.Violations) > 0 || !linearizable(newRegister(), nil, o.calls) {
+				t.Fatalf("no register answers so: %v\n%s", o.cluster.Checker.Violations, formatCalls(o.calls))
 			}
 			if statuses[200] < 10 {
 				t.Errorf("too little evidence: %v", statuses)
 			}
-			if lead := o.w.leader(); lead == nil || seed%2 == 0 && lead.mach.Raft().SnapshotIndex() == 0 {
+			if lead := o.cluster.Leader(); lead == nil || seed%2 == 0 && lead.Machine.Raft().SnapshotIndex() == 0 {
 				t.Error("too little evidence: nobody leads, or no log was cut by a view")
 			}
-			t.Log(statuses, o.w.Struck)
+			t.Log(statuses, o.cluster.Injected)
 		})
 	}
 }
--- a/tests/simulation/register_histories_test.go
+++ b/tests/simulation/register_histories_test.go
@@ -14,35 +14,35 @@
 	"orchidward/internal/state"
 )
 
-var histories = flag.Int("histories", 1000, "how many histories of changes at the state machine")
-
-// copyOf is one copy of a change on its way to the leader.
-type copyOf struct {
-	call *exchange
-	cmd  *state.Command
-	// waits says that the leader which proposed it still waits for its outcome.
-	waits bool
+var historyCount = flag.Int("histories", 1000, "how many histories of changes at the state machine")
+
+// requestCopy is one copy of a change on its way to the leader.
+type requestCopy struct {
+	call *registerCall
+	command  *state.Command
+	// awaited says that the leader which proposed it still waits for its outcome.
+	awaited bool
 }
 
-// replicated is a state machine under a log, with the network before it and
+// replicatedRegister is a state machine under a log, with the network before it and
 // leaders that come and go: copies arrive in any order, late, twice or never,
 // and so do the answers. It stands for agreement, which TestChaos checks.
-type replicated struct {
-	rnd      *rand.Rand
+type replicatedRegister struct {
+	random      *rand.Rand
 	now      int64
 	state    *state.Store
-	network  []*copyOf
-	proposed []*copyOf
-	changes  proposals
-	calls    []*exchange
-	// before are changes accepted before the history began, seen the version that
+	network  []*requestCopy
+	proposed []*requestCopy
+	changes  changeSet
+	calls    []*registerCall
+	// acceptedBefore are changes accepted before the history began, seen the version that
 	// each operator last read.
-	before []*change
-	seen   []uint64
+	acceptedBefore []*change
+	lastRead   []uint64
 }
 
-func (w *replicated) send(c *change) {
-	verb, body := c.text()
+func (m *replicatedRegister) send(c *change) {
+	verb, body := c.encode()
 	var faults jsondoc.FieldErrors
 	read := catalog.ReadWhole
 	if verb == "PATCH" {
@@ -52,123 +52,123 @@
 	if faults.Any() {
 		panic(fmt.Sprint(faults.List))
 	}
-	call := &exchange{begin: w.now, end: never, change: c}
-	w.calls = append(w.calls, call)
-	w.network = append(w.network, &copyOf{call, cmd, true})
+	call := &registerCall{startedAt: m.now, endedAt: noAnswer, change: c}
+	m.calls = append(m.calls, call)
+	m.network = append(m.network, &requestCopy{call, cmd, true})
 }
 
 // deliver lets a copy reach the leader, which proposes it. Now and then another
 // copy stays behind.
-func (w *replicated) deliver() {
-	if len(w.network) == 0 {
+func (m *replicatedRegister) deliver() {
+	if len(m.network) == 0 {
 		return
 	}
-	i := w.rnd.Intn(len(w.network))
-	arrived := *w.network[i]
-	w.proposed = append(w.proposed, &arrived)
-	if w.rnd.Intn(4) > 0 {
-		w.network = append(w.network[:i], w.network[i+1:]...)
+	i := m.random.Intn(len(m.network))
+	arrived := *m.network[i]
+	m.proposed = append(m.proposed, &arrived)
+	if m.random.Intn(4) > 0 {
+		m.network = append(m.network[:i], m.network[i+1:]...)
 	}
 }
 
 // commit applies the next entry; its answer may be lost on the way.
-func (w *replicated) commit() {
-	if len(w.proposed) == 0 {
+func (m *replicatedRegister) commit() {
+	if len(m.proposed) == 0 {
 		return
 	}
-	entry := w.proposed[0]
-	w.proposed = w.proposed[1:]
-	cmd, err := state.DecodeCommand(entry.cmd.Encode())
+	entry := m.proposed[0]
+	m.proposed = m.proposed[1:]
+	cmd, err := state.DecodeCommand(entry.command.Encode())
 	if err != nil {
 		panic(err)
 	}
-	answer := w.state.Apply(cmd)
+	answer := m.state.Apply(cmd)
 	call := entry.call
-	if entry.waits && call.unclear() && call.status == 0 && w.rnd.Intn(3) > 0 {
-		w.answered(call, answer.Status)
+	if entry.awaited && call.unclear() && call.status == 0 && m.random.Intn(3) > 0 {
+		m.complete(call, answer.Status)
 	}
 }
 
-func (w *replicated) answered(call *exchange, status int) {
+func (m *replicatedRegister) complete(call *registerCall, status int) {
 	call.status = status
 	if status != 504 {
-		call.end = w.now
+		call.endedAt = m.now
 	}
 }
 
 // depose ends the leader: a tail of its log is lost, and nobody waits for the
 // rest any more.
-func (w *replicated) depose() {
-	w.proposed = w.proposed[:w.rnd.Intn(len(w.proposed)+1)]
-	for _, entry := range w.proposed {
-		entry.waits = false
+func (m *replicatedRegister) depose() {
+	m.proposed = m.proposed[:m.random.Intn(len(m.proposed)+1)]
+	for _, entry := range m.proposed {
+		entry.awaited = false
 	}
 }
 
 // restart goes on with the state as a view has it.
-func (w *replicated) restart() {
-	restored, err := state.Decode(w.state.Encode())
+func (m *replicatedRegister) restart() {
+	restored, err := state.Decode(m.state.Encode())
 	if err != nil {
 		panic(err)
 	}
-	w.state = restored
+	m.state = restored
 }
 
-func (w *replicated) read(operator int) {
-	r := w.register()
-	w.seen[operator] = r.version
-	w.calls = append(w.calls, &exchange{begin: w.now, end: w.now, status: 200, content: r.String()})
+func (m *replicatedRegister) read(operator int) {
+	r := m.register()
+	m.lastRead[operator] = r.version
+	m.calls = append(m.calls, &registerCall{startedAt: m.now, endedAt: m.now, status: 200, content: r.String()})
 }
 
-func (w *replicated) register() register {
+func (m *replicatedRegister) register() register {
 	var r register
 	shown := catalog.Catalog{}
-	if w.state.Catalog != nil {
-		shown = w.state.Catalog.Published()
+	if m.state.Catalog != nil {
+		shown = m.state.Catalog.Published()
 	}
 	body, err := json.Marshal(&shown)
 	if err != nil {
 		panic(err)
 	}
-	if r, err = readRegister(body); err != nil {
+	if r, err = decodeRegister(body); err != nil {
 		panic(err)
 	}
 	return r
 }
 
-func (w *replicated) step() {
-	w.now++
-	operator := w.rnd.Intn(len(w.seen))
-	switch w.rnd.Intn(20) {
+func (m *replicatedRegister) step() {
+	m.now++
+	operator := m.random.Intn(len(m.lastRead))
+	switch m.random.Intn(20) {
 	case 0, 1, 2:
-		w.send(w.changes.draw(w.rnd, w.seen[operator]))
+		m.send(m.changes.draw(m.random, m.lastRead[operator]))
 	case 3, 4, 5:
-		if len(w.changes.list) > 0 {
-			w.send(pick(w.rnd, w.changes.list...))
+		if len(m.changes.list) > 0 {
+			m.send(pick(m.random, m.changes.list...))
 		}
 	case 6, 7, 8, 9, 10:
-		w.deliver()
+		m.deliver()
 	case 11, 12, 13, 14, 15:
-		w.commit()
+		m.commit()
 	case 16:
-		w.depose()
+		m.depose()
 	case 17:
-		w.restart()
+		m.restart()
 	case 18:
-		w.state.Apply(&state.Command{RaiseLevel: &state.RaiseLevel{Level: state.ResendLevel}})
+		m.state.Apply(&state.Command{RaiseLevel: &state.RaiseLevel{Level: state.ResendLevel}})
 	default:
-		w.read(operator)
+		m.read(operator)
 	}
 }
 
-// filled is a state whose memory of changes is all but full, and the changes it
+// nearlyFullRegister is a state whose memory of changes is all but full, and the changes it
 // will have to forget first.
-func filled(count uint64) (view []byte, oldest []*change) {
+func nearlyFullRegister(count uint64) (view []byte, oldest []*change) {
 	full := state.New()
 	full.Level = state.ResendLevel
 	for version := uint64(1); version <= count; version++ {
 		c := &change{number: -int(version), base: version - 1, version: version}
-		_, body := c.text()
+		_, body := c.encode()
 		var faults jsondoc.FieldErrors
 		full.Apply(&state.Command{ChangeCatalog: catalog.ReadPatch(body, &faults)})
 		if version <= 4 {
@@ -178,27 +178,27 @@
 	return full.Encode(), oldest
 }
 
-// historiesApart is how many histories run in one go beside others.
-const historiesApart = 500
+// historiesPerTest is how many histories run in one go beside others.
+const historiesPerTest = 500
 
 // TestRegisterHistories holds what the state machine answers, over many
 // histories, against the specification of the register.
 func TestRegisterHistories(t *testing.T) {
 	t.Parallel()
-	view, oldest := filled(4096)
-	for first := 0; first < *histories; first += historiesApart {
+	view, oldest := nearlyFullRegister(4096)
+	for first := 0; first < *historyCount; first += historiesPerTest {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
 			t.Parallel()
 			statuses := map[int]int{}
-			for seed := first; seed < first+historiesApart; seed++ {
-				w := newReplicated(int64(seed), view, oldest)
-				w.play(t, seed)
-				for _, x := range w.calls {
+			for seed := first; seed < first+historiesPerTest; seed++ {
+				m := newReplicated(int64(seed), view, oldest)
+				m.play(t, seed)
+				for _, x := range m.calls {
 					statuses[x.status]++
 				}
 			}
 			t.Log("answers by status, 0 for none:", statuses)
-			for status, least := range map[int]int{0: historiesApart, 200: historiesApart, 412: historiesApart, 422: historiesApart / 4, 504: 4} {
+			for status, least := range map[int]int{0: historiesPerTest, 200: historiesPerTest, 412: historiesPerTest, 422: historiesPerTest / 4, 504: 4} {
 				if statuses[status] < least {
 					t.Errorf("too little evidence: %d answers with %d", statuses[status], status)
 				}
@@ -210,30 +210,30 @@
 // newReplicated begins a history: every second one at the former level, of which
 // some raise it under way, and one in sixteen with a memory that forgets with
 // every change that is accepted.
-func newReplicated(seed int64, view []byte, oldest []*change) *replicated {
-	w := &replicated{rnd: rand.New(rand.NewSource(seed)), state: state.New(), seen: make([]uint64, 3)}
-	w.state.Level = state.ResendLevel
+func newReplicated(seed int64, view []byte, oldest []*change) *replicatedRegister {
+	m := &replicatedRegister{random: rand.New(rand.NewSource(seed)), state: state.New(), lastRead: make([]uint64, 3)}
+	m.state.Level = state.ResendLevel
 	switch {
 	case seed%16 == 15:
-		w.state, _ = state.Decode(view)
-		w.before = oldest
-		w.changes.list = append(w.changes.list, oldest...)
+		m.state, _ = state.Decode(view)
+		m.acceptedBefore = oldest
+		m.changes.list = append(m.changes.list, oldest...)
 	case seed%2 == 1:
-		w.state.Level, w.changes.verbless = state.CatalogLevel, true
+		m.state.Level, m.changes.ignoreMethod = state.CatalogLevel, true
 	}
-	return w
+	return m
 }
 
-func (w *replicated) play(t *testing.T, seed int) {
+func (m *replicatedRegister) play(t *testing.T, seed int) {
 	t.Helper()
-	first := w.register()
-	for operator := range w.seen {
-		w.seen[operator] = first.version
+	first := m.register()
+	for operator := range m.lastRead {
+		m.lastRead[operator] = first.version
 	}
-	for range 60 + w.rnd.Intn(120) {
-		w.step()
+	for range 60 + m.random.Intn(120) {
+		m.step()
 	}
-	if !linearizable(first, w.before, w.calls) {
-		t.Fatalf("seed %d: no register answers so:\n%s", seed, listing(w.calls))
+	if !linearizable(first, m.acceptedBefore, m.calls) {
+		t.Fatalf("seed %d: no register answers so:\n%s", seed, formatCalls(m.calls))
 	}
 }
--- /dev/null
+++ b/tests/simulation/replacement_test.go
@@ -0,0 +1,120 @@
+package simulation
+
+import (
+	"fmt"
+	"sort"
+	"testing"
+)
+
+// TestEveryAddressChanges replaces all three keepers by empty ones at new
+// addresses, one after another, and all gates by others, while runners and
+// callers go on; in the end nothing answers at any address that was first known.
+func TestEveryAddressChanges(t *testing.T) {
+	t.Parallel()
+	runScenario(t, Scenario{Seed: 71, Window: 75000, Recovery: 40000, Setup: func(cluster *Cluster) {
+		cluster.Spec.LoadPercent = 40
+		swap := func(i int) {
+			server := cluster.Servers[i]
+			cluster.ReplaceServer(server)
+			cluster.Servers[i].Seeds = []string{server.Name, cluster.Gateways[0].Addr, "nobody"}
+		}
+		cluster.At(8000, func() { swap(0) })
+		cluster.At(25000, func() { swap(1) })
+		cluster.At(42000, func() { swap(2) })
+		cluster.At(58000, func() {
+			cluster.Seeds = []string{"k1b", "nobody", "k3b"}
+			for i := 4; i <= 6; i++ {
+				cluster.AddGateway(fmt.Sprintf("g%d", i), Domains[i%3]).Start()
+			}
+		})
+		cluster.At(62000, func() {
+			for _, g := range cluster.Gateways[:3] {
+				cluster.Kill(g.Process)
+			}
+			cluster.Gateways = cluster.Gateways[3:]
+		})
+		cluster.At(70000, func() {
+			names := []string{}
+			if cluster.Leader() == nil {
+				t.Error("nobody leads")
+				return
+			}
+			for _, m := range cluster.Leader().Machine.Raft().Members() {
+				names = append(names, fmt.Sprint(m.Addr, m.Voter))
+			}
+			sort.Strings(names)
+			if fmt.Sprint(names) != "[k1btrue k2btrue k3btrue]" {
+				t.Errorf("members: %v", names)
+			}
+			for _, r := range cluster.Runners {
+				for _, g := range r.Machine.Gateways() {
+					if g == "g1" || g == "g2" || g == "g3" {
+						t.Errorf("%s still knows %v", r.Name, r.Machine.Gateways())
+					}
+				}
+			}
+		})
+	}})
+}
+
+// TestLossesInTurn: machines are lost one after another, each a few seconds
+// after the one before is back, and each time the group must be whole again by
+// then: a disk is lost and back empty at its old address, then the leader is
+// replaced at another address, then a third goes for a while.
+func TestLossesInTurn(t *testing.T) {
+	t.Parallel()
+	for seed := int64(1); seed <= 4; seed++ {
+		runScenario(t, Scenario{Seed: 200 + seed, Window: 32000, Recovery: 30000, Setup: func(cluster *Cluster) {
+			cluster.Spec.LoadPercent = 30
+			other := func(i int) *Server { return cluster.Servers[(i+1)%3] }
+			at := 0
+			cluster.At(8000, func() {
+				for i, server := range cluster.Servers {
+					if server != cluster.Leader() {
+						at = i
+					}
+				}
+				cluster.Servers[at].WipeDisk()
+			})
+			cluster.At(10800, func() { cluster.Servers[at].Start() })
+			cluster.At(14800, func() {
+				for i, server := range cluster.Servers {
+					if server == cluster.Leader() {
+						cluster.ReplaceServer(server)
+						at = i
+						break
+					}
+				}
+			})
+			cluster.At(21000, func() { cluster.CrashServer(other(at)) })
+			cluster.At(24500, func() {
+				if cluster.Leader() == nil {
+					t.Errorf("seed %d: three losses in turn, and nobody leads", seed)
+				}
+				other(at).Start()
+			})
+		}})
+	}
+}
+
+// BenchmarkFleet is what a second of a calm fleet costs, core, gates and
+// runners together, at growing numbers of runners; polls/s is the count of
+// polls answered in a virtual second.
+func BenchmarkFleet(b *testing.B) {
+	for _, n := range []int{11, 100, 1000} {
+		b.Run(fmt.Sprint(n), func(b *testing.B) {
+			site := FastNetwork()
+			site.Runners = n
+			cluster := NewWorld(81, site)
+			cluster.Clients.StopAt = 0
+			cluster.Run(8000)
+			was := cluster.Polls
+			b.ResetTimer()
+			for i := 0; i < b.N; i++ {
+				cluster.Run(cluster.Now + 1000)
+			}
+			b.ReportMetric(float64(cluster.Polls-was)/float64(b.N), "polls/s")
+			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(cluster.Polls-was), "us/poll")
+		})
+	}
+}
--- a/tests/simulation/scene_test.go
+++ b/tests/simulation/scene_test.go
@@ -12,22 +12,22 @@
 )
 
 // play runs one scene with the usual load and judges it.
-func play(t *testing.T, p Plan) *World {
+func runScenario(t *testing.T, scenario Scenario) *Cluster {
 	t.Helper()
-	if p.Site.Keepers == 0 {
-		p.Site = Gilde()
+	if scenario.Spec.Servers == 0 {
+		scenario.Spec = FastNetwork()
 	}
-	w := Run(p)
-	if len(w.Watch.Violations) > 0 {
-		t.Errorf("seed %d: %s", p.Seed, strings.Join(w.Watch.Violations, "\n"))
+	cluster := Run(scenario)
+	if len(cluster.Checker.Violations) > 0 {
+		t.Errorf("seed %d: %s", scenario.Seed, strings.Join(cluster.Checker.Violations, "\n"))
 	}
-	if w.Watch.Counts["ended well"] < 30 {
-		t.Errorf("too little evidence: %v", w.Watch.Counts)
+	if cluster.Checker.Counts["ended well"] < 30 {
+		t.Errorf("too little evidence: %v", cluster.Checker.Counts)
 	}
-	return w
+	return cluster
 }
 
-func worst(list []int64) int64 {
+func longest(list []int64) int64 {
 	var n int64
 	for _, v := range list {
 		n = max(n, v)
@@ -43,53 +43,53 @@
 	return list[len(list)/2]
 }
 
-// TestOwnerDies takes the closing's owner away at every single log entry from
+// TestDrainSurvivesLeaderLoss takes the closing's owner away at every single log entry from
 // the order to close on, and again on the way back: killed, frozen and cut
 // off. Whoever is next must finish with the same scope and displaced set.
-func TestOwnerDies(t *testing.T) {
+func TestDrainSurvivesLeaderLoss(t *testing.T) {
 	for _, how := range []string{"crash", "freeze", "alone"} {
 		for n := 0; n < 14; n++ {
 			for _, back := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%d/%v", how, n, back), func(t *testing.T) {
 					t.Parallel()
-					ownerDies(t, how, n, back)
+					drainSurvivesLeaderLoss(t, how, n, back)
 				})
 			}
 		}
 	}
 }
 
-func ownerDies(t *testing.T, how string, n int, back bool) {
+func drainSurvivesLeaderLoss(t *testing.T, how string, n int, back bool) {
 	var c *state.Drain
 	var first []string
-	trap := &snare{how: how, n: n, away: 8000}
-	p := Plan{Seed: int64(n) + 100, Window: 30000, Settle: 20000, Extra: func(w *World) {
-		w.Site.Rate = 60
-		trap.set(w)
+	trap := &leaderFailpoint{how: how, entries: n, duration: 8000}
+	scenario := Scenario{Seed: int64(n) + 100, Window: 30000, Recovery: 20000, Setup: func(cluster *Cluster) {
+		cluster.Spec.LoadPercent = 60
+		trap.install(cluster)
 		still := func() bool { return true }
-		w.at(12000, func() {
+		cluster.At(12000, func() {
 			if !back {
 				trap.arm()
 			}
-			w.callers.zone("north", true, still)
+			cluster.Clients.SetDrained("north", true, still)
 		})
-		w.at(22000, func() {
+		cluster.At(22000, func() {
 			if back {
 				trap.arm()
 			}
-			if k := w.leader(); k != nil {
-				for _, x := range k.mach.State().Drains {
+			if server := cluster.Leader(); server != nil {
+				for _, x := range server.Machine.State().Drains {
 					first = append(first, fmt.Sprint(x.Scope, x.Stage))
 				}
 			}
-			w.callers.zone("north", false, still)
+			cluster.Clients.SetDrained("north", false, still)
 		})
 	}}
-	w := play(t, p)
-	if !trap.sprung {
+	cluster := runScenario(t, scenario)
+	if !trap.fired {
 		t.Fatal("the owner was never taken away")
 	}
-	for _, x := range w.leader().mach.State().Drains {
+	for _, x := range cluster.Leader().Machine.State().Drains {
 		c = x
 	}
 	if c == nil || c.Stage != state.Open || !c.PreflightDone || c.Verdict == "" || len(c.Scope) != 5 {
@@ -116,110 +116,110 @@
 	for seed := int64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := Plan{Seed: seed, Window: 30000, Settle: 30000}
+			scenario := Scenario{Seed: seed, Window: 30000, Recovery: 30000}
 			for i := int64(0); i < 3; i++ {
-				p.Faults = append(p.Faults, Fault{At: 8000 + i*7000 + seed*137, Dur: 1500, Kind: "power"})
+				scenario.Faults = append(scenario.Faults, Fault{At: 8000 + i*7000 + seed*137, Duration: 1500, Kind: "power"})
 			}
-			w := play(t, p)
-			if n := w.Watch.Counts["event lapsed"]; n > 0 {
+			cluster := runScenario(t, scenario)
+			if n := cluster.Checker.Counts["event lapsed"]; n > 0 {
 				t.Errorf("%d tasks were lost to an outage shorter than their grant", n)
 			}
 		})
 	}
 }
 
-// TestEmptyKeeper: a core machine is replaced by an empty one at a new
+// TestServerReplacedEmpty: a core machine is replaced by an empty one at a new
 // address; it takes the dead seat, after which another machine may go.
-func TestEmptyKeeper(t *testing.T) {
+func TestServerReplacedEmpty(t *testing.T) {
 	t.Parallel()
-	p := Plan{Seed: 3, Window: 45000, Settle: 40000, Faults: []Fault{{At: 8000, Kind: "keeper-lost", A: 1}}, Extra: func(w *World) {
-		w.at(30000, func() {
-			k := w.keepers[1]
-			m, ok := k.mach.Raft().Member(k.mach.Raft().Members()[0].ID)
+	scenario := Scenario{Seed: 3, Window: 45000, Recovery: 40000, Faults: []Fault{{At: 8000, Kind: "keeper-lost", Target: 1}}, Setup: func(cluster *Cluster) {
+		cluster.At(30000, func() {
+			server := cluster.Servers[1]
+			m, ok := server.Machine.Raft().Member(server.Machine.Raft().Members()[0].ID)
 			names := []string{}
-			for _, one := range k.mach.Raft().Members() {
+			for _, one := range server.Machine.Raft().Members() {
 				names = append(names, fmt.Sprint(one.Addr, one.Voter))
 			}
 			sort.Strings(names)
 			if !ok || fmt.Sprint(names) != "[k1true k2btrue k3true]" {
 				t.Errorf("members after 22 s: %v %v", names, m)
 			}
-			w.stopKeeper(w.keepers[0])
-			w.keepers[0].gone = true
+			cluster.CrashServer(cluster.Servers[0])
+			cluster.Servers[0].Removed = true
 		})
 	}}
-	play(t, p)
+	runScenario(t, scenario)
 }
 
-// TestSeedsSwapped: every seed is exchanged while gates and runners run on,
+// TestSeedsReplaced: every seed is exchanged while gates and runners run on,
 // and one started anew with a single live seed among dead ones finds its way.
-func TestSeedsSwapped(t *testing.T) {
+func TestSeedsReplaced(t *testing.T) {
 	t.Parallel()
 	served := 0
-	p := Plan{Seed: 5, Window: 30000, Settle: 40000, Extra: func(w *World) {
-		w.at(8000, func() {
-			w.seeds = []string{"nobody1", w.gates[1].addr, "nobody2"}
-			w.die(w.gates[0].node)
-			w.gates[0].begin()
+	scenario := Scenario{Seed: 5, Window: 30000, Recovery: 40000, Setup: func(cluster *Cluster) {
+		cluster.At(8000, func() {
+			cluster.Seeds = []string{"nobody1", cluster.Gateways[1].Addr, "nobody2"}
+			cluster.Kill(cluster.Gateways[0].Process)
+			cluster.Gateways[0].Start()
 		})
-		w.at(12000, func() {
-			w.stopKeeper(w.keepers[0])
-			w.keepers[0].seeds = w.seeds
-			w.keepers[0].begin()
+		cluster.At(12000, func() {
+			cluster.CrashServer(cluster.Servers[0])
+			cluster.Servers[0].Seeds = cluster.Seeds
+			cluster.Servers[0].Start()
 		})
-		w.at(14000, func() {
-			if !w.gates[0].mach.Ready(w.mono(w.gates[0].node)) {
+		cluster.At(14000, func() {
+			if !cluster.Gateways[0].Machine.Ready(cluster.Monotonic(cluster.Gateways[0].Process)) {
 				t.Error("a gate with one live seed found no way in within 6 s")
 			}
 			served++
 		})
 	}}
-	play(t, p)
+	runScenario(t, scenario)
 	if served == 0 {
 		t.Error("never looked")
 	}
 }
 
-// TestSpans judges the timing promises on a calm site in virtual time.
-func TestSpans(t *testing.T) {
+// TestLatencies judges the timing promises on a calm site in virtual time.
+func TestLatencies(t *testing.T) {
 	t.Parallel()
-	p := Plan{Seed: 11, Window: 60000, Settle: 30000}
+	scenario := Scenario{Seed: 11, Window: 60000, Recovery: 30000}
 	closed := int64(0)
-	p.Extra = func(w *World) {
-		w.at(30000, func() { w.callers.zone("east", true, func() bool { return true }) })
+	scenario.Setup = func(cluster *Cluster) {
+		cluster.At(30000, func() { cluster.Clients.SetDrained("east", true, func() bool { return true }) })
 		var look func()
 		look = func() {
-			if at, ok := w.Watch.DrainedSince("east"); ok && closed == 0 {
-				if k := w.leader(); k != nil {
-					for _, c := range k.mach.State().Drains {
-						if free, loose := k.mach.State().OpenLeases(c); c.PreflightDone && len(free)+len(loose) == 0 {
-							closed = w.Now - at + 1
+			if at, ok := cluster.Checker.DrainedSince("east"); ok && closed == 0 {
+				if server := cluster.Leader(); server != nil {
+					for _, c := range server.Machine.State().Drains {
+						if free, loose := server.Machine.State().OpenLeases(c); c.PreflightDone && len(free)+len(loose) == 0 {
+							closed = cluster.Now - at + 1
 						}
 					}
 				}
 			}
-			if w.Now < 40000 {
-				w.after(5, look)
+			if cluster.Now < 40000 {
+				cluster.After(5, look)
 			}
 		}
-		w.at(30000, look)
+		cluster.At(30000, look)
 	}
-	w := play(t, p)
+	cluster := runScenario(t, scenario)
 	if closed == 0 || closed > 1000 {
 		t.Errorf("closing to last stop: %d ms", closed)
 	}
 	t.Logf("closing acknowledged to last stop confirmed: %d ms", closed)
-	x := w.Watch.Spans
-	if n := worst(x["cancel to gone"]); len(x["cancel to gone"]) < 3 || n > 300 {
+	x := cluster.Checker.Spans
+	if n := longest(x["cancel to gone"]); len(x["cancel to gone"]) < 3 || n > 300 {
 		t.Errorf("cancel to gone: %v", x["cancel to gone"])
 	}
 	if n := median(x["admission to start"]); len(x["admission to start"]) < 300 || n > 100 {
 		t.Errorf("admission to start: median %d of %d", n, len(x["admission to start"]))
 	}
-	secs := w.Now / 1000
-	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner", w.Bytes/secs, w.Polled/secs/int64(len(w.runners)))
+	secs := cluster.Now / 1000
+	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner", cluster.Bytes/secs, cluster.PollBytes/secs/int64(len(cluster.Runners)))
 	t.Logf("admission to start: median %d ms, worst %d ms of %d; cancel to gone: worst %d ms of %d",
-		median(x["admission to start"]), worst(x["admission to start"]), len(x["admission to start"]), worst(x["cancel to gone"]), len(x["cancel to gone"]))
+		median(x["admission to start"]), longest(x["admission to start"]), len(x["admission to start"]), longest(x["cancel to gone"]), len(x["cancel to gone"]))
 }
 
 // TestTakeover measures how long the service is without an answer when its
@@ -231,18 +231,18 @@
 			gaps := []int64{}
 			for seed := int64(1); seed <= 5; seed++ {
 				gap := int64(0)
-				p := Plan{Seed: seed, Window: 20000, Settle: 20000, Extra: func(w *World) {
-					w.at(8000+seed*31, func() { w.strike(Fault{Dur: 10000, Kind: how}) })
+				scenario := Scenario{Seed: seed, Window: 20000, Recovery: 20000, Setup: func(cluster *Cluster) {
+					cluster.At(8000+seed*31, func() { cluster.Inject(Fault{Duration: 10000, Kind: how}) })
 					if how == "power" {
-						w.at(8300, func() { w.heal(); w.calm = 0 })
+						cluster.At(8300, func() { cluster.Heal(); cluster.faultsOverAt = 0 })
 					}
-					w.longest(7000, 19000, &gap)
+					cluster.MeasureOutage(7000, 19000, &gap)
 				}}
-				play(t, p)
+				runScenario(t, scenario)
 				gaps = append(gaps, gap)
 			}
-			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v", how, median(gaps), worst(gaps), gaps)
-			if worst(gaps) > 12000 || worst(gaps) < 300 {
+			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v", how, median(gaps), longest(gaps), gaps)
+			if longest(gaps) > 12000 || longest(gaps) < 300 {
 				t.Errorf("%s: %v", how, gaps)
 			}
 		})
@@ -252,53 +252,53 @@
 // TestSlowDisk: a leader whose disk has become slow hands leadership on.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
-	var was, is *keep
-	p := Plan{Seed: 9, Window: 25000, Settle: 40000, Extra: func(w *World) {
-		w.at(9000, func() {
-			was = w.leader()
-			was.slow = 3000
+	var was, is *Server
+	scenario := Scenario{Seed: 9, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
+		cluster.At(9000, func() {
+			was = cluster.Leader()
+			was.DiskDelay = 3000
 		})
-		w.at(15000, func() { is = w.leader() })
+		cluster.At(15000, func() { is = cluster.Leader() })
 	}}
-	play(t, p)
+	runScenario(t, scenario)
 	if was == nil || is == nil || was == is {
-		t.Errorf("6 s after its disk became slow %v still leads", was.name)
+		t.Errorf("6 s after its disk became slow %v still leads", was.Name)
 	}
 }
 
-// TestCrowd: ten times the usual load for ten seconds, large and impossible
+// TestLoadSpike: ten times the usual load for ten seconds, large and impossible
 // work among it. Operators are still served, buffers stay bounded, and all
 // that was accepted ends.
-func TestCrowd(t *testing.T) {
+func TestLoadSpike(t *testing.T) {
 	t.Parallel()
 	most, late := 0, 0
-	p := Plan{Seed: 13, Window: 30000, Settle: 60000, Faults: []Fault{{At: 8000, Dur: 10000, Kind: "crowd"}}, Extra: func(w *World) {
+	scenario := Scenario{Seed: 13, Window: 30000, Recovery: 60000, Faults: []Fault{{At: 8000, Duration: 10000, Kind: "crowd"}}, Setup: func(cluster *Cluster) {
 		var look func()
 		look = func() {
-			for _, g := range w.gates {
-				most = max(most, g.mach.InFlight())
+			for _, g := range cluster.Gateways {
+				most = max(most, g.Machine.InFlight())
 			}
-			asked := w.Now
-			w.http(w.callers.node, w.callers.gate(), "GET", "/v1/closings", nil, 2000, func(status int, _ []byte) {
-				if status != 200 || w.Now-asked > 1000 {
+			asked := cluster.Now
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "GET", "/v1/closings", nil, 2000, func(status int, _ []byte) {
+				if status != 200 || cluster.Now-asked > 1000 {
 					late++
 				}
 			})
-			if w.Now < 25000 {
-				w.after(500, look)
+			if cluster.Now < 25000 {
+				cluster.After(500, look)
 			}
 		}
-		w.at(8000, look)
-		w.at(9000, func() {
+		cluster.At(8000, look)
+		cluster.At(9000, func() {
 			text := []byte(`{"pending":"stock","steps":[{"name":"huge","tasks":64,"gang":true,"cores":16,"memMb":60000}]}`)
-			w.http(w.callers.node, w.callers.gate(), "PUT", "/v1/jobs/x/huge", text, 2000, func(status int, _ []byte) {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "PUT", "/v1/jobs/x/huge", text, 2000, func(status int, _ []byte) {
 				if status != 201 && status != 200 {
 					t.Errorf("an impossible job got %d", status)
 				}
 			})
 		})
-		w.at(20000, func() {
-			w.http(w.callers.node, w.callers.gate(), "GET", "/v1/jobs/x/huge", nil, 2000, func(status int, body []byte) {
+		cluster.At(20000, func() {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "GET", "/v1/jobs/x/huge", nil, 2000, func(status int, body []byte) {
 				var d struct {
 					State string
 					Steps []struct{ Why string }
@@ -309,51 +309,51 @@
 			})
 		})
 	}}
-	w := play(t, p)
-	if w.Watch.Counts["acked"] < 800 || late > 0 || most > 1000 {
-		t.Errorf("accepted %d, operators' requests late %d, most in hand %d", w.Watch.Counts["acked"], late, most)
+	cluster := runScenario(t, scenario)
+	if cluster.Checker.Counts["acked"] < 800 || late > 0 || most > 1000 {
+		t.Errorf("accepted %d, operators' requests late %d, most in hand %d", cluster.Checker.Counts["acked"], late, most)
 	}
-	t.Logf("accepted %d, most in hand at one gate %d", w.Watch.Counts["acked"], most)
+	t.Logf("accepted %d, most in hand at one gate %d", cluster.Checker.Counts["acked"], most)
 }
 
-// TestAllZones closes every zone at once over a leaving rack, and reopens.
-func TestAllZones(t *testing.T) {
+// TestAllDomainsDrained closes every zone at once over a leaving rack, and reopens.
+func TestAllDomainsDrained(t *testing.T) {
 	t.Parallel()
-	p := Plan{Seed: 17, Window: 35000, Settle: 60000, Faults: []Fault{
-		{At: 7000, Dur: 20000, Kind: "runner-drain", A: 0, B: 500}, {At: 7100, Dur: 20000, Kind: "runner-drain", A: 1, B: 501},
-		{At: 9000, Dur: 12000, Kind: "zone", B: 0}, {At: 9500, Dur: 12000, Kind: "zone", B: 1}, {At: 10000, Dur: 12000, Kind: "zone", B: 2},
-		{At: 12000, Dur: 900, Kind: "runner-crash", A: 4}, {At: 13000, Dur: 200, Kind: "zone", B: 1},
+	scenario := Scenario{Seed: 17, Window: 35000, Recovery: 60000, Faults: []Fault{
+		{At: 7000, Duration: 20000, Kind: "runner-drain", Target: 0, Parameter: 500}, {At: 7100, Duration: 20000, Kind: "runner-drain", Target: 1, Parameter: 501},
+		{At: 9000, Duration: 12000, Kind: "zone", Parameter: 0}, {At: 9500, Duration: 12000, Kind: "zone", Parameter: 1}, {At: 10000, Duration: 12000, Kind: "zone", Parameter: 2},
+		{At: 12000, Duration: 900, Kind: "runner-crash", Target: 4}, {At: 13000, Duration: 200, Kind: "zone", Parameter: 1},
 	}}
-	play(t, p)
+	runScenario(t, scenario)
 }
 
-// TestWokenGate: a gate that slept through a change of the table decides
+// TestResumedGateway: a gate that slept through a change of the table decides
 // nothing by the old one.
-func TestWokenGate(t *testing.T) {
+func TestResumedGateway(t *testing.T) {
 	t.Parallel()
 	told := []int{}
-	p := Plan{Seed: 19, Window: 20000, Settle: 30000, Extra: func(w *World) {
-		g := w.gates[0]
-		w.at(8000, func() {
-			w.freeze(g.node)
-			text := []byte(fmt.Sprintf(`{"base":%d,"cells":{"probe.maxTasks":1}}`, w.callers.epoch))
-			w.http(w.callers.node, w.gates[1].addr, "PATCH", "/v1/table", text, 2000, func(status int, _ []byte) {
+	scenario := Scenario{Seed: 19, Window: 20000, Recovery: 30000, Setup: func(cluster *Cluster) {
+		g := cluster.Gateways[0]
+		cluster.At(8000, func() {
+			cluster.Suspend(g.Process)
+			text := []byte(fmt.Sprintf(`{"base":%d,"cells":{"probe.maxTasks":1}}`, cluster.Clients.Epoch))
+			cluster.Request(cluster.Clients.Process, cluster.Gateways[1].Addr, "PATCH", "/v1/table", text, 2000, func(status int, _ []byte) {
 				if status != 200 {
 					t.Errorf("the change got %d", status)
 				}
 			})
-			w.callers.stop = 0
+			cluster.Clients.StopAt = 0
 		})
-		w.at(12000, func() {
-			w.http(w.callers.node, g.addr, "PUT", "/v1/jobs/x/one", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":2}]}`), 5000, func(status int, _ []byte) { told = append(told, status) })
-			w.http(w.callers.node, g.addr, "PUT", "/v1/jobs/x/two", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":1}]}`), 5000, func(status int, _ []byte) { told = append(told, status) })
+		cluster.At(12000, func() {
+			cluster.Request(cluster.Clients.Process, g.Addr, "PUT", "/v1/jobs/x/one", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":2}]}`), 5000, func(status int, _ []byte) { told = append(told, status) })
+			cluster.Request(cluster.Clients.Process, g.Addr, "PUT", "/v1/jobs/x/two", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":1}]}`), 5000, func(status int, _ []byte) { told = append(told, status) })
 		})
-		w.at(12200, func() { w.wake(g.node) })
-		w.at(15000, func() {
-			w.http(w.callers.node, g.addr, "PUT", "/v1/jobs/x/three", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":2}]}`), 5000, func(status int, _ []byte) { told = append(told, status) })
+		cluster.At(12200, func() { cluster.Resume(g.Process) })
+		cluster.At(15000, func() {
+			cluster.Request(cluster.Clients.Process, g.Addr, "PUT", "/v1/jobs/x/three", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":2}]}`), 5000, func(status int, _ []byte) { told = append(told, status) })
 		})
 	}}
-	play(t, p)
+	runScenario(t, scenario)
 	for _, s := range told[:2] {
 		if s != 503 {
 			t.Errorf("just woken it answered %v, want 503", told)
@@ -370,23 +370,23 @@
 	for seed := int64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, Plan{Seed: seed, Window: 26000, Settle: 35000, Extra: func(w *World) {
-				w.at(9000, func() {
-					for _, k := range w.keepers {
-						if k != w.leader() {
-							k.slow = 700
+			runScenario(t, Scenario{Seed: seed, Window: 26000, Recovery: 35000, Setup: func(cluster *Cluster) {
+				cluster.At(9000, func() {
+					for _, server := range cluster.Servers {
+						if server != cluster.Leader() {
+							server.DiskDelay = 700
 						}
 					}
 				})
-				w.at(11000+seed*173, func() {
-					lead := w.leader()
-					for _, k := range w.keepers {
-						undo := w.stopKeeper(k)
-						k.slow = 0
-						if k == lead {
-							w.after(9000, undo)
+				cluster.At(11000+seed*173, func() {
+					lead := cluster.Leader()
+					for _, server := range cluster.Servers {
+						undo := cluster.CrashServer(server)
+						server.DiskDelay = 0
+						if server == lead {
+							cluster.After(9000, undo)
 						} else {
-							w.after(500, undo)
+							cluster.After(500, undo)
 						}
 					}
 				})
@@ -395,27 +395,27 @@
 	}
 }
 
-// TestCutOff: runners are cut off for longer than their grant while long work
+// TestRunnersCutOff: runners are cut off for longer than their grant while long work
 // runs on them; they end it themselves before it runs anywhere else.
-func TestCutOff(t *testing.T) {
+func TestRunnersCutOff(t *testing.T) {
 	t.Parallel()
-	p := Plan{Seed: 23, Window: 40000, Settle: 50000, Extra: func(w *World) {
-		w.at(10000, func() {
+	scenario := Scenario{Seed: 23, Window: 40000, Recovery: 50000, Setup: func(cluster *Cluster) {
+		cluster.At(10000, func() {
 			for i := 0; i < 6; i++ {
-				w.callers.hand("stock", job.Step{Name: "long", Tasks: 2, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 25000})
+				cluster.Clients.Submit("stock", job.Step{Name: "long", Tasks: 2, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 25000})
 			}
 		})
-		w.at(12000, func() {
-			for i, r := range w.runners {
-				if r.mach.Running() > 0 {
-					w.after(20000, w.apart(r.node, i%2 == 0, i%2 == 1))
+		cluster.At(12000, func() {
+			for i, r := range cluster.Runners {
+				if r.Machine.Running() > 0 {
+					cluster.After(20000, cluster.Isolate(r.Process, i%2 == 0, i%2 == 1))
 				}
 			}
 		})
 	}}
-	w := play(t, p)
-	if w.Watch.Counts["event lapsed"] < 2 {
-		t.Errorf("too little evidence: %v", w.Watch.Counts)
+	cluster := runScenario(t, scenario)
+	if cluster.Checker.Counts["event lapsed"] < 2 {
+		t.Errorf("too little evidence: %v", cluster.Checker.Counts)
 	}
 }
 
@@ -426,28 +426,28 @@
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, Plan{Seed: seed, Window: 26000, Settle: 35000, Extra: func(w *World) {
-				var k *keep
-				w.at(9000+seed*41, func() {
-					k = w.leader()
-					k.disk.full = true
+			runScenario(t, Scenario{Seed: seed, Window: 26000, Recovery: 35000, Setup: func(cluster *Cluster) {
+				var server *Server
+				cluster.At(9000+seed*41, func() {
+					server = cluster.Leader()
+					server.Disk.Full = true
 				})
-				w.at(10000, func() {
-					if k.up || k.aside == "" {
+				cluster.At(10000, func() {
+					if server.Up || server.QuitReason == "" {
 						t.Error("a keeper whose disk takes nothing goes on")
 					}
 				})
-				w.at(15000, func() {
-					if lead := w.leader(); lead == nil || lead == k {
+				cluster.At(15000, func() {
+					if lead := cluster.Leader(); lead == nil || lead == server {
 						t.Error("nobody took over")
 					}
 				})
-				w.at(18000, func() {
-					k.disk.full = false
-					k.begin()
+				cluster.At(18000, func() {
+					server.Disk.Full = false
+					server.Start()
 				})
-				w.at(24000, func() {
-					if lead := w.leader(); lead == nil || lead.mach.Raft().CommitIndex()-k.mach.Raft().CommitIndex() > 200 {
+				cluster.At(24000, func() {
+					if lead := cluster.Leader(); lead == nil || lead.Machine.Raft().CommitIndex()-server.Machine.Raft().CommitIndex() > 200 {
 						t.Error("back again, it has not caught up")
 					}
 				})
--- a/tests/simulation/versions_test.go
+++ b/tests/simulation/versions_test.go
@@ -8,22 +8,22 @@
 	"orchidward/internal/state"
 )
 
-// swap stops a keeper in order and starts it as another version.
-func (w *World) swap(k *keep, level uint16) {
-	w.stopKeeper(k)
-	k.level = level
-	w.after(700, func() {
-		if !k.up {
-			k.begin()
+// Restart stops a keeper in order and starts it as another version.
+func (cluster *Cluster) Restart(server *Server, level uint16) {
+	cluster.CrashServer(server)
+	server.Level = level
+	cluster.After(700, func() {
+		if !server.Up {
+			server.Start()
 		}
 	})
 }
 
-func (w *World) levels() []uint16 {
+func (cluster *Cluster) levels() []uint16 {
 	var list []uint16
-	for _, k := range w.keepers {
-		if k.mach != nil {
-			list = append(list, k.mach.State().Level)
+	for _, server := range cluster.Servers {
+		if server.Machine != nil {
+			list = append(list, server.Machine.State().Level)
 		}
 	}
 	return list
@@ -36,73 +36,73 @@
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			play(t, Plan{Seed: seed, Window: 50000, Settle: 45000, Extra: func(w *World) {
-				for _, k := range w.keepers {
-					k.level = 0
+			runScenario(t, Scenario{Seed: seed, Window: 50000, Recovery: 45000, Setup: func(cluster *Cluster) {
+				for _, server := range cluster.Servers {
+					server.Level = 0
 				}
 				low := func(when string) {
-					for _, n := range w.levels() {
+					for _, n := range cluster.levels() {
 						if n != 0 {
-							t.Errorf("%s the level is %v", when, w.levels())
+							t.Errorf("%s the level is %v", when, cluster.levels())
 						}
 					}
 				}
-				w.at(9000, func() { w.swap(w.keepers[0], state.SupportedLevel) })
-				w.at(12000, func() { w.callers.zone("north", true, func() bool { return true }) })
-				w.at(14000, func() { w.swap(w.keepers[1], state.SupportedLevel) })
-				w.at(17000, func() {
-					w.callers.patch(w.callers.epoch, map[string]any{"push.policy": "1"}, func(status int, _ int64) {
+				cluster.At(9000, func() { cluster.Restart(cluster.Servers[0], state.SupportedLevel) })
+				cluster.At(12000, func() { cluster.Clients.SetDrained("north", true, func() bool { return true }) })
+				cluster.At(14000, func() { cluster.Restart(cluster.Servers[1], state.SupportedLevel) })
+				cluster.At(17000, func() {
+					cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{"push.policy": "1"}, func(status int, _ int64) {
 						if status != 409 {
 							t.Errorf("a policy with one former keeper left got %d", status)
 						}
 					})
 				})
-				w.at(18000, func() { low("two of three upgraded,") })
-				w.at(18500, func() { w.swap(w.keepers[0], 0) })
-				w.at(23000, func() { low("after a step back,"); w.swap(w.keepers[0], state.SupportedLevel) })
-				w.at(27000, func() {
-					w.callers.zone("north", false, func() bool { return true })
-					w.swap(w.keepers[2], state.SupportedLevel)
+				cluster.At(18000, func() { low("two of three upgraded,") })
+				cluster.At(18500, func() { cluster.Restart(cluster.Servers[0], 0) })
+				cluster.At(23000, func() { low("after a step back,"); cluster.Restart(cluster.Servers[0], state.SupportedLevel) })
+				cluster.At(27000, func() {
+					cluster.Clients.SetDrained("north", false, func() bool { return true })
+					cluster.Restart(cluster.Servers[2], state.SupportedLevel)
 				})
-				w.at(34000, func() {
-					for _, n := range w.levels() {
+				cluster.At(34000, func() {
+					for _, n := range cluster.levels() {
 						if n != state.SupportedLevel {
-							t.Errorf("all upgraded, the level is %v", w.levels())
+							t.Errorf("all upgraded, the level is %v", cluster.levels())
 						}
 					}
-					w.strike(Fault{Dur: 4000, Kind: "leader-crash"})
+					cluster.Inject(Fault{Duration: 4000, Kind: "leader-crash"})
 				})
 			}})
 		})
 	}
 }
 
-// TestLeftBehind: once the level is raised, a keeper of the former version
+// TestOldVersionRejected: once the level is raised, a keeper of the former version
 // neither starts on its old folder nor joins with an empty one; upgraded, it does.
-func TestLeftBehind(t *testing.T) {
+func TestOldVersionRejected(t *testing.T) {
 	t.Parallel()
-	play(t, Plan{Seed: 4, Window: 50000, Settle: 45000, Extra: func(w *World) {
-		k := w.keepers[1]
-		w.at(9000, func() { w.swap(k, 0) })
-		w.at(13000, func() {
-			if k.up || !strings.Contains(k.aside, "level") {
-				t.Errorf("a former version runs on a folder of a later level: %q", k.aside)
+	runScenario(t, Scenario{Seed: 4, Window: 50000, Recovery: 45000, Setup: func(cluster *Cluster) {
+		server := cluster.Servers[1]
+		cluster.At(9000, func() { cluster.Restart(server, 0) })
+		cluster.At(13000, func() {
+			if server.Up || !strings.Contains(server.QuitReason, "level") {
+				t.Errorf("a former version runs on a folder of a later level: %q", server.QuitReason)
 			}
-			w.loseDisk(k)
-			k = w.keepers[1]
-			k.level = 0
+			cluster.ReplaceServer(server)
+			server = cluster.Servers[1]
+			server.Level = 0
 		})
-		w.at(28000, func() {
-			if n := len(w.leader().mach.Raft().Members()); n != 3 {
+		cluster.At(28000, func() {
+			if n := len(cluster.Leader().Machine.Raft().Members()); n != 3 {
 				t.Errorf("a former version joined a group of a later level: %d members", n)
 			}
-			if _, ok := w.leader().mach.Raft().Member(k.mach.Config().ID); ok {
+			if _, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); ok {
 				t.Error("a former version took a seat")
 			}
-			w.swap(k, state.SupportedLevel)
+			cluster.Restart(server, state.SupportedLevel)
 		})
-		w.at(45000, func() {
-			if m, ok := w.leader().mach.Raft().Member(k.mach.Config().ID); !ok || !m.Voter {
+		cluster.At(45000, func() {
+			if m, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); !ok || !m.Voter {
 				t.Error("upgraded, it got no seat")
 			}
 		})
@@ -113,18 +113,18 @@
 // group that raised no level for it, steps aside instead of reading it as empty.
 func TestUnknownEntry(t *testing.T) {
 	t.Parallel()
-	w := NewWorld(5, Gilde())
-	w.Run(6000)
-	lead := w.leader()
-	at, _ := lead.mach.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
-	w.Run(12000)
+	cluster := NewWorld(5, FastNetwork())
+	cluster.Run(6000)
+	lead := cluster.Leader()
+	at, _ := lead.Machine.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
+	cluster.Run(12000)
 	aside := 0
-	for _, k := range w.keepers {
+	for _, server := range cluster.Servers {
 		switch {
-		case strings.Contains(k.aside, "does not know"):
+		case strings.Contains(server.QuitReason, "does not know"):
 			aside++
-		case k.mach.Raft().CommitIndex() >= at:
-			t.Errorf("%s went on past an entry it does not know", k.name)
+		case server.Machine.Raft().CommitIndex() >= at:
+			t.Errorf("%s went on past an entry it does not know", server.Name)
 		}
 	}
 	if aside == 0 {
@@ -132,27 +132,27 @@
 	}
 }
 
-// TestBooksPart: a follower whose book is not what the others' is notices with
+// TestStateDivergence: a follower whose book is not what the others' is notices with
 // the leader's next check and steps aside before it can ever lead.
-func TestBooksPart(t *testing.T) {
+func TestStateDivergence(t *testing.T) {
 	t.Parallel()
-	play(t, Plan{Seed: 6, Window: 25000, Settle: 40000, Extra: func(w *World) {
-		var k *keep
-		w.at(9000, func() {
-			for _, one := range w.keepers {
-				if one != w.leader() {
-					k = one
+	runScenario(t, Scenario{Seed: 6, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
+		var server *Server
+		cluster.At(9000, func() {
+			for _, one := range cluster.Servers {
+				if one != cluster.Leader() {
+					server = one
 				}
 			}
-			k.mach.State().NextLease++
+			server.Machine.State().NextLease++
 		})
-		w.at(13000, func() {
-			if !strings.Contains(k.aside, "differs") || k.up {
-				t.Errorf("4 s after its book parted from the others' it says %q", k.aside)
+		cluster.At(13000, func() {
+			if !strings.Contains(server.QuitReason, "differs") || server.Up {
+				t.Errorf("4 s after its book parted from the others' it says %q", server.QuitReason)
 			}
-			for _, one := range w.keepers {
-				if one != k && one.aside != "" {
-					t.Errorf("%s stepped aside: %s", one.name, one.aside)
+			for _, one := range cluster.Servers {
+				if one != server && one.QuitReason != "" {
+					t.Errorf("%s stepped aside: %s", one.Name, one.QuitReason)
 				}
 			}
 		})
