--- a/tests/simulation/availability.go
+++ b/tests/simulation/availability.go
@@ -1,56 +1,68 @@
-// What is owed: service, whenever a majority of keepers with sound disks hear
-// one another and some gate reaches them and the callers. Whatever else is
-// broken meanwhile, however much of it, is no excuse.
-
 package simulation
 
-// serviceDue tells whether the machines as they stand owe service.
-func (cluster *Cluster) serviceDue() bool {
-	good, need := cluster.healthyVoters(), cluster.quorum()
-	for _, g := range cluster.Gateways {
-		if !g.Up || g.Frozen || !cluster.reachable(g.Process, cluster.Clients.Process) {
+// serviceDue tells whether the cluster must serve, as its machines stand: a
+// majority of the voters have sound disks and hear one another, and some gateway
+// reaches them and the clients. Whatever else is broken is no excuse.
+func (c *Cluster) serviceDue() bool {
+	healthy := c.healthyVoters()
+	required := c.quorum()
+	for _, gateway := range c.Gateways {
+		if !gateway.Up || gateway.Frozen || !c.reachable(gateway.Process, c.Clients.Process) {
 			continue
 		}
-		reach := []*Server{}
-		for _, server := range good {
-			if cluster.reachable(g.Process, server.Process) {
-				reach = append(reach, server)
-			}
-		}
-		if cluster.hasClique(reach, need) {
+		reached := c.reachableFrom(gateway.Process, healthy)
+		if c.hasClique(reached, required) {
 			return true
 		}
 	}
 	return false
 }
 
-// reachable tells whether two processes reach each other, both ways.
-func (cluster *Cluster) reachable(a, b *Process) bool { return a == b || !cluster.blocked(a, b) && !cluster.blocked(b, a) }
-
-// healthyVoters lists the keepers that run, have a seat, and a disk that keeps up.
-func (cluster *Cluster) healthyVoters() []*Server {
-	var list []*Server
-	for _, server := range cluster.Servers {
-		if !server.Up || server.Frozen || server.DiskDelay > 0 || server.DiskStalledUntil > cluster.Now || server.Machine == nil || server.Machine.Raft() == nil {
-			continue
+// reachableFrom lists the servers that a process reaches.
+func (c *Cluster) reachableFrom(p *Process, servers []*Server) []*Server {
+	var reached []*Server
+	for _, server := range servers {
+		if c.reachable(p, server.Process) {
+			reached = append(reached, server)
 		}
-		if m, ok := server.Machine.Raft().Member(server.Machine.Config().ID); ok && m.Voter {
-			list = append(list, server)
+	}
+	return reached
+}
+
+// healthyVoters lists the servers that run, know themselves to be voters, and have
+// a disk that keeps up.
+func (c *Cluster) healthyVoters() []*Server {
+	var healthy []*Server
+	for _, server := range c.Servers {
+		diskSound := server.DiskDelay == 0 && server.DiskStalledUntil <= c.Now
+		if server.Up && !server.Frozen && diskSound && server.inGroup() && server.isVoter() {
+			healthy = append(healthy, server)
 		}
 	}
-	return list
+	return healthy
 }
 
-// quorum is how many keepers must agree, by the newest list any knows.
-func (cluster *Cluster) quorum() int {
-	voters, at := 0, uint64(0)
-	for _, server := range cluster.Servers {
-		if server.Machine == nil || server.Machine.Raft() == nil || uint64(server.Machine.Raft().LastIndex()) < at {
-			continue
+// inGroup tells whether a running server knows of a group that it belongs to.
+func (s *Server) inGroup() bool { return s.Machine != nil && s.Machine.Raft() != nil }
+
+func (s *Server) isVoter() bool {
+	member, known := s.Machine.Raft().Member(s.Machine.Config().ID)
+	return known && member.Voter
+}
+
+// quorum is how many voters must agree, by the member list of the server with the
+// longest log.
+func (c *Cluster) quorum() int {
+	var newest *Server
+	for _, server := range c.Servers {
+		if server.inGroup() && (newest == nil || server.Machine.Raft().LastIndex() >= newest.Machine.Raft().LastIndex()) {
+			newest = server
 		}
-		at, voters = uint64(server.Machine.Raft().LastIndex()), 0
-		for _, m := range server.Machine.Raft().Members() {
-			if m.Voter {
+	}
+	voters := 0
+	if newest != nil {
+		for _, member := range newest.Machine.Raft().Members() {
+			if member.Voter {
 				voters++
 			}
 		}
@@ -58,19 +70,14 @@
 	return voters/2 + 1
 }
 
-// hasClique tells whether need of the keepers all hear one another.
-func (cluster *Cluster) hasClique(list []*Server, need int) bool {
-	if need == 0 {
+// hasClique tells whether so many of the servers all reach one another.
+func (c *Cluster) hasClique(servers []*Server, size int) bool {
+	if size == 0 {
 		return true
 	}
-	for i, server := range list {
-		rest := []*Server{}
-		for _, other := range list[i+1:] {
-			if cluster.reachable(server.Process, other.Process) {
-				rest = append(rest, other)
-			}
-		}
-		if cluster.hasClique(rest, need-1) {
+	for i, server := range servers {
+		others := c.reachableFrom(server.Process, servers[i+1:])
+		if c.hasClique(others, size-1) {
 			return true
 		}
 	}
--- a/tests/simulation/disk.go
+++ b/tests/simulation/disk.go
@@ -1,69 +1,91 @@
-// A disk in memory. What was synced lasts; a write that was under way when
-// the power went is lost, torn, or done, as the seed has it.
-
 package simulation
 
-import "github.com/go-faster/errors"
+import (
+	"slices"
+
+	"github.com/go-faster/errors"
+)
 
+// Disk is a disk in memory. What was synced lasts; a write that was under way when
+// power was lost is lost, torn or done.
 type Disk struct {
+	// Full makes every write fail.
+	Full bool
+
 	files map[string][]byte
-	tornAt  int
-	Full  bool
+	// tornAt is after how many bytes power is lost in the next write, or notTorn.
+	tornAt int
 }
 
-func newDisk() *Disk { return &Disk{files: map[string][]byte{}, tornAt: -1} }
+const notTorn = -1
 
-var errPowerLost = errors.New("power lost")
-var errDiskFull = errors.New("no space left on the disk")
+// partSuffix marks the replacement of a file that is not committed yet.
+const partSuffix = ".part"
 
-func (d *Disk) Read(name string) ([]byte, error) {
-	return append([]byte(nil), d.files[name]...), nil
-}
+var (
+	errPowerLost = errors.New("power lost")
+	errDiskFull  = errors.New("no space left on the disk")
+)
+
+func newDisk() *Disk { return &Disk{files: map[string][]byte{}, tornAt: notTorn} }
 
+// Read returns the content of a file, nothing for one that is not there.
+func (d *Disk) Read(name string) ([]byte, error) { return slices.Clone(d.files[name]), nil }
+
+// Create makes a file of zeros.
 func (d *Disk) Create(name string, size int) error {
 	d.files[name] = make([]byte, size)
 	return nil
 }
 
-func (d *Disk) Write(name string, off int, data []byte) error {
+// Write writes and syncs within a file; power may be lost after a part of it.
+func (d *Disk) Write(name string, offset int, data []byte) error {
 	if d.Full {
 		return errDiskFull
 	}
 	if d.tornAt >= 0 {
-		copy(d.files[name][off:], data[:min(d.tornAt, len(data))])
+		copy(d.files[name][offset:], data[:min(d.tornAt, len(data))])
 		return errPowerLost
 	}
-	copy(d.files[name][off:], data)
+	copy(d.files[name][offset:], data)
 	return nil
 }
 
-func (d *Disk) AppendReplacement(name string, off int, data []byte) error {
-	if d.Full {
-		return errDiskFull
-	}
-	if d.tornAt >= 0 {
-		return errPowerLost
+// AppendReplacement writes on at the replacement of a file.
+func (d *Disk) AppendReplacement(name string, offset int, data []byte) error {
+	if err := d.writeError(); err != nil {
+		return err
 	}
-	d.files[name+".part"] = append(d.files[name+".part"][:off:off], data...)
+	part := name + partSuffix
+	d.files[part] = append(d.files[part][:offset:offset], data...)
 	return nil
 }
 
+// CommitReplacement puts a replacement in place of its file.
 func (d *Disk) CommitReplacement(name string) error {
 	if d.tornAt >= 0 {
 		return errPowerLost
 	}
-	d.files[name] = d.files[name+".part"]
-	delete(d.files, name+".part")
+	d.files[name] = d.files[name+partSuffix]
+	delete(d.files, name+partSuffix)
 	return nil
 }
 
+// Replace replaces a file as a whole.
 func (d *Disk) Replace(name string, data []byte) error {
-	if d.Full {
-		return errDiskFull
+	if err := d.writeError(); err != nil {
+		return err
 	}
-	if d.tornAt >= 0 {
+	d.files[name] = slices.Clone(data)
+	return nil
+}
+
+func (d *Disk) writeError() error {
+	switch {
+	case d.Full:
+		return errDiskFull
+	case d.tornAt >= 0:
 		return errPowerLost
 	}
-	d.files[name] = append([]byte(nil), data...)
 	return nil
 }
--- /dev/null
+++ b/tests/simulation/doc.go
@@ -0,0 +1,22 @@
+// Package simulation runs a whole cluster in virtual time: the same state machines
+// that the daemons run, over a network that delays, loses and blocks messages, on
+// disks that lose what was not synced, by clocks that drift and jump. Simulated
+// clients and operators put it to use, and package invariants checks from outside
+// what they are answered and what runners do.
+//
+// The input is a [Scenario]: a seed, a [ClusterSpec] and the faults to inject. Run
+// returns the [Cluster] as it stands in the end, with the checker's violations and
+// counts. NewCluster makes one that the caller drives itself.
+//
+// What holds at all times:
+//
+//   - Everything happens in events of one queue, one after another: nothing here is
+//     safe for concurrent use, and nothing reads a real clock.
+//   - All randomness comes from the seed, so that one seed always gives the same
+//     run. Where the order of a map would matter, names are sorted.
+//   - Times and durations are in milliseconds of virtual time since the start.
+//
+// Begin with scenario.go and cluster.go. The tests of package scenarios play
+// faults against the promises, those of package membership the loss, replacement
+// and orderly stop of servers, those of package register the catalog's history.
+package simulation
--- a/tests/simulation/cut_off_test.go
+++ b/tests/simulation/membership/cut_off_test.go
@@ -1,4 +1,4 @@
-package simulation
+package membership
 
 import (
 	"encoding/json"
@@ -7,6 +7,7 @@
 	"testing"
 
 	"orchidward/internal/state"
+	"orchidward/tests/simulation"
 )
 
 // cutOffDuration is how long a server of the control plane is cut off, in ms.
@@ -15,7 +16,7 @@
 // operatorTool sends orders as the operators' tool does: to one server after another,
 // each given a second, with a pause that grows after each that had no answer.
 type operatorTool struct {
-	cluster *Cluster
+	cluster *simulation.Cluster
 	// spans are the times from an order's first send to its acknowledgement.
 	spans []int64
 	// refused are answers that say no to a valid order.
@@ -23,9 +24,9 @@
 }
 
 const (
-	operatorTimeout = 1000
-	operatorBackoff      = 100
-	operatorMaxBackoff  = 800
+	operatorTimeout    = 1000
+	operatorBackoff    = 100
+	operatorMaxBackoff = 800
 )
 
 // order sends one until it is acknowledged; done hears of it.
@@ -52,7 +53,7 @@
 }
 
 // serverAddrs lists the keepers, one of them first.
-func serverAddrs(cluster *Cluster, first string) []string {
+func serverAddrs(cluster *simulation.Cluster, first string) []string {
 	var addrs []string
 	addrs = append(addrs, first)
 	for _, server := range cluster.Servers {
@@ -74,29 +75,29 @@
 }
 
 // isolations are the ways in which one server loses the others.
-var isolations = map[string]func(w *Cluster, k *Server) (undo func()){
-	"both ways":        func(w *Cluster, k *Server) func() { return w.isolateFromServers(k, true, true) },
-	"it is not heard":  func(w *Cluster, k *Server) func() { return w.isolateFromServers(k, true, false) },
-	"it does not hear": func(w *Cluster, k *Server) func() { return w.isolateFromServers(k, false, true) },
-	"frozen":           func(w *Cluster, k *Server) func() { return w.Freeze(k.Process) },
-	"twice, a second between": func(w *Cluster, k *Server) func() {
-		return w.isolateRepeatedly(k, 9000, 1000)
+var isolations = map[string]func(w *simulation.Cluster, k *simulation.Server) (undo func()){
+	"both ways":        func(w *simulation.Cluster, k *simulation.Server) func() { return isolateFromServers(w, k, true, true) },
+	"it is not heard":  func(w *simulation.Cluster, k *simulation.Server) func() { return isolateFromServers(w, k, true, false) },
+	"it does not hear": func(w *simulation.Cluster, k *simulation.Server) func() { return isolateFromServers(w, k, false, true) },
+	"frozen":           func(w *simulation.Cluster, k *simulation.Server) func() { return w.Freeze(k.Process) },
+	"twice, a second between": func(w *simulation.Cluster, k *simulation.Server) func() {
+		return isolateRepeatedly(w, k, 9000, 1000)
 	},
-	"healed while an election runs": func(w *Cluster, k *Server) func() {
-		return w.isolateRepeatedly(k, 600, 250)
+	"healed while an election runs": func(w *simulation.Cluster, k *simulation.Server) func() {
+		return isolateRepeatedly(w, k, 600, 250)
 	},
 }
 
 // isolateRepeatedly cuts a keeper from the others for a while and heals it for another, by
 // turns until undone.
-func (cluster *Cluster) isolateRepeatedly(server *Server, cut, whole int64) func() {
+func isolateRepeatedly(cluster *simulation.Cluster, server *simulation.Server, cut, whole int64) func() {
 	over := false
 	var turn func()
 	turn = func() {
 		if over {
 			return
 		}
-		heal := cluster.isolateFromServers(server, true, true)
+		heal := isolateFromServers(cluster, server, true, true)
 		cluster.After(cut, func() {
 			heal()
 			cluster.After(whole, turn)
@@ -107,7 +108,7 @@
 }
 
 // isolateFromServers cuts a keeper from the other keepers; callers and gates reach it.
-func (cluster *Cluster) isolateFromServers(server *Server, out, in bool) func() {
+func isolateFromServers(cluster *simulation.Cluster, server *simulation.Server, out, in bool) func() {
 	undos := []func(){}
 	for _, other := range cluster.Servers {
 		if other != server && out {
@@ -117,7 +118,7 @@
 			undos = append(undos, cluster.BlockLink(other.Process, server.Process, false))
 		}
 	}
-	return UndoAll(undos)
+	return simulation.UndoAll(undos)
 }
 
 // TestServerCutOff cuts one server of the control plane off for 20 s, the leader or a
@@ -152,10 +153,10 @@
 
 // cutOffServer plays one cut and returns the spans of all orders sent meanwhile, and
 // how many answers the server gave at once that it can't take them.
-func cutOffServer(t *testing.T, seed int64, cut func(cluster *Cluster, server *Server) (undo func()), leads bool) (spans []int64, fast int) {
-	site := FastNetwork()
+func cutOffServer(t *testing.T, seed int64, cut func(cluster *simulation.Cluster, server *simulation.Server) (undo func()), leads bool) (spans []int64, fast int) {
+	site := simulation.FastNetwork()
 	site.ElectionTimeout = 250
-	cluster := NewWorld(seed, site)
+	cluster := simulation.NewCluster(seed, site)
 	o := &operatorTool{cluster: cluster}
 	last := &ackedOrder{}
 	cluster.At(7000, func() {
@@ -182,7 +183,7 @@
 			})
 		}
 		cluster.After(seed*37, func() { next(0) })
-		cluster.readDrains(t, victim, last, &fast)
+		readDrains(cluster, t, victim, last, &fast)
 	})
 	cluster.Run(7000 + cutOffDuration + 6000)
 	if len(o.refused) > 0 {
@@ -218,7 +219,7 @@
 // readDrains reads the closings at a server again and again, and counts the answers
 // that say at once that it can't serve. What it does serve must be no older than
 // the last order that was acknowledged before the read was sent.
-func (cluster *Cluster) readDrains(t *testing.T, server *Server, last *ackedOrder, fast *int) {
+func readDrains(cluster *simulation.Cluster, t *testing.T, server *simulation.Server, last *ackedOrder, fast *int) {
 	until := cluster.Now + cutOffDuration
 	var next func()
 	next = func() {
--- a/tests/simulation/diskless_test.go
+++ b/tests/simulation/membership/diskless_test.go
@@ -1,4 +1,4 @@
-package simulation
+package membership
 
 import (
 	"fmt"
@@ -7,6 +7,8 @@
 
 	"orchidward/internal/controlplane"
 	"orchidward/internal/transport/wire"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // TestDisklessServers: keepers without a disk find the group, show who leads, and never
@@ -15,11 +17,11 @@
 // the leader its place, while nobody who is a seed of anyone is left.
 func TestDisklessServers(t *testing.T) {
 	t.Parallel()
-	site := FastNetwork()
+	site := simulation.FastNetwork()
 	site.DisklessServers = 2
-	runScenario(t, Scenario{Seed: 361, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *Cluster) {
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 361, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 40
-		porters := append([]*Server(nil), cluster.Servers[3:]...)
+		porters := append([]*simulation.Server(nil), cluster.Servers[3:]...)
 		seeds := []string{"p1", "nobody", "p2"}
 		know := func(when string) {
 			for _, p := range porters {
@@ -85,9 +87,9 @@
 func TestDisklessSeeds(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 6; seed++ {
-		site := FastNetwork()
+		site := simulation.FastNetwork()
 		site.DisklessServers = 2
-		cluster := NewWorld(370+seed, site)
+		cluster := simulation.NewCluster(370+seed, site)
 		cluster.Clients.StopAt = 0
 		cluster.Seeds = []string{"k1", "k2", "p1"}
 		if seed%2 == 0 {
@@ -120,9 +122,9 @@
 // known the asker is told so at once.
 func TestDisklessServerForwards(t *testing.T) {
 	t.Parallel()
-	site := FastNetwork()
+	site := simulation.FastNetwork()
 	site.DisklessServers = 1
-	cluster := NewWorld(362, site)
+	cluster := simulation.NewCluster(362, site)
 	cluster.Clients.StopAt = 0
 	porter := cluster.Servers[3]
 	ask := func() []wire.Envelope {
--- a/tests/simulation/founding_test.go
+++ b/tests/simulation/membership/founding_test.go
@@ -1,13 +1,15 @@
-package simulation
+package membership
 
 import (
 	"fmt"
 	"math/rand"
 	"testing"
+
+	"orchidward/tests/simulation"
 )
 
 // setSeeds makes a world whose first start knows the given seeds.
-func setSeeds(cluster *Cluster, seeds ...string) {
+func setSeeds(cluster *simulation.Cluster, seeds ...string) {
 	cluster.Seeds = seeds
 	for _, server := range cluster.Servers {
 		server.Seeds = seeds
@@ -16,7 +18,7 @@
 
 // leadersWithLease counts the leaders that may act at this moment: of one group there is
 // never more than one, so that two are two groups.
-func (cluster *Cluster) leadersWithLease() int {
+func leadersWithLease(cluster *simulation.Cluster) int {
 	var n int
 	for _, server := range cluster.Servers {
 		if server.IsLeader() && server.Machine.Raft().HasLease(cluster.Monotonic(server.Process)) {
@@ -27,11 +29,11 @@
 }
 
 // requireSingleGroup fails the test when two lead at once.
-func requireSingleGroup(t *testing.T, cluster *Cluster, seed int64) {
+func requireSingleGroup(t *testing.T, cluster *simulation.Cluster, seed int64) {
 	told := false
 	var look func()
 	look = func() {
-		if cluster.leadersWithLease() > 1 && !told {
+		if leadersWithLease(cluster) > 1 && !told {
 			told = true
 			t.Errorf("seed %d, at %d: two groups", seed, cluster.Now)
 		}
@@ -46,9 +48,9 @@
 func TestSingleGroupFounded(t *testing.T) {
 	ends := map[bool]int{}
 	for seed := int64(1); seed <= 150; seed++ {
-		site := FastNetwork()
+		site := simulation.FastNetwork()
 		site.Servers, site.DisklessServers, site.Runners = 4+int(seed%3), 2, 0
-		cluster := NewWorld(seed, site)
+		cluster := simulation.NewCluster(seed, site)
 		cluster.Clients.StopAt = 0
 		setSeeds(cluster, "k1", "k2", "p1")
 		if seed%5 == 0 {
@@ -72,7 +74,7 @@
 			})
 		}
 		cluster.At(10000, func() {
-			UndoAll(undos)()
+			simulation.UndoAll(undos)()
 			cluster.Heal()
 		})
 		cluster.Run(30000)
@@ -87,7 +89,7 @@
 	}
 }
 
-func injectFoundingFault(cluster *Cluster, rnd *rand.Rand) func() {
+func injectFoundingFault(cluster *simulation.Cluster, rnd *rand.Rand) func() {
 	var undo func()
 	server := cluster.Servers[rnd.Intn(len(cluster.Servers))]
 	other := cluster.Servers[rnd.Intn(len(cluster.Servers))]
@@ -119,7 +121,7 @@
 			if seed%2 == 0 {
 				site.ElectionTimeout = 250
 			}
-			cluster := NewWorld(390+seed, site)
+			cluster := simulation.NewCluster(390+seed, site)
 			cluster.Clients.StopAt = 0
 			wiped := cluster.Servers[:1+seed/2%2]
 			setSeeds(cluster, "k1", "p1", "p2")
--- a/tests/simulation/graceful_stop_test.go
+++ b/tests/simulation/membership/graceful_stop_test.go
@@ -1,10 +1,11 @@
-package simulation
+package membership
 
 import (
 	"fmt"
 	"testing"
 
 	"orchidward/internal/consensus/raft"
+	"orchidward/tests/simulation"
 )
 
 // stopDrainDelay is how long a server goes on serving after it was told to stop, as
@@ -13,17 +14,16 @@
 
 // stopGracefully tells a keeper to stop; its process ends once it has left and the
 // parting is over, and begins again after so many ms; 0 is never.
-func (cluster *Cluster) stopGracefully(server *Server, away int64) {
-	life, told := server.incarnation, cluster.Now
+func stopGracefully(cluster *simulation.Cluster, server *simulation.Server, away int64) {
+	life, told := server.Incarnation, cluster.Now
 	server.Machine.Leave()
 	server.Flush()
 	var look func()
 	look = func() {
 		switch {
-		case server.incarnation != life || !server.Up:
+		case server.Incarnation != life || !server.Up:
 		case server.Machine.Left() && cluster.Now >= told+stopDrainDelay:
-			cluster.Kill(server.Process)
-			server.Machine, server.log = nil, nil
+			server.Stop()
 			if away > 0 {
 				cluster.After(away, server.Start)
 			}
@@ -37,17 +37,17 @@
 // submitter hands in a small job every few ms at the gates and measures the
 // longest time between two acceptances, and the answers that say neither.
 type submitter struct {
-	cluster   *Cluster
-	lastAcceptedAt    int64
-	longestGap int64
-	longestAt      int64
-	accepted   int
+	cluster         *simulation.Cluster
+	lastAcceptedAt  int64
+	longestGap      int64
+	longestAt       int64
+	accepted        int
 	unknownOutcomes int
 }
 
 const (
-	submitInterval   = 8
-	orderInterval = 17
+	submitInterval = 8
+	orderInterval  = 17
 )
 
 // begin hands jobs in until a moment, and orders beside them where asked to.
@@ -110,16 +110,16 @@
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			site := FastNetwork()
+			site := simulation.FastNetwork()
 			site.ElectionTimeout = 250
-			cluster := NewWorld(seed, site)
+			cluster := simulation.NewCluster(seed, site)
 			g := &submitter{cluster: cluster}
 			stops := 0
 			cluster.At(7000, func() { g.start(19000, true) })
 			for i := int64(0); i < 3; i++ {
 				cluster.At(8000+i*3500+seed*13, func() {
 					stops++
-					cluster.stopGracefully(cluster.Leader(), 500)
+					stopGracefully(cluster, cluster.Leader(), 500)
 				})
 			}
 			cluster.Run(20000)
@@ -138,13 +138,13 @@
 // followers, and starts each again: somebody leads throughout.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
-	eachLargeCluster(t, func(t *testing.T, site ClusterSpec) {
+	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
 		site.ElectionTimeout = 250
-		cluster := NewWorld(31, site)
+		cluster := simulation.NewCluster(31, site)
 		g := &submitter{cluster: cluster}
 		cluster.At(9000, func() { g.start(9000+int64(site.Servers)*2500, false) })
 		for i, server := range cluster.Servers {
-			cluster.At(9500+int64(i)*2500, func() { cluster.stopGracefully(server, 800) })
+			cluster.At(9500+int64(i)*2500, func() { stopGracefully(cluster, server, 800) })
 		}
 		cluster.Run(9000 + int64(site.Servers)*2500 + 4000)
 		t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", g.longestGap, g.longestAt, g.accepted, g.unknownOutcomes)
@@ -160,14 +160,14 @@
 }
 
 // addEmptyServer adds a keeper with an empty disk in a zone, started at once.
-func (cluster *Cluster) addEmptyServer(name, zone string) *Server {
+func addEmptyServer(cluster *simulation.Cluster, name, zone string) *simulation.Server {
 	server := cluster.AddServer(name, zone)
 	server.Start()
 	return server
 }
 
 // isVoter tells whether a keeper has a vote, as the leader has it.
-func (cluster *Cluster) isVoter(server *Server) bool {
+func isVoter(cluster *simulation.Cluster, server *simulation.Server) bool {
 	var yes bool
 	list, _ := cluster.Voters()
 	for _, mem := range list {
@@ -192,11 +192,11 @@
 }
 
 func plannedReplacement(t *testing.T, seed int64, leads bool) {
-	site := FastNetwork()
+	site := simulation.FastNetwork()
 	site.ElectionTimeout = 250
-	cluster := NewWorld(seed, site)
-	var old, fresh *Server
-	cluster.At(7000, func() { fresh = cluster.addEmptyServer("k9", "north") })
+	cluster := simulation.NewCluster(seed, site)
+	var old, fresh *simulation.Server
+	cluster.At(7000, func() { fresh = addEmptyServer(cluster, "k9", "north") })
 	cluster.At(10000, func() {
 		old = cluster.Leader()
 		for _, server := range cluster.Servers {
@@ -204,10 +204,10 @@
 				old = server
 			}
 		}
-		cluster.stopGracefully(old, 0)
+		stopGracefully(cluster, old, 0)
 	})
 	cluster.At(10000+stopDrainDelay, func() {
-		if !cluster.isVoter(fresh) || cluster.isVoter(old) {
+		if !isVoter(cluster, fresh) || isVoter(cluster, old) {
 			list, _ := cluster.Voters()
 			t.Errorf("%s is about to end, and those that vote are %v", old.Name, list)
 		}
@@ -227,10 +227,10 @@
 }
 
 // leavingServerLosses are the ways in which a server is lost while it leaves.
-var leavingServerLosses = map[string]func(w *Cluster, k *Server) (undo func()){
-	"killed": func(w *Cluster, k *Server) func() { return w.CrashServer(k) },
-	"frozen": func(w *Cluster, k *Server) func() { return w.Freeze(k.Process) },
-	"alone":  func(w *Cluster, k *Server) func() { return w.Isolate(k.Process, true, true) },
+var leavingServerLosses = map[string]func(w *simulation.Cluster, k *simulation.Server) (undo func()){
+	"killed": func(w *simulation.Cluster, k *simulation.Server) func() { return w.CrashServer(k) },
+	"frozen": func(w *simulation.Cluster, k *simulation.Server) func() { return w.Freeze(k.Process) },
+	"alone":  func(w *simulation.Cluster, k *simulation.Server) func() { return w.Isolate(k.Process, true, true) },
 }
 
 // TestServerLostWhileLeaving loses a server midway through its orderly stop, leader or
@@ -250,10 +250,10 @@
 	}
 }
 
-func loseLeavingServer(t *testing.T, seed int64, leads bool, offset int64, lose func(cluster *Cluster, server *Server) (undo func())) {
-	site := FastNetwork()
+func loseLeavingServer(t *testing.T, seed int64, leads bool, offset int64, lose func(cluster *simulation.Cluster, server *simulation.Server) (undo func())) {
+	site := simulation.FastNetwork()
 	site.ElectionTimeout = 250
-	cluster := NewWorld(seed, site)
+	cluster := simulation.NewCluster(seed, site)
 	g := &submitter{cluster: cluster}
 	cluster.At(7000, func() { g.start(13000, false) })
 	cluster.At(8000, func() {
--- a/tests/simulation/replacement_test.go
+++ b/tests/simulation/membership/replacement_test.go
@@ -1,9 +1,12 @@
-package simulation
+package membership
 
 import (
 	"fmt"
 	"sort"
 	"testing"
+
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // TestEveryAddressChanges replaces all three keepers by empty ones at new
@@ -11,7 +14,7 @@
 // callers go on; in the end nothing answers at any address that was first known.
 func TestEveryAddressChanges(t *testing.T) {
 	t.Parallel()
-	runScenario(t, Scenario{Seed: 71, Window: 75000, Recovery: 40000, Setup: func(cluster *Cluster) {
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 71, Window: 75000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 40
 		swap := func(i int) {
 			server := cluster.Servers[i]
@@ -24,7 +27,7 @@
 		cluster.At(58000, func() {
 			cluster.Seeds = []string{"k1b", "nobody", "k3b"}
 			for i := 4; i <= 6; i++ {
-				cluster.AddGateway(fmt.Sprintf("g%d", i), Domains[i%3]).Start()
+				cluster.AddGateway(fmt.Sprintf("g%d", i), simulation.Domains[i%3]).Start()
 			}
 		})
 		cluster.At(62000, func() {
@@ -64,9 +67,9 @@
 func TestLossesInTurn(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 4; seed++ {
-		runScenario(t, Scenario{Seed: 200 + seed, Window: 32000, Recovery: 30000, Setup: func(cluster *Cluster) {
+		simulationtest.RunScenario(t, simulation.Scenario{Seed: 200 + seed, Window: 32000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			cluster.Spec.LoadPercent = 30
-			other := func(i int) *Server { return cluster.Servers[(i+1)%3] }
+			other := func(i int) *simulation.Server { return cluster.Servers[(i+1)%3] }
 			at := 0
 			cluster.At(8000, func() {
 				for i, server := range cluster.Servers {
@@ -103,18 +106,70 @@
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{11, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			site := FastNetwork()
+			site := simulation.FastNetwork()
 			site.Runners = n
-			cluster := NewWorld(81, site)
+			cluster := simulation.NewCluster(81, site)
 			cluster.Clients.StopAt = 0
 			cluster.Run(8000)
-			was := cluster.Polls
+			was := cluster.Traffic.Polls
 			b.ResetTimer()
 			for i := 0; i < b.N; i++ {
 				cluster.Run(cluster.Now + 1000)
 			}
-			b.ReportMetric(float64(cluster.Polls-was)/float64(b.N), "polls/s")
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(cluster.Polls-was), "us/poll")
+			b.ReportMetric(float64(cluster.Traffic.Polls-was)/float64(b.N), "polls/s")
+			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(cluster.Traffic.Polls-was), "us/poll")
+		})
+	}
+}
+
+// TestServerReplacedEmpty: a core machine is replaced by an empty one at a new
+// address; it takes the dead seat, after which another machine may go.
+func TestServerReplacedEmpty(t *testing.T) {
+	t.Parallel()
+	scenario := simulation.Scenario{Seed: 3, Window: 45000, Recovery: 40000, Faults: []simulation.Fault{{At: 8000, Kind: simulation.ServerLost, Target: 1}}, Setup: func(cluster *simulation.Cluster) {
+		cluster.At(30000, func() {
+			server := cluster.Servers[1]
+			m, ok := server.Machine.Raft().Member(server.Machine.Raft().Members()[0].ID)
+			names := []string{}
+			for _, one := range server.Machine.Raft().Members() {
+				names = append(names, fmt.Sprint(one.Addr, one.Voter))
+			}
+			sort.Strings(names)
+			if !ok || fmt.Sprint(names) != "[k1true k2btrue k3true]" {
+				t.Errorf("members after 22 s: %v %v", names, m)
+			}
+			cluster.CrashServer(cluster.Servers[0])
+			cluster.Servers[0].Removed = true
+		})
+	}}
+	simulationtest.RunScenario(t, scenario)
+}
+
+// TestSeedsReplaced: every seed is exchanged while gates and runners run on,
+// and one started anew with a single live seed among dead ones finds its way.
+func TestSeedsReplaced(t *testing.T) {
+	t.Parallel()
+	served := 0
+	scenario := simulation.Scenario{Seed: 5, Window: 30000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
+		cluster.At(8000, func() {
+			cluster.Seeds = []string{"nobody1", cluster.Gateways[1].Addr, "nobody2"}
+			cluster.Kill(cluster.Gateways[0].Process)
+			cluster.Gateways[0].Start()
+		})
+		cluster.At(12000, func() {
+			cluster.CrashServer(cluster.Servers[0])
+			cluster.Servers[0].Seeds = cluster.Seeds
+			cluster.Servers[0].Start()
+		})
+		cluster.At(14000, func() {
+			if !cluster.Gateways[0].Machine.Ready(cluster.Monotonic(cluster.Gateways[0].Process)) {
+				t.Error("a gate with one live seed found no way in within 6 s")
+			}
+			served++
 		})
+	}}
+	simulationtest.RunScenario(t, scenario)
+	if served == 0 {
+		t.Error("never looked")
 	}
 }
--- a/tests/simulation/second_loss_test.go
+++ b/tests/simulation/membership/second_loss_test.go
@@ -1,22 +1,24 @@
-package simulation
+package membership
 
 import (
 	"sort"
 	"testing"
+
+	"orchidward/tests/simulation"
 )
 
 // recoveryPromise is a site of one size and what it is promised: from recoveryMs after
 // the start of a replacement it bears the loss of bears voters at once.
 type recoveryPromise struct {
-	name     string
-	spec     func() (s ClusterSpec)
+	name       string
+	spec       func() (s simulation.ClusterSpec)
 	voters     int
-	tolerates    int
+	tolerates  int
 	recoveryMs int64
 }
 
 var recoveryPromises = []recoveryPromise{
-	{"3 of 3", FastNetwork, 3, 1, 4000},
+	{"3 of 3", simulation.FastNetwork, 3, 1, 4000},
 	{"6 in 3", sixInThreeDomains, 5, 2, 6000},
 	{"8 in 4", eightInFourDomains, 5, 2, 6000},
 }
@@ -37,7 +39,7 @@
 
 // lossScenario is one run of such a scene.
 type lossScenario struct {
-	*Cluster
+	*simulation.Cluster
 	recoveryPromise
 	replacementAt int64
 }
@@ -46,9 +48,9 @@
 	site := s.spec()
 	site.ElectionTimeout, site.Runners, site.Gateways = 250, 1, 1
 	if seed%2 == 1 {
-		site.DelayMs, site.LossPerMille = LossyNetwork().DelayMs, LossyNetwork().LossPerMille
+		site.DelayMs, site.LossPerMille = simulation.LossyNetwork().DelayMs, simulation.LossyNetwork().LossPerMille
 	}
-	return &lossScenario{Cluster: NewWorld(seed, site), recoveryPromise: s}
+	return &lossScenario{Cluster: simulation.NewCluster(seed, site), recoveryPromise: s}
 }
 
 // loseServers takes as many machines as the group is to bear, the leader first or
@@ -72,7 +74,7 @@
 }
 
 // replace loses a machine for good and makes an empty one at a new address.
-func (x *lossScenario) replace(server *Server) func() {
+func (x *lossScenario) replace(server *simulation.Server) func() {
 	server.Crash()
 	server.Removed = true
 	fresh := x.AddServer(server.Name+"b", server.Domain)
@@ -82,8 +84,8 @@
 
 // victims picks as many voters as the group is to bear, whoever they are but
 // for the leader, who is the first of them or none; turn varies the choice.
-func (x *lossScenario) victims(leads bool, turn int) []*Server {
-	var out []*Server
+func (x *lossScenario) victims(leads bool, turn int) []*simulation.Server {
+	var out []*simulation.Server
 	list, _ := x.Voters()
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	for i := range list {
@@ -91,7 +93,7 @@
 		switch {
 		case server == nil || server == x.Leader() && !leads:
 		case server == x.Leader():
-			out = append([]*Server{server}, out...)
+			out = append([]*simulation.Server{server}, out...)
 		default:
 			out = append(out, server)
 		}
--- a/tests/simulation/voters_test.go
+++ b/tests/simulation/membership/voters_test.go
@@ -1,4 +1,4 @@
-package simulation
+package membership
 
 import (
 	"fmt"
@@ -7,24 +7,25 @@
 	"testing"
 
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/consensus/raft"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // The larger sites: of their core machines two may be lost at once, or a zone.
-func sixInThreeDomains() ClusterSpec {
-	s := FastNetwork()
+func sixInThreeDomains() simulation.ClusterSpec {
+	s := simulation.FastNetwork()
 	s.Servers = 6
 	return s
 }
 
-func eightInFourDomains() ClusterSpec {
-	s := FastNetwork()
+func eightInFourDomains() simulation.ClusterSpec {
+	s := simulation.FastNetwork()
 	s.Servers, s.ServerDomains = 8, 4
 	return s
 }
 
-func eachLargeCluster(t *testing.T, scene func(t *testing.T, site ClusterSpec)) {
-	for name, site := range map[string]ClusterSpec{"6 in 3": sixInThreeDomains(), "8 in 4": eightInFourDomains()} {
+func eachLargeCluster(t *testing.T, scene func(t *testing.T, site simulation.ClusterSpec)) {
+	for name, site := range map[string]simulation.ClusterSpec{"6 in 3": sixInThreeDomains(), "8 in 4": eightInFourDomains()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			scene(t, site)
@@ -32,36 +33,13 @@
 	}
 }
 
-// Voters of the group as its leader has it, and how many there are by zone.
-func (cluster *Cluster) Voters() (list []raft.Member, held map[identifier.Domain]int) {
-	held = map[identifier.Domain]int{}
-	if server := cluster.Leader(); server != nil {
-		for _, mem := range server.Machine.Raft().Members() {
-			if mem.Voter {
-				list = append(list, mem)
-				held[mem.Domain]++
-			}
-		}
-	}
-	return list, held
-}
-
-func (cluster *Cluster) ServerByID(id identifier.Node) *Server {
-	for _, one := range cluster.Servers {
-		if one.Up && one.Machine != nil && one.Machine.Config().ID == id {
-			return one
-		}
-	}
-	return nil
-}
-
 // maxLag is how far behind a member may be, on its disk, when it becomes a voter:
 // what the leader allows, and what is decided while word of it travels.
 const maxLag = 64 + 40
 
 // requireCaughtUpVoters fails the test when a voter is found that did not have the log on its
 // disk when it became one.
-func requireCaughtUpVoters(t *testing.T, cluster *Cluster) *int {
+func requireCaughtUpVoters(t *testing.T, cluster *simulation.Cluster) *int {
 	known := map[identifier.Node]bool{}
 	risen := new(int)
 	var look func()
@@ -90,7 +68,7 @@
 }
 
 // requireSpreadVoters fails the test unless five vote, as evenly over the zones as can be.
-func requireSpreadVoters(t *testing.T, cluster *Cluster, when string) {
+func requireSpreadVoters(t *testing.T, cluster *simulation.Cluster, when string) {
 	t.Helper()
 	list, held := cluster.Voters()
 	counts := []int{}
@@ -110,12 +88,12 @@
 // TestFiveVoters: a larger site comes to have five voters, and keeps three when
 // three of its machines stay away.
 func TestFiveVoters(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site ClusterSpec) {
-		runScenario(t, Scenario{Seed: 301, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *Cluster) {
+	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
+		simulationtest.RunScenario(t, simulation.Scenario{Seed: 301, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			requireCaughtUpVoters(t, cluster)
 			cluster.Spec.LoadPercent = 40
 			cluster.At(7000, func() { requireSpreadVoters(t, cluster, "founded") })
-			left := []*Server{}
+			left := []*simulation.Server{}
 			for i := int64(0); i < int64(site.Servers)-4; i++ {
 				cluster.At(8000+i*4000, func() {
 					for _, server := range cluster.Servers {
@@ -143,10 +121,10 @@
 // TestDomainLost takes the power from each zone in turn, and then all of a zone's
 // machines for good, to be replaced by empty ones.
 func TestDomainLost(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site ClusterSpec) {
+	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
 		for seed, zone := range site.ServerDomainNames() {
 			gap, risen := int64(0), new(int)
-			runScenario(t, Scenario{Seed: 310 + int64(seed), Spec: site, Window: 50000, Recovery: 30000, Setup: func(cluster *Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: 310 + int64(seed), Spec: site, Window: 50000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 				risen = requireCaughtUpVoters(t, cluster)
 				cluster.Spec.LoadPercent = 40
 				cluster.MeasureOutage(7000, 49000, &gap)
@@ -189,8 +167,8 @@
 }
 
 // twoVoters picks two voters, the leader one of them or not, of different zones.
-func (cluster *Cluster) twoVoters(lead bool) []*Server {
-	var list []*Server
+func twoVoters(cluster *simulation.Cluster, lead bool) []*simulation.Server {
+	var list []*simulation.Server
 	voters, _ := cluster.Voters()
 	for _, mem := range voters {
 		server := cluster.ServerByID(mem.ID)
@@ -210,16 +188,16 @@
 // come back empty, on slow disks. Nobody votes before it has caught up, and in
 // the midst of it a third machine may go for a while.
 func TestTwoLostAtOnce(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site ClusterSpec) {
+	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
 		for seed := int64(0); seed < 4; seed++ {
 			gap, risen := int64(0), new(int)
-			runScenario(t, Scenario{Seed: 330 + seed, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: 330 + seed, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 				risen = requireCaughtUpVoters(t, cluster)
 				cluster.Spec.LoadPercent = 60
 				cluster.MeasureOutage(7000, 44000, &gap)
 				cluster.At(9000, func() {
 					requireSpreadVoters(t, cluster, "before")
-					for i, server := range cluster.twoVoters(seed%2 == 0) {
+					for i, server := range twoVoters(cluster, seed%2 == 0) {
 						if i == 0 || seed > 1 {
 							server.WipeDisk()
 							server.DiskDelay = 400
@@ -260,11 +238,13 @@
 // the first start's seeds, by empty machines at other addresses that know only
 // the addresses of the first start.
 func TestLeaderReplacedOldSeeds(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site ClusterSpec) {
-		runScenario(t, Scenario{Seed: 341, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *Cluster) {
+	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
+		simulationtest.RunScenario(t, simulation.Scenario{Seed: 341, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			requireCaughtUpVoters(t, cluster)
 			cluster.Spec.LoadPercent = 40
-			seed := func(server *Server) bool { return server != nil && strings.Contains(strings.Join(cluster.Seeds, " "), server.Name) }
+			seed := func(server *simulation.Server) bool {
+				return server != nil && strings.Contains(strings.Join(cluster.Seeds, " "), server.Name)
+			}
 			replace := func() {
 				for i, server := range cluster.Servers {
 					if server == cluster.Leader() {
@@ -309,11 +289,11 @@
 // second. With the timing of the platform there is a leader again within 2 s of
 // the last one's return, and nothing acknowledged is lost.
 func TestAllKilled(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site ClusterSpec) {
+	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
 		site.ElectionTimeout = 250
 		gaps := []int64{}
 		for seed := int64(351); seed < 354; seed++ {
-			runScenario(t, Scenario{Seed: seed, Spec: site, Window: 30000, Recovery: 30000, Setup: func(cluster *Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: seed, Spec: site, Window: 30000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 				for i := int64(0); i < 4; i++ {
 					at := 8000 + i*5000 + seed*7%100
 					cluster.At(at, func() {
--- a/tests/simulation/mixed_test.go
+++ b/tests/simulation/mixed_test.go
@@ -1,4 +1,4 @@
-package simulation
+package simulation_test
 
 import (
 	"flag"
@@ -6,16 +6,19 @@
 	"strings"
 	"sync"
 	"testing"
+
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 var (
-	seedCount = flag.Int("seeds", 16, "how many seeds of the mixed run")
-	firstSeed = flag.Int64("first", 1, "the first of them")
+	seedCount  = flag.Int("seeds", 16, "how many seeds of the mixed run")
+	firstSeed  = flag.Int64("first", 1, "the first of them")
 	faultCount = flag.Int("faults", 14, "faults in each")
-	showTrace = flag.Bool("show", false, "print the run of a failing seed")
+	showTrace  = flag.Bool("show", false, "print the run of a failing seed")
 )
 
-func checkInvariants(t *testing.T, scenario Scenario, cluster *Cluster) {
+func checkInvariants(t *testing.T, scenario simulation.Scenario, cluster *simulation.Cluster) {
 	t.Helper()
 	if len(cluster.Checker.Violations) == 0 {
 		return
@@ -25,14 +28,14 @@
 
 // TestCalm is a site with nothing wrong: all promises, and all jobs end.
 func TestCalm(t *testing.T) {
-	for _, site := range []ClusterSpec{FastNetwork(), LossyNetwork()} {
-		scenario := Scenario{Seed: 7, Spec: site, Window: 30000, Recovery: 25000}
-		cluster := Run(scenario)
-		checkInvariants(t, scenario, cluster)
+	for _, site := range []simulation.ClusterSpec{simulation.FastNetwork(), simulation.LossyNetwork()} {
+		scenario := simulation.Scenario{Seed: 7, Spec: site, Window: 30000, Recovery: 25000}
+		cluster := simulation.Run(scenario)
+		simulationtest.CheckInvariants(t, scenario.Seed, cluster)
 		if cluster.Checker.Counts["ended well"] < 150 {
 			t.Errorf("too little evidence: %v", cluster.Checker.Counts)
 		}
-		t.Log(cluster.Checker.Counts, cluster.Frames)
+		t.Log(cluster.Checker.Counts, cluster.Traffic.Frames)
 	}
 }
 
@@ -44,14 +47,14 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			scenario := mixedScenario(seed)
-			cluster := Run(scenario)
-			checkInvariants(t, scenario, cluster)
+			cluster := simulation.Run(scenario)
+			simulationtest.CheckInvariants(t, scenario.Seed, cluster)
 			if t.Failed() {
-				small := Shrink(scenario, func(try *Cluster) bool { return sameViolation(cluster, try) })
+				small := simulation.Shrink(scenario, func(try *simulation.Cluster) bool { return sameViolation(cluster, try) })
 				t.Logf("shrunk to: %s", formatScenario(small))
 				if *showTrace {
 					small.Trace = true
-					t.Log(strings.Join(Run(small).Log, "\n"))
+					t.Log(strings.Join(simulation.Run(small).Log, "\n"))
 				}
 			}
 			recordInjected(cluster)
@@ -63,7 +66,7 @@
 }
 
 // sameViolation tells whether a smaller run fails in a way the first one did.
-func sameViolation(a, b *Cluster) bool {
+func sameViolation(a, b *simulation.Cluster) bool {
 	for kind, n := range b.Checker.Counts {
 		if strings.HasPrefix(kind, "breach ") && n > 0 && a.Checker.Counts[kind] > 0 {
 			return true
@@ -73,7 +76,7 @@
 }
 
 // formatScenario prints a plan as it can be pasted into a test.
-func formatScenario(scenario Scenario) string {
+func formatScenario(scenario simulation.Scenario) string {
 	text := fmt.Sprintf("Plan{Seed: %d, Window: %d, Settle: %d, Faults: []Fault{", scenario.Seed, scenario.Window, scenario.Recovery)
 	for _, f := range scenario.Faults {
 		text += f.String() + ", "
@@ -82,11 +85,11 @@
 }
 
 var (
-	injectedMutex sync.Mutex
-	injectedFaults  = map[string]int{}
+	injectedMutex  sync.Mutex
+	injectedFaults = map[simulation.FaultKind]int{}
 )
 
-func recordInjected(cluster *Cluster) {
+func recordInjected(cluster *simulation.Cluster) {
 	injectedMutex.Lock()
 	defer injectedMutex.Unlock()
 	for kind, n := range cluster.Injected {
@@ -94,10 +97,10 @@
 	}
 }
 
-func mixedScenario(seed int64) Scenario {
-	site := FastNetwork()
+func mixedScenario(seed int64) simulation.Scenario {
+	site := simulation.FastNetwork()
 	if seed%2 == 0 {
-		site = LossyNetwork()
+		site = simulation.LossyNetwork()
 	}
-	return Scenario{Seed: seed, Spec: site, Window: 40000, Recovery: 60000, Faults: DrawFaults(seed, 5000, 38000, *faultCount)}
+	return simulation.Scenario{Seed: seed, Spec: site, Window: 40000, Recovery: 60000, Faults: simulation.DrawFaults(seed, 5000, 38000, *faultCount)}
 }
--- /dev/null
+++ b/tests/simulation/network.go
@@ -0,0 +1,200 @@
+package simulation
+
+import (
+	"bytes"
+
+	"orchidward/internal/transport/wire"
+)
+
+// link is the way from one process to another, by their names.
+type link struct{ from, to string }
+
+// network is the state of all links.
+type network struct {
+	blocked map[link]bool
+	// stalled holds back what is sent by a link, as TCP does while packets are lost;
+	// it arrives once the link is mended.
+	stalled map[link][]func()
+	// lastArrival keeps what is sent by a link in order.
+	lastArrival map[link]int64
+}
+
+// encodeEvery is the share of frames that go through the real encoding, the others
+// are handed over as they are.
+const encodeEvery = 64
+
+func newNetwork() network {
+	return network{
+		blocked:     map[link]bool{},
+		stalled:     map[link][]func(){},
+		lastArrival: map[link]int64{},
+	}
+}
+
+func linkBetween(from, to *Process) link { return link{from.Name, to.Name} }
+
+// blocked tells whether what one process sends does not reach another.
+func (c *Cluster) blocked(from, to *Process) bool {
+	return c.network.blocked[linkBetween(from, to)]
+}
+
+// reachable tells whether two processes reach each other, both ways.
+func (c *Cluster) reachable(a, b *Process) bool {
+	return a == b || !c.blocked(a, b) && !c.blocked(b, a)
+}
+
+// transmit delivers from one process to another: after a delay and in order, or not
+// at all.
+func (c *Cluster) transmit(from, to *Process, do func()) {
+	if c.blocked(from, to) || c.Random.Int63n(1000) < c.Spec.LossPerMille {
+		return
+	}
+	way := linkBetween(from, to)
+	if waiting, stalled := c.network.stalled[way]; stalled {
+		c.network.stalled[way] = append(waiting, func() { c.transmit(from, to, do) })
+		return
+	}
+	arrival := c.Now + c.Spec.DelayMs/2 + c.Random.Int63n(c.Spec.DelayMs+1)
+	if from == to {
+		arrival = c.Now
+	}
+	arrival = max(arrival, c.network.lastArrival[way])
+	c.network.lastArrival[way] = arrival
+	incarnation := to.Incarnation
+	c.postFrom(to, arrival-c.Now, from.Name, func() {
+		if to.Incarnation == incarnation && !c.blocked(from, to) {
+			do()
+		}
+	})
+}
+
+// BlockLink blocks what one process sends to another, and with both set also what
+// comes back, until undone; nil for a process and itself.
+func (c *Cluster) BlockLink(from, to *Process, both bool) (undo func()) {
+	if from == to {
+		return nil
+	}
+	c.network.blocked[linkBetween(from, to)] = true
+	if both {
+		c.network.blocked[linkBetween(to, from)] = true
+	}
+	return func() {
+		delete(c.network.blocked, linkBetween(from, to))
+		delete(c.network.blocked, linkBetween(to, from))
+	}
+}
+
+// Isolate blocks the links of a process to all others, from all others, or both,
+// until undone.
+func (c *Cluster) Isolate(p *Process, out, in bool) (undo func()) {
+	for _, other := range c.processes {
+		if other == p {
+			continue
+		}
+		if out {
+			c.network.blocked[linkBetween(p, other)] = true
+		}
+		if in {
+			c.network.blocked[linkBetween(other, p)] = true
+		}
+	}
+	return func() {
+		for _, other := range c.processes {
+			delete(c.network.blocked, linkBetween(p, other))
+			delete(c.network.blocked, linkBetween(other, p))
+		}
+	}
+}
+
+// partitionDomain blocks all links between a domain and the rest until undone.
+func (c *Cluster) partitionDomain(domain string) (undo func()) {
+	inside := map[string]bool{}
+	for _, p := range c.processesIn(domain) {
+		inside[p.Name] = true
+	}
+	var blocked []link
+	for _, from := range c.processes {
+		for _, to := range c.processes {
+			way := linkBetween(from, to)
+			if inside[from.Name] != inside[to.Name] && !c.network.blocked[way] {
+				c.network.blocked[way] = true
+				blocked = append(blocked, way)
+			}
+		}
+	}
+	return func() {
+		for _, way := range blocked {
+			delete(c.network.blocked, way)
+		}
+	}
+}
+
+// StallLink holds back all that is sent from one process to another until undone;
+// then it arrives, in order. It returns nil if the link is stalled already.
+func (c *Cluster) StallLink(from, to *Process) (undo func()) {
+	way := linkBetween(from, to)
+	if _, stalled := c.network.stalled[way]; stalled {
+		return nil
+	}
+	c.network.stalled[way] = []func(){}
+	return func() {
+		waiting := c.network.stalled[way]
+		delete(c.network.stalled, way)
+		for _, send := range waiting {
+			send()
+		}
+	}
+}
+
+func (c *Cluster) sendFrames(from *Process, list []wire.Envelope) {
+	for _, envelope := range list {
+		c.sendFrame(from, envelope)
+	}
+}
+
+// sendFrame sends a message; now and then it goes through the real encoding.
+func (c *Cluster) sendFrame(from *Process, envelope wire.Envelope) {
+	to := c.processes[string(envelope.To)]
+	if to == nil {
+		return
+	}
+	message := envelope.Message
+	c.Traffic.Frames++
+	if c.Traffic.Frames%encodeEvery == 0 {
+		message = c.reencode(message)
+	}
+	c.transmit(from, to, func() { c.deliver(to, wire.Peer(from.Addr), message) })
+}
+
+// reencode encodes and decodes a message, and counts its bytes for all those that
+// were not encoded.
+func (c *Cluster) reencode(message wire.Message) wire.Message {
+	var buffer bytes.Buffer
+	if err := wire.NewEncoder(&buffer).Encode(message); err != nil {
+		panic("simulation: a message does not encode: " + err.Error())
+	}
+	c.Traffic.Bytes += int64(buffer.Len()) * encodeEvery
+	decoded, err := wire.NewDecoder(&buffer).Decode()
+	if err != nil {
+		panic("simulation: an encoded message does not decode: " + err.Error())
+	}
+	return decoded
+}
+
+// deliver hands a message to the state machine that runs in a process.
+func (c *Cluster) deliver(to *Process, from wire.Peer, message wire.Message) {
+	for _, server := range c.Servers {
+		if server.Process == to && server.Machine != nil {
+			server.Machine.HandleMessage(from, message, c.Monotonic(to), c.WallTime(to))
+			server.Flush()
+			return
+		}
+	}
+	for _, gateway := range c.Gateways {
+		if gateway.Process == to {
+			gateway.Machine.HandleMessage(from, message, c.Monotonic(to))
+			gateway.flush()
+			return
+		}
+	}
+}
--- a/tests/simulation/register_changes_test.go
+++ b/tests/simulation/register/changes_test.go
@@ -1,7 +1,7 @@
 // What operators ask of the register: changes drawn from a seed, and how they are
 // sent and read.
 
-package simulation
+package register
 
 import (
 	"encoding/json"
--- a/tests/simulation/register_exchange_test.go
+++ b/tests/simulation/register/cluster_test.go
@@ -1,6 +1,6 @@
 // The register as a whole site keeps it: operators, gates and keepers.
 
-package simulation
+package register
 
 import (
 	"flag"
@@ -9,6 +9,7 @@
 	"testing"
 
 	"orchidward/internal/state"
+	"orchidward/tests/simulation"
 )
 
 var exchangeCount = flag.Int("exchanges", 48, "how many exchanges of operators with a whole site")
@@ -17,18 +18,18 @@
 // reading it, and send a change again as long as its outcome is unclear, and
 // now and then when it is not.
 type catalogOperators struct {
-	cluster       *Cluster
-	random     *rand.Rand
+	cluster *simulation.Cluster
+	random  *rand.Rand
 	changes changeSet
 	calls   []*registerCall
-	stopAt    int64
+	stopAt  int64
 }
 
 const (
 	operatorCount   = 3
 	operatorsStart  = 6000
 	operatorsWindow = 24000
-	callTimeout    = 2000
+	callTimeout     = 2000
 )
 
 // call makes one call; then gets the status, 0 when nothing came in time.
@@ -95,22 +96,22 @@
 }
 
 // registerFaults are the kinds of fault that the operators' exchange meets.
-var registerFaults = []string{"leader-crash", "leader-freeze", "leader-alone", "leader-alone", "keeper-crash", "keeper-freeze", "keeper-cut", "keeper-deaf",
-	"keeper-slow", "keeper-stall", "keeper-lost", "power", "gate-crash", "gate-freeze", "gate-cut", "gate-alone", "rain"}
+var registerFaults = []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated, simulation.LeaderIsolated, simulation.ServerCrash, simulation.ServerFreeze, simulation.ServerLinkBlocked, simulation.ServerHalfIsolated,
+	simulation.ServerDiskSlow, simulation.ServerDiskStalled, simulation.ServerLost, simulation.AllServersCrash, simulation.GatewayCrash, simulation.GatewayFreeze, simulation.GatewayLinkBlocked, simulation.GatewayIsolated, simulation.PacketLoss}
 
 // newCatalogOperators sets a site up with its faults. In every third the keepers are of
 // the former level and are upgraded under way; in every second one views are
 // taken often, so that keepers that were away or empty are sent one.
 func newCatalogOperators(seed int64) *catalogOperators {
-	site := FastNetwork()
+	site := simulation.FastNetwork()
 	site.Runners = 1
 	if seed%2 == 0 {
 		site.DelayMs, site.LossPerMille = 25, 10
 	}
-	cluster := NewWorld(seed, site)
+	cluster := simulation.NewCluster(seed, site)
 	o := &catalogOperators{cluster: cluster, random: rand.New(rand.NewSource(seed)), stopAt: operatorsStart + operatorsWindow}
 	for n := 0; n < 10; n++ {
-		f := Fault{At: operatorsStart + o.random.Int63n(operatorsWindow-4000), Duration: 200 + o.random.Int63n(4000), Kind: pick(o.random, registerFaults...), Target: o.random.Intn(1000), Parameter: o.random.Intn(1000)}
+		f := simulation.Fault{At: operatorsStart + o.random.Int63n(operatorsWindow-4000), Duration: 200 + o.random.Int63n(4000), Kind: pick(o.random, registerFaults...), Target: o.random.Intn(1000), Parameter: o.random.Intn(1000)}
 		cluster.At(f.At, func() { cluster.Inject(f) })
 	}
 	if seed%3 == 0 {
@@ -131,7 +132,7 @@
 	o.changes.ignoreMethod = true
 	for i, server := range o.cluster.Servers {
 		server.Level = state.CatalogLevel
-		o.cluster.At(operatorsStart+4000+int64(i)*3000, func() { o.cluster.Restart(o.cluster.Servers[i], state.SupportedLevel) })
+		o.cluster.At(operatorsStart+4000+int64(i)*3000, func() { o.cluster.RestartAtLevel(o.cluster.Servers[i], state.SupportedLevel) })
 	}
 }
 
--- a/tests/simulation/register_histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -1,6 +1,6 @@
 // The register at the state machine: many short histories.
 
-package simulation
+package register
 
 import (
 	"encoding/json"
@@ -18,8 +18,8 @@
 
 // requestCopy is one copy of a change on its way to the leader.
 type requestCopy struct {
-	call *registerCall
-	command  *state.Command
+	call    *registerCall
+	command *state.Command
 	// awaited says that the leader which proposed it still waits for its outcome.
 	awaited bool
 }
@@ -28,7 +28,7 @@
 // leaders that come and go: copies arrive in any order, late, twice or never,
 // and so do the answers. It stands for agreement, which TestChaos checks.
 type replicatedRegister struct {
-	random      *rand.Rand
+	random   *rand.Rand
 	now      int64
 	state    *state.Store
 	network  []*requestCopy
@@ -38,7 +38,7 @@
 	// acceptedBefore are changes accepted before the history began, seen the version that
 	// each operator last read.
 	acceptedBefore []*change
-	lastRead   []uint64
+	lastRead       []uint64
 }
 
 func (m *replicatedRegister) send(c *change) {
--- a/tests/simulation/register_spec_test.go
+++ b/tests/simulation/register/specification_test.go
@@ -3,7 +3,7 @@
 // it makes. This file is the specification, and decides whether a history of
 // calls is one that such a register could have given (Wing and Gong, 1993).
 
-package simulation
+package register
 
 import (
 	"fmt"
@@ -13,15 +13,15 @@
 
 // changeWeight is what an operator asks for; every copy of it is the same.
 type change struct {
-	number   int
-	replaces    bool
-	base     uint64
-	version  uint64
-	queues   map[string]string // the pool of each queue that is put
-	pools    []string
-	droppedQueues  []string // queues dropped by a patch
-	droppedPools []string // pools dropped by a patch
-	source   string   // travels as the source, empty for none
+	number        int
+	replaces      bool
+	base          uint64
+	version       uint64
+	queues        map[string]string // the pool of each queue that is put
+	pools         []string
+	droppedQueues []string // queues dropped by a patch
+	droppedPools  []string // pools dropped by a patch
+	source        string   // travels as the source, empty for none
 }
 
 // register is the state: what is in force.
@@ -82,9 +82,9 @@
 // registerCall is one call of an operator and what came of it.
 type registerCall struct {
 	startedAt, endedAt int64
-	change     *change // nil for a read
-	status     int
-	content    string // what a read showed
+	change             *change // nil for a read
+	status             int
+	content            string // what a read showed
 }
 
 func (x *registerCall) unclear() bool { return x.endedAt == noAnswer }
@@ -140,7 +140,7 @@
 type search struct {
 	calls    []*registerCall
 	accepted map[*change]bool
-	deadEnds   map[string]bool
+	deadEnds map[string]bool
 }
 
 // linearizable tells whether the register, from its first state, could have
--- a/tests/simulation/runner.go
+++ b/tests/simulation/runner.go
@@ -1,112 +1,157 @@
-// A runner in the world.
-
 package simulation
 
 import (
 	"fmt"
+	"net/http"
 
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
+	"orchidward/internal/invariants"
 	"orchidward/internal/runner"
 )
 
+// Runner is a process that runs tasks.
 type Runner struct {
 	*Process
-	cluster      *Cluster
-	Machine   *runner.Runner
-	Config   runner.Config
+	Machine *runner.Runner
+	Config  runner.Config
+	// Rack is the rack it shares with its neighbours.
 	Rack string
-	extraDefects   int64
-	removed   bool
-	// seen hears of every start, for a scene that wants to know.
+	// OnStart, if set, is called for every attempt that starts.
 	OnStart func(e runner.Event)
+
+	cluster *Cluster
+	// extraDefects is the share of defective attempts, in percent, that a fault adds.
+	extraDefects int64
+	removed      bool
 }
 
-func (cluster *Cluster) addRunner(i int) *Runner {
-	rack := i / 3
-	r := &Runner{Process: cluster.addProcess(fmt.Sprintf("r%d", i+1), Domains[rack%3]), cluster: cluster, Rack: fmt.Sprintf("rack-%d", rack)}
-	r.Config = runner.Config{Name: identifier.Runner(r.Name), Capacity: job.Demand{Cores: cluster.Spec.Cores, Mem: cluster.Spec.Mem}, Labels: []identifier.Label{"std"},
-		Domain: identifier.Domain(r.Domain), Rack: identifier.Rack(r.Rack)}
+// runnersPerRack is how many runners share a rack, and with it a domain.
+const runnersPerRack = 3
+
+// Labels of the runners: all have standardLabel, every second one ssdLabel too.
+const (
+	standardLabel identifier.Label = "std"
+	ssdLabel      identifier.Label = "ssd"
+)
+
+func (c *Cluster) addRunner(i int) {
+	rack := i / runnersPerRack
+	r := &Runner{
+		Process: c.addProcess(fmt.Sprintf("r%d", i+1), Domains[rack%len(Domains)]),
+		Rack:    fmt.Sprintf("rack-%d", rack),
+		cluster: c,
+	}
+	r.Config = runner.Config{
+		Name:     identifier.Runner(r.Name),
+		Capacity: job.Demand{Cores: c.Spec.Cores, Mem: c.Spec.Mem},
+		Labels:   []identifier.Label{standardLabel},
+		Domain:   identifier.Domain(r.Domain),
+		Rack:     identifier.Rack(r.Rack),
+	}
 	if i%2 == 1 {
-		r.Config.Labels = []identifier.Label{"ssd", "std"}
+		r.Config.Labels = []identifier.Label{ssdLabel, standardLabel}
+	}
+	c.Runners = append(c.Runners, r)
+}
+
+func (r *Runner) view() invariants.RunnerView {
+	return invariants.RunnerView{
+		Domain:      r.Domain,
+		Incarnation: r.Incarnation,
+		Live:        r.Up && !r.Frozen,
+		Labels:      r.Config.Labels,
+		Capacity:    r.Config.Capacity,
 	}
-	cluster.Runners = append(cluster.Runners, r)
-	return r
 }
 
 func (r *Runner) start() {
-	cluster := r.cluster
-	r.incarnation++
-	r.Up, r.startedAt = true, cluster.Now
-	set := r.Config
-	set.Incarnation, set.Seed, set.DefectPercent = identifier.Incarnation(fmt.Sprintf("%016x", cluster.Random.Uint64())), cluster.Random.Int63(), cluster.Spec.DefectPercent+r.extraDefects
-	for _, g := range cluster.Gateways {
-		set.Gateways = append(set.Gateways, g.Addr)
+	c := r.cluster
+	r.begin(c.Now)
+	config := r.Config
+	config.Incarnation = identifier.Incarnation(fmt.Sprintf("%016x", c.Random.Uint64()))
+	config.Seed = c.Random.Int63()
+	config.DefectPercent = c.Spec.DefectPercent + r.extraDefects
+	for _, gateway := range c.Gateways {
+		config.Gateways = append(config.Gateways, gateway.Addr)
 	}
-	r.Machine = runner.New(set, 0)
-	cluster.Checker.RunnerStaying(r.Name)
-	r.tick(r.incarnation)
+	r.Machine = runner.New(config, 0)
+	c.Checker.RunnerStaying(r.Name)
+	r.tick(r.Incarnation)
 }
 
-func (r *Runner) tick(life int) {
-	if r.incarnation != life || !r.Up {
+func (r *Runner) crash() {
+	if !r.Up {
+		return
+	}
+	r.cluster.Kill(r.Process)
+	r.cluster.Checker.RunnerDead(r.Name)
+}
+
+func (r *Runner) tick(incarnation int) {
+	if r.Incarnation != incarnation || !r.Up {
 		return
 	}
 	if !r.Frozen {
 		r.Machine.Tick(r.cluster.Monotonic(r.Process))
 		r.flush()
 	}
-	r.cluster.After(int64(runner.TickInterval), func() { r.tick(life) })
+	r.cluster.After(int64(runner.TickInterval), func() { r.tick(incarnation) })
 }
 
+// flush reports what happened to the checker and sends the polls that are due.
 func (r *Runner) flush() {
-	o := r.Machine.TakeOutput()
-	for _, e := range o.Events {
+	output := r.Machine.TakeOutput()
+	for _, e := range output.Events {
 		r.cluster.Checker.RunnerEvent(r.Name, e)
 		if e.Kind == runner.EventStart && r.OnStart != nil {
 			r.OnStart(e)
 		}
 	}
-	for _, p := range o.Polls {
-		leaving := r.Machine.Mode() == "draining"
-		r.cluster.Request(r.Process, p.Gateway, "POST", endpoint.PollPath(identifier.Runner(r.Name)), p.Body, int64(p.Timeout), func(status int, body []byte) {
-			r.cluster.PollBytes += int64(len(p.Body) + len(body))
-			r.cluster.Polls++
-			if status == 200 && leaving && r.Machine.Mode() == "draining" {
-				r.cluster.Checker.RunnerLeaving(r.Name)
-			}
-			if status == 200 {
-				r.cluster.Checker.PollAnswered(r.Name)
+	for _, poll := range output.Polls {
+		draining := r.draining()
+		path := endpoint.PollPath(identifier.Runner(r.Name))
+		r.cluster.Request(r.Process, poll.Gateway, http.MethodPost, path, poll.Body, int64(poll.Timeout), func(status int, body []byte) {
+			r.cluster.Traffic.Polls++
+			r.cluster.Traffic.PollBytes += int64(len(poll.Body) + len(body))
+			if status == http.StatusOK {
+				r.pollAnswered(draining)
 			}
-			r.Machine.HandlePollResponse(p.Seq, status, body, r.cluster.Monotonic(r.Process))
+			r.Machine.HandlePollResponse(poll.Seq, status, body, r.cluster.Monotonic(r.Process))
 			r.flush()
 		})
 	}
 }
 
-func (r *Runner) crash() {
-	if !r.Up {
-		return
+// pollAnswered tells the checker that a poll was answered; draining says that the
+// runner said in it that it leaves.
+func (r *Runner) pollAnswered(draining bool) {
+	if draining && r.draining() {
+		r.cluster.Checker.RunnerLeaving(r.Name)
 	}
-	r.cluster.Kill(r.Process)
-	r.cluster.Checker.RunnerDead(r.Name)
+	r.cluster.Checker.PollAnswered(r.Name)
 }
 
-func (r *Runner) Drain(departs int64) {
+func (r *Runner) draining() bool { return r.Machine.Mode() == runnerapi.ModeDraining }
+
+// Drain makes the runner say that it leaves, in so many ms.
+func (r *Runner) Drain(departsIn int64) {
 	if !r.Up || r.Frozen {
 		return
 	}
-	r.Machine.SetMode("draining", clock.Millis(departs), r.cluster.Monotonic(r.Process))
+	r.Machine.SetMode(runnerapi.ModeDraining, clock.Millis(departsIn), r.cluster.Monotonic(r.Process))
 	r.flush()
 }
 
+// CancelDrain makes the runner say that it stays after all.
 func (r *Runner) CancelDrain() {
 	if !r.Up || r.Frozen {
 		return
 	}
 	r.cluster.Checker.RunnerStaying(r.Name)
-	r.Machine.SetMode("active", 0, r.cluster.Monotonic(r.Process))
+	r.Machine.SetMode(runnerapi.ModeActive, 0, r.cluster.Monotonic(r.Process))
 	r.flush()
 }
--- a/tests/simulation/scenario.go
+++ b/tests/simulation/scenario.go
@@ -1,197 +1,161 @@
-// Run makes a world, lets a schedule loose on it, heals it, and waits for all
-// that was accepted to come to its end.
-
 package simulation
 
 import (
-	"fmt"
-	"math/rand"
-	"sort"
-
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/invariants"
+	"orchidward/internal/api/runnerapi"
 )
 
 // Scenario is one run: all of it follows from the seed and the faults.
 type Scenario struct {
-	Seed   int64
-	Spec   ClusterSpec
+	Seed int64
+	Spec ClusterSpec
+	// Window is the moment until which clients submit jobs and faults begin; then
+	// all faults end.
 	Window int64
+	// Recovery is how long after the window accepted jobs may take to end, at least
+	// minRecovery.
 	Recovery int64
-	Faults []Fault
-	Trace  bool
-	// Setup sets up what a schedule can't say.
-	Setup func(w *Cluster)
+	Faults   []Fault
+	// Trace keeps a log of the run.
+	Trace bool
+	// Setup prepares what a list of faults can't say.
+	Setup func(cluster *Cluster)
 }
 
 const (
-	loadStart = 4000
+	// setUpAt is when the clients first make their rows of the limits table.
+	setUpAt = 2500
+	// minLoadStart is when the load begins at the earliest, loadAfterSetUp how long
+	// after the rows are there.
+	minLoadStart   = 4000
+	loadAfterSetUp = 2000
 	// minRecovery is long enough for the longest work to run twice over.
 	minRecovery = 70000
-	// minObservation is how long a healed world is watched at least, and after how
-	// long once all that was accepted has ended: a task that starts yet is wrong.
-	minObservation = 16000
-	observationAfterDone    = 4000
+	// minObservation is how long after the window a cluster is watched at least, and
+	// observationAfterDone for how long once every job has ended: a task that still
+	// starts is a violation.
+	minObservation       = 16000
+	observationAfterDone = 4000
+	// observationStep is how often it is looked at whether every job has ended.
+	observationStep = 1000
+	// neverDisturbed is the end of the faults of a run that has none.
+	neverDisturbed = 1
 )
 
-// NewWorld makes a cluster whose processes start at random within the first
-// second. Equal seeds and sites give equal runs.
-func NewWorld(seed int64, site ClusterSpec) *Cluster {
-	cluster := &Cluster{Spec: site, Random: rand.New(rand.NewSource(seed)), processes: map[string]*Process{}, blockedLinks: map[[2]string]bool{}, stalledLinks: map[[2]string][]func(){}, lastArrival: map[[2]string]int64{}, drainOrders: map[string]int{}, Injected: map[string]int{}}
-	cluster.Checker = invariants.New(cluster)
-	for i := 0; i < min(site.Servers, 3); i++ {
-		cluster.Seeds = append(cluster.Seeds, fmt.Sprintf("k%d", i+1))
-	}
-	for i := 0; i < site.Servers; i++ {
-		core := site.ServerDomainNames()
-		cluster.AddServer(fmt.Sprintf("k%d", i+1), core[i%len(core)])
-	}
-	for i := 0; i < site.DisklessServers; i++ {
-		cluster.AddServer(fmt.Sprintf("p%d", i+1), Domains[i%3]).Diskless = true
-	}
-	for i := 0; i < site.Gateways; i++ {
-		cluster.AddGateway(fmt.Sprintf("g%d", i+1), Domains[i%3])
-	}
-	for i := 0; i < site.Runners; i++ {
-		cluster.addRunner(i)
-	}
-	cluster.Clients = newCallers(cluster)
-	for _, server := range cluster.Servers {
-		cluster.After(cluster.Random.Int63n(300), server.Start)
-	}
-	for _, g := range cluster.Gateways {
-		cluster.After(cluster.Random.Int63n(300), g.Start)
-	}
-	for _, r := range cluster.Runners {
-		cluster.After(cluster.Random.Int63n(1000), r.start)
-	}
-	return cluster
-}
-
-// Run carries a plan out and returns the world for looking at.
+// Run plays a scenario and returns the cluster as it stands in the end.
 func Run(scenario Scenario) *Cluster {
-	cluster := NewWorld(scenario.Seed, scenario.Spec)
-	cluster.Trace = scenario.Trace
+	c := NewCluster(scenario.Seed, scenario.Spec)
+	c.Trace = scenario.Trace
 	if scenario.Setup != nil {
-		scenario.Setup(cluster)
+		scenario.Setup(c)
 	}
 	if len(scenario.Faults) == 0 {
-		cluster.faultsOverAt = 1
+		c.faultsOverAt = neverDisturbed
 	}
-	cluster.After(2500, func() {
-		cluster.Clients.setUp(func() { cluster.Clients.start(max(loadStart, cluster.Now+2000), scenario.Window) })
+	c.After(setUpAt, func() {
+		c.Clients.setUp(func() {
+			c.Clients.start(max(minLoadStart, c.Now+loadAfterSetUp), scenario.Window)
+		})
 	})
-	for _, f := range scenario.Faults {
-		cluster.At(f.At, func() { cluster.Inject(f) })
-	}
-	cluster.Run(scenario.Window)
-	cluster.Heal()
-	for end := scenario.Window + max(scenario.Recovery, minRecovery); cluster.Now < end; {
-		cluster.Run(min(end, cluster.Now+1000))
-		if cluster.Now > scenario.Window+minObservation && cluster.Checker.Done() {
-			cluster.Run(min(end, cluster.Now+observationAfterDone))
-			break
-		}
+	for _, fault := range scenario.Faults {
+		c.At(fault.At, func() { c.Inject(fault) })
 	}
-	for _, key := range cluster.Checker.Finish() {
-		cluster.logStuckJob(key)
+	c.Run(scenario.Window)
+	c.Heal()
+	c.runUntilDone(scenario.Window, scenario.Window+max(scenario.Recovery, minRecovery))
+	for _, key := range c.Checker.Finish() {
+		c.logStuckJob(key)
 	}
-	return cluster
+	return c
 }
 
-// Heal ends what may still be wrong, so that the end can be waited for.
-func (cluster *Cluster) Heal() {
-	if cluster.faultsOverAt == 0 {
-		cluster.faultsOverAt = cluster.Now
-	}
-	for _, key := range sortedLinks(cluster.blockedLinks) {
-		delete(cluster.blockedLinks, key)
-	}
-	for _, server := range cluster.Servers {
-		server.DiskDelay, server.ClockSkew, server.DiskStalledUntil = 0, 0, 0
-		cluster.Resume(server.Process)
-		if !server.Up && !server.Removed {
-			server.Start()
+// runUntilDone lets time pass until every job has ended, or a moment.
+func (c *Cluster) runUntilDone(window, end int64) {
+	for c.Now < end {
+		c.Run(min(end, c.Now+observationStep))
+		if c.Now > window+minObservation && c.Checker.Done() {
+			c.Run(min(end, c.Now+observationAfterDone))
+			return
 		}
 	}
-	for _, g := range cluster.Gateways {
-		cluster.Resume(g.Process)
-		if !g.Up {
-			g.Start()
-		}
+}
+
+// Heal ends all that is still wrong, so that the end of the run can be waited for.
+func (c *Cluster) Heal() {
+	if c.faultsOverAt == 0 {
+		c.faultsOverAt = c.Now
 	}
-	for _, r := range cluster.Runners {
-		cluster.Resume(r.Process)
-		if r.removed {
-			continue
-		}
-		if !r.Up {
-			r.start()
-		}
-		r.extraDefects = 0
-		r.Machine.SetFaults(0, 0)
-		if r.Machine.Mode() != "active" {
-			r.CancelDrain()
+	c.repairAll()
+}
+
+// Repair ends all that is wrong at the moment. More faults may follow: the cluster
+// does not count as quiet.
+func (c *Cluster) Repair() {
+	c.repairAll()
+	c.faultsOverAt = 0
+}
+
+func (c *Cluster) repairAll() {
+	clear(c.network.blocked)
+	for _, server := range c.Servers {
+		server.repair()
+	}
+	for _, gateway := range c.Gateways {
+		c.Resume(gateway.Process)
+		if !gateway.Up {
+			gateway.Start()
 		}
 	}
-	for _, z := range Domains {
-		cluster.drainOrders[z]++
-		turn := cluster.drainOrders[z]
-		cluster.Clients.SetDrained(z, false, func() bool { return cluster.drainOrders[z] == turn })
+	for _, runner := range c.Runners {
+		runner.repair()
+	}
+	for _, domain := range Domains {
+		c.Clients.SetDrained(domain, false, c.newDrainOrder(domain))
 	}
 }
 
-func sortedLinks(m map[[2]string]bool) [][2]string {
-	var list [][2]string
-	for server := range m {
-		list = append(list, server)
+func (s *Server) repair() {
+	s.DiskDelay = 0
+	s.DiskStalledUntil = 0
+	s.ClockSkew = 0
+	s.cluster.Resume(s.Process)
+	if !s.Up && !s.Removed {
+		s.Start()
 	}
-	sort.Slice(list, func(i, j int) bool { return list[i][0]+list[i][1] < list[j][0]+list[j][1] })
-	return list
 }
 
-// logStuckJob notes what the core has of a job that did not end.
-func (cluster *Cluster) logStuckJob(key identifier.JobKey) {
-	lead := cluster.Leader()
-	if lead == nil {
-		cluster.logf("no leader")
+func (r *Runner) repair() {
+	r.cluster.Resume(r.Process)
+	if r.removed {
 		return
 	}
-	j := lead.Machine.State().Jobs[key]
-	if j == nil {
-		cluster.logf("%s is not in the book", key)
-		return
+	if !r.Up {
+		r.start()
 	}
-	cluster.logf("%s is %s, now %d start %d", key, j.State(), lead.Machine.State().Now-WallClockStart, j.StartAt-WallClockStart)
-	for i, tasks := range j.Steps {
-		for n, t := range tasks {
-			cluster.logf("  %d/%d %+v grant %+v", i, n, *t, lead.Machine.State().Leases[t.Lease])
-		}
+	r.extraDefects = 0
+	r.Machine.SetFaults(0, 0)
+	if r.Machine.Mode() != runnerapi.ModeActive {
+		r.CancelDrain()
 	}
 }
 
-// maxShrinkRuns bounds how many runs a shrinking may take.
-const maxShrinkRuns = 60
-
-// Shrink drops faults for as long as the run still fails in the same way.
-func Shrink(scenario Scenario, fails func(cluster *Cluster) bool) Scenario {
-	small := scenario
-	runs := 0
-	for n := len(small.Faults) / 2; n >= 1 && runs < maxShrinkRuns; {
-		cut := false
-		for i := 0; i+n <= len(small.Faults) && runs < maxShrinkRuns; {
-			runs++
-			try := small
-			try.Faults = append(append([]Fault(nil), small.Faults[:i]...), small.Faults[i+n:]...)
-			if fails(Run(try)) {
-				small, cut = try, true
-				continue
-			}
-			i += n
-		}
-		if !cut || n > len(small.Faults) {
-			n /= 2
+// logStuckJob logs what the leader knows of a job that did not end.
+func (c *Cluster) logStuckJob(key identifier.JobKey) {
+	leader := c.Leader()
+	if leader == nil {
+		c.Logf("no leader")
+		return
+	}
+	store := leader.Machine.State()
+	job := store.Jobs[key]
+	if job == nil {
+		c.Logf("%s is not known to the leader", key)
+		return
+	}
+	c.Logf("%s is %s, now %d start %d", key, job.State(), store.Now-WallClockStart, job.StartAt-WallClockStart)
+	for step, tasks := range job.Steps {
+		for number, task := range tasks {
+			c.Logf("  %d/%d %+v lease %+v", step, number, *task, store.Leases[task.Lease])
 		}
 	}
-	return small
 }
--- a/tests/simulation/bounds_test.go
+++ b/tests/simulation/scenarios/bounds_test.go
@@ -1,4 +1,4 @@
-package simulation
+package scenarios
 
 import (
 	"bytes"
@@ -8,6 +8,8 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/invariants"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // TestStalledDisksBoundBacklog: with every disk at a stand nothing is decided, and what comes
@@ -16,7 +18,7 @@
 func TestStalledDisksBoundBacklog(t *testing.T) {
 	t.Parallel()
 	told := map[int]int{}
-	runScenario(t, Scenario{Seed: 31, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 31, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(8000, func() {
 			for _, server := range cluster.Servers {
 				server.DiskStalledUntil = cluster.Now + 3000
@@ -56,7 +58,7 @@
 func TestTooManyRunners(t *testing.T) {
 	t.Parallel()
 	told := map[int]int{}
-	cluster := NewWorld(33, FastNetwork())
+	cluster := simulation.NewCluster(33, simulation.FastNetwork())
 	cluster.Run(5000)
 	for i := 0; i < 2300; i++ {
 		cluster.At(5000+int64(i), func() {
--- a/tests/simulation/clocks_test.go
+++ b/tests/simulation/scenarios/clocks_test.go
@@ -1,8 +1,11 @@
-package simulation
+package scenarios
 
 import (
 	"fmt"
 	"testing"
+
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // wrongClocks are keepers' clocks, wrong in every way; most is how far ahead
@@ -19,12 +22,12 @@
 	{[3]int64{7200000, 7200000, 7200000}, -1000, 1000},
 }
 
-func (cluster *Cluster) clusterTimeError(t *testing.T) int64 {
+func clusterTimeError(cluster *simulation.Cluster, t *testing.T) int64 {
 	server := cluster.Leader()
 	if server == nil {
 		t.Fatal("no leader")
 	}
-	return int64(server.Machine.State().Now) - WallClockStart - cluster.Now
+	return int64(server.Machine.State().Now) - simulation.WallClockStart - cluster.Now
 }
 
 // TestClocks: every keeper's clock jumps, forward and back by hours, leaders
@@ -34,14 +37,14 @@
 	for _, one := range wrongClocks {
 		t.Run(fmt.Sprint(one.skews), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, Scenario{Seed: 40, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: 40, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
 				for server, s := range one.skews {
 					cluster.At(6000, func() { cluster.Servers[server].ClockSkew = s })
 				}
-				cluster.At(9000, func() { cluster.Inject(Fault{Duration: 3000, Kind: "leader-crash"}) })
-				cluster.At(15000, func() { cluster.Inject(Fault{Duration: 3000, Kind: "leader-freeze"}) })
+				cluster.At(9000, func() { cluster.Inject(simulation.Fault{Duration: 3000, Kind: simulation.LeaderCrash}) })
+				cluster.At(15000, func() { cluster.Inject(simulation.Fault{Duration: 3000, Kind: simulation.LeaderFreeze}) })
 				cluster.At(24000, func() {
-					if off := cluster.clusterTimeError(t); off > one.most || off < one.least {
+					if off := clusterTimeError(cluster, t); off > one.most || off < one.least {
 						t.Errorf("cluster time is off by %d ms after 18 s", off)
 					}
 				})
@@ -58,7 +61,7 @@
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
 			t.Parallel()
 			from := int64(0)
-			runScenario(t, Scenario{Seed: 41, Window: 30000, Recovery: 40000, Setup: func(cluster *Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: 41, Window: 30000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
 				wrong := func() {
 					for i, server := range cluster.Servers {
 						server.ClockSkew = int64(i) * 3600000
@@ -74,17 +77,17 @@
 							undo = append(undo, cluster.CrashServer(server))
 						}
 						wrong()
-						cluster.After(5000, UndoAll(undo))
+						cluster.After(5000, simulation.UndoAll(undo))
 					})
 				}
 				cluster.At(from+9500, func() {
-					if off := cluster.clusterTimeError(t); off > 100 {
+					if off := clusterTimeError(cluster, t); off > 100 {
 						t.Errorf("cluster time is ahead by %d ms", off)
 					}
 					cluster.Servers[2].ClockSkew = 0
 				})
 				cluster.At(from+14000, func() {
-					if off := cluster.clusterTimeError(t); off > 100 || off < -100 {
+					if off := clusterTimeError(cluster, t); off > 100 || off < -100 {
 						t.Errorf("cluster time is off by %d ms though two clocks agree", off)
 					}
 				})
@@ -99,8 +102,8 @@
 func TestLateEntry(t *testing.T) {
 	t.Parallel()
 	hit := false
-	runScenario(t, Scenario{Seed: 43, Window: 35000, Recovery: 40000, Setup: func(cluster *Cluster) {
-		var old, lead, left *Server
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 43, Window: 35000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
+		var old, lead, left *simulation.Server
 		var look func()
 		look = func() {
 			server := cluster.Leader()
@@ -116,10 +119,10 @@
 					left = one
 				}
 			}
-			cluster.BlockLink(left.Process, lead.Process, false)
+			unblock := cluster.BlockLink(left.Process, lead.Process, false)
 			cluster.After(500, func() {
 				cluster.CrashServer(lead)
-				delete(cluster.blockedLinks, [2]string{left.Name, lead.Name})
+				unblock()
 			})
 			cluster.After(9000, old.Start)
 		}
@@ -129,7 +132,7 @@
 			look()
 		})
 		cluster.At(25000, func() {
-			if off := cluster.clusterTimeError(t); off < -1000 || off > 100 {
+			if off := clusterTimeError(cluster, t); off < -1000 || off > 100 {
 				t.Errorf("cluster time is off by %d ms", off)
 			}
 		})
--- a/tests/simulation/delayed_orders_test.go
+++ b/tests/simulation/scenarios/delayed_orders_test.go
@@ -1,4 +1,4 @@
-package simulation
+package scenarios
 
 import (
 	"encoding/json"
@@ -7,11 +7,12 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/state"
+	"orchidward/tests/simulation"
 )
 
 // retryingClient sends one order at a time and gives each try up after a second.
 type retryingClient struct {
-	cluster    *Cluster
+	cluster *simulation.Cluster
 	timeout int64
 }
 
@@ -36,17 +37,17 @@
 // and withdrawn, while its first copy is still on its way.
 type delayedOrder struct {
 	// delay holds the first copy up from the moment it is called until undone.
-	delay func(w *Cluster) (undo func())
+	delay func(w *simulation.Cluster) (undo func())
 	// offset is when the order is sent after that, in ms; it may be negative.
 	offset int64
 	seed   int64
 	// at lists the addresses in the order they are tried; the first one gets the
 	// first copy, the others all that follows.
-	addresses func(w *Cluster) (addrs []string)
+	addresses func(w *simulation.Cluster) (addrs []string)
 }
 
 // gatewayAddrs are the addresses of the gates.
-func gatewayAddrs(cluster *Cluster) []string {
+func gatewayAddrs(cluster *simulation.Cluster) []string {
 	var addrs []string
 	for _, g := range cluster.Gateways {
 		addrs = append(addrs, g.Addr)
@@ -55,7 +56,7 @@
 }
 
 // followerFirst are the addresses of the keepers, one that follows first.
-func followerFirst(cluster *Cluster) []string {
+func followerFirst(cluster *simulation.Cluster) []string {
 	var addrs []string
 	for _, server := range cluster.Servers {
 		if server != cluster.Leader() {
@@ -66,22 +67,22 @@
 }
 
 // leaderFirst are the addresses of the keepers, the leader's first.
-func leaderFirst(cluster *Cluster) []string {
+func leaderFirst(cluster *simulation.Cluster) []string {
 	list := followerFirst(cluster)
 	return append(list[len(list)-1:], list[:len(list)-1]...)
 }
 
 const (
-	delayStart    = 7000
-	delayDuration  = 6000
+	delayStart      = 7000
+	delayDuration   = 6000
 	observationTime = 3000
 )
 
 // run plays the scene and returns the world a few seconds after the first copy
 // came free. Script sends the orders and calls settled once the last one is
 // acknowledged; late says that this was before the first copy came free.
-func (s delayedOrder) run(script func(o retryingClient, addrs []string, settled func())) (cluster *Cluster, late bool) {
-	cluster = NewWorld(s.seed, FastNetwork())
+func (s delayedOrder) run(script func(o retryingClient, addrs []string, settled func())) (cluster *simulation.Cluster, late bool) {
+	cluster = simulation.NewCluster(s.seed, simulation.FastNetwork())
 	addrs, settledAt, freedAt := []string{}, int64(0), int64(0)
 	cluster.At(delayStart-10, func() { addrs = s.addresses(cluster) })
 	cluster.At(delayStart+s.offset, func() {
@@ -99,7 +100,7 @@
 }
 
 // play has an order given up, sent again elsewhere and withdrawn.
-func (s delayedOrder) sendAndWithdraw(verb, path string, body []byte, undoVerb string) (cluster *Cluster, late bool) {
+func (s delayedOrder) sendAndWithdraw(verb, path string, body []byte, undoVerb string) (cluster *simulation.Cluster, late bool) {
 	return s.run(func(o retryingClient, addrs []string, settled func()) {
 		o.send(addrs[0], verb, path, body, func(int) {
 			o.sendUntilAnswered(addrs[1:], verb, path, body, func(int) {
@@ -110,7 +111,7 @@
 }
 
 // sendAndCancel has an order given up and cancelled, and never sent again.
-func (s delayedOrder) sendAndCancel(verb, path string, body []byte) (cluster *Cluster, late bool) {
+func (s delayedOrder) sendAndCancel(verb, path string, body []byte) (cluster *simulation.Cluster, late bool) {
 	return s.run(func(o retryingClient, addrs []string, settled func()) {
 		o.send(addrs[0], verb, path, body, func(status int) {
 			if status != 200 && status != 201 {
@@ -121,40 +122,40 @@
 }
 
 // stallGatewayLinks stalls the gates' links into a keeper.
-func stallGatewayLinks(cluster *Cluster, server *Server) func() {
+func stallGatewayLinks(cluster *simulation.Cluster, server *simulation.Server) func() {
 	undos := []func(){}
 	for _, g := range cluster.Gateways {
 		undos = append(undos, cluster.StallLink(g.Process, server.Process))
 	}
-	return UndoAll(undos)
+	return simulation.UndoAll(undos)
 }
 
 // orderDelays are the ways in which an order's first copy is held up.
 var orderDelays = []struct {
 	name  string
-	at    func(w *Cluster) (addrs []string)
-	delay func(w *Cluster) (undo func())
+	at    func(w *simulation.Cluster) (addrs []string)
+	delay func(w *simulation.Cluster) (undo func())
 }{
-	{"asked at the leader, which is frozen", leaderFirst, func(w *Cluster) func() { return w.Freeze(w.Leader().Process) }},
-	{"asked at a follower, which is frozen", followerFirst, func(w *Cluster) func() { return w.Freeze(w.processes[followerFirst(w)[0]]) }},
-	{"asked at a follower, its link to the leader stalled", followerFirst, func(w *Cluster) func() {
-		return w.StallLink(w.processes[followerFirst(w)[0]], w.Leader().Process)
+	{"asked at the leader, which is frozen", leaderFirst, func(w *simulation.Cluster) func() { return w.Freeze(w.Leader().Process) }},
+	{"asked at a follower, which is frozen", followerFirst, func(w *simulation.Cluster) func() { return w.Freeze(w.Process(followerFirst(w)[0])) }},
+	{"asked at a follower, its link to the leader stalled", followerFirst, func(w *simulation.Cluster) func() {
+		return w.StallLink(w.Process(followerFirst(w)[0]), w.Leader().Process)
 	}},
-	{"leader frozen", gatewayAddrs, func(w *Cluster) func() { return w.Freeze(w.Leader().Process) }},
-	{"leader cut off, links to it stalled", gatewayAddrs, func(w *Cluster) func() {
+	{"leader frozen", gatewayAddrs, func(w *simulation.Cluster) func() { return w.Freeze(w.Leader().Process) }},
+	{"leader cut off, links to it stalled", gatewayAddrs, func(w *simulation.Cluster) func() {
 		lead := w.Leader()
-		return UndoAll([]func(){stallGatewayLinks(w, lead), w.Isolate(lead.Process, true, false)})
+		return simulation.UndoAll([]func(){stallGatewayLinks(w, lead), w.Isolate(lead.Process, true, false)})
 	}},
-	{"links to the leader stalled", gatewayAddrs, func(w *Cluster) func() { return stallGatewayLinks(w, w.Leader()) }},
-	{"gate frozen", gatewayAddrs, func(w *Cluster) func() { return w.Freeze(w.Gateways[0].Process) }},
-	{"links from one gate stalled", gatewayAddrs, func(w *Cluster) func() {
+	{"links to the leader stalled", gatewayAddrs, func(w *simulation.Cluster) func() { return stallGatewayLinks(w, w.Leader()) }},
+	{"gate frozen", gatewayAddrs, func(w *simulation.Cluster) func() { return w.Freeze(w.Gateways[0].Process) }},
+	{"links from one gate stalled", gatewayAddrs, func(w *simulation.Cluster) func() {
 		undos := []func(){}
 		for _, k := range w.Servers {
 			undos = append(undos, w.StallLink(w.Gateways[0].Process, k.Process))
 		}
-		return UndoAll(undos)
+		return simulation.UndoAll(undos)
 	}},
-	{"followers' links to the leader stalled, gates cut from it", gatewayAddrs, func(w *Cluster) func() {
+	{"followers' links to the leader stalled, gates cut from it", gatewayAddrs, func(w *simulation.Cluster) func() {
 		lead, undos := w.Leader(), []func(){}
 		for _, k := range w.Servers {
 			if k != lead {
@@ -164,7 +165,7 @@
 		for _, g := range w.Gateways {
 			undos = append(undos, w.BlockLink(g.Process, lead.Process, true))
 		}
-		return UndoAll(undos)
+		return simulation.UndoAll(undos)
 	}},
 }
 
--- a/tests/simulation/drain_capacity_test.go
+++ b/tests/simulation/scenarios/drain_capacity_test.go
@@ -1,4 +1,4 @@
-package simulation
+package scenarios
 
 import (
 	"fmt"
@@ -7,10 +7,12 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/state"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // taskStates counts the tasks of each row that stand in each state.
-func (cluster *Cluster) taskStates() map[identifier.Row]map[state.TaskState]int {
+func taskStates(cluster *simulation.Cluster) map[identifier.Row]map[state.TaskState]int {
 	out := map[identifier.Row]map[state.TaskState]int{}
 	for _, j := range cluster.Leader().Machine.State().Jobs {
 		row := j.Spec.Row
@@ -31,21 +33,21 @@
 // check pushes the cheaper push row out, push waits, stock rides it out, gangs
 // of each as well. Reopened, all of it ends.
 func TestDrainWithoutCapacity(t *testing.T) {
-	for _, how := range []string{"", "leader-crash", "leader-freeze"} {
+	for _, how := range []simulation.FaultKind{"", simulation.LeaderCrash, simulation.LeaderFreeze} {
 		for _, seed := range []int64{61, 64, 65} {
 			t.Run(fmt.Sprintf("owner %s/%d", how, seed), func(t *testing.T) { drainWithoutCapacity(t, how, seed) })
 		}
 	}
 }
 
-func drainWithoutCapacity(t *testing.T, how string, seed int64) {
+func drainWithoutCapacity(t *testing.T, how simulation.FaultKind, seed int64) {
 	t.Parallel()
-	site := FastNetwork()
+	site := simulation.FastNetwork()
 	site.Cores, site.DefectPercent = 4, 0
 	var during map[identifier.Row]map[state.TaskState]int
 	var c *state.Drain
 	away, left := 0, 0
-	cluster := Run(Scenario{Seed: seed, Spec: site, Window: 30000, Recovery: 70000, Setup: func(cluster *Cluster) {
+	cluster := simulation.Run(simulation.Scenario{Seed: seed, Spec: site, Window: 30000, Recovery: 70000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(6600, func() { cluster.Clients.StopAt = 0 })
 		cluster.At(7500, func() {
 			cluster.Clients.ReadLimits(func(epoch int64) {
@@ -71,10 +73,10 @@
 		})
 		cluster.At(13000, func() { cluster.Clients.SetDrained("north", true, func() bool { return true }) })
 		if how != "" {
-			cluster.At(13020, func() { cluster.Inject(Fault{Duration: 8000, Kind: how}) })
+			cluster.At(13020, func() { cluster.Inject(simulation.Fault{Duration: 8000, Kind: how}) })
 		}
 		cluster.At(19000, func() {
-			during = cluster.taskStates()
+			during = taskStates(cluster)
 			for _, one := range cluster.Leader().Machine.State().Drains {
 				c = one
 			}
@@ -94,7 +96,7 @@
 		})
 		cluster.At(22000, func() { cluster.Clients.SetDrained("north", false, func() bool { return true }) })
 	}})
-	checkInvariants(t, Scenario{Seed: seed}, cluster)
+	simulationtest.CheckInvariants(t, seed, cluster)
 	if c == nil || c.Fits || !c.PreflightDone || len(c.Displaced) < 10 || c.Shortage.Cores == 0 {
 		t.Fatalf("the closing: %+v", c)
 	}
@@ -107,69 +109,9 @@
 	if n := during["push"]; n[state.Waiting] == 0 || n[state.Suspended] > 0 {
 		t.Errorf("push waits: %v", n)
 	}
-	for row, n := range cluster.taskStates() {
+	for row, n := range taskStates(cluster) {
 		if n[state.Waiting]+n[state.Suspended]+n[state.Placed] > 0 {
 			t.Errorf("in the end %s: %v", row, n)
 		}
 	}
 }
-
-// TestRackDrainSurvivesLeaderLoss takes the owner of a rack's closing away at every log entry
-// from the first word of leaving on, and again when the rack stays after all.
-func TestRackDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, how := range []string{"crash", "freeze"} {
-		for n := 0; n < 12; n++ {
-			for _, back := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%d/%v", how, n, back), func(t *testing.T) {
-					t.Parallel()
-					rackDrainSurvivesLeaderLoss(t, how, n, back)
-				})
-			}
-		}
-	}
-}
-
-func rackDrainSurvivesLeaderLoss(t *testing.T, how string, n int, back bool) {
-	trap := &leaderFailpoint{how: how, entries: n, duration: 6000}
-	var closed *state.Drain
-	cluster := Run(Scenario{Seed: int64(n) + 400, Spec: FastNetwork(), Window: 26000, Recovery: 30000, Setup: func(cluster *Cluster) {
-		cluster.Spec.LoadPercent = 50
-		trap.install(cluster)
-		cluster.At(10000, func() {
-			if !back {
-				trap.arm()
-			}
-			for _, r := range cluster.Runners[:3] {
-				r.Drain(4000)
-			}
-		})
-		cluster.At(17500, func() {
-			for _, one := range cluster.Leader().Machine.State().Drains {
-				found := *one
-				closed = &found
-			}
-			if back {
-				trap.arm()
-			}
-			for _, r := range cluster.Runners[:3] {
-				r.CancelDrain()
-			}
-		})
-	}})
-	checkInvariants(t, Scenario{Seed: int64(n) + 400}, cluster)
-	if !trap.fired {
-		t.Fatal("the owner was never taken away")
-	}
-	if closed == nil || closed.Stage != state.Closed || len(closed.Scope) != 3 || closed.Verdict == "" || closed.UnconfirmedStops > 0 {
-		t.Errorf("3.5 s after the departure: %+v", closed)
-	}
-	list := cluster.Leader().Machine.State().Drains
-	for _, one := range list {
-		if one.Stage != state.Open {
-			t.Errorf("in the end: %+v", one)
-		}
-	}
-	if len(list) != 1 {
-		t.Errorf("%d closings for one rack", len(list))
-	}
-}
--- a/tests/simulation/gang_test.go
+++ b/tests/simulation/scenarios/gang_test.go
@@ -1,4 +1,4 @@
-package simulation
+package scenarios
 
 import (
 	"fmt"
@@ -6,11 +6,13 @@
 
 	"orchidward/internal/api/job"
 	"orchidward/internal/invariants"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // gangRunner finds a runner that works on a gang others work on too.
-func (cluster *Cluster) gangRunner() *Runner {
-	var r *Runner
+func gangRunner(cluster *simulation.Cluster) *simulation.Runner {
+	var r *simulation.Runner
 	server := cluster.Leader()
 	if server == nil {
 		return nil
@@ -46,24 +48,24 @@
 var gangFaults = []struct {
 	name string
 	most int64
-	hit  func(w *Cluster, r *Runner)
+	hit  func(w *simulation.Cluster, r *simulation.Runner)
 }{
-	{"partner crashes", 4500, func(w *Cluster, r *Runner) { w.LoseRunner(r) }},
-	{"partner freezes", 4500, func(w *Cluster, r *Runner) { w.After(20000, w.Freeze(r.Process)) }},
-	{"partner is cut off", invariants.MaxIncompleteGang, func(w *Cluster, r *Runner) { w.After(20000, w.Isolate(r.Process, true, true)) }},
-	{"partner is not heard", invariants.MaxIncompleteGang, func(w *Cluster, r *Runner) { w.After(20000, w.Isolate(r.Process, true, false)) }},
-	{"partner hears nothing", invariants.MaxIncompleteGang, func(w *Cluster, r *Runner) { w.After(20000, w.Isolate(r.Process, false, true)) }},
-	{"partner and leader crash", invariants.MaxIncompleteGang, func(w *Cluster, r *Runner) {
+	{"partner crashes", 4500, func(w *simulation.Cluster, r *simulation.Runner) { w.LoseRunner(r) }},
+	{"partner freezes", 4500, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Freeze(r.Process)) }},
+	{"partner is cut off", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Isolate(r.Process, true, true)) }},
+	{"partner is not heard", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Isolate(r.Process, true, false)) }},
+	{"partner hears nothing", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Isolate(r.Process, false, true)) }},
+	{"partner and leader crash", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
 		w.LoseRunner(r)
-		w.Inject(Fault{Duration: 15000, Kind: "leader-crash"})
+		w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderCrash})
 	}},
-	{"partner goes, then leader", invariants.MaxIncompleteGang, func(w *Cluster, r *Runner) {
+	{"partner goes, then leader", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
 		w.LoseRunner(r)
-		w.After(2200, func() { w.Inject(Fault{Duration: 15000, Kind: "leader-freeze"}) })
+		w.After(2200, func() { w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderFreeze}) })
 	}},
-	{"partner goes with the core", invariants.MaxIncompleteGang, func(w *Cluster, r *Runner) {
+	{"partner goes with the core", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
 		w.LoseRunner(r)
-		w.Inject(Fault{Duration: 15000, Kind: "power"})
+		w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.AllServersCrash})
 	}},
 }
 
@@ -75,14 +77,14 @@
 			t.Parallel()
 			list, hits := []int64{}, 0
 			for seed := int64(1); seed <= 2; seed++ {
-				scenario := Scenario{Seed: seed, Window: 45000, Recovery: 60000, Spec: FastNetwork(), Setup: func(cluster *Cluster) {
+				scenario := simulation.Scenario{Seed: seed, Window: 45000, Recovery: 60000, Spec: simulation.FastNetwork(), Setup: func(cluster *simulation.Cluster) {
 					cluster.Spec.LoadPercent = 50
 					cluster.At(9000, func() {
 						cluster.Clients.Submit("stock", job.Step{Name: "wide", Tasks: 3, Gang: true, Demand: job.Demand{Cores: wideDemand, Mem: 512}, ExpectedRun: 25000})
 					})
 					var look func()
 					look = func() {
-						if r := cluster.gangRunner(); r != nil {
+						if r := gangRunner(cluster); r != nil {
 							hits++
 							one.hit(cluster, r)
 							return
@@ -93,16 +95,16 @@
 					}
 					cluster.At(10000, look)
 				}}
-				cluster := Run(scenario)
-				checkInvariants(t, scenario, cluster)
-				list = append(list, longest(cluster.Checker.Spans["gang in part"]))
+				cluster := simulation.Run(scenario)
+				simulationtest.CheckInvariants(t, scenario.Seed, cluster)
+				list = append(list, simulationtest.Longest(cluster.Checker.Spans["gang in part"]))
 			}
 			if hits == 0 {
 				t.Fatal("no gang was ever hit")
 			}
 			t.Logf("%s", fmt.Sprintf("longest in part, by seed: %v ms", list))
-			if longest(list) > one.most {
-				t.Errorf("a gang went on in part for %d ms, want at most %d", longest(list), one.most)
+			if simulationtest.Longest(list) > one.most {
+				t.Errorf("a gang went on in part for %d ms, want at most %d", simulationtest.Longest(list), one.most)
 			}
 		})
 	}
--- /dev/null
+++ b/tests/simulation/scenarios/latencies_test.go
@@ -0,0 +1,77 @@
+package scenarios
+
+import (
+	"testing"
+
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
+)
+
+// TestLatencies judges the timing promises on a calm site in virtual time.
+func TestLatencies(t *testing.T) {
+	t.Parallel()
+	scenario := simulation.Scenario{Seed: 11, Window: 60000, Recovery: 30000}
+	closed := int64(0)
+	scenario.Setup = func(cluster *simulation.Cluster) {
+		cluster.At(30000, func() { cluster.Clients.SetDrained("east", true, func() bool { return true }) })
+		var look func()
+		look = func() {
+			if at, ok := cluster.Checker.DrainedSince("east"); ok && closed == 0 {
+				if server := cluster.Leader(); server != nil {
+					for _, c := range server.Machine.State().Drains {
+						if free, loose := server.Machine.State().OpenLeases(c); c.PreflightDone && len(free)+len(loose) == 0 {
+							closed = cluster.Now - at + 1
+						}
+					}
+				}
+			}
+			if cluster.Now < 40000 {
+				cluster.After(5, look)
+			}
+		}
+		cluster.At(30000, look)
+	}
+	cluster := simulationtest.RunScenario(t, scenario)
+	if closed == 0 || closed > 1000 {
+		t.Errorf("closing to last stop: %d ms", closed)
+	}
+	t.Logf("closing acknowledged to last stop confirmed: %d ms", closed)
+	x := cluster.Checker.Spans
+	if n := simulationtest.Longest(x["cancel to gone"]); len(x["cancel to gone"]) < 3 || n > 300 {
+		t.Errorf("cancel to gone: %v", x["cancel to gone"])
+	}
+	if n := simulationtest.Median(x["admission to start"]); len(x["admission to start"]) < 300 || n > 100 {
+		t.Errorf("admission to start: median %d of %d", n, len(x["admission to start"]))
+	}
+	secs := cluster.Now / 1000
+	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner", cluster.Traffic.Bytes/secs, cluster.Traffic.PollBytes/secs/int64(len(cluster.Runners)))
+	t.Logf("admission to start: median %d ms, worst %d ms of %d; cancel to gone: worst %d ms of %d",
+		simulationtest.Median(x["admission to start"]), simulationtest.Longest(x["admission to start"]), len(x["admission to start"]), simulationtest.Longest(x["cancel to gone"]), len(x["cancel to gone"]))
+}
+
+// TestTakeover measures how long the service is without an answer when its
+// leader goes, however it goes.
+func TestTakeover(t *testing.T) {
+	for _, how := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated, simulation.AllServersCrash} {
+		t.Run(string(how), func(t *testing.T) {
+			t.Parallel()
+			gaps := []int64{}
+			for seed := int64(1); seed <= 5; seed++ {
+				gap := int64(0)
+				scenario := simulation.Scenario{Seed: seed, Window: 20000, Recovery: 20000, Setup: func(cluster *simulation.Cluster) {
+					cluster.At(8000+seed*31, func() { cluster.Inject(simulation.Fault{Duration: 10000, Kind: how}) })
+					if how == simulation.AllServersCrash {
+						cluster.At(8300, cluster.Repair)
+					}
+					cluster.MeasureOutage(7000, 19000, &gap)
+				}}
+				simulationtest.RunScenario(t, scenario)
+				gaps = append(gaps, gap)
+			}
+			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v", how, simulationtest.Median(gaps), simulationtest.Longest(gaps), gaps)
+			if simulationtest.Longest(gaps) > 12000 || simulationtest.Longest(gaps) < 300 {
+				t.Errorf("%s: %v", how, gaps)
+			}
+		})
+	}
+}
--- a/tests/simulation/leader_failpoint_test.go
+++ b/tests/simulation/scenarios/leader_failpoint_test.go
@@ -1,17 +1,19 @@
-package simulation
+package scenarios
+
+import "orchidward/tests/simulation"
 
 // leaderFailpoint takes whoever leads away as soon as its log has grown by n entries
 // since it was armed, for a while.
 type leaderFailpoint struct {
-	cluster      *Cluster
-	how    string
-	entries      int
+	cluster    *simulation.Cluster
+	how        string
+	entries    int
 	duration   int64
-	armedIndex   uint64
-	fired bool
+	armedIndex uint64
+	fired      bool
 }
 
-func (s *leaderFailpoint) install(cluster *Cluster) {
+func (s *leaderFailpoint) install(cluster *simulation.Cluster) {
 	s.cluster = cluster
 	cluster.Failpoint = s.check
 }
@@ -23,7 +25,7 @@
 	}
 }
 
-func (s *leaderFailpoint) check(server *Server) bool {
+func (s *leaderFailpoint) check(server *simulation.Server) bool {
 	if s.armedIndex == 0 || s.fired || !server.IsLeader() || uint64(server.Machine.Raft().LastIndex()) < s.armedIndex+uint64(s.entries) {
 		return false
 	}
@@ -39,21 +41,3 @@
 	}
 	return false
 }
-
-// longest measures the longest time without an answer between two moments.
-func (cluster *Cluster) MeasureOutage(from, to int64, gap *int64) {
-	last := int64(0)
-	var look func()
-	look = func() {
-		if s := cluster.Clients.ServedAt; s != last {
-			if last > 0 {
-				*gap = max(*gap, s-last)
-			}
-			last = s
-		}
-		if cluster.Now < to {
-			cluster.After(10, look)
-		}
-	}
-	cluster.At(from, look)
-}
--- a/tests/simulation/policy_test.go
+++ b/tests/simulation/scenarios/policy_test.go
@@ -1,4 +1,4 @@
-package simulation
+package scenarios
 
 import (
 	"encoding/json"
@@ -6,6 +6,8 @@
 	"testing"
 
 	"orchidward/internal/runner"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // TestPolicy: a row's policy steers where its tasks go and nothing more; bad
@@ -22,7 +24,7 @@
 		}
 	}
 	starts := map[string]int{}
-	runScenario(t, Scenario{Seed: 51, Window: 30000, Recovery: 30000, Setup: func(cluster *Cluster) {
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 51, Window: 30000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		set := func(cell, text string) {
 			cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{cell: text}, func(status int, epoch int64) {
 				told[cell+text] = status
@@ -50,7 +52,7 @@
 				}
 			})
 		})
-		cluster.At(28500, func() { cluster.Inject(Fault{Duration: 1000, Kind: "zone", Parameter: 2}) })
+		cluster.At(28500, func() { cluster.Inject(simulation.Fault{Duration: 1000, Kind: simulation.DomainDrain, Parameter: 2}) })
 	}})
 	if told["check.policyrunner.freeCores if zone(\"west\") else -1"] != 200 || told["push.policy1 // 0"] != 200 ||
 		told["stock.policyrunner.freeCores *"] != 422 || told["stock.policy[0] * 1000000000"] != 422 {
--- a/tests/simulation/versions_test.go
+++ b/tests/simulation/scenarios/versions_test.go
@@ -1,4 +1,4 @@
-package simulation
+package scenarios
 
 import (
 	"fmt"
@@ -6,20 +6,12 @@
 	"testing"
 
 	"orchidward/internal/state"
+	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
-// Restart stops a keeper in order and starts it as another version.
-func (cluster *Cluster) Restart(server *Server, level uint16) {
-	cluster.CrashServer(server)
-	server.Level = level
-	cluster.After(700, func() {
-		if !server.Up {
-			server.Start()
-		}
-	})
-}
-
-func (cluster *Cluster) levels() []uint16 {
+// levels are the levels of entries at the servers that run.
+func levels(cluster *simulation.Cluster) []uint16 {
 	var list []uint16
 	for _, server := range cluster.Servers {
 		if server.Machine != nil {
@@ -36,20 +28,20 @@
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			runScenario(t, Scenario{Seed: seed, Window: 50000, Recovery: 45000, Setup: func(cluster *Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: seed, Window: 50000, Recovery: 45000, Setup: func(cluster *simulation.Cluster) {
 				for _, server := range cluster.Servers {
 					server.Level = 0
 				}
 				low := func(when string) {
-					for _, n := range cluster.levels() {
+					for _, n := range levels(cluster) {
 						if n != 0 {
-							t.Errorf("%s the level is %v", when, cluster.levels())
+							t.Errorf("%s the level is %v", when, levels(cluster))
 						}
 					}
 				}
-				cluster.At(9000, func() { cluster.Restart(cluster.Servers[0], state.SupportedLevel) })
+				cluster.At(9000, func() { cluster.RestartAtLevel(cluster.Servers[0], state.SupportedLevel) })
 				cluster.At(12000, func() { cluster.Clients.SetDrained("north", true, func() bool { return true }) })
-				cluster.At(14000, func() { cluster.Restart(cluster.Servers[1], state.SupportedLevel) })
+				cluster.At(14000, func() { cluster.RestartAtLevel(cluster.Servers[1], state.SupportedLevel) })
 				cluster.At(17000, func() {
 					cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{"push.policy": "1"}, func(status int, _ int64) {
 						if status != 409 {
@@ -58,19 +50,19 @@
 					})
 				})
 				cluster.At(18000, func() { low("two of three upgraded,") })
-				cluster.At(18500, func() { cluster.Restart(cluster.Servers[0], 0) })
-				cluster.At(23000, func() { low("after a step back,"); cluster.Restart(cluster.Servers[0], state.SupportedLevel) })
+				cluster.At(18500, func() { cluster.RestartAtLevel(cluster.Servers[0], 0) })
+				cluster.At(23000, func() { low("after a step back,"); cluster.RestartAtLevel(cluster.Servers[0], state.SupportedLevel) })
 				cluster.At(27000, func() {
 					cluster.Clients.SetDrained("north", false, func() bool { return true })
-					cluster.Restart(cluster.Servers[2], state.SupportedLevel)
+					cluster.RestartAtLevel(cluster.Servers[2], state.SupportedLevel)
 				})
 				cluster.At(34000, func() {
-					for _, n := range cluster.levels() {
+					for _, n := range levels(cluster) {
 						if n != state.SupportedLevel {
-							t.Errorf("all upgraded, the level is %v", cluster.levels())
+							t.Errorf("all upgraded, the level is %v", levels(cluster))
 						}
 					}
-					cluster.Inject(Fault{Duration: 4000, Kind: "leader-crash"})
+					cluster.Inject(simulation.Fault{Duration: 4000, Kind: simulation.LeaderCrash})
 				})
 			}})
 		})
@@ -81,9 +73,9 @@
 // neither starts on its old folder nor joins with an empty one; upgraded, it does.
 func TestOldVersionRejected(t *testing.T) {
 	t.Parallel()
-	runScenario(t, Scenario{Seed: 4, Window: 50000, Recovery: 45000, Setup: func(cluster *Cluster) {
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 4, Window: 50000, Recovery: 45000, Setup: func(cluster *simulation.Cluster) {
 		server := cluster.Servers[1]
-		cluster.At(9000, func() { cluster.Restart(server, 0) })
+		cluster.At(9000, func() { cluster.RestartAtLevel(server, 0) })
 		cluster.At(13000, func() {
 			if server.Up || !strings.Contains(server.QuitReason, "level") {
 				t.Errorf("a former version runs on a folder of a later level: %q", server.QuitReason)
@@ -99,7 +91,7 @@
 			if _, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); ok {
 				t.Error("a former version took a seat")
 			}
-			cluster.Restart(server, state.SupportedLevel)
+			cluster.RestartAtLevel(server, state.SupportedLevel)
 		})
 		cluster.At(45000, func() {
 			if m, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); !ok || !m.Voter {
@@ -113,7 +105,7 @@
 // group that raised no level for it, steps aside instead of reading it as empty.
 func TestUnknownEntry(t *testing.T) {
 	t.Parallel()
-	cluster := NewWorld(5, FastNetwork())
+	cluster := simulation.NewCluster(5, simulation.FastNetwork())
 	cluster.Run(6000)
 	lead := cluster.Leader()
 	at, _ := lead.Machine.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
@@ -136,8 +128,8 @@
 // the leader's next check and steps aside before it can ever lead.
 func TestStateDivergence(t *testing.T) {
 	t.Parallel()
-	runScenario(t, Scenario{Seed: 6, Window: 25000, Recovery: 40000, Setup: func(cluster *Cluster) {
-		var server *Server
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 6, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
+		var server *simulation.Server
 		cluster.At(9000, func() {
 			for _, one := range cluster.Servers {
 				if one != cluster.Leader() {
--- a/tests/simulation/server.go
+++ b/tests/simulation/server.go
@@ -1,10 +1,6 @@
-// A keeper in the world: its machine, and a disk that takes its time.
-
 package simulation
 
 import (
-	"github.com/go-faster/errors"
-
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/consensus/wal"
@@ -15,226 +11,234 @@
 	"orchidward/internal/transport/wire"
 )
 
+// Server is a process of the control plane, with a disk that takes its time. Its
+// process goes on in server_disk.go.
 type Server struct {
 	*Process
-	cluster     *Cluster
-	Machine  *controlplane.Server
-	Disk  *Disk
-	log  *wal.Log
-	layout wal.Layout
-	writes  wal.WriteQueue
-	// requests are those made at this keeper itself.
-	requests *inflight.Requests
-	nextRequest  uint64
-	operation      *wal.Operation
-	DiskDelay     int64
-	DiskStalledUntil    int64
-	Seeds    []string
-	Removed     bool
-	Level    uint16
-	QuitReason    string
+	// Machine is the state machine that runs in the process, nil while it is down.
+	Machine *controlplane.Server
+	Disk    *Disk
+	Seeds   []string
+	// Level is the highest level of entries that its version knows.
+	Level uint16
+	// Diskless servers keep nothing, never vote, and forward requests.
+	Diskless bool
+	// Removed servers never start again.
+	Removed bool
+	// QuitReason is why the process ended by itself, empty if it did not.
+	QuitReason string
+	// DiskDelay is added to the duration of each operation of the disk, in ms.
+	DiskDelay int64
+	// DiskStalledUntil is before when no operation of the disk ends.
+	DiskStalledUntil int64
 	// PersistedIndex is how far the log on its disk goes.
 	PersistedIndex identifier.Index
-	// Diskless makes it a porter.
-	Diskless bool
+
+	cluster *Cluster
+	layout  wal.Layout
+	log     *wal.Log
+	writes  wal.WriteQueue
+	// operation is the operation of the disk under way, nil for none.
+	operation *wal.Operation
+	// requests are those that were made at this server itself.
+	requests    *inflight.Requests
+	lastRequest uint64
 }
 
-func (cluster *Cluster) AddServer(name, zone string) *Server {
-	server := &Server{Process: cluster.addProcess(name, zone), cluster: cluster, Disk: newDisk(), layout: wal.Layout{Files: 6, Bytes: 256 << 10}, Seeds: cluster.Seeds, Level: state.SupportedLevel}
-	cluster.Servers = append(cluster.Servers, server)
+// Size of a server's log, small enough that it is compacted in many runs.
+const (
+	logFiles     = 6
+	logFileBytes = 256 << 10
+)
+
+// AddServer adds a server with an empty disk, which is not started yet.
+func (c *Cluster) AddServer(name, domain string) *Server {
+	server := &Server{
+		Process: c.addProcess(name, domain),
+		Disk:    newDisk(),
+		Seeds:   c.Seeds,
+		Level:   state.SupportedLevel,
+		cluster: c,
+		layout:  wal.Layout{Files: logFiles, Bytes: logFileBytes},
+	}
+	c.Servers = append(c.Servers, server)
 	return server
 }
 
-// begin starts the process on whatever its disk holds.
-func (server *Server) Start() {
-	cluster := server.cluster
-	server.incarnation++
-	server.Up, server.startedAt, server.writes, server.operation, server.log, server.PersistedIndex = true, cluster.Now, wal.WriteQueue{}, nil, nil, 0
-	server.requests = inflight.New()
-	if server.Diskless {
-		server.Machine = controlplane.New(controlplane.Config{Addr: server.Addr, Domain: identifier.Domain(server.Domain), Seeds: server.Seeds, Seed: cluster.Random.Int63(), Timing: cluster.Spec.timing(), Level: server.Level, MayFound: true, Diskless: true}, 0)
-		server.tick(server.incarnation)
+// Start starts the process on whatever its disk holds.
+func (s *Server) Start() {
+	s.begin(s.cluster.Now)
+	s.writes = wal.WriteQueue{}
+	s.operation = nil
+	s.log = nil
+	s.PersistedIndex = 0
+	s.requests = inflight.New()
+	if s.Diskless {
+		s.Machine = controlplane.New(s.config(), 0)
+	} else if err := s.recover(); err != nil {
+		s.quit(err.Error())
 		return
 	}
-	id, shape, err := wal.Identity(server.Disk, identifier.Node(cluster.Random.Uint64()|1), server.layout)
+	s.tick(s.Incarnation)
+}
+
+func (s *Server) config() controlplane.Config {
+	return controlplane.Config{
+		Addr:     s.Addr,
+		Domain:   identifier.Domain(s.Domain),
+		Seeds:    s.Seeds,
+		Seed:     s.cluster.Random.Int63(),
+		Timing:   s.cluster.Spec.timing(),
+		Level:    s.Level,
+		MayFound: true,
+		Diskless: s.Diskless,
+	}
+}
+
+// recover makes the state machine of a server with a disk. It fails if the machine
+// refuses what the disk holds.
+func (s *Server) recover() error {
+	id, layout, err := wal.Identity(s.Disk, identifier.Node(s.cluster.Random.Uint64()|1), s.layout)
 	if err != nil {
-		panic(err)
+		panic("simulation: " + s.Name + ": " + err.Error())
 	}
-	server.layout = shape
-	server.Machine = controlplane.New(controlplane.Config{ID: id, Addr: server.Addr, Domain: identifier.Domain(server.Domain), Seeds: server.Seeds, Seed: cluster.Random.Int63(), Timing: cluster.Spec.timing(), Level: server.Level, MayFound: true}, 0)
-	r, found, err := wal.Open(server.Disk, server.layout)
+	s.layout = layout
+	config := s.config()
+	config.ID = id
+	s.Machine = controlplane.New(config, 0)
+	log, recovered, err := wal.Open(s.Disk, s.layout)
 	if err != nil {
-		panic("sim: " + server.Name + ": " + err.Error())
-	}
-	server.log = r
-	if found != nil {
-		server.PersistedIndex = found.Snapshot.Index + identifier.Index(len(found.Entries))
-		if err = server.Machine.Resume(found.HardState, found.Snapshot, found.Entries); err != nil {
-			server.QuitReason = err.Error()
-			server.Crash()
-			return
-		}
+		panic("simulation: " + s.Name + ": " + err.Error())
 	}
-	server.Machine.LogPercentUsed = func() int {
-		if server.log == nil {
-			return 0
+	s.log = log
+	if recovered != nil {
+		s.PersistedIndex = recovered.Snapshot.Index + identifier.Index(len(recovered.Entries))
+		if err = s.Machine.Resume(recovered.HardState, recovered.Snapshot, recovered.Entries); err != nil {
+			return err
 		}
-		return server.log.PercentUsed()
 	}
-	server.tick(server.incarnation)
+	s.Machine.LogPercentUsed = s.logPercentUsed
+	return nil
 }
 
-func (server *Server) tick(life int) {
-	if server.incarnation != life || !server.Up {
-		return
+func (s *Server) logPercentUsed() int {
+	if s.log == nil {
+		return 0
 	}
-	if !server.Frozen {
-		server.Machine.Tick(server.cluster.Monotonic(server.Process), server.cluster.WallTime(server.Process))
-		server.requests.Tick(server.cluster.Monotonic(server.Process), server.Machine.Connected())
-		server.Flush()
-		if server.Machine == nil {
-			return
-		}
-	}
-	server.cluster.After(int64(controlplane.TickInterval), func() { server.tick(life) })
+	return s.log.PercentUsed()
 }
 
-func (server *Server) Flush() {
-	if server.cluster.Failpoint != nil && server.cluster.Failpoint(server) {
+// Crash ends the process at once; with its power gone, a write under way is lost,
+// torn or done.
+func (s *Server) Crash() {
+	if !s.Up {
 		return
 	}
-	o := server.Machine.TakeOutput()
-	for _, e := range o.Events {
-		server.cluster.logf("%s %s %v", server.Name, e.Name, e.Fields)
-	}
-	server.writes.Add(o.CreateLog, o.Writes, o.Snapshot)
-	if o.Quit != "" {
-		server.QuitReason = o.Quit
-		server.Crash()
-		return
-	}
-	server.startOperation()
-	server.send(o.Messages)
-	server.dispatch()
+	s.interruptWrite()
+	s.Stop()
 }
 
-// send hands replies to requests made here to those, and all else to the net.
-func (server *Server) send(list []wire.Envelope) {
-	away := list[:0]
-	for _, s := range list {
-		if s.To.Local() {
-			server.requests.Complete(s.To, s.Message.Response, server.cluster.Monotonic(server.Process))
-			continue
-		}
-		away = append(away, s)
-	}
-	server.cluster.sendFrames(server.Process, away)
+// Stop ends the process with no write under way.
+func (s *Server) Stop() {
+	s.cluster.Kill(s.Process)
+	s.Machine = nil
+	s.log = nil
 }
 
-// dispatch gives the machine the requests made here that are due.
-func (server *Server) dispatch() {
-	list := server.requests.TakeDispatches()
-	for _, one := range list {
-		server.Machine.HandleMessage(one.Peer, wire.Message{Request: one.Request}, server.cluster.Monotonic(server.Process), server.cluster.WallTime(server.Process))
-	}
-	if len(list) > 0 {
-		server.Flush()
-	}
+// quit ends the process by its own decision.
+func (s *Server) quit(reason string) {
+	s.QuitReason = reason
+	s.Crash()
 }
 
-// handleRequest takes a request made at this keeper; answer is called once, unless the
-// process dies before.
-func (server *Server) handleRequest(r gateway.Request, answer func(status int, body []byte)) {
-	server.nextRequest++
-	r.ID = server.nextRequest
-	done := func(a gateway.Response) { answer(a.Status, a.Body) }
-	server.requests.Admit(r, done, server.cluster.Monotonic(server.Process), server.Machine.Connected())
-	server.dispatch()
+// WipeDisk crashes the server and empties its disk; it may start again, empty, at
+// its old address.
+func (s *Server) WipeDisk() {
+	s.Crash()
+	s.Disk = newDisk()
 }
 
-// work gives the disk its next chore; it goes on even in a frozen process,
-// which only hears of it on waking.
-func (server *Server) startOperation() {
-	x := server.writes.Next()
-	if x == nil {
+func (s *Server) tick(incarnation int) {
+	if s.Incarnation != incarnation || !s.Up {
 		return
 	}
-	server.operation = x
-	life := server.incarnation
-	server.cluster.After(max(1+server.cluster.Random.Int63n(3)+server.DiskDelay, server.DiskStalledUntil-server.cluster.Now), func() {
-		if server.incarnation != life || !server.Up {
+	if !s.Frozen {
+		s.Machine.Tick(s.cluster.Monotonic(s.Process), s.cluster.WallTime(s.Process))
+		s.requests.Tick(s.cluster.Monotonic(s.Process), s.Machine.Connected())
+		s.Flush()
+		if s.Machine == nil {
 			return
 		}
-		server.operation = nil
-		server.finishOperation(x)
-		server.startOperation()
-	})
-}
-
-func (server *Server) finishOperation(x *wal.Operation) {
-	made, err := x.Do(server.Disk, server.layout, server.log)
-	server.log = made
-	server.writes.Done(x)
-	if errors.Is(err, errDiskFull) {
-		server.QuitReason = err.Error()
-		server.Crash()
-		return
 	}
-	if err != nil {
-		server.cluster.Checker.Violate("disk", "%s: %v", server.Name, err)
+	s.cluster.After(int64(controlplane.TickInterval), func() { s.tick(incarnation) })
+}
+
+// Flush carries out what the state machine wants sent and written. A test that
+// calls the machine itself must call it afterwards.
+func (s *Server) Flush() {
+	if s.cluster.Failpoint != nil && s.cluster.Failpoint(s) {
 		return
 	}
-	if x.Snapshot != nil {
+	output := s.Machine.TakeOutput()
+	for _, e := range output.Events {
+		s.cluster.Logf("%s %s %v", s.Name, e.Name, e.Fields)
+	}
+	s.writes.Add(output.CreateLog, output.Writes, output.Snapshot)
+	if output.Quit != "" {
+		s.quit(output.Quit)
 		return
 	}
-	server.recordPersisted(x)
-	server.cluster.post(server.Process, 0, func() {
-		if x.Create != nil {
-			server.Machine.LogCreated(x.Create, server.cluster.Monotonic(server.Process), server.cluster.WallTime(server.Process))
-		} else {
-			server.Machine.Synced(x.Write.Seq, server.cluster.Monotonic(server.Process), server.cluster.WallTime(server.Process))
+	s.startOperation()
+	s.send(output.Messages)
+	s.dispatch()
+}
+
+// send hands over the replies to requests made at this server, and sends all else.
+func (s *Server) send(list []wire.Envelope) {
+	remote := list[:0]
+	for _, envelope := range list {
+		if envelope.To.Local() {
+			s.requests.Complete(envelope.To, envelope.Message.Response, s.cluster.Monotonic(s.Process))
+			continue
 		}
-		server.Flush()
-	})
+		remote = append(remote, envelope)
+	}
+	s.cluster.sendFrames(s.Process, remote)
 }
 
-// note takes down how far the log on the disk goes after a chore.
-func (server *Server) recordPersisted(x *wal.Operation) {
-	switch {
-	case x.Create != nil:
-		server.PersistedIndex = x.Create.Index
-	case len(x.Write.Entries) > 0:
-		server.PersistedIndex = x.Write.Entries[len(x.Write.Entries)-1].Index
-	case x.Write.Snapshot != nil:
-		server.PersistedIndex = max(server.PersistedIndex, x.Write.Snapshot.Index)
+// dispatch gives the state machine the requests made at this server that are due.
+func (s *Server) dispatch() {
+	due := s.requests.TakeDispatches()
+	for _, one := range due {
+		message := wire.Message{Request: one.Request}
+		s.Machine.HandleMessage(one.Peer, message, s.cluster.Monotonic(s.Process), s.cluster.WallTime(s.Process))
+	}
+	if len(due) > 0 {
+		s.Flush()
 	}
 }
 
-// WipeDisk takes the power and the disk; the machine may begin again, empty, at its
-// old address.
-func (server *Server) WipeDisk() {
-	server.Crash()
-	server.Disk = newDisk()
+// handleRequest takes a request made at this server; respond is called once, unless
+// the process dies before.
+func (s *Server) handleRequest(request gateway.Request, respond func(status int, body []byte)) {
+	s.lastRequest++
+	request.ID = s.lastRequest
+	done := func(response gateway.Response) { respond(response.Status, response.Body) }
+	s.requests.Admit(request, done, s.cluster.Monotonic(s.Process), s.Machine.Connected())
+	s.dispatch()
 }
 
-// Crash ends the process; with the power gone, a write under way is lost or
-// torn.
-func (server *Server) Crash() {
-	if !server.Up {
-		return
-	}
-	if server.operation != nil && server.cluster.Random.Intn(3) > 0 && server.log != nil && server.operation.Write != nil {
-		if server.cluster.Random.Intn(2) == 0 {
-			server.Disk.tornAt = server.cluster.Random.Intn(200)
-		}
-		_ = server.log.Save(server.operation.Write)
-		server.Disk.tornAt = -1
+// IsLeader tells whether this server believes that it leads, and is awake to act on
+// it.
+func (s *Server) IsLeader() bool {
+	if !s.Up || s.Frozen || s.Machine == nil || s.Machine.Raft() == nil {
+		return false
 	}
-	server.cluster.Kill(server.Process)
-	server.Machine, server.log = nil, nil
+	return s.Machine.Raft().Role() == raft.Leader
 }
 
-// IsLeader tells whether this keeper believes that it leads and may act on it.
-func (server *Server) IsLeader() bool {
-	return server.Up && server.Machine != nil && server.Machine.Raft() != nil && server.Machine.Raft().Role() == raft.Leader && !server.Frozen
+// HasCommittedInTerm tells whether a server has committed an entry of the present
+// term: a leader that has not may not know all that is committed.
+func (s *Server) HasCommittedInTerm() bool {
+	return s.Machine.Raft().CommitIndex() >= s.Machine.Raft().TermStart()
 }
--- /dev/null
+++ b/tests/simulation/simulationtest/simulationtest.go
@@ -0,0 +1,60 @@
+// Package simulationtest has what the tests of the simulation share: to play a
+// scenario and check what came of it, and to sum up measured times.
+package simulationtest
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"orchidward/internal/invariants"
+	"orchidward/tests/simulation"
+)
+
+// minSucceeded is how many jobs must have succeeded for a scenario to show anything.
+const minSucceeded = 30
+
+// CheckInvariants fails the test for each invariant that a run violated.
+func CheckInvariants(t *testing.T, seed int64, cluster *simulation.Cluster) {
+	t.Helper()
+	if len(cluster.Checker.Violations) > 0 {
+		t.Errorf("seed %d:\n%s", seed, strings.Join(cluster.Checker.Violations, "\n"))
+	}
+}
+
+// RunScenario plays a scenario, on the cluster of FastNetwork if it names none, and
+// checks its invariants.
+func RunScenario(t *testing.T, scenario simulation.Scenario) *simulation.Cluster {
+	t.Helper()
+	if scenario.Spec.Servers == 0 {
+		scenario.Spec = simulation.FastNetwork()
+	}
+	cluster := simulation.Run(scenario)
+	CheckInvariants(t, scenario.Seed, cluster)
+	if cluster.Checker.Counts[invariants.EndedCount(invariants.JobSucceeded)] < minSucceeded {
+		t.Errorf("too little evidence: %v", cluster.Checker.Counts)
+	}
+	return cluster
+}
+
+// Longest is the longest of some times, 0 for none.
+func Longest(times []int64) int64 {
+	var longest int64
+	for _, one := range times {
+		longest = max(longest, one)
+	}
+	return longest
+}
+
+// Percentile is the time that so many percent of some times do not exceed, 0 for
+// none.
+func Percentile(times []int64, percent int) int64 {
+	if len(times) == 0 {
+		return 0
+	}
+	sorted := slices.Sorted(slices.Values(times))
+	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
+}
+
+// Median is the median of some times, 0 for none.
+func Median(times []int64) int64 { return Percentile(times, 50) }
