--- /dev/null
+++ b/tests/simulation/gateway.go
@@ -0,0 +1,71 @@
+package simulation
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/gateway"
+)
+
+// Gateway is a process that takes the requests of clients and runners.
+type Gateway struct {
+	*Process
+	Machine *gateway.Gateway
+
+	cluster *Cluster
+	// responders are called with the response to each open request.
+	responders  map[uint64]func(status int, body []byte)
+	lastRequest uint64
+}
+
+// AddGateway adds a gateway, which is not started yet.
+func (c *Cluster) AddGateway(name, domain string) *Gateway {
+	g := &Gateway{Process: c.addProcess(name, domain), cluster: c}
+	c.Gateways = append(c.Gateways, g)
+	return g
+}
+
+// Start starts the process.
+func (g *Gateway) Start() {
+	g.begin(g.cluster.Now)
+	g.responders = map[uint64]func(int, []byte){}
+	g.Machine = gateway.New(gateway.Config{
+		Addr:   g.Addr,
+		HTTP:   g.Addr,
+		Domain: identifier.Domain(g.Domain),
+		Seeds:  g.cluster.Seeds,
+		Seed:   g.cluster.Random.Int63(),
+	}, 0)
+	g.tick(g.Incarnation)
+}
+
+func (g *Gateway) tick(incarnation int) {
+	if g.Incarnation != incarnation || !g.Up {
+		return
+	}
+	if !g.Frozen {
+		g.Machine.Tick(g.cluster.Monotonic(g.Process))
+		g.flush()
+	}
+	g.cluster.After(int64(gateway.TickInterval), func() { g.tick(incarnation) })
+}
+
+// flush carries out what the state machine wants sent and answered.
+func (g *Gateway) flush() {
+	output := g.Machine.TakeOutput()
+	g.cluster.sendFrames(g.Process, output.Messages)
+	for _, response := range output.Responses {
+		if respond := g.responders[response.ID]; respond != nil {
+			delete(g.responders, response.ID)
+			respond(response.Status, response.Body)
+		}
+	}
+}
+
+// handleRequest takes a request made at this gateway; respond is called once, unless
+// the process dies before.
+func (g *Gateway) handleRequest(request gateway.Request, respond func(status int, body []byte)) {
+	g.lastRequest++
+	request.ID = g.lastRequest
+	g.responders[request.ID] = respond
+	g.Machine.HandleRequest(request, g.cluster.Monotonic(g.Process))
+	g.flush()
+}
--- /dev/null
+++ b/tests/simulation/membership/founding_test.go
@@ -0,0 +1,155 @@
+package membership
+
+import (
+	"fmt"
+	"math/rand"
+	"testing"
+
+	"orchidward/tests/simulation"
+)
+
+// setSeeds makes a world whose first start knows the given seeds.
+func setSeeds(cluster *simulation.Cluster, seeds ...string) {
+	cluster.Seeds = seeds
+	for _, server := range cluster.Servers {
+		server.Seeds = seeds
+	}
+}
+
+// leadersWithLease counts the leaders that may act at this moment: of one group there is
+// never more than one, so that two are two groups.
+func leadersWithLease(cluster *simulation.Cluster) int {
+	var n int
+	for _, server := range cluster.Servers {
+		if server.IsLeader() && server.Machine.Raft().HasLease(cluster.Monotonic(server.Process)) {
+			n++
+		}
+	}
+	return n
+}
+
+// requireSingleGroup fails the test when two lead at once.
+func requireSingleGroup(t *testing.T, cluster *simulation.Cluster, seed int64) {
+	told := false
+	var look func()
+	look = func() {
+		if leadersWithLease(cluster) > 1 && !told {
+			told = true
+			t.Errorf("seed %d, at %d: two groups", seed, cluster.Now)
+		}
+		cluster.After(10, look)
+	}
+	cluster.At(10, look)
+}
+
+// TestSingleGroupFounded lets crashes, cuts, restarted porters and a lost disk loose on
+// first starts past a porter, at every moment of them. There are never two
+// groups, and where no disk was lost there is one in the end.
+func TestSingleGroupFounded(t *testing.T) {
+	ends := map[bool]int{}
+	for seed := int64(1); seed <= 150; seed++ {
+		site := simulation.FastNetwork()
+		site.Servers, site.DisklessServers, site.Runners = 4+int(seed%3), 2, 0
+		cluster := simulation.NewCluster(seed, site)
+		cluster.Clients.StopAt = 0
+		setSeeds(cluster, "k1", "k2", "p1")
+		if seed%5 == 0 {
+			setSeeds(cluster, "k1", "p1", "p2")
+		}
+		requireSingleGroup(t, cluster, seed)
+		rnd := rand.New(rand.NewSource(seed))
+		undos := []func(){}
+		for at := int64(500); at < 9000; at += 200 + rnd.Int63n(900) {
+			cluster.At(at, func() { undos = append(undos, injectFoundingFault(cluster, rnd)) })
+		}
+		wiped := seed%2 == 0
+		if wiped {
+			server := cluster.Servers[rnd.Intn(2)]
+			at := 2800 + rnd.Int63n(3500)
+			cluster.At(at, server.WipeDisk)
+			cluster.At(at+rnd.Int63n(2000), func() {
+				if !server.Up {
+					server.Start()
+				}
+			})
+		}
+		cluster.At(10000, func() {
+			simulation.UndoAll(undos)()
+			cluster.Heal()
+		})
+		cluster.Run(30000)
+		ends[cluster.Leader() != nil]++
+		if cluster.Leader() == nil && !wiped {
+			t.Errorf("seed %d: no group though no disk was lost", seed)
+		}
+	}
+	t.Logf("of 150 first starts %d came to a group, %d to none", ends[true], ends[false])
+	if ends[true] < 100 {
+		t.Error("too little evidence")
+	}
+}
+
+func injectFoundingFault(cluster *simulation.Cluster, rnd *rand.Rand) func() {
+	var undo func()
+	server := cluster.Servers[rnd.Intn(len(cluster.Servers))]
+	other := cluster.Servers[rnd.Intn(len(cluster.Servers))]
+	wait := rnd.Int63n(2500)
+	switch rnd.Intn(3) {
+	case 0:
+		undo = cluster.CrashServer(server)
+	case 1:
+		undo = cluster.Isolate(server.Process, rnd.Intn(2) == 0, rnd.Intn(2) == 0)
+	default:
+		undo = cluster.BlockLink(server.Process, other.Process, rnd.Intn(2) == 0)
+	}
+	if undo == nil {
+		return func() {}
+	}
+	cluster.After(wait, undo)
+	return func() {}
+}
+
+// TestSeedWiped: the whole core loses its power, and one seed, or both, that
+// have a disk lose it too, while the porters among the seeds forget that there
+// is a group. What comes back empty waits until it hears of it.
+func TestSeedWiped(t *testing.T) {
+	for seed := int64(1); seed <= 12; seed++ {
+		t.Run(fmt.Sprint(seed), func(t *testing.T) {
+			t.Parallel()
+			site := sixInThreeDomains()
+			site.DisklessServers, site.Runners = 2, 0
+			if seed%2 == 0 {
+				site.ElectionTimeout = 250
+			}
+			cluster := simulation.NewCluster(390+seed, site)
+			cluster.Clients.StopAt = 0
+			wiped := cluster.Servers[:1+seed/2%2]
+			setSeeds(cluster, "k1", "p1", "p2")
+			if len(wiped) == 2 {
+				setSeeds(cluster, "k1", "k2", "p1")
+			}
+			requireSingleGroup(t, cluster, seed)
+			cluster.At(18000, func() {
+				if list, _ := cluster.Voters(); len(list) != 5 {
+					t.Errorf("before: %d voters", len(list))
+				}
+				for _, server := range cluster.Servers {
+					server.Crash()
+					cluster.After(cluster.Random.Int63n(1000), server.Start)
+				}
+				for _, server := range wiped {
+					server.WipeDisk()
+				}
+			})
+			cluster.Run(45000)
+			if list, _ := cluster.Voters(); len(list) != 5 {
+				t.Errorf("in the end: %d voters", len(list))
+			}
+			for _, server := range cluster.Servers[:6] {
+				if server.Machine.Raft() == nil || len(server.Machine.Raft().Members()) != 6 {
+					t.Errorf("%s is not in the group of six", server.Name)
+				}
+			}
+		})
+	}
+}
--- /dev/null
+++ b/tests/simulation/server.go
@@ -0,0 +1,244 @@
+package simulation
+
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/consensus/wal"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/gateway"
+	"orchidward/internal/inflight"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
+)
+
+// Server is a process of the control plane, with a disk that takes its time. Its
+// process goes on in server_disk.go.
+type Server struct {
+	*Process
+	// Machine is the state machine that runs in the process, nil while it is down.
+	Machine *controlplane.Server
+	Disk    *Disk
+	Seeds   []string
+	// Level is the highest level of entries that its version knows.
+	Level uint16
+	// Diskless servers keep nothing, never vote, and forward requests.
+	Diskless bool
+	// Removed servers never start again.
+	Removed bool
+	// QuitReason is why the process ended by itself, empty if it did not.
+	QuitReason string
+	// DiskDelay is added to the duration of each operation of the disk, in ms.
+	DiskDelay int64
+	// DiskStalledUntil is before when no operation of the disk ends.
+	DiskStalledUntil int64
+	// PersistedIndex is how far the log on its disk goes.
+	PersistedIndex identifier.Index
+
+	cluster *Cluster
+	layout  wal.Layout
+	log     *wal.Log
+	writes  wal.WriteQueue
+	// operation is the operation of the disk under way, nil for none.
+	operation *wal.Operation
+	// requests are those that were made at this server itself.
+	requests    *inflight.Requests
+	lastRequest uint64
+}
+
+// Size of a server's log, small enough that it is compacted in many runs.
+const (
+	logFiles     = 6
+	logFileBytes = 256 << 10
+)
+
+// AddServer adds a server with an empty disk, which is not started yet.
+func (c *Cluster) AddServer(name, domain string) *Server {
+	server := &Server{
+		Process: c.addProcess(name, domain),
+		Disk:    newDisk(),
+		Seeds:   c.Seeds,
+		Level:   state.SupportedLevel,
+		cluster: c,
+		layout:  wal.Layout{Files: logFiles, Bytes: logFileBytes},
+	}
+	c.Servers = append(c.Servers, server)
+	return server
+}
+
+// Start starts the process on whatever its disk holds.
+func (s *Server) Start() {
+	s.begin(s.cluster.Now)
+	s.writes = wal.WriteQueue{}
+	s.operation = nil
+	s.log = nil
+	s.PersistedIndex = 0
+	s.requests = inflight.New()
+	if s.Diskless {
+		s.Machine = controlplane.New(s.config(), 0)
+	} else if err := s.recover(); err != nil {
+		s.quit(err.Error())
+		return
+	}
+	s.tick(s.Incarnation)
+}
+
+func (s *Server) config() controlplane.Config {
+	return controlplane.Config{
+		Addr:     s.Addr,
+		Domain:   identifier.Domain(s.Domain),
+		Seeds:    s.Seeds,
+		Seed:     s.cluster.Random.Int63(),
+		Timing:   s.cluster.Spec.timing(),
+		Level:    s.Level,
+		MayFound: true,
+		Diskless: s.Diskless,
+	}
+}
+
+// recover makes the state machine of a server with a disk. It fails if the machine
+// refuses what the disk holds.
+func (s *Server) recover() error {
+	id, layout, err := wal.Identity(s.Disk, identifier.Node(s.cluster.Random.Uint64()|1), s.layout)
+	if err != nil {
+		panic("simulation: " + s.Name + ": " + err.Error())
+	}
+	s.layout = layout
+	config := s.config()
+	config.ID = id
+	s.Machine = controlplane.New(config, 0)
+	log, recovered, err := wal.Open(s.Disk, s.layout)
+	if err != nil {
+		panic("simulation: " + s.Name + ": " + err.Error())
+	}
+	s.log = log
+	if recovered != nil {
+		s.PersistedIndex = recovered.Snapshot.Index + identifier.Index(len(recovered.Entries))
+		if err = s.Machine.Resume(recovered.HardState, recovered.Snapshot, recovered.Entries); err != nil {
+			return err
+		}
+	}
+	s.Machine.LogPercentUsed = s.logPercentUsed
+	return nil
+}
+
+func (s *Server) logPercentUsed() int {
+	if s.log == nil {
+		return 0
+	}
+	return s.log.PercentUsed()
+}
+
+// Crash ends the process at once; with its power gone, a write under way is lost,
+// torn or done.
+func (s *Server) Crash() {
+	if !s.Up {
+		return
+	}
+	s.interruptWrite()
+	s.Stop()
+}
+
+// Stop ends the process with no write under way.
+func (s *Server) Stop() {
+	s.cluster.Kill(s.Process)
+	s.Machine = nil
+	s.log = nil
+}
+
+// quit ends the process by its own decision.
+func (s *Server) quit(reason string) {
+	s.QuitReason = reason
+	s.Crash()
+}
+
+// WipeDisk crashes the server and empties its disk; it may start again, empty, at
+// its old address.
+func (s *Server) WipeDisk() {
+	s.Crash()
+	s.Disk = newDisk()
+}
+
+func (s *Server) tick(incarnation int) {
+	if s.Incarnation != incarnation || !s.Up {
+		return
+	}
+	if !s.Frozen {
+		s.Machine.Tick(s.cluster.Monotonic(s.Process), s.cluster.WallTime(s.Process))
+		s.requests.Tick(s.cluster.Monotonic(s.Process), s.Machine.Connected())
+		s.Flush()
+		if s.Machine == nil {
+			return
+		}
+	}
+	s.cluster.After(int64(controlplane.TickInterval), func() { s.tick(incarnation) })
+}
+
+// Flush carries out what the state machine wants sent and written. A test that
+// calls the machine itself must call it afterwards.
+func (s *Server) Flush() {
+	if s.cluster.Failpoint != nil && s.cluster.Failpoint(s) {
+		return
+	}
+	output := s.Machine.TakeOutput()
+	for _, e := range output.Events {
+		s.cluster.Logf("%s %s %v", s.Name, e.Name, e.Fields)
+	}
+	s.writes.Add(output.CreateLog, output.Writes, output.Snapshot)
+	if output.Quit != "" {
+		s.quit(output.Quit)
+		return
+	}
+	s.startOperation()
+	s.send(output.Messages)
+	s.dispatch()
+}
+
+// send hands over the replies to requests made at this server, and sends all else.
+func (s *Server) send(list []wire.Envelope) {
+	remote := list[:0]
+	for _, envelope := range list {
+		if envelope.To.Local() {
+			s.requests.Complete(envelope.To, envelope.Message.Response, s.cluster.Monotonic(s.Process))
+			continue
+		}
+		remote = append(remote, envelope)
+	}
+	s.cluster.sendFrames(s.Process, remote)
+}
+
+// dispatch gives the state machine the requests made at this server that are due.
+func (s *Server) dispatch() {
+	due := s.requests.TakeDispatches()
+	for _, one := range due {
+		message := wire.Message{Request: one.Request}
+		s.Machine.HandleMessage(one.Peer, message, s.cluster.Monotonic(s.Process), s.cluster.WallTime(s.Process))
+	}
+	if len(due) > 0 {
+		s.Flush()
+	}
+}
+
+// handleRequest takes a request made at this server; respond is called once, unless
+// the process dies before.
+func (s *Server) handleRequest(request gateway.Request, respond func(status int, body []byte)) {
+	s.lastRequest++
+	request.ID = s.lastRequest
+	done := func(response gateway.Response) { respond(response.Status, response.Body) }
+	s.requests.Admit(request, done, s.cluster.Monotonic(s.Process), s.Machine.Connected())
+	s.dispatch()
+}
+
+// IsLeader tells whether this server believes that it leads, and is awake to act on
+// it.
+func (s *Server) IsLeader() bool {
+	if !s.Up || s.Frozen || s.Machine == nil || s.Machine.Raft() == nil {
+		return false
+	}
+	return s.Machine.Raft().Role() == raft.Leader
+}
+
+// HasCommittedInTerm tells whether a server has committed an entry of the present
+// term: a leader that has not may not know all that is committed.
+func (s *Server) HasCommittedInTerm() bool {
+	return s.Machine.Raft().CommitIndex() >= s.Machine.Raft().TermStart()
+}
