--- /dev/null
+++ b/internal/controlplane/leadership_loss_test.go
@@ -0,0 +1,122 @@
+package controlplane_test
+
+import (
+	"net/http"
+	"testing"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/consensus/raft"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/state"
+	"orchidward/internal/transport/wire"
+)
+
+// deliver hands a server a message and syncs what it writes at once. It returns all that
+// the server sends.
+func deliver(server *controlplane.Server, from wire.Peer, message wire.Message, now clock.Monotonic) []wire.Envelope {
+	server.HandleMessage(from, message, now, 0)
+	return syncWrites(server, now)
+}
+
+// syncWrites syncs what a server writes until it writes nothing more. It returns all that
+// the server sends.
+func syncWrites(server *controlplane.Server, now clock.Monotonic) []wire.Envelope {
+	var sent []wire.Envelope
+	output := server.TakeOutput()
+	for len(output.Writes) > 0 || len(output.Messages) > 0 {
+		sent = append(sent, output.Messages...)
+		for _, write := range output.Writes {
+			server.Synced(write.Seq, now, 0)
+		}
+		output = server.TakeOutput()
+	}
+	return sent
+}
+
+// newLeaderOfThree is the leader of itself, "k2" and "k3", which have acknowledged all
+// of its log, and the time at which they have.
+func newLeaderOfThree(t *testing.T) (server *controlplane.Server, now clock.Monotonic) {
+	t.Helper()
+	server = controlplane.New(controlplane.Config{ID: 1, Addr: "k1", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel}, 0)
+	members := []raft.Member{
+		{ID: 1, Addr: "k1", Domain: "a", Voter: true},
+		{ID: 2, Addr: "k2", Domain: "b", Voter: true},
+		{ID: 3, Addr: "k3", Domain: "c", Voter: true},
+	}
+	snapshot := &raft.Snapshot{Index: 1, Term: 1, Members: members, Data: state.New().Encode()}
+	if err := server.Resume(raft.HardState{}, snapshot, nil); err != nil {
+		t.Fatal(err)
+	}
+	for now = 100; now < 20000; now += 20 {
+		server.Tick(now, 0)
+		acknowledgeAll(server, syncWrites(server, now), now)
+		member := server.Raft()
+		if member.Role() == raft.Leader && member.HasLease(now) && member.Replicated() {
+			return server, now
+		}
+	}
+	t.Fatal("no leader")
+	return nil, 0
+}
+
+// acknowledgeAll answers a server's messages as members that agree to everything, and what
+// it sends because of that.
+func acknowledgeAll(server *controlplane.Server, sent []wire.Envelope, now clock.Monotonic) {
+	for len(sent) > 0 {
+		var next []wire.Envelope
+		for _, envelope := range sent {
+			if envelope.Message.Raft != nil {
+				next = append(next, acknowledge(server, envelope.To, envelope.Message.Raft, now)...)
+			}
+		}
+		sent = next
+	}
+}
+
+// acknowledge answers one message, and returns what the server sends next.
+func acknowledge(server *controlplane.Server, from wire.Peer, message *raft.Message, now clock.Monotonic) []wire.Envelope {
+	reply := raft.Message{From: message.To, To: message.From, Term: message.Term, SentAt: message.SentAt}
+	switch message.Kind {
+	case raft.RequestPreVote:
+		reply.Kind = raft.PreVoteReply
+	case raft.RequestVote:
+		reply.Kind = raft.VoteReply
+	case raft.AppendEntries:
+		reply.Kind = raft.AppendReply
+		reply.Index = message.Index + identifier.Index(len(message.Entries))
+	default:
+		return nil
+	}
+	return deliver(server, from, wire.Message{Raft: &reply}, now)
+}
+
+// TestDeposedLeaderReportsUnknownOutcome checks that a leader that loses its leadership
+// with a proposal under way says that the outcome is not known. It says neither that it
+// did not take the request nor that another leads, as the entry may yet be committed.
+func TestDeposedLeaderReportsUnknownOutcome(t *testing.T) {
+	server, now := newLeaderOfThree(t)
+	order := &wire.Request{ID: 5, Method: http.MethodPut, Path: "/v1/jobs/a/1", Body: []byte(`{"pending":"stock","steps":[{"name":"s"}]}`), Budget: 3000}
+	for _, envelope := range deliver(server, "#1", wire.Message{Request: order}, now) {
+		if envelope.Message.Response != nil {
+			t.Fatalf("answered before it is decided: %+v", envelope.Message.Response)
+		}
+	}
+
+	newTerm := server.Raft().Term() + 1
+	fromNewLeader := raft.Message{Kind: raft.AppendEntries, From: 2, To: 1, Term: newTerm, Index: 1, LogTerm: 1, SentAt: 10}
+	answers := 0
+	for _, envelope := range deliver(server, "k2", wire.Message{Raft: &fromNewLeader}, now+10) {
+		response := envelope.Message.Response
+		if response == nil || envelope.To != "#1" || response.ID != order.ID {
+			continue
+		}
+		answers++
+		if response.Status != http.StatusGatewayTimeout || response.NotLeader || response.Expired {
+			t.Errorf("deposed, it answered %+v", response)
+		}
+	}
+	if answers != 1 {
+		t.Errorf("deposed, it answered %d times", answers)
+	}
+}
--- a/internal/controlplane/membership_plan_test.go
+++ b/internal/controlplane/membership_plan_test.go
@@ -3,82 +3,104 @@
 import (
 	"fmt"
 	"math/rand"
+	"strings"
 	"testing"
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/consensus/raft"
 )
 
-// seatsOf makes a group, its first member the leader:
-// "A" is a voter of zone A that lives, "a" a learner that is ready; after "-"
-// comes one that is dead or idle, after "?" one that is not heard of.
-func seatsOf(text string) []memberState {
-	var list []memberState
+// Marks before a member in the text of a group.
+const (
+	goneMark   = '-'
+	silentMark = '?'
+)
+
+// toLearner is the distance from the letter of a voter to that of a learner.
+const toLearner = 'a' - 'A'
+
+// parseGroup makes a group of a text, its first member the leader. "A" is a live voter of
+// domain A, "a" a learner of it that has caught up. A "-" before a member says that it is
+// gone: a voter that may be replaced, or an abandoned learner. A "?" says that it is not
+// heard.
+func parseGroup(text string) []memberState {
+	var members []memberState
 	mark := rune(0)
-	for _, c := range text {
-		if c == '-' || c == '?' {
-			mark = c
+	for _, letter := range text {
+		if letter == goneMark || letter == silentMark {
+			mark = letter
 			continue
 		}
-		voter := c >= 'A' && c <= 'Z'
-		zone := c
-		if !voter {
-			zone += 'A' - 'a'
-		}
-		s := memberState{Member: raft.Member{ID: identifier.Node(len(list) + 1), Domain: identifier.Domain(zone), Voter: voter}, live: mark == 0, self: len(list) == 0}
-		s.replaceable, s.abandoned, s.caughtUp = voter && mark == '-', !voter && mark == '-', !voter && mark == 0
-		list = append(list, s)
+		members = append(members, parseMember(letter, mark, len(members)))
 		mark = 0
 	}
-	return list
+	return members
 }
 
+func parseMember(letter, mark rune, position int) memberState {
+	voter := letter >= 'A' && letter <= 'Z'
+	domain := letter
+	if !voter {
+		domain -= toLearner
+	}
+	return memberState{
+		Member:      raft.Member{ID: identifier.Node(position + 1), Domain: identifier.Domain(domain), Voter: voter},
+		self:        position == 0,
+		live:        mark == 0,
+		replaceable: voter && mark == goneMark,
+		abandoned:   !voter && mark == goneMark,
+		caughtUp:    !voter && mark == 0,
+	}
+}
+
+// String is the member as parseGroup reads it.
 func (s memberState) String() string {
-	c := []rune(s.Domain)[0]
+	letter := []rune(s.Domain)[0]
 	if !s.Voter {
-		c += 'a' - 'A'
+		letter += toLearner
 	}
 	switch {
 	case s.replaceable, s.abandoned:
-		return "-" + string(c)
+		return string(goneMark) + string(letter)
 	case !s.live:
-		return "?" + string(c)
+		return string(silentMark) + string(letter)
 	}
-	return string(c)
+	return string(letter)
 }
 
-func textOf(list []memberState) string {
-	var text string
-	for _, s := range list {
-		text += s.String()
+func formatGroup(members []memberState) string {
+	var text strings.Builder
+	for _, member := range members {
+		text.WriteString(member.String())
 	}
-	return text
+	return text.String()
 }
 
-// after is the group as it would be seen once a change is committed.
-func after(list []memberState, next []raft.Member) []memberState {
-	var out []memberState
-	for _, mem := range next {
-		for _, s := range list {
-			if s.ID == mem.ID {
-				if s.Voter != mem.Voter {
-					s.caughtUp = !mem.Voter && s.live
-				}
-				s.Member = mem
-				out = append(out, s)
+// afterChange is the group as its leader sees it once a change is committed.
+func afterChange(members []memberState, next []raft.Member) []memberState {
+	var changed []memberState
+	for _, member := range next {
+		for _, current := range members {
+			if current.ID != member.ID {
+				continue
+			}
+			if current.Voter != member.Voter {
+				current.caughtUp = !member.Voter && current.live
 			}
+			current.Member = member
+			changed = append(changed, current)
 		}
 	}
-	return out
+	return changed
 }
 
-// TestReseat walks groups to where they come to rest, by the changes that the
-// leader of zone A would make.
-func TestReseat(t *testing.T) {
-	for _, c := range []struct {
-		from string
-		want int
-		to   string
+// TestMembershipPlan follows groups to where no further change is made, by the changes
+// that the leader in domain A would make.
+func TestMembershipPlan(t *testing.T) {
+	for _, test := range []struct {
+		group  string
+		voters int
+		want   string
 	}{
 		{"ABC", 3, "ABC"},
 		{"AB-C", 3, "AB-C"},
@@ -97,141 +119,166 @@
 		{"ABC-Acb", 5, "ABCCB"},
 		{"ABCDa", 3, "AbCDa"},
 	} {
-		list := seatsOf(c.from)
+		members := parseGroup(test.group)
 		for i := 0; i < 20; i++ {
-			next := nextMembers(list, c.want, true)
+			next := nextMembers(members, test.voters, true)
 			if next == nil {
 				break
 			}
-			list = after(list, next)
+			members = afterChange(members, next)
 		}
-		if got := textOf(list); got != c.to {
-			t.Errorf("%s with %d voters wanted comes to %s, want %s", c.from, c.want, got, c.to)
+		if got := formatGroup(members); got != test.want {
+			t.Errorf("%s with %d voters wanted comes to %s, want %s", test.group, test.voters, got, test.want)
 		}
 	}
 }
 
-// TestReseatAnyGroup judges every change in groups drawn at random: it is of
-// one member, the live are a majority after it, nobody is promoted who is not
-// ready, and it comes to rest.
-func TestReseatAnyGroup(t *testing.T) {
-	rnd := rand.New(rand.NewSource(1))
-	changes := map[string]int{}
-	for n := 0; n < 50000; n++ {
-		list, want := drawSeats(rnd), minVoters+2*rnd.Intn(2)
-		begun := textOf(list)
-		for i := 0; ; i++ {
-			next := nextMembers(list, want, rnd.Intn(4) > 0)
+// changeCounts counts the changes that a test has seen.
+type changeCounts struct {
+	promoted int
+	demoted  int
+	removed  int
+}
+
+// TestMembershipPlanRandomGroups checks every change in groups drawn at random: it is of
+// one member, the live are a majority of the voters after it, no learner is promoted that
+// has not caught up, and no group changes without end.
+func TestMembershipPlanRandomGroups(t *testing.T) {
+	const (
+		groups     = 50000
+		maxChanges = 30
+		minCount   = 1000
+	)
+	random := rand.New(rand.NewSource(1))
+	var counts changeCounts
+	for n := 0; n < groups; n++ {
+		members := randomGroup(random)
+		voters := minVoters + 2*random.Intn(2)
+		initial := formatGroup(members)
+		for changes := 0; ; changes++ {
+			next := nextMembers(members, voters, random.Intn(4) > 0)
 			if next == nil {
 				break
 			}
-			if fault := judgeChange(list, next, changes); fault != "" {
-				t.Fatalf("%s, then %s with %d wanted: %s", begun, textOf(list), want, fault)
+			if fault := checkChange(members, next, &counts); fault != "" {
+				t.Fatalf("%s, then %s with %d wanted: %s", initial, formatGroup(members), voters, fault)
 			}
-			if list = after(list, next); i > 30 {
-				t.Fatalf("%s with %d wanted never comes to rest, last %s", begun, want, textOf(list))
+			members = afterChange(members, next)
+			if changes > maxChanges {
+				t.Fatalf("%s with %d wanted never comes to rest, last %s", initial, voters, formatGroup(members))
 			}
 		}
 	}
-	for _, kind := range []string{"promoted", "demoted", "left"} {
-		if changes[kind] < 1000 {
-			t.Errorf("too little evidence: %v", changes)
-		}
+	if counts.promoted < minCount || counts.demoted < minCount || counts.removed < minCount {
+		t.Errorf("too few changes of some kind: %+v", counts)
 	}
 }
 
-func drawSeats(rnd *rand.Rand) []memberState {
-	text := ""
-	zones := 1 + rnd.Intn(4)
-	count, voters := 1+rnd.Intn(9), 1+rnd.Intn(6)
+func randomGroup(random *rand.Rand) []memberState {
+	var text strings.Builder
+	domains := 1 + random.Intn(4)
+	count := 1 + random.Intn(9)
+	voters := 1 + random.Intn(6)
 	for i := 0; i < count; i++ {
 		if i > 0 {
-			text += []string{"", "", "", "-", "?"}[rnd.Intn(5)]
+			marks := []string{"", "", "", string(goneMark), string(silentMark)}
+			text.WriteString(marks[random.Intn(len(marks))])
 		}
-		c := 'A' + rune(rnd.Intn(zones))
+		letter := 'A' + rune(random.Intn(domains))
 		if i >= voters {
-			c += 'a' - 'A'
+			letter += toLearner
 		}
-		text += string(c)
+		text.WriteRune(letter)
 	}
-	return seatsOf(text)
+	return parseGroup(text.String())
 }
 
-// judgeChange says what is wrong with a change. Where the live are no majority
-// to begin with, nothing can be committed, and nothing is judged.
-func judgeChange(list []memberState, next []raft.Member, changes map[string]int) string {
-	was, live := map[identifier.Node]memberState{}, 0
-	for _, s := range list {
-		was[s.ID] = s
+// checkChange says what is wrong with a change, empty for nothing.
+func checkChange(members []memberState, next []raft.Member, counts *changeCounts) (fault string) {
+	current := map[identifier.Node]memberState{}
+	for _, member := range members {
+		current[member.ID] = member
 	}
-	voters, differ := 0, len(list)-len(next)
-	for _, mem := range next {
-		s, known := was[mem.ID]
+	voters := 0
+	liveVoters := 0
+	changed := len(members) - len(next)
+	counts.removed += min(changed, 1)
+	for _, member := range next {
+		before, known := current[member.ID]
 		if !known {
-			return "a stranger"
+			return "an unknown member"
 		}
-		if mem.Voter {
+		if member.Voter {
 			voters++
-			if s.live {
-				live++
-			}
+		}
+		if member.Voter && before.live {
+			liveVoters++
 		}
 		switch {
-		case mem.Voter && !s.Voter && (!s.caughtUp || !s.live):
-			return "promoted a learner that is not ready"
-		case mem.Voter && !s.Voter:
-			changes["promoted"]++
-			differ++
-		case !mem.Voter && s.Voter && s.self:
+		case member.Voter && !before.Voter && (!before.caughtUp || !before.live):
+			return "promoted a learner that has not caught up"
+		case member.Voter && !before.Voter:
+			counts.promoted++
+			changed++
+		case !member.Voter && before.Voter && before.self:
 			return "the leader demoted itself"
-		case !mem.Voter && s.Voter:
-			changes["demoted"]++
-			differ++
+		case !member.Voter && before.Voter:
+			counts.demoted++
+			changed++
 		}
 	}
-	if len(next) < len(list) {
-		changes["left"]++
+	if changed != 1 {
+		return fmt.Sprintf("%d members differ", changed)
 	}
-	if differ != 1 {
-		return fmt.Sprintf("%d members differ", differ)
-	}
-	if live <= voters/2 {
-		return fmt.Sprintf("%d of %d voters would be live", live, voters)
+	if liveVoters <= voters/2 {
+		return fmt.Sprintf("%d of %d voters would be live", liveVoters, voters)
 	}
 	return ""
 }
 
-// TestSpread: with all alive and ready, the voters come to lie as evenly over
-// the zones as there are keepers in them.
-func TestSpread(t *testing.T) {
-	rnd := rand.New(rand.NewSource(2))
+// TestVotersSpreadOverDomains checks that with all members live and caught up the voters
+// come to be spread over the domains as evenly as can be.
+func TestVotersSpreadOverDomains(t *testing.T) {
+	random := rand.New(rand.NewSource(2))
 	for n := 0; n < 20000; n++ {
-		zones, text := 3+rnd.Intn(2), ""
-		for i := 0; i < 2*zones; i++ {
-			text += string('a' + rune(i%zones))
-		}
-		list := seatsOf(text)
-		rnd.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
-		for i := range list {
-			list[i].self, list[i].Voter, list[i].caughtUp = i == 0, i < 3, i >= 3
-		}
-		want := minVoters + 2*rnd.Intn(2)
+		domains := 3 + random.Intn(2)
+		members := randomHealthyGroup(random, domains)
+		want := minVoters + 2*random.Intn(2)
 		for i := 0; i < 30; i++ {
-			if next := nextMembers(list, want, true); next != nil {
-				list = after(list, next)
+			if next := nextMembers(members, want, true); next != nil {
+				members = afterChange(members, next)
 			}
 		}
-		held, voters := map[identifier.Domain]int{}, 0
-		for _, s := range list {
-			if s.Voter {
+		voters := 0
+		votersIn := map[identifier.Domain]int{}
+		for _, member := range members {
+			if member.Voter {
 				voters++
-				held[s.Domain]++
+				votersIn[member.Domain]++
 			}
 		}
-		for zone, have := range held {
-			if most := (want + zones - 1) / zones; have > most || voters != want {
-				t.Fatalf("%d of %d voters in zone %s of %d: %s", have, voters, zone, zones, textOf(list))
+		mostPerDomain := (want + domains - 1) / domains
+		for domain, count := range votersIn {
+			if count > mostPerDomain || voters != want {
+				t.Fatalf("%d of %d voters in domain %s of %d: %s", count, voters, domain, domains, formatGroup(members))
 			}
 		}
 	}
 }
+
+// randomHealthyGroup has two members in each domain, in any order. The first is the
+// leader and the first three vote.
+func randomHealthyGroup(random *rand.Rand, domains int) []memberState {
+	var text strings.Builder
+	for i := 0; i < 2*domains; i++ {
+		text.WriteRune('a' + rune(i%domains))
+	}
+	members := parseGroup(text.String())
+	random.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
+	for i := range members {
+		members[i].self = i == 0
+		members[i].Voter = i < minVoters
+		members[i].caughtUp = !members[i].Voter
+	}
+	return members
+}
--- /dev/null
+++ b/internal/controlplane/order_expiry_test.go
@@ -0,0 +1,61 @@
+package controlplane_test
+
+import (
+	"net/http"
+	"testing"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/transport/wire"
+)
+
+// TestExpiredOrder checks that a leader takes an order only while no more time than its
+// sender waits has passed on the leader's clock since the reading that came with it. One
+// with a reading of another term, or with none, is refused. Reads are always served.
+func TestExpiredOrder(t *testing.T) {
+	cluster := newTestCluster(t, 1, 0)
+	term := cluster.server.Raft().Term()
+	for _, test := range []struct {
+		name     string
+		method   string
+		hasTime  bool
+		term     identifier.Term
+		age      clock.Millis
+		budget   clock.Millis
+		accepted bool
+	}{
+		{"fresh", http.MethodPut, true, term, 100, 900, true},
+		{"at its end", http.MethodPut, true, term, 870, 900, true},
+		{"past it by a slow clock", http.MethodPut, true, term, 890, 900, false},
+		{"old", http.MethodDelete, true, term, 20000, 900, false},
+		{"of an earlier term", http.MethodPut, true, term - 1, 0, 900, false},
+		{"no reading", http.MethodPut, true, 0, 0, 900, false},
+		{"from an earlier version", http.MethodPut, false, 0, 0, 900, true},
+		{"a read", http.MethodGet, true, term - 1, 20000, 900, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			response := cluster.requestWithin(50, wire.Request{
+				Method:        test.method,
+				Path:          "/v1/closings/nowhere",
+				Budget:        test.budget,
+				HasLeaderTime: test.hasTime,
+				LeaderTime:    wire.LeaderTime{Term: test.term, At: cluster.now.Add(-test.age)},
+			})
+			if response == nil || response.Expired == test.accepted {
+				t.Fatalf("%+v, want it accepted: %v", response, test.accepted)
+			}
+			if response.LeaderTime.Term != term || cluster.now.Since(response.LeaderTime.At) > 100 {
+				t.Errorf("the response's reading is %+v at %d", response.LeaderTime, cluster.now)
+			}
+		})
+	}
+}
+
+// requestWithin sends a request and returns its response, nil if none comes in time.
+func (c *testCluster) requestWithin(limit int, request wire.Request) *wire.Response {
+	id := c.sendToServer(request)
+	for i := 0; i < limit && c.responses[id] == nil; i++ {
+		c.run(1)
+	}
+	return c.responses[id]
+}
--- /dev/null
+++ b/internal/controlplane/runner_loss_test.go
@@ -0,0 +1,70 @@
+package controlplane_test
+
+import (
+	"testing"
+
+	"orchidward/internal/clock"
+)
+
+// TestIsolatedRunnerKeepsLease isolates the agent of a runner that was frozen just as the
+// runner goes on. The runner then has leases by heartbeats that the server never hears of,
+// and none of its tasks may start elsewhere before those leases are over.
+func TestIsolatedRunnerKeepsLease(t *testing.T) {
+	for seed := int64(1); seed <= 10; seed++ {
+		cluster := newTestCluster(t, seed, 3)
+		cluster.submit("00000000000000b1", 8, 30000)
+		cluster.run(2000)
+		runner := cluster.runners[0]
+		runner.frozenUntil = cluster.now + 5000
+		cluster.run(4900 + clock.Monotonic(cluster.random.Intn(100)))
+		cluster.run(90)
+		runner.isolated = true
+		cluster.run(14000)
+		runner.isolated = false
+		cluster.run(3000)
+	}
+}
+
+// TestNewIncarnationRestartsWork crashes a runner that comes back as a new incarnation,
+// its agent restarted meanwhile. What it ran starts again at once.
+func TestNewIncarnationRestartsWork(t *testing.T) {
+	const id = "00000000000000c1"
+	cluster := newTestCluster(t, 3, 2)
+	cluster.submit(id, 6, 3000)
+	cluster.run(1000)
+	runner := cluster.runners[0]
+	runner.crashed = true
+	cluster.run(1500)
+	runner.agent = cluster.newAgent(runner)
+	runner.restart()
+	cluster.run(6000)
+	if got := cluster.jobState(id); !jobSucceeded(got) {
+		t.Errorf("6 s after the runner's return the job is %s", got)
+	}
+}
+
+// TestDeadRunnerWorkRestarted crashes a runner for good. What it ran starts elsewhere as
+// soon as its own lease must be over, long before the agent's; and never sooner, also
+// when only its heartbeats stopped while it went on.
+func TestDeadRunnerWorkRestarted(t *testing.T) {
+	const id = "00000000000000d1"
+	for seed := int64(1); seed <= 10; seed++ {
+		cluster := newTestCluster(t, seed, 3)
+		for _, runner := range cluster.runners {
+			runner.usualLease = 3500
+			runner.agent = cluster.newAgent(runner)
+		}
+		cluster.run(8000)
+		cluster.submit(id, 8, 5000)
+		cluster.run(1000 + clock.Monotonic(cluster.random.Intn(300)))
+		if cluster.random.Intn(2) == 0 {
+			cluster.runners[0].crashed = true
+		} else {
+			cluster.runners[0].stopHeartbeats()
+		}
+		cluster.run(10000)
+		if got := cluster.jobState(id); !jobSucceeded(got) {
+			t.Errorf("seed %d: 10 s after the crash the job is %s", seed, got)
+		}
+	}
+}
