--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -17,8 +17,8 @@
 // attempt by its task and its number; here these names are turned into leases and back,
 // and from then on an agent's runner is like any other.
 
-// usualWorkRate is the rate of a runner on which work goes as fast as estimated.
-const usualWorkRate = 1000
+// nominalWorkRate is the rate of a runner on which work goes as fast as estimated.
+const nominalWorkRate = 1000
 
 // agentRunner is what the leader keeps of a runner that an agent speaks for.
 type agentRunner struct {
@@ -31,9 +31,9 @@
 	// unknownRuns are attempts of the last poll that the state does not know; they are
 	// to stop.
 	unknownRuns []runnerapi.RunStop
-	// toldToStop and toldObserved are what the last answer said.
-	toldToStop   map[runnerapi.RunStop]bool
-	toldObserved uint64
+	// sentStops and sentObservedThrough are what the last answer said.
+	sentStops           map[runnerapi.RunStop]bool
+	sentObservedThrough uint64
 	// workRate is how fast work goes here, in thousandths of what its estimates say, and
 	// workRateAt when it was last known. quarantinedUntil is until when nothing is
 	// placed here.
@@ -69,27 +69,27 @@
 	return &agentRunner{
 		previousCheckpoints: previous,
 		runs:                map[identifier.LeaseID]*agentRun{},
-		toldToStop:          map[runnerapi.RunStop]bool{},
-		workRate:            usualWorkRate,
+		sentStops:           map[runnerapi.RunStop]bool{},
+		workRate:            nominalWorkRate,
 	}
 }
 
 // carryOverAgent is what is kept when a new incarnation of a runner reports.
-func (s *Server) carryOverAgent(c *runnerContact) *agentRunner {
-	if c.agent == nil {
+func (s *Server) carryOverAgent(contact *runnerContact) *agentRunner {
+	if contact.agent == nil {
 		return nil
 	}
-	return newAgentRunner(s.checkpoints(c))
+	return newAgentRunner(s.checkpoints(contact))
 }
 
 // checkpoints lists the progress last reported of what still counts as running.
-func (s *Server) checkpoints(c *runnerContact) []state.Checkpoint {
-	if c.agent == nil {
+func (s *Server) checkpoints(contact *runnerContact) []state.Checkpoint {
+	if contact.agent == nil {
 		return nil
 	}
-	list := c.agent.previousCheckpoints
-	for _, id := range slices.Sorted(maps.Keys(c.agent.runs)) {
-		data := c.agent.runs[id].checkpoint
+	list := contact.agent.previousCheckpoints
+	for _, id := range slices.Sorted(maps.Keys(contact.agent.runs)) {
+		data := contact.agent.runs[id].checkpoint
 		if data != "" && s.state.Leases[id] != nil {
 			list = append(list[:len(list):len(list)], state.Checkpoint{Lease: id, Data: data})
 		}
@@ -99,81 +99,81 @@
 
 // recordAgentPoll translates an agent's poll: attempts that run and that ended are added
 // to p under their leases.
-func (s *Server) recordAgentPoll(name identifier.Runner, c *runnerContact, p *runnerapi.PollRequest) {
-	if c.agent == nil {
-		c.agent = newAgentRunner(nil)
+func (s *Server) recordAgentPoll(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) {
+	if contact.agent == nil {
+		contact.agent = newAgentRunner(nil)
 	}
-	a := c.agent
-	if r := s.state.Runners[name]; r != nil && r.Incarnation == c.incarnation {
-		a.previousCheckpoints = nil
+	agent := contact.agent
+	if runner := s.state.Runners[name]; runner != nil && runner.Incarnation == contact.incarnation {
+		agent.previousCheckpoints = nil
 	}
-	s.recordActiveRuns(name, a, p)
-	s.updateWorkRate(a)
-	s.recordFinishedRuns(name, a, p)
-	for _, run := range p.Cleared {
-		if id, task, ok := s.state.ResolveRun(name, p.Incarnation, run.Task, run.Attempt); ok {
-			p.Ended = append(p.Ended, runnerapi.End{Lease: id, Task: task, Outcome: runnerapi.OutcomeStopped})
+	s.recordActiveRuns(name, agent, poll)
+	s.updateWorkRate(agent)
+	s.recordFinishedRuns(name, agent, poll)
+	for _, run := range poll.Cleared {
+		if id, task, ok := s.state.ResolveRun(name, poll.Incarnation, run.Task, run.Attempt); ok {
+			poll.Ended = append(poll.Ended, runnerapi.End{Lease: id, Task: task, Outcome: runnerapi.OutcomeStopped})
 		}
 	}
 }
 
-func (s *Server) recordActiveRuns(name identifier.Runner, a *agentRunner, p *runnerapi.PollRequest) {
-	a.noStallBefore = math.MaxInt64
-	a.unknownRuns = a.unknownRuns[:0]
-	previous := a.inOrder
+func (s *Server) recordActiveRuns(name identifier.Runner, agent *agentRunner, poll *runnerapi.PollRequest) {
+	agent.noStallBefore = math.MaxInt64
+	agent.unknownRuns = agent.unknownRuns[:0]
+	previous := agent.inOrder
 	next := 0
-	a.inOrder = make([]*agentRun, 0, len(p.Active))
-	for _, reported := range p.Active {
+	agent.inOrder = make([]*agentRun, 0, len(poll.Active))
+	for _, reported := range poll.Active {
 		runName := runnerapi.RunStop{Task: reported.Task, Attempt: reported.Attempt}
 		var run *agentRun
-		run, next = s.matchPreviousRun(name, p.Incarnation, previous, next, runName)
+		run, next = s.matchPreviousRun(name, poll.Incarnation, previous, next, runName)
 		if run == nil {
-			run = s.resolveAgentRun(name, p.Incarnation, a, runName)
+			run = s.resolveAgentRun(name, poll.Incarnation, agent, runName)
 		}
 		if run == nil {
-			a.unknownRuns = append(a.unknownRuns, runName)
+			agent.unknownRuns = append(agent.unknownRuns, runName)
 			continue
 		}
 		run.name = runName
 		run.checkpoint = reported.Checkpoint
-		run.seq = p.Seq
-		a.inOrder = append(a.inOrder, run)
-		p.Running = append(p.Running, run.lease)
-		s.recordProgress(a, run, reported)
+		run.seq = poll.Seq
+		agent.inOrder = append(agent.inOrder, run)
+		poll.Running = append(poll.Running, run.lease)
+		s.recordProgress(agent, run, reported)
 	}
 	for _, run := range previous {
-		if run.seq != p.Seq {
-			delete(a.runs, run.lease)
+		if run.seq != poll.Seq {
+			delete(agent.runs, run.lease)
 		}
 	}
 }
 
 // resolveAgentRun finds an attempt by its name, or nil where the state knows of none.
-func (s *Server) resolveAgentRun(name identifier.Runner, incarnation identifier.Incarnation, a *agentRunner, runName runnerapi.RunStop) *agentRun {
+func (s *Server) resolveAgentRun(name identifier.Runner, incarnation identifier.Incarnation, agent *agentRunner, runName runnerapi.RunStop) *agentRun {
 	id, _, ok := s.state.ResolveRun(name, incarnation, runName.Task, runName.Attempt)
 	if !ok {
 		return nil
 	}
-	run := a.runs[id]
+	run := agent.runs[id]
 	if run == nil {
 		run = &agentRun{lease: id}
-		a.runs[id] = run
+		agent.runs[id] = run
 	}
 	return run
 }
 
-func (s *Server) recordFinishedRuns(name identifier.Runner, a *agentRunner, p *runnerapi.PollRequest) {
-	a.ends = a.ends[:0]
-	for _, finished := range p.Finished {
-		id, task, ok := s.state.ResolveRun(name, p.Incarnation, finished.Task, finished.Attempt)
+func (s *Server) recordFinishedRuns(name identifier.Runner, agent *agentRunner, poll *runnerapi.PollRequest) {
+	agent.ends = agent.ends[:0]
+	for _, finished := range poll.Finished {
+		id, task, ok := s.state.ResolveRun(name, poll.Incarnation, finished.Task, finished.Attempt)
 		if !ok {
 			id = 0
 		} else {
-			p.Ended = append(p.Ended, runnerapi.End{Lease: id, Task: task, Outcome: finished.Outcome, Checkpoint: finished.Checkpoint})
+			poll.Ended = append(poll.Ended, runnerapi.End{Lease: id, Task: task, Outcome: finished.Outcome, Checkpoint: finished.Checkpoint})
 		}
-		a.ends = append(a.ends, reportedEnd{finished.Seq, id, task})
+		agent.ends = append(agent.ends, reportedEnd{finished.Seq, id, task})
 	}
-	slices.SortStableFunc(a.ends, func(x, y reportedEnd) int { return cmp.Compare(x.seq, y.seq) })
+	slices.SortStableFunc(agent.ends, func(x, y reportedEnd) int { return cmp.Compare(x.seq, y.seq) })
 }
 
 // lookahead is how far to look for an attempt among those of the poll before.
@@ -198,78 +198,78 @@
 
 // runnerPresent tells whether the runner itself is there to be reported on. One that has
 // left in order, or is presumed dead by its agent, is counted lost at once.
-func (s *Server) runnerPresent(name identifier.Runner, c *runnerContact, p *runnerapi.PollRequest) bool {
-	if c.agent == nil {
+func (s *Server) runnerPresent(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) bool {
+	if contact.agent == nil {
 		return true
 	}
-	if !p.LeftInOrder && !p.PresumedDead {
-		return p.SilentFor < 2*s.state.Limits.SiteMillis("startMs")
+	if !poll.LeftInOrder && !poll.PresumedDead {
+		return poll.SilentFor < 2*s.state.Limits.SiteMillis("startMs")
 	}
-	r := s.state.Runners[name]
-	if r != nil && r.Incarnation == p.Incarnation && !r.Gone && s.leader.lossProposal[name] <= s.appliedIndex {
-		s.proposeLoss(name, p.Incarnation, c)
+	runner := s.state.Runners[name]
+	if runner != nil && runner.Incarnation == poll.Incarnation && !runner.Gone && s.leader.lossProposal[name] <= s.appliedIndex {
+		s.proposeLoss(name, poll.Incarnation, contact)
 	}
 	return false
 }
 
 // observedThrough is the number up to which every end is committed, or is one that
 // nobody waits for.
-func (s *Server) observedThrough(name identifier.Runner, c *runnerContact) uint64 {
-	n := c.agent.toldObserved
-	for _, end := range c.agent.ends {
-		if end.lease != 0 && s.state.AcceptsEnd(name, c.incarnation, end.lease, end.task) {
-			return n
+func (s *Server) observedThrough(name identifier.Runner, contact *runnerContact) uint64 {
+	observed := contact.agent.sentObservedThrough
+	for _, end := range contact.agent.ends {
+		if end.lease != 0 && s.state.AcceptsEnd(name, contact.incarnation, end.lease, end.task) {
+			return observed
 		}
-		n = max(n, end.seq)
+		observed = max(observed, end.seq)
 	}
-	return n
+	return observed
 }
 
 // answerAgentPoll answers an agent's open poll if there is something to tell that it was
 // not told, or the poll has been open for long enough.
-func (s *Server) answerAgentPoll(name identifier.Runner, c *runnerContact, response *runnerapi.PollResponse, hold clock.Millis) {
-	a := c.agent
-	response.StopRuns = s.runsToStop(a, response.Stops)
+func (s *Server) answerAgentPoll(name identifier.Runner, contact *runnerContact, response *runnerapi.PollResponse, timeout clock.Millis) {
+	agent := contact.agent
+	response.StopRuns = s.runsToStop(agent, response.Stops)
 	response.Stops = nil
-	response.ObservedThrough = s.observedThrough(name, c)
-	fresh := len(response.Starts) > 0 || response.ObservedThrough > a.toldObserved
+	response.ObservedThrough = s.observedThrough(name, contact)
+	fresh := len(response.Starts) > 0 || response.ObservedThrough > agent.sentObservedThrough
 	for _, run := range response.StopRuns {
-		fresh = fresh || !a.toldToStop[run]
+		fresh = fresh || !agent.sentStops[run]
 	}
-	if !fresh && s.now.Since(c.poll.since) < hold {
+	if !fresh && s.now.Since(contact.poll.since) < timeout {
 		return
 	}
-	c.poll.open = false
-	a.toldObserved = response.ObservedThrough
-	clear(a.toldToStop)
+	contact.poll.open = false
+	agent.sentObservedThrough = response.ObservedThrough
+	clear(agent.sentStops)
 	for _, run := range response.StopRuns {
-		a.toldToStop[run] = true
+		agent.sentStops[run] = true
 	}
 	for i := range response.Starts {
 		s.fillAgentStart(&response.Starts[i])
 	}
-	empty := s.emptyPollResponse(c)
+	empty := s.emptyPollResponse(contact)
 	response.Lease = empty.Lease
 	response.StartTimeout = empty.StartTimeout
 	response.FencingToken = empty.FencingToken
 	response.Servers = empty.Servers
-	s.replyJSON(c.poll.peer, c.poll.id, http.StatusOK, response)
+	s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, response)
 }
 
 // runsToStop names the attempts of the given leases, and those that the state does not
 // know.
-func (s *Server) runsToStop(a *agentRunner, leases []identifier.LeaseID) []runnerapi.RunStop {
+func (s *Server) runsToStop(agent *agentRunner, leases []identifier.LeaseID) []runnerapi.RunStop {
 	var list []runnerapi.RunStop
 	for _, id := range leases {
 		var name runnerapi.RunStop
-		if run := a.runs[id]; run != nil {
+		if run := agent.runs[id]; run != nil {
 			name = run.name
 		} else if lease := s.state.Leases[id]; lease != nil {
 			name = runnerapi.RunStop{Task: s.state.AgentTaskRef(lease.Task), Attempt: lease.Attempt}
 		}
 		list = append(list, name)
 	}
-	return append(list, a.unknownRuns...)
+	return append(list, agent.unknownRuns...)
 }
 
 // fillAgentStart adds what an agent's start order bears from its job.
--- a/internal/controlplane/announcements.go
+++ b/internal/controlplane/announcements.go
@@ -13,7 +13,7 @@
 
 // announcement is what this server tells other processes of itself and the group.
 func (s *Server) announcement(wantReply bool) *wire.Announcement {
-	a := &wire.Announcement{
+	announcement := &wire.Announcement{
 		WantReply: wantReply,
 		Role:      wire.RoleServer,
 		Node:      s.config.ID,
@@ -22,43 +22,43 @@
 		Gateways:  s.gateways.liveClientAddrs(s.now),
 	}
 	if s.forwarder != nil {
-		s.forwarder.describe(a, s.now)
+		s.forwarder.describe(announcement, s.now)
 	}
 	if s.raft != nil {
-		a.Founded = true
-		a.LeaderID = s.raft.Leader()
-		a.Members = s.raft.Members()
-		a.Founders = s.founders
+		announcement.Founded = true
+		announcement.LeaderID = s.raft.Leader()
+		announcement.Members = s.raft.Members()
+		announcement.Founders = s.founders
 		if s.isActiveLeader() {
-			a.LeaderTime = s.leaderTime()
+			announcement.LeaderTime = s.leaderTime()
 		}
 	}
-	return a
+	return announcement
 }
 
 // handleAnnouncement takes what another process tells of itself and the group.
-func (s *Server) handleAnnouncement(from wire.Peer, t *wire.Announcement) {
-	if t.Role == wire.RoleGateway {
-		s.gateways.clientAddrSeen(t.HTTP, s.now)
-		s.gateways.peerAddrSeen(t.Addr, s.now)
+func (s *Server) handleAnnouncement(from wire.Peer, announcement *wire.Announcement) {
+	if announcement.Role == wire.RoleGateway {
+		s.gateways.clientAddrSeen(announcement.HTTP, s.now)
+		s.gateways.peerAddrSeen(announcement.Addr, s.now)
 	}
-	if t.WantReply && s.forwarder != nil && s.forwarder.undecided(s.now) {
-		s.learnGroup(t)
+	if announcement.WantReply && s.forwarder != nil && s.forwarder.undecided(s.now) {
+		s.learnGroup(announcement)
 		return
 	}
-	if t.WantReply {
+	if announcement.WantReply {
 		s.send(from, wire.Message{Announcement: s.announcement(false)})
-		if s.discovery == nil || !t.Founded {
+		if s.discovery == nil || !announcement.Founded {
 			return
 		}
 	}
 	switch {
 	case s.forwarder != nil:
-		s.learnGroup(t)
+		s.learnGroup(announcement)
 	case s.discovery == nil || s.discovery.creating:
-		s.requestRejoin(from, t)
+		s.requestRejoin(from, announcement)
 	default:
-		s.discoverGroup(from, t)
+		s.discoverGroup(from, announcement)
 	}
 }
 
@@ -73,19 +73,19 @@
 		}
 	}
 	slices.Sort(list)
-	a := s.announcement(false)
+	announcement := s.announcement(false)
 	for _, addr := range list {
-		s.send(wire.Peer(addr), wire.Message{Announcement: a})
+		s.send(wire.Peer(addr), wire.Message{Announcement: announcement})
 	}
 }
 
 // announceToSeeds tells seeds that are no members where the group is: servers without
 // a disk, which forget it, and machines that have come back empty.
 func (s *Server) announceToSeeds() {
-	if s.now.Since(s.leader.seedsToldAt) < seedAnnounceInterval {
+	if s.now.Since(s.leader.seedsAnnouncedAt) < seedAnnounceInterval {
 		return
 	}
-	s.leader.seedsToldAt = s.now
+	s.leader.seedsAnnouncedAt = s.now
 	members := map[string]bool{}
 	for _, member := range s.raft.Members() {
 		members[member.Addr] = true
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -99,37 +99,37 @@
 
 // applyEntry applies a committed entry to the state, and answers the request that it was
 // proposed for.
-func (s *Server) applyEntry(e raft.Entry) {
-	s.appliedIndex = e.Index
-	arrivedAt := s.clusterTime.takeArrival(e.Index, s.now)
-	s.bytesSinceSnapshot += int64(len(e.Data))
-	if e.Kind != raft.EntryCommand {
-		if e.Kind == raft.EntryConfig {
+func (s *Server) applyEntry(entry raft.Entry) {
+	s.appliedIndex = entry.Index
+	arrivedAt := s.clusterTime.takeArrival(entry.Index, s.now)
+	s.bytesSinceSnapshot += int64(len(entry.Data))
+	if entry.Kind != raft.EntryCommand {
+		if entry.Kind == raft.EntryConfig {
 			s.logEvent("members", "list", s.raft.Members())
 		}
 		return
 	}
-	command, ok := s.decodeCommand(e)
+	command, ok := s.decodeCommand(entry)
 	if !ok {
 		return
 	}
 	firstLease := s.state.NextLease
 	result := s.state.Apply(command)
-	s.clusterTime.entryApplied(s.state.Now, e.Term, arrivedAt, s.now)
+	s.clusterTime.entryApplied(s.state.Now, entry.Term, arrivedAt, s.now)
 	s.trackRouting()
-	s.checksums.put(e.Index, s.state.Checksum)
+	s.checksums.put(entry.Index, s.state.Checksum)
 	s.logCommand(command, result)
-	s.noteChanges(firstLease)
-	s.answerProposal(e, result)
+	s.recordChanges(firstLease)
+	s.answerProposal(entry, result)
 }
 
 // decodeCommand reads the command of an entry. It is not ok when this server must not
 // apply it: the server is halted then.
-func (s *Server) decodeCommand(e raft.Entry) (command *state.Command, ok bool) {
-	command, err := state.DecodeCommand(e.Data)
+func (s *Server) decodeCommand(entry raft.Entry) (command *state.Command, ok bool) {
+	command, err := state.DecodeCommand(entry.Data)
 	switch {
 	case err != nil:
-		s.halt(reasonUnknownEntry, "index", e.Index, "error", err)
+		s.halt(reasonUnknownEntry, "index", entry.Index, "error", err)
 		return nil, false
 	case command.RaiseLevel != nil && command.RaiseLevel.Level > s.config.Level:
 		s.halt(reasonLevelAbove, "level", command.RaiseLevel.Level)
@@ -140,9 +140,9 @@
 	return command, true
 }
 
-// noteChanges tells the leader's periodic work what an applied command changed. Leases
+// recordChanges tells the leader's periodic work what an applied command changed. Leases
 // from firstLease on are new.
-func (s *Server) noteChanges(firstLease identifier.LeaseID) {
+func (s *Server) recordChanges(firstLease identifier.LeaseID) {
 	l := s.leader
 	s.state.TakeChangedRunners(func(name identifier.Runner) {
 		if l != nil {
@@ -160,11 +160,11 @@
 
 // answerProposal answers the request that an entry was proposed for. An entry of another
 // term has replaced the one that was proposed here.
-func (s *Server) answerProposal(e raft.Entry, result state.Result) {
-	p, ok := s.proposals.take(e.Index)
+func (s *Server) answerProposal(entry raft.Entry, result state.Result) {
+	p, ok := s.proposals.take(entry.Index)
 	switch {
 	case !ok:
-	case p.term != e.Term:
+	case p.term != entry.Term:
 		s.replyOutcomeUnknown(p)
 	default:
 		s.replyResult(p.peer, p.id, result)
--- a/internal/controlplane/cluster_clock.go
+++ b/internal/controlplane/cluster_clock.go
@@ -56,16 +56,16 @@
 }
 
 // advance brings the clock to now and slews or steps it by the wall clocks.
-func (c *clusterClock) advance(now clock.Monotonic, w wallClocks) {
+func (c *clusterClock) advance(now clock.Monotonic, clocks wallClocks) {
 	span := now.Since(c.readAt)
 	if span <= 0 {
 		return
 	}
 	c.base = c.base.Add(span)
 	c.readAt = now
-	agreed, ok := w.agree()
+	agreed, ok := clocks.agree()
 	c.clocksAgree = ok
-	young := !c.agreedOnce && (w.coldStart || c.base < neverSet)
+	young := !c.agreedOnce && (clocks.coldStart || c.base < neverSet)
 	c.canAppoint = ok || !young
 	if !ok {
 		return
@@ -116,7 +116,7 @@
 // gatherWallClocks collects the voters' readings, each carried forward from when it
 // was taken.
 func (s *Server) gatherWallClocks() wallClocks {
-	w := wallClocks{coldStart: s.raft.FirstKnownTerm() == s.term}
+	clocks := wallClocks{coldStart: s.raft.FirstKnownTerm() == s.term}
 	voters := 0
 	for _, member := range s.raft.Members() {
 		if !member.Voter {
@@ -124,19 +124,19 @@
 		}
 		voters++
 		if member.ID == s.config.ID {
-			w.readings = append(w.readings, clock.ClusterTime(s.wall))
+			clocks.readings = append(clocks.readings, clock.ClusterTime(s.wall))
 		}
 	}
-	w.majority = voters/2 + 1
+	clocks.majority = voters/2 + 1
 	for _, status := range s.raft.MemberStatuses() {
 		if !status.Voter || status.WallTimeReadAt == 0 || s.now.Since(status.WallTimeReadAt) > maxReadingAge {
 			continue
 		}
 		reading := clock.ClusterTime(status.WallTime).Add(s.now.Since(status.WallTimeReadAt))
-		w.readings = append(w.readings, reading)
-		w.coldStart = w.coldStart && status.FirstKnownTerm == s.term
+		clocks.readings = append(clocks.readings, reading)
+		clocks.coldStart = clocks.coldStart && status.FirstKnownTerm == s.term
 	}
-	return w
+	return clocks
 }
 
 // carriedTime is the cluster time as this server carries it on by its own monotonic
--- a/internal/controlplane/cluster_views.go
+++ b/internal/controlplane/cluster_views.go
@@ -69,27 +69,27 @@
 }
 
 func (s *Server) runnerDoc(name identifier.Runner) RunnerDoc {
-	r := s.state.Runners[name]
+	runner := s.state.Runners[name]
 	doc := RunnerDoc{
 		Runner:     name,
-		Domain:     r.Domain,
-		Rack:       r.Rack,
-		Labels:     r.Labels,
-		Cores:      r.Capacity.Cores,
-		Mem:        r.Capacity.Mem,
-		Used:       r.Used(),
-		Tasks:      r.OpenLeases(),
+		Domain:     runner.Domain,
+		Rack:       runner.Rack,
+		Labels:     runner.Labels,
+		Cores:      runner.Capacity.Cores,
+		Mem:        runner.Capacity.Mem,
+		Used:       runner.Used(),
+		Tasks:      runner.OpenLeases(),
 		Mode:       runnerapi.ModeActive,
-		Gone:       r.Gone,
-		CordonedBy: r.CordonedBy(),
-		Successes:  r.Successes,
-		Defects:    r.Defects,
+		Gone:       runner.Gone,
+		CordonedBy: runner.CordonedBy(),
+		Successes:  runner.Successes,
+		Defects:    runner.Defects,
 	}
-	if r.Draining {
+	if runner.Draining {
 		doc.Mode = runnerapi.ModeDraining
 	}
-	if c := s.leader.runners[name]; c != nil {
-		doc.SilentFor = s.now.Since(c.lastHeard)
+	if contact := s.leader.runners[name]; contact != nil {
+		doc.SilentFor = s.now.Since(contact.lastHeard)
 	}
 	return doc
 }
--- a/internal/controlplane/command_events.go
+++ b/internal/controlplane/command_events.go
@@ -3,30 +3,30 @@
 import "orchidward/internal/state"
 
 // logCommand logs what an applied command did, one line each. Only the leader does so.
-func (s *Server) logCommand(c *state.Command, result state.Result) {
+func (s *Server) logCommand(command *state.Command, result state.Result) {
 	if s.leader == nil {
 		return
 	}
 	switch {
-	case c.SubmitJob != nil:
-		s.logEvent("job-submitted", "key", c.SubmitJob.Key, "status", result.Status)
-	case c.CancelJob != nil:
-		s.logEvent("job-cancelled", "key", c.CancelJob.Key, "status", result.Status)
-	case c.ChangeLimits != nil:
+	case command.SubmitJob != nil:
+		s.logEvent("job-submitted", "key", command.SubmitJob.Key, "status", result.Status)
+	case command.CancelJob != nil:
+		s.logEvent("job-cancelled", "key", command.CancelJob.Key, "status", result.Status)
+	case command.ChangeLimits != nil:
 		s.logEvent("limits-changed", "status", result.Status, "epoch", s.state.Limits.Epoch)
-	case c.ChangeCatalog != nil:
-		s.logEvent("catalog-changed", "status", result.Status, "base", c.ChangeCatalog.Base, "version", c.ChangeCatalog.Version, "why", result.Message)
-	case c.StartDrain != nil:
-		s.logEvent("drain-started", "domain", c.StartDrain.Domain, "status", result.Status)
-	case c.EndDrain != nil:
-		s.logEvent("drain-ended", "name", c.EndDrain.Name, "status", result.Status)
-	case c.ReportRunner != nil:
-		r := c.ReportRunner
+	case command.ChangeCatalog != nil:
+		s.logEvent("catalog-changed", "status", result.Status, "base", command.ChangeCatalog.Base, "version", command.ChangeCatalog.Version, "why", result.Message)
+	case command.StartDrain != nil:
+		s.logEvent("drain-started", "domain", command.StartDrain.Domain, "status", result.Status)
+	case command.EndDrain != nil:
+		s.logEvent("drain-ended", "name", command.EndDrain.Name, "status", result.Status)
+	case command.ReportRunner != nil:
+		r := command.ReportRunner
 		s.logEvent("runner", "name", r.Runner, "incarnation", r.Incarnation, "draining", r.Draining)
-	case c.RevokeLeases != nil:
-		s.logEvent("leases-revoked", "leases", len(c.RevokeLeases.Leases), "why", c.RevokeLeases.Reason)
-	case c.AdvanceDrain != nil:
-		s.logDrainStage(c.AdvanceDrain)
+	case command.RevokeLeases != nil:
+		s.logEvent("leases-revoked", "leases", len(command.RevokeLeases.Leases), "why", command.RevokeLeases.Reason)
+	case command.AdvanceDrain != nil:
+		s.logDrainStage(command.AdvanceDrain)
 	}
 }
 
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -17,8 +17,8 @@
 const (
 	// discoveryInterval is how often a server without a group asks its seeds.
 	discoveryInterval clock.Millis = 300
-	// announcementLife is how long what a seed said of itself counts.
-	announcementLife clock.Millis = 1500
+	// announcementTTL is how long what a seed said of itself counts.
+	announcementTTL clock.Millis = 1500
 	// quietBeforeFounding is how long a server listens for a group before it founds
 	// one without the seeds that have no disk.
 	quietBeforeFounding clock.Millis = 5000
@@ -80,26 +80,26 @@
 }
 
 // discoverGroup takes what a process says while this server looks for its group.
-func (s *Server) discoverGroup(from wire.Peer, t *wire.Announcement) {
-	if t.Founded {
-		for _, founder := range t.Founders {
+func (s *Server) discoverGroup(from wire.Peer, announcement *wire.Announcement) {
+	if announcement.Founded {
+		for _, founder := range announcement.Founders {
 			if founder.ID == s.config.ID {
-				s.createInitialLog(t.Founders, 1)
+				s.createInitialLog(announcement.Founders, 1)
 				return
 			}
 		}
-		s.requestJoin(from, t)
+		s.requestJoin(from, announcement)
 		return
 	}
 	seed := string(from)
-	switch t.Role {
+	switch announcement.Role {
 	case wire.RoleForwarder:
 		s.discovery.lastSeen[seed] = s.now
 		s.discovery.diskless[seed] = true
 	case wire.RoleServer:
 		s.discovery.lastSeen[seed] = s.now
 		s.discovery.diskless[seed] = false
-		s.discovery.emptySeeds[seed] = raft.Member{ID: t.Node, Addr: t.Addr, Domain: t.Domain, Voter: true}
+		s.discovery.emptySeeds[seed] = raft.Member{ID: announcement.Node, Addr: announcement.Addr, Domain: announcement.Domain, Voter: true}
 	}
 }
 
@@ -129,7 +129,7 @@
 	ids := map[identifier.Node]bool{}
 	for _, seed := range s.config.Seeds {
 		seenAt, seen := s.discovery.lastSeen[seed]
-		if !seen || s.now.Since(seenAt) > announcementLife {
+		if !seen || s.now.Since(seenAt) > announcementTTL {
 			return nil, false
 		}
 		if s.discovery.diskless[seed] {
@@ -165,9 +165,9 @@
 }
 
 // LogCreated reports that the log which Output.CreateLog asked for is on disk.
-func (s *Server) LogCreated(v *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
+func (s *Server) LogCreated(snapshot *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
 	s.advanceClocks(now, wall)
-	if err := s.Resume(raft.HardState{}, v, nil); err != nil {
+	if err := s.Resume(raft.HardState{}, snapshot, nil); err != nil {
 		s.halt(err.Error())
 	}
 }
@@ -182,11 +182,11 @@
 
 // requestJoin asks to be taken in as a learner: whoever told of the group, if that
 // was a server with a disk, or else the members that were told of.
-func (s *Server) requestJoin(from wire.Peer, t *wire.Announcement) {
-	for _, member := range t.Members {
+func (s *Server) requestJoin(from wire.Peer, announcement *wire.Announcement) {
+	for _, member := range announcement.Members {
 		if member.ID == s.config.ID && member.Addr == s.config.Addr {
 			if s.raft == nil {
-				s.createInitialLog(t.Members, 0)
+				s.createInitialLog(announcement.Members, 0)
 			}
 			return
 		}
@@ -196,9 +196,9 @@
 		panic("controlplane: a request to join does not encode: " + err.Error())
 	}
 	to := []wire.Peer{from}
-	if t.Role != wire.RoleServer {
+	if announcement.Role != wire.RoleServer {
 		to = nil
-		for _, member := range t.Members {
+		for _, member := range announcement.Members {
 			to = append(to, wire.Peer(member.Addr))
 		}
 	}
@@ -209,12 +209,12 @@
 
 // requestRejoin asks to be taken in again when this server, long without a leader,
 // hears of a group that has removed it or knows it by an earlier address.
-func (s *Server) requestRejoin(from wire.Peer, t *wire.Announcement) {
+func (s *Server) requestRejoin(from wire.Peer, announcement *wire.Announcement) {
 	if s.raft == nil || s.now.Since(s.leaderlessSince) <= memberDeadAfter/2 {
 		return
 	}
-	if t.Founded && t.LeaderID != 0 && t.Node != s.config.ID {
-		s.requestJoin(from, t)
+	if announcement.Founded && announcement.LeaderID != 0 && announcement.Node != s.config.ID {
+		s.requestJoin(from, announcement)
 	}
 }
 
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// leaderHintLife is how long a leader counts that nobody vouches for.
-	leaderHintLife clock.Millis = 2000
-	// selfVouchLife is how long what others say does not count against a leader's own
+	// leaderHintTTL is how long a leader counts that nobody vouches for.
+	leaderHintTTL clock.Millis = 2000
+	// selfVouchTTL is how long what others say does not count against a leader's own
 	// word.
-	selfVouchLife = 3 * discoveryInterval
+	selfVouchTTL = 3 * discoveryInterval
 )
 
 // forwarderNode is what a server on a machine without a disk knows. It holds no log,
@@ -38,7 +38,7 @@
 
 // leader is the member that leads, by what was heard lately.
 func (f *forwarderNode) leader(now clock.Monotonic) (leader raft.Member, ok bool) {
-	if f.leaderID == 0 || now.Since(f.vouchedAt) > leaderHintLife {
+	if f.leaderID == 0 || now.Since(f.vouchedAt) > leaderHintTTL {
 		return leader, false
 	}
 	for _, member := range f.members {
@@ -50,13 +50,13 @@
 }
 
 // describe puts what this server knows of the group into an announcement.
-func (f *forwarderNode) describe(a *wire.Announcement, now clock.Monotonic) {
-	a.Role = wire.RoleForwarder
-	a.Node = 0
-	a.Founded = f.knowsGroup()
-	a.Members = f.members
+func (f *forwarderNode) describe(announcement *wire.Announcement, now clock.Monotonic) {
+	announcement.Role = wire.RoleForwarder
+	announcement.Node = 0
+	announcement.Founded = f.knowsGroup()
+	announcement.Members = f.members
 	if leader, ok := f.leader(now); ok {
-		a.LeaderID = leader.ID
+		announcement.LeaderID = leader.ID
 	}
 }
 
@@ -85,7 +85,7 @@
 		return
 	}
 	f.nextPoll = s.now.Add(discoveryInterval)
-	if leader, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchLife {
+	if leader, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchTTL {
 		s.send(wire.Peer(leader.Addr), wire.Message{Announcement: s.announcement(true)})
 		return
 	}
@@ -98,33 +98,33 @@
 
 // learnGroup takes what a member says of its group. Others are believed only where
 // nothing is known yet, as they know it no better.
-func (s *Server) learnGroup(t *wire.Announcement) {
+func (s *Server) learnGroup(announcement *wire.Announcement) {
 	f := s.forwarder
-	if !t.Founded || len(t.Members) == 0 {
+	if !announcement.Founded || len(announcement.Members) == 0 {
 		return
 	}
-	byLeader := t.Role == wire.RoleServer && t.Node != 0 && t.Node == t.LeaderID
+	byLeader := announcement.Role == wire.RoleServer && announcement.Node != 0 && announcement.Node == announcement.LeaderID
 	switch {
 	case byLeader:
 		f.selfVouchedAt = s.now
-		s.observeLeaderTime(t.LeaderTime)
-	case t.Role == wire.RoleServer && t.LeaderID != 0:
-		if _, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchLife {
+		s.observeLeaderTime(announcement.LeaderTime)
+	case announcement.Role == wire.RoleServer && announcement.LeaderID != 0:
+		if _, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchTTL {
 			return
 		}
-	case t.Role == wire.RoleServer:
+	case announcement.Role == wire.RoleServer:
 		f.leaderlessGroupAt = s.now
 		return
 	default:
 		if !f.knowsGroup() {
-			f.members = t.Members
+			f.members = announcement.Members
 		}
 		return
 	}
-	if f.leaderID != t.LeaderID {
-		s.logEvent("leader-known", "node", t.LeaderID, "members", t.Members)
+	if f.leaderID != announcement.LeaderID {
+		s.logEvent("leader-known", "node", announcement.LeaderID, "members", announcement.Members)
 	}
-	f.members = t.Members
-	f.leaderID = t.LeaderID
+	f.members = announcement.Members
+	f.leaderID = announcement.LeaderID
 	f.vouchedAt = s.now
 }
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -12,9 +12,9 @@
 	// notLeaderRetryAfter is when a client may come back to a server that has no
 	// leader to pass its request to.
 	notLeaderRetryAfter clock.Millis = 200
-	// minForwardLife is how long the response to a forwarded request is awaited at
+	// minForwardTimeout is how long the response to a forwarded request is awaited at
 	// least.
-	minForwardLife clock.Millis = 500
+	minForwardTimeout clock.Millis = 500
 )
 
 // forwardedRequest is a request that was passed on to the leader. peer and id are
@@ -43,7 +43,7 @@
 	onward.Hops = r.Hops + 1
 	s.stampLeaderTime(from, &onward)
 	s.leaderLink.requestSent(s.now, len(s.forwarded) == 0)
-	s.forwarded[id] = forwardedRequest{peer: from, id: r.ID, to: to, expires: s.now.Add(max(r.Budget, minForwardLife))}
+	s.forwarded[id] = forwardedRequest{peer: from, id: r.ID, to: to, expires: s.now.Add(max(r.Budget, minForwardTimeout))}
 	s.send(to, wire.Message{Request: &onward})
 }
 
--- a/internal/controlplane/gangs.go
+++ b/internal/controlplane/gangs.go
@@ -42,28 +42,28 @@
 // memberRunning tells whether an attempt is seen running, or ended, on a runner that has
 // not missed a poll: word given on older reports would outlive a dead partner.
 func (s *Server) memberRunning(lease *state.Lease) bool {
-	c := s.leader.runners[lease.Runner]
-	if c == nil || !c.hasPolled || c.incarnation != lease.Incarnation || lease.RevokeReason != "" {
+	contact := s.leader.runners[lease.Runner]
+	if contact == nil || !contact.hasPolled || contact.incarnation != lease.Incarnation || lease.RevokeReason != "" {
 		return false
 	}
-	if c.silentFor(s.now) > s.state.Limits.SiteMillis("startMs")*3/2 {
+	if contact.silentFor(s.now) > s.state.Limits.SiteMillis("startMs")*3/2 {
 		return false
 	}
-	_, ended := c.ended[lease.ID]
-	return c.running[lease.ID] || ended
+	_, ended := contact.ended[lease.ID]
+	return contact.running[lease.ID] || ended
 }
 
 // collectCompleteGangs names the members running here whose partners all run. It tells
 // whether there is one that the runner has not been told of since it began.
-func (s *Server) collectCompleteGangs(c *runnerContact, response *runnerapi.PollResponse) (anyNew bool) {
-	for id := range c.running {
+func (s *Server) collectCompleteGangs(contact *runnerContact, response *runnerapi.PollResponse) (anyNew bool) {
+	for id := range contact.running {
 		lease := s.state.Leases[id]
 		if lease == nil || lease.RevokeReason != "" {
 			continue
 		}
 		if s.gangComplete(lease) {
 			response.CompleteGangs = append(response.CompleteGangs, id)
-			anyNew = anyNew || !c.gangs.told[id]
+			anyNew = anyNew || !contact.gangs.current[id]
 		}
 	}
 	slices.Sort(response.CompleteGangs)
@@ -93,9 +93,9 @@
 	}
 	limit := silentGangPolls * s.state.Limits.SiteMillis("startMs")
 	var late []identifier.LeaseID
-	for name, c := range l.runners {
+	for name, contact := range l.runners {
 		runner := s.state.Runners[name]
-		if runner == nil || runner.Gone || runner.OpenLeases() == 0 || c.silentFor(s.now) <= limit {
+		if runner == nil || runner.Gone || runner.OpenLeases() == 0 || contact.silentFor(s.now) <= limit {
 			continue
 		}
 		for _, id := range runner.LeaseIDs() {
--- a/internal/controlplane/gateways.go
+++ b/internal/controlplane/gateways.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// gatewayLife is how long a gateway counts as live after it was last heard.
-	gatewayLife clock.Millis = 5000
+	// gatewayTTL is how long a gateway counts as live after it was last heard.
+	gatewayTTL clock.Millis = 5000
 	// maxGateways bounds the gateways that are remembered.
 	maxGateways = 256
 )
@@ -55,7 +55,7 @@
 func liveAddrs(lastHeard map[string]clock.Monotonic, now clock.Monotonic) []string {
 	var list []string
 	for addr, at := range lastHeard {
-		if now.Since(at) < gatewayLife {
+		if now.Since(at) < gatewayTTL {
 			list = append(list, addr)
 		}
 	}
@@ -66,7 +66,7 @@
 func (t *gatewayTable) forgetExpired(now clock.Monotonic) {
 	for _, lastHeard := range []map[string]clock.Monotonic{t.clientAddrs, t.peerAddrs} {
 		for addr, at := range lastHeard {
-			if now.Since(at) > gatewayLife {
+			if now.Since(at) > gatewayTTL {
 				delete(lastHeard, addr)
 			}
 		}
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -39,25 +39,25 @@
 	lastHealthCheck clock.Monotonic
 	lastChecksum    clock.Monotonic
 	lastTimeEntry   clock.Monotonic
-	// fiveAliveAt is when maxVoters members were last alive.
-	fiveAliveAt clock.Monotonic
-	// seedsToldAt is when the seeds that are no members were last told of the group.
-	seedsToldAt clock.Monotonic
+	// maxVotersLiveAt is when maxVoters members were last alive.
+	maxVotersLiveAt clock.Monotonic
+	// seedsAnnouncedAt is when the seeds that are no members were last told of the group.
+	seedsAnnouncedAt clock.Monotonic
 }
 
 // becomeLeader begins a leadership. Every open lease and every runner counts as heard
 // at this moment.
 func (s *Server) becomeLeader() {
 	s.leader = &leaderState{
-		clock:          newClusterClock(s.carriedClusterTime(), s.now),
-		since:          s.now,
-		runners:        map[identifier.Runner]*runnerContact{},
-		changedRunners: map[identifier.Runner]bool{},
-		lossProposal:   map[identifier.Runner]identifier.Index{},
-		leases:         newLeaseConfirmations(),
-		drains:         newDrainProgress(),
-		cycle:          schedulingCycle{needed: true, lastAt: -schedulingInterval},
-		fiveAliveAt:    s.now,
+		clock:           newClusterClock(s.carriedClusterTime(), s.now),
+		since:           s.now,
+		runners:         map[identifier.Runner]*runnerContact{},
+		changedRunners:  map[identifier.Runner]bool{},
+		lossProposal:    map[identifier.Runner]identifier.Index{},
+		leases:          newLeaseConfirmations(),
+		drains:          newDrainProgress(),
+		cycle:           schedulingCycle{needed: true, lastAt: -schedulingInterval},
+		maxVotersLiveAt: s.now,
 	}
 	for _, name := range s.state.RunnerNames() {
 		s.leader.runners[name] = &runnerContact{incarnation: s.state.Runners[name].Incarnation, lastHeard: s.now}
@@ -101,11 +101,11 @@
 }
 
 func (s *Server) advanceClusterClock() {
-	c := &s.leader.clock
-	agreed := c.clocksAgree
-	c.advance(s.now, s.gatherWallClocks())
-	if c.clocksAgree != agreed {
-		s.logEvent("wall-clocks", "agree", c.clocksAgree, "clusterTime", c.timeAt(s.now))
+	leaderClock := &s.leader.clock
+	agreed := leaderClock.clocksAgree
+	leaderClock.advance(s.now, s.gatherWallClocks())
+	if leaderClock.clocksAgree != agreed {
+		s.logEvent("wall-clocks", "agree", leaderClock.clocksAgree, "clusterTime", leaderClock.timeAt(s.now))
 	}
 }
 
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -35,20 +35,20 @@
 
 // revokeUnconfirmedStarts revokes leases whose start nobody confirmed in time.
 func (s *Server) revokeUnconfirmedStarts() {
-	c := &s.leader.leases
+	confirmations := &s.leader.leases
 	limit := s.state.Limits.SiteMillis("confirmMs")
 	var late []identifier.LeaseID
-	for id, openedAt := range c.unconfirmedSince {
+	for id, openedAt := range confirmations.unconfirmedSince {
 		lease := s.state.Leases[id]
 		switch {
-		case lease == nil || lease.RevokeReason != "" || c.confirmed[id]:
-			delete(c.unconfirmedSince, id)
+		case lease == nil || lease.RevokeReason != "" || confirmations.confirmed[id]:
+			delete(confirmations.unconfirmedSince, id)
 			if lease == nil {
-				delete(c.confirmed, id)
+				delete(confirmations.confirmed, id)
 			}
 		case s.now.Since(openedAt) > limit:
 			late = append(late, id)
-			delete(c.unconfirmedSince, id)
+			delete(confirmations.unconfirmedSince, id)
 		}
 	}
 	s.forgetClosedLeases()
@@ -61,14 +61,14 @@
 // forgetClosedLeases drops the confirmations of leases that are no more, now and then:
 // nobody asks for those, and their ids never come again.
 func (s *Server) forgetClosedLeases() {
-	c := &s.leader.leases
-	if s.now.Since(c.lastSweep) < sweepInterval {
+	confirmations := &s.leader.leases
+	if s.now.Since(confirmations.lastSweep) < sweepInterval {
 		return
 	}
-	c.lastSweep = s.now
-	for id := range c.confirmed {
+	confirmations.lastSweep = s.now
+	for id := range confirmations.confirmed {
 		if s.state.Leases[id] == nil {
-			delete(c.confirmed, id)
+			delete(confirmations.confirmed, id)
 		}
 	}
 }
--- a/internal/controlplane/levels.go
+++ b/internal/controlplane/levels.go
@@ -37,23 +37,23 @@
 
 // halt takes this server out of service for good: what was handed out so far still
 // goes, and nothing more does. The owner ends the process.
-func (s *Server) halt(why string, fields ...any) {
+func (s *Server) halt(reason string, fields ...any) {
 	if s.halted {
 		return
 	}
 	s.halted = true
-	s.output.Quit = why
-	s.logEvent("server-halted", append([]any{"why", why}, fields...)...)
+	s.output.Quit = reason
+	s.logEvent("server-halted", append([]any{"why", reason}, fields...)...)
 }
 
 // checksumDiffers tells whether this server's state differs from the leader's, and
 // halts it if so.
-func (s *Server) checksumDiffers(c *state.VerifyChecksum) bool {
-	checksum, ok := s.checksums.get(c.Index)
-	if !ok || checksum == c.Checksum {
+func (s *Server) checksumDiffers(command *state.VerifyChecksum) bool {
+	checksum, ok := s.checksums.get(command.Index)
+	if !ok || checksum == command.Checksum {
 		return false
 	}
-	s.halt("this server's state differs from the leader's", "index", c.Index)
+	s.halt("this server's state differs from the leader's", "index", command.Index)
 	return true
 }
 
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -28,8 +28,8 @@
 // again when it returns.
 func (s *Server) changeMembership() {
 	members := s.memberStates()
-	settled := s.now.Since(s.leader.since) > voterSilentLimit
-	if next := nextMembers(members, s.wantedVoters(members), settled); next != nil {
+	established := s.now.Since(s.leader.since) > voterSilentLimit
+	if next := nextMembers(members, s.wantedVoters(members), established); next != nil {
 		s.raft.ProposeMembers(next)
 	}
 }
@@ -49,10 +49,10 @@
 		}
 	}
 	if live >= maxVoters {
-		s.leader.fiveAliveAt = s.now
+		s.leader.maxVotersLiveAt = s.now
 		return maxVoters
 	}
-	if voters >= maxVoters && s.now.Since(s.leader.fiveAliveAt) <= memberDeadAfter {
+	if voters >= maxVoters && s.now.Since(s.leader.maxVotersLiveAt) <= memberDeadAfter {
 		return maxVoters
 	}
 	return minVoters
@@ -81,19 +81,19 @@
 // memberState judges another member by what the leader has heard of it. gone says that
 // its process and its disk are no more.
 func (s *Server) memberState(member raft.Member, status raft.MemberStatus, gone bool) memberState {
-	quiet := status.SilentFor
+	silentFor := status.SilentFor
 	if gone {
-		quiet = max(quiet, memberDeadAfter) * 2
+		silentFor = max(silentFor, memberDeadAfter) * 2
 	}
-	heard := status.WallTimeReadAt != 0 && quiet < voterSilentLimit && !status.Leaving
+	heard := status.WallTimeReadAt != 0 && silentFor < voterSilentLimit && !status.Leaving
 	caughtUp := status.Match >= s.raft.TermStart() && status.Match+caughtUpGap >= s.raft.CommitIndex()
 	return memberState{
 		Member:      member,
-		silentFor:   quiet,
+		silentFor:   silentFor,
 		live:        heard,
-		replaceable: member.Voter && (quiet > voterSilentLimit || status.Leaving),
-		abandoned:   !member.Voter && quiet > memberDeadAfter,
-		caughtUp:    !member.Voter && heard && quiet < voterSilentLimit/2 && caughtUp,
+		replaceable: member.Voter && (silentFor > voterSilentLimit || status.Leaving),
+		abandoned:   !member.Voter && silentFor > memberDeadAfter,
+		caughtUp:    !member.Voter && heard && silentFor < voterSilentLimit/2 && caughtUp,
 	}
 }
 
--- a/internal/controlplane/membership_plan.go
+++ b/internal/controlplane/membership_plan.go
@@ -41,62 +41,62 @@
 // one. It is nil when all is as it should be, or when after the change the live voters
 // would be no majority. settled says that the leader has had the time to hear whoever
 // lives: only then is a live voter demoted.
-func nextMembers(members []memberState, want int, settled bool) []raft.Member {
+func nextMembers(members []memberState, want int, established bool) []raft.Member {
 	var next []raft.Member
-	t := newMembershipPlan(members)
+	plan := newMembershipPlan(members)
 	switch {
-	case t.deadVoter != nil && (t.voters > want || t.voters > minVoters && t.voters%2 == 0):
-		next = t.without(t.deadVoter)
-	case t.voters > want && t.surplusVoter != nil && settled:
-		next = t.withVote(t.surplusVoter, false)
-	case t.readyLearner != nil && (t.needsVoter(want) || settled && t.unbalanced(want)):
-		next = t.withVote(t.readyLearner, true)
-	case t.idleLearner != nil:
-		next = t.without(t.idleLearner)
+	case plan.deadVoter != nil && (plan.voters > want || plan.voters > minVoters && plan.voters%2 == 0):
+		next = plan.without(plan.deadVoter)
+	case plan.voters > want && plan.surplusVoter != nil && established:
+		next = plan.withVote(plan.surplusVoter, false)
+	case plan.readyLearner != nil && (plan.needsVoter(want) || established && plan.unbalanced(want)):
+		next = plan.withVote(plan.readyLearner, true)
+	case plan.idleLearner != nil:
+		next = plan.without(plan.idleLearner)
 	}
-	if next != nil && !t.keepsQuorum(next) {
+	if next != nil && !plan.keepsQuorum(next) {
 		return nil
 	}
 	return next
 }
 
 func newMembershipPlan(members []memberState) *membershipPlan {
-	t := &membershipPlan{members: members, votersByDomain: map[identifier.Domain]int{}, allVotersLive: true}
+	plan := &membershipPlan{members: members, votersByDomain: map[identifier.Domain]int{}, allVotersLive: true}
 	for i := range members {
-		s := &members[i]
-		if s.Voter {
-			t.voters++
-			t.allVotersLive = t.allVotersLive && s.live
+		member := &members[i]
+		if member.Voter {
+			plan.voters++
+			plan.allVotersLive = plan.allVotersLive && member.live
 		}
-		if s.Voter && !s.replaceable {
-			t.votersByDomain[s.Domain]++
+		if member.Voter && !member.replaceable {
+			plan.votersByDomain[member.Domain]++
 		}
 	}
 	for i := range members {
-		t.rank(&members[i])
+		plan.rank(&members[i])
 	}
-	return t
+	return plan
 }
 
 // rank keeps the first choice of each kind: the voter silent for longest, the caught-up
 // learner whose zone has the fewest voters, and the voter, not the leader itself, whose
 // zone has the most.
-func (t *membershipPlan) rank(s *memberState) {
+func (p *membershipPlan) rank(member *memberState) {
 	switch {
-	case s.replaceable:
-		if t.deadVoter == nil || s.silentFor > t.deadVoter.silentFor {
-			t.deadVoter = s
+	case member.replaceable:
+		if p.deadVoter == nil || member.silentFor > p.deadVoter.silentFor {
+			p.deadVoter = member
 		}
-	case s.caughtUp:
-		t.readyLearners++
-		if t.readyLearner == nil || t.votersByDomain[s.Domain] < t.votersByDomain[t.readyLearner.Domain] {
-			t.readyLearner = s
+	case member.caughtUp:
+		p.readyLearners++
+		if p.readyLearner == nil || p.votersByDomain[member.Domain] < p.votersByDomain[p.readyLearner.Domain] {
+			p.readyLearner = member
 		}
-	case s.abandoned:
-		t.idleLearner = s
-	case s.Voter && !s.self:
-		if t.surplusVoter == nil || t.votersByDomain[s.Domain] > t.votersByDomain[t.surplusVoter.Domain] {
-			t.surplusVoter = s
+	case member.abandoned:
+		p.idleLearner = member
+	case member.Voter && !member.self:
+		if p.surplusVoter == nil || p.votersByDomain[member.Domain] > p.votersByDomain[p.surplusVoter.Domain] {
+			p.surplusVoter = member
 		}
 	}
 }
@@ -104,62 +104,62 @@
 // needsVoter tells whether a learner is wanted as a voter: to take a dead one's place,
 // or to grow. Four voters bear no more losses than three and lose more with a zone, so
 // growth waits until two can follow one another at once.
-func (t *membershipPlan) needsVoter(want int) bool {
+func (p *membershipPlan) needsVoter(want int) bool {
 	switch {
-	case t.voters < minVoters, t.deadVoter != nil && t.voters <= want:
+	case p.voters < minVoters, p.deadVoter != nil && p.voters <= want:
 		return true
-	case t.voters < want:
-		return t.voters%2 == 0 || t.readyLearners > 1
+	case p.voters < want:
+		return p.voters%2 == 0 || p.readyLearners > 1
 	}
 	return false
 }
 
 // unbalanced tells whether a zone has two voters more than that of a learner that has
 // caught up: the learner becomes a voter, and then one of that zone a learner.
-func (t *membershipPlan) unbalanced(want int) bool {
-	if t.voters != want || !t.allVotersLive || t.surplusVoter == nil {
+func (p *membershipPlan) unbalanced(want int) bool {
+	if p.voters != want || !p.allVotersLive || p.surplusVoter == nil {
 		return false
 	}
-	return t.votersByDomain[t.surplusVoter.Domain] > t.votersByDomain[t.readyLearner.Domain]+1
+	return p.votersByDomain[p.surplusVoter.Domain] > p.votersByDomain[p.readyLearner.Domain]+1
 }
 
 // keepsQuorum tells whether the live are a majority of the voters of a list.
-func (t *membershipPlan) keepsQuorum(next []raft.Member) bool {
+func (p *membershipPlan) keepsQuorum(next []raft.Member) bool {
 	live := map[identifier.Node]bool{}
-	for _, s := range t.members {
-		live[s.ID] = s.live
+	for _, current := range p.members {
+		live[current.ID] = current.live
 	}
 	voters := 0
-	up := 0
+	liveVoters := 0
 	for _, member := range next {
 		if !member.Voter {
 			continue
 		}
 		voters++
 		if live[member.ID] {
-			up++
+			liveVoters++
 		}
 	}
-	return up > voters/2
+	return liveVoters > voters/2
 }
 
-func (t *membershipPlan) without(removed *memberState) []raft.Member {
+func (p *membershipPlan) without(removed *memberState) []raft.Member {
 	var next []raft.Member
-	for _, s := range t.members {
-		if s.ID != removed.ID {
-			next = append(next, s.Member)
+	for _, member := range p.members {
+		if member.ID != removed.ID {
+			next = append(next, member.Member)
 		}
 	}
 	return next
 }
 
-func (t *membershipPlan) withVote(changed *memberState, voter bool) []raft.Member {
+func (p *membershipPlan) withVote(changed *memberState, voter bool) []raft.Member {
 	var next []raft.Member
-	for _, s := range t.members {
-		if s.ID == changed.ID {
-			s.Voter = voter
+	for _, member := range p.members {
+		if member.ID == changed.ID {
+			member.Voter = voter
 		}
-		next = append(next, s.Member)
+		next = append(next, member.Member)
 	}
 	return next
 }
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -30,21 +30,21 @@
 // orderExpired tells whether an order may have come later than its sender waits. An
 // order without a reading comes from a program of an earlier version, or from this
 // process itself, and is not judged.
-func (s *Server) orderExpired(a *wire.Request) bool {
-	if !a.HasLeaderTime || !a.IsOrder() {
+func (s *Server) orderExpired(request *wire.Request) bool {
+	if !request.HasLeaderTime || !request.IsOrder() {
 		return false
 	}
-	if a.LeaderTime.Term != s.raft.Term() {
+	if request.LeaderTime.Term != s.raft.Term() {
 		return true
 	}
-	age := s.now.Since(a.LeaderTime.At)
-	return age+age/driftFraction > a.Budget
+	age := s.now.Since(request.LeaderTime.At)
+	return age+age/driftFraction > request.Budget
 }
 
 // observeLeaderTime takes a reading of the leader's clock that came with a message.
-func (s *Server) observeLeaderTime(t wire.LeaderTime) {
-	if t.Later(s.leaderLink.latestTime) {
-		s.leaderLink.latestTime = t
+func (s *Server) observeLeaderTime(reading wire.LeaderTime) {
+	if reading.Later(s.leaderLink.latestTime) {
+		s.leaderLink.latestTime = reading
 	}
 }
 
@@ -55,10 +55,10 @@
 
 // stampLeaderTime adds to a request that was made at this process what it knows of
 // the leader's clock. One that came from elsewhere keeps what its sender knew.
-func (s *Server) stampLeaderTime(from wire.Peer, a *wire.Request) {
+func (s *Server) stampLeaderTime(from wire.Peer, request *wire.Request) {
 	if from.Local() {
-		a.HasLeaderTime = true
-		a.LeaderTime = s.leaderLink.latestTime
+		request.HasLeaderTime = true
+		request.LeaderTime = s.leaderLink.latestTime
 	}
 }
 
--- a/internal/controlplane/proposals.go
+++ b/internal/controlplane/proposals.go
@@ -80,9 +80,9 @@
 }
 
 // propose appends a command to the log. Only an active leader may propose.
-func (s *Server) propose(c *state.Command) identifier.Index {
-	c.At = s.leader.clock.timeAt(s.now)
-	index, ok := s.raft.Propose(c.Encode())
+func (s *Server) propose(command *state.Command) identifier.Index {
+	command.At = s.leader.clock.timeAt(s.now)
+	index, ok := s.raft.Propose(command.Encode())
 	if !ok {
 		panic("controlplane: a server that does not lead has proposed")
 	}
@@ -91,17 +91,17 @@
 
 // proposeFor proposes a command on behalf of a request, which is answered once the
 // command is applied.
-func (s *Server) proposeFor(r *apiRequest, c *state.Command) {
+func (s *Server) proposeFor(r *apiRequest, command *state.Command) {
 	if s.proposals.full(len(r.Body)) {
 		s.replyError(r.peer, r.ID, errBusy)
 		return
 	}
-	index := s.propose(c)
+	index := s.propose(command)
 	s.proposals.add(index, proposal{
 		peer:         r.peer,
 		id:           r.ID,
 		term:         s.term,
-		configChange: c.ChangeLimits != nil || c.ChangeCatalog != nil,
+		configChange: command.ChangeLimits != nil || command.ChangeCatalog != nil,
 		size:         len(r.Body),
 	})
 }
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -49,9 +49,9 @@
 
 // gangNotices are the gangs that answers to a runner's polls called complete.
 type gangNotices struct {
-	// told are those of the answers to the last poll, before those of the poll before.
-	told   map[identifier.LeaseID]bool
-	before map[identifier.LeaseID]bool
+	// current are those of the answers to the last poll, before those of the poll before.
+	current  map[identifier.LeaseID]bool
+	previous map[identifier.LeaseID]bool
 }
 
 // beginPoll empties what a poll says anew. What answers to the last poll told is kept
@@ -60,14 +60,14 @@
 	if c.running == nil {
 		c.running = map[identifier.LeaseID]bool{}
 		c.ended = map[identifier.LeaseID]runnerapi.End{}
-		c.gangs.told = map[identifier.LeaseID]bool{}
-		c.gangs.before = map[identifier.LeaseID]bool{}
+		c.gangs.current = map[identifier.LeaseID]bool{}
+		c.gangs.previous = map[identifier.LeaseID]bool{}
 		return
 	}
-	c.gangs.told, c.gangs.before = c.gangs.before, c.gangs.told
+	c.gangs.current, c.gangs.previous = c.gangs.previous, c.gangs.current
 	clear(c.running)
 	clear(c.ended)
-	clear(c.gangs.told)
+	clear(c.gangs.current)
 }
 
 // silentFor is how long nothing was heard of the runner itself.
@@ -104,21 +104,21 @@
 	lease := s.state.LeaseSpan()
 	for _, name := range s.state.RunnerNames() {
 		runner := s.state.Runners[name]
-		c := l.runners[name]
-		if c == nil || runner.Gone || !c.leaseLapsed(s.now, lease) || l.lossProposal[name] > s.appliedIndex {
+		contact := l.runners[name]
+		if contact == nil || runner.Gone || !contact.leaseLapsed(s.now, lease) || l.lossProposal[name] > s.appliedIndex {
 			continue
 		}
-		s.logEvent("runner-lost", "runner", name, "silentMs", c.silentFor(s.now))
-		s.proposeLoss(name, runner.Incarnation, c)
+		s.logEvent("runner-lost", "runner", name, "silentMs", contact.silentFor(s.now))
+		s.proposeLoss(name, runner.Incarnation, contact)
 	}
 }
 
 // proposeLoss counts an incarnation of a runner as lost, with the progress that was
 // last reported.
-func (s *Server) proposeLoss(name identifier.Runner, incarnation identifier.Incarnation, c *runnerContact) {
+func (s *Server) proposeLoss(name identifier.Runner, incarnation identifier.Incarnation, contact *runnerContact) {
 	s.leader.lossProposal[name] = s.propose(&state.Command{LoseRunner: &state.LoseRunner{
 		Runner:      name,
 		Incarnation: incarnation,
-		Checkpoints: s.checkpoints(c),
+		Checkpoints: s.checkpoints(contact),
 	}})
 }
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -29,8 +29,8 @@
 	slowWorkRate = 350
 	// maxCountedRate bounds the rate of one attempt, in thousandths.
 	maxCountedRate = 2000
-	// workRateLife is how long a rate counts without new evidence.
-	workRateLife = 4000
+	// workRateTTL is how long a rate counts without new evidence.
+	workRateTTL = 4000
 	// minMoveGain is what moving an attempt costs at least, and what must be gained.
 	minMoveGain = 400
 	// maxRevocations bounds the attempts revoked at once.
@@ -55,60 +55,60 @@
 }
 
 // recordProgress takes what an attempt says of itself.
-func (s *Server) recordProgress(a *agentRunner, run *agentRun, reported runnerapi.RunState) {
+func (s *Server) recordProgress(agent *agentRunner, run *agentRun, reported runnerapi.RunState) {
 	lease := s.state.Leases[run.lease]
 	if lease == nil {
 		return
 	}
 	if reported.StalledFor > 0 {
-		a.noStallBefore = min(a.noStallBefore, s.now.Add(stallLimit(lease)-reported.StalledFor))
+		agent.noStallBefore = min(agent.noStallBefore, s.now.Add(stallLimit(lease)-reported.StalledFor))
 	}
 	if run.progress == nil {
 		run.progress = &runProgress{firstPercent: reported.ProgressPercent, percent: reported.ProgressPercent, stalledFor: reported.StalledFor}
 		return
 	}
-	p := run.progress
-	p.stalledFor = reported.StalledFor
-	p.percent = reported.ProgressPercent
-	p.rate = reported.ProgressRate * int64(lease.ExpectedRun) / 1000
+	progress := run.progress
+	progress.stalledFor = reported.StalledFor
+	progress.percent = reported.ProgressPercent
+	progress.rate = reported.ProgressRate * int64(lease.ExpectedRun) / 1000
 	if reported.ProgressPercent >= fullEstimate {
-		p.rate = 0
+		progress.rate = 0
 	}
 }
 
 // updateWorkRate takes the rate of a runner from those of its attempts that tell one.
 // Members of a gang that spans several runners go as fast as the slowest of them, and say
 // nothing of their own. Old evidence is forgotten.
-func (s *Server) updateWorkRate(a *agentRunner) {
+func (s *Server) updateWorkRate(agent *agentRunner) {
 	var sum, n int64
-	for id, run := range a.runs {
-		p := run.progress
+	for id, run := range agent.runs {
+		progress := run.progress
 		lease := s.state.Leases[id]
-		if p != nil && p.rate > 0 && lease != nil && !spansRunners(lease, s.state.Partners(lease)) {
-			sum += min(p.rate, maxCountedRate)
+		if progress != nil && progress.rate > 0 && lease != nil && !spansRunners(lease, s.state.Partners(lease)) {
+			sum += min(progress.rate, maxCountedRate)
 			n++
 		}
 	}
 	switch {
 	case n > 0:
-		a.workRate = sum / n
-		a.workRateAt = s.now
-	case s.now.Since(a.workRateAt) > workRateLife:
-		a.workRate = usualWorkRate
+		agent.workRate = sum / n
+		agent.workRateAt = s.now
+	case s.now.Since(agent.workRateAt) > workRateTTL:
+		agent.workRate = nominalWorkRate
 	}
 }
 
 // workRate is how fast work goes on a runner, in thousandths of its estimates.
 func (s *Server) workRate(name identifier.Runner) int64 {
-	if c := s.leader.runners[name]; c != nil && c.agent != nil {
-		return c.agent.workRate
+	if contact := s.leader.runners[name]; contact != nil && contact.agent != nil {
+		return contact.agent.workRate
 	}
-	return usualWorkRate
+	return nominalWorkRate
 }
 
 // quarantined tells whether nothing should be placed on a runner for now.
-func (s *Server) quarantined(c *runnerContact) bool {
-	return c.agent != nil && s.now < c.agent.quarantinedUntil
+func (s *Server) quarantined(contact *runnerContact) bool {
+	return contact.agent != nil && s.now < contact.agent.quarantinedUntil
 }
 
 // stallLimit is the least time without progress that is held against an attempt.
@@ -138,8 +138,8 @@
 // gangAssembled tells whether all members of an attempt's gang run.
 func (s *Server) gangAssembled(lease *state.Lease) bool {
 	for _, partner := range s.state.Partners(lease) {
-		c := s.leader.runners[partner.Runner]
-		if c == nil || !c.running[partner.ID] {
+		contact := s.leader.runners[partner.Runner]
+		if contact == nil || !contact.running[partner.ID] {
 			return false
 		}
 	}
@@ -190,28 +190,28 @@
 
 // worthChecking tells whether the attempts on a runner can be judged, and whether one of
 // them can be unhealthy at all.
-func (s *Server) worthChecking(c *runnerContact) bool {
-	if c == nil || c.agent == nil || c.silentBefore > maxReportSilence || s.now.Since(c.lastHeard) > maxReportAge {
+func (s *Server) worthChecking(contact *runnerContact) bool {
+	if contact == nil || contact.agent == nil || contact.silentBefore > maxReportSilence || s.now.Since(contact.lastHeard) > maxReportAge {
 		return false
 	}
-	return s.now > c.agent.noStallBefore || c.agent.workRate < slowWorkRate
+	return s.now > contact.agent.noStallBefore || contact.agent.workRate < slowWorkRate
 }
 
 // checkRuns judges the attempts on one runner.
-func (s *Server) checkRuns(name identifier.Runner, c *runnerContact, found *unhealthyRuns) {
+func (s *Server) checkRuns(name identifier.Runner, contact *runnerContact, found *unhealthyRuns) {
 	for _, id := range s.state.Runners[name].LeaseIDs() {
-		run := c.agent.runs[id]
+		run := contact.agent.runs[id]
 		lease := s.state.Leases[id]
 		if run == nil || run.progress == nil || lease.RevokeReason != "" || found.full() {
 			continue
 		}
-		if s.stalled(c, run.progress, lease) {
+		if s.stalled(contact, run.progress, lease) {
 			found.stalled = append(found.stalled, id)
-			c.agent.quarantinedUntil = s.now.Add(quarantineTime)
+			contact.agent.quarantinedUntil = s.now.Add(quarantineTime)
 			s.logEvent("run-stalled", "runner", name, "task", lease.Task, "run", lease.Attempt, "percent", run.progress.percent)
 			continue
 		}
-		if s.fasterElsewhere(c, run.progress, lease) && s.reserveElsewhere(name, lease, found.reserved) {
+		if s.fasterElsewhere(contact, run.progress, lease) && s.reserveElsewhere(name, lease, found.reserved) {
 			found.slow = append(found.slow, id)
 		}
 	}
@@ -219,15 +219,15 @@
 
 // fasterElsewhere tells whether an attempt on a slow runner would be done sooner if it
 // began elsewhere, from its checkpoint.
-func (s *Server) fasterElsewhere(c *runnerContact, p *runProgress, lease *state.Lease) bool {
+func (s *Server) fasterElsewhere(contact *runnerContact, progress *runProgress, lease *state.Lease) bool {
 	step := s.state.Jobs[lease.Task.Job].Spec.Steps[lease.Task.Step]
-	slowRunner := c.agent.workRate < slowWorkRate
-	slowRun := p.rate > 0 && p.rate < slowWorkRate
-	if !slowRunner || !slowRun || step.Service || p.percent >= fullEstimate {
+	slowRunner := contact.agent.workRate < slowWorkRate
+	slowRun := progress.rate > 0 && progress.rate < slowWorkRate
+	if !slowRunner || !slowRun || step.Service || progress.percent >= fullEstimate {
 		return false
 	}
-	left := lease.ExpectedRun * clock.Millis(100-p.percent) / 100
-	here := left * 1000 / clock.Millis(p.rate)
+	left := lease.ExpectedRun * clock.Millis(100-progress.percent) / 100
+	here := left * 1000 / clock.Millis(progress.rate)
 	there := lease.ExpectedRun
 	if step.Checkpoints {
 		there = min(there, left+restoreTime)
@@ -265,11 +265,11 @@
 // to from another runner.
 func (s *Server) healthyAlternative(name, from identifier.Runner) bool {
 	runner := s.state.Runners[name]
-	c := s.leader.runners[name]
+	contact := s.leader.runners[name]
 	if name == from || runner.Pool != s.state.Runners[from].Pool || runner.Gone || runner.CordonedBy() != "" {
 		return false
 	}
-	return c != nil && c.agent != nil && c.agent.workRate >= slowWorkRate
+	return contact != nil && contact.agent != nil && contact.agent.workRate >= slowWorkRate
 }
 
 // neverStarted lists what was placed on agents' runners that are leaving or cordoned and
@@ -277,17 +277,17 @@
 func (s *Server) neverStarted() []identifier.LeaseID {
 	var list []identifier.LeaseID
 	for _, name := range s.state.RunnerNames() {
-		c := s.leader.runners[name]
+		contact := s.leader.runners[name]
 		runner := s.state.Runners[name]
-		if c == nil || c.agent == nil || !c.hasPolled || runner.Incarnation != c.incarnation {
+		if contact == nil || contact.agent == nil || !contact.hasPolled || runner.Incarnation != contact.incarnation {
 			continue
 		}
-		if !c.draining && runner.CordonedBy() == "" {
+		if !contact.draining && runner.CordonedBy() == "" {
 			continue
 		}
 		for _, id := range runner.LeaseIDs() {
-			_, ended := c.ended[id]
-			if !ended && !c.running[id] && s.state.Leases[id].RevokeReason == "" {
+			_, ended := contact.ended[id]
+			if !ended && !contact.running[id] && s.state.Leases[id].RevokeReason == "" {
 				list = append(list, id)
 			}
 		}
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -34,89 +34,89 @@
 // the state, and the poll stays open until there is something to tell the runner.
 func (s *Server) handlePoll(peer wire.Peer, id uint64, name identifier.Runner, body []byte) {
 	var faults jsondoc.FieldErrors
-	p := runnerapi.Read(body, &faults)
+	poll := runnerapi.Read(body, &faults)
 	if faults.Any() {
 		s.replyFieldErrors(peer, id, &faults)
 		return
 	}
-	c, ok := s.admitPoll(peer, id, name, p)
+	contact, ok := s.admitPoll(peer, id, name, poll)
 	if !ok {
 		return
 	}
-	s.closePoll(c)
-	s.openPoll(peer, id, c, p)
+	s.closePoll(contact)
+	s.openPoll(peer, id, contact, poll)
 	s.leader.changedRunners[name] = true
 	s.leader.openPolls = append(s.leader.openPolls, openPoll{name, id, s.now})
-	if p.Agent {
-		s.recordAgentPoll(name, c, p)
+	if poll.Agent {
+		s.recordAgentPoll(name, contact, poll)
 	}
-	s.recordRunning(c, p)
-	s.recordEnded(c, p)
-	if s.runnerPresent(name, c, p) {
-		s.reportRunnerIfChanged(name, c, p)
+	s.recordRunning(contact, poll)
+	s.recordEnded(contact, poll)
+	if s.runnerPresent(name, contact, poll) {
+		s.reportRunnerIfChanged(name, contact, poll)
 	}
-	s.reportNewEnds(name, c)
+	s.reportNewEnds(name, contact)
 	s.leader.cycle.needed = true
 }
 
 // admitPoll finds the contact that a poll belongs to. A poll that must not be taken is
 // answered here, and ok is false: one of an incarnation that was replaced, one that a
 // later poll has overtaken, and one of a runner beyond the bound.
-func (s *Server) admitPoll(peer wire.Peer, id uint64, name identifier.Runner, p *runnerapi.PollRequest) (c *runnerContact, ok bool) {
-	if p.Agent && s.state.Level < state.CatalogLevel {
+func (s *Server) admitPoll(peer wire.Peer, id uint64, name identifier.Runner, poll *runnerapi.PollRequest) (contact *runnerContact, ok bool) {
+	if poll.Agent && s.state.Level < state.CatalogLevel {
 		s.replyError(peer, id, errAgentsTooNew)
 		return nil, false
 	}
 	runner := s.state.Runners[name]
-	if runner != nil && runner.WasIncarnation(p.Incarnation) {
+	if runner != nil && runner.WasIncarnation(poll.Incarnation) {
 		s.replyJSON(peer, id, http.StatusOK, runnerapi.PollResponse{Retired: true})
 		return nil, false
 	}
-	c = s.leader.runners[name]
-	if c == nil && len(s.leader.runners) >= state.MaxRunners {
+	contact = s.leader.runners[name]
+	if contact == nil && len(s.leader.runners) >= state.MaxRunners {
 		s.replyError(peer, id, errRunnersFull)
 		return nil, false
 	}
-	if c == nil {
-		c = &runnerContact{}
-		s.leader.runners[name] = c
+	if contact == nil {
+		contact = &runnerContact{}
+		s.leader.runners[name] = contact
 	}
-	if c.incarnation != p.Incarnation {
-		s.closePoll(c)
-		*c = runnerContact{incarnation: p.Incarnation, lastHeard: s.now, agent: s.carryOverAgent(c)}
+	if contact.incarnation != poll.Incarnation {
+		s.closePoll(contact)
+		*contact = runnerContact{incarnation: poll.Incarnation, lastHeard: s.now, agent: s.carryOverAgent(contact)}
 	}
-	if p.Seq <= c.seq {
-		response := s.emptyPollResponse(c)
-		response.Seq = c.seq
+	if poll.Seq <= contact.seq {
+		response := s.emptyPollResponse(contact)
+		response.Seq = contact.seq
 		s.replyJSON(peer, id, http.StatusOK, response)
 		return nil, false
 	}
-	return c, true
+	return contact, true
 }
 
 // openPoll makes this the open poll of a runner.
-func (s *Server) openPoll(peer wire.Peer, id uint64, c *runnerContact, p *runnerapi.PollRequest) {
-	wasAway := !c.hasPolled || s.now.Since(c.lastHeard) > awayAfter
-	c.seq = p.Seq
-	c.lastHeard = s.now
-	c.silentBefore = p.SilentFor
-	c.hasPolled = true
-	c.draining = p.Mode == runnerapi.ModeDraining
-	c.poll = pollState{open: true, peer: peer, id: id, since: s.now}
+func (s *Server) openPoll(peer wire.Peer, id uint64, contact *runnerContact, poll *runnerapi.PollRequest) {
+	wasAway := !contact.hasPolled || s.now.Since(contact.lastHeard) > awayAfter
+	contact.seq = poll.Seq
+	contact.lastHeard = s.now
+	contact.silentBefore = poll.SilentFor
+	contact.hasPolled = true
+	contact.draining = poll.Mode == runnerapi.ModeDraining
+	contact.poll = pollState{open: true, peer: peer, id: id, since: s.now}
 	if wasAway {
-		c.poll.since -= clock.Monotonic(s.state.Limits.SiteMillis("startMs"))
+		contact.poll.since -= clock.Monotonic(s.state.Limits.SiteMillis("startMs"))
 	}
-	c.beginPoll()
+	contact.beginPoll()
 }
 
 // recordRunning takes the attempts that a poll says run. When one is new here, the
 // runners of its gang have something to hear.
-func (s *Server) recordRunning(c *runnerContact, p *runnerapi.PollRequest) {
-	for _, id := range p.Running {
-		c.running[id] = true
-		toldBefore := c.gangs.before[id]
+func (s *Server) recordRunning(contact *runnerContact, poll *runnerapi.PollRequest) {
+	for _, id := range poll.Running {
+		contact.running[id] = true
+		toldBefore := contact.gangs.previous[id]
 		if toldBefore {
-			c.gangs.told[id] = true
+			contact.gangs.current[id] = true
 		}
 		lease := s.state.Leases[id]
 		if lease == nil {
@@ -133,9 +133,9 @@
 }
 
 // recordEnded takes the attempts that a poll says have ended.
-func (s *Server) recordEnded(c *runnerContact, p *runnerapi.PollRequest) {
-	for _, end := range p.Ended {
-		c.ended[end.Lease] = end
+func (s *Server) recordEnded(contact *runnerContact, poll *runnerapi.PollRequest) {
+	for _, end := range poll.Ended {
+		contact.ended[end.Lease] = end
 		if s.state.Leases[end.Lease] != nil {
 			s.leader.leases.confirmed[end.Lease] = true
 		}
@@ -143,20 +143,20 @@
 }
 
 // closePoll answers a poll that a later one has replaced.
-func (s *Server) closePoll(c *runnerContact) {
-	if c.poll.open {
-		c.poll.open = false
-		s.replyJSON(c.poll.peer, c.poll.id, http.StatusOK, s.emptyPollResponse(c))
+func (s *Server) closePoll(contact *runnerContact) {
+	if contact.poll.open {
+		contact.poll.open = false
+		s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, s.emptyPollResponse(contact))
 	}
 }
 
 // emptyPollResponse is an answer without orders.
-func (s *Server) emptyPollResponse(c *runnerContact) runnerapi.PollResponse {
+func (s *Server) emptyPollResponse(contact *runnerContact) runnerapi.PollResponse {
 	response := runnerapi.PollResponse{
 		Lease:        s.state.Limits.SiteMillis("grantMs"),
 		StartTimeout: s.state.Limits.SiteMillis("startMs"),
 	}
-	if c.agent == nil {
+	if contact.agent == nil {
 		response.Gateways = s.gateways.liveClientAddrs(s.now)
 		return response
 	}
@@ -167,33 +167,33 @@
 
 // reportRunnerIfChanged proposes what the runner says of itself when it differs from
 // the state.
-func (s *Server) reportRunnerIfChanged(name identifier.Runner, c *runnerContact, p *runnerapi.PollRequest) {
-	if c.reportProposal > s.appliedIndex {
+func (s *Server) reportRunnerIfChanged(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) {
+	if contact.reportProposal > s.appliedIndex {
 		return
 	}
 	report := &state.ReportRunner{
 		Runner:      name,
-		Incarnation: p.Incarnation,
-		Capacity:    job.Demand{Cores: p.Cores, Mem: p.Mem, MilliCores: p.MilliCores, GPUs: p.GPUs},
-		Labels:      p.Labels,
-		Pool:        p.Pool,
-		AgentAddr:   p.AgentAddr,
-		Domain:      p.Domain,
-		Rack:        p.Rack,
-		Draining:    p.Mode == runnerapi.ModeDraining,
+		Incarnation: poll.Incarnation,
+		Capacity:    job.Demand{Cores: poll.Cores, Mem: poll.Mem, MilliCores: poll.MilliCores, GPUs: poll.GPUs},
+		Labels:      poll.Labels,
+		Pool:        poll.Pool,
+		AgentAddr:   poll.AgentAddr,
+		Domain:      poll.Domain,
+		Rack:        poll.Rack,
+		Draining:    poll.Mode == runnerapi.ModeDraining,
 	}
 	runner := s.state.Runners[name]
 	if report.Draining {
-		report.DepartsAt = s.leader.clock.timeAt(s.now).Add(p.DepartsIn)
-		if runner != nil && runner.Draining && p.DepartsIn == 0 {
+		report.DepartsAt = s.leader.clock.timeAt(s.now).Add(poll.DepartsIn)
+		if runner != nil && runner.Draining && poll.DepartsIn == 0 {
 			report.DepartsAt = runner.DepartsAt
 		}
 	}
 	if runner != nil && matchesReport(runner, report) {
 		return
 	}
-	report.Checkpoints = s.checkpoints(c)
-	c.reportProposal = s.propose(&state.Command{ReportRunner: report})
+	report.Checkpoints = s.checkpoints(contact)
+	contact.reportProposal = s.propose(&state.Command{ReportRunner: report})
 }
 
 // matchesReport tells whether a report says nothing that the state does not have.
@@ -212,19 +212,19 @@
 }
 
 // reportNewEnds proposes the ends that the state has yet to hear of.
-func (s *Server) reportNewEnds(name identifier.Runner, c *runnerContact) {
-	if c.endsProposal > s.appliedIndex {
+func (s *Server) reportNewEnds(name identifier.Runner, contact *runnerContact) {
+	if contact.endsProposal > s.appliedIndex {
 		return
 	}
-	report := &state.ReportEnds{Runner: name, Incarnation: c.incarnation}
-	for _, id := range c.endedIDs() {
-		end := c.ended[id]
-		if s.state.AcceptsEnd(name, c.incarnation, end.Lease, end.Task) {
+	report := &state.ReportEnds{Runner: name, Incarnation: contact.incarnation}
+	for _, id := range contact.endedIDs() {
+		end := contact.ended[id]
+		if s.state.AcceptsEnd(name, contact.incarnation, end.Lease, end.Task) {
 			report.Ends = append(report.Ends, state.End{Lease: end.Lease, Task: end.Task, Outcome: state.Outcome(end.Outcome), Checkpoint: end.Checkpoint})
 		}
 	}
 	if len(report.Ends) > 0 {
-		c.endsProposal = s.propose(&state.Command{ReportEnds: report})
+		contact.endsProposal = s.propose(&state.Command{ReportEnds: report})
 	}
 }
 
@@ -232,29 +232,29 @@
 // long enough. Only those are visited whose runner something happened to, or whose time
 // has come.
 func (s *Server) answerPolls() {
-	hold := s.state.Limits.SiteMillis("startMs") * 6 / 10
-	s.markOverduePolls(hold)
+	timeout := s.state.Limits.SiteMillis("startMs") * 6 / 10
+	s.markOverduePolls(timeout)
 	for _, name := range s.takeChangedRunners() {
-		c := s.leader.runners[name]
-		if c == nil || !c.poll.open {
+		contact := s.leader.runners[name]
+		if contact == nil || !contact.poll.open {
 			continue
 		}
-		s.reportNewEnds(name, c)
-		response := s.pollOrders(name, c)
-		if c.agent != nil {
-			s.answerAgentPoll(name, c, &response, hold)
+		s.reportNewEnds(name, contact)
+		response := s.pollOrders(name, contact)
+		if contact.agent != nil {
+			s.answerAgentPoll(name, contact, &response, timeout)
 		} else {
-			s.answerPoll(name, c, &response, hold)
+			s.answerPoll(name, contact, &response, timeout)
 		}
 	}
 }
 
 // markOverduePolls marks the runners whose polls have been open for long enough.
-func (s *Server) markOverduePolls(hold clock.Millis) {
+func (s *Server) markOverduePolls(timeout clock.Millis) {
 	l := s.leader
-	for len(l.openPolls) > 0 && s.now.Since(l.openPolls[0].since) >= hold {
+	for len(l.openPolls) > 0 && s.now.Since(l.openPolls[0].since) >= timeout {
 		first := l.openPolls[0]
-		if c := l.runners[first.runner]; c != nil && c.poll.open && c.poll.id == first.id {
+		if contact := l.runners[first.runner]; contact != nil && contact.poll.open && contact.poll.id == first.id {
 			l.changedRunners[first.runner] = true
 		}
 		l.openPolls = l.openPolls[1:]
@@ -263,27 +263,27 @@
 
 // answerPoll answers a runner's open poll if there is something to tell, or the poll
 // has been open for long enough.
-func (s *Server) answerPoll(name identifier.Runner, c *runnerContact, response *runnerapi.PollResponse, hold clock.Millis) {
-	newGang := s.collectCompleteGangs(c, response)
-	for _, id := range c.endedIDs() {
-		end := c.ended[id]
-		if !s.state.AcceptsEnd(name, c.incarnation, end.Lease, end.Task) {
+func (s *Server) answerPoll(name identifier.Runner, contact *runnerContact, response *runnerapi.PollResponse, timeout clock.Millis) {
+	newGang := s.collectCompleteGangs(contact, response)
+	for _, id := range contact.endedIDs() {
+		end := contact.ended[id]
+		if !s.state.AcceptsEnd(name, contact.incarnation, end.Lease, end.Task) {
 			response.AckedEnds = append(response.AckedEnds, id)
 		}
 	}
 	orders := len(response.Starts) + len(response.Stops) + len(response.AckedEnds)
-	if !newGang && orders == 0 && s.now.Since(c.poll.since) < hold {
+	if !newGang && orders == 0 && s.now.Since(contact.poll.since) < timeout {
 		return
 	}
-	c.poll.open = false
+	contact.poll.open = false
 	for _, id := range response.CompleteGangs {
-		c.gangs.told[id] = true
+		contact.gangs.current[id] = true
 	}
-	empty := s.emptyPollResponse(c)
+	empty := s.emptyPollResponse(contact)
 	response.Lease = empty.Lease
 	response.StartTimeout = empty.StartTimeout
 	response.Gateways = empty.Gateways
-	s.replyJSON(c.poll.peer, c.poll.id, http.StatusOK, response)
+	s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, response)
 }
 
 // takeChangedRunners takes the runners whose polls are to be looked at, in order.
@@ -299,24 +299,24 @@
 
 // pollOrders collects what a runner is to start and to stop. Starts go out only for
 // leases in the state as it now stands.
-func (s *Server) pollOrders(name identifier.Runner, c *runnerContact) runnerapi.PollResponse {
+func (s *Server) pollOrders(name identifier.Runner, contact *runnerContact) runnerapi.PollResponse {
 	var response runnerapi.PollResponse
-	r := s.state.Runners[name]
-	if r == nil || r.Incarnation != c.incarnation {
+	runner := s.state.Runners[name]
+	if runner == nil || runner.Incarnation != contact.incarnation {
 		return response
 	}
-	r.EachLease(func(g *state.Lease) {
-		_, over := c.ended[g.ID]
+	runner.EachLease(func(lease *state.Lease) {
+		_, ended := contact.ended[lease.ID]
 		switch {
-		case over:
-		case g.RevokeReason != "":
-			response.Stops = append(response.Stops, g.ID)
-		case !c.running[g.ID] && !c.draining && r.CordonedBy() == "":
-			response.Starts = append(response.Starts, s.startOrder(g))
+		case ended:
+		case lease.RevokeReason != "":
+			response.Stops = append(response.Stops, lease.ID)
+		case !contact.running[lease.ID] && !contact.draining && runner.CordonedBy() == "":
+			response.Starts = append(response.Starts, s.startOrder(lease))
 		}
 	})
 	slices.SortFunc(response.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Lease, y.Lease) })
-	for id := range c.running {
+	for id := range contact.running {
 		if s.state.Leases[id] == nil {
 			response.Stops = append(response.Stops, id)
 		}
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -41,8 +41,8 @@
 func (s *Server) schedulable() func(name identifier.Runner) bool {
 	limit := 2 * s.state.Limits.SiteMillis("startMs")
 	return func(name identifier.Runner) bool {
-		c := s.leader.runners[name]
-		return c != nil && c.hasPolled && !c.draining && c.incarnation == s.state.Runners[name].Incarnation &&
-			c.silentFor(s.now) < limit && !s.quarantined(c)
+		contact := s.leader.runners[name]
+		return contact != nil && contact.hasPolled && !contact.draining && contact.incarnation == s.state.Runners[name].Incarnation &&
+			contact.silentFor(s.now) < limit && !s.quarantined(contact)
 	}
 }
