--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -13,14 +13,13 @@
 	"orchidward/internal/state"
 )
 
-// Agents stand between the leader and runners that speak another protocol. They name an
-// attempt by its task and its number; here these names are turned into leases and back,
-// and from then on an agent's runner is like any other.
-
 // nominalWorkRate is the rate of a runner on which work goes as fast as estimated.
 const nominalWorkRate = 1000
 
-// agentRunner is what the leader keeps of a runner that an agent speaks for.
+// agentRunner is what the leader keeps of a runner that an agent speaks for. Agents stand
+// between the leader and runners that speak another protocol. They name an attempt by its
+// task and its number; these names are turned into leases and back in this file, and from
+// then on an agent's runner is like any other.
 type agentRunner struct {
 	// runs is what the last poll said of attempts that the state knows, inOrder the
 	// same in the poll's order.
@@ -180,8 +179,8 @@
 const lookahead = 8
 
 // matchPreviousRun finds an attempt among those of the poll before, which mostly come in
-// the same order, at or after next. It holds as long as its lease is open: a task's lease
-// is the open one.
+// the same order, at or after next. The match is valid while its lease is open: a task has
+// one open lease at most.
 func (s *Server) matchPreviousRun(name identifier.Runner, incarnation identifier.Incarnation, previous []*agentRun, next int, runName runnerapi.RunStop) (run *agentRun, at int) {
 	for i := next; i < len(previous) && i < next+lookahead; i++ {
 		if previous[i].name != runName {
@@ -196,14 +195,14 @@
 	return nil, next
 }
 
-// runnerPresent tells whether the runner itself is there to be reported on. One that has
+// runnerPresent reports whether the runner itself is there to be reported on. One that has
 // left in order, or is presumed dead by its agent, is counted lost at once.
 func (s *Server) runnerPresent(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) bool {
 	if contact.agent == nil {
 		return true
 	}
 	if !poll.LeftInOrder && !poll.PresumedDead {
-		return poll.SilentFor < 2*s.state.Limits.SiteMillis("startMs")
+		return poll.SilentFor < 2*s.startTimeout()
 	}
 	runner := s.state.Runners[name]
 	if runner != nil && runner.Incarnation == poll.Incarnation && !runner.Gone && s.leader.lossProposal[name] <= s.appliedIndex {
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -33,7 +33,7 @@
 }
 
 // processRaftOutput hands on what the consensus sends and writes, and applies what it
-// committed. It tells whether a leader may have more to do because of it.
+// committed. It reports whether a leader may have more to do because of it.
 func (s *Server) processRaftOutput(out raft.Output) (more bool) {
 	if out.InstalledSnapshot != nil && !s.installSnapshot(out.InstalledSnapshot) {
 		return false
--- a/internal/controlplane/cluster_fixture_test.go
+++ b/internal/controlplane/cluster_fixture_test.go
@@ -157,7 +157,7 @@
 	return doc.State
 }
 
-// jobSucceeded tells whether a job has ended well.
+// jobSucceeded reports whether a job has ended well.
 func jobSucceeded(jobState string) bool { return jobState == string(state.Succeeded) }
 
 // run lets time pass.
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// quietLongEnough tells whether no group was heard of for so long that a leader would
+// quietLongEnough reports whether no group was heard of for so long that a leader would
 // have made itself heard. Seeds without a disk forget at a restart that there is one.
 func (d *discovery) quietLongEnough(now clock.Monotonic) bool {
 	if now.Since(d.since) < quietBeforeFounding {
--- a/internal/controlplane/drain_controller.go
+++ b/internal/controlplane/drain_controller.go
@@ -2,6 +2,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
@@ -69,7 +70,7 @@
 	return step
 }
 
-// stopsDue tells whether some lease in the drain's scope is to be revoked now, or the
+// stopsDue reports whether some lease in the drain's scope is to be revoked now, or the
 // time of every runner in it has come.
 func (s *Server) stopsDue(drain *state.Drain, running []*state.Lease) bool {
 	clusterTime := s.leader.clock.timeAt(s.now)
@@ -89,7 +90,7 @@
 // stopTimeout is how long the post-drain check waits for stops before it judges.
 func (s *Server) stopTimeout(drain *state.Drain) clock.Millis {
 	if drain.Kind == state.KindRack {
-		return s.state.Limits.SiteMillis("drainMs")
+		return s.state.Limits.SiteMillis(limits.SiteDrain)
 	}
-	return s.state.Limits.SiteMillis("evacMs")
+	return s.state.Limits.SiteMillis(limits.SiteEvacuation)
 }
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// undecided tells whether this server can say neither where the group is nor that
+// undecided reports whether this server can say neither where the group is nor that
 // there is none: then it says nothing.
 func (f *forwarderNode) undecided(now clock.Monotonic) bool {
 	return !f.knowsGroup() && f.leaderlessGroupAt != 0 && now.Since(f.leaderlessGroupAt) < quietBeforeFounding
--- a/internal/controlplane/gangs.go
+++ b/internal/controlplane/gangs.go
@@ -9,9 +9,9 @@
 	"orchidward/internal/state"
 )
 
-// Gangs go on together or not at all. A member lives by word, repeated in the answers to
-// its runner's polls, that all of its partners run on runners heard lately; without that
-// word its runner ends it. And as soon as one member's runner is silent for longer than a
+// Gangs run together or not at all. A member may go on only while the answers to its
+// runner's polls repeat that all of its partners run on runners heard lately; otherwise its
+// runner ends it. And as soon as one member's runner is silent for longer than a
 // few polls, the leader revokes the whole gang: suspicion is enough to stop, though not to
 // place anew. See docs/notes/gangs.md.
 
@@ -19,16 +19,19 @@
 // stopped.
 const silentGangPolls = 3
 
-// gangLease is how long a member may go on without word, 0 where it needs none: less than
-// a lease, and longer than a change of leaders takes.
+// gangLeaseLevel is the level of the state from which on runners know gang leases.
+const gangLeaseLevel uint16 = 1
+
+// gangLease is how long a member may go on without being told that its gang is complete, 0
+// where it need not be told: less than a lease, and longer than a change of leaders takes.
 func (s *Server) gangLease(lease *state.Lease) clock.Millis {
-	if s.state.Level < 1 || !spansRunners(lease, s.state.Partners(lease)) {
+	if s.state.Level < gangLeaseLevel || !spansRunners(lease, s.state.Partners(lease)) {
 		return 0
 	}
-	return s.state.Limits.SiteMillis("grantMs") * 7 / 10
+	return s.newLeaseSpan() * 7 / 10
 }
 
-// spansRunners tells whether the lease is a gang member's whose partners are on other
+// spansRunners reports whether the lease is a gang member's whose partners are on other
 // runners.
 func spansRunners(lease *state.Lease, partners []*state.Lease) bool {
 	for _, partner := range partners {
@@ -39,21 +42,21 @@
 	return false
 }
 
-// memberRunning tells whether an attempt is seen running, or ended, on a runner that has
-// not missed a poll: word given on older reports would outlive a dead partner.
+// memberRunning reports whether an attempt is seen running, or ended, on a runner that has
+// not missed a poll: an answer based on older reports would outlive a dead partner.
 func (s *Server) memberRunning(lease *state.Lease) bool {
 	contact := s.leader.runners[lease.Runner]
 	if contact == nil || !contact.hasPolled || contact.incarnation != lease.Incarnation || lease.RevokeReason != "" {
 		return false
 	}
-	if contact.silentFor(s.now) > s.state.Limits.SiteMillis("startMs")*3/2 {
+	if contact.silentFor(s.now) > s.startTimeout()*3/2 {
 		return false
 	}
 	_, ended := contact.ended[lease.ID]
 	return contact.running[lease.ID] || ended
 }
 
-// collectCompleteGangs names the members running here whose partners all run. It tells
+// collectCompleteGangs names the members running here whose partners all run. It reports
 // whether there is one that the runner has not been told of since it began.
 func (s *Server) collectCompleteGangs(contact *runnerContact, response *runnerapi.PollResponse) (anyNew bool) {
 	for id := range contact.running {
@@ -70,7 +73,7 @@
 	return anyNew
 }
 
-// gangComplete tells whether a lease belongs to a gang that spans several runners and
+// gangComplete reports whether a lease belongs to a gang that spans several runners and
 // whose other members all run.
 func (s *Server) gangComplete(lease *state.Lease) bool {
 	partners := s.state.Partners(lease)
@@ -91,7 +94,7 @@
 	if l.gangProposal > s.appliedIndex {
 		return
 	}
-	limit := silentGangPolls * s.state.Limits.SiteMillis("startMs")
+	limit := silentGangPolls * s.startTimeout()
 	var late []identifier.LeaseID
 	for name, contact := range l.runners {
 		runner := s.state.Runners[name]
--- a/internal/controlplane/graceful_stop.go
+++ b/internal/controlplane/graceful_stop.go
@@ -38,7 +38,7 @@
 	s.process()
 }
 
-// Left tells whether the process may end: another server leads, nobody does and this
+// Left reports whether the process may end: another server leads, nobody does and this
 // server can't change that, or the stop has taken too long.
 func (s *Server) Left() bool {
 	if s.stopping == nil {
--- a/internal/controlplane/job_views.go
+++ b/internal/controlplane/job_views.go
@@ -186,7 +186,7 @@
 	s.replyJSON(r.peer, r.ID, http.StatusOK, page)
 }
 
-// matchesQuery tells whether a job is one that a query asks for.
+// matchesQuery reports whether a job is one that a query asks for.
 func matchesQuery(query url.Values, j *state.Job) bool {
 	client, _ := j.Key.Split()
 	return matchesFilter(query, "agent", string(client)) &&
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -68,7 +68,7 @@
 	s.waitReasons = map[identifier.JobKey]map[int]string{}
 }
 
-// isActiveLeader tells whether this server may act as the leader at this moment.
+// isActiveLeader reports whether this server may act as the leader at this moment.
 func (s *Server) isActiveLeader() bool {
 	return s.stopping == nil && s.leader != nil && s.raft.HasLease(s.now)
 }
--- a/internal/controlplane/leader_link.go
+++ b/internal/controlplane/leader_link.go
@@ -89,7 +89,7 @@
 	return s.raft.Member(s.raft.Leader())
 }
 
-// KnowsLeader tells whether this server knows who leads.
+// KnowsLeader reports whether this server knows who leads.
 func (s *Server) KnowsLeader() bool {
 	if s.raft != nil {
 		return s.raft.Leader() != 0
@@ -98,7 +98,7 @@
 	return known
 }
 
-// Connected tells whether this server has a leader to go to, or had one until so
+// Connected reports whether this server has a leader to go to, or had one until so
 // short a time ago that the next one may be about to be elected.
 func (s *Server) Connected() bool {
 	return !s.leaderLink.lost && s.now.Since(s.leaderLink.reachedAt) <= 2*s.config.Timing.ElectionTimeout
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
 	"orchidward/internal/state"
 )
@@ -36,7 +37,7 @@
 // revokeUnconfirmedStarts revokes leases whose start nobody confirmed in time.
 func (s *Server) revokeUnconfirmedStarts() {
 	confirmations := &s.leader.leases
-	limit := s.state.Limits.SiteMillis("confirmMs")
+	limit := s.state.Limits.SiteMillis(limits.SiteConfirmTimeout)
 	var late []identifier.LeaseID
 	for id, openedAt := range confirmations.unconfirmedSince {
 		lease := s.state.Leases[id]
--- a/internal/controlplane/levels.go
+++ b/internal/controlplane/levels.go
@@ -46,7 +46,7 @@
 	s.logEvent("server-halted", append([]any{"why", reason}, fields...)...)
 }
 
-// checksumDiffers tells whether this server's state differs from the leader's, and
+// checksumDiffers reports whether this server's state differs from the leader's, and
 // halts it if so.
 func (s *Server) checksumDiffers(command *state.VerifyChecksum) bool {
 	checksum, ok := s.checksums.get(command.Index)
@@ -78,7 +78,7 @@
 // proposeChecksum lets the members compare the checksums of their states.
 func (s *Server) proposeChecksum() {
 	l := s.leader
-	if s.state.Level < 1 || s.now.Since(l.lastChecksum) < checksumInterval {
+	if s.state.Level < state.ChecksumLevel || s.now.Since(l.lastChecksum) < checksumInterval {
 		return
 	}
 	l.lastChecksum = s.now
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// addressTaken tells whether a later member has this one's address: its process and
+// addressTaken reports whether a later member has this one's address: its process and
 // its disk are gone.
 func addressTaken(members []raft.Member, member raft.Member) bool {
 	taken := false
--- a/internal/controlplane/membership_plan.go
+++ b/internal/controlplane/membership_plan.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// needsVoter tells whether a learner is wanted as a voter: to take a dead one's place,
+// needsVoter reports whether a learner is wanted as a voter: to take a dead one's place,
 // or to grow. Four voters bear no more losses than three and lose more with a zone, so
 // growth waits until two can follow one another at once.
 func (p *membershipPlan) needsVoter(want int) bool {
@@ -114,7 +114,7 @@
 	return false
 }
 
-// unbalanced tells whether a zone has two voters more than that of a learner that has
+// unbalanced reports whether a zone has two voters more than that of a learner that has
 // caught up: the learner becomes a voter, and then one of that zone a learner.
 func (p *membershipPlan) unbalanced(want int) bool {
 	if p.voters != want || !p.allVotersLive || p.surplusVoter == nil {
@@ -123,7 +123,7 @@
 	return p.votersByDomain[p.surplusVoter.Domain] > p.votersByDomain[p.readyLearner.Domain]+1
 }
 
-// keepsQuorum tells whether the live are a majority of the voters of a list.
+// keepsQuorum reports whether the live are a majority of the voters of a list.
 func (p *membershipPlan) keepsQuorum(next []raft.Member) bool {
 	live := map[identifier.Node]bool{}
 	for _, current := range p.members {
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -27,7 +27,7 @@
 	return wire.LeaderTime{Term: s.raft.Term(), At: s.now}
 }
 
-// orderExpired tells whether an order may have come later than its sender waits. An
+// orderExpired reports whether an order may have come later than its sender waits. An
 // order without a reading comes from a program of an earlier version, or from this
 // process itself, and is not judged.
 func (s *Server) orderExpired(request *wire.Request) bool {
--- a/internal/controlplane/policy_results.go
+++ b/internal/controlplane/policy_results.go
@@ -2,6 +2,7 @@
 
 import (
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler"
 )
 
@@ -18,7 +19,7 @@
 // logs whenever one fails for another reason than before.
 func (s *Server) recordPolicyResults(cycle scheduler.PolicyResults) {
 	for row := range s.policyResults {
-		if s.state.Limits.Cell(row, policyCell) == "" {
+		if s.state.Limits.Cell(row, limits.ColumnPolicy) == "" {
 			delete(s.policyResults, row)
 		}
 	}
@@ -43,13 +44,10 @@
 	}
 }
 
-// policyCell is the cell of the limits table that holds a row's policy.
-const policyCell = "policy"
-
 func (s *Server) policyDocs() []PolicyDoc {
 	list := []PolicyDoc{}
 	for _, row := range s.state.Limits.RowNames() {
-		if s.state.Limits.Cell(row, policyCell) == "" {
+		if s.state.Limits.Cell(row, limits.ColumnPolicy) == "" {
 			continue
 		}
 		result := s.policyResults[row]
--- a/internal/controlplane/proposals.go
+++ b/internal/controlplane/proposals.go
@@ -42,7 +42,7 @@
 	bytes         int
 }
 
-// full tells whether a request with a body of so many bytes must be refused.
+// full reports whether a request with a body of so many bytes must be refused.
 func (t *proposalTable) full(size int) bool {
 	return len(t.byIndex) >= maxProposals || t.bytes+size > maxProposalBytes
 }
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -10,6 +10,13 @@
 	"orchidward/internal/transport/wire"
 )
 
+// A runner counts as lost this long after its leases can have lasted, besides the part of
+// the lease by which clocks may drift.
+const (
+	runnerLapseMargin clock.Millis = 1000
+	agentLapseMargin  clock.Millis = 300
+)
+
 // runnerContact is what a leader knows of one incarnation of a runner: when it was last
 // heard, what its last poll said, and the poll that is open.
 type runnerContact struct {
@@ -49,13 +56,14 @@
 
 // gangNotices are the gangs that answers to a runner's polls called complete.
 type gangNotices struct {
-	// current are those of the answers to the last poll, before those of the poll before.
+	// current are those of the answers to the last poll, previous those of the answers to
+	// the poll before it.
 	current  map[identifier.LeaseID]bool
 	previous map[identifier.LeaseID]bool
 }
 
-// beginPoll empties what a poll says anew. What answers to the last poll told is kept
-// aside.
+// beginPoll clears what the last poll said. The gangs that the answers to it called
+// complete become the previous ones.
 func (c *runnerContact) beginPoll() {
 	if c.running == nil {
 		c.running = map[identifier.LeaseID]bool{}
@@ -75,15 +83,15 @@
 	return now.Since(c.lastHeard) + c.silentBefore
 }
 
-// leaseLapsed tells whether whatever ran there must have outlived a lease of the given
-// length. The margin covers clocks that drift. An agent's runner holds its leases by its
+// leaseLapsed reports whether whatever ran there must have outlived a lease of the given
+// length. The margin covers clocks that drift. An agent's runner keeps its leases by its
 // own last heartbeat, which the agent reports while it polls; when the agent is silent
 // too, later heartbeats may have been answered, up to the end of the agent's lease.
 func (c *runnerContact) leaseLapsed(now clock.Monotonic, lease clock.Millis) bool {
 	if c.agent == nil {
-		return now.Since(c.lastHeard) > lease+lease/10+1000
+		return now.Since(c.lastHeard) > lease+lease/10+runnerLapseMargin
 	}
-	span := lease + lease/20 + 300
+	span := lease + lease/20 + agentLapseMargin
 	return now.Since(c.lastHeard) > span || c.silentBefore > span
 }
 
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -106,7 +106,7 @@
 	return nominalWorkRate
 }
 
-// quarantined tells whether nothing should be placed on a runner for now.
+// quarantined reports whether nothing should be placed on a runner for now.
 func (s *Server) quarantined(contact *runnerContact) bool {
 	return contact.agent != nil && s.now < contact.agent.quarantinedUntil
 }
@@ -114,7 +114,7 @@
 // stallLimit is the least time without progress that is held against an attempt.
 func stallLimit(lease *state.Lease) clock.Millis { return minStall + lease.ExpectedRun/8 }
 
-// stalled tells whether an attempt has made no progress for longer than any sound one
+// stalled reports whether an attempt has made no progress for longer than any sound one
 // would, a slow one included: one percent of a slow attempt takes some percent of its
 // expected duration.
 func (s *Server) stalled(c *runnerContact, p *runProgress, lease *state.Lease) bool {
@@ -135,7 +135,7 @@
 	return p.stalledFor+s.now.Since(c.lastHeard) > span
 }
 
-// gangAssembled tells whether all members of an attempt's gang run.
+// gangAssembled reports whether all members of an attempt's gang run.
 func (s *Server) gangAssembled(lease *state.Lease) bool {
 	for _, partner := range s.state.Partners(lease) {
 		contact := s.leader.runners[partner.Runner]
@@ -188,7 +188,7 @@
 	s.leader.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: leases, Reason: reason}})
 }
 
-// worthChecking tells whether the attempts on a runner can be judged, and whether one of
+// worthChecking reports whether the attempts on a runner can be judged, and whether one of
 // them can be unhealthy at all.
 func (s *Server) worthChecking(contact *runnerContact) bool {
 	if contact == nil || contact.agent == nil || contact.silentBefore > maxReportSilence || s.now.Since(contact.lastHeard) > maxReportAge {
@@ -217,7 +217,7 @@
 	}
 }
 
-// fasterElsewhere tells whether an attempt on a slow runner would be done sooner if it
+// fasterElsewhere reports whether an attempt on a slow runner would be done sooner if it
 // began elsewhere, from its checkpoint.
 func (s *Server) fasterElsewhere(contact *runnerContact, progress *runProgress, lease *state.Lease) bool {
 	step := s.state.Jobs[lease.Task.Job].Spec.Steps[lease.Task.Step]
@@ -261,7 +261,7 @@
 	return true
 }
 
-// healthyAlternative tells whether a runner of the same pool is one that work could move
+// healthyAlternative reports whether a runner of the same pool is one that work could move
 // to from another runner.
 func (s *Server) healthyAlternative(name, from identifier.Runner) bool {
 	runner := s.state.Runners[name]
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -8,6 +8,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/jsondoc"
+	"orchidward/internal/api/limits"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
 	"orchidward/internal/state"
@@ -23,6 +24,21 @@
 	departureSlack = 1000
 )
 
+// startTimeout is how long a runner may take, by the limits table, until it confirms a
+// start; it also sets the pace of polls.
+func (s *Server) startTimeout() clock.Millis {
+	return s.state.Limits.SiteMillis(limits.SiteStartTimeout)
+}
+
+// newLeaseSpan is how long the leases last that an answer to a poll renews now. Leases
+// renewed earlier may last longer: see [state.Store.LeaseSpan].
+func (s *Server) newLeaseSpan() clock.Millis {
+	return s.state.Limits.SiteMillis(limits.SiteLeaseSpan)
+}
+
+// pollTimeout is how long a poll stays open when there is nothing to tell the runner.
+func (s *Server) pollTimeout() clock.Millis { return s.startTimeout() * 6 / 10 }
+
 // openPoll is a poll in the order of those that are answered empty in time.
 type openPoll struct {
 	runner identifier.Runner
@@ -104,7 +120,7 @@
 	contact.draining = poll.Mode == runnerapi.ModeDraining
 	contact.poll = pollState{open: true, peer: peer, id: id, since: s.now}
 	if wasAway {
-		contact.poll.since -= clock.Monotonic(s.state.Limits.SiteMillis("startMs"))
+		contact.poll.since -= clock.Monotonic(s.startTimeout())
 	}
 	contact.beginPoll()
 }
@@ -114,8 +130,8 @@
 func (s *Server) recordRunning(contact *runnerContact, poll *runnerapi.PollRequest) {
 	for _, id := range poll.Running {
 		contact.running[id] = true
-		toldBefore := contact.gangs.previous[id]
-		if toldBefore {
+		notified := contact.gangs.previous[id]
+		if notified {
 			contact.gangs.current[id] = true
 		}
 		lease := s.state.Leases[id]
@@ -123,7 +139,7 @@
 			continue
 		}
 		s.leader.leases.confirmed[id] = true
-		if toldBefore {
+		if notified {
 			continue
 		}
 		for _, partner := range s.state.Partners(lease) {
@@ -153,8 +169,8 @@
 // emptyPollResponse is an answer without orders.
 func (s *Server) emptyPollResponse(contact *runnerContact) runnerapi.PollResponse {
 	response := runnerapi.PollResponse{
-		Lease:        s.state.Limits.SiteMillis("grantMs"),
-		StartTimeout: s.state.Limits.SiteMillis("startMs"),
+		Lease:        s.newLeaseSpan(),
+		StartTimeout: s.startTimeout(),
 	}
 	if contact.agent == nil {
 		response.Gateways = s.gateways.liveClientAddrs(s.now)
@@ -196,7 +212,7 @@
 	contact.reportProposal = s.propose(&state.Command{ReportRunner: report})
 }
 
-// matchesReport tells whether a report says nothing that the state does not have.
+// matchesReport reports whether a report says nothing that the state does not have.
 func matchesReport(runner *state.Runner, report *state.ReportRunner) bool {
 	gap := report.DepartsAt - runner.DepartsAt
 	return runner.Incarnation == report.Incarnation &&
@@ -232,7 +248,7 @@
 // long enough. Only those are visited whose runner something happened to, or whose time
 // has come.
 func (s *Server) answerPolls() {
-	timeout := s.state.Limits.SiteMillis("startMs") * 6 / 10
+	timeout := s.pollTimeout()
 	s.markOverduePolls(timeout)
 	for _, name := range s.takeChangedRunners() {
 		contact := s.leader.runners[name]
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -39,7 +39,7 @@
 // schedulable gives a test of whether a runner may be given work now: it has polled
 // lately under its present incarnation, is not leaving and is not quarantined.
 func (s *Server) schedulable() func(name identifier.Runner) bool {
-	limit := 2 * s.state.Limits.SiteMillis("startMs")
+	limit := 2 * s.startTimeout()
 	return func(name identifier.Runner) bool {
 		contact := s.leader.runners[name]
 		return contact != nil && contact.hasPolled && !contact.draining && contact.incarnation == s.state.Runners[name].Incarnation &&
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"net/http"
 
+	"orchidward/internal/api/admission"
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
@@ -91,7 +92,7 @@
 	}
 	spec := job.Read(body, faults)
 	if spec != nil && !faults.Any() && spec.Queue == "" {
-		g.routing.rules.Check(spec, -1, faults)
+		g.routing.rules.Check(spec, admission.WaitingUnknown, faults)
 	}
 }
 
--- a/tests/mutation/main.go
+++ b/tests/mutation/main.go
@@ -34,7 +34,7 @@
 	{"fence never goes up (zone)", "internal/state/drain_scope.go", "runner.cordonedBy = id", "runner.cordonedBy = \"\"", trial("closing"), "P2 at", nil},
 	{"fence never goes up (leaving)", "internal/state/drain_scope.go", "runner.cordonedBy = id", "runner.cordonedBy = \"\"", trial("leaving"), "P1 at", []edit{
 		{"internal/controlplane/runner_polls.go", "case !contact.running[lease.ID] && !contact.draining && runner.CordonedBy() == \"\":", "case !contact.running[lease.ID]:"}, {"internal/controlplane/scheduling.go", "contact.hasPolled && !contact.draining &&", "contact.hasPolled &&"}}},
-	{"re-placed before the grant is over", "internal/controlplane/runner_contact.go", "return now.Since(c.lastHeard) > lease+lease/10+1000", "return now.Since(c.lastHeard) > 3000", trial("half|steps"), "P3 at", nil},
+	{"re-placed before the grant is over", "internal/controlplane/runner_contact.go", "return now.Since(c.lastHeard) > lease+lease/10+runnerLapseMargin", "return now.Since(c.lastHeard) > 3000", trial("half|steps"), "P3 at", nil},
 	{"runner ignores its grant", "internal/runner/runner.go", "lapsed := r.now.Since(r.polls.contact) > r.polls.lease", "lapsed := false", []string{"./tests/simulation", "-run", "TestCutOff"}, "P3 at", nil},
 	{"steps in any order", "internal/state/job.go", "if j.Spec.Steps[i].Name == name && !j.stepSucceeded(i) {", "if j.Spec.Steps[i].Name == name && j.stepCounts[i].succeeded < 0 {", trial("steps"), "P4 at", nil},
 	{"appointed times ignored", "internal/state/submit.go", "	return spec.NotBefore\n", "	return 0\n", trial("steps"), "P4 at", nil},
