--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -72,7 +72,7 @@
 // longest lease there is.
 func (a *Agent) PrepareToStop() { a.stopping = true }
 
-// InContact tells whether the control plane has answered within its lease.
+// InContact reports whether the control plane has answered within its lease.
 func (a *Agent) InContact() bool { return a.contact.leaseLeft(a.now) > 0 }
 
 // FencingToken is the highest fencing token that this agent knows of, 0 for none.
@@ -108,8 +108,8 @@
 // HandleMessage passes in a message of the control plane.
 func (a *Agent) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	a.now = max(a.now, now)
-	if t := msg.Announcement; t != nil && t.Node != 0 && t.LeaderID == t.Node {
-		a.followLeader(t)
+	if announcement := msg.Announcement; announcement != nil && announcement.Node != 0 && announcement.LeaderID == announcement.Node {
+		a.followLeader(announcement)
 		return
 	}
 	if msg.Response == nil {
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -33,7 +33,7 @@
 	past map[identifier.Incarnation]bool
 }
 
-// presumedDead tells whether the runner is silent and whatever it ran is over.
+// presumedDead reports whether the runner is silent and whatever it ran is over.
 func (r *runnerState) presumedDead(now clock.Monotonic) bool {
 	if r.heartbeat == nil {
 		return false
@@ -41,32 +41,32 @@
 	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
 }
 
-// left tells whether the runner has ended in order.
+// left reports whether the runner has ended in order.
 func (r *runnerState) left(now clock.Monotonic) bool {
 	return r.leftAt > 0 && now.Since(r.leftAt) > farewellDelay
 }
 
-// is tells whether the last heartbeat came from this incarnation.
+// is reports whether the last heartbeat came from this incarnation.
 func (r *runnerState) is(incarnation identifier.Incarnation) bool {
 	return r.heartbeat != nil && r.heartbeat.Runner == incarnation
 }
 
 // HandleHeartbeat takes a heartbeat of the runner and answers it at once. One that comes
 // late, or from an incarnation that another has replaced, is answered without a lease.
-func (a *Agent) HandleHeartbeat(b Heartbeat, now clock.Monotonic) Orders {
+func (a *Agent) HandleHeartbeat(heartbeat Heartbeat, now clock.Monotonic) Orders {
 	a.now = max(a.now, now)
 	orders := Orders{NextHeartbeat: a.config.HeartbeatInterval}
 	switch {
-	case a.runner.past[b.Runner]:
+	case a.runner.past[heartbeat.Runner]:
 		return orders
-	case !a.runner.is(b.Runner):
-		a.beginIncarnation(b.Runner)
-	case b.Seq <= a.runner.heartbeat.Seq:
+	case !a.runner.is(heartbeat.Runner):
+		a.beginIncarnation(heartbeat.Runner)
+	case heartbeat.Seq <= a.runner.heartbeat.Seq:
 		return orders
 	}
-	a.compareWithOrders(&b)
-	a.recordProgress(&b)
-	a.runner.heartbeat = &b
+	a.compareWithOrders(&heartbeat)
+	a.recordProgress(&heartbeat)
+	a.runner.heartbeat = &heartbeat
 	a.runner.heardAt = a.now
 	a.runner.leftAt = 0
 	a.runner.deathReported = false
@@ -122,15 +122,15 @@
 
 // compareWithOrders compares a heartbeat with the one before it, and with what was
 // ordered.
-func (a *Agent) compareWithOrders(b *Heartbeat) {
-	present := b.attempts()
-	if differs(a.runner.heartbeat, b, present) {
+func (a *Agent) compareWithOrders(heartbeat *Heartbeat) {
+	present := heartbeat.attempts()
+	if differs(a.runner.heartbeat, heartbeat, present) {
 		a.unreported = true
 	}
-	if a.orders.dropFetched(present, b.Draining, a.now) {
+	if a.orders.dropFetched(present, heartbeat.Draining, a.now) {
 		a.unreported = true
 	}
-	for _, stopped := range a.orders.noteCleared(present) {
+	for _, stopped := range a.orders.recordCleared(present) {
 		a.unreported = true
 		a.logEvent("run-never-started", "task", stopped.task, "run", stopped.number)
 	}
@@ -148,13 +148,13 @@
 	return set
 }
 
-// differs tells whether a heartbeat says something that the one before it did not, beyond
+// differs reports whether a heartbeat says something that the one before it did not, beyond
 // the progress of attempts.
-func differs(previous, b *Heartbeat, present map[attempt]bool) bool {
-	if previous == nil || previous.Draining != b.Draining || previous.Capacity != b.Capacity || previous.Pool != b.Pool {
+func differs(previous, current *Heartbeat, present map[attempt]bool) bool {
+	if previous == nil || previous.Draining != current.Draining || previous.Capacity != current.Capacity || previous.Pool != current.Pool {
 		return true
 	}
-	if len(previous.Active) != len(b.Active) || len(previous.Finished) != len(b.Finished) {
+	if len(previous.Active) != len(current.Active) || len(previous.Finished) != len(current.Finished) {
 		return true
 	}
 	for _, active := range previous.Active {
@@ -163,7 +163,7 @@
 		}
 	}
 	for i := range previous.Finished {
-		if previous.Finished[i].Seq != b.Finished[i].Seq {
+		if previous.Finished[i].Seq != current.Finished[i].Seq {
 			return true
 		}
 	}
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -96,7 +96,7 @@
 	return list
 }
 
-// dropExpired drops starts whose time is up and tells whether there were any.
+// dropExpired drops starts whose time is up and reports whether there were any.
 func (p *pendingOrders) dropExpired(now clock.Monotonic) (dropped bool) {
 	for name, order := range p.starts {
 		if now > order.expires {
@@ -108,7 +108,7 @@
 }
 
 // dropFetched drops, at a heartbeat, starts that the runner has or was given, that have
-// expired, or that a draining runner must not get. It tells whether there were any.
+// expired, or that a draining runner must not get. It reports whether there were any.
 func (p *pendingOrders) dropFetched(present map[attempt]bool, draining bool, now clock.Monotonic) (dropped bool) {
 	for name, order := range p.starts {
 		if present[name] || order.given || now > order.expires || draining {
@@ -119,9 +119,9 @@
 	return dropped
 }
 
-// noteCleared notes attempts to be stopped that a heartbeat does not report, and lists
+// recordCleared notes attempts to be stopped that a heartbeat does not report, and lists
 // those that are new.
-func (p *pendingOrders) noteCleared(present map[attempt]bool) []attempt {
+func (p *pendingOrders) recordCleared(present map[attempt]bool) []attempt {
 	var list []attempt
 	for stopped := range p.stops {
 		if !present[stopped] && !p.cleared[stopped] {
@@ -152,7 +152,7 @@
 	}
 }
 
-// addStarts takes new starts and tells whether there were any. An attempt that is already
+// addStarts takes new starts and reports whether there were any. An attempt that is already
 // ordered, is to stop, or that the runner reports, is passed over.
 func (p *pendingOrders) addStarts(list []runnerapi.Start, present map[attempt]bool, expires clock.Monotonic) (added bool) {
 	for _, start := range list {
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -19,8 +19,8 @@
 	// searchTimeout takes its place once nothing was heard for lostAfter.
 	searchTimeout clock.Millis = 300
 	lostAfter     clock.Millis = 2000
-	// sentPollLife is how long the time of a poll is remembered.
-	sentPollLife clock.Millis = 5000
+	// sentPollTTL is how long the time of a poll is remembered.
+	sentPollTTL clock.Millis = 5000
 	// minBackoff and maxBackoff bound the pause after a failed poll.
 	minBackoff clock.Millis = 50
 	maxBackoff clock.Millis = 400
@@ -80,13 +80,13 @@
 	p.nextAt = now.Add(p.backoff/2 + jitter)
 }
 
-// newAgent opens a poll and forgets when old ones were sent.
+// begin opens a poll and forgets when old ones were sent.
 func (p *pollState) begin(incarnation identifier.Incarnation, now clock.Monotonic) {
 	p.seq++
 	p.open = &openPoll{seq: p.seq, sentAt: now, incarnation: incarnation}
 	p.sentAt[p.seq] = now
 	for seq, sentAt := range p.sentAt {
-		if now.Since(sentAt) > sentPollLife {
+		if now.Since(sentAt) > sentPollTTL {
 			delete(p.sentAt, seq)
 		}
 	}
@@ -128,32 +128,32 @@
 
 // pollRequest is what the agent reports of its runner.
 func (a *Agent) pollRequest() runnerapi.PollRequest {
-	b := a.runner.heartbeat
+	heartbeat := a.runner.heartbeat
 	silentFor := a.now.Since(a.runner.heardAt)
 	request := runnerapi.PollRequest{
 		Agent:        true,
-		Incarnation:  b.Runner,
+		Incarnation:  heartbeat.Runner,
 		Seq:          a.polls.seq,
-		Cores:        b.Capacity.Cores,
-		MilliCores:   b.Capacity.MilliCores,
-		Mem:          b.Capacity.Mem,
-		GPUs:         b.Capacity.GPUs,
-		Pool:         b.Pool,
+		Cores:        heartbeat.Capacity.Cores,
+		MilliCores:   heartbeat.Capacity.MilliCores,
+		Mem:          heartbeat.Capacity.Mem,
+		GPUs:         heartbeat.Capacity.GPUs,
+		Pool:         heartbeat.Pool,
 		AgentAddr:    a.config.Addr,
-		Labels:       b.Labels,
-		Domain:       b.Domain,
-		Rack:         b.Rack,
+		Labels:       heartbeat.Labels,
+		Domain:       heartbeat.Domain,
+		Rack:         heartbeat.Rack,
 		Mode:         runnerapi.ModeActive,
 		SilentFor:    silentFor,
 		Active:       a.activeRuns(),
-		Finished:     b.Finished,
+		Finished:     heartbeat.Finished,
 		Cleared:      a.orders.clearedStops(),
 		LeftInOrder:  a.runner.left(a.now),
 		PresumedDead: a.runner.presumedDead(a.now),
 	}
-	if b.Draining {
+	if heartbeat.Draining {
 		request.Mode = runnerapi.ModeDraining
-		request.DepartsIn = max(0, b.DepartsIn-silentFor)
+		request.DepartsIn = max(0, heartbeat.DepartsIn-silentFor)
 	}
 	return request
 }
@@ -265,14 +265,14 @@
 }
 
 // followLeader turns to a new leader by its own word.
-func (a *Agent) followLeader(t *wire.Announcement) {
+func (a *Agent) followLeader(announcement *wire.Announcement) {
 	p := &a.polls
-	if len(p.servers) > 0 && p.server() == t.Addr && p.open != nil {
+	if len(p.servers) > 0 && p.server() == announcement.Addr && p.open != nil {
 		return
 	}
-	servers := []string{t.Addr}
-	for _, member := range t.Members {
-		if member.Addr != t.Addr {
+	servers := []string{announcement.Addr}
+	for _, member := range announcement.Members {
+		if member.Addr != announcement.Addr {
 			servers = append(servers, member.Addr)
 		}
 	}
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -30,7 +30,7 @@
 	rateSince   clock.Monotonic
 }
 
-// measureRate takes the rate once enough has been seen of it, and tells whether it has
+// measureRate takes the rate once enough has been seen of it, and reports whether it has
 // fallen to less than half.
 func (p *runProgress) measureRate(percent int64, now clock.Monotonic) (fell bool) {
 	span := now.Since(p.rateSince)
@@ -47,17 +47,17 @@
 	return previous > 0 && p.rate*2 < previous
 }
 
-// stalled tells whether an attempt has made no progress for far longer than it used to
+// stalled reports whether an attempt has made no progress for far longer than it used to
 // take.
 func (p runProgress) stalled(now clock.Monotonic) bool {
 	return now.Since(p.at) >= stallReportAfter+4*p.interval
 }
 
 // recordProgress notes when each attempt last made progress.
-func (a *Agent) recordProgress(b *Heartbeat) {
+func (a *Agent) recordProgress(heartbeat *Heartbeat) {
 	previous := a.progress
-	a.progress = make(map[attempt]runProgress, len(b.Active))
-	for _, active := range b.Active {
+	a.progress = make(map[attempt]runProgress, len(heartbeat.Active))
+	for _, active := range heartbeat.Active {
 		name := attempt{active.Task, active.Attempt}
 		percent := active.ProgressPercent
 		p, known := previous[name]
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -143,7 +143,7 @@
 	}
 }
 
-// Ready tells whether this gateway is in touch with the leader.
+// Ready reports whether this gateway is in touch with the leader.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
 // Gauges are this gateway's metrics, for a face that shows them.
--- a/internal/daemon/serverd/daemon.go
+++ b/internal/daemon/serverd/daemon.go
@@ -220,7 +220,7 @@
 
 func (d *Daemon) endProcess() { _ = d.shutdown.Shutdown(fx.ExitCode(exitHalted)) }
 
-// Ready tells whether this server knows who leads.
+// Ready reports whether this server knows who leads.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
 // Gauges are this server's metrics, for a face that shows them.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -34,7 +34,7 @@
 	Budget clock.Millis
 }
 
-// Idempotent tells whether the request may be sent to a leader again when it is not
+// Idempotent reports whether the request may be sent to a leader again when it is not
 // known what became of an earlier attempt: reads change nothing, jobs are known by their
 // id, and changes of the catalogue by their version and digest. Orders to drain a zone,
 // or to end a drain, have no number: their sender decides.
--- /dev/null
+++ b/internal/gateway/fake_leader_test.go
@@ -0,0 +1,121 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"net/url"
+	"slices"
+	"strconv"
+	"testing"
+
+	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
+	"orchidward/internal/transport/wire"
+)
+
+// fakeLeader answers the syncs of one gateway from the history of a routing table.
+type fakeLeader struct {
+	t       *testing.T
+	gateway *Gateway
+	table   routing.Table
+	history *routing.History
+	now     clock.Monotonic
+	// syncs counts the syncs answered, and largestBody is the size of the largest answer.
+	syncs       int
+	largestBody int
+}
+
+// newFakeLeader is a leader whose table has routes of so many queues, and a gateway that
+// has yet to sync with it.
+func newFakeLeader(t *testing.T, queues int) *fakeLeader {
+	t.Helper()
+	l := &fakeLeader{t: t, gateway: newReadyGateway(t), now: readyAt}
+	l.table = routing.Table{Epoch: 2, Version: 2, Rows: l.gateway.routing.replica.Rows()}
+	for i := 0; i < queues; i++ {
+		route := catalog.Route{Queue: fmt.Sprintf("q%05d", i), Host: "h", Prefix: fmt.Sprintf("/%d/", i)}
+		l.table.Routes = append(l.table.Routes, route)
+	}
+	l.history = routing.NewHistory(l.table)
+	return l
+}
+
+// moveQueue gives one queue another prefix.
+func (l *fakeLeader) moveQueue(name, prefix string) {
+	l.table.Epoch++
+	l.table.Version++
+	l.table.Routes = slices.Clone(l.table.Routes)
+	for i, route := range l.table.Routes {
+		if route.Queue == name {
+			l.table.Routes[i].Prefix = prefix
+		}
+	}
+	l.history.RoutesChanged(l.table)
+}
+
+// answerSyncs answers the syncs in an output and returns the other messages.
+func (l *fakeLeader) answerSyncs(output Output) []wire.Envelope {
+	l.t.Helper()
+	var others []wire.Envelope
+	for _, envelope := range output.Messages {
+		if !isSync(envelope) {
+			others = append(others, envelope)
+			continue
+		}
+		l.answerSync(envelope.Message.Request)
+	}
+	return others
+}
+
+func (l *fakeLeader) answerSync(request *wire.Request) {
+	l.t.Helper()
+	l.syncs++
+	query, err := url.ParseQuery(request.Query)
+	if err != nil {
+		l.t.Fatal(err)
+	}
+	number, err := strconv.ParseUint(query.Get(controlplane.SyncSinceParam), 10, 64)
+	if err != nil {
+		l.t.Fatalf("synced with %s", request.Query)
+	}
+	since := identifier.Epoch(number)
+	after := query.Get(controlplane.SyncAfterParam)
+	response := controlplane.SyncResponse{Epoch: l.table.Epoch, Leader: leaderNode.String(), Members: l.gateway.servers.members}
+	if since != l.table.Epoch || after != "" {
+		page := l.history.Page(since, after)
+		response.Page = &page
+	}
+	body := encode(l.t, response)
+	l.largestBody = max(l.largestBody, len(body))
+	respond(l.gateway, request, wire.Response{Status: http.StatusOK, Body: body}, l.now)
+}
+
+// run lets time pass, with the gateway's syncs answered.
+func (l *fakeLeader) run(span clock.Monotonic) {
+	l.t.Helper()
+	for end := l.now + span; l.now < end; l.now += clock.Monotonic(TickInterval) {
+		l.gateway.Tick(l.now)
+		l.answerSyncs(l.gateway.TakeOutput())
+	}
+}
+
+// request sends the gateway a request and returns its first attempt.
+func (l *fakeLeader) request(id uint64, budget clock.Millis) *wire.Request {
+	l.t.Helper()
+	l.gateway.HandleRequest(Request{ID: id, Method: http.MethodGet, Path: "/v1/jobs", Budget: budget}, l.now)
+	return mustForward(l.t, l.gateway.TakeOutput())
+}
+
+// respondStale returns an attempt as checked by a stale table.
+func (l *fakeLeader) respondStale(attempt *wire.Request, body []byte) {
+	respond(l.gateway, attempt, wire.Response{Status: http.StatusConflict, Stale: true, Body: body}, l.now)
+}
+
+// stalePage is the body of a stale response with what changed since an attempt.
+func (l *fakeLeader) stalePage(attempt *wire.Request) []byte {
+	l.t.Helper()
+	page := l.history.Page(attempt.Epoch, "")
+	return encode(l.t, controlplane.StaleResponse{Page: &page})
+}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// Ready tells whether the gateway has been in touch with the leader lately and has a table
+// Ready reports whether the gateway has been in touch with the leader lately and has a table
 // to decide by.
 func (g *Gateway) Ready(now clock.Monotonic) bool {
 	return g.routing.rules != nil && now.Since(g.sync.leaderHeardAt) < LeaderContactTimeout
@@ -80,7 +80,7 @@
 // Epoch is the version of the routing table in use, 0 while there is none.
 func (g *Gateway) Epoch() identifier.Epoch { return g.routing.epoch() }
 
-// Behind tells whether the leader has had a newer table for so long that this gateway
+// Behind reports whether the leader has had a newer table for so long that this gateway
 // can't say any more what there is not.
 func (g *Gateway) Behind() bool { return g.routing.behind(g.now) }
 
@@ -153,9 +153,9 @@
 }
 
 // observeLeaderTime takes a reading of the leader's clock that came with a message.
-func (g *Gateway) observeLeaderTime(t wire.LeaderTime) {
-	if t.Later(g.latestLeaderTime) {
-		g.latestLeaderTime = t
+func (g *Gateway) observeLeaderTime(reading wire.LeaderTime) {
+	if reading.Later(g.latestLeaderTime) {
+		g.latestLeaderTime = reading
 	}
 }
 
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -31,7 +31,7 @@
 	after  string
 }
 
-// awaits tells whether a response is the one to the sync under way.
+// awaits reports whether a response is the one to the sync under way.
 func (s *leaderSync) awaits(from wire.Peer, id uint64) bool {
 	return s.request != nil && id == s.request.id && from == s.request.to
 }
@@ -48,16 +48,16 @@
 		return
 	}
 	g.sync.lastAnnounce = g.now
-	a := g.announcement()
-	a.WantReply = outOfTouch
+	announcement := g.announcement()
+	announcement.WantReply = outOfTouch
 	known := map[string]bool{g.config.Addr: true}
 	for _, member := range g.servers.members {
 		known[member.Addr] = true
-		g.send(wire.Peer(member.Addr), wire.Message{Announcement: a})
+		g.send(wire.Peer(member.Addr), wire.Message{Announcement: announcement})
 	}
 	for _, seed := range g.config.Seeds {
 		if outOfTouch && !known[seed] {
-			g.send(wire.Peer(seed), wire.Message{Announcement: a})
+			g.send(wire.Peer(seed), wire.Message{Announcement: announcement})
 		}
 	}
 }
@@ -70,21 +70,21 @@
 // syncIfDue syncs with the leader when it is time to, and turns to another server when
 // this one is silent.
 func (g *Gateway) syncIfDue() {
-	s := &g.sync
-	if s.request != nil && g.now.Since(s.request.sentAt) > syncTimeout {
-		g.servers.failed(s.request.to, g.now)
-		s.request = nil
+	sync := &g.sync
+	if sync.request != nil && g.now.Since(sync.request.sentAt) > syncTimeout {
+		g.servers.failed(sync.request.to, g.now)
+		sync.request = nil
 	}
-	if s.request != nil || g.now.Since(s.lastSync) < syncInterval {
+	if sync.request != nil || g.now.Since(sync.lastSync) < syncInterval {
 		return
 	}
 	target := g.servers.ensureTarget(g.now)
 	if target == "" {
 		return
 	}
-	s.lastSync = g.now
+	sync.lastSync = g.now
 	since, after := g.routing.replica.NextRequest()
-	s.request = &syncRequest{id: g.takeAttempt(), sentAt: g.now, to: target, after: after}
+	sync.request = &syncRequest{id: g.takeAttempt(), sentAt: g.now, to: target, after: after}
 	query := url.Values{
 		controlplane.SyncGatewayParam: {g.config.HTTP},
 		controlplane.SyncSinceParam:   {strconv.FormatUint(uint64(since), 10)},
@@ -93,7 +93,7 @@
 		query.Set(controlplane.SyncAfterParam, after)
 	}
 	g.send(target, wire.Message{Request: &wire.Request{
-		ID:     s.request.id,
+		ID:     sync.request.id,
 		Method: endpoint.MethodSync,
 		Path:   "/",
 		Query:  query.Encode(),
@@ -110,8 +110,8 @@
 
 // handleAnnouncement answers who asks for the cluster, turns to a new leader, and learns
 // of servers while it is out of touch.
-func (g *Gateway) handleAnnouncement(from wire.Peer, t *wire.Announcement) {
-	if t.WantReply {
+func (g *Gateway) handleAnnouncement(from wire.Peer, announcement *wire.Announcement) {
+	if announcement.WantReply {
 		reply := g.announcement()
 		reply.Founded = len(g.servers.members) > 0
 		reply.LeaderID = g.servers.leaderID
@@ -120,29 +120,29 @@
 		g.send(from, wire.Message{Announcement: reply})
 		return
 	}
-	byLeader := t.Role == wire.RoleServer && t.Node != 0 && t.LeaderID == t.Node
-	if byLeader && len(t.Members) > 0 {
-		g.followLeader(t)
+	byLeader := announcement.Role == wire.RoleServer && announcement.Node != 0 && announcement.LeaderID == announcement.Node
+	if byLeader && len(announcement.Members) > 0 {
+		g.followLeader(announcement)
 		return
 	}
-	if t.Founded && len(t.Members) > 0 && !g.Ready(g.now) {
-		g.servers.members = t.Members
-		g.servers.gateways = t.Gateways
-		if t.LeaderID != 0 {
-			g.servers.leaderID = t.LeaderID
+	if announcement.Founded && len(announcement.Members) > 0 && !g.Ready(g.now) {
+		g.servers.members = announcement.Members
+		g.servers.gateways = announcement.Gateways
+		if announcement.LeaderID != 0 {
+			g.servers.leaderID = announcement.LeaderID
 		}
 	}
 }
 
 // followLeader turns to a new leader by its own word: what waits on another server is
 // passed to it at once, if it may be sent again.
-func (g *Gateway) followLeader(t *wire.Announcement) {
-	leader := wire.Peer(t.Addr)
-	g.servers.members = t.Members
-	g.servers.leaderID = t.LeaderID
+func (g *Gateway) followLeader(announcement *wire.Announcement) {
+	leader := wire.Peer(announcement.Addr)
+	g.servers.members = announcement.Members
+	g.servers.leaderID = announcement.LeaderID
 	g.servers.target = leader
 	delete(g.servers.failedAt, leader)
-	g.observeLeaderTime(t.LeaderTime)
+	g.observeLeaderTime(announcement.LeaderTime)
 	if g.sync.request != nil && g.sync.request.to != leader {
 		g.sync.request = nil
 	}
@@ -166,23 +166,23 @@
 		g.servers.failed(sync.to, g.now)
 		return
 	}
-	var s controlplane.SyncResponse
-	if err := json.Unmarshal(r.Body, &s); err != nil {
+	var response controlplane.SyncResponse
+	if err := json.Unmarshal(r.Body, &response); err != nil {
 		g.logEvent("sync-malformed", "error", err)
 		return
 	}
 	switch {
-	case s.Table != nil:
-		g.replaceTable(s.Table)
-	case s.Page != nil:
-		g.useTable(g.routing.replica.AddPage(*s.Page, sync.after))
+	case response.Table != nil:
+		g.replaceTable(response.Table)
+	case response.Page != nil:
+		g.useTable(g.routing.replica.AddPage(*response.Page, sync.after))
 	}
-	g.routing.noteLeaderEpoch(s.Epoch, g.now)
+	g.routing.recordLeaderEpoch(response.Epoch, g.now)
 	wasReady := g.Ready(g.now)
 	g.sync.leaderHeardAt = max(g.sync.leaderHeardAt, sync.sentAt)
-	g.updateServers(&s)
+	g.updateServers(&response)
 	if !wasReady && g.Ready(g.now) {
-		g.logEvent("in-touch", "via", sync.to, "leader", s.Leader, "epoch", g.Epoch())
+		g.logEvent("in-touch", "via", sync.to, "leader", response.Leader, "epoch", g.Epoch())
 	}
 	if best := g.servers.choose(g.now); best != sync.to {
 		g.servers.target = best
@@ -193,10 +193,10 @@
 }
 
 // updateServers takes the servers that the leader names.
-func (g *Gateway) updateServers(s *controlplane.SyncResponse) {
-	g.servers.members = s.Members
-	g.servers.gateways = s.Gateways
-	if leader, ok := identifier.ParseNode(s.Leader); ok && leader != g.servers.leaderID {
+func (g *Gateway) updateServers(response *controlplane.SyncResponse) {
+	g.servers.members = response.Members
+	g.servers.gateways = response.Gateways
+	if leader, ok := identifier.ParseNode(response.Leader); ok && leader != g.servers.leaderID {
 		g.servers.leaderID = leader
 		g.servers.target = ""
 	}
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -33,7 +33,7 @@
 	outcomeUnknown bool
 }
 
-// retryDue tells whether the request is to be sent again now.
+// retryDue reports whether the request is to be sent again now.
 func (r *request) retryDue(now clock.Monotonic) bool {
 	if r.retryAt > 0 && now >= r.retryAt {
 		return true
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -185,7 +185,7 @@
 	before := g.Epoch()
 	g.takeStaleTable(response.Body)
 	if g.Epoch() == before && before <= r.epoch && len(response.Body) == 0 {
-		g.routing.noteLeaderEpoch(before+1, g.now)
+		g.routing.recordLeaderEpoch(before+1, g.now)
 		r.retryAt = g.now.Add(staleRetryInterval)
 		g.syncNow()
 		return
@@ -198,15 +198,15 @@
 // takeStaleTable takes the table, or what changed in it, that came with the return of a
 // stale request.
 func (g *Gateway) takeStaleTable(body []byte) {
-	var s controlplane.StaleResponse
-	if err := json.Unmarshal(body, &s); err != nil {
+	var stale controlplane.StaleResponse
+	if err := json.Unmarshal(body, &stale); err != nil {
 		return
 	}
 	switch {
-	case s.Page != nil:
-		g.useTable(g.routing.replica.Patch(*s.Page))
-	case s.Epoch > 0:
-		g.replaceTable(&s.RoutingTable)
+	case stale.Page != nil:
+		g.useTable(g.routing.replica.Patch(*stale.Page))
+	case stale.Epoch > 0:
+		g.replaceTable(&stale.RoutingTable)
 	}
 }
 
--- /dev/null
+++ b/internal/gateway/requests_test.go
@@ -0,0 +1,166 @@
+package gateway
+
+import (
+	"bytes"
+	"net/http"
+	"testing"
+
+	"orchidward/internal/transport/wire"
+)
+
+// TestOutOfTouchAnswersAtOnce checks that a request which can't be passed on, or whose
+// response is no longer expected, is answered at once and not when its budget is used up.
+func TestOutOfTouchAnswersAtOnce(t *testing.T) {
+	g := newReadyGateway(t)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodGet, Path: "/v1/table", Budget: 30000}, 1100)
+	mustForward(t, g.TakeOutput())
+	g.Tick(2000)
+	if output := g.TakeOutput(); !answeredWithRetry(output, http.StatusServiceUnavailable) {
+		t.Errorf("out of touch, with 29 s of budget left: %+v", output.Responses)
+	}
+	g.HandleRequest(Request{ID: 2, Method: http.MethodGet, Path: "/v1/table", Budget: 30000}, 2100)
+	if output := g.TakeOutput(); !answeredOnly(output, http.StatusServiceUnavailable) {
+		t.Errorf("asked while out of touch: %+v", output.Responses)
+	}
+}
+
+// TestUnknownOutcomeIsTimeout checks that a request which a server may have taken fails
+// with 504: 503 says that nothing was taken.
+func TestUnknownOutcomeIsTimeout(t *testing.T) {
+	g := newReadyGateway(t)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: []byte(jobBody), Budget: 30000}, 1100)
+	mustForward(t, g.TakeOutput())
+	g.Tick(2000)
+	if output := g.TakeOutput(); !answeredWithRetry(output, http.StatusGatewayTimeout) {
+		t.Errorf("passed on, then out of touch: %+v", output.Responses)
+	}
+}
+
+// TestRefusedAttemptsAreUnavailable checks that a request which no server took fails with
+// 503, also when its first attempt went to a server that does not lead.
+func TestRefusedAttemptsAreUnavailable(t *testing.T) {
+	g := newReadyGateway(t)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: []byte(jobBody), Budget: 30000}, 1100)
+	first := mustForward(t, g.TakeOutput())
+	respond(g, first, wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}, 1120)
+	g.Tick(1220)
+	second := mustForward(t, g.TakeOutput())
+	respond(g, second, wire.Response{Status: http.StatusServiceUnavailable, RetryAfter: 1000}, 1240)
+	if output := g.TakeOutput(); !answeredOnly(output, http.StatusServiceUnavailable) {
+		t.Errorf("redirected, then refused: %+v", output.Responses)
+	}
+}
+
+// TestBudgetUsedUp checks that a request without a response fails when its budget is used
+// up, not before, and with an unknown outcome.
+func TestBudgetUsedUp(t *testing.T) {
+	g := newReadyGateway(t)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodPatch, Path: "/v1/table", Body: []byte(`{"base":1,"cells":{"a.weight":2}}`), Budget: 300}, 1100)
+	g.TakeOutput()
+	g.Tick(1390)
+	if output := g.TakeOutput(); len(output.Responses) > 0 {
+		t.Errorf("before its time: %+v", output.Responses)
+	}
+	g.Tick(1400)
+	if output := g.TakeOutput(); !answeredOnly(output, http.StatusGatewayTimeout) {
+		t.Errorf("after its time: %+v", output.Responses)
+	}
+}
+
+// TestInFlightBytesBounded checks that the bodies of requests in flight are bounded by
+// their bytes, and are no longer counted once the requests are gone.
+func TestInFlightBytesBounded(t *testing.T) {
+	const requests = 80
+	g := newReadyGateway(t)
+	body := append([]byte(jobBody), bytes.Repeat([]byte(" "), 1<<20)...)
+	refused := 0
+	for id := uint64(1); id <= requests; id++ {
+		g.HandleRequest(Request{ID: id, Method: http.MethodPut, Path: jobPath, Body: body, Budget: 3000}, 1100)
+		for _, response := range g.TakeOutput().Responses {
+			if response.Status == http.StatusServiceUnavailable && response.RetryAfter > 0 {
+				refused++
+			}
+		}
+	}
+	if refused < 10 || refused > 20 || g.requests.bytes > maxInFlightBytes {
+		t.Errorf("%d of %d MiB refused, %d bytes in flight", refused, requests, g.requests.bytes)
+	}
+	for id := uint64(1); id <= requests; id++ {
+		g.Forget(id)
+	}
+	if g.requests.bytes != 0 || g.InFlight() != 0 {
+		t.Errorf("all requests are gone, and %d bytes are counted", g.requests.bytes)
+	}
+}
+
+// TestResponseFromOtherServer checks that a response counts only from the server that was
+// asked, and only for the last attempt.
+func TestResponseFromOtherServer(t *testing.T) {
+	g := newReadyGateway(t)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodGet, Path: "/v1/table", Budget: 3000}, 1100)
+	first := mustForward(t, g.TakeOutput())
+	g.HandleMessage("k2", wire.Message{Response: &wire.Response{ID: first.ID, Status: http.StatusOK}}, 1110)
+	if output := g.TakeOutput(); len(output.Responses) != 0 {
+		t.Errorf("took the reply of one that was not asked: %+v", output.Responses)
+	}
+
+	respond(g, first, wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}, 1120)
+	g.Tick(1250)
+	second := mustForward(t, g.TakeOutput())
+	if second.ID == first.ID {
+		t.Fatalf("sent again as %+v", second)
+	}
+	respond(g, first, wire.Response{Status: http.StatusOK, Body: []byte("first")}, 1260)
+	if output := g.TakeOutput(); len(output.Responses) != 0 {
+		t.Errorf("took the response to an attempt that has ended: %+v", output.Responses)
+	}
+	respond(g, second, wire.Response{Status: http.StatusOK, Body: []byte("second")}, 1270)
+	if output := g.TakeOutput(); len(output.Responses) != 1 || string(output.Responses[0].Body) != "second" {
+		t.Errorf("answered %+v", output.Responses)
+	}
+}
+
+// TestExpiredOrderSentAgain checks that an order whose age the leader could not tell is
+// sent again at once, with the reading that came back, but not after its budget.
+func TestExpiredOrderSentAgain(t *testing.T) {
+	g := newReadyGateway(t)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: "/v1/closings/east", Budget: 900}, 1100)
+	first := mustForward(t, g.TakeOutput())
+	if !first.HasLeaderTime || first.LeaderTime != (wire.LeaderTime{}) || first.Budget != 900 {
+		t.Fatalf("first sent as %+v", first)
+	}
+
+	reading := wire.LeaderTime{Term: 4, At: 70}
+	respond(g, first, wire.Response{Status: http.StatusServiceUnavailable, Expired: true, LeaderTime: reading}, 1110)
+	second := mustForward(t, g.TakeOutput())
+	if second.LeaderTime != reading || second.Budget != 890 {
+		t.Fatalf("sent again as %+v", second)
+	}
+
+	respond(g, second, wire.Response{Status: http.StatusServiceUnavailable, Expired: true, RetryAfter: 200}, 2000)
+	output := g.TakeOutput()
+	if forwarded(output) != nil || !answeredWithRetry(output, http.StatusServiceUnavailable) {
+		t.Errorf("past its budget: %+v, %+v", forwarded(output), output.Responses)
+	}
+}
+
+// TestDeposedLeaderRetriedIfIdempotent checks that a request whose outcome a deposed
+// leader does not know is sent to the next leader if it is idempotent, and answered as
+// unknown otherwise.
+func TestDeposedLeaderRetriedIfIdempotent(t *testing.T) {
+	for path, idempotent := range map[string]bool{jobPath: true, "/v1/closings/east": false} {
+		g := newReadyGateway(t)
+		g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: path, Body: []byte(jobBody), Budget: 3000}, 1100)
+		first := mustForward(t, g.TakeOutput())
+		respond(g, first, wire.Response{Status: http.StatusGatewayTimeout, RetryAfter: 200}, 1110)
+		output := g.TakeOutput()
+		g.Tick(1250)
+		second := forwarded(g.TakeOutput())
+		if idempotent && (len(output.Responses) != 0 || second == nil) {
+			t.Errorf("%s: answered %+v, sent again %+v", path, output.Responses, second)
+		}
+		if !idempotent && (!answeredOnly(output, http.StatusGatewayTimeout) || second != nil) {
+			t.Errorf("%s: answered %+v, sent again %+v", path, output.Responses, second)
+		}
+	}
+}
--- a/internal/gateway/routing_copy.go
+++ b/internal/gateway/routing_copy.go
@@ -36,8 +36,8 @@
 	return c.routeMap.Version
 }
 
-// noteLeaderEpoch notes whether the leader has a newer table than this one.
-func (c *routingCopy) noteLeaderEpoch(leader identifier.Epoch, now clock.Monotonic) {
+// recordLeaderEpoch notes whether the leader has a newer table than this one.
+func (c *routingCopy) recordLeaderEpoch(leader identifier.Epoch, now clock.Monotonic) {
 	switch {
 	case leader <= c.epoch():
 		c.behindSince = 0
@@ -60,8 +60,8 @@
 }
 
 // replaceTable takes a newer table whole; an older one never replaces it.
-func (g *Gateway) replaceTable(t *controlplane.RoutingTable) {
-	g.useTable(g.routing.replica.Replace(routing.Table{Epoch: t.Epoch, Version: t.Version, Rows: t.Rows, Routes: t.Routes}))
+func (g *Gateway) replaceTable(table *controlplane.RoutingTable) {
+	g.useTable(g.routing.replica.Replace(routing.Table{Epoch: table.Epoch, Version: table.Version, Rows: table.Rows, Routes: table.Routes}))
 }
 
 // useTable puts the table into use that the replica has come to, if it changed.
--- /dev/null
+++ b/internal/gateway/stale_requests_test.go
@@ -0,0 +1,141 @@
+package gateway
+
+import (
+	"net/http"
+	"testing"
+
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/limits"
+	"orchidward/internal/clock"
+	"orchidward/internal/controlplane"
+	"orchidward/internal/transport/wire"
+)
+
+// staleTable is the body of a stale response with a whole table, in which a job may have
+// so many tasks.
+func staleTable(t *testing.T, epoch identifier.Epoch, maxTasks string) []byte {
+	t.Helper()
+	table := limits.Default()
+	table.Rows["default"][limits.ColumnMaxTasks] = maxTasks
+	return encode(t, controlplane.RoutingTable{Epoch: epoch, Rows: table.Rows})
+}
+
+// TestStaleRequestCheckedAgain checks that a request that met a newer table is checked by
+// that table and sent again, and that an older table which comes late never replaces it.
+func TestStaleRequestCheckedAgain(t *testing.T) {
+	g := newReadyGateway(t)
+	respondStale := func(attempt *wire.Request, body []byte, now clock.Monotonic) {
+		respond(g, attempt, wire.Response{Status: http.StatusConflict, Stale: true, Body: body}, now)
+	}
+	body := []byte(`{"pending":"default","steps":[{"name":"s","tasks":3}]}`)
+	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: body, Budget: 3000}, 1100)
+	attempt := mustForward(t, g.TakeOutput())
+	if attempt.Epoch != 1 {
+		t.Fatalf("passed on as %+v", attempt)
+	}
+
+	respondStale(attempt, staleTable(t, 5, "10"), 1150)
+	output := g.TakeOutput()
+	attempt = mustForward(t, output)
+	if attempt.Epoch != 5 || len(output.Responses) > 0 {
+		t.Fatalf("after the newer table: %+v, %+v", attempt, output.Responses)
+	}
+
+	respondStale(attempt, staleTable(t, 4, "1"), 1160)
+	if g.Epoch() != 5 {
+		t.Errorf("the table slid back to %d", g.Epoch())
+	}
+	attempt = mustForward(t, g.TakeOutput())
+
+	respondStale(attempt, staleTable(t, 6, "2"), 1170)
+	if output := g.TakeOutput(); !answeredOnly(output, http.StatusUnprocessableEntity) {
+		t.Errorf("by a table that forbids it: %+v", output.Responses)
+	}
+}
+
+// TestStaleRequestsShareOneSync checks that requests that met a newer table, whose changes
+// don't fit into the responses, wait while the gateway syncs once for all of them.
+func TestStaleRequestsShareOneSync(t *testing.T) {
+	const requests = 50
+	leader := newFakeLeader(t, 3)
+	g := leader.gateway
+	leader.run(400)
+	leader.moveQueue("q00001", "/new/")
+	syncsBefore := leader.syncs
+	var attempts []*wire.Request
+	for id := uint64(1); id <= requests; id++ {
+		attempts = append(attempts, leader.request(id, 3000))
+	}
+
+	sentAgain := 0
+	countSentAgain := func(output Output) {
+		for _, envelope := range leader.answerSyncs(output) {
+			request := envelope.Message.Request
+			if request == nil {
+				continue
+			}
+			if request.Epoch != leader.table.Epoch {
+				t.Errorf("sent again by the old table: %+v", request)
+			}
+			sentAgain++
+		}
+	}
+	for i, attempt := range attempts {
+		leader.respondStale(attempt, nil)
+		countSentAgain(g.TakeOutput())
+		if i == 0 && sentAgain > 0 {
+			t.Error("the first was sent again before there was a newer table")
+		}
+	}
+	if n := leader.syncs - syncsBefore; n < 1 || n > 3 {
+		t.Errorf("%d syncs for %d stale requests", n, requests)
+	}
+	if g.Epoch() != leader.table.Epoch {
+		t.Errorf("came to epoch %d of %d", g.Epoch(), leader.table.Epoch)
+	}
+	leader.now += 100
+	g.Tick(leader.now)
+	countSentAgain(g.TakeOutput())
+	if sentAgain != requests {
+		t.Errorf("%d of %d requests were sent again", sentAgain, requests)
+	}
+}
+
+// TestStaleResponseWithPage checks that a small change that comes with the response itself
+// is taken from there.
+func TestStaleResponseWithPage(t *testing.T) {
+	leader := newFakeLeader(t, 3)
+	leader.run(400)
+	first := leader.request(1, 3000)
+	leader.moveQueue("q00001", "/new/")
+	leader.respondStale(first, leader.stalePage(first))
+	second := mustForward(t, leader.gateway.TakeOutput())
+	if second.Epoch != leader.table.Epoch {
+		t.Errorf("after the page it was sent as %+v", second)
+	}
+}
+
+// TestSecondResponseToStaleAttempt checks that a second response to an attempt that was
+// returned as stale counts for nothing, both during the next attempt and after it.
+func TestSecondResponseToStaleAttempt(t *testing.T) {
+	leader := newFakeLeader(t, 3)
+	g := leader.gateway
+	leader.run(400)
+	first := leader.request(1, 3000)
+	leader.moveQueue("q00001", "/new/")
+	leader.respondStale(first, leader.stalePage(first))
+	second := mustForward(t, g.TakeOutput())
+
+	respond(g, first, wire.Response{Status: http.StatusOK, Body: []byte("first")}, leader.now)
+	if output := g.TakeOutput(); len(output.Responses) != 0 {
+		t.Errorf("the response to an attempt that is over was taken: %+v", output.Responses)
+	}
+	respond(g, second, wire.Response{Status: http.StatusOK, Body: []byte("second")}, leader.now)
+	if output := g.TakeOutput(); len(output.Responses) != 1 || string(output.Responses[0].Body) != "second" {
+		t.Errorf("answered %+v", output.Responses)
+	}
+	respond(g, first, wire.Response{Status: http.StatusOK, Body: []byte("first")}, leader.now)
+	if output := g.TakeOutput(); len(output.Responses) != 0 || len(g.requests.byAttempt) != 0 {
+		t.Errorf("after the answer: %+v, %d attempts are kept", output.Responses, len(g.requests.byAttempt))
+	}
+}
--- a/internal/runner/attempts.go
+++ b/internal/runner/attempts.go
@@ -39,7 +39,7 @@
 func (t *attemptTable) forgetUsed(now clock.Monotonic) {
 	for id, usedAt := range t.used {
 		_, unacknowledged := t.ended[id]
-		if !unacknowledged && t.running[id] == nil && now.Since(usedAt) > usedLeaseLife {
+		if !unacknowledged && t.running[id] == nil && now.Since(usedAt) > usedLeaseTTL {
 			delete(t.used, id)
 		}
 	}
@@ -47,58 +47,58 @@
 
 // end ends an attempt that runs.
 func (r *Runner) end(id identifier.LeaseID, outcome string) {
-	w := r.attempts.running[id]
+	ended := r.attempts.running[id]
 	delete(r.attempts.running, id)
-	r.attempts.ended[id] = runnerapi.End{Lease: id, Task: w.Task, Outcome: outcome}
+	r.attempts.ended[id] = runnerapi.End{Lease: id, Task: ended.Task, Outcome: outcome}
 	r.attempts.used[id] = r.now
 	r.unreported = true
-	r.logEvent(Event{outcome, id, w.Task, w.Demand})
+	r.logEvent(Event{outcome, id, ended.Task, ended.Demand})
 }
 
 // stop ends an attempt at once. One that was never heard of is marked, so that its start,
 // should it come yet, finds the lease used up.
 func (r *Runner) stop(id identifier.LeaseID) {
-	t := &r.attempts
-	if t.running[id] != nil {
+	attempts := &r.attempts
+	if attempts.running[id] != nil {
 		r.end(id, runnerapi.OutcomeStopped)
 		return
 	}
-	if _, used := t.used[id]; !used {
-		t.used[id] = r.now
+	if _, used := attempts.used[id]; !used {
+		attempts.used[id] = r.now
 	}
-	if _, reported := t.ended[id]; !reported {
-		t.ended[id] = runnerapi.End{Lease: id, Outcome: runnerapi.OutcomeStopped}
+	if _, reported := attempts.ended[id]; !reported {
+		attempts.ended[id] = runnerapi.End{Lease: id, Outcome: runnerapi.OutcomeStopped}
 		r.unreported = true
 	}
 }
 
 // start starts an attempt that an answer to the poll sent at that time has ordered. A lease
 // that was used, or that does not fit, starts nothing.
-func (r *Runner) start(s runnerapi.Start, sentAt clock.Monotonic) {
-	t := &r.attempts
-	if _, used := t.used[s.Lease]; used || t.running[s.Lease] != nil {
+func (r *Runner) start(order runnerapi.Start, sentAt clock.Monotonic) {
+	attempts := &r.attempts
+	if _, used := attempts.used[order.Lease]; used || attempts.running[order.Lease] != nil {
 		return
 	}
 	free := r.config.Capacity
-	for _, w := range t.running {
-		free = free.Minus(w.Demand)
+	for _, other := range attempts.running {
+		free = free.Minus(other.Demand)
 	}
-	if !s.Demand.Fits(free) {
+	if !order.Demand.Fits(free) {
 		return
 	}
-	span := s.ExpectedRun
+	span := order.ExpectedRun
 	if r.config.SlowdownPercent > 0 {
 		span += span * clock.Millis(r.config.SlowdownPercent) / 100
 	}
-	t.running[s.Lease] = &attempt{
-		Start:        s,
+	attempts.running[order.Lease] = &attempt{
+		Start:        order,
 		end:          r.now.Add(span),
 		gangComplete: sentAt,
 		defect:       r.random.Int63n(100) < r.config.DefectPercent,
 	}
-	t.used[s.Lease] = r.now
+	attempts.used[order.Lease] = r.now
 	r.unreported = true
-	r.logEvent(Event{EventStart, s.Lease, s.Task, s.Demand})
+	r.logEvent(Event{EventStart, order.Lease, order.Task, order.Demand})
 }
 
 func (r *Runner) logEvent(e Event) { r.output.Events = append(r.output.Events, e) }
--- a/internal/runner/config.go
+++ b/internal/runner/config.go
@@ -60,8 +60,8 @@
 	// initialLease and initialStartTimeout hold until the control plane gives others.
 	initialLease        clock.Millis = 10000
 	initialStartTimeout clock.Millis = 1000
-	// usedLeaseLife is how long a lease is remembered that must not start again.
-	usedLeaseLife clock.Millis = 60000
+	// usedLeaseTTL is how long a lease is remembered that must not start again.
+	usedLeaseTTL clock.Millis = 60000
 	// maxReportedEnds bounds the ends that one poll reports, and maxEnds those that wait to
 	// be acknowledged: beyond it nothing is started.
 	maxReportedEnds = 512
--- a/internal/runner/polls.go
+++ b/internal/runner/polls.go
@@ -140,8 +140,8 @@
 		}
 	}
 	for _, id := range response.CompleteGangs {
-		if w := r.attempts.running[id]; w != nil {
-			w.gangComplete = max(w.gangComplete, sentAt)
+		if member := r.attempts.running[id]; member != nil {
+			member.gangComplete = max(member.gangComplete, sentAt)
 		}
 	}
 	for _, id := range response.Stops {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -75,7 +75,7 @@
 // Running is the number of tasks that run.
 func (r *Runner) Running() int { return len(r.attempts.running) }
 
-// InContact tells whether a poll was answered lately.
+// InContact reports whether a poll was answered lately.
 func (r *Runner) InContact() bool {
 	return r.polls.seq > 1 && r.now.Since(r.polls.contact) < 3*r.polls.startTimeout
 }
@@ -133,13 +133,13 @@
 	r.now = max(r.now, now)
 	lapsed := r.now.Since(r.polls.contact) > r.polls.lease
 	for _, id := range r.attempts.runningIDs() {
-		w := r.attempts.running[id]
+		running := r.attempts.running[id]
 		switch {
-		case lapsed || w.GangLease > 0 && r.now.Since(w.gangComplete) > w.GangLease:
+		case lapsed || running.GangLease > 0 && r.now.Since(running.gangComplete) > running.GangLease:
 			r.end(id, runnerapi.OutcomeLeaseLapsed)
-		case r.now >= w.end && w.defect:
+		case r.now >= running.end && running.defect:
 			r.end(id, runnerapi.OutcomeDefect)
-		case r.now >= w.end:
+		case r.now >= running.end:
 			r.end(id, runnerapi.OutcomeSuccess)
 		}
 	}
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -2,6 +2,8 @@
 
 import (
 	"encoding/json"
+	"net/http"
+	"strings"
 	"testing"
 
 	"orchidward/internal/api/identifier"
@@ -10,106 +12,159 @@
 	"orchidward/internal/clock"
 )
 
-func newRunner() *Runner {
-	r := New(Config{Name: "r", Incarnation: "a", Capacity: job.Demand{Cores: 4, Mem: 4000}, Domain: "north", Rack: "k", Gateways: []string{"g1", "g2"}, Seed: 1}, 0)
-	r.Tick(10)
+const (
+	testLease        clock.Millis = 10000
+	testStartTimeout clock.Millis = 1000
+	// firstPollAt is when the first poll, number 1, is sent.
+	firstPollAt clock.Monotonic = 10
+)
+
+// newTestRunner is a runner that has sent its first poll.
+func newTestRunner() *Runner {
+	r := New(Config{
+		Name:        "r",
+		Incarnation: "a",
+		Capacity:    job.Demand{Cores: 4, Mem: 4000},
+		Domain:      "north",
+		Rack:        "k",
+		Gateways:    []string{"g1", "g2"},
+		Seed:        1,
+	}, 0)
+	r.Tick(firstPollAt)
 	return r
 }
 
-// answerPoll hands the newest poll its answer and returns what came of it.
-func answerPoll(t *testing.T, r *Runner, seq uint64, a runnerapi.PollResponse, now clock.Monotonic) Output {
+// respond answers a poll and returns the kinds of the events that it brings about.
+func respond(t *testing.T, r *Runner, seq uint64, response runnerapi.PollResponse, now clock.Monotonic) string {
 	t.Helper()
-	if a.Lease == 0 {
-		a.Lease, a.StartTimeout = 10000, 1000
-	}
-	text, err := json.Marshal(a)
+	response.Lease = testLease
+	response.StartTimeout = testStartTimeout
+	body, err := json.Marshal(response)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.HandlePollResponse(seq, 200, text, now)
-	return r.TakeOutput()
+	r.HandlePollResponse(seq, http.StatusOK, body, now)
+	return eventKinds(r.TakeOutput())
 }
 
-func eventKinds(o Output) string {
-	var list string
-	for _, e := range o.Events {
-		list += e.Kind + " "
+// eventKinds lists the kinds of an output's events, with a space between them.
+func eventKinds(output Output) string {
+	var kinds []string
+	for _, event := range output.Events {
+		kinds = append(kinds, event.Kind)
 	}
-	return list
+	return strings.Join(kinds, " ")
 }
 
-func startOrder(id identifier.LeaseID, gang clock.Millis) runnerapi.Start {
-	return runnerapi.Start{Lease: id, Task: identifier.TaskRef{Job: "a/b", Num: int(id)}, Demand: job.Demand{Cores: 1, Mem: 1}, ExpectedRun: 60000, GangLease: gang}
+// starts orders an attempt of a minute to start for each lease.
+func starts(leases ...identifier.LeaseID) []runnerapi.Start {
+	var list []runnerapi.Start
+	for _, id := range leases {
+		list = append(list, runnerapi.Start{
+			Lease:       id,
+			Task:        identifier.TaskRef{Job: "a/b", Num: int(id)},
+			Demand:      job.Demand{Cores: 1, Mem: 1},
+			ExpectedRun: 60000,
+		})
+	}
+	return list
 }
 
-// TestLateStarts: an answer past its span, or to a poll that another has
-// replaced, starts nothing, but stops all the same.
-func TestLateStarts(t *testing.T) {
-	r := newRunner()
-	if got := eventKinds(answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, 0)}}, 1005)); got != "start " {
-		t.Fatalf("in time: %q", got)
-	}
-	r = newRunner()
-	if got := eventKinds(answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, 0)}}, 1015)); got != "" {
-		t.Errorf("a start 1005 ms after its poll: %q", got)
-	}
-	r = newRunner()
-	answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, 0), startOrder(2, 0)}}, 100)
-	r.Tick(120)
-	if got := eventKinds(answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(3, 0)}}, 130)); got != "" {
-		t.Errorf("an answer twice: %q", got)
-	}
-	r.SetMode(runnerapi.ModeDraining, 5000, 140)
-	if got := eventKinds(answerPoll(t, r, 2, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(3, 0)}, Stops: []identifier.LeaseID{1}}, 150)); got != "stopped " {
-		t.Errorf("to a poll that another replaced: %q", got)
-	}
+// TestLateStartsIgnored checks that a response past its time, or to a poll that another
+// has replaced, starts nothing, and that stops are followed all the same.
+func TestLateStartsIgnored(t *testing.T) {
+	t.Run("in time", func(t *testing.T) {
+		r := newTestRunner()
+		if got := respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1)}, 1005); got != "start" {
+			t.Errorf("a start 995 ms after its poll: %q", got)
+		}
+	})
+	t.Run("late", func(t *testing.T) {
+		r := newTestRunner()
+		if got := respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1)}, 1015); got != "" {
+			t.Errorf("a start 1005 ms after its poll: %q", got)
+		}
+	})
+	t.Run("to an old poll", func(t *testing.T) {
+		r := newTestRunner()
+		respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1, 2)}, 100)
+		r.Tick(120)
+		if got := respond(t, r, 1, runnerapi.PollResponse{Starts: starts(3)}, 130); got != "" {
+			t.Errorf("a second response: %q", got)
+		}
+		r.SetMode(runnerapi.ModeDraining, 5000, 140)
+		response := runnerapi.PollResponse{Starts: starts(3), Stops: []identifier.LeaseID{1}}
+		if got := respond(t, r, 2, response, 150); got != "stopped" {
+			t.Errorf("a response to a poll that another replaced: %q", got)
+		}
+	})
 }
 
-// TestUsedLeases: a lease starts an attempt once, also when its stop came first.
-func TestUsedLeases(t *testing.T) {
-	r := newRunner()
-	answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, 0)}, Stops: []identifier.LeaseID{2}}, 100)
+// TestUsedLeasesNotStartedAgain checks that a lease starts one attempt at most, and none
+// when its stop came first.
+func TestUsedLeasesNotStartedAgain(t *testing.T) {
+	r := newTestRunner()
+	respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1), Stops: []identifier.LeaseID{2}}, 100)
 	r.Tick(120)
-	if got := eventKinds(answerPoll(t, r, r.polls.seq, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, 0), startOrder(2, 0), startOrder(3, 0)}, Stops: []identifier.LeaseID{1}}, 200)); got != "stopped start " {
+	response := runnerapi.PollResponse{Starts: starts(1, 2, 3), Stops: []identifier.LeaseID{1}}
+	if got := respond(t, r, r.polls.seq, response, 200); got != "stopped start" {
 		t.Errorf("used leases started again: %q", got)
 	}
 }
 
-// TestSleeper: on waking past its lease a runner ends its work before it hears
-// or does anything else, and an answer that waited meanwhile starts nothing.
-func TestSleeper(t *testing.T) {
-	r := newRunner()
-	answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, 0)}}, 100)
+// TestLeaseLapsesBeforeResponse checks that a runner that stood still past its lease first
+// ends its attempts, and that a response which waited meanwhile starts nothing.
+func TestLeaseLapsesBeforeResponse(t *testing.T) {
+	r := newTestRunner()
+	respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1)}, 100)
 	r.Tick(120)
-	if got := eventKinds(answerPoll(t, r, r.polls.seq, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(2, 0)}, CompleteGangs: []identifier.LeaseID{1}}, 20000)); got != "lapsed " {
+	response := runnerapi.PollResponse{Starts: starts(2), CompleteGangs: []identifier.LeaseID{1}}
+	if got := respond(t, r, r.polls.seq, response, 20000); got != "lapsed" {
 		t.Errorf("on waking: %q", got)
 	}
 }
 
-// TestGangLease: a member goes on while its gang is called complete, by the time of the
-// poll's sending, and ends itself without; a leader of an earlier version, which
-// gives neither the span nor the word, changes nothing.
-func TestGangLease(t *testing.T) {
-	for _, gang := range []clock.Millis{0, 3000} {
-		r := newRunner()
-		answerPoll(t, r, 1, runnerapi.PollResponse{Starts: []runnerapi.Start{startOrder(1, gang)}}, 100)
-		ended, now := "", clock.Monotonic(100)
-		for ; now < 12000 && ended == ""; now += 20 {
-			r.Tick(now)
-			ended = eventKinds(r.TakeOutput())
-			a := runnerapi.PollResponse{}
-			if now < 5000 && gang > 0 {
-				a.CompleteGangs = []identifier.LeaseID{1}
-			}
-			if now%500 == 0 {
-				ended += eventKinds(answerPoll(t, r, r.polls.seq, a, now+5))
-			}
+// runGang runs one attempt under a gang lease, 0 for none, whose gang is called complete
+// until completeUntil. It returns how the attempt ended before the time limit, and when.
+func runGang(t *testing.T, gangLease clock.Millis, completeUntil clock.Monotonic) (outcome string, endedAt clock.Monotonic) {
+	t.Helper()
+	const (
+		limit        clock.Monotonic = 12000
+		pollInterval clock.Monotonic = 500
+	)
+	r := newTestRunner()
+	order := starts(1)
+	order[0].GangLease = gangLease
+	respond(t, r, 1, runnerapi.PollResponse{Starts: order}, 100)
+	now := clock.Monotonic(100)
+	for ; now < limit && outcome == ""; now += clock.Monotonic(TickInterval) {
+		r.Tick(now)
+		outcome = eventKinds(r.TakeOutput())
+		response := runnerapi.PollResponse{}
+		if now < completeUntil {
+			response.CompleteGangs = []identifier.LeaseID{1}
 		}
-		switch {
-		case gang == 0 && ended != "":
-			t.Errorf("a lone task ended %q at %d", ended, now)
-		case gang > 0 && (ended != "lapsed " || now < 7000 || now > 8100):
-			t.Errorf("without word from 5000 on it ended %q at %d", ended, now)
+		if now%pollInterval == 0 {
+			outcome += respond(t, r, r.polls.seq, response, now+5)
 		}
 	}
+	return outcome, now
+}
+
+// TestGangLease checks that a gang member goes on while responses call its gang complete,
+// counted from when their polls were sent, and ends itself otherwise.
+func TestGangLease(t *testing.T) {
+	outcome, endedAt := runGang(t, 3000, 5000)
+	if outcome != runnerapi.OutcomeLeaseLapsed || endedAt < 7000 || endedAt > 8100 {
+		t.Errorf("not called complete from 5000 on it ended %q at %d", outcome, endedAt)
+	}
+}
+
+// TestNoGangLease checks that an attempt without a gang lease, as leaders of an earlier
+// version start it, goes on although no response calls a gang complete.
+func TestNoGangLease(t *testing.T) {
+	outcome, endedAt := runGang(t, 0, 0)
+	if outcome != "" {
+		t.Errorf("it ended %q at %d", outcome, endedAt)
+	}
 }
--- a/internal/transport/httpclient/attempt.go
+++ b/internal/transport/httpclient/attempt.go
@@ -33,7 +33,7 @@
 	err  error
 }
 
-// final tells whether the response is the last word on the request.
+// final reports whether the response is the last word on the request.
 func (a attempt) final() bool {
 	if a.err != nil {
 		return false
@@ -45,7 +45,7 @@
 	return true
 }
 
-// outcomeUnknown tells whether it can't be said what became of the request if it was sent.
+// outcomeUnknown reports whether it can't be said what became of the request if it was sent.
 func (a attempt) outcomeUnknown() bool {
 	return a.err != nil || a.Status == http.StatusGatewayTimeout
 }
--- a/internal/transport/httpclient/response.go
+++ b/internal/transport/httpclient/response.go
@@ -14,7 +14,7 @@
 	Gateway string
 }
 
-// OK tells whether the status is one of success (2xx).
+// OK reports whether the status is one of success (2xx).
 func (r Response) OK() bool {
 	return r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 }
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -130,7 +130,7 @@
 // Ready is what SetReady last said.
 func (s *Server) Ready() bool { return s.ready.Load() }
 
-// Stopping tells whether the graceful stop has begun.
+// Stopping reports whether the graceful stop has begun.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
 // Serve starts to answer requests in a goroutine of group and returns at once. Stop ends
--- a/internal/transport/httpserver/stream_test.go
+++ b/internal/transport/httpserver/stream_test.go
@@ -392,7 +392,7 @@
 var plainHost = regexp.MustCompile(`^[a-z.]+$`)
 var printable = regexp.MustCompile(`^[!-~]([ -~]*[!-~])?$`)
 
-// plain tells whether a request is beyond doubt one that must be carried out.
+// plain reports whether a request is beyond doubt one that must be carried out.
 func plain(r *http.Request, raw []byte, body []byte) bool {
 	head, _, _ := bytes.Cut(raw, []byte("\r\n\r\n"))
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 || r.Close || !plainHost.MatchString(r.Host) || len(raw) > 4096 || len(body) > echoBodyMost || !slices.Contains(echoMethods, r.Method) {
