--- a/internal/transport/httpserver/handler_server_test.go
+++ b/internal/transport/httpserver/handler_server_test.go
@@ -11,8 +11,8 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// gone waits until nobody listens on the address.
-func gone(t *testing.T, addr string) {
+// waitUntilClosed waits until nobody listens on an address.
+func waitUntilClosed(t *testing.T, addr string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); {
 		conn, err := net.Dial("tcp", addr)
@@ -24,23 +24,25 @@
 	t.Fatal("still listening")
 }
 
-// held is a server with one request in hand, which goes on when out is closed.
-func held(t *testing.T, c *lifecycle.Group) (s *Server, out chan bool, got chan string) {
+// serveInFlight is a server with one request in flight, which is answered when release is
+// closed; got is what its client then gets.
+func serveInFlight(t *testing.T, group *lifecycle.Group) (s *Server, release chan bool, got chan string) {
 	t.Helper()
-	in := make(chan bool)
-	out, got = make(chan bool), make(chan string, 1)
+	entered := make(chan bool)
+	release = make(chan bool)
+	got = make(chan string, 1)
 	s, err := NewHandlerServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/slow" {
-			in <- true
-			<-out
+			entered <- true
+			<-release
 		}
-		_, _ = w.Write([]byte("whole"))
+		_, _ = w.Write([]byte("complete"))
 	}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Serve(c)
-	c.Go(func(<-chan struct{}) {
+	s.Serve(group)
+	group.Go(func(<-chan struct{}) {
 		res, err := http.Get("http://" + s.Addr() + "/slow")
 		if err != nil {
 			got <- "broke off: " + err.Error()
@@ -53,47 +55,47 @@
 		}
 		got <- line
 	})
-	<-in
-	return s, out, got
+	<-entered
+	return s, release, got
 }
 
-// TestStopWaits: a request still in hand when the drain delay is over and the
-// listener has closed is answered whole, however long it takes.
-func TestStopWaits(t *testing.T) {
-	c := lifecycle.New()
-	defer c.Stop(context.Background())
-	s, out, got := held(t, c)
+// TestStopWaitsForInFlight checks that a request still in flight when the drain delay is
+// over and the listener has closed is answered completely, however long it takes.
+func TestStopWaitsForInFlight(t *testing.T) {
+	group := lifecycle.New()
+	defer group.Stop(context.Background())
+	s, release, got := serveInFlight(t, group)
 	s.DrainDelay = 0
-	over := make(chan error, 1)
-	c.Go(func(<-chan struct{}) { over <- s.Stop(context.Background()) })
-	gone(t, s.Addr())
-	close(out)
-	if text := <-got; text != "whole" {
-		t.Errorf("past the drain delay, the request in hand got %q", text)
+	stopped := make(chan error, 1)
+	group.Go(func(<-chan struct{}) { stopped <- s.Stop(context.Background()) })
+	waitUntilClosed(t, s.Addr())
+	close(release)
+	if text := <-got; text != "complete" {
+		t.Errorf("past the drain delay, the request in flight got %q", text)
 	}
-	if err := <-over; err != nil {
+	if err := <-stopped; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestBareParts: while a bare server parts it takes requests, and every answer,
-// also of those taken in before, says that its connection closes.
-func TestBareParts(t *testing.T) {
-	c := lifecycle.New()
-	defer c.Stop(context.Background())
-	s, out, got := held(t, c)
+// TestDrainClosesConnections checks that a draining server takes requests, and that every
+// response, also to requests from before, says that its connection closes.
+func TestDrainClosesConnections(t *testing.T) {
+	group := lifecycle.New()
+	defer group.Stop(context.Background())
+	s, release, got := serveInFlight(t, group)
 	if s.DrainDelay != defaultDrainDelay {
-		t.Errorf("parts for %v", s.DrainDelay)
+		t.Errorf("drains for %v", s.DrainDelay)
 	}
 	conn, res := get(t, s.Addr(), "/")
 	conn.Close()
-	if res.StatusCode != 200 || res.Close {
+	if res.StatusCode != http.StatusOK || res.Close {
 		t.Errorf("before the stop: %d, closes: %v", res.StatusCode, res.Close)
 	}
 	s.DrainDelay = time.Hour
-	ctx, end := context.WithCancel(context.Background())
-	over := make(chan error, 1)
-	c.Go(func(<-chan struct{}) { over <- s.Stop(ctx) })
+	ctx, cancel := context.WithCancel(context.Background())
+	stopped := make(chan error, 1)
+	group.Go(func(<-chan struct{}) { stopped <- s.Stop(ctx) })
 	for until := time.Now().Add(30 * time.Second); !s.Stopping(); {
 		if time.Now().After(until) {
 			t.Fatal("the stop did not begin")
@@ -101,14 +103,14 @@
 	}
 	conn, res = get(t, s.Addr(), "/")
 	conn.Close()
-	if res.StatusCode != 200 || !res.Close {
+	if res.StatusCode != http.StatusOK || !res.Close {
 		t.Errorf("while draining: %d, closes: %v", res.StatusCode, res.Close)
 	}
-	close(out)
-	if text := <-got; text != "whole" {
-		t.Errorf("the request in hand got %q", text)
+	close(release)
+	if text := <-got; text != "complete" {
+		t.Errorf("the request in flight got %q", text)
 	}
-	end()
-	<-over
-	gone(t, s.Addr())
+	cancel()
+	<-stopped
+	waitUntilClosed(t, s.Addr())
 }
--- /dev/null
+++ b/internal/transport/httpserver/random_streams_test.go
@@ -0,0 +1,209 @@
+package httpserver
+
+import (
+	"bufio"
+	"bytes"
+	"fmt"
+	"io"
+	"math/rand"
+	"net/http"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+// maxPlainRequest bounds a plain request, in bytes.
+const maxPlainRequest = 4096
+
+var (
+	plainHost = regexp.MustCompile(`^[a-z.]+$`)
+	printable = regexp.MustCompile(`^[!-~]([ -~]*[!-~])?$`)
+)
+
+// plain reports whether a request is beyond doubt one that must be carried out.
+func plain(r *http.Request, raw []byte, body []byte) bool {
+	head, _, _ := bytes.Cut(raw, []byte("\r\n\r\n"))
+	if r.ProtoMajor != 1 || r.ProtoMinor != 1 || r.Close || !plainHost.MatchString(r.Host) {
+		return false
+	}
+	if len(raw) > maxPlainRequest || len(body) > maxEchoBody || !slices.Contains(echoMethods, r.Method) {
+		return false
+	}
+	if !strings.HasPrefix(r.RequestURI, "/") || r.URL.Path == "/early" || bytes.Count(bytes.ToLower(head), []byte("host")) != 1 {
+		return false
+	}
+	for name, values := range r.Header {
+		if name != requestIDHeader && name != "Content-Length" || len(values) != 1 || !printable.MatchString(values[0]) {
+			return false
+		}
+	}
+	return len(r.TransferEncoding) == 0 || r.ContentLength < 0
+}
+
+// parseComplete reads the complete requests of a stream, one after another, up to the first
+// that is none. The first certain of them are plain.
+func parseComplete(stream []byte) (list []executed, certain int) {
+	source := bytes.NewReader(stream)
+	in := bufio.NewReader(source)
+	doubt := false
+	for {
+		if n := len(list); n > 0 && list[n-1].method == http.MethodPost {
+			skipLineEnds(in)
+		}
+		begin := len(stream) - source.Len() - in.Buffered()
+		r, err := http.ReadRequest(in)
+		if err != nil {
+			return list, certain
+		}
+		body, err := io.ReadAll(r.Body)
+		if err != nil {
+			return list, certain
+		}
+		list = append(list, executed{r.Method, r.URL.Path, r.Header.Get(requestIDHeader), string(body)})
+		raw := stream[begin : len(stream)-source.Len()-in.Buffered()]
+		doubt = doubt || !plain(r, raw, body)
+		if !doubt {
+			certain++
+		}
+	}
+}
+
+// skipLineEnds skips the line ends that old clients send after the body of a POST.
+func skipLineEnds(in *bufio.Reader) {
+	ends, _ := in.Peek(4)
+	for _, b := range ends {
+		if b != '\r' && b != '\n' {
+			return
+		}
+		_, _ = in.Discard(1)
+	}
+}
+
+// checkStream sends a stream and compares what was carried out with what the stream has. It
+// returns how many of its first requests had to be carried out.
+func checkStream(t testing.TB, e *echo, addr string, stream []byte, piece int) int {
+	t.Helper()
+	answers, local, clean := exchange(t, addr, stream, piece)
+	calls := e.takeCalls(local)
+	checkResponses(t, answers, calls, clean)
+	done := carriedOut(calls)
+	list, certain := parseComplete(stream)
+	if len(done) < certain {
+		t.Errorf("%d requests stand completely in %q, only %v were carried out", certain, stream, done)
+	}
+	checkInOrder(t, done, list, stream)
+	for i := 0; i < certain && i < len(done); i++ {
+		if done[i] != list[i] {
+			t.Errorf("carried out %v in place of %v in %q", done[i], list[i], stream)
+		}
+	}
+	return certain
+}
+
+// checkInOrder checks that what was carried out are requests of a stream, in its order and
+// each once.
+func checkInOrder(t testing.TB, done, list []executed, stream []byte) {
+	t.Helper()
+	next := 0
+	for _, one := range done {
+		for next < len(list) && list[next] != one {
+			next++
+		}
+		if next == len(list) {
+			t.Fatalf("%v does not stand completely, or once, in %q", one, stream)
+		}
+		next++
+	}
+}
+
+// randomRequest is the text of a request that is mostly valid.
+func randomRequest(random *rand.Rand, id int) string {
+	method := []string{"GET", "PUT", "POST", "DELETE", "HEAD", "PATCH"}[random.Intn(6)]
+	path := []string{"/a", "/b/c", "/c", "/d", "/e?f=g", "/early"}[random.Intn(6)]
+	body := strings.Repeat("GET / HTTP/1.1\r\nHost: b\r\n\r\n", random.Intn(6)/2)
+	name := fmt.Sprint(id)
+	switch random.Intn(8) {
+	case 0:
+		return rawRequest(method, path, name, "", "")
+	case 1:
+		if body == "" {
+			body = "x"
+		}
+		return rawRequest(method, path, name, chunked, oneChunk(body))
+	case 2:
+		return rawRequest(method, path, name, withLength(len(body)+random.Intn(5)-2), body)
+	case 3:
+		return rawRequest(method, path, name, withLength(len(body))+[]string{"Connection: close\r\n", chunked, "Expect: 100-continue\r\n", withLength(1)}[random.Intn(4)], body)
+	}
+	return rawRequest(method, path, name, withLength(len(body)), body)
+}
+
+// randomStream is a sequence of requests, often with some bytes changed, removed,
+// duplicated or cut off.
+func randomStream(random *rand.Rand) []byte {
+	var stream []byte
+	for i := random.Intn(4); i >= 0; i-- {
+		stream = append(stream, randomRequest(random, random.Intn(1000))...)
+	}
+	for i := max(0, random.Intn(4)-1); i > 0 && len(stream) > 1; i-- {
+		at := random.Intn(len(stream))
+		end := min(len(stream), at+1+random.Intn(8))
+		switch random.Intn(4) {
+		case 0:
+			stream[at] = byte(random.Intn(256))
+		case 1:
+			stream = slices.Delete(stream, at, end)
+		case 2:
+			stream = slices.Insert(stream, at, slices.Clone(stream[at:end])...)
+		case 3:
+			stream = stream[:at]
+		}
+	}
+	return stream
+}
+
+const (
+	randomStreams    = 2000
+	randomStreamTime = 3 * time.Second
+)
+
+// TestRandomStreams checks that whatever bytes come, the complete requests among them are
+// carried out once, in their order, each is answered with its own response, and nothing
+// else is carried out.
+func TestRandomStreams(t *testing.T) {
+	e, addr := newHandlerEcho(t)
+	random := rand.New(rand.NewSource(1))
+	begin := time.Now()
+	streams := 0
+	certain := 0
+	for streams < randomStreams && time.Since(begin) < randomStreamTime && !t.Failed() {
+		certain += checkStream(t, e, addr, randomStream(random), random.Intn(40))
+		streams++
+	}
+	if certain < streams/2 {
+		t.Errorf("only %d requests of %d streams had to be carried out", certain, streams)
+	}
+	t.Logf("%d streams, %d requests that had to be carried out", streams, certain)
+}
+
+// FuzzServer is TestRandomStreams for bytes that the fuzzer chooses.
+func FuzzServer(f *testing.F) {
+	hidden := rawRequest("PUT", "/hidden", "9", withLength(0), "")
+	f.Add([]byte(rawRequest("PUT", "/a", "1", withLength(3), "abc")+rawRequest("GET", "/b", "2", "", "")), 0)
+	f.Add([]byte(rawRequest("POST", "/a", "1", chunked, "3\r\nabc\r\n0\r\n\r\n")+hidden), 1)
+	f.Add([]byte(rawRequest("PUT", "/early", "1", withLength(len(hidden)), hidden)+hidden), 5)
+	f.Add([]byte(rawRequest("PUT", "/a", "1", withLength(2)+chunked, "0\r\n\r\n")+hidden), 3)
+	f.Add([]byte(rawRequest("PUT", "/a", "1", "Expect: 100-continue\r\n"+withLength(3), "abcd")+hidden), 2)
+	f.Add([]byte(rawRequest("POST", "/a", "1", withLength(1), "a\r\n")+hidden), 0)
+	f.Add([]byte("OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n"+hidden), 0)
+	f.Add([]byte("HEAD /a HTTP/1.0\r\nConnection: keep-alive\r\n\r\n"+hidden[:len(hidden)-1]), 0)
+	e, addr := newHandlerEcho(f)
+	f.Fuzz(func(t *testing.T, stream []byte, piece int) {
+		if len(stream) > 1<<14 {
+			return
+		}
+		checkStream(t, e, addr, stream, max(0, piece)%64)
+	})
+}
--- /dev/null
+++ b/internal/transport/httpserver/stream_fixture_test.go
@@ -0,0 +1,248 @@
+package httpserver
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/gin-gonic/gin"
+
+	"orchidward/internal/daemon/lifecycle"
+)
+
+const (
+	requestIDHeader = "X-Id"
+	accountHeader   = "X-Echo"
+	maxEchoBody     = 64
+	exchangeTimeout = 20 * time.Second
+)
+
+// executed is one request that a handler read completely and carried out.
+type executed struct {
+	method string
+	path   string
+	id     string
+	body   string
+}
+
+func (e executed) String() string {
+	return fmt.Sprintf("%s %s id %s body %q", e.method, e.path, e.id, e.body)
+}
+
+// handled is one call of a handler: what it carried out, or the status with which it
+// refused, 0 for none.
+type handled struct {
+	executed
+	refused int
+}
+
+// account identifies the call: the response to the request carries it.
+func (h handled) account() string {
+	if h.refused != 0 {
+		return fmt.Sprintf("%q refused with %d", h.method, h.refused)
+	}
+	return fmt.Sprintf("%q", h.String())
+}
+
+var echoMethods = []string{"GET", "HEAD", "PUT", "POST", "PATCH", "DELETE"}
+
+// echo is a handler that answers each request with the account of its call, and records
+// the calls of each connection in order.
+type echo struct {
+	mu    sync.Mutex
+	calls map[string][]handled
+}
+
+func (e *echo) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	one := read(w, r)
+	e.mu.Lock()
+	e.calls[r.RemoteAddr] = append(e.calls[r.RemoteAddr], one)
+	e.mu.Unlock()
+	w.Header().Set(accountHeader, one.account())
+	if one.refused != 0 {
+		w.WriteHeader(one.refused)
+		return
+	}
+	_, _ = io.WriteString(w, one.String())
+}
+
+// read reads a request as the program's handlers do.
+func read(w http.ResponseWriter, r *http.Request) handled {
+	var one handled
+	one.executed = executed{method: r.Method, path: r.URL.Path, id: r.Header.Get(requestIDHeader)}
+	if r.URL.Path == "/early" {
+		one.refused = http.StatusServiceUnavailable
+		return one
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEchoBody))
+	one.body = string(body)
+	var large *http.MaxBytesError
+	switch {
+	case errors.As(err, &large):
+		one.refused = http.StatusRequestEntityTooLarge
+	case err != nil:
+		one.refused = http.StatusBadRequest
+	case !slices.Contains(echoMethods, r.Method):
+		one.refused = http.StatusMethodNotAllowed
+	}
+	return one
+}
+
+// carriedOut leaves out what was refused.
+func carriedOut(calls []handled) []executed {
+	var list []executed
+	for _, one := range calls {
+		if one.refused == 0 {
+			list = append(list, one.executed)
+		}
+	}
+	return list
+}
+
+// takeCalls returns the calls of a connection and forgets them.
+func (e *echo) takeCalls(addr string) []handled {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	list := e.calls[addr]
+	delete(e.calls, addr)
+	return list
+}
+
+// newHandlerEcho serves an echo on a server with one handler.
+func newHandlerEcho(t testing.TB) (e *echo, addr string) {
+	e = &echo{calls: map[string][]handled{}}
+	s, err := NewHandlerServer("127.0.0.1:0", e)
+	if err != nil {
+		t.Fatal(err)
+	}
+	serve(t, s)
+	return e, s.Addr()
+}
+
+// newRoutedEcho serves an echo on a server with routes.
+func newRoutedEcho(t testing.TB) (e *echo, addr string) {
+	e = &echo{calls: map[string][]handled{}}
+	s, err := New("127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.Gin.NoRoute(func(c *gin.Context) {
+		c.Status(http.StatusOK)
+		e.ServeHTTP(c.Writer, c.Request)
+	})
+	serve(t, s)
+	return e, s.Addr()
+}
+
+// serve runs a server until the test ends.
+func serve(t testing.TB, s *Server) {
+	t.Helper()
+	group := lifecycle.New()
+	s.Serve(group)
+	t.Cleanup(func() {
+		s.http.Close()
+		_ = group.Stop(context.Background())
+	})
+}
+
+// exchange writes a stream in pieces, closes its side and reads all that comes back. clean
+// is false when the connection was reset, so that responses may be missing.
+func exchange(t testing.TB, addr string, stream []byte, piece int) (answers []byte, local string, clean bool) {
+	t.Helper()
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	_ = conn.SetDeadline(time.Now().Add(exchangeTimeout))
+	for rest := stream; len(rest) > 0; {
+		n := len(rest)
+		if piece > 0 {
+			n = min(n, piece)
+		}
+		if _, err = conn.Write(rest[:n]); err != nil {
+			break
+		}
+		rest = rest[n:]
+	}
+	_ = conn.(*net.TCPConn).CloseWrite()
+	answers, err = io.ReadAll(conn)
+	var late net.Error
+	if errors.As(err, &late) && late.Timeout() {
+		t.Fatalf("no end of the answers to %q", stream)
+	}
+	return answers, conn.LocalAddr().String(), err == nil
+}
+
+// checkResponses checks that the responses are those to the calls in their order, and lists
+// the status of each, the server's own among them.
+func checkResponses(t testing.TB, answers []byte, calls []handled, clean bool) []int {
+	t.Helper()
+	var list []int
+	in := bufio.NewReader(bytes.NewReader(answers))
+	next := 0
+	for {
+		if _, err := in.Peek(1); err != nil {
+			break
+		}
+		method := http.MethodGet
+		if next < len(calls) {
+			method = calls[next].method
+		}
+		res, err := http.ReadResponse(in, &http.Request{Method: method})
+		if err != nil {
+			if clean {
+				t.Errorf("an answer does not parse: %v in %q", err, answers)
+			}
+			break
+		}
+		body, err := io.ReadAll(res.Body)
+		if err != nil && clean {
+			t.Errorf("an answer is cut short: %q", answers)
+		}
+		if res.StatusCode < 200 {
+			continue
+		}
+		list = append(list, res.StatusCode)
+		account := res.Header.Get(accountHeader)
+		if account == "" {
+			continue
+		}
+		if next >= len(calls) {
+			t.Fatalf("%d requests were handled and more answered: %q", len(calls), answers)
+		}
+		want := calls[next]
+		next++
+		if account != want.account() {
+			t.Errorf("%s was answered with %s", want.account(), account)
+		}
+		if want.refused == 0 && method != http.MethodHead && err == nil && string(body) != want.String() {
+			t.Errorf("%v was answered with %q", want, body)
+		}
+	}
+	if clean && next != len(calls) {
+		t.Errorf("%d requests were handled, %d answered: %q", len(calls), next, answers)
+	}
+	return list
+}
+
+// rawRequest is the text of one request.
+func rawRequest(method, path, id, more, body string) string {
+	return method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + requestIDHeader + ": " + id + "\r\n" + more + "\r\n" + body
+}
+
+func withLength(n int) string { return fmt.Sprintf("Content-Length: %d\r\n", n) }
+
+const chunked = "Transfer-Encoding: chunked\r\n"
+
+// oneChunk is a chunked body of one chunk.
+func oneChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text) }
