--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -10,6 +10,13 @@
 	"orchidward/internal/transport/wire"
 )
 
+// A runner counts as lost this long after its leases can have lasted, besides the part of
+// the lease by which clocks may drift.
+const (
+	runnerLapseMargin clock.Millis = 1000
+	agentLapseMargin  clock.Millis = 300
+)
+
 // runnerContact is what a leader knows of one incarnation of a runner: when it was last
 // heard, what its last poll said, and the poll that is open.
 type runnerContact struct {
@@ -49,25 +56,26 @@
 
 // gangNotices are the gangs that answers to a runner's polls called complete.
 type gangNotices struct {
-	// told are those of the answers to the last poll, before those of the poll before.
-	told   map[identifier.LeaseID]bool
-	before map[identifier.LeaseID]bool
+	// current are those of the answers to the last poll, previous those of the answers to
+	// the poll before it.
+	current  map[identifier.LeaseID]bool
+	previous map[identifier.LeaseID]bool
 }
 
-// beginPoll empties what a poll says anew. What answers to the last poll told is kept
-// aside.
+// beginPoll clears what the last poll said. The gangs that the answers to it called
+// complete become the previous ones.
 func (c *runnerContact) beginPoll() {
 	if c.running == nil {
 		c.running = map[identifier.LeaseID]bool{}
 		c.ended = map[identifier.LeaseID]runnerapi.End{}
-		c.gangs.told = map[identifier.LeaseID]bool{}
-		c.gangs.before = map[identifier.LeaseID]bool{}
+		c.gangs.current = map[identifier.LeaseID]bool{}
+		c.gangs.previous = map[identifier.LeaseID]bool{}
 		return
 	}
-	c.gangs.told, c.gangs.before = c.gangs.before, c.gangs.told
+	c.gangs.current, c.gangs.previous = c.gangs.previous, c.gangs.current
 	clear(c.running)
 	clear(c.ended)
-	clear(c.gangs.told)
+	clear(c.gangs.current)
 }
 
 // silentFor is how long nothing was heard of the runner itself.
@@ -75,15 +83,15 @@
 	return now.Since(c.lastHeard) + c.silentBefore
 }
 
-// leaseLapsed tells whether whatever ran there must have outlived a lease of the given
-// length. The margin covers clocks that drift. An agent's runner holds its leases by its
+// leaseLapsed reports whether whatever ran there must have outlived a lease of the given
+// length. The margin covers clocks that drift. An agent's runner keeps its leases by its
 // own last heartbeat, which the agent reports while it polls; when the agent is silent
 // too, later heartbeats may have been answered, up to the end of the agent's lease.
 func (c *runnerContact) leaseLapsed(now clock.Monotonic, lease clock.Millis) bool {
 	if c.agent == nil {
-		return now.Since(c.lastHeard) > lease+lease/10+1000
+		return now.Since(c.lastHeard) > lease+lease/10+runnerLapseMargin
 	}
-	span := lease + lease/20 + 300
+	span := lease + lease/20 + agentLapseMargin
 	return now.Since(c.lastHeard) > span || c.silentBefore > span
 }
 
@@ -104,21 +112,21 @@
 	lease := s.state.LeaseSpan()
 	for _, name := range s.state.RunnerNames() {
 		runner := s.state.Runners[name]
-		c := l.runners[name]
-		if c == nil || runner.Gone || !c.leaseLapsed(s.now, lease) || l.lossProposal[name] > s.appliedIndex {
+		contact := l.runners[name]
+		if contact == nil || runner.Gone || !contact.leaseLapsed(s.now, lease) || l.lossProposal[name] > s.appliedIndex {
 			continue
 		}
-		s.logEvent("runner-lost", "runner", name, "silentMs", c.silentFor(s.now))
-		s.proposeLoss(name, runner.Incarnation, c)
+		s.logEvent("runner-lost", "runner", name, "silentMs", contact.silentFor(s.now))
+		s.proposeLoss(name, runner.Incarnation, contact)
 	}
 }
 
 // proposeLoss counts an incarnation of a runner as lost, with the progress that was
 // last reported.
-func (s *Server) proposeLoss(name identifier.Runner, incarnation identifier.Incarnation, c *runnerContact) {
+func (s *Server) proposeLoss(name identifier.Runner, incarnation identifier.Incarnation, contact *runnerContact) {
 	s.leader.lossProposal[name] = s.propose(&state.Command{LoseRunner: &state.LoseRunner{
 		Runner:      name,
 		Incarnation: incarnation,
-		Checkpoints: s.checkpoints(c),
+		Checkpoints: s.checkpoints(contact),
 	}})
 }
--- a/tests/simulation/mixed_test.go
+++ b/tests/simulation/mixed_test.go
@@ -18,14 +18,6 @@
 	showTrace  = flag.Bool("show", false, "print the run of a failing seed")
 )
 
-func checkInvariants(t *testing.T, scenario simulation.Scenario, cluster *simulation.Cluster) {
-	t.Helper()
-	if len(cluster.Checker.Violations) == 0 {
-		return
-	}
-	t.Errorf("seed %d:\n%s", scenario.Seed, strings.Join(cluster.Checker.Violations, "\n"))
-}
-
 // TestCalm is a site with nothing wrong: all promises, and all jobs end.
 func TestCalm(t *testing.T) {
 	for _, site := range []simulation.ClusterSpec{simulation.FastNetwork(), simulation.LossyNetwork()} {
