--- a/tests/simulation/membership/cut_off_test.go
+++ b/tests/simulation/membership/cut_off_test.go
@@ -3,9 +3,11 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"sort"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/state"
 	"orchidward/tests/simulation"
 )
@@ -13,13 +15,13 @@
 // cutOffDuration is how long a server of the control plane is cut off, in ms.
 const cutOffDuration = 20000
 
-// operatorTool sends orders as the operators' tool does: to one server after another,
-// each given a second, with a pause that grows after each that had no answer.
+// operatorTool sends orders as orchidctl does: to one server after another, each given
+// a second, with a backoff after each that did not answer.
 type operatorTool struct {
 	cluster *simulation.Cluster
-	// spans are the times from an order's first send to its acknowledgement.
+	// spans are the times in ms from an order's first send to its acknowledgement.
 	spans []int64
-	// refused are answers that say no to a valid order.
+	// refused are the statuses by which valid orders were refused.
 	refused []int
 }
 
@@ -29,7 +31,7 @@
 	operatorMaxBackoff = 800
 )
 
-// order sends one until it is acknowledged; done hears of it.
+// send sends an order until it is acknowledged or refused, and calls done then.
 func (o *operatorTool) send(addrs []string, verb, path string, body []byte, done func()) {
 	o.attempt(addrs, 0, o.cluster.Now, verb, path, body, done)
 }
@@ -38,11 +40,11 @@
 	cluster := o.cluster
 	cluster.Request(cluster.Clients.Process, addrs[n%len(addrs)], verb, path, body, operatorTimeout, func(status int, _ []byte) {
 		switch {
-		case status == 200:
+		case status == http.StatusOK:
 			o.spans = append(o.spans, cluster.Now-since)
 			done()
 			return
-		case status >= 400 && status < 500 && status != 429:
+		case status >= 400 && status < 500 && status != http.StatusTooManyRequests:
 			o.refused = append(o.refused, status)
 			done()
 			return
@@ -52,7 +54,7 @@
 	})
 }
 
-// serverAddrs lists the keepers, one of them first.
+// serverAddrs lists the servers' addresses, a given one first.
 func serverAddrs(cluster *simulation.Cluster, first string) []string {
 	var addrs []string
 	addrs = append(addrs, first)
@@ -74,7 +76,7 @@
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
 
-// isolations are the ways in which one server loses the others.
+// isolations are the ways in which one server is cut off from the others.
 var isolations = map[string]func(w *simulation.Cluster, k *simulation.Server) (undo func()){
 	"both ways":        func(w *simulation.Cluster, k *simulation.Server) func() { return isolateFromServers(w, k, true, true) },
 	"it is not heard":  func(w *simulation.Cluster, k *simulation.Server) func() { return isolateFromServers(w, k, true, false) },
@@ -88,9 +90,9 @@
 	},
 }
 
-// isolateRepeatedly cuts a keeper from the others for a while and heals it for another, by
-// turns until undone.
-func isolateRepeatedly(cluster *simulation.Cluster, server *simulation.Server, cut, whole int64) func() {
+// isolateRepeatedly isolates a server for blocked ms and reconnects it for connected ms,
+// by turns until undone.
+func isolateRepeatedly(cluster *simulation.Cluster, server *simulation.Server, blocked, connected int64) func() {
 	over := false
 	var turn func()
 	turn = func() {
@@ -98,16 +100,17 @@
 			return
 		}
 		heal := isolateFromServers(cluster, server, true, true)
-		cluster.After(cut, func() {
+		cluster.After(blocked, func() {
 			heal()
-			cluster.After(whole, turn)
+			cluster.After(connected, turn)
 		})
 	}
 	turn()
 	return func() { over = true }
 }
 
-// isolateFromServers cuts a keeper from the other keepers; callers and gates reach it.
+// isolateFromServers blocks the links between a server and the others; clients and
+// gateways still reach it.
 func isolateFromServers(cluster *simulation.Cluster, server *simulation.Server, out, in bool) func() {
 	undos := []func(){}
 	for _, other := range cluster.Servers {
@@ -121,10 +124,10 @@
 	return simulation.UndoAll(undos)
 }
 
-// TestServerCutOff cuts one server of the control plane off for 20 s, the leader or a
-// follower, and keeps sending it orders first, and reads. It confirms none that
-// the others do not have, refuses none, and reads nothing old; the orders are
-// acknowledged by the others within a few tries.
+// TestServerCutOff cuts off one server, the leader or a follower, for 20 s, and sends all
+// orders and reads to it first. It acknowledges no order that the others do not have,
+// refuses none, and answers no stale read; the others acknowledge each order within a
+// few attempts.
 func TestServerCutOff(t *testing.T) {
 	t.Parallel()
 	for name, cut := range isolations {
@@ -151,12 +154,12 @@
 	}
 }
 
-// cutOffServer plays one cut and returns the spans of all orders sent meanwhile, and
-// how many answers the server gave at once that it can't take them.
+// cutOffServer cuts a server off once. It returns the spans of all orders sent meanwhile,
+// and how often the server answered at once that it can't serve.
 func cutOffServer(t *testing.T, seed int64, cut func(cluster *simulation.Cluster, server *simulation.Server) (undo func()), leads bool) (spans []int64, fast int) {
-	site := simulation.FastNetwork()
-	site.ElectionTimeout = 250
-	cluster := simulation.NewCluster(seed, site)
+	spec := simulation.FastNetwork()
+	spec.ElectionTimeout = 250
+	cluster := simulation.NewCluster(seed, spec)
 	o := &operatorTool{cluster: cluster}
 	last := &ackedOrder{}
 	cluster.At(7000, func() {
@@ -171,10 +174,10 @@
 		addrs := serverAddrs(cluster, victim.Addr)
 		var next func(n int)
 		next = func(n int) {
-			verb := []string{"PUT", "DELETE"}[n%2]
+			verb := []string{http.MethodPut, http.MethodDelete}[n%2]
 			last.underWay, last.count = true, n+1
-			o.send(addrs, verb, "/v1/closings/east", nil, func() {
-				last.underWay, last.closed = false, verb == "PUT"
+			o.send(addrs, verb, endpoint.DrainPath("east"), nil, func() {
+				last.underWay, last.closed = false, verb == http.MethodPut
 				cluster.After(300, func() {
 					if cluster.Now < 7000+cutOffDuration+2000 {
 						next(n + 1)
@@ -192,14 +195,14 @@
 	return o.spans, fast
 }
 
-// ackedOrder is the last order that was acknowledged, for a reader to go by:
-// how many were sent, whether one is under way, and what the last one says.
+// ackedOrder is the last order that was acknowledged: how many were sent, whether one is
+// under way, and what the last one asked for.
 type ackedOrder struct {
 	count            int
 	underWay, closed bool
 }
 
-// drainReported tells whether a list of closings says that a zone is closed.
+// drainReported tells whether a response lists a domain as drained.
 func drainReported(t *testing.T, body []byte) bool {
 	var yes bool
 	var doc struct {
@@ -208,7 +211,7 @@
 		} `json:"closings"`
 	}
 	if err := json.Unmarshal(body, &doc); err != nil {
-		t.Errorf("closings read as %s", body)
+		t.Errorf("drains read as %s", body)
 	}
 	for _, c := range doc.Closings {
 		yes = yes || c.Stage.Cordons()
@@ -216,20 +219,20 @@
 	return yes
 }
 
-// readDrains reads the closings at a server again and again, and counts the answers
-// that say at once that it can't serve. What it does serve must be no older than
-// the last order that was acknowledged before the read was sent.
+// readDrains reads the drains at a server again and again, and counts in fast how often
+// it answers at once that it can't serve. What it does serve must be no older than the
+// last order that was acknowledged before the read was sent.
 func readDrains(cluster *simulation.Cluster, t *testing.T, server *simulation.Server, last *ackedOrder, fast *int) {
 	until := cluster.Now + cutOffDuration
 	var next func()
 	next = func() {
 		sent, before := cluster.Now, *last
-		cluster.Request(cluster.Clients.Process, server.Addr, "GET", "/v1/closings", nil, operatorTimeout, func(status int, body []byte) {
-			if status == 503 && cluster.Now-sent < 50 {
+		cluster.Request(cluster.Clients.Process, server.Addr, http.MethodGet, endpoint.DrainsPath, nil, operatorTimeout, func(status int, body []byte) {
+			if status == http.StatusServiceUnavailable && cluster.Now-sent < 50 {
 				*fast++
 			}
-			if status == 200 && before == *last && !last.underWay && drainReported(t, body) != last.closed {
-				t.Errorf("at %d: read %s, and after the last order that was acknowledged the zone is closed: %v", cluster.Now, body, last.closed)
+			if status == http.StatusOK && before == *last && !last.underWay && drainReported(t, body) != last.closed {
+				t.Errorf("at %d: read %s, and after the last order that was acknowledged the domain is drained: %v", cluster.Now, body, last.closed)
 			}
 			if cluster.Now < until {
 				cluster.After(170, next)
--- a/tests/simulation/membership/diskless_test.go
+++ b/tests/simulation/membership/diskless_test.go
@@ -2,24 +2,26 @@
 
 import (
 	"fmt"
+	"net/http"
 	"sort"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/controlplane"
 	"orchidward/internal/transport/wire"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestDisklessServers: keepers without a disk find the group, show who leads, and never
-// become members; an empty keeper and a gate whose only living seeds are porters
-// find their way by them, also after the porters have lost all they knew, and
-// the leader its place, while nobody who is a seed of anyone is left.
+// TestDisklessServers: servers without a disk find the group, know its leader, and never
+// become members. An empty server and a gateway whose only live seeds are diskless join
+// through them, also after the diskless servers were restarted and the leader was
+// replaced.
 func TestDisklessServers(t *testing.T) {
 	t.Parallel()
-	site := simulation.FastNetwork()
-	site.DisklessServers = 2
-	simulationtest.RunScenario(t, simulation.Scenario{Seed: 361, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
+	spec := simulation.FastNetwork()
+	spec.DisklessServers = 2
+	simulationtest.RunScenario(t, simulation.Scenario{Seed: 361, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 40
 		porters := append([]*simulation.Server(nil), cluster.Servers[3:]...)
 		seeds := []string{"p1", "nobody", "p2"}
@@ -43,7 +45,7 @@
 		cluster.At(14500, func() {
 			know("the leader wiped,")
 			if !cluster.Gateways[0].Machine.Ready(cluster.Monotonic(cluster.Gateways[0].Process)) {
-				t.Error("a gate whose seeds are porters found no way in")
+				t.Error("a gateway whose seeds are diskless servers is not ready")
 			}
 		})
 		cluster.At(20000, func() {
@@ -71,8 +73,8 @@
 				return
 			}
 			list := []string{}
-			for _, mem := range cluster.Leader().Machine.Raft().Members() {
-				list = append(list, fmt.Sprint(mem.Addr[:2], mem.Voter))
+			for _, member := range cluster.Leader().Machine.Raft().Members() {
+				list = append(list, fmt.Sprint(member.Addr[:2], member.Voter))
 			}
 			sort.Strings(list)
 			if fmt.Sprint(list) != "[k1true k2true k3true]" {
@@ -82,14 +84,14 @@
 	}})
 }
 
-// TestDisklessSeeds: with one or two porters among the seeds the others found one
-// group, whatever order they come up in, and a keeper that is no seed joins it.
+// TestDisklessSeeds: with one or two diskless servers among the seeds the others found one
+// group, in whatever order they start, and a server that is no seed joins it.
 func TestDisklessSeeds(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 6; seed++ {
-		site := simulation.FastNetwork()
-		site.DisklessServers = 2
-		cluster := simulation.NewCluster(370+seed, site)
+		spec := simulation.FastNetwork()
+		spec.DisklessServers = 2
+		cluster := simulation.NewCluster(370+seed, spec)
 		cluster.Clients.StopAt = 0
 		cluster.Seeds = []string{"k1", "k2", "p1"}
 		if seed%2 == 0 {
@@ -118,18 +120,18 @@
 	}
 }
 
-// TestDisklessServerForwards: what is asked of a porter the leader answers; with no leader
-// known the asker is told so at once.
+// TestDisklessServerForwards: a diskless server forwards requests to the leader; with no
+// leader known it says so at once.
 func TestDisklessServerForwards(t *testing.T) {
 	t.Parallel()
-	site := simulation.FastNetwork()
-	site.DisklessServers = 1
-	cluster := simulation.NewCluster(362, site)
+	spec := simulation.FastNetwork()
+	spec.DisklessServers = 1
+	cluster := simulation.NewCluster(362, spec)
 	cluster.Clients.StopAt = 0
 	porter := cluster.Servers[3]
 	ask := func() []wire.Envelope {
 		m := porter.Machine
-		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: "GET", Path: "/v1/table", Budget: 1000}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
+		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: http.MethodGet, Path: endpoint.LimitsPath, Budget: 1000}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
 		list := m.TakeOutput().Messages
 		return list
 	}
@@ -143,7 +145,7 @@
 		t.Fatalf("asked with a leader known: %+v", list)
 	}
 	porter.Machine.HandleMessage(list[0].To, wire.Message{Response: &wire.Response{ID: list[0].Message.Request.ID, Status: 200}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
-	if back := porter.Machine.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != 200 {
+	if back := porter.Machine.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != http.StatusOK {
 		t.Errorf("the leader's answer came back as %+v", back)
 	}
 	for _, server := range cluster.Servers[:3] {
--- a/tests/simulation/membership/founding_test.go
+++ b/tests/simulation/membership/founding_test.go
@@ -8,7 +8,7 @@
 	"orchidward/tests/simulation"
 )
 
-// setSeeds makes a world whose first start knows the given seeds.
+// setSeeds sets the seeds that all servers know when they first start.
 func setSeeds(cluster *simulation.Cluster, seeds ...string) {
 	cluster.Seeds = seeds
 	for _, server := range cluster.Servers {
@@ -16,8 +16,8 @@
 	}
 }
 
-// leadersWithLease counts the leaders that may act at this moment: of one group there is
-// never more than one, so that two are two groups.
+// leadersWithLease counts the leaders that have a lease: one group never has more than
+// one, so that two of them are two groups.
 func leadersWithLease(cluster *simulation.Cluster) int {
 	var n int
 	for _, server := range cluster.Servers {
@@ -28,7 +28,7 @@
 	return n
 }
 
-// requireSingleGroup fails the test when two lead at once.
+// requireSingleGroup fails the test when two leaders have a lease at once.
 func requireSingleGroup(t *testing.T, cluster *simulation.Cluster, seed int64) {
 	told := false
 	var look func()
@@ -42,15 +42,15 @@
 	cluster.At(10, look)
 }
 
-// TestSingleGroupFounded lets crashes, cuts, restarted porters and a lost disk loose on
-// first starts past a porter, at every moment of them. There are never two
-// groups, and where no disk was lost there is one in the end.
+// TestSingleGroupFounded injects crashes, isolation and a lost disk at every moment of a
+// first start with diskless servers among the seeds. There are never two groups, and
+// where no disk was lost there is one in the end.
 func TestSingleGroupFounded(t *testing.T) {
 	ends := map[bool]int{}
 	for seed := int64(1); seed <= 150; seed++ {
-		site := simulation.FastNetwork()
-		site.Servers, site.DisklessServers, site.Runners = 4+int(seed%3), 2, 0
-		cluster := simulation.NewCluster(seed, site)
+		spec := simulation.FastNetwork()
+		spec.Servers, spec.DisklessServers, spec.Runners = 4+int(seed%3), 2, 0
+		cluster := simulation.NewCluster(seed, spec)
 		cluster.Clients.StopAt = 0
 		setSeeds(cluster, "k1", "k2", "p1")
 		if seed%5 == 0 {
@@ -109,19 +109,19 @@
 	return func() {}
 }
 
-// TestSeedWiped: the whole core loses its power, and one seed, or both, that
-// have a disk lose it too, while the porters among the seeds forget that there
-// is a group. What comes back empty waits until it hears of it.
+// TestSeedWiped: all servers lose power, and one or both of the seeds that have a disk
+// lose it too, while the diskless servers among the seeds forget that there
+// is a group. A server that comes back empty waits until it hears of the group.
 func TestSeedWiped(t *testing.T) {
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			site := sixInThreeDomains()
-			site.DisklessServers, site.Runners = 2, 0
+			spec := sixInThreeDomains()
+			spec.DisklessServers, spec.Runners = 2, 0
 			if seed%2 == 0 {
-				site.ElectionTimeout = 250
+				spec.ElectionTimeout = 250
 			}
-			cluster := simulation.NewCluster(390+seed, site)
+			cluster := simulation.NewCluster(390+seed, spec)
 			cluster.Clients.StopAt = 0
 			wiped := cluster.Servers[:1+seed/2%2]
 			setSeeds(cluster, "k1", "p1", "p2")
--- a/tests/simulation/membership/graceful_stop_test.go
+++ b/tests/simulation/membership/graceful_stop_test.go
@@ -2,18 +2,20 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/consensus/raft"
 	"orchidward/tests/simulation"
 )
 
-// stopDrainDelay is how long a server goes on serving after it was told to stop, as
+// stopDrainDelay is how long a server goes on serving when it stops gracefully, in ms, as
 // the daemons do.
 const stopDrainDelay = 900
 
-// stopGracefully tells a keeper to stop; its process ends once it has left and the
-// parting is over, and begins again after so many ms; 0 is never.
+// stopGracefully stops a server: its process ends once it has left the group and
+// stopDrainDelay is over, and starts again after downtime ms, never for 0.
 func stopGracefully(cluster *simulation.Cluster, server *simulation.Server, away int64) {
 	life, told := server.Incarnation, cluster.Now
 	server.Machine.Leave()
@@ -34,8 +36,8 @@
 	look()
 }
 
-// submitter hands in a small job every few ms at the gates and measures the
-// longest time between two acceptances, and the answers that say neither.
+// submitter submits a small job every few ms, and measures the longest time between two
+// that were accepted and counts the responses of unknown outcome.
 type submitter struct {
 	cluster         *simulation.Cluster
 	lastAcceptedAt  int64
@@ -51,12 +53,12 @@
 )
 
 // begin hands jobs in until a moment, and orders beside them where asked to.
-func (g *submitter) start(until int64, orders bool) {
-	cluster := g.cluster
+func (s *submitter) start(until int64, orders bool) {
+	cluster := s.cluster
 	body := []byte(`{"pending":"default","steps":[{"name":"s","tasks":1,"spanMs":50}]}`)
 	var next func(n int)
 	next = func(n int) {
-		g.submit(fmt.Sprintf("/v1/jobs/gilde/gap%d", n), body)
+		s.submit(fmt.Sprintf("/v1/jobs/gilde/gap%d", n), body)
 		if cluster.Now < until {
 			cluster.After(submitInterval, func() { next(n + 1) })
 		}
@@ -64,7 +66,7 @@
 	next(0)
 	var order func(n int)
 	order = func(n int) {
-		g.sendOrder([]string{"PUT", "DELETE"}[n%2])
+		s.sendOrder([]string{http.MethodPut, http.MethodDelete}[n%2])
 		if cluster.Now < until {
 			cluster.After(orderInterval, func() { order(n + 1) })
 		}
@@ -74,48 +76,48 @@
 	}
 }
 
-// order sends one that has no number, so that nobody may send it again.
-func (g *submitter) sendOrder(verb string) {
-	cluster := g.cluster
+// sendOrder sends an order without a version, which nobody may send again.
+func (s *submitter) sendOrder(verb string) {
+	cluster := s.cluster
 	gate := cluster.Gateways[cluster.Random.Intn(len(cluster.Gateways))].Addr
-	cluster.Request(cluster.Clients.Process, gate, verb, "/v1/closings/east", nil, 2000, func(status int, _ []byte) {
-		if status == 504 || status == 0 {
-			g.unknownOutcomes++
+	cluster.Request(cluster.Clients.Process, gate, verb, endpoint.DrainPath("east"), nil, 2000, func(status int, _ []byte) {
+		if status == http.StatusGatewayTimeout || status == 0 {
+			s.unknownOutcomes++
 		}
 	})
 }
 
-func (g *submitter) submit(path string, body []byte) {
-	cluster := g.cluster
+func (s *submitter) submit(path string, body []byte) {
+	cluster := s.cluster
 	gate := cluster.Gateways[cluster.Random.Intn(len(cluster.Gateways))].Addr
-	cluster.Request(cluster.Clients.Process, gate, "PUT", path, body, 2000, func(status int, _ []byte) {
-		if status == 504 || status == 0 {
-			g.unknownOutcomes++
+	cluster.Request(cluster.Clients.Process, gate, http.MethodPut, path, body, 2000, func(status int, _ []byte) {
+		if status == http.StatusGatewayTimeout || status == 0 {
+			s.unknownOutcomes++
 		}
-		if status != 200 && status != 201 {
+		if status != http.StatusOK && status != http.StatusCreated {
 			return
 		}
-		if g.lastAcceptedAt > 0 && cluster.Now-g.lastAcceptedAt > g.longestGap {
-			g.longestGap, g.longestAt = cluster.Now-g.lastAcceptedAt, cluster.Now
+		if s.lastAcceptedAt > 0 && cluster.Now-s.lastAcceptedAt > s.longestGap {
+			s.longestGap, s.longestAt = cluster.Now-s.lastAcceptedAt, cluster.Now
 		}
-		g.lastAcceptedAt, g.accepted = cluster.Now, g.accepted+1
+		s.lastAcceptedAt, s.accepted = cluster.Now, s.accepted+1
 	})
 }
 
-// TestGracefulStop stops the leader in order, again and again, while jobs are
-// handed in every few ms: none of the answers says that an outcome is unknown,
-// and the longest span without an accepted job stays under 200 ms.
+// TestGracefulStop stops the leader gracefully, again and again, while jobs are submitted
+// every few ms: no outcome is unknown, and the longest span without an accepted job stays
+// under 200 ms.
 func TestGracefulStop(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			site := simulation.FastNetwork()
-			site.ElectionTimeout = 250
-			cluster := simulation.NewCluster(seed, site)
-			g := &submitter{cluster: cluster}
+			spec := simulation.FastNetwork()
+			spec.ElectionTimeout = 250
+			cluster := simulation.NewCluster(seed, spec)
+			load := &submitter{cluster: cluster}
 			stops := 0
-			cluster.At(7000, func() { g.start(19000, true) })
+			cluster.At(7000, func() { load.start(19000, true) })
 			for i := int64(0); i < 3; i++ {
 				cluster.At(8000+i*3500+seed*13, func() {
 					stops++
@@ -123,33 +125,33 @@
 				})
 			}
 			cluster.Run(20000)
-			t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", g.longestGap, g.longestAt, g.accepted, g.unknownOutcomes)
-			if stops != 3 || g.accepted < 1200 {
-				t.Errorf("too little evidence: %d stops, %d jobs", stops, g.accepted)
+			t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", load.longestGap, load.longestAt, load.accepted, load.unknownOutcomes)
+			if stops != 3 || load.accepted < 1200 {
+				t.Errorf("too little evidence: %d stops, %d jobs", stops, load.accepted)
 			}
-			if g.longestGap >= 200 || g.unknownOutcomes > 0 {
-				t.Errorf("%d ms without an accepted job to %d, %d answers of unknown outcome", g.longestGap, g.longestAt, g.unknownOutcomes)
+			if load.longestGap >= 200 || load.unknownOutcomes > 0 {
+				t.Errorf("%d ms without an accepted job to %d, %d answers of unknown outcome", load.longestGap, load.longestAt, load.unknownOutcomes)
 			}
 		})
 	}
 }
 
-// TestRollingRestart stops every keeper in order, one after another, leader and
-// followers, and starts each again: somebody leads throughout.
+// TestRollingRestart stops every server gracefully, one after another, and starts each
+// again: there is a leader throughout.
 func TestRollingRestart(t *testing.T) {
 	t.Parallel()
-	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
-		site.ElectionTimeout = 250
-		cluster := simulation.NewCluster(31, site)
-		g := &submitter{cluster: cluster}
-		cluster.At(9000, func() { g.start(9000+int64(site.Servers)*2500, false) })
+	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
+		spec.ElectionTimeout = 250
+		cluster := simulation.NewCluster(31, spec)
+		load := &submitter{cluster: cluster}
+		cluster.At(9000, func() { load.start(9000+int64(spec.Servers)*2500, false) })
 		for i, server := range cluster.Servers {
 			cluster.At(9500+int64(i)*2500, func() { stopGracefully(cluster, server, 800) })
 		}
-		cluster.Run(9000 + int64(site.Servers)*2500 + 4000)
-		t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", g.longestGap, g.longestAt, g.accepted, g.unknownOutcomes)
-		if g.longestGap >= 200 || g.unknownOutcomes > 0 {
-			t.Errorf("%d ms without an accepted job to %d, %d answers of unknown outcome", g.longestGap, g.longestAt, g.unknownOutcomes)
+		cluster.Run(9000 + int64(spec.Servers)*2500 + 4000)
+		t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", load.longestGap, load.longestAt, load.accepted, load.unknownOutcomes)
+		if load.longestGap >= 200 || load.unknownOutcomes > 0 {
+			t.Errorf("%d ms without an accepted job to %d, %d answers of unknown outcome", load.longestGap, load.longestAt, load.unknownOutcomes)
 		}
 		for _, server := range cluster.Servers {
 			if server.Machine == nil || server.Machine.Raft() == nil || server.Machine.Raft().Role() == raft.Candidate {
@@ -159,26 +161,26 @@
 	})
 }
 
-// addEmptyServer adds a keeper with an empty disk in a zone, started at once.
-func addEmptyServer(cluster *simulation.Cluster, name, zone string) *simulation.Server {
-	server := cluster.AddServer(name, zone)
+// addEmptyServer adds a server with an empty disk and starts it.
+func addEmptyServer(cluster *simulation.Cluster, name, domain string) *simulation.Server {
+	server := cluster.AddServer(name, domain)
 	server.Start()
 	return server
 }
 
-// isVoter tells whether a keeper has a vote, as the leader has it.
+// isVoter tells whether the leader knows a server as a voter.
 func isVoter(cluster *simulation.Cluster, server *simulation.Server) bool {
 	var yes bool
 	list, _ := cluster.Voters()
-	for _, mem := range list {
-		yes = yes || mem.Addr == server.Addr
+	for _, member := range list {
+		yes = yes || member.Addr == server.Addr
 	}
 	return yes
 }
 
-// TestPlannedReplacement brings an empty keeper and, some seconds later, stops
-// another for good, in order: its seat is the new one's before its process ends,
-// so that a second loss may follow at once.
+// TestPlannedReplacement adds an empty server and, some seconds later, stops another
+// gracefully and for good: the new one votes in its place before its process ends, so
+// that a second loss may follow at once.
 func TestPlannedReplacement(t *testing.T) {
 	t.Parallel()
 	for _, leads := range []bool{true, false} {
@@ -192,24 +194,24 @@
 }
 
 func plannedReplacement(t *testing.T, seed int64, leads bool) {
-	site := simulation.FastNetwork()
-	site.ElectionTimeout = 250
-	cluster := simulation.NewCluster(seed, site)
-	var old, fresh *simulation.Server
+	spec := simulation.FastNetwork()
+	spec.ElectionTimeout = 250
+	cluster := simulation.NewCluster(seed, spec)
+	var leaving, fresh *simulation.Server
 	cluster.At(7000, func() { fresh = addEmptyServer(cluster, "k9", "north") })
 	cluster.At(10000, func() {
-		old = cluster.Leader()
+		leaving = cluster.Leader()
 		for _, server := range cluster.Servers {
 			if !leads && server != cluster.Leader() && server != fresh {
-				old = server
+				leaving = server
 			}
 		}
-		stopGracefully(cluster, old, 0)
+		stopGracefully(cluster, leaving, 0)
 	})
 	cluster.At(10000+stopDrainDelay, func() {
-		if !isVoter(cluster, fresh) || isVoter(cluster, old) {
+		if !isVoter(cluster, fresh) || isVoter(cluster, leaving) {
 			list, _ := cluster.Voters()
-			t.Errorf("%s is about to end, and those that vote are %v", old.Name, list)
+			t.Errorf("%s is about to end, and those that vote are %v", leaving.Name, list)
 		}
 	})
 	cluster.At(10000+stopDrainDelay+50, func() {
@@ -233,9 +235,9 @@
 	"alone":  func(w *simulation.Cluster, k *simulation.Server) func() { return w.Isolate(k.Process, true, true) },
 }
 
-// TestServerLostWhileLeaving loses a server midway through its orderly stop, leader or
-// follower, at offsets from the order on: the others go on, and when it is back,
-// with the disk that it had, it is one of them again.
+// TestServerLostWhileLeaving loses a server, leader or follower, at offsets within its
+// graceful stop: the others go on, and when it comes back with its disk it is a member
+// again.
 func TestServerLostWhileLeaving(t *testing.T) {
 	t.Parallel()
 	for how, lose := range leavingServerLosses {
@@ -251,11 +253,11 @@
 }
 
 func loseLeavingServer(t *testing.T, seed int64, leads bool, offset int64, lose func(cluster *simulation.Cluster, server *simulation.Server) (undo func())) {
-	site := simulation.FastNetwork()
-	site.ElectionTimeout = 250
-	cluster := simulation.NewCluster(seed, site)
-	g := &submitter{cluster: cluster}
-	cluster.At(7000, func() { g.start(13000, false) })
+	spec := simulation.FastNetwork()
+	spec.ElectionTimeout = 250
+	cluster := simulation.NewCluster(seed, spec)
+	load := &submitter{cluster: cluster}
+	cluster.At(7000, func() { load.start(13000, false) })
 	cluster.At(8000, func() {
 		server := cluster.Leader()
 		for _, one := range cluster.Servers {
@@ -271,8 +273,8 @@
 		})
 	})
 	cluster.Run(16000)
-	if g.longestGap > 2000 || g.accepted < 500 {
-		t.Errorf("offset %d: %d ms without an accepted job to %d, %d accepted", offset, g.longestGap, g.longestAt, g.accepted)
+	if load.longestGap > 2000 || load.accepted < 500 {
+		t.Errorf("offset %d: %d ms without an accepted job to %d, %d accepted", offset, load.longestGap, load.longestAt, load.accepted)
 	}
 	for _, server := range cluster.Servers {
 		if server.Up && server.Machine.Raft().Leader() == 0 {
--- a/tests/simulation/membership/replacement_test.go
+++ b/tests/simulation/membership/replacement_test.go
@@ -9,9 +9,9 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestEveryAddressChanges replaces all three keepers by empty ones at new
-// addresses, one after another, and all gates by others, while runners and
-// callers go on; in the end nothing answers at any address that was first known.
+// TestEveryAddressChanges replaces all three servers by empty ones at new addresses, one
+// after another, and all gateways by others, while runners and clients go on; in the end
+// nothing answers at any address that was known at first.
 func TestEveryAddressChanges(t *testing.T) {
 	t.Parallel()
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 71, Window: 75000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
@@ -60,10 +60,10 @@
 	}})
 }
 
-// TestLossesInTurn: machines are lost one after another, each a few seconds
-// after the one before is back, and each time the group must be whole again by
-// then: a disk is lost and back empty at its old address, then the leader is
-// replaced at another address, then a third goes for a while.
+// TestLossesInTurn: servers are lost one after another, each a few seconds after the one
+// before is back, and each time the group must tolerate the next loss by then: one is
+// wiped and starts again at its address, then the leader is replaced at a new address,
+// then a third is down for a while.
 func TestLossesInTurn(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 4; seed++ {
@@ -100,30 +100,8 @@
 	}
 }
 
-// BenchmarkFleet is what a second of a calm fleet costs, core, gates and
-// runners together, at growing numbers of runners; polls/s is the count of
-// polls answered in a virtual second.
-func BenchmarkFleet(b *testing.B) {
-	for _, n := range []int{11, 100, 1000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			site := simulation.FastNetwork()
-			site.Runners = n
-			cluster := simulation.NewCluster(81, site)
-			cluster.Clients.StopAt = 0
-			cluster.Run(8000)
-			was := cluster.Traffic.Polls
-			b.ResetTimer()
-			for i := 0; i < b.N; i++ {
-				cluster.Run(cluster.Now + 1000)
-			}
-			b.ReportMetric(float64(cluster.Traffic.Polls-was)/float64(b.N), "polls/s")
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(cluster.Traffic.Polls-was), "us/poll")
-		})
-	}
-}
-
-// TestServerReplacedEmpty: a core machine is replaced by an empty one at a new
-// address; it takes the dead seat, after which another machine may go.
+// TestServerReplacedEmpty: a server is replaced by an empty one at a new address, which
+// becomes a voter in its place; after that another server may be lost.
 func TestServerReplacedEmpty(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 3, Window: 45000, Recovery: 40000, Faults: []simulation.Fault{{At: 8000, Kind: simulation.ServerLost, Target: 1}}, Setup: func(cluster *simulation.Cluster) {
@@ -145,8 +123,8 @@
 	simulationtest.RunScenario(t, scenario)
 }
 
-// TestSeedsReplaced: every seed is exchanged while gates and runners run on,
-// and one started anew with a single live seed among dead ones finds its way.
+// TestSeedsReplaced: the seeds change while gateways and runners run on, and a gateway
+// that is restarted with a single live seed among dead ones becomes ready.
 func TestSeedsReplaced(t *testing.T) {
 	t.Parallel()
 	served := 0
@@ -163,13 +141,13 @@
 		})
 		cluster.At(14000, func() {
 			if !cluster.Gateways[0].Machine.Ready(cluster.Monotonic(cluster.Gateways[0].Process)) {
-				t.Error("a gate with one live seed found no way in within 6 s")
+				t.Error("a gateway with one live seed is not ready within 6 s")
 			}
 			served++
 		})
 	}}
 	simulationtest.RunScenario(t, scenario)
 	if served == 0 {
-		t.Error("never looked")
+		t.Error("the gateway was never checked")
 	}
 }
--- a/tests/simulation/membership/second_loss_test.go
+++ b/tests/simulation/membership/second_loss_test.go
@@ -7,8 +7,8 @@
 	"orchidward/tests/simulation"
 )
 
-// recoveryPromise is a site of one size and what it is promised: from recoveryMs after
-// the start of a replacement it bears the loss of bears voters at once.
+// recoveryPromise is what a cluster of one size promises: from recoveryMs after the start
+// of a replacement on it tolerates the loss of so many voters at once.
 type recoveryPromise struct {
 	name       string
 	spec       func() (s simulation.ClusterSpec)
@@ -23,7 +23,7 @@
 	{"8 in 4", eightInFourDomains, 5, 2, 6000},
 }
 
-// The ways in which the first machine is lost and comes back.
+// The ways in which the first servers are lost and come back.
 const (
 	lossReplaced = "replaced at a new address"
 	lossWiped    = "wiped, back at its address"
@@ -31,13 +31,13 @@
 )
 
 const (
-	// firstLossAt is when the first machine is lost in these scenes.
+	// firstLossAt is when the first servers are lost, in ms.
 	firstLossAt = 6000
-	// maxOutage is how long after the second loss service must be back.
+	// maxOutage is how long after the second loss the group must serve again, in ms.
 	maxOutage = 5000
 )
 
-// lossScenario is one run of such a scene.
+// lossScenario is a run in which servers are lost and replaced.
 type lossScenario struct {
 	*simulation.Cluster
 	recoveryPromise
@@ -45,88 +45,88 @@
 }
 
 func newLossScenario(seed int64, s recoveryPromise) *lossScenario {
-	site := s.spec()
-	site.ElectionTimeout, site.Runners, site.Gateways = 250, 1, 1
+	spec := s.spec()
+	spec.ElectionTimeout, spec.Runners, spec.Gateways = 250, 1, 1
 	if seed%2 == 1 {
-		site.DelayMs, site.LossPerMille = simulation.LossyNetwork().DelayMs, simulation.LossyNetwork().LossPerMille
+		spec.DelayMs, spec.LossPerMille = simulation.LossyNetwork().DelayMs, simulation.LossyNetwork().LossPerMille
 	}
-	return &lossScenario{Cluster: simulation.NewCluster(seed, site), recoveryPromise: s}
+	return &lossScenario{Cluster: simulation.NewCluster(seed, spec), recoveryPromise: s}
 }
 
-// loseServers takes as many machines as the group is to bear, the leader first or
-// among those that stay, and has them begin again after some time. A replaced
-// one begins under another identity at another address.
-func (x *lossScenario) loseServers(kind string, leads bool, awayMs int64) {
-	for _, server := range x.victims(leads, 0) {
+// loseServers loses as many servers as the group tolerates, the leader first or not at
+// all, and starts them again after downMs. A replaced one starts with another identity at
+// another address.
+func (scenario *lossScenario) loseServers(kind string, leads bool, awayMs int64) {
+	for _, server := range scenario.victims(leads, 0) {
 		begin := server.Start
 		switch kind {
 		case lossReplaced:
-			begin = x.replace(server)
+			begin = scenario.replace(server)
 		case lossWiped:
 			server.WipeDisk()
 		case lossStopped:
 			server.Crash()
 		}
-		x.After(awayMs, begin)
+		scenario.After(awayMs, begin)
 	}
-	x.replacementAt = x.Now + awayMs
-	x.Run(x.replacementAt)
+	scenario.replacementAt = scenario.Now + awayMs
+	scenario.Run(scenario.replacementAt)
 }
 
 // replace loses a machine for good and makes an empty one at a new address.
-func (x *lossScenario) replace(server *simulation.Server) func() {
+func (scenario *lossScenario) replace(server *simulation.Server) func() {
 	server.Crash()
 	server.Removed = true
-	fresh := x.AddServer(server.Name+"b", server.Domain)
-	fresh.Seeds = append([]string{x.Gateways[0].Addr}, x.Seeds...)
+	fresh := scenario.AddServer(server.Name+"b", server.Domain)
+	fresh.Seeds = append([]string{scenario.Gateways[0].Addr}, scenario.Seeds...)
 	return fresh.Start
 }
 
-// victims picks as many voters as the group is to bear, whoever they are but
-// for the leader, who is the first of them or none; turn varies the choice.
-func (x *lossScenario) victims(leads bool, turn int) []*simulation.Server {
+// victims picks as many voters as the group tolerates to lose: the leader first or not at
+// all, turn varies the choice of the others.
+func (scenario *lossScenario) victims(leads bool, turn int) []*simulation.Server {
 	var out []*simulation.Server
-	list, _ := x.Voters()
+	list, _ := scenario.Voters()
 	sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	for i := range list {
-		server := x.ServerByID(list[(i+turn)%len(list)].ID)
+		server := scenario.ServerByID(list[(i+turn)%len(list)].ID)
 		switch {
-		case server == nil || server == x.Leader() && !leads:
-		case server == x.Leader():
+		case server == nil || server == scenario.Leader() && !leads:
+		case server == scenario.Leader():
 			out = append([]*simulation.Server{server}, out...)
 		default:
 			out = append(out, server)
 		}
 	}
-	return out[:min(x.tolerates, len(out))]
+	return out[:min(scenario.tolerates, len(out))]
 }
 
-// hasServingLeader tells whether a leader acts and has decided its term's first entry.
-func (x *lossScenario) hasServingLeader() bool {
-	server := x.Leader()
-	return server != nil && server.Machine.Raft().HasLease(x.Monotonic(server.Process)) && server.Machine.Raft().CommitIndex() >= server.Machine.Raft().TermStart()
+// hasServingLeader tells whether a leader has a lease and has committed in its term.
+func (scenario *lossScenario) hasServingLeader() bool {
+	server := scenario.Leader()
+	return server != nil && server.Machine.Raft().HasLease(scenario.Monotonic(server.Process)) && server.Machine.Raft().CommitIndex() >= server.Machine.Raft().TermStart()
 }
 
-// whole tells whether the group bears the loss it is promised to bear, whoever
-// goes: as its leader has it, and as its members' disks are.
-func (x *lossScenario) toleratesNextLoss() bool {
-	server := x.Leader()
+// toleratesNextLoss tells whether the group tolerates the promised loss of any voters, by
+// the leader's member list and what is on their disks.
+func (scenario *lossScenario) toleratesNextLoss() bool {
+	server := scenario.Leader()
 	if server == nil || server.Machine.Raft().CommitIndex() < server.Machine.Raft().TermStart() {
 		return false
 	}
-	list, _ := x.Voters()
+	list, _ := scenario.Voters()
 	live := 0
-	for _, mem := range list {
-		if one := x.ServerByID(mem.ID); one != nil && one.PersistedIndex+maxLag >= server.Machine.Raft().CommitIndex() {
+	for _, member := range list {
+		if one := scenario.ServerByID(member.ID); one != nil && one.PersistedIndex+maxLag >= server.Machine.Raft().CommitIndex() {
 			live++
 		}
 	}
-	return live-(len(list)/2+1) >= x.tolerates
+	return live-(len(list)/2+1) >= scenario.tolerates
 }
 
-// TestSecondLoss sweeps the moment of the second loss over the eight seconds
-// after a replacement's start. From the promised time on, the group must serve
-// again soon whoever is lost.
+// TestSecondLoss sweeps the moment of the second loss over the eight seconds after a
+// replacement's start. From the promised time on, the group must serve again soon
+// whichever servers are lost.
 func TestSecondLoss(t *testing.T) {
 	t.Parallel()
 	for _, s := range recoveryPromises {
@@ -153,7 +153,7 @@
 	}
 }
 
-// step is finer where service is promised.
+// step is the step of the sweep in ms, finer where service is promised.
 func step(offset, settleMs int64) int64 {
 	if offset < settleMs {
 		return 400
@@ -161,27 +161,27 @@
 	return 100
 }
 
-// secondLoss plays one scene and tells how long the group was without service.
+// secondLoss returns how long the group did not serve after a second loss, in ms.
 func secondLoss(s recoveryPromise, kind string, offset int64) (gap int64, ok bool) {
-	x := newLossScenario(900+offset/100, s)
-	x.Run(firstLossAt)
-	x.loseServers(kind, offset%200 == 0, 50+offset*7%1700)
-	x.Run(x.replacementAt + offset)
-	for _, server := range x.victims(offset%300 != 0, int(offset/100)) {
+	scenario := newLossScenario(900+offset/100, s)
+	scenario.Run(firstLossAt)
+	scenario.loseServers(kind, offset%200 == 0, 50+offset*7%1700)
+	scenario.Run(scenario.replacementAt + offset)
+	for _, server := range scenario.victims(offset%300 != 0, int(offset/100)) {
 		server.Crash()
 	}
-	from := x.Now
-	for x.Now < from+maxOutage {
-		x.Run(x.Now + 20)
-		if x.hasServingLeader() {
-			return x.Now - from, true
+	from := scenario.Now
+	for scenario.Now < from+maxOutage {
+		scenario.Run(scenario.Now + 20)
+		if scenario.hasServingLeader() {
+			return scenario.Now - from, true
 		}
 	}
 	return 0, false
 }
 
-// TestTimeToTolerance measures how long a group takes from a replacement's
-// start until it bears the next loss.
+// TestTimeToTolerance measures how long a group takes from a replacement's start until it
+// tolerates the next loss.
 func TestTimeToTolerance(t *testing.T) {
 	t.Parallel()
 	for _, s := range recoveryPromises {
@@ -189,21 +189,21 @@
 			t.Parallel()
 			spans := []int64{}
 			for seed := int64(0); seed < 60; seed++ {
-				x := newLossScenario(2000+seed, s)
-				x.Run(firstLossAt)
+				scenario := newLossScenario(2000+seed, s)
+				scenario.Run(firstLossAt)
 				kind := []string{lossReplaced, lossWiped, lossStopped}[seed%3]
-				x.loseServers(kind, seed%2 == 0, 50+seed*31)
-				for x.Now < x.replacementAt+10000 && !x.toleratesNextLoss() {
-					x.Run(x.Now + 20)
+				scenario.loseServers(kind, seed%2 == 0, 50+seed*31)
+				for scenario.Now < scenario.replacementAt+10000 && !scenario.toleratesNextLoss() {
+					scenario.Run(scenario.Now + 20)
 				}
-				spans = append(spans, x.Now-x.replacementAt)
+				spans = append(spans, scenario.Now-scenario.replacementAt)
 			}
 			sort.Slice(spans, func(i, j int) bool { return spans[i] < spans[j] })
 			worst := spans[len(spans)-1]
 			if worst > s.recoveryMs {
-				t.Errorf("%d ms from a replacement's start until the group bears the next loss, promised %d", worst, s.recoveryMs)
+				t.Errorf("%d ms from a replacement's start until the group tolerates the next loss, promised %d", worst, s.recoveryMs)
 			}
-			t.Logf("span to tolerance: p50 %d ms, p99 %d ms, worst %d ms of %d", spans[len(spans)/2], spans[len(spans)*99/100], worst, len(spans))
+			t.Logf("time to tolerance: p50 %d ms, p99 %d ms, worst %d ms of %d", spans[len(spans)/2], spans[len(spans)*99/100], worst, len(spans))
 		})
 	}
 }
--- a/tests/simulation/membership/voters_test.go
+++ b/tests/simulation/membership/voters_test.go
@@ -11,7 +11,7 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// The larger sites: of their core machines two may be lost at once, or a zone.
+// The larger clusters tolerate the loss of two servers, or of a domain, at once.
 func sixInThreeDomains() simulation.ClusterSpec {
 	s := simulation.FastNetwork()
 	s.Servers = 6
@@ -24,55 +24,56 @@
 	return s
 }
 
-func eachLargeCluster(t *testing.T, scene func(t *testing.T, site simulation.ClusterSpec)) {
-	for name, site := range map[string]simulation.ClusterSpec{"6 in 3": sixInThreeDomains(), "8 in 4": eightInFourDomains()} {
+func eachLargeCluster(t *testing.T, scene func(t *testing.T, spec simulation.ClusterSpec)) {
+	for name, spec := range map[string]simulation.ClusterSpec{"6 in 3": sixInThreeDomains(), "8 in 4": eightInFourDomains()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scene(t, site)
+			scene(t, spec)
 		})
 	}
 }
 
-// maxLag is how far behind a member may be, on its disk, when it becomes a voter:
-// what the leader allows, and what is decided while word of it travels.
+// maxLag is how many entries a member's disk may be behind when it becomes a voter: what
+// the leader allows, and what commits until the member list arrives.
 const maxLag = 64 + 40
 
-// requireCaughtUpVoters fails the test when a voter is found that did not have the log on its
-// disk when it became one.
+// requireCaughtUpVoters fails the test when a server becomes a voter without the log on its
+// disk. It returns how many became voters after the first three.
 func requireCaughtUpVoters(t *testing.T, cluster *simulation.Cluster) *int {
 	known := map[identifier.Node]bool{}
-	risen := new(int)
+	promoted := new(int)
 	var look func()
 	look = func() {
 		list, _ := cluster.Voters()
-		for _, mem := range list {
-			if known[mem.ID] {
+		for _, member := range list {
+			if known[member.ID] {
 				continue
 			}
 			if len(known) >= 3 {
-				*risen++
+				*promoted++
 				saved, most := identifier.Index(0), cluster.Leader().Machine.Raft().CommitIndex()
-				if server := cluster.ServerByID(mem.ID); server != nil {
+				if server := cluster.ServerByID(member.ID); server != nil {
 					saved = server.PersistedIndex
 				}
 				if saved == 0 || saved+maxLag < most {
-					t.Errorf("at %d %s became a voter with its log at %d, committed is %d", cluster.Now, mem.Addr, saved, most)
+					t.Errorf("at %d %s became a voter with its log at %d, committed is %d", cluster.Now, member.Addr, saved, most)
 				}
 			}
-			known[mem.ID] = true
+			known[member.ID] = true
 		}
 		cluster.After(5, look)
 	}
 	cluster.At(1000, look)
-	return risen
+	return promoted
 }
 
-// requireSpreadVoters fails the test unless five vote, as evenly over the zones as can be.
+// requireSpreadVoters fails the test unless there are five voters, spread evenly over the
+// domains.
 func requireSpreadVoters(t *testing.T, cluster *simulation.Cluster, when string) {
 	t.Helper()
-	list, held := cluster.Voters()
+	list, byDomain := cluster.Voters()
 	counts := []int{}
-	for _, n := range held {
+	for _, n := range byDomain {
 		counts = append(counts, n)
 	}
 	sort.Sort(sort.Reverse(sort.IntSlice(counts)))
@@ -81,20 +82,20 @@
 		want = "[2 1 1 1]"
 	}
 	if fmt.Sprint(counts) != want {
-		t.Errorf("%s, at %d: %d voters, by zone %v, want %s", when, cluster.Now, len(list), held, want)
+		t.Errorf("%s, at %d: %d voters, by domain %v, want %s", when, cluster.Now, len(list), byDomain, want)
 	}
 }
 
-// TestFiveVoters: a larger site comes to have five voters, and keeps three when
-// three of its machines stay away.
+// TestFiveVoters: a larger cluster gets five voters, and keeps three when three of its
+// servers stay down.
 func TestFiveVoters(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
-		simulationtest.RunScenario(t, simulation.Scenario{Seed: 301, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
+	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
+		simulationtest.RunScenario(t, simulation.Scenario{Seed: 301, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			requireCaughtUpVoters(t, cluster)
 			cluster.Spec.LoadPercent = 40
 			cluster.At(7000, func() { requireSpreadVoters(t, cluster, "founded") })
 			left := []*simulation.Server{}
-			for i := int64(0); i < int64(site.Servers)-4; i++ {
+			for i := int64(0); i < int64(spec.Servers)-4; i++ {
 				cluster.At(8000+i*4000, func() {
 					for _, server := range cluster.Servers {
 						if server.Up && server != cluster.Leader() {
@@ -106,8 +107,8 @@
 				})
 			}
 			cluster.At(36000, func() {
-				if list, held := cluster.Voters(); len(list) != 3 {
-					t.Errorf("with four alive for long: %d voters, by zone %v", len(list), held)
+				if list, byDomain := cluster.Voters(); len(list) != 3 {
+					t.Errorf("with four alive for long: %d voters, by domain %v", len(list), byDomain)
 				}
 				for _, server := range left {
 					server.Start()
@@ -118,28 +119,28 @@
 	})
 }
 
-// TestDomainLost takes the power from each zone in turn, and then all of a zone's
-// machines for good, to be replaced by empty ones.
+// TestDomainLost crashes each domain in turn, and then loses all of a domain's servers for
+// good, to be replaced by empty ones.
 func TestDomainLost(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
-		for seed, zone := range site.ServerDomainNames() {
-			gap, risen := int64(0), new(int)
-			simulationtest.RunScenario(t, simulation.Scenario{Seed: 310 + int64(seed), Spec: site, Window: 50000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
-				risen = requireCaughtUpVoters(t, cluster)
+	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
+		for seed, domain := range spec.ServerDomainNames() {
+			gap, promoted := int64(0), new(int)
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: 310 + int64(seed), Spec: spec, Window: 50000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
+				promoted = requireCaughtUpVoters(t, cluster)
 				cluster.Spec.LoadPercent = 40
 				cluster.MeasureOutage(7000, 49000, &gap)
 				var back func()
-				cluster.At(9000, func() { back = cluster.CrashDomain(zone) })
+				cluster.At(9000, func() { back = cluster.CrashDomain(domain) })
 				cluster.At(15000, func() {
 					if cluster.Leader() == nil {
-						t.Errorf("zone %s is lost, and 6 s later nobody leads", zone)
+						t.Errorf("domain %s is lost, and 6 s later nobody leads", domain)
 					}
 					back()
 				})
-				cluster.At(24000, func() { requireSpreadVoters(t, cluster, "zone "+zone+" is back") })
+				cluster.At(24000, func() { requireSpreadVoters(t, cluster, "domain "+domain+" is back") })
 				cluster.At(26000, func() {
 					for _, server := range cluster.Servers {
-						if server.Domain == zone {
+						if server.Domain == domain {
 							server.WipeDisk()
 							server.DiskDelay = 300
 							cluster.After(9000, server.Start)
@@ -148,7 +149,7 @@
 				})
 				cluster.At(34000, func() {
 					if cluster.Leader() == nil {
-						t.Errorf("zone %s is gone for good, and 8 s later nobody leads", zone)
+						t.Errorf("domain %s is gone for good, and 8 s later nobody leads", domain)
 					}
 				})
 				cluster.At(40000, func() {
@@ -156,43 +157,43 @@
 						server.DiskDelay = 0
 					}
 				})
-				cluster.At(49000, func() { requireSpreadVoters(t, cluster, "zone "+zone+" is replaced") })
+				cluster.At(49000, func() { requireSpreadVoters(t, cluster, "domain "+domain+" is replaced") })
 			}})
-			if gap > 12000 || *risen < 2 {
-				t.Errorf("zone %s: longest without an answer %d ms, %d became voters", zone, gap, *risen)
+			if gap > 12000 || *promoted < 2 {
+				t.Errorf("domain %s: longest without an answer %d ms, %d became voters", domain, gap, *promoted)
 			}
-			t.Logf("zone %s: longest without an answer %d ms; %d became voters later", zone, gap, *risen)
+			t.Logf("domain %s: longest without an answer %d ms; %d became voters later", domain, gap, *promoted)
 		}
 	})
 }
 
-// twoVoters picks two voters, the leader one of them or not, of different zones.
-func twoVoters(cluster *simulation.Cluster, lead bool) []*simulation.Server {
+// twoVoters picks two voters, the leader one of them or not, of different domains.
+func twoVoters(cluster *simulation.Cluster, leader bool) []*simulation.Server {
 	var list []*simulation.Server
 	voters, _ := cluster.Voters()
-	for _, mem := range voters {
-		server := cluster.ServerByID(mem.ID)
+	for _, member := range voters {
+		server := cluster.ServerByID(member.ID)
 		switch {
-		case server == nil, len(list) == 1 && server.Domain == list[0].Domain, !lead && server == cluster.Leader():
+		case server == nil, len(list) == 1 && server.Domain == list[0].Domain, !leader && server == cluster.Leader():
 		case len(list) < 2:
 			list = append(list, server)
 		}
 	}
-	if lead && len(list) == 2 && list[0] != cluster.Leader() && list[1] != cluster.Leader() {
+	if leader && len(list) == 2 && list[0] != cluster.Leader() && list[1] != cluster.Leader() {
 		list[1] = cluster.Leader()
 	}
 	return list
 }
 
-// TestTwoLostAtOnce takes two voters at the same moment; one or both of them
-// come back empty, on slow disks. Nobody votes before it has caught up, and in
-// the midst of it a third machine may go for a while.
+// TestTwoLostAtOnce loses two voters at the same moment; one or both of them come back
+// empty, on slow disks. No server votes before it has caught up, and in the midst of it a
+// third may be down for a while.
 func TestTwoLostAtOnce(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
+	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 		for seed := int64(0); seed < 4; seed++ {
-			gap, risen := int64(0), new(int)
-			simulationtest.RunScenario(t, simulation.Scenario{Seed: 330 + seed, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
-				risen = requireCaughtUpVoters(t, cluster)
+			gap, promoted := int64(0), new(int)
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: 330 + seed, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
+				promoted = requireCaughtUpVoters(t, cluster)
 				cluster.Spec.LoadPercent = 60
 				cluster.MeasureOutage(7000, 44000, &gap)
 				cluster.At(9000, func() {
@@ -226,20 +227,19 @@
 				})
 				cluster.At(40000, func() { requireSpreadVoters(t, cluster, "all are back") })
 			}})
-			if gap > 12000 || *risen < 2 {
-				t.Errorf("seed %d: longest without an answer %d ms, %d became voters", seed, gap, *risen)
+			if gap > 12000 || *promoted < 2 {
+				t.Errorf("seed %d: longest without an answer %d ms, %d became voters", seed, gap, *promoted)
 			}
-			t.Logf("seed %d: longest without an answer %d ms; %d became voters later", seed, gap, *risen)
+			t.Logf("seed %d: longest without an answer %d ms; %d became voters later", seed, gap, *promoted)
 		}
 	})
 }
 
-// TestLeaderReplacedOldSeeds replaces two leaders, the second of them none of
-// the first start's seeds, by empty machines at other addresses that know only
-// the addresses of the first start.
+// TestLeaderReplacedOldSeeds replaces two leaders, the second of them no seed, by empty
+// servers at new addresses that know only the seeds of the first start.
 func TestLeaderReplacedOldSeeds(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
-		simulationtest.RunScenario(t, simulation.Scenario{Seed: 341, Spec: site, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
+	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
+		simulationtest.RunScenario(t, simulation.Scenario{Seed: 341, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			requireCaughtUpVoters(t, cluster)
 			cluster.Spec.LoadPercent = 40
 			seed := func(server *simulation.Server) bool {
@@ -265,15 +265,15 @@
 			}
 			cluster.At(30000, func() {
 				if seed(cluster.Leader()) {
-					t.Error("too little evidence: a seed leads still")
+					t.Error("too little evidence: a seed still leads")
 				}
 				replace()
 			})
 			cluster.At(42000, func() {
 				requireSpreadVoters(t, cluster, "two leaders were replaced")
 				fresh := 0
-				for _, mem := range cluster.Leader().Machine.Raft().Members() {
-					if strings.HasSuffix(mem.Addr, "b") {
+				for _, member := range cluster.Leader().Machine.Raft().Members() {
+					if strings.HasSuffix(member.Addr, "b") {
 						fresh++
 					}
 				}
@@ -285,15 +285,15 @@
 	})
 }
 
-// TestAllKilled kills every keeper at once, again and again, each back within a
-// second. With the timing of the platform there is a leader again within 2 s of
-// the last one's return, and nothing acknowledged is lost.
+// TestAllKilled crashes every server at once, again and again, each back within a second.
+// With the users' timing there is a leader again within 2 s of the last one's start, and
+// nothing acknowledged is lost.
 func TestAllKilled(t *testing.T) {
-	eachLargeCluster(t, func(t *testing.T, site simulation.ClusterSpec) {
-		site.ElectionTimeout = 250
+	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
+		spec.ElectionTimeout = 250
 		gaps := []int64{}
 		for seed := int64(351); seed < 354; seed++ {
-			simulationtest.RunScenario(t, simulation.Scenario{Seed: seed, Spec: site, Window: 30000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
+			simulationtest.RunScenario(t, simulation.Scenario{Seed: seed, Spec: spec, Window: 30000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 				for i := int64(0); i < 4; i++ {
 					at := 8000 + i*5000 + seed*7%100
 					cluster.At(at, func() {
@@ -320,6 +320,6 @@
 				}
 			}})
 		}
-		t.Logf("from the last one's return to a leader: %v ms", gaps)
+		t.Logf("from the last server's start to a leader: %v ms", gaps)
 	})
 }
--- a/tests/simulation/mixed_test.go
+++ b/tests/simulation/mixed_test.go
@@ -7,6 +7,7 @@
 	"sync"
 	"testing"
 
+	"orchidward/internal/invariants"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
@@ -18,28 +19,21 @@
 	showTrace  = flag.Bool("show", false, "print the run of a failing seed")
 )
 
-func checkInvariants(t *testing.T, scenario simulation.Scenario, cluster *simulation.Cluster) {
-	t.Helper()
-	if len(cluster.Checker.Violations) == 0 {
-		return
-	}
-	t.Errorf("seed %d:\n%s", scenario.Seed, strings.Join(cluster.Checker.Violations, "\n"))
-}
-
-// TestCalm is a site with nothing wrong: all promises, and all jobs end.
+// TestCalm runs clusters without faults: all invariants hold, and all jobs end.
 func TestCalm(t *testing.T) {
-	for _, site := range []simulation.ClusterSpec{simulation.FastNetwork(), simulation.LossyNetwork()} {
-		scenario := simulation.Scenario{Seed: 7, Spec: site, Window: 30000, Recovery: 25000}
+	for _, spec := range []simulation.ClusterSpec{simulation.FastNetwork(), simulation.LossyNetwork()} {
+		scenario := simulation.Scenario{Seed: 7, Spec: spec, Window: 30000, Recovery: 25000}
 		cluster := simulation.Run(scenario)
 		simulationtest.CheckInvariants(t, scenario.Seed, cluster)
-		if cluster.Checker.Counts["ended well"] < 150 {
+		if cluster.Checker.Counts[invariants.EndedCount(invariants.JobSucceeded)] < 150 {
 			t.Errorf("too little evidence: %v", cluster.Checker.Counts)
 		}
 		t.Log(cluster.Checker.Counts, cluster.Traffic.Frames)
 	}
 }
 
-// TestMixed lets everything that fails loose at once, under many seeds.
+// TestMixed injects faults of all kinds at once, under many seeds. It shrinks the list
+// of faults of a failing run.
 func TestMixed(t *testing.T) {
 	t.Cleanup(func() { t.Log("faults in force:", injectedFaults) })
 	for i := int64(0); i < int64(*seedCount); i++ {
@@ -50,34 +44,34 @@
 			cluster := simulation.Run(scenario)
 			simulationtest.CheckInvariants(t, scenario.Seed, cluster)
 			if t.Failed() {
-				small := simulation.Shrink(scenario, func(try *simulation.Cluster) bool { return sameViolation(cluster, try) })
-				t.Logf("shrunk to: %s", formatScenario(small))
+				smallest := simulation.Shrink(scenario, func(try *simulation.Cluster) bool { return sameViolation(cluster, try) })
+				t.Logf("shrunk to: %s", formatScenario(smallest))
 				if *showTrace {
-					small.Trace = true
-					t.Log(strings.Join(simulation.Run(small).Log, "\n"))
+					smallest.Trace = true
+					t.Log(strings.Join(simulation.Run(smallest).Log, "\n"))
 				}
 			}
 			recordInjected(cluster)
-			if cluster.Checker.Counts["ended well"] < 50 {
+			if cluster.Checker.Counts[invariants.EndedCount(invariants.JobSucceeded)] < 50 {
 				t.Errorf("too little evidence: %v", cluster.Checker.Counts)
 			}
 		})
 	}
 }
 
-// sameViolation tells whether a smaller run fails in a way the first one did.
+// sameViolation tells whether two runs violate the same invariant.
 func sameViolation(a, b *simulation.Cluster) bool {
 	for kind, n := range b.Checker.Counts {
-		if strings.HasPrefix(kind, "breach ") && n > 0 && a.Checker.Counts[kind] > 0 {
+		if strings.HasPrefix(kind, invariants.ViolationCount("")) && n > 0 && a.Checker.Counts[kind] > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// formatScenario prints a plan as it can be pasted into a test.
+// formatScenario prints a scenario as it can be pasted into a test.
 func formatScenario(scenario simulation.Scenario) string {
-	text := fmt.Sprintf("Plan{Seed: %d, Window: %d, Settle: %d, Faults: []Fault{", scenario.Seed, scenario.Window, scenario.Recovery)
+	text := fmt.Sprintf("Scenario{Seed: %d, Window: %d, Recovery: %d, Faults: []Fault{", scenario.Seed, scenario.Window, scenario.Recovery)
 	for _, f := range scenario.Faults {
 		text += f.String() + ", "
 	}
@@ -98,9 +92,9 @@
 }
 
 func mixedScenario(seed int64) simulation.Scenario {
-	site := simulation.FastNetwork()
+	spec := simulation.FastNetwork()
 	if seed%2 == 0 {
-		site = simulation.LossyNetwork()
+		spec = simulation.LossyNetwork()
 	}
-	return simulation.Scenario{Seed: seed, Spec: site, Window: 40000, Recovery: 60000, Faults: simulation.DrawFaults(seed, 5000, 38000, *faultCount)}
+	return simulation.Scenario{Seed: seed, Spec: spec, Window: 40000, Recovery: 60000, Faults: simulation.DrawFaults(seed, 5000, 38000, *faultCount)}
 }
--- a/tests/simulation/register/changes_test.go
+++ b/tests/simulation/register/changes_test.go
@@ -1,6 +1,3 @@
-// What operators ask of the register: changes drawn from a seed, and how they are
-// sent and read.
-
 package register
 
 import (
@@ -8,6 +5,7 @@
 	"fmt"
 	"maps"
 	"math/rand"
+	"net/http"
 	"slices"
 	"strings"
 )
@@ -15,9 +13,9 @@
 // pick draws one of a list.
 func pick[T any](rnd *rand.Rand, list ...T) T { return list[rnd.Intn(len(list))] }
 
-// drawChange draws a change by someone who last read the version seen: mostly
-// sound, sometimes of a number that others use too, sometimes invalid, or valid
-// only on its own base.
+// drawChange draws a change by an operator who last read the version seen: mostly valid,
+// sometimes with a version that others use too, sometimes invalid, or valid only on its
+// own base.
 func drawChange(rnd *rand.Rand, number int, seen uint64) *change {
 	c := &change{number: number, replaces: rnd.Intn(3) == 0, base: seen, version: seen + 1, queues: map[string]string{}}
 	switch rnd.Intn(12) {
@@ -50,7 +48,7 @@
 	return c
 }
 
-// removeContradictions leaves out of the drops what is also put: the put counts.
+// removeContradictions does not drop what the change also adds.
 func (c *change) removeContradictions() {
 	for _, pool := range c.pools {
 		if len(c.droppedPools) > 0 && c.droppedPools[0] == pool {
@@ -62,13 +60,13 @@
 	}
 }
 
-// changeSet are the changes of a history. Two operators who send the very same
-// text send one change: nothing tells the second from a resend.
+// changeSet are the changes of a history. Two operators who send the same body send one
+// change: nothing tells the second from a resend.
 type changeSet struct {
 	list   []*change
 	byText map[string]*change
-	// ignoreMethod leaves out changes that only their verb tells from another, as
-	// programs of the former level do not tell them apart.
+	// ignoreMethod takes changes that differ only in their method for the same, as
+	// programs of the old level do.
 	ignoreMethod bool
 }
 
@@ -89,7 +87,7 @@
 	return c
 }
 
-// encode is the change as it is sent.
+// encode returns the method and the body by which a change is sent.
 func (c *change) encode() (verb string, body []byte) {
 	queues, pools := []map[string]any{}, []map[string]any{}
 	for _, name := range slices.Sorted(maps.Keys(c.queues)) {
@@ -109,11 +107,11 @@
 	if len(pools) > 0 {
 		items["pools"] = pools
 	}
-	verb = "PUT"
+	verb = http.MethodPut
 	if c.replaces {
 		maps.Copy(doc, items)
 	} else {
-		verb = "PATCH"
+		verb = http.MethodPatch
 		if len(items) > 0 {
 			doc["put"] = items
 		}
@@ -128,7 +126,7 @@
 	return verb, body
 }
 
-// decodeRegister reads what GET /v1/catalog answers.
+// decodeRegister decodes the response to a read of the catalog.
 func decodeRegister(body []byte) (register, error) {
 	var doc struct {
 		Version uint64 `json:"version"`
--- a/tests/simulation/register/cluster_test.go
+++ b/tests/simulation/register/cluster_test.go
@@ -1,22 +1,21 @@
-// The register as a whole site keeps it: operators, gates and keepers.
-
 package register
 
 import (
 	"flag"
 	"fmt"
 	"math/rand"
+	"net/http"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/state"
 	"orchidward/tests/simulation"
 )
 
-var exchangeCount = flag.Int("exchanges", 48, "how many exchanges of operators with a whole site")
+var exchangeCount = flag.Int("exchanges", 48, "how many runs of operators with a simulated cluster")
 
-// catalogOperators change the catalogue of a whole site through its gates, each after
-// reading it, and send a change again as long as its outcome is unclear, and
-// now and then when it is not.
+// catalogOperators change the catalog of a cluster, each after reading it. They send a
+// change again as long as its outcome is unknown, and now and then when it is not.
 type catalogOperators struct {
 	cluster *simulation.Cluster
 	random  *rand.Rand
@@ -32,29 +31,29 @@
 	callTimeout     = 2000
 )
 
-// call makes one call; then gets the status, 0 when nothing came in time.
-func (o *catalogOperators) call(verb string, body []byte, c *change, then func(x *registerCall, body []byte)) {
+// call makes one call, and calls then with its outcome.
+func (o *catalogOperators) call(method string, body []byte, c *change, then func(x *registerCall, body []byte)) {
 	x := &registerCall{startedAt: o.cluster.Now, endedAt: noAnswer, change: c}
 	if c != nil {
 		o.calls = append(o.calls, x)
 	}
-	o.cluster.Request(o.cluster.Clients.Process, o.cluster.Clients.RandomGateway(), verb, "/v1/catalog", body, callTimeout, func(status int, body []byte) {
+	o.cluster.Request(o.cluster.Clients.Process, o.cluster.Clients.RandomGateway(), method, endpoint.CatalogPath, body, callTimeout, func(status int, body []byte) {
 		x.status = status
-		if status != 0 && status != 504 {
+		if status != 0 && status != http.StatusGatewayTimeout {
 			x.endedAt = o.cluster.Now
 		}
 		then(x, body)
 	})
 }
 
-// read is followed by what is done with the version seen.
+// read reads the catalog, until it is answered, and calls then with its version.
 func (o *catalogOperators) read(then func(seen uint64)) {
-	o.call("GET", nil, nil, func(x *registerCall, body []byte) {
+	o.call(http.MethodGet, nil, nil, func(x *registerCall, body []byte) {
 		r, err := newRegister(), error(nil)
 		switch x.status {
-		case 200:
+		case http.StatusOK:
 			r, err = decodeRegister(body)
-		case 404:
+		case http.StatusNotFound:
 		default:
 			o.cluster.After(200, func() { o.read(then) })
 			return
@@ -68,7 +67,7 @@
 	})
 }
 
-// work is one operator's: read, change, and again.
+// changeCatalog is what one operator does: read, change, and again.
 func (o *catalogOperators) changeCatalog() {
 	if o.cluster.Now >= o.stopAt {
 		return
@@ -82,33 +81,50 @@
 	})
 }
 
-// send sends a change until its outcome is clear or tries are used up.
-func (o *catalogOperators) send(c *change, tries int) {
-	verb, body := c.encode()
-	o.call(verb, body, c, func(x *registerCall, _ []byte) {
-		settled := !x.unclear() && x.status != 503 && x.status != 429
-		if tries > 1 && (!settled || o.random.Intn(8) == 0) {
-			o.cluster.After(50+o.random.Int63n(400), func() { o.send(c, tries-1) })
+// send sends a change until its outcome is known or the attempts are used up.
+func (o *catalogOperators) send(c *change, attempts int) {
+	method, body := c.encode()
+	o.call(method, body, c, func(x *registerCall, _ []byte) {
+		known := !x.outcomeUnknown() && x.status != http.StatusServiceUnavailable && x.status != http.StatusTooManyRequests
+		if attempts > 1 && (!known || o.random.Intn(8) == 0) {
+			o.cluster.After(50+o.random.Int63n(400), func() { o.send(c, attempts-1) })
 			return
 		}
 		o.cluster.After(o.random.Int63n(400), o.changeCatalog)
 	})
 }
 
-// registerFaults are the kinds of fault that the operators' exchange meets.
-var registerFaults = []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated, simulation.LeaderIsolated, simulation.ServerCrash, simulation.ServerFreeze, simulation.ServerLinkBlocked, simulation.ServerHalfIsolated,
-	simulation.ServerDiskSlow, simulation.ServerDiskStalled, simulation.ServerLost, simulation.AllServersCrash, simulation.GatewayCrash, simulation.GatewayFreeze, simulation.GatewayLinkBlocked, simulation.GatewayIsolated, simulation.PacketLoss}
+// registerFaults are the kinds of fault that are injected, some of them twice as often.
+var registerFaults = []simulation.FaultKind{
+	simulation.LeaderCrash,
+	simulation.LeaderFreeze,
+	simulation.LeaderIsolated,
+	simulation.LeaderIsolated,
+	simulation.ServerCrash,
+	simulation.ServerFreeze,
+	simulation.ServerLinkBlocked,
+	simulation.ServerHalfIsolated,
+	simulation.ServerDiskSlow,
+	simulation.ServerDiskStalled,
+	simulation.ServerLost,
+	simulation.AllServersCrash,
+	simulation.GatewayCrash,
+	simulation.GatewayFreeze,
+	simulation.GatewayLinkBlocked,
+	simulation.GatewayIsolated,
+	simulation.PacketLoss,
+}
 
-// newCatalogOperators sets a site up with its faults. In every third the keepers are of
-// the former level and are upgraded under way; in every second one views are
-// taken often, so that keepers that were away or empty are sent one.
+// newCatalogOperators makes a cluster with its faults. In every third run the servers
+// start at the old level and are upgraded; in every second one they take snapshots often,
+// so that servers that were down or empty are sent one.
 func newCatalogOperators(seed int64) *catalogOperators {
-	site := simulation.FastNetwork()
-	site.Runners = 1
+	spec := simulation.FastNetwork()
+	spec.Runners = 1
 	if seed%2 == 0 {
-		site.DelayMs, site.LossPerMille = 25, 10
+		spec.DelayMs, spec.LossPerMille = 25, 10
 	}
-	cluster := simulation.NewCluster(seed, site)
+	cluster := simulation.NewCluster(seed, spec)
 	o := &catalogOperators{cluster: cluster, random: rand.New(rand.NewSource(seed)), stopAt: operatorsStart + operatorsWindow}
 	for n := 0; n < 10; n++ {
 		f := simulation.Fault{At: operatorsStart + o.random.Int63n(operatorsWindow-4000), Duration: 200 + o.random.Int63n(4000), Kind: pick(o.random, registerFaults...), Target: o.random.Intn(1000), Parameter: o.random.Intn(1000)}
@@ -136,24 +152,25 @@
 	}
 }
 
-// fillLog proposes empty entries until every log is due to be cut by a view.
+// fillLog makes every server take a snapshot: its log counts as full, and many empty
+// enattempts commit.
 func (o *catalogOperators) fillLog() {
 	for _, server := range o.cluster.Servers {
 		if server.Machine != nil {
 			server.Machine.LogPercentUsed = func() int { return 100 }
 		}
 	}
-	lead := o.cluster.Leader()
-	if lead == nil {
+	leader := o.cluster.Leader()
+	if leader == nil {
 		return
 	}
 	for n := 0; n < 300; n++ {
-		lead.Machine.Raft().Propose((&state.Command{}).Encode())
+		leader.Machine.Raft().Propose((&state.Command{}).Encode())
 	}
 }
 
-// TestRegisterExchange holds the operators' whole exchange with a site, under
-// crashes, splits, lost disks, views and an upgrade, against the specification.
+// TestRegisterExchange checks all calls of operators to a cluster, under crashes,
+// partitions, lost disks, snapshots and an upgrade, against the specification.
 func TestRegisterExchange(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= int64(*exchangeCount); seed++ {
@@ -170,11 +187,11 @@
 			if len(o.cluster.Checker.Violations) > 0 || !linearizable(newRegister(), nil, o.calls) {
 				t.Fatalf("no register answers so: %v\n%s", o.cluster.Checker.Violations, formatCalls(o.calls))
 			}
-			if statuses[200] < 10 {
+			if statuses[http.StatusOK] < 10 {
 				t.Errorf("too little evidence: %v", statuses)
 			}
-			if lead := o.cluster.Leader(); lead == nil || seed%2 == 0 && lead.Machine.Raft().SnapshotIndex() == 0 {
-				t.Error("too little evidence: nobody leads, or no log was cut by a view")
+			if leader := o.cluster.Leader(); leader == nil || seed%2 == 0 && leader.Machine.Raft().SnapshotIndex() == 0 {
+				t.Error("too little evidence: nobody leads, or no snapshot was taken")
 			}
 			t.Log(statuses, o.cluster.Injected)
 		})
--- a/tests/simulation/register/histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -1,5 +1,3 @@
-// The register at the state machine: many short histories.
-
 package register
 
 import (
@@ -7,6 +5,7 @@
 	"flag"
 	"fmt"
 	"math/rand"
+	"net/http"
 	"testing"
 
 	"orchidward/internal/api/catalog"
@@ -25,8 +24,8 @@
 }
 
 // replicatedRegister is a state machine under a log, with the network before it and
-// leaders that come and go: copies arrive in any order, late, twice or never,
-// and so do the answers. It stands for agreement, which TestChaos checks.
+// leaders that change: copies arrive in any order, late, twice or never, and so do the
+// responses. It stands in for consensus, which TestChaos checks.
 type replicatedRegister struct {
 	random   *rand.Rand
 	now      int64
@@ -35,9 +34,9 @@
 	proposed []*requestCopy
 	changes  changeSet
 	calls    []*registerCall
-	// acceptedBefore are changes accepted before the history began, seen the version that
-	// each operator last read.
+	// acceptedBefore are changes accepted before the history began.
 	acceptedBefore []*change
+	// lastRead is the version that each operator last read.
 	lastRead       []uint64
 }
 
@@ -45,7 +44,7 @@
 	verb, body := c.encode()
 	var faults jsondoc.FieldErrors
 	read := catalog.ReadWhole
-	if verb == "PATCH" {
+	if verb == http.MethodPatch {
 		read = catalog.ReadPatch
 	}
 	cmd := &state.Command{ChangeCatalog: read(body, &faults)}
@@ -57,8 +56,8 @@
 	m.network = append(m.network, &requestCopy{call, cmd, true})
 }
 
-// deliver lets a copy reach the leader, which proposes it. Now and then another
-// copy stays behind.
+// deliver delivers a copy to the leader, which proposes it. Now and then another copy
+// stays in the network.
 func (m *replicatedRegister) deliver() {
 	if len(m.network) == 0 {
 		return
@@ -71,7 +70,7 @@
 	}
 }
 
-// commit applies the next entry; its answer may be lost on the way.
+// commit applies the next entry; its response may be lost.
 func (m *replicatedRegister) commit() {
 	if len(m.proposed) == 0 {
 		return
@@ -84,20 +83,20 @@
 	}
 	answer := m.state.Apply(cmd)
 	call := entry.call
-	if entry.awaited && call.unclear() && call.status == 0 && m.random.Intn(3) > 0 {
+	if entry.awaited && call.outcomeUnknown() && call.status == 0 && m.random.Intn(3) > 0 {
 		m.complete(call, answer.Status)
 	}
 }
 
 func (m *replicatedRegister) complete(call *registerCall, status int) {
 	call.status = status
-	if status != 504 {
+	if status != http.StatusGatewayTimeout {
 		call.endedAt = m.now
 	}
 }
 
-// depose ends the leader: a tail of its log is lost, and nobody waits for the
-// rest any more.
+// depose ends the leader's term: the tail of its log is lost, and nobody waits for the
+// outcome of the rest.
 func (m *replicatedRegister) depose() {
 	m.proposed = m.proposed[:m.random.Intn(len(m.proposed)+1)]
 	for _, entry := range m.proposed {
@@ -105,7 +104,7 @@
 	}
 }
 
-// restart goes on with the state as a view has it.
+// restart continues with the state decoded from a snapshot.
 func (m *replicatedRegister) restart() {
 	restored, err := state.Decode(m.state.Encode())
 	if err != nil {
@@ -161,8 +160,8 @@
 	}
 }
 
-// nearlyFullRegister is a state whose memory of changes is all but full, and the changes it
-// will have to forget first.
+// nearlyFullRegister is a snapshot of a state that remembers almost as many changes as it
+// may, and the changes that it will forget first.
 func nearlyFullRegister(count uint64) (view []byte, oldest []*change) {
 	full := state.New()
 	full.Level = state.ResendLevel
@@ -178,11 +177,11 @@
 	return full.Encode(), oldest
 }
 
-// historiesPerTest is how many histories run in one go beside others.
+// historiesPerTest is how many histories a sub-test runs.
 const historiesPerTest = 500
 
-// TestRegisterHistories holds what the state machine answers, over many
-// histories, against the specification of the register.
+// TestRegisterHistories checks the responses of the state machine, over many histories,
+// against the specification of the register.
 func TestRegisterHistories(t *testing.T) {
 	t.Parallel()
 	view, oldest := nearlyFullRegister(4096)
@@ -207,9 +206,9 @@
 	}
 }
 
-// newReplicated begins a history: every second one at the former level, of which
-// some raise it under way, and one in sixteen with a memory that forgets with
-// every change that is accepted.
+// newReplicated begins a history: every second one at the old level, of which some raise
+// it later, and one in sixteen with a state that forgets a change with every one that it
+// accepts.
 func newReplicated(seed int64, view []byte, oldest []*change) *replicatedRegister {
 	m := &replicatedRegister{random: rand.New(rand.NewSource(seed)), state: state.New(), lastRead: make([]uint64, 3)}
 	m.state.Level = state.ResendLevel
--- a/tests/simulation/register/specification_test.go
+++ b/tests/simulation/register/specification_test.go
@@ -1,30 +1,27 @@
-// The catalogue of queues, as operators see it, is a register: it holds one
-// version and its content. A change names the version it builds on and the one
-// it makes. This file is the specification, and decides whether a history of
-// calls is one that such a register could have given (Wing and Gong, 1993).
-
 package register
 
 import (
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 )
 
-// changeWeight is what an operator asks for; every copy of it is the same.
+// change is what an operator asks for; every copy of it is the same.
 type change struct {
 	number        int
 	replaces      bool
 	base          uint64
 	version       uint64
-	queues        map[string]string // the pool of each queue that is put
+	queues        map[string]string // the pool of each queue that is added or replaced
 	pools         []string
 	droppedQueues []string // queues dropped by a patch
 	droppedPools  []string // pools dropped by a patch
-	source        string   // travels as the source, empty for none
+	source        string   // empty for none
 }
 
-// register is the state: what is in force.
+// register holds one version of the catalog and its content. A change names the version
+// it is based on and the one that it makes.
 type register struct {
 	version uint64
 	queues  map[string]string
@@ -36,7 +33,7 @@
 	return register{queues: map[string]string{}, pools: map[string]bool{}}
 }
 
-// with is the register after the change, unless its content can't be in force.
+// with returns the register after a change; ok is false if the change is not valid.
 func (r register) with(c *change) (next register, ok bool) {
 	next = newRegister()
 	next.version = c.version
@@ -64,7 +61,7 @@
 	return next, c.version > r.version
 }
 
-// String is the whole content, the same for registers that read the same.
+// String is the content, the same for registers that read the same.
 func (r register) String() string {
 	queues := []string{}
 	for name, pool := range r.queues {
@@ -75,11 +72,11 @@
 	return fmt.Sprintf("%d by %q queues %v pools %v", r.version, r.source, queues, pools)
 }
 
-// noAnswer is the end of a call that got no clear answer: it may take effect at
-// any time after it began, or not at all.
+// noAnswer is the end of a call whose outcome is unknown: it may take effect at any time
+// after it began, or not at all.
 const noAnswer = int64(1) << 62
 
-// registerCall is one call of an operator and what came of it.
+// registerCall is one call of an operator and its outcome.
 type registerCall struct {
 	startedAt, endedAt int64
 	change             *change // nil for a read
@@ -87,21 +84,21 @@
 	content            string // what a read showed
 }
 
-func (x *registerCall) unclear() bool { return x.endedAt == noAnswer }
+func (x *registerCall) outcomeUnknown() bool { return x.endedAt == noAnswer }
 
 func (x *registerCall) String() string {
 	if x.change == nil {
 		return fmt.Sprintf("%d..%d read: %s", x.startedAt, x.endedAt, x.content)
 	}
 	c, end := x.change, fmt.Sprint(x.endedAt)
-	if x.unclear() {
+	if x.outcomeUnknown() {
 		end = "?"
 	}
 	return fmt.Sprintf("%d..%s change %d, %d to %d, whole %v: %d", x.startedAt, end, c.number, c.base, c.version, c.replaces, x.status)
 }
 
-// effect is what a call can do at this point: nothing it could have answered as
-// it did (wrong), nothing to the register (none), or to put the change in force.
+// effect is what a call can do at a point: it could not have been answered as it was
+// (impossible), it leaves the register as it is (noEffect), or its change takes effect.
 type effect int
 
 const (
@@ -121,30 +118,31 @@
 	_, valid := r.with(c)
 	acceptable := !accepted[c] && r.version == c.base && valid
 	switch {
-	case x.unclear() && acceptable, x.status == 200 && acceptable:
+	case x.outcomeUnknown() && acceptable, x.status == http.StatusOK && acceptable:
 		return takesEffect
-	case x.status == 200 && accepted[c]:
+	case x.status == http.StatusOK && accepted[c]:
 		return noEffect
-	case x.status == 412 && !accepted[c] && r.version != c.base:
+	case x.status == http.StatusPreconditionFailed && !accepted[c] && r.version != c.base:
 		return noEffect
-	case x.status == 422 && !accepted[c] && r.version == c.base && !valid:
+	case x.status == http.StatusUnprocessableEntity && !accepted[c] && r.version == c.base && !valid:
 		return noEffect
-	case x.status == 429, x.status == 503:
+	case x.status == http.StatusTooManyRequests, x.status == http.StatusServiceUnavailable:
 		return noEffect
 	}
 	return impossible
 }
 
-// search looks for an order of the calls, each at a moment between its begin
-// and its end, in which the register gives just these answers.
+// search looks for an order of the calls, each at a moment between its start and its end,
+// in which the register gives these answers (Wing and Gong, Testing and Verifying
+// Concurrent Objects, 1993).
 type search struct {
 	calls    []*registerCall
 	accepted map[*change]bool
 	deadEnds map[string]bool
 }
 
-// linearizable tells whether the register, from its first state, could have
-// answered all calls as they were answered. Some changes were accepted before.
+// linearizable tells whether a register could have answered all calls as they were
+// answered. Some changes were accepted before.
 func linearizable(first register, before []*change, calls []*registerCall) bool {
 	s := &search{accepted: map[*change]bool{}, deadEnds: map[string]bool{}}
 	for _, c := range before {
@@ -154,20 +152,19 @@
 	calls = slices.Clone(calls)
 	slices.SortStableFunc(calls, func(a, b *registerCall) int { return int(a.startedAt - b.startedAt) })
 	for _, x := range calls {
-		// Of several unclear calls of one change the first can do all that the
-		// others can.
-		if x.unclear() && begun[x.change] {
+		// Of several calls of one change with unknown outcomes, the first can do all
+		// that the others can.
+		if x.outcomeUnknown() && begun[x.change] {
 			continue
 		}
-		begun[x.change] = begun[x.change] || x.unclear()
+		begun[x.change] = begun[x.change] || x.outcomeUnknown()
 		s.calls = append(s.calls, x)
 	}
 	return s.explore(first, make([]bool, len(s.calls)))
 }
 
-// explore continues from a state in which some calls are done. A call that does
-// nothing to the register is done as soon as it can be; only which change comes
-// next is tried in turn.
+// explore continues from a state in which some calls are done. A call without effect is
+// done as soon as it can be; only which change takes effect next is tried in turn.
 func (s *search) explore(r register, done []bool) bool {
 	done = slices.Clone(done)
 	var next []int
--- a/tests/simulation/scenarios/bounds_test.go
+++ b/tests/simulation/scenarios/bounds_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"net/http"
 	"testing"
 
 	"orchidward/internal/api/identifier"
@@ -12,12 +13,12 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestStalledDisksBoundBacklog: with every disk at a stand nothing is decided, and what comes
-// in is kept only up to a bound: then callers are told so at once. When the
-// disks go on, all that is resent is taken.
+// TestStalledDisksBoundBacklog: while every disk is stalled nothing commits, and requests
+// are kept only up to a bound: beyond it clients get 503 at once. When the disks go
+// on, all that is sent again is accepted.
 func TestStalledDisksBoundBacklog(t *testing.T) {
 	t.Parallel()
-	told := map[int]int{}
+	statuses := map[int]int{}
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 31, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(8000, func() {
 			for _, server := range cluster.Servers {
@@ -28,9 +29,9 @@
 		var put func(i int)
 		put = func(i int) {
 			body := append([]byte(fmt.Sprintf(`{"pending":"stock","steps":[{"name":"s%d","spanMs":50}]}`, i)), pad...)
-			cluster.Request(cluster.Clients.Process, cluster.Gateways[i%3].Addr, "PUT", fmt.Sprintf("/v1/jobs/big/j%d", i), body, 1000, func(status int, _ []byte) {
-				told[status]++
-				if status != 200 && status != 201 {
+			cluster.Request(cluster.Clients.Process, cluster.Gateways[i%3].Addr, http.MethodPut, fmt.Sprintf("/v1/jobs/big/j%d", i), body, 1000, func(status int, _ []byte) {
+				statuses[status]++
+				if status != http.StatusOK && status != http.StatusCreated {
 					cluster.After(1500, func() { put(i) })
 				}
 			})
@@ -43,31 +44,31 @@
 			}
 		})
 		cluster.At(9000, func() {
-			if told[503] < 10 {
-				t.Errorf("half a second after 50 MiB came in, told: %v", told)
+			if statuses[http.StatusServiceUnavailable] < 10 {
+				t.Errorf("half a second after 50 MiB came in, responses by status: %v", statuses)
 			}
 		})
 	}})
-	if told[200]+told[201] != 50 {
-		t.Errorf("in the end told: %v", told)
+	if statuses[http.StatusOK]+statuses[http.StatusCreated] != 50 {
+		t.Errorf("in the end, responses by status: %v", statuses)
 	}
-	t.Log(told)
+	t.Log(statuses)
 }
 
-// TestTooManyRunners: names no one knows cost a leader nothing past its bound.
+// TestTooManyRunners: a leader keeps unknown runners only up to a bound.
 func TestTooManyRunners(t *testing.T) {
 	t.Parallel()
-	told := map[int]int{}
+	statuses := map[int]int{}
 	cluster := simulation.NewCluster(33, simulation.FastNetwork())
 	cluster.Run(5000)
 	for i := 0; i < 2300; i++ {
 		cluster.At(5000+int64(i), func() {
 			body := []byte(fmt.Sprintf(`{"incarnation":"a%d","seq":1,"cores":1,"memMb":1,"domain":"far","rack":"far","mode":"active"}`, i))
-			cluster.Request(cluster.Clients.Process, cluster.Gateways[i%3].Addr, "POST", fmt.Sprintf("/v1/runners/x%d/poll", i), body, 3000, func(status int, _ []byte) { told[status]++ })
+			cluster.Request(cluster.Clients.Process, cluster.Gateways[i%3].Addr, http.MethodPost, fmt.Sprintf("/v1/runners/x%d/poll", i), body, 3000, func(status int, _ []byte) { statuses[status]++ })
 		})
 	}
 	cluster.Run(12000)
-	if told[503] != 2300-(2048-11) || told[200] != 2048-11 {
-		t.Errorf("told: %v", told)
+	if statuses[http.StatusServiceUnavailable] != 2300-(2048-11) || statuses[http.StatusOK] != 2048-11 {
+		t.Errorf("responses by status: %v", statuses)
 	}
 }
--- a/tests/simulation/scenarios/clocks_test.go
+++ b/tests/simulation/scenarios/clocks_test.go
@@ -8,8 +8,8 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// wrongClocks are keepers' clocks, wrong in every way; most is how far ahead
-// cluster time may be after 18 s, least how far behind.
+// wrongClocks are skews of the servers' clocks in ms. After 18 s cluster time may be
+// ahead by at most most, and behind by at most -least.
 var wrongClocks = []struct {
 	skews       [3]int64
 	least, most int64
@@ -30,8 +30,8 @@
 	return int64(server.Machine.State().Now) - simulation.WallClockStart - cluster.Now
 }
 
-// TestClocks: every keeper's clock jumps, forward and back by hours, leaders
-// change meanwhile. Clocks that all disagree move cluster time nowhere; a wrong
+// TestClocks: every server's clock jumps, forward and back by hours, while leaders
+// change. Clocks that all disagree move cluster time nowhere; a wrong
 // majority moves it by a twentieth of the time it is wrong.
 func TestClocks(t *testing.T) {
 	for _, one := range wrongClocks {
@@ -53,9 +53,9 @@
 	}
 }
 
-// TestDisagreeingClocks starts a core, for the first time and after its power was
-// gone, with clocks of which no two agree. Time is not set until two do, and
-// then to these; whatever is appointed waits until then and is not early.
+// TestDisagreeingClocks starts all servers, for the first time and after a power loss,
+// with clocks of which no two agree. Cluster time is not set until two do, and then to
+// these; jobs with a start time wait until then and are not early.
 func TestDisagreeingClocks(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
@@ -96,14 +96,14 @@
 	}
 }
 
-// TestLateEntry: a new leader's first entries reach one follower, and nothing
-// of it is decided before the leader is gone and the follower alone for many
-// seconds. Deciding them then must not set cluster time back to when they were made.
+// TestLateEntry: a new leader's first entries reach one follower, and none of them
+// commits before the leader is lost and the follower alone for many seconds. When they
+// commit then, they must not set cluster time back to when they were made.
 func TestLateEntry(t *testing.T) {
 	t.Parallel()
-	hit := false
+	elected := false
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 43, Window: 35000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
-		var old, lead, left *simulation.Server
+		var old, leader, left *simulation.Server
 		var look func()
 		look = func() {
 			server := cluster.Leader()
@@ -113,15 +113,16 @@
 				}
 				return
 			}
-			lead, hit = server, true
+			leader = server
+			elected = true
 			for _, one := range cluster.Servers {
-				if one != old && one != lead {
+				if one != old && one != leader {
 					left = one
 				}
 			}
-			unblock := cluster.BlockLink(left.Process, lead.Process, false)
+			unblock := cluster.BlockLink(left.Process, leader.Process, false)
 			cluster.After(500, func() {
-				cluster.CrashServer(lead)
+				cluster.CrashServer(leader)
 				unblock()
 			})
 			cluster.After(9000, old.Start)
@@ -137,7 +138,7 @@
 			}
 		})
 	}})
-	if !hit {
-		t.Error("no second leader rose in time")
+	if !elected {
+		t.Error("no second leader was elected in time")
 	}
 }
--- a/tests/simulation/scenarios/delayed_orders_test.go
+++ b/tests/simulation/scenarios/delayed_orders_test.go
@@ -3,29 +3,31 @@
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/state"
 	"orchidward/tests/simulation"
 )
 
-// retryingClient sends one order at a time and gives each try up after a second.
+// retryingClient sends one order at a time and gives each attempt up after a timeout.
 type retryingClient struct {
 	cluster *simulation.Cluster
 	timeout int64
 }
 
-// send tries an order at one address, once.
+// send sends an order to one address, once.
 func (o retryingClient) send(addr, verb, path string, body []byte, done func(status int)) {
 	o.cluster.Request(o.cluster.Clients.Process, addr, verb, path, body, o.timeout, func(status int, _ []byte) { done(status) })
 }
 
-// sendUntilAnswered sends an order again, at one address after another, until it has a
-// clear answer.
+// sendUntilAnswered sends an order to one address after another until its outcome is
+// known.
 func (o retryingClient) sendUntilAnswered(addrs []string, verb, path string, body []byte, done func(status int)) {
 	o.send(addrs[0], verb, path, body, func(status int) {
-		if status == 0 || status >= 500 || status == 429 {
+		if status == 0 || status >= 500 || status == http.StatusTooManyRequests {
 			o.cluster.After(50, func() { o.sendUntilAnswered(append(addrs[1:], addrs[0]), verb, path, body, done) })
 			return
 		}
@@ -33,12 +35,12 @@
 	})
 }
 
-// delayedOrder is a scene in which an order is sent, given up, sent again, taken
+// delayedOrder is a run in which an order is sent, given up, sent again, acknowledged
 // and withdrawn, while its first copy is still on its way.
 type delayedOrder struct {
-	// delay holds the first copy up from the moment it is called until undone.
+	// delay delays the first copy from the moment it is called until undone.
 	delay func(w *simulation.Cluster) (undo func())
-	// offset is when the order is sent after that, in ms; it may be negative.
+	// offset is how long after that the order is sent, in ms; it may be negative.
 	offset int64
 	seed   int64
 	// at lists the addresses in the order they are tried; the first one gets the
@@ -46,7 +48,7 @@
 	addresses func(w *simulation.Cluster) (addrs []string)
 }
 
-// gatewayAddrs are the addresses of the gates.
+// gatewayAddrs are the addresses of the gateways.
 func gatewayAddrs(cluster *simulation.Cluster) []string {
 	var addrs []string
 	for _, g := range cluster.Gateways {
@@ -55,7 +57,7 @@
 	return addrs
 }
 
-// followerFirst are the addresses of the keepers, one that follows first.
+// followerFirst are the addresses of the servers, one that follows first.
 func followerFirst(cluster *simulation.Cluster) []string {
 	var addrs []string
 	for _, server := range cluster.Servers {
@@ -66,7 +68,7 @@
 	return append(addrs, cluster.Leader().Addr)
 }
 
-// leaderFirst are the addresses of the keepers, the leader's first.
+// leaderFirst are the addresses of the servers, the leader's first.
 func leaderFirst(cluster *simulation.Cluster) []string {
 	list := followerFirst(cluster)
 	return append(list[len(list)-1:], list[:len(list)-1]...)
@@ -78,50 +80,50 @@
 	observationTime = 3000
 )
 
-// run plays the scene and returns the world a few seconds after the first copy
-// came free. Script sends the orders and calls settled once the last one is
-// acknowledged; late says that this was before the first copy came free.
-func (s delayedOrder) run(script func(o retryingClient, addrs []string, settled func())) (cluster *simulation.Cluster, late bool) {
+// run returns the cluster a few seconds after the first copy was let go. script sends
+// the orders and calls acked once the last one is acknowledged; late says that this
+// was before the first copy was let go.
+func (s delayedOrder) run(script func(o retryingClient, addrs []string, acked func())) (cluster *simulation.Cluster, late bool) {
 	cluster = simulation.NewCluster(s.seed, simulation.FastNetwork())
-	addrs, settledAt, freedAt := []string{}, int64(0), int64(0)
+	addrs, ackedAt, releasedAt := []string{}, int64(0), int64(0)
 	cluster.At(delayStart-10, func() { addrs = s.addresses(cluster) })
 	cluster.At(delayStart+s.offset, func() {
-		script(retryingClient{cluster, 1000}, addrs, func() { settledAt = cluster.Now })
+		script(retryingClient{cluster, 1000}, addrs, func() { ackedAt = cluster.Now })
 	})
 	cluster.At(delayStart, func() {
 		undo := s.delay(cluster)
 		cluster.After(delayDuration, func() {
-			freedAt = cluster.Now
+			releasedAt = cluster.Now
 			undo()
 		})
 	})
 	cluster.Run(delayStart + delayDuration + observationTime)
-	return cluster, settledAt > 0 && settledAt < freedAt
+	return cluster, ackedAt > 0 && ackedAt < releasedAt
 }
 
 // play has an order given up, sent again elsewhere and withdrawn.
 func (s delayedOrder) sendAndWithdraw(verb, path string, body []byte, undoVerb string) (cluster *simulation.Cluster, late bool) {
-	return s.run(func(o retryingClient, addrs []string, settled func()) {
+	return s.run(func(o retryingClient, addrs []string, acked func()) {
 		o.send(addrs[0], verb, path, body, func(int) {
 			o.sendUntilAnswered(addrs[1:], verb, path, body, func(int) {
-				o.sendUntilAnswered(addrs[1:], undoVerb, path, nil, func(int) { settled() })
+				o.sendUntilAnswered(addrs[1:], undoVerb, path, nil, func(int) { acked() })
 			})
 		})
 	})
 }
 
-// sendAndCancel has an order given up and cancelled, and never sent again.
+// sendAndCancel gives an order up and cancels it, without sending it again.
 func (s delayedOrder) sendAndCancel(verb, path string, body []byte) (cluster *simulation.Cluster, late bool) {
-	return s.run(func(o retryingClient, addrs []string, settled func()) {
+	return s.run(func(o retryingClient, addrs []string, acked func()) {
 		o.send(addrs[0], verb, path, body, func(status int) {
-			if status != 200 && status != 201 {
-				o.sendUntilAnswered(addrs[1:], "DELETE", path, nil, func(int) { settled() })
+			if status != http.StatusOK && status != http.StatusCreated {
+				o.sendUntilAnswered(addrs[1:], http.MethodDelete, path, nil, func(int) { acked() })
 			}
 		})
 	})
 }
 
-// stallGatewayLinks stalls the gates' links into a keeper.
+// stallGatewayLinks stalls the gateways' links into a server.
 func stallGatewayLinks(cluster *simulation.Cluster, server *simulation.Server) func() {
 	undos := []func(){}
 	for _, g := range cluster.Gateways {
@@ -130,7 +132,7 @@
 	return simulation.UndoAll(undos)
 }
 
-// orderDelays are the ways in which an order's first copy is held up.
+// orderDelays are the ways in which an order's first copy is delayed.
 var orderDelays = []struct {
 	name  string
 	at    func(w *simulation.Cluster) (addrs []string)
@@ -147,15 +149,15 @@
 		return simulation.UndoAll([]func(){stallGatewayLinks(w, lead), w.Isolate(lead.Process, true, false)})
 	}},
 	{"links to the leader stalled", gatewayAddrs, func(w *simulation.Cluster) func() { return stallGatewayLinks(w, w.Leader()) }},
-	{"gate frozen", gatewayAddrs, func(w *simulation.Cluster) func() { return w.Freeze(w.Gateways[0].Process) }},
-	{"links from one gate stalled", gatewayAddrs, func(w *simulation.Cluster) func() {
+	{"gateway frozen", gatewayAddrs, func(w *simulation.Cluster) func() { return w.Freeze(w.Gateways[0].Process) }},
+	{"links from one gateway stalled", gatewayAddrs, func(w *simulation.Cluster) func() {
 		undos := []func(){}
 		for _, k := range w.Servers {
 			undos = append(undos, w.StallLink(w.Gateways[0].Process, k.Process))
 		}
 		return simulation.UndoAll(undos)
 	}},
-	{"followers' links to the leader stalled, gates cut from it", gatewayAddrs, func(w *simulation.Cluster) func() {
+	{"followers' links to the leader stalled, gateways cut from it", gatewayAddrs, func(w *simulation.Cluster) func() {
 		lead, undos := w.Leader(), []func(){}
 		for _, k := range w.Servers {
 			if k != lead {
@@ -169,49 +171,49 @@
 	}},
 }
 
-// eachDelayedOrder plays every delay with the order sent at offsets round it.
+// eachDelayedOrder runs every delay with the order sent at offsets round its start.
 func eachDelayedOrder(t *testing.T, seeds int64, play func(t *testing.T, s delayedOrder) (late bool)) {
-	for _, how := range orderDelays {
-		t.Run(how.name, func(t *testing.T) {
+	for _, loss := range orderDelays {
+		t.Run(loss.name, func(t *testing.T) {
 			t.Parallel()
 			late := 0
 			for i, offset := range []int64{-4, -2, 1, 20, 90, 200, 400, 700} {
 				for seed := int64(1); seed <= seeds; seed++ {
-					if play(t, delayedOrder{how.delay, offset, seed*100 + int64(i), how.at}) {
+					if play(t, delayedOrder{loss.delay, offset, seed*100 + int64(i), loss.at}) {
 						late++
 					}
 				}
 			}
 			if late == 0 {
-				t.Error("no order was withdrawn while its first copy was on its way: the scene shows nothing")
+				t.Error("no order was withdrawn while its first copy was on its way: the test shows nothing")
 			}
-			t.Logf("%d orders were withdrawn before their first copy came free", late)
+			t.Logf("%d orders were withdrawn before their first copy arrived", late)
 		})
 	}
 }
 
-// TestDelayedDrainOrder: an order to close a zone is sent, given up after a second,
-// sent again, taken and withdrawn; then its first copy, held up in a frozen
-// process or on a stalled link, comes free. The zone stays open.
+// TestDelayedDrainOrder: an order to drain a domain is sent, given up after a second,
+// sent again, acknowledged and withdrawn; then its first copy, delayed in a frozen
+// process or on a stalled link, arrives. The domain stays open.
 func TestDelayedDrainOrder(t *testing.T) {
 	t.Parallel()
 	eachDelayedOrder(t, 2, func(t *testing.T, s delayedOrder) bool {
-		cluster, late := s.sendAndWithdraw("PUT", "/v1/closings/east", nil, "DELETE")
+		cluster, late := s.sendAndWithdraw(http.MethodPut, endpoint.DrainPath("east"), nil, http.MethodDelete)
 		for _, c := range cluster.Leader().Machine.State().Drains {
 			if late && c.Stage.Cordons() {
-				t.Errorf("seed %d, offset %d: the zone that was taken back is %s again", s.seed, s.offset, c.Stage)
+				t.Errorf("seed %d, offset %d: the domain that was reopened is %s again", s.seed, s.offset, c.Stage)
 			}
 		}
 		return late
 	})
 }
 
-// TestDelayedReopenOrder is the same for a withdrawal that is overtaken by a later
-// order to close: the zone stays closed.
+// TestDelayedReopenOrder is the same for an order to reopen and a later one to drain:
+// the domain stays drained.
 func TestDelayedReopenOrder(t *testing.T) {
 	t.Parallel()
 	eachDelayedOrder(t, 1, func(t *testing.T, s delayedOrder) bool {
-		cluster, late := s.sendAndWithdraw("DELETE", "/v1/closings/east", nil, "PUT")
+		cluster, late := s.sendAndWithdraw(http.MethodDelete, endpoint.DrainPath("east"), nil, http.MethodPut)
 		down := 0
 		for _, c := range cluster.Leader().Machine.State().Drains {
 			if c.Stage.Cordons() {
@@ -219,14 +221,14 @@
 			}
 		}
 		if late && down != 1 {
-			t.Errorf("seed %d, offset %d: the zone that was closed is open again", s.seed, s.offset)
+			t.Errorf("seed %d, offset %d: the domain that was drained is open again", s.seed, s.offset)
 		}
 		return late
 	})
 }
 
-// TestDelayedJob: a job is handed in, given up, and cancelled while nobody knows
-// of it; then its first copy comes free. It does not run.
+// TestDelayedJob: a job is submitted, given up, and cancelled while nobody knows of it;
+// then its first copy arrives. It does not run.
 func TestDelayedJob(t *testing.T) {
 	t.Parallel()
 	body, err := json.Marshal(map[string]any{"pending": "default", "steps": []map[string]any{{"name": "s", "tasks": 1, "spanMs": 60000}}})
@@ -234,7 +236,7 @@
 		t.Fatal(err)
 	}
 	eachDelayedOrder(t, 1, func(t *testing.T, s delayedOrder) bool {
-		cluster, late := s.sendAndCancel("PUT", "/v1/jobs/gilde/late", body)
+		cluster, late := s.sendAndCancel(http.MethodPut, "/v1/jobs/gilde/late", body)
 		j := cluster.Leader().Machine.State().Jobs[identifier.NewJobKey("gilde", "late")]
 		if late && j != nil && j.EndState != state.Cancelled {
 			t.Errorf("seed %d, offset %d: the job that was cancelled is %s", s.seed, s.offset, fmt.Sprint(j.State()))
--- a/tests/simulation/scenarios/disks_test.go
+++ b/tests/simulation/scenarios/disks_test.go
@@ -4,13 +4,15 @@
 	"fmt"
 	"testing"
 
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/invariants"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestPowerLoss: the whole core loses its power at once, again and again, in
-// the midst of acknowledging; nothing acknowledged is lost, and where the
-// outage is shorter than the grant no running task is.
+// TestPowerLoss: all servers lose power at once, again and again, while they
+// acknowledge; nothing acknowledged is lost, and where the
+// outage is shorter than the lease no running task is.
 func TestPowerLoss(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -20,14 +22,14 @@
 				scenario.Faults = append(scenario.Faults, simulation.Fault{At: 8000 + i*7000 + seed*137, Duration: 1500, Kind: simulation.AllServersCrash})
 			}
 			cluster := simulationtest.RunScenario(t, scenario)
-			if n := cluster.Checker.Counts["event lapsed"]; n > 0 {
-				t.Errorf("%d tasks were lost to an outage shorter than their grant", n)
+			if n := cluster.Checker.Counts[invariants.EventCount(runnerapi.OutcomeLeaseLapsed)]; n > 0 {
+				t.Errorf("%d tasks were lost to an outage shorter than their lease", n)
 			}
 		})
 	}
 }
 
-// TestSlowDisk: a leader whose disk has become slow hands leadership on.
+// TestSlowDisk: a leader whose disk has become slow transfers leadership.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
 	var was, is *simulation.Server
@@ -44,8 +46,8 @@
 	}
 }
 
-// TestAckIsOnDisk: with slow disks on both followers the power goes, and the
-// leader stays away. Whatever was acknowledged must be on a disk that is left.
+// TestAckIsOnDisk: power is lost while both followers have slow disks, and the leader
+// stays down. Whatever was acknowledged must be on a disk that is left.
 func TestAckIsOnDisk(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,11 +61,11 @@
 					}
 				})
 				cluster.At(11000+seed*173, func() {
-					lead := cluster.Leader()
+					leader := cluster.Leader()
 					for _, server := range cluster.Servers {
 						undo := cluster.CrashServer(server)
 						server.DiskDelay = 0
-						if server == lead {
+						if server == leader {
 							cluster.After(9000, undo)
 						} else {
 							cluster.After(500, undo)
@@ -75,9 +77,9 @@
 	}
 }
 
-// TestDiskFails: the leader's disk takes no more, in the midst of writing. It
-// steps aside at once, acknowledging nothing more; the others go on without it,
-// and once its disk is mended it comes back with all it had.
+// TestDiskFails: the leader's disk is full in the midst of writing. The leader stops at
+// once and acknowledges nothing more; the others go on without it, and once its disk has
+// space again it comes back with all it had.
 func TestDiskFails(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -90,12 +92,12 @@
 				})
 				cluster.At(10000, func() {
 					if server.Up || server.QuitReason == "" {
-						t.Error("a keeper whose disk takes nothing goes on")
+						t.Error("a server whose disk is full goes on")
 					}
 				})
 				cluster.At(15000, func() {
-					if lead := cluster.Leader(); lead == nil || lead == server {
-						t.Error("nobody took over")
+					if leader := cluster.Leader(); leader == nil || leader == server {
+						t.Error("no other server leads")
 					}
 				})
 				cluster.At(18000, func() {
@@ -103,8 +105,8 @@
 					server.Start()
 				})
 				cluster.At(24000, func() {
-					if lead := cluster.Leader(); lead == nil || lead.Machine.Raft().CommitIndex()-server.Machine.Raft().CommitIndex() > 200 {
-						t.Error("back again, it has not caught up")
+					if leader := cluster.Leader(); leader == nil || leader.Machine.Raft().CommitIndex()-server.Machine.Raft().CommitIndex() > 200 {
+						t.Error("started again, it has not caught up")
 					}
 				})
 			}})
--- a/tests/simulation/scenarios/drain_capacity_test.go
+++ b/tests/simulation/scenarios/drain_capacity_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"testing"
 
 	"orchidward/internal/api/identifier"
@@ -11,7 +12,7 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// taskStates counts the tasks of each row that stand in each state.
+// taskStates counts the tasks of each row in each state.
 func taskStates(cluster *simulation.Cluster) map[identifier.Row]map[state.TaskState]int {
 	out := map[identifier.Row]map[state.TaskState]int{}
 	for _, j := range cluster.Leader().Machine.State().Jobs {
@@ -28,31 +29,31 @@
 	return out
 }
 
-// TestDrainWithoutCapacity closes a zone of a full site, so that preflight is false, and
-// takes the owner away just then or not. Each class does as its row chose:
-// check pushes the cheaper push row out, push waits, stock rides it out, gangs
-// of each as well. Reopened, all of it ends.
+// TestDrainWithoutCapacity drains a domain of a full cluster, so that preflight finds too
+// little capacity, and loses the leader just then or not. Tasks do as their row says:
+// row check preempts the cheaper row push, push waits, stock is suspended, and gangs
+// of each likewise. After the reopening all jobs end.
 func TestDrainWithoutCapacity(t *testing.T) {
-	for _, how := range []simulation.FaultKind{"", simulation.LeaderCrash, simulation.LeaderFreeze} {
+	for _, loss := range []simulation.FaultKind{"", simulation.LeaderCrash, simulation.LeaderFreeze} {
 		for _, seed := range []int64{61, 64, 65} {
-			t.Run(fmt.Sprintf("owner %s/%d", how, seed), func(t *testing.T) { drainWithoutCapacity(t, how, seed) })
+			t.Run(fmt.Sprintf("leader %s/%d", loss, seed), func(t *testing.T) { drainWithoutCapacity(t, loss, seed) })
 		}
 	}
 }
 
-func drainWithoutCapacity(t *testing.T, how simulation.FaultKind, seed int64) {
+func drainWithoutCapacity(t *testing.T, loss simulation.FaultKind, seed int64) {
 	t.Parallel()
-	site := simulation.FastNetwork()
-	site.Cores, site.DefectPercent = 4, 0
+	spec := simulation.FastNetwork()
+	spec.Cores, spec.DefectPercent = 4, 0
 	var during map[identifier.Row]map[state.TaskState]int
 	var c *state.Drain
 	away, left := 0, 0
-	cluster := simulation.Run(simulation.Scenario{Seed: seed, Spec: site, Window: 30000, Recovery: 70000, Setup: func(cluster *simulation.Cluster) {
+	cluster := simulation.Run(simulation.Scenario{Seed: seed, Spec: spec, Window: 30000, Recovery: 70000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(6600, func() { cluster.Clients.StopAt = 0 })
 		cluster.At(7500, func() {
 			cluster.Clients.ReadLimits(func(epoch int64) {
 				cluster.Clients.PatchLimits(epoch, map[string]any{"push.weight": 1, "stock.weight": 2, "check.weight": 4}, func(status int, _ int64) {
-					if status != 200 {
+					if status != http.StatusOK {
 						t.Errorf("the weights got %d", status)
 					}
 				})
@@ -72,8 +73,8 @@
 			fill("push", 4, true)
 		})
 		cluster.At(13000, func() { cluster.Clients.SetDrained("north", true, func() bool { return true }) })
-		if how != "" {
-			cluster.At(13020, func() { cluster.Inject(simulation.Fault{Duration: 8000, Kind: how}) })
+		if loss != "" {
+			cluster.At(13020, func() { cluster.Inject(simulation.Fault{Duration: 8000, Kind: loss}) })
 		}
 		cluster.At(19000, func() {
 			during = taskStates(cluster)
@@ -81,7 +82,7 @@
 				c = one
 			}
 			if c.Stage != state.Closed {
-				t.Errorf("6 s after the order the closing is at %s", c.Stage)
+				t.Errorf("6 s after the order the drain is at %s", c.Stage)
 			}
 			for _, ref := range c.Displaced {
 				j := cluster.Leader().Machine.State().Jobs[ref.Job]
@@ -98,16 +99,16 @@
 	}})
 	simulationtest.CheckInvariants(t, seed, cluster)
 	if c == nil || c.Fits || !c.PreflightDone || len(c.Displaced) < 10 || c.Shortage.Cores == 0 {
-		t.Fatalf("the closing: %+v", c)
+		t.Fatalf("the drain: %+v", c)
 	}
 	if n := during["stock"]; n[state.Suspended] == 0 {
-		t.Errorf("stock rides it out: %v", n)
+		t.Errorf("row stock is suspended: %v", n)
 	}
 	if away == 0 || left > 0 {
-		t.Errorf("check pushes its way in: of %d displaced, %d are not placed", away, left)
+		t.Errorf("row check preempts: of %d displaced, %d are not placed", away, left)
 	}
 	if n := during["push"]; n[state.Waiting] == 0 || n[state.Suspended] > 0 {
-		t.Errorf("push waits: %v", n)
+		t.Errorf("row push waits: %v", n)
 	}
 	for row, n := range taskStates(cluster) {
 		if n[state.Waiting]+n[state.Suspended]+n[state.Placed] > 0 {
--- a/tests/simulation/scenarios/drain_leader_loss_test.go
+++ b/tests/simulation/scenarios/drain_leader_loss_test.go
@@ -10,39 +10,39 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestDrainSurvivesLeaderLoss takes the closing's owner away at every single log entry from
-// the order to close on, and again on the way back: killed, frozen and cut
-// off. Whoever is next must finish with the same scope and displaced set.
+// TestDrainSurvivesLeaderLoss loses the leader at every log entry of a drain from the
+// order on, and again of the reopening: crashed, frozen and isolated. The next leader
+// must finish with the same scope and displaced tasks.
 func TestDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, how := range []string{"crash", "freeze", "alone"} {
+	for _, loss := range []string{"crash", "freeze", "alone"} {
 		for n := 0; n < 14; n++ {
-			for _, back := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%d/%v", how, n, back), func(t *testing.T) {
+			for _, onReopen := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%d/%v", loss, n, onReopen), func(t *testing.T) {
 					t.Parallel()
-					drainSurvivesLeaderLoss(t, how, n, back)
+					drainSurvivesLeaderLoss(t, loss, n, onReopen)
 				})
 			}
 		}
 	}
 }
 
-func drainSurvivesLeaderLoss(t *testing.T, how string, n int, back bool) {
+func drainSurvivesLeaderLoss(t *testing.T, loss string, n int, onReopen bool) {
 	var c *state.Drain
 	var first []string
-	trap := &leaderFailpoint{how: how, entries: n, duration: 8000}
+	failpoint := &leaderFailpoint{how: loss, entries: n, duration: 8000}
 	scenario := simulation.Scenario{Seed: int64(n) + 100, Window: 30000, Recovery: 20000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 60
-		trap.install(cluster)
+		failpoint.install(cluster)
 		still := func() bool { return true }
 		cluster.At(12000, func() {
-			if !back {
-				trap.arm()
+			if !onReopen {
+				failpoint.arm()
 			}
 			cluster.Clients.SetDrained("north", true, still)
 		})
 		cluster.At(22000, func() {
-			if back {
-				trap.arm()
+			if onReopen {
+				failpoint.arm()
 			}
 			if server := cluster.Leader(); server != nil {
 				for _, x := range server.Machine.State().Drains {
@@ -53,17 +53,17 @@
 		})
 	}}
 	cluster := simulationtest.RunScenario(t, scenario)
-	if !trap.fired {
-		t.Fatal("the owner was never taken away")
+	if !failpoint.fired {
+		t.Fatal("the failpoint never fired")
 	}
 	for _, x := range cluster.Leader().Machine.State().Drains {
 		c = x
 	}
 	if c == nil || c.Stage != state.Open || !c.PreflightDone || c.Verdict == "" || len(c.Scope) != 5 {
-		t.Fatalf("the closing came to %+v", c)
+		t.Fatalf("the drain ended as %+v", c)
 	}
 	if len(first) != 1 || !strings.HasSuffix(first[0], string(state.Closed)) {
-		t.Errorf("ten seconds after the order the closing stood at %v", first)
+		t.Errorf("ten seconds after the order the drain is at %v", first)
 	}
 	seen := map[state.Stage]int{}
 	for _, m := range c.History {
@@ -76,30 +76,30 @@
 	}
 }
 
-// TestRackDrainSurvivesLeaderLoss takes the owner of a rack's closing away at every log entry
-// from the first word of leaving on, and again when the rack stays after all.
+// TestRackDrainSurvivesLeaderLoss loses the leader at every log entry of a rack's drain
+// from the first poll that says so on, and again when the rack stays after all.
 func TestRackDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, how := range []string{"crash", "freeze"} {
+	for _, loss := range []string{"crash", "freeze"} {
 		for n := 0; n < 12; n++ {
-			for _, back := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%d/%v", how, n, back), func(t *testing.T) {
+			for _, onReopen := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%d/%v", loss, n, onReopen), func(t *testing.T) {
 					t.Parallel()
-					rackDrainSurvivesLeaderLoss(t, how, n, back)
+					rackDrainSurvivesLeaderLoss(t, loss, n, onReopen)
 				})
 			}
 		}
 	}
 }
 
-func rackDrainSurvivesLeaderLoss(t *testing.T, how string, n int, back bool) {
-	trap := &leaderFailpoint{how: how, entries: n, duration: 6000}
+func rackDrainSurvivesLeaderLoss(t *testing.T, loss string, n int, onReopen bool) {
+	failpoint := &leaderFailpoint{how: loss, entries: n, duration: 6000}
 	var closed *state.Drain
 	cluster := simulation.Run(simulation.Scenario{Seed: int64(n) + 400, Spec: simulation.FastNetwork(), Window: 26000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 50
-		trap.install(cluster)
+		failpoint.install(cluster)
 		cluster.At(10000, func() {
-			if !back {
-				trap.arm()
+			if !onReopen {
+				failpoint.arm()
 			}
 			for _, r := range cluster.Runners[:3] {
 				r.Drain(4000)
@@ -110,8 +110,8 @@
 				found := *one
 				closed = &found
 			}
-			if back {
-				trap.arm()
+			if onReopen {
+				failpoint.arm()
 			}
 			for _, r := range cluster.Runners[:3] {
 				r.CancelDrain()
@@ -119,8 +119,8 @@
 		})
 	}})
 	simulationtest.CheckInvariants(t, int64(n)+400, cluster)
-	if !trap.fired {
-		t.Fatal("the owner was never taken away")
+	if !failpoint.fired {
+		t.Fatal("the failpoint never fired")
 	}
 	if closed == nil || closed.Stage != state.Closed || len(closed.Scope) != 3 || closed.Verdict == "" || closed.UnconfirmedStops > 0 {
 		t.Errorf("3.5 s after the departure: %+v", closed)
@@ -132,6 +132,6 @@
 		}
 	}
 	if len(list) != 1 {
-		t.Errorf("%d closings for one rack", len(list))
+		t.Errorf("%d drains for one rack", len(list))
 	}
 }
--- a/tests/simulation/scenarios/drains_test.go
+++ b/tests/simulation/scenarios/drains_test.go
@@ -7,7 +7,7 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestAllDomainsDrained closes every zone at once over a leaving rack, and reopens.
+// TestAllDomainsDrained drains every domain at once while runners leave, and reopens.
 func TestAllDomainsDrained(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 17, Window: 35000, Recovery: 60000, Faults: []simulation.Fault{
--- a/tests/simulation/scenarios/gang_test.go
+++ b/tests/simulation/scenarios/gang_test.go
@@ -1,7 +1,6 @@
 package scenarios
 
 import (
-	"fmt"
 	"testing"
 
 	"orchidward/internal/api/job"
@@ -10,7 +9,7 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// gangRunner finds a runner that works on a gang others work on too.
+// gangRunner finds a runner of a wide gang that still runs for long, nil if there is none.
 func gangRunner(cluster *simulation.Cluster) *simulation.Runner {
 	var r *simulation.Runner
 	server := cluster.Leader()
@@ -40,11 +39,11 @@
 	return r
 }
 
-// wideDemand is more than half a runner: no two members share one.
+// wideDemand is more than half the cores of a runner: no two members share one.
 const wideDemand = 9
 
-// gangFaults are the single faults, and the pairs that slow their noticing,
-// that leave a gang in part.
+// gangFaults leave a gang incomplete: single faults, and pairs of which one delays the
+// detection of the other.
 var gangFaults = []struct {
 	name string
 	most int64
@@ -63,19 +62,19 @@
 		w.LoseRunner(r)
 		w.After(2200, func() { w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderFreeze}) })
 	}},
-	{"partner goes with the core", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
+	{"partner goes with the control plane", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
 		w.LoseRunner(r)
 		w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.AllServersCrash})
 	}},
 }
 
-// TestIncompleteGang takes a gang's partner away in every way, with and without
-// the core, and holds the longest time any member goes on alone to a bound.
+// TestIncompleteGang loses a member of a gang in every way, with and without the control
+// plane, and bounds the longest time for which the others run on.
 func TestIncompleteGang(t *testing.T) {
 	for _, one := range gangFaults {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
-			list, hits := []int64{}, 0
+			longestRuns, hits := []int64{}, 0
 			for seed := int64(1); seed <= 2; seed++ {
 				scenario := simulation.Scenario{Seed: seed, Window: 45000, Recovery: 60000, Spec: simulation.FastNetwork(), Setup: func(cluster *simulation.Cluster) {
 					cluster.Spec.LoadPercent = 50
@@ -97,14 +96,14 @@
 				}}
 				cluster := simulation.Run(scenario)
 				simulationtest.CheckInvariants(t, scenario.Seed, cluster)
-				list = append(list, simulationtest.Longest(cluster.Checker.Spans["gang in part"]))
+				longestRuns = append(longestRuns, simulationtest.Longest(cluster.Checker.Spans[invariants.SpanIncompleteGang]))
 			}
 			if hits == 0 {
-				t.Fatal("no gang was ever hit")
+				t.Fatal("no gang ever lost a member")
 			}
-			t.Logf("%s", fmt.Sprintf("longest in part, by seed: %v ms", list))
-			if simulationtest.Longest(list) > one.most {
-				t.Errorf("a gang went on in part for %d ms, want at most %d", simulationtest.Longest(list), one.most)
+			t.Logf("longest incomplete, by seed: %v ms", longestRuns)
+			if simulationtest.Longest(longestRuns) > one.most {
+				t.Errorf("a gang went on in part for %d ms, want at most %d", simulationtest.Longest(longestRuns), one.most)
 			}
 		})
 	}
--- a/tests/simulation/scenarios/latencies_test.go
+++ b/tests/simulation/scenarios/latencies_test.go
@@ -3,11 +3,12 @@
 import (
 	"testing"
 
+	"orchidward/internal/invariants"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestLatencies judges the timing promises on a calm site in virtual time.
+// TestLatencies measures the promised latencies in a cluster without faults.
 func TestLatencies(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 11, Window: 60000, Recovery: 30000}
@@ -33,34 +34,34 @@
 	}
 	cluster := simulationtest.RunScenario(t, scenario)
 	if closed == 0 || closed > 1000 {
-		t.Errorf("closing to last stop: %d ms", closed)
+		t.Errorf("drain to last stop: %d ms", closed)
 	}
-	t.Logf("closing acknowledged to last stop confirmed: %d ms", closed)
-	x := cluster.Checker.Spans
-	if n := simulationtest.Longest(x["cancel to gone"]); len(x["cancel to gone"]) < 3 || n > 300 {
-		t.Errorf("cancel to gone: %v", x["cancel to gone"])
+	t.Logf("drain acknowledged to last stop confirmed: %d ms", closed)
+	spans := cluster.Checker.Spans
+	if n := simulationtest.Longest(spans[invariants.SpanCancelToStop]); len(spans[invariants.SpanCancelToStop]) < 3 || n > 300 {
+		t.Errorf("cancel to gone: %v", spans[invariants.SpanCancelToStop])
 	}
-	if n := simulationtest.Median(x["admission to start"]); len(x["admission to start"]) < 300 || n > 100 {
-		t.Errorf("admission to start: median %d of %d", n, len(x["admission to start"]))
+	if n := simulationtest.Median(spans[invariants.SpanAdmissionToStart]); len(spans[invariants.SpanAdmissionToStart]) < 300 || n > 100 {
+		t.Errorf("admission to start: median %d of %d", n, len(spans[invariants.SpanAdmissionToStart]))
 	}
 	secs := cluster.Now / 1000
 	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner", cluster.Traffic.Bytes/secs, cluster.Traffic.PollBytes/secs/int64(len(cluster.Runners)))
 	t.Logf("admission to start: median %d ms, worst %d ms of %d; cancel to gone: worst %d ms of %d",
-		simulationtest.Median(x["admission to start"]), simulationtest.Longest(x["admission to start"]), len(x["admission to start"]), simulationtest.Longest(x["cancel to gone"]), len(x["cancel to gone"]))
+		simulationtest.Median(spans[invariants.SpanAdmissionToStart]), simulationtest.Longest(spans[invariants.SpanAdmissionToStart]), len(spans[invariants.SpanAdmissionToStart]), simulationtest.Longest(spans[invariants.SpanCancelToStop]), len(spans[invariants.SpanCancelToStop]))
 }
 
-// TestTakeover measures how long the service is without an answer when its
-// leader goes, however it goes.
+// TestTakeover measures how long the cluster does not answer when its leader is lost,
+// in each way.
 func TestTakeover(t *testing.T) {
-	for _, how := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated, simulation.AllServersCrash} {
-		t.Run(string(how), func(t *testing.T) {
+	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated, simulation.AllServersCrash} {
+		t.Run(string(loss), func(t *testing.T) {
 			t.Parallel()
 			gaps := []int64{}
 			for seed := int64(1); seed <= 5; seed++ {
 				gap := int64(0)
 				scenario := simulation.Scenario{Seed: seed, Window: 20000, Recovery: 20000, Setup: func(cluster *simulation.Cluster) {
-					cluster.At(8000+seed*31, func() { cluster.Inject(simulation.Fault{Duration: 10000, Kind: how}) })
-					if how == simulation.AllServersCrash {
+					cluster.At(8000+seed*31, func() { cluster.Inject(simulation.Fault{Duration: 10000, Kind: loss}) })
+					if loss == simulation.AllServersCrash {
 						cluster.At(8300, cluster.Repair)
 					}
 					cluster.MeasureOutage(7000, 19000, &gap)
@@ -68,9 +69,9 @@
 				simulationtest.RunScenario(t, scenario)
 				gaps = append(gaps, gap)
 			}
-			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v", how, simulationtest.Median(gaps), simulationtest.Longest(gaps), gaps)
+			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v", loss, simulationtest.Median(gaps), simulationtest.Longest(gaps), gaps)
 			if simulationtest.Longest(gaps) > 12000 || simulationtest.Longest(gaps) < 300 {
-				t.Errorf("%s: %v", how, gaps)
+				t.Errorf("%s: %v", loss, gaps)
 			}
 		})
 	}
--- a/tests/simulation/scenarios/leader_failpoint_test.go
+++ b/tests/simulation/scenarios/leader_failpoint_test.go
@@ -2,8 +2,8 @@
 
 import "orchidward/tests/simulation"
 
-// leaderFailpoint takes whoever leads away as soon as its log has grown by n entries
-// since it was armed, for a while.
+// leaderFailpoint loses the leader for a while as soon as its log has grown by so many
+// entries since the failpoint was armed.
 type leaderFailpoint struct {
 	cluster    *simulation.Cluster
 	how        string
--- a/tests/simulation/scenarios/load_spike_test.go
+++ b/tests/simulation/scenarios/load_spike_test.go
@@ -2,14 +2,17 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/invariants"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
 
 // TestLoadSpike: ten times the usual load for ten seconds, large and impossible
-// work among it. Operators are still served, buffers stay bounded, and all
+// jobs among it. Operators are still served, buffers stay bounded, and all
 // that was accepted ends.
 func TestLoadSpike(t *testing.T) {
 	t.Parallel()
@@ -21,8 +24,8 @@
 				most = max(most, g.Machine.InFlight())
 			}
 			asked := cluster.Now
-			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "GET", "/v1/closings", nil, 2000, func(status int, _ []byte) {
-				if status != 200 || cluster.Now-asked > 1000 {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), http.MethodGet, endpoint.DrainsPath, nil, 2000, func(status int, _ []byte) {
+				if status != http.StatusOK || cluster.Now-asked > 1000 {
 					late++
 				}
 			})
@@ -33,14 +36,14 @@
 		cluster.At(8000, look)
 		cluster.At(9000, func() {
 			text := []byte(`{"pending":"stock","steps":[{"name":"huge","tasks":64,"gang":true,"cores":16,"memMb":60000}]}`)
-			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "PUT", "/v1/jobs/x/huge", text, 2000, func(status int, _ []byte) {
-				if status != 201 && status != 200 {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), http.MethodPut, "/v1/jobs/x/huge", text, 2000, func(status int, _ []byte) {
+				if status != http.StatusCreated && status != http.StatusOK {
 					t.Errorf("an impossible job got %d", status)
 				}
 			})
 		})
 		cluster.At(20000, func() {
-			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "GET", "/v1/jobs/x/huge", nil, 2000, func(status int, body []byte) {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), http.MethodGet, "/v1/jobs/x/huge", nil, 2000, func(status int, body []byte) {
 				var d struct {
 					State string
 					Steps []struct{ Why string }
@@ -52,8 +55,8 @@
 		})
 	}}
 	cluster := simulationtest.RunScenario(t, scenario)
-	if cluster.Checker.Counts["acked"] < 800 || late > 0 || most > 1000 {
-		t.Errorf("accepted %d, operators' requests late %d, most in hand %d", cluster.Checker.Counts["acked"], late, most)
+	if cluster.Checker.Counts[invariants.CountAcked] < 800 || late > 0 || most > 1000 {
+		t.Errorf("accepted %d, operators' requests late %d, most in flight %d", cluster.Checker.Counts[invariants.CountAcked], late, most)
 	}
-	t.Logf("accepted %d, most in hand at one gate %d", cluster.Checker.Counts["acked"], most)
+	t.Logf("accepted %d, most requests in flight at one gateway %d", cluster.Checker.Counts[invariants.CountAcked], most)
 }
--- a/tests/simulation/scenarios/policy_test.go
+++ b/tests/simulation/scenarios/policy_test.go
@@ -2,20 +2,22 @@
 
 import (
 	"encoding/json"
+	"net/http"
 	"strings"
 	"testing"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/runner"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestPolicy: a row's policy steers where its tasks go and nothing more; bad
-// sources never come into force; one that fails when run is counted and shown,
-// and work goes on by the built-in choice.
+// TestPolicy: a row's policy decides where its tasks are placed and nothing more; an
+// invalid one never takes effect; one that fails when it runs is counted and shown, and
+// tasks are placed by the built-in choice.
 func TestPolicy(t *testing.T) {
 	t.Parallel()
-	told := map[string]int{}
+	statuses := map[string]int{}
 	var shown struct {
 		Policies []struct {
 			Row          string
@@ -27,7 +29,7 @@
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 51, Window: 30000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		set := func(cell, text string) {
 			cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{cell: text}, func(status int, epoch int64) {
-				told[cell+text] = status
+				statuses[cell+text] = status
 				cluster.Clients.Epoch = max(cluster.Clients.Epoch, epoch)
 			})
 		}
@@ -46,7 +48,7 @@
 			}
 		})
 		cluster.At(28000, func() {
-			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), "GET", "/v1/keepers", nil, 2000, func(_ int, body []byte) {
+			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), http.MethodGet, endpoint.ServersPath, nil, 2000, func(_ int, body []byte) {
 				if err := json.Unmarshal(body, &shown); err != nil {
 					t.Error(err)
 				}
@@ -54,9 +56,9 @@
 		})
 		cluster.At(28500, func() { cluster.Inject(simulation.Fault{Duration: 1000, Kind: simulation.DomainDrain, Parameter: 2}) })
 	}})
-	if told["check.policyrunner.freeCores if zone(\"west\") else -1"] != 200 || told["push.policy1 // 0"] != 200 ||
-		told["stock.policyrunner.freeCores *"] != 422 || told["stock.policy[0] * 1000000000"] != 422 {
-		t.Errorf("told %v", told)
+	if statuses["check.policyrunner.freeCores if zone(\"west\") else -1"] != http.StatusOK || statuses["push.policy1 // 0"] != http.StatusOK ||
+		statuses["stock.policyrunner.freeCores *"] != http.StatusUnprocessableEntity || statuses["stock.policy[0] * 1000000000"] != 422 {
+		t.Errorf("responses by status: %v", statuses)
 	}
 	if starts["west"] < 60 || starts["west"] < 9*(starts["north"]+starts["east"]) {
 		t.Errorf("the row that scores west highest started its work at %v", starts)
--- a/tests/simulation/scenarios/runners_cut_off_test.go
+++ b/tests/simulation/scenarios/runners_cut_off_test.go
@@ -4,12 +4,14 @@
 	"testing"
 
 	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/invariants"
 	"orchidward/tests/simulation"
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestRunnersCutOff: runners are cut off for longer than their grant while long work
-// runs on them; they end it themselves before it runs anywhere else.
+// TestRunnersCutOff: runners are isolated for longer than their lease while long tasks
+// run on them; they end these themselves before they run anywhere else.
 func TestRunnersCutOff(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 23, Window: 40000, Recovery: 50000, Setup: func(cluster *simulation.Cluster) {
@@ -27,7 +29,7 @@
 		})
 	}}
 	cluster := simulationtest.RunScenario(t, scenario)
-	if cluster.Checker.Counts["event lapsed"] < 2 {
+	if cluster.Checker.Counts[invariants.EventCount(runnerapi.OutcomeLeaseLapsed)] < 2 {
 		t.Errorf("too little evidence: %v", cluster.Checker.Counts)
 	}
 }
--- a/tests/simulation/scenarios/versions_test.go
+++ b/tests/simulation/scenarios/versions_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"strings"
 	"testing"
 
@@ -21,9 +22,9 @@
 	return list
 }
 
-// TestUpgrade rolls a fleet of the former level up to the present one, keeper
-// by keeper, a step back on the way, with a closing, elections and work going
-// on. The level rises only when the last one knows it, and then everywhere.
+// TestUpgrade upgrades a cluster from the first level to the present one, server by
+// server, with a downgrade, a drain, elections and load on the way. The level is raised
+// only when the last server knows it, and then everywhere.
 func TestUpgrade(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -44,8 +45,8 @@
 				cluster.At(14000, func() { cluster.RestartAtLevel(cluster.Servers[1], state.SupportedLevel) })
 				cluster.At(17000, func() {
 					cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{"push.policy": "1"}, func(status int, _ int64) {
-						if status != 409 {
-							t.Errorf("a policy with one former keeper left got %d", status)
+						if status != http.StatusConflict {
+							t.Errorf("a policy with one old server left got %d", status)
 						}
 					})
 				})
@@ -69,8 +70,8 @@
 	}
 }
 
-// TestOldVersionRejected: once the level is raised, a keeper of the former version
-// neither starts on its old folder nor joins with an empty one; upgraded, it does.
+// TestOldVersionRejected: once the level is raised, a server of an old version neither
+// starts on its data folder nor joins with an empty one; upgraded, it does.
 func TestOldVersionRejected(t *testing.T) {
 	t.Parallel()
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 4, Window: 50000, Recovery: 45000, Setup: func(cluster *simulation.Cluster) {
@@ -78,7 +79,7 @@
 		cluster.At(9000, func() { cluster.RestartAtLevel(server, 0) })
 		cluster.At(13000, func() {
 			if server.Up || !strings.Contains(server.QuitReason, "level") {
-				t.Errorf("a former version runs on a folder of a later level: %q", server.QuitReason)
+				t.Errorf("an old version runs on a folder of a later level: %q", server.QuitReason)
 			}
 			cluster.ReplaceServer(server)
 			server = cluster.Servers[1]
@@ -86,29 +87,29 @@
 		})
 		cluster.At(28000, func() {
 			if n := len(cluster.Leader().Machine.Raft().Members()); n != 3 {
-				t.Errorf("a former version joined a group of a later level: %d members", n)
+				t.Errorf("an old version joined a group of a later level: %d members", n)
 			}
 			if _, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); ok {
-				t.Error("a former version took a seat")
+				t.Error("an old version became a member")
 			}
 			cluster.RestartAtLevel(server, state.SupportedLevel)
 		})
 		cluster.At(45000, func() {
 			if m, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); !ok || !m.Voter {
-				t.Error("upgraded, it got no seat")
+				t.Error("upgraded, it is no voter")
 			}
 		})
 	}})
 }
 
-// TestUnknownEntry: a keeper that is handed an entry it does not know, in a
-// group that raised no level for it, steps aside instead of reading it as empty.
+// TestUnknownEntry: a server that gets an entry it does not know, in a group that raised
+// no level for it, stops instead of taking it for an empty one.
 func TestUnknownEntry(t *testing.T) {
 	t.Parallel()
 	cluster := simulation.NewCluster(5, simulation.FastNetwork())
 	cluster.Run(6000)
-	lead := cluster.Leader()
-	at, _ := lead.Machine.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
+	leader := cluster.Leader()
+	at, _ := leader.Machine.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
 	cluster.Run(12000)
 	aside := 0
 	for _, server := range cluster.Servers {
@@ -120,12 +121,12 @@
 		}
 	}
 	if aside == 0 {
-		t.Error("nobody met the entry")
+		t.Error("no server got the entry")
 	}
 }
 
-// TestStateDivergence: a follower whose book is not what the others' is notices with
-// the leader's next check and steps aside before it can ever lead.
+// TestStateDivergence: a follower whose state differs from the others' notices with the
+// leader's next checksum and stops before it can ever lead.
 func TestStateDivergence(t *testing.T) {
 	t.Parallel()
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 6, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
@@ -140,11 +141,11 @@
 		})
 		cluster.At(13000, func() {
 			if !strings.Contains(server.QuitReason, "differs") || server.Up {
-				t.Errorf("4 s after its book parted from the others' it says %q", server.QuitReason)
+				t.Errorf("4 s after its state diverged from the others' it says %q", server.QuitReason)
 			}
 			for _, one := range cluster.Servers {
 				if one != server && one.QuitReason != "" {
-					t.Errorf("%s stepped aside: %s", one.Name, one.QuitReason)
+					t.Errorf("%s stopped: %s", one.Name, one.QuitReason)
 				}
 			}
 		})
