--- a/cmd/zone-drill/load.go
+++ b/cmd/zone-drill/load.go
@@ -1,10 +1,9 @@
-// The drill's load: the users' mix, handed in under the drill's own name,
-// resent after silence, read through every gate, sometimes cancelled.
 package main
 
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
@@ -14,99 +13,136 @@
 	"orchidward/internal/transport/httpclient"
 )
 
-const agentName identifier.Client = "drill"
+// clientName is the client in whose name the drill submits its jobs.
+const clientName identifier.Client = "drill"
 
-func (d *desk) load() {
-	for n := d.share(1); n > 0; n-- {
-		d.hand(map[string]any{"name": "run", "tasks": 2 + d.rnd.Intn(3), "gang": true, "cores": 2, "memMb": 512, "spanMs": 1000 + d.rnd.Intn(3000)})
+const (
+	// cancelShare is the share of jobs that are cancelled: one in so many.
+	cancelShare  = 12
+	readInterval = 250
+)
+
+// jobDocument is a job as it is submitted.
+type jobDocument struct {
+	Row     string         `json:"pending"`
+	Steps   []stepDocument `json:"steps"`
+	Urgency int            `json:"urgency"`
+}
+
+type stepDocument struct {
+	Name           string   `json:"name"`
+	After          []string `json:"after,omitempty"`
+	Tasks          int      `json:"tasks,omitempty"`
+	Gang           bool     `json:"gang,omitempty"`
+	Cores          int      `json:"cores,omitempty"`
+	MemMB          int      `json:"memMb,omitempty"`
+	AllowedDefects int      `json:"allowedDefects,omitempty"`
+	SpanMs         int      `json:"spanMs"`
+}
+
+// submitLoad submits the jobs of one second.
+func (d *drill) submitLoad() {
+	for range d.jobsPerSecond(1) {
+		d.submit(stepDocument{Name: "run", Tasks: 2 + d.random.Intn(3), Gang: true, Cores: 2, MemMB: 512, SpanMs: 1000 + d.random.Intn(3000)})
 	}
-	for n := d.share(2); n > 0; n-- {
-		d.hand(map[string]any{"name": "price", "tasks": 2, "spanMs": 100 + d.rnd.Intn(300)},
-			map[string]any{"name": "plan", "after": []string{"price"}, "tasks": 2, "spanMs": 100 + d.rnd.Intn(300)})
+	for range d.jobsPerSecond(2) {
+		d.submit(
+			stepDocument{Name: "price", Tasks: 2, SpanMs: 100 + d.random.Intn(300)},
+			stepDocument{Name: "plan", After: []string{"price"}, Tasks: 2, SpanMs: 100 + d.random.Intn(300)})
 	}
-	for n := d.share(8); n > 0; n-- {
-		d.hand(map[string]any{"name": "check", "allowedDefects": 2, "spanMs": 50 + d.rnd.Intn(300)})
+	for range d.jobsPerSecond(8) {
+		d.submit(stepDocument{Name: "check", AllowedDefects: 2, SpanMs: 50 + d.random.Intn(300)})
 	}
 }
 
-func (d *desk) share(per int64) int64 {
-	sum := per * d.f.RatePct
-	n := sum / 100
-	if d.rnd.Int63n(100) < sum%100 {
-		n++
+// jobsPerSecond is how many jobs are due where the usual load has so many a second.
+func (d *drill) jobsPerSecond(usual int64) int64 {
+	percent := usual * d.flags.RatePct
+	count := percent / 100
+	if d.random.Int63n(100) < percent%100 {
+		count++
 	}
-	return n
+	return count
 }
 
-func (d *desk) hand(steps ...map[string]any) {
-	body := map[string]any{"pending": d.f.Row, "urgency": d.rnd.Intn(3), "steps": steps}
-	text, err := json.Marshal(body)
+// submit submits a job with these steps, and follows it until it ends.
+func (d *drill) submit(steps ...stepDocument) {
+	body, err := json.Marshal(jobDocument{Row: d.flags.Row, Urgency: d.random.Intn(3), Steps: steps})
 	if err != nil {
-		panic(err)
+		panic(programName + ": a job does not encode: " + err.Error())
 	}
-	var f jsondoc.FieldErrors
-	spec := job.Read(text, &f)
-	if f.Any() {
-		panic(fmt.Sprint(f.List))
+	var faults jsondoc.FieldErrors
+	spec := job.Read(body, &faults)
+	if faults.Any() {
+		panic(fmt.Sprint(programName, ": a job of the load is invalid: ", faults.List))
 	}
-	key := identifier.NewJobKey(agentName, identifier.JobID(fmt.Sprintf("%x-%d", d.begun^int64(d.rnd.Uint32()), d.asked)))
-	j := &invariants.Job{Spec: *spec, SubmittedAt: d.at}
-	d.watch.Jobs[key] = j
-	d.left++
-	d.put(key, j, text)
+	id := fmt.Sprintf("%x-%d", d.startAt^int64(d.random.Uint32()), d.responses.sent)
+	key := identifier.NewJobKey(clientName, identifier.JobID(id))
+	submitted := &invariants.Job{Spec: *spec, SubmittedAt: d.now}
+	d.checker.Jobs[key] = submitted
+	d.openJobs++
+	d.send(key, submitted, body)
 }
 
-func (d *desk) put(key identifier.JobKey, j *invariants.Job, text []byte) {
-	d.ask("PUT", endpoint.JobPath(key), text, func(got httpclient.Response, err error) {
+// send sends a job until it is accepted, or refused for good.
+func (d *drill) send(key identifier.JobKey, submitted *invariants.Job, body []byte) {
+	d.request(http.MethodPut, endpoint.JobPath(key), body, func(response httpclient.Response, err error) {
 		switch {
-		case err == nil && got.OK():
-			if j.AckedAt == 0 {
-				j.AckedAt = d.at
-				d.watch.Counts["acked"]++
-				d.read(key, j)
-				if d.rnd.Intn(12) == 0 {
-					d.cancel(key, j)
-				}
+		case succeeded(response, err):
+			if submitted.AckedAt == 0 {
+				d.accepted(key, submitted)
 			}
-		case err != nil || got.Status == 429 || got.Status >= 500:
-			d.lost++
-			d.after(300, func() { d.put(key, j, text) })
+		case err != nil || response.Status == http.StatusTooManyRequests || response.Status >= http.StatusInternalServerError:
+			d.responses.retried++
+			d.after(retryDelay, func() { d.send(key, submitted, body) })
 		default:
-			d.watch.Violate("P9", "job %s refused: %s", key, got.Message())
-			d.left--
+			d.checker.Violate(invariants.JobStateIsTrue, "job %s refused: %s", key, response.Message())
+			d.openJobs--
 		}
 	})
 }
 
-// read reads a job until it has ended.
-func (d *desk) read(key identifier.JobKey, j *invariants.Job) {
-	d.ask("GET", endpoint.JobPath(key), nil, func(got httpclient.Response, err error) {
-		var doc struct {
+func (d *drill) accepted(key identifier.JobKey, submitted *invariants.Job) {
+	submitted.AckedAt = d.now
+	d.checker.Counts[invariants.CountAcked]++
+	d.follow(key)
+	if d.random.Intn(cancelShare) == 0 {
+		d.cancel(key, submitted)
+	}
+}
+
+// follow reads a job until it has ended.
+func (d *drill) follow(key identifier.JobKey) {
+	d.request(http.MethodGet, endpoint.JobPath(key), nil, func(response httpclient.Response, err error) {
+		var document struct {
 			State string `json:"state"`
 		}
-		if err == nil && (got.OK() || got.Status == 404) {
-			if got.OK() && json.Unmarshal(got.Body, &doc) != nil {
-				d.halves++
+		if err == nil && (response.OK() || response.Status == http.StatusNotFound) {
+			if response.OK() && json.Unmarshal(response.Body, &document) != nil {
+				d.responses.broken++
 			}
-			d.later = append(d.later, seen{d.at, func() { d.watch.JobStateReported(key, got.Status, doc.State) }})
+			d.events = append(d.events, scheduled{d.now, func() {
+				d.checker.JobStateReported(key, response.Status, document.State)
+			}})
 		}
-		if got.Status == 404 || doc.State == "well" || doc.State == "failed" || doc.State == "cancelled" {
-			d.left--
+		if response.Status == http.StatusNotFound || invariants.JobEnded(document.State) {
+			d.openJobs--
 			return
 		}
-		d.after(250, func() { d.read(key, j) })
+		d.after(readInterval, func() { d.follow(key) })
 	})
 }
 
-func (d *desk) cancel(key identifier.JobKey, j *invariants.Job) {
-	j.CancelSent = true
-	d.ask("DELETE", endpoint.JobPath(key), nil, func(got httpclient.Response, err error) {
-		if err != nil || !got.OK() {
-			d.after(300, func() { d.cancel(key, j) })
+// cancel cancels a job until that is acknowledged.
+func (d *drill) cancel(key identifier.JobKey, submitted *invariants.Job) {
+	submitted.CancelSent = true
+	d.request(http.MethodDelete, endpoint.JobPath(key), nil, func(response httpclient.Response, err error) {
+		if !succeeded(response, err) {
+			d.after(retryDelay, func() { d.cancel(key, submitted) })
 			return
 		}
-		if j.CancelledAt == 0 {
-			j.CancelledAt = d.at
+		if submitted.CancelledAt == 0 {
+			submitted.CancelledAt = d.now
 		}
 	})
 }
--- a/cmd/zone-drill/main.go
+++ b/cmd/zone-drill/main.go
@@ -1,7 +1,3 @@
-// Command zone-drill puts a running cluster under load, takes a zone out and
-// brings it back, and checks what clients were told and what runners did against
-// the promises. It exits 0 when all were kept on enough evidence, 1 on
-// a breach or too little evidence, 2 on bad usage, 3 when no gateway answered.
 package main
 
 import (
@@ -18,6 +14,18 @@
 	"orchidward/internal/transport/httpclient"
 )
 
+const programName = "zone-drill"
+
+// Exit codes; settings.Parse exits with 2 on bad usage.
+const (
+	exitNotKept     = 1
+	exitUnreachable = 3
+)
+
+// stopTimeout is how long the drill waits for its goroutines in the end.
+const stopTimeout = 3 * time.Second
+
+// flags are the command line.
 type flags struct {
 	Boot    string   `help:"Settings file, JSON, keys as the flags." placeholder:"FILE"`
 	Gates   []string `help:"IP:PORT of gates." default:"127.0.0.1:7200" env:"ORCHIDWARD_GATES"`
@@ -30,55 +38,80 @@
 	Output  string   `help:"How to print: text or json." default:"text" enum:"text,json"`
 }
 
-func (f *flags) check(c *settings.Validator) {
-	c.Addrs("gates", f.Gates, 1)
-	c.Addrs("runners", f.Runners, 1)
-	c.Name("domain", f.Domain)
-	c.Name("row", f.Row)
-	c.Range("load-s", f.LoadS, 9, 3600)
-	c.Range("rate-pct", f.RatePct, 10, 2000)
-	for _, p := range f.Pids {
-		if p <= 1 {
-			c.Invalid("pids", "want process ids, have %d", p)
+const outputJSON = "json"
+
+func (f *flags) check(v *settings.Validator) {
+	v.Addrs("gates", f.Gates, 1)
+	v.Addrs("runners", f.Runners, 1)
+	v.Name("domain", f.Domain)
+	v.Name("row", f.Row)
+	v.Range("load-s", f.LoadS, 9, 3600)
+	v.Range("rate-pct", f.RatePct, 10, 2000)
+	for _, pid := range f.Pids {
+		if pid <= 1 {
+			v.Invalid("pids", "want process ids, have %d", pid)
 		}
 	}
 }
 
+// kills tells whether processes are killed, in place of an order to drain.
+func (f *flags) kills() bool { return len(f.Pids) > 0 }
+
 func main() {
 	f := &flags{}
-	settings.Parse(f, "zone-drill", "Takes a zone out of a running fleet and checks the promises.", f.check)
-	c := lifecycle.New()
-	d := newDesk(f, c)
+	settings.Parse(f, programName, "Takes a zone out of a running fleet and checks the promises.", f.check)
+	goroutines := lifecycle.New()
+	d := newDrill(f, goroutines)
 	err := d.run()
-	ctx, end := context.WithTimeout(context.Background(), 3*time.Second)
-	defer end()
-	if late := c.Stop(ctx); late != nil {
-		fmt.Fprintf(os.Stderr, "zone-drill: stopped late: %v\n", late)
-	}
+	stop(goroutines)
 	if err != nil {
-		fmt.Fprintf(os.Stderr, "zone-drill: %v\n", err)
+		warnf("%v", err)
 		if errors.Is(err, httpclient.ErrUnreachable) {
-			os.Exit(3)
+			os.Exit(exitUnreachable)
 		}
-		os.Exit(1)
-	}
-	list := d.verdicts()
-	good := true
-	for _, v := range list {
-		good = good && v.Verdict == kept
+		os.Exit(exitNotKept)
 	}
-	if f.Output == "json" {
-		text, err := json.Marshal(map[string]any{"kept": good, "promises": list, "counts": d.watch.Counts})
-		if err != nil {
-			panic(err)
-		}
-		fmt.Println(string(text))
+	verdicts := d.verdicts()
+	if f.Output == outputJSON {
+		printJSON(verdicts, d.checker.Counts)
 	} else {
-		for _, v := range list {
-			fmt.Printf("%-4s %-20s %s\n     %s\n", v.Promise, v.Verdict, v.What, v.Figures)
-		}
+		printText(verdicts)
+	}
+	if !allKept(verdicts) {
+		os.Exit(exitNotKept)
+	}
+}
+
+func stop(goroutines *lifecycle.Group) {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	defer cancel()
+	if err := goroutines.Stop(ctx); err != nil {
+		warnf("stopped late: %v", err)
+	}
+}
+
+// warnf prints a line to standard error.
+func warnf(text string, args ...any) {
+	fmt.Fprintf(os.Stderr, programName+": "+text+"\n", args...)
+}
+
+// report is what a drill prints as JSON.
+type report struct {
+	Counts   map[string]int `json:"counts"`
+	Kept     bool           `json:"kept"`
+	Promises []verdict      `json:"promises"`
+}
+
+func printJSON(verdicts []verdict, counts map[string]int) {
+	text, err := json.Marshal(report{Counts: counts, Kept: allKept(verdicts), Promises: verdicts})
+	if err != nil {
+		panic(programName + ": the report does not encode: " + err.Error())
 	}
-	if !good {
-		os.Exit(1)
+	fmt.Println(string(text))
+}
+
+func printText(verdicts []verdict) {
+	for _, v := range verdicts {
+		fmt.Printf("%-4s %-20s %s\n     %s\n", v.Promise, v.Verdict, v.What, v.Figures)
 	}
 }
--- a/cmd/zone-drill/verdict.go
+++ b/cmd/zone-drill/verdict.go
@@ -1,19 +1,33 @@
-// A verdict for every promise, with the figures it rests on. Too little
-// evidence is a verdict of its own, and no success.
 package main
 
 import (
 	"fmt"
-	"sort"
+	"slices"
 	"strings"
+
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/invariants"
+	"orchidward/internal/runner"
+)
+
+// Verdicts. Too little evidence is a verdict of its own, and no success.
+const (
+	kept           = "kept"
+	broken         = "BROKEN"
+	littleEvidence = "too little evidence"
 )
 
+// Evidence that a verdict needs at least.
 const (
-	kept   = "kept"
-	broken = "BROKEN"
-	thin   = "too little evidence"
+	minStarts   = 20
+	minAccepted = 20
+	minReads    = 20
+	minRequests = 50
+	minDrainMs  = 5000
+	maxGapMs    = 12000
 )
 
+// verdict is the outcome for one promise, with the figures it rests on.
 type verdict struct {
 	Promise string `json:"promise"`
 	Verdict string `json:"verdict"`
@@ -21,41 +35,88 @@
 	Figures string `json:"figures"`
 }
 
-func (d *desk) verdicts() []verdict {
-	var list []verdict
-	n := d.watch.Counts
-	add := func(name, what string, enough bool, figures string, args ...any) {
-		v := verdict{Promise: name, Verdict: kept, What: what, Figures: fmt.Sprintf(figures, args...)}
-		if !enough {
-			v.Verdict = thin
-		}
-		for _, b := range d.watch.Violations {
-			if strings.HasPrefix(b, name+" ") {
-				v.Verdict = broken
-				v.Figures += "; " + b
-			}
+func allKept(verdicts []verdict) bool {
+	for _, v := range verdicts {
+		if v.Verdict != kept {
+			return false
 		}
-		list = append(list, v)
-	}
-	starts, moved := n["event start"], n["event stopped"]+n["event lapsed"]
-	shut := len(d.f.Pids) > 0 || d.openAt-d.shutAt > 5000
-	add("P2", "no start in a closed zone 5 s after the acknowledgement", shut && starts > 20, "starts %d, zone out for %d ms", starts, d.openAt-d.shutAt)
-	add("P3", "no task runs twice at once, or again after its end was told", starts > 20, "starts %d, called back %d, reruns no scheduler can decide %d", starts, moved, n["undecided rerun"])
-	add("P4", "no start before the steps it depends on", starts > 20, "starts %d, ends unread on lost runners %d", starts, n["unseen ends"])
-	add("P5", "no start after the allowed defects", starts > 20, "defects %d", n["event defect"])
-	add("P6", "no start 3 s after a cancel, running work gone at once", n["ended cancelled"] > 0, "cancelled %d", n["ended cancelled"])
-	add("P7", "no start without the label or past the room", starts > 20, "starts %d", starts)
-	add("P8", "no gang runs in part", starts > 20, "gang parts over the limit: %d", n["breach P8"])
-	add("P9", "accepted jobs are known everywhere and end truly", n["acked"] > 20 && n["stuck"] == 0, "accepted %d, well %d, failed %d, cancelled %d, not ended %d", n["acked"], n["ended well"], n["ended failed"], n["ended cancelled"], n["stuck"])
-	add("P10", "the table's epoch never goes back", len(d.epochs) > 20, "reads %d", len(d.epochs))
-	if d.gap > 12000 {
-		d.watch.Violate("P11", "no answer for %d ms", d.gap)
-	}
-	add("P11", "service is back within 12 s", len(d.epochs) > 20, "longest time without an answer %d ms", d.gap)
-	if d.halves > 0 {
-		d.watch.Violate("P12", "%d answers broke off", d.halves)
-	}
-	add("P12", "no answer breaks off half-way", d.asked > 50, "requests %d, to be asked again %d, half answers %d", d.asked, d.lost, d.halves)
-	sort.SliceStable(list, func(i, j int) bool { return len(list[i].Promise) < len(list[j].Promise) })
-	return list
+	}
+	return true
+}
+
+// verdicts judges every promise, in the order of their numbers.
+func (d *drill) verdicts() []verdict {
+	if d.service.longestGap > maxGapMs {
+		d.checker.Violate(invariants.ServiceAvailable, "no answer for %d ms", d.service.longestGap)
+	}
+	if d.responses.broken > 0 {
+		d.checker.Violate(invariants.AnswersComplete, "%d answers broke off", d.responses.broken)
+	}
+	verdicts := append(d.startVerdicts(), d.jobVerdicts()...)
+	return append(verdicts, d.serviceVerdicts()...)
+}
+
+// startVerdicts judges the promises of when and where tasks start.
+func (d *drill) startVerdicts() []verdict {
+	counts := d.checker.Counts
+	starts := counts[invariants.EventCount(runner.EventStart)]
+	calledBack := counts[invariants.EventCount(runnerapi.OutcomeStopped)] + counts[invariants.EventCount(runnerapi.OutcomeLeaseLapsed)]
+	enough := starts > minStarts
+	drained := d.flags.kills() || d.outage.duration() > minDrainMs
+	return []verdict{
+		d.judge(invariants.NoStartInDrainedDomain, "no start in a closed zone 5 s after the acknowledgement", drained && enough,
+			"starts %d, zone out for %d ms", starts, d.outage.duration()),
+		d.judge(invariants.RunsOnce, "no task runs twice at once, or again after its end was told", enough,
+			"starts %d, called back %d, reruns no scheduler can decide %d", starts, calledBack, counts[invariants.CountUndecidedRerun]),
+		d.judge(invariants.StartsInOrder, "no start before the steps it depends on", enough,
+			"starts %d, ends unread on lost runners %d", starts, counts[invariants.CountUnseenEnds]),
+		d.judge(invariants.DefectsBounded, "no start after the allowed defects", enough,
+			"defects %d", counts[invariants.EventCount(runnerapi.OutcomeDefect)]),
+		d.judge(invariants.CancelStopsWork, "no start 3 s after a cancel, running work gone at once", d.ended(invariants.JobCancelled) > 0,
+			"cancelled %d", d.ended(invariants.JobCancelled)),
+		d.judge(invariants.PlacementFits, "no start without the label or past the room", enough,
+			"starts %d", starts),
+		d.judge(invariants.GangRunsTogether, "no gang runs in part", enough,
+			"gang parts over the limit: %d", counts[invariants.ViolationCount(invariants.GangRunsTogether)]),
+	}
+}
+
+func (d *drill) jobVerdicts() []verdict {
+	accepted := d.checker.Counts[invariants.CountAcked]
+	stuck := d.checker.Counts[invariants.CountStuck]
+	return []verdict{
+		d.judge(invariants.JobStateIsTrue, "accepted jobs are known everywhere and end truly", accepted > minAccepted && stuck == 0,
+			"accepted %d, well %d, failed %d, cancelled %d, not ended %d",
+			accepted, d.ended(invariants.JobSucceeded), d.ended(invariants.JobFailed), d.ended(invariants.JobCancelled), stuck),
+	}
+}
+
+func (d *drill) serviceVerdicts() []verdict {
+	return []verdict{
+		d.judge(invariants.LimitsTableNeverGoesBack, "the table's epoch never goes back", d.service.reads > minReads,
+			"reads %d", d.service.reads),
+		d.judge(invariants.ServiceAvailable, "service is back within 12 s", d.service.reads > minReads,
+			"longest time without an answer %d ms", d.service.longestGap),
+		d.judge(invariants.AnswersComplete, "no answer breaks off half-way", d.responses.sent > minRequests,
+			"requests %d, to be asked again %d, half answers %d", d.responses.sent, d.responses.retried, d.responses.broken),
+	}
+}
+
+// ended is how many jobs ended in a state.
+func (d *drill) ended(state string) int { return d.checker.Counts[invariants.EndedCount(state)] }
+
+// judge makes the verdict of one promise; a violation counts whatever the evidence.
+func (d *drill) judge(promise, what string, enough bool, figures string, args ...any) verdict {
+	v := verdict{Promise: promise, Verdict: kept, What: what, Figures: fmt.Sprintf(figures, args...)}
+	if !enough {
+		v.Verdict = littleEvidence
+	}
+	violation := slices.IndexFunc(d.checker.Violations, func(line string) bool {
+		return strings.HasPrefix(line, promise+" ")
+	})
+	if violation >= 0 {
+		v.Verdict = broken
+		v.Figures += "; " + d.checker.Violations[violation]
+	}
+	return v
 }
--- a/tests/simulation/register/histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -37,7 +37,7 @@
 	// acceptedBefore are changes accepted before the history began.
 	acceptedBefore []*change
 	// lastRead is the version that each operator last read.
-	lastRead       []uint64
+	lastRead []uint64
 }
 
 func (m *replicatedRegister) send(c *change) {
--- a/tests/simulation/scenarios/suspend_test.go
+++ b/tests/simulation/scenarios/suspend_test.go
@@ -12,7 +12,8 @@
 
 // TestSuspend suspends machines for longer than leases last: runners with long tasks,
 // and the leader. With clocks that count the suspend nothing is violated. With clocks
-// that stop meanwhile, as Go's own do, the same suspends must break something, or this test proves nothing.
+// that stop meanwhile, as Go's own do, the same suspends must violate something, or this
+// test proves nothing.
 func TestSuspend(t *testing.T) {
 	t.Parallel()
 	broken := 0
