--- a/tests/mutation/main.go
+++ b/tests/mutation/main.go
@@ -104,7 +104,7 @@
 	{"runs named unlike", "internal/state/queue.go", "		ref.Job = timeKey(j.Key, 0)", "		_ = timeKey", []string{"./internal/controlplane", "-run", "TestCancelAtOnce"}, "LIMIT", nil},
 	{"refused what may be taken", "internal/gateway/requests.go", "r.Method != http.MethodGet && (r.outcomeUnknown || r.attempt != 0)", "r.Method == \"\"", []string{"./internal/gateway", "-run", "TestOutcomeUnknown"}, "passed on, then out of touch", nil},
 	{"torn records taken", "internal/consensus/wal/record.go", "if binary.LittleEndian.Uint32(record[checksumOffset:]) != recordChecksum(record) {", "if false {", []string{"./internal/consensus/wal"}, "FAIL", nil},
-	{"stopped gate hangs up", "internal/transport/httpserver/server.go", "return s.http.Shutdown(ctx)", "return s.http.Close()", []string{"./tests/devcluster", "-run", "TestScripts/drill$"}, "the answer in hand broke off", nil},
+	{"stopped gate hangs up", "internal/transport/httpserver/server.go", "return s.http.Shutdown(ctx)", "return s.http.Close()", []string{"./tests/devcluster", "-run", "TestScripts/drill$"}, "the response in flight broke off", nil},
 	{"stopped server hangs up", "internal/transport/httpserver/server.go", "return s.http.Shutdown(ctx)", "return s.http.Close()", []string{"./internal/transport/httpserver", "-run", "TestStopWaits"}, "past the drain delay, the request in hand got", nil},
 }
 
--- a/tests/simulation/scenarios/versions_test.go
+++ b/tests/simulation/scenarios/versions_test.go
@@ -86,6 +86,10 @@
 			server.Level = 0
 		})
 		cluster.At(28000, func() {
+			if !server.Up {
+				t.Errorf("an old version joined a group of a later level, and quit: %q", server.QuitReason)
+				return
+			}
 			if n := len(cluster.Leader().Machine.Raft().Members()); n != 3 {
 				t.Errorf("an old version joined a group of a later level: %d members", n)
 			}
