--- a/tests/scale/catalogue.go
+++ b/tests/scale/catalog_changes.go
@@ -11,8 +11,8 @@
 	"orchidward/internal/api/catalog"
 )
 
-type catalogues struct {
-	fleet   *fleet
+type catalogChanges struct {
+	cluster *cluster
 	version uint64
 }
 
@@ -21,13 +21,13 @@
 }
 
 // change sends one and waits until it is taken.
-func (k *catalogues) change(verb string, doc map[string]any) (bytes int, err error) {
+func (k *catalogChanges) change(verb string, doc map[string]any) (bytes int, err error) {
 	doc["base"], doc["version"] = k.version, k.version+1
 	body, err := json.Marshal(doc)
 	if err != nil {
 		return 0, err
 	}
-	status, answer, err := k.fleet.send(verb, "http://"+k.fleet.fronts[0]+"/v1/catalog", string(body))
+	status, answer, err := k.cluster.send(verb, "http://"+k.cluster.gatewayHTTP[0]+"/v1/catalog", string(body))
 	if err != nil {
 		return 0, err
 	}
@@ -38,7 +38,7 @@
 	return len(body), nil
 }
 
-func (k *catalogues) whole(n int) (bytes int, err error) {
+func (k *catalogChanges) replaceAll(n int) (bytes int, err error) {
 	list := []catalog.Queue{}
 	for i := range n {
 		list = append(list, makeQueue(i))
@@ -46,17 +46,17 @@
 	return k.change("PUT", map[string]any{"queues": list, "pools": []catalog.Pool{{Name: pool}}})
 }
 
-func (k *catalogues) one(i int) (bytes int, err error) {
+func (k *catalogChanges) changeOne(i int) (bytes int, err error) {
 	q := makeQueue(i)
 	q.Priority = int64(k.version % 4)
 	return k.change("PATCH", map[string]any{"put": map[string]any{"queues": []catalog.Queue{q}}})
 }
 
 // epochs is the table's epoch at each gate.
-func (k *catalogues) epochs() []float64 {
+func (k *catalogChanges) epochs() []float64 {
 	var list []float64
-	for _, front := range k.fleet.fronts {
-		vals, err := k.fleet.gauges(front)
+	for _, front := range k.cluster.gatewayHTTP {
+		vals, err := k.cluster.metrics(front)
 		if err != nil {
 			vals = map[string]float64{}
 		}
@@ -65,11 +65,11 @@
 	return list
 }
 
-// timed makes a change and measures until every gate has it.
-func (k *catalogues) timed(phase string, n int, change func() (bytes int, err error)) (measured, error) {
-	var m measured
+// measure makes a change and measures until every gate has it.
+func (k *catalogChanges) measure(phase string, n int, change func() (bytes int, err error)) (measurement, error) {
+	var m measurement
 	was := k.epochs()
-	a, err := k.fleet.look()
+	a, err := k.cluster.sample()
 	if err != nil {
 		return m, err
 	}
@@ -79,7 +79,7 @@
 		return m, err
 	}
 	taken := time.Since(sent)
-	err = k.fleet.wait(12*time.Second, "every gate has the change", func() bool {
+	err = k.cluster.wait(12*time.Second, "every gate has the change", func() bool {
 		for i, e := range k.epochs() {
 			if e <= was[i] {
 				return false
@@ -92,17 +92,17 @@
 	}
 	all := time.Since(sent)
 	time.Sleep(300 * time.Millisecond)
-	b, err := k.fleet.look()
+	b, err := k.cluster.sample()
 	if err != nil {
 		return m, err
 	}
 	secs := b.at.Sub(a.at).Seconds()
-	m = measured{Phase: phase, X: float64(n), Vals: map[string]float64{"bodyKB": float64(bytes) / 1e3, "takenMs": float64(taken.Milliseconds()), "allGatesMs": float64(all.Milliseconds()),
-		"gateInKB": (b.gate[0].read - a.gate[0].read) / 1e3, "gateCpuMs": (b.gate[0].cpu - a.gate[0].cpu) * 1e3, "gateMB": b.gate[0].rss / 1e6}}
-	if b.lead >= 0 && a.lead == b.lead {
-		u := b.keep[b.lead].minus(a.keep[b.lead], 1)
-		m.Vals["leadCpuMs"], m.Vals["leadMB"], m.Vals["leadOutKB"] = u.cpu*1e3, u.rss/1e6, u.written/1e3
+	m = measurement{Phase: phase, X: float64(n), Values: map[string]float64{"bodyKB": float64(bytes) / 1e3, "takenMs": float64(taken.Milliseconds()), "allGatesMs": float64(all.Milliseconds()),
+		"gateInKB": (b.gateways[0].readBytes - a.gateways[0].readBytes) / 1e3, "gateCpuMs": (b.gateways[0].cpu - a.gateways[0].cpu) * 1e3, "gateMB": b.gateways[0].rss / 1e6}}
+	if b.leader >= 0 && a.leader == b.leader {
+		u := b.servers[b.leader].ratesSince(a.servers[b.leader], 1)
+		m.Values["leadCpuMs"], m.Values["leadMB"], m.Values["leadOutKB"] = u.cpu*1e3, u.rss/1e6, u.writtenBytes/1e3
 	}
-	m.Vals["seconds"] = secs
+	m.Values["seconds"] = secs
 	return m, nil
 }
--- /dev/null
+++ b/tests/scale/lease_trial.go
@@ -0,0 +1,95 @@
+// A trial in virtual time of one agent whose core loses nothing and answers as
+// the leader does: a poll that a later one replaces at once, any other once it
+// has been held. No beat should go without a hold.
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
+	"orchidward/internal/transport/wire"
+)
+
+const (
+	leaseTrialTime   clock.Monotonic = 100_000
+	leaseTrialWarmUp clock.Monotonic = 10_000
+	trialLease       clock.Millis    = 6000
+	pollHoldTime     clock.Millis    = 600
+)
+
+// stubLeader is the core of the trial: the poll it holds, and since when.
+type stubLeader struct {
+	agent    *agent.Agent
+	openPoll uint64
+	openedAt clock.Monotonic
+	polls    int
+}
+
+func (s *stubLeader) answer(id uint64, now clock.Monotonic) {
+	text, err := json.Marshal(runnerapi.PollResponse{Lease: trialLease, StartTimeout: 1000})
+	if err != nil {
+		panic(err)
+	}
+	s.agent.HandleMessage("k", wire.Message{Response: &wire.Response{ID: id, Status: 200, Body: text}}, now)
+}
+
+// step answers what is due and takes in what the agent sends.
+func (s *stubLeader) step(now clock.Monotonic) {
+	if s.openPoll != 0 && now.Since(s.openedAt) >= pollHoldTime {
+		id := s.openPoll
+		s.openPoll = 0
+		s.answer(id, now)
+	}
+	for list := s.agent.TakeOutput().Messages; len(list) > 0; list = s.agent.TakeOutput().Messages {
+		for _, x := range list {
+			if x.Message.Request == nil {
+				continue
+			}
+			was := s.openPoll
+			s.openPoll, s.openedAt = x.Message.Request.ID, now
+			s.polls++
+			if was != 0 {
+				s.answer(was, now)
+			}
+		}
+	}
+}
+
+// leaseTrial has so many tasks of about such a span run on, out of step, and
+// counts the beats after the first ten seconds that were answered without a hold.
+func leaseTrial(tasks int, span clock.Millis) (polls, bare, beats int) {
+	s := &standInRunner{incarnation: "a", domain: "n", rack: "r", leaseEnd: 1 << 40}
+	c := &stubLeader{agent: agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: maxLease, HeartbeatInterval: heartbeatInterval}, 0)}
+	for i := range tasks {
+		s.runs = append(s.runs, &taskRun{task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: i}, attempt: 1, span: span + clock.Millis(i)*span/97, startedAt: clock.Monotonic(-217 * i)})
+	}
+	for now := clock.Monotonic(0); now < leaseTrialTime; now += clock.Monotonic(agent.TickInterval) {
+		c.agent.Tick(now)
+		if s.advance(now) {
+			o := c.agent.HandleHeartbeat(s.heartbeat(now), now)
+			s.applyOrders(o, now, now)
+			if now > leaseTrialWarmUp {
+				beats++
+				if o.Lease == 0 {
+					bare++
+				}
+			}
+		}
+		c.step(now)
+	}
+	return c.polls, bare, beats
+}
+
+func runLeaseTrials() {
+	for _, one := range []struct {
+		tasks int
+		span  clock.Millis
+	}{{1, 117_000}, {5, 117_000}, {14, 117_000}, {14, 300_000}, {24, 3_000_000}, {14, 30_000}, {14, 1 << 40}} {
+		polls, bare, beats := leaseTrial(one.tasks, one.span)
+		fmt.Printf("%d tasks of %d s: %.2f polls/s, %d of %d beats without a hold\n", one.tasks, one.span/1000, float64(polls)/float64(leaseTrialTime)*1000, bare, beats)
+	}
+}
--- a/tests/scale/measure.go
+++ b/tests/scale/measure.go
@@ -7,132 +7,132 @@
 	"time"
 )
 
-// look is all that can be counted at one moment.
-type look struct {
-	at     time.Time
-	lead   int
-	keep   []use
-	gate   []use
-	agent  []use
-	self   use
-	commit float64
-	view   float64
+// sample is all that can be counted at one moment.
+type sample struct {
+	at            time.Time
+	leader        int
+	servers       []usage
+	gateways      []usage
+	agents        []usage
+	self          usage
+	commitIndex   float64
+	snapshotIndex float64
 
-	starts, ends, lapsed, sent, got float64
-	bytesOut, bytesIn               float64
-	sampled                         float64
+	starts, ends, lapsed, sent, received float64
+	bytesOut, bytesIn                    float64
+	sampled                              float64
 }
 
-func (f *fleet) look() (look, error) {
-	var l look
+func (f *cluster) sample() (sample, error) {
+	var l sample
 	var err error
 	l.at = time.Now()
 	for _, set := range []struct {
-		list []*child
-		into *[]use
-	}{{f.keep, &l.keep}, {f.gate, &l.gate}, {f.agent, &l.agent}} {
+		list []*process
+		into *[]usage
+	}{{f.servers, &l.servers}, {f.gateways, &l.gateways}, {f.agentProcesses, &l.agents}} {
 		for _, c := range set.list {
-			u, err := lookAt(c.pid())
+			u, err := usageOf(c.pid())
 			if err != nil {
 				return l, err
 			}
 			*set.into = append(*set.into, u)
 		}
 	}
-	if l.self, err = lookAt(os.Getpid()); err != nil {
+	if l.self, err = usageOf(os.Getpid()); err != nil {
 		return l, err
 	}
 	lead, vals := f.leader()
-	if l.lead = lead; lead >= 0 {
-		l.commit, l.view = vals["commit_index"], vals["snapshot_index"]
+	if l.leader = lead; lead >= 0 {
+		l.commitIndex, l.snapshotIndex = vals["commit_index"], vals["snapshot_index"]
 	}
-	w := f.crowd
-	l.starts, l.ends, l.lapsed, l.sent, l.got = float64(w.starts.Load()), float64(w.ends.Load()), float64(w.lapsed.Load()), float64(w.sent.Load()), float64(w.got.Load())
+	w := f.agents
+	l.starts, l.ends, l.lapsed, l.sent, l.received = float64(w.starts.Load()), float64(w.ends.Load()), float64(w.lapsed.Load()), float64(w.sent.Load()), float64(w.received.Load())
 	out, in, n := w.sampled()
 	l.bytesOut, l.bytesIn, l.sampled = float64(out), float64(in), float64(n)
 	return l, nil
 }
 
-// measured is one point: what was varied, how far, and what came of it.
-type measured struct {
-	Phase string             `json:"phase"`
-	X     float64            `json:"x"`
-	Vals  map[string]float64 `json:"values"`
+// measurement is one point: what was varied, how far, and what came of it.
+type measurement struct {
+	Phase  string             `json:"phase"`
+	X      float64            `json:"x"`
+	Values map[string]float64 `json:"values"`
 }
 
-// figures are the columns of the table, in order.
-var figures = []string{"leadCpu%", "leadMB", "leadInKB/s", "leadOutKB/s", "leadGets/s", "leadPuts/s", "entries/s", "views",
+// figureOrder are the columns of the table, in order.
+var figureOrder = []string{"leadCpu%", "leadMB", "leadInKB/s", "leadOutKB/s", "leadGets/s", "leadPuts/s", "entries/s", "views",
 	"followCpu%", "followMB", "followInKB/s", "followOutKB/s", "followPuts/s", "gateCpu%", "gateMB", "gateInKB/s", "gateOutKB/s",
 	"agentCpu%", "agentMB", "agentInKB/s", "agentOutKB/s", "polls/s/agent", "pollOutB/s/agent", "pollInB/s/agent",
 	"starts/s", "lapsed/s", "waitP50ms", "waitP99ms", "waitMaxms", "running", "cores"}
 
 // measure looks, waits, looks again.
-func (f *fleet) measure(phase string, x float64, window time.Duration) (measured, error) {
-	var m measured
-	f.crowd.waited()
-	a, err := f.look()
+func (f *cluster) measure(phase string, x float64, window time.Duration) (measurement, error) {
+	var m measurement
+	f.agents.takeWaits()
+	a, err := f.sample()
 	if err != nil {
 		return m, err
 	}
 	time.Sleep(window)
-	b, err := f.look()
+	b, err := f.sample()
 	if err != nil {
 		return m, err
 	}
-	if a.lead < 0 || a.lead != b.lead {
-		return m, fmt.Errorf("%s %v: the leader changed or was not found (%d, %d)", phase, x, a.lead, b.lead)
+	if a.leader < 0 || a.leader != b.leader {
+		return m, fmt.Errorf("%s %v: the leader changed or was not found (%d, %d)", phase, x, a.leader, b.leader)
 	}
-	m = measured{Phase: phase, X: x, Vals: between(a, b)}
-	h := f.crowd.waited()
+	m = measurement{Phase: phase, X: x, Values: rates(a, b)}
+	h := f.agents.takeWaits()
 	if h.TotalCount() > 0 {
-		m.Vals["waitP50ms"], m.Vals["waitP99ms"], m.Vals["waitMaxms"] = float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())
+		m.Values["waitP50ms"], m.Values["waitP99ms"], m.Values["waitMaxms"] = float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())
 	}
-	m.Vals["running"] = float64(f.crowd.running.Load())
+	m.Values["running"] = float64(f.agents.running.Load())
 	return m, nil
 }
 
-func between(a, b look) map[string]float64 {
+func rates(a, b sample) map[string]float64 {
 	secs := b.at.Sub(a.at).Seconds()
 	v := map[string]float64{}
-	cores := b.self.minus(a.self, secs).cpu
+	cores := b.self.ratesSince(a.self, secs).cpu
 	put := func(name string, val float64, of int) { v[name] += val / float64(of) }
-	for i := range b.keep {
-		u := b.keep[i].minus(a.keep[i], secs)
+	for i := range b.servers {
+		u := b.servers[i].ratesSince(a.servers[i], secs)
 		cores += u.cpu
-		if i == b.lead {
-			v["leadCpu%"], v["leadMB"], v["leadInKB/s"], v["leadOutKB/s"] = u.cpu*100, u.rss/1e6, u.read/1e3, u.written/1e3
-			v["leadGets/s"], v["leadPuts/s"] = u.gets, u.puts
+		if i == b.leader {
+			v["leadCpu%"], v["leadMB"], v["leadInKB/s"], v["leadOutKB/s"] = u.cpu*100, u.rss/1e6, u.readBytes/1e3, u.writtenBytes/1e3
+			v["leadGets/s"], v["leadPuts/s"] = u.readCalls, u.writeCalls
 			continue
 		}
-		put("followCpu%", u.cpu*100, len(b.keep)-1)
-		put("followMB", u.rss/1e6, len(b.keep)-1)
-		put("followInKB/s", u.read/1e3, len(b.keep)-1)
-		put("followOutKB/s", u.written/1e3, len(b.keep)-1)
-		put("followPuts/s", u.puts, len(b.keep)-1)
+		put("followCpu%", u.cpu*100, len(b.servers)-1)
+		put("followMB", u.rss/1e6, len(b.servers)-1)
+		put("followInKB/s", u.readBytes/1e3, len(b.servers)-1)
+		put("followOutKB/s", u.writtenBytes/1e3, len(b.servers)-1)
+		put("followPuts/s", u.writeCalls, len(b.servers)-1)
 	}
-	for i := range b.gate {
-		u := b.gate[i].minus(a.gate[i], secs)
+	for i := range b.gateways {
+		u := b.gateways[i].ratesSince(a.gateways[i], secs)
 		cores += u.cpu
-		put("gateCpu%", u.cpu*100, len(b.gate))
-		put("gateMB", u.rss/1e6, len(b.gate))
-		put("gateInKB/s", u.read/1e3, len(b.gate))
-		put("gateOutKB/s", u.written/1e3, len(b.gate))
+		put("gateCpu%", u.cpu*100, len(b.gateways))
+		put("gateMB", u.rss/1e6, len(b.gateways))
+		put("gateInKB/s", u.readBytes/1e3, len(b.gateways))
+		put("gateOutKB/s", u.writtenBytes/1e3, len(b.gateways))
 	}
-	for i := range b.agent {
-		u := b.agent[i].minus(a.agent[i], secs)
+	for i := range b.agents {
+		u := b.agents[i].ratesSince(a.agents[i], secs)
 		cores += u.cpu
-		put("agentCpu%", u.cpu*100, len(b.agent))
-		put("agentMB", u.rss/1e6, len(b.agent))
-		put("agentInKB/s", u.read/1e3, len(b.agent))
-		put("agentOutKB/s", u.written/1e3, len(b.agent))
+		put("agentCpu%", u.cpu*100, len(b.agents))
+		put("agentMB", u.rss/1e6, len(b.agents))
+		put("agentInKB/s", u.readBytes/1e3, len(b.agents))
+		put("agentOutKB/s", u.writtenBytes/1e3, len(b.agents))
 	}
 	if n := b.sampled; n > 0 {
 		v["pollOutB/s/agent"], v["pollInB/s/agent"] = (b.bytesOut-a.bytesOut)/n/secs, (b.bytesIn-a.bytesIn)/n/secs
 	}
 	v["polls"] = (b.sent - a.sent) / secs
-	v["starts/s"], v["entries/s"], v["cores"] = (b.starts-a.starts)/secs, (b.commit-a.commit)/secs, cores
+	v["starts/s"], v["entries/s"], v["cores"] = (b.starts-a.starts)/secs, (b.commitIndex-a.commitIndex)/secs, cores
 	v["lapsed/s"] = (b.lapsed - a.lapsed) / secs
-	if b.view != a.view {
+	if b.snapshotIndex != a.snapshotIndex {
 		v["views"] = 1
 	}
 	return v
--- a/tests/scale/child.go
+++ b/tests/scale/process.go
@@ -15,21 +15,21 @@
 	"github.com/go-faster/errors"
 )
 
-// ticks is the kernel's count of processor time in a second, the same on every
+// ticksPerSecond is the kernel's count of processor time in a second, the same on every
 // Linux that Go runs on.
-const ticks = 100
+const ticksPerSecond = 100
 
-type child struct {
+type process struct {
 	name string
 	cmd  *exec.Cmd
 	log  *os.File
 }
 
-// start runs a program with so many processors at its call. It is killed when
+// startProcess runs a program with so many processors at its call. It is killed when
 // the scale run dies; for that the caller must be on the main thread.
-func start(dir, name, program string, procs int, env []string, args ...string) (*child, error) {
+func startProcess(dir, name, program string, procs int, env []string, args ...string) (*process, error) {
 	var err error
-	c := &child{name: name}
+	c := &process{name: name}
 	if c.log, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
 		return nil, err
 	}
@@ -43,10 +43,10 @@
 	return c, nil
 }
 
-func (c *child) pid() int { return c.cmd.Process.Pid }
+func (c *process) pid() int { return c.cmd.Process.Pid }
 
 // end stops the process and waits for it.
-func (c *child) end() {
+func (c *process) end() {
 	_ = c.cmd.Process.Signal(syscall.SIGTERM)
 	t := time.AfterFunc(5*time.Second, func() { _ = c.cmd.Process.Kill() })
 	_ = c.cmd.Wait()
@@ -54,25 +54,25 @@
 	c.log.Close()
 }
 
-// use is what a process has used since its start, and the memory it holds.
+// usage is what a process has used since its start, and the memory it holds.
 // Read and written are bytes through system calls, the disk's included; gets
 // and puts are the calls. The kernel's write_bytes is of no use here: it counts
 // 2 MiB for every small write into a large page of the cache.
-type use struct{ cpu, rss, read, written, gets, puts float64 }
+type usage struct{ cpu, rss, readBytes, writtenBytes, readCalls, writeCalls float64 }
 
-func (u use) minus(was use, secs float64) use {
-	return use{cpu: (u.cpu - was.cpu) / secs, rss: u.rss, read: (u.read - was.read) / secs, written: (u.written - was.written) / secs,
-		gets: (u.gets - was.gets) / secs, puts: (u.puts - was.puts) / secs}
+func (u usage) ratesSince(was usage, secs float64) usage {
+	return usage{cpu: (u.cpu - was.cpu) / secs, rss: u.rss, readBytes: (u.readBytes - was.readBytes) / secs, writtenBytes: (u.writtenBytes - was.writtenBytes) / secs,
+		readCalls: (u.readCalls - was.readCalls) / secs, writeCalls: (u.writeCalls - was.writeCalls) / secs}
 }
 
-func lookAt(pid int) (use, error) {
-	var u use
+func usageOf(pid int) (usage, error) {
+	var u usage
 	dir := fmt.Sprintf("/proc/%d/", pid)
 	stat, err := os.ReadFile(dir + "stat")
 	if err != nil {
 		return u, err
 	}
-	if u.cpu, err = cpuOf(string(stat)); err != nil {
+	if u.cpu, err = parseCPU(string(stat)); err != nil {
 		return u, err
 	}
 	for _, name := range []string{"status", "io"} {
@@ -80,13 +80,13 @@
 		if err != nil {
 			return u, err
 		}
-		u.fill(string(text))
+		u.parse(string(text))
 	}
 	return u, nil
 }
 
-// cpuOf reads the seconds of processor time from a process's stat line.
-func cpuOf(stat string) (float64, error) {
+// parseCPU reads the seconds of processor time from a process's stat line.
+func parseCPU(stat string) (float64, error) {
 	var secs float64
 	f := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	if len(f) < 13 {
@@ -97,13 +97,13 @@
 		if err != nil {
 			return 0, err
 		}
-		secs += n / ticks
+		secs += n / ticksPerSecond
 	}
 	return secs, nil
 }
 
-func (u *use) fill(text string) {
-	into := map[string]*float64{"VmRSS": &u.rss, "rchar": &u.read, "wchar": &u.written, "syscr": &u.gets, "syscw": &u.puts}
+func (u *usage) parse(text string) {
+	into := map[string]*float64{"VmRSS": &u.rss, "rchar": &u.readBytes, "wchar": &u.writtenBytes, "syscr": &u.readCalls, "syscw": &u.writeCalls}
 	for _, l := range strings.Split(text, "\n") {
 		key, val, _ := strings.Cut(l, ":")
 		f := strings.Fields(val)
--- a/tests/scale/report.go
+++ b/tests/scale/report.go
@@ -14,36 +14,36 @@
 
 type report struct {
 	settings
-	list  []measured
-	words []string
+	measurements []measurement
+	notes        []string
 }
 
 func newReport(s settings) *report { return &report{settings: s} }
 
-func (r *report) say(format string, vals ...any) {
+func (r *report) notef(format string, vals ...any) {
 	text := fmt.Sprintf(format, vals...)
-	r.words = append(r.words, text)
+	r.notes = append(r.notes, text)
 	fmt.Println("#", text)
 }
 
-func (r *report) add(m measured) {
-	r.list = append(r.list, m)
-	if _, queues := m.Vals["allGatesMs"]; queues {
-		fmt.Printf("# %s %v: all gates in %.0f ms, %.0f kB to a gate\n", m.Phase, m.X, m.Vals["allGatesMs"], m.Vals["gateInKB"])
+func (r *report) add(m measurement) {
+	r.measurements = append(r.measurements, m)
+	if _, queues := m.Values["allGatesMs"]; queues {
+		fmt.Printf("# %s %v: all gates in %.0f ms, %.0f kB to a gate\n", m.Phase, m.X, m.Values["allGatesMs"], m.Values["gateInKB"])
 		return
 	}
-	fmt.Printf("# %s %v: lead %.1f%% %.0f MB, %.1f starts/s, %.1f lapsed/s, %.0f running, %.1f cores\n", m.Phase, m.X, m.Vals["leadCpu%"], m.Vals["leadMB"], m.Vals["starts/s"], m.Vals["lapsed/s"], m.Vals["running"], m.Vals["cores"])
+	fmt.Printf("# %s %v: lead %.1f%% %.0f MB, %.1f starts/s, %.1f lapsed/s, %.0f running, %.1f cores\n", m.Phase, m.X, m.Values["leadCpu%"], m.Values["leadMB"], m.Values["starts/s"], m.Values["lapsed/s"], m.Values["running"], m.Values["cores"])
 }
 
 // rows are the points, alike ones together, in the order they came.
 func (r *report) rows() (keys []string, vals map[string]map[string][]float64) {
 	vals = map[string]map[string][]float64{}
-	for _, m := range r.list {
+	for _, m := range r.measurements {
 		key := fmt.Sprintf("%s = %v", m.Phase, m.X)
 		if vals[key] == nil {
 			keys, vals[key] = append(keys, key), map[string][]float64{}
 		}
-		for name, v := range m.Vals {
+		for name, v := range m.Values {
 			vals[key][name] = append(vals[key][name], v)
 		}
 	}
@@ -53,7 +53,7 @@
 func (r *report) write(points, plot string) error {
 	r.table()
 	r.slopes()
-	text, err := json.MarshalIndent(map[string]any{"points": r.list, "notes": r.words}, "", " ")
+	text, err := json.MarshalIndent(map[string]any{"points": r.measurements, "notes": r.notes}, "", " ")
 	if err != nil {
 		return err
 	}
@@ -74,66 +74,66 @@
 			}
 		}
 		sort.Slice(names, func(i, j int) bool {
-			return place(names[i]) < place(names[j]) || place(names[i]) == place(names[j]) && names[i] < names[j]
+			return figureRank(names[i]) < figureRank(names[j]) || figureRank(names[i]) == figureRank(names[j]) && names[i] < names[j]
 		})
 		for _, name := range names {
-			s := spread(vals[key][name])
+			s := summarize(vals[key][name])
 			fmt.Printf("  %-18s %10.2f  (%.2f to %.2f, n=%d)\n", name, s.mean, s.low, s.high, s.n)
 		}
 	}
 }
 
-func place(name string) int {
-	for i, one := range figures {
+func figureRank(name string) int {
+	for i, one := range figureOrder {
 		if one == name {
 			return i
 		}
 	}
-	return len(figures)
+	return len(figureOrder)
 }
 
-// spots are one figure over what was varied.
-func (r *report) spots(phase, figure string) []spot {
-	var list []spot
-	for _, m := range r.list {
-		if v, ok := m.Vals[figure]; ok && m.Phase == phase {
-			list = append(list, spot{m.X, v})
+// pointsOf are one figure over what was varied.
+func (r *report) pointsOf(phase, figure string) []point {
+	var list []point
+	for _, m := range r.measurements {
+		if v, ok := m.Values[figure]; ok && m.Phase == phase {
+			list = append(list, point{m.X, v})
 		}
 	}
 	return list
 }
 
-// sloped are the figures for which slopes are worked out.
-var sloped = []string{"leadCpu%", "leadMB", "leadInKB/s", "leadOutKB/s", "entries/s", "leadGets/s", "leadPuts/s", "followCpu%", "followMB", "followInKB/s", "followOutKB/s", "gateMB", "gateCpu%", "gateInKB/s", "agentCpu%", "agentMB", "agentInKB/s", "agentOutKB/s", "polls/s/agent", "pollOutB/s/agent", "pollInB/s/agent"}
+// regressedFigures are the figures for which slopes are worked out.
+var regressedFigures = []string{"leadCpu%", "leadMB", "leadInKB/s", "leadOutKB/s", "entries/s", "leadGets/s", "leadPuts/s", "followCpu%", "followMB", "followInKB/s", "followOutKB/s", "gateMB", "gateCpu%", "gateInKB/s", "agentCpu%", "agentMB", "agentInKB/s", "agentOutKB/s", "polls/s/agent", "pollOutB/s/agent", "pollInB/s/agent"}
 
 // slopes prints the lines, and the site's size worked out from them beside
 // what was measured there.
 func (r *report) slopes() {
 	fmt.Printf("\nslopes: figure = base + rate x; fit 1 is a straight line\n")
-	for _, name := range sloped {
+	for _, name := range regressedFigures {
 		site, known := 0.0, true
 		for i, one := range []struct {
 			phase string
 			size  float64
 		}{{phaseIdle, float64(r.runners)}, {phaseStarts, float64(r.starts)}, {phaseRunning, float64(r.tasks)}} {
-			l, ok := nearest(r.spots(one.phase, name))
+			l, ok := fitLine(r.pointsOf(one.phase, name))
 			if !ok {
 				known = false
 				continue
 			}
-			fmt.Printf("  %-18s %-22s %10.3f + %.6f x   fit %.3f\n", name, one.phase, l.base, l.rate, l.fit)
-			if site += l.rate * one.size; i == 0 {
+			fmt.Printf("  %-18s %-22s %10.3f + %.6f x   fit %.3f\n", name, one.phase, l.base, l.slope, l.rSquared)
+			if site += l.slope * one.size; i == 0 {
 				site += l.base
 			}
 		}
 		if known {
-			s := spread(values(r.spots(phaseAll, name)))
+			s := summarize(values(r.pointsOf(phaseAll, name)))
 			fmt.Printf("  %-18s at the site's size: %.1f worked out, %.1f measured (%.1f to %.1f, n=%d)\n", name, site, s.mean, s.low, s.high, s.n)
 		}
 	}
 }
 
-func values(list []spot) []float64 {
+func values(list []point) []float64 {
 	var vals []float64
 	for _, s := range list {
 		vals = append(vals, s.y)
@@ -150,7 +150,7 @@
 		size  float64
 	}{{phaseIdle, float64(r.runners)}, {phaseSlow, float64(r.runners)}, {phaseStarts, float64(r.starts)}, {phaseRunning, float64(r.tasks)}} {
 		s := chart.ContinuousSeries{Name: fmt.Sprintf("%s (1 = %v)", one.phase, one.size), Style: chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 1, DotColor: chart.GetDefaultColor(i), DotWidth: 3}}
-		for _, p := range r.spots(one.phase, "leadCpu%") {
+		for _, p := range r.pointsOf(one.phase, "leadCpu%") {
 			if !math.IsNaN(p.y) {
 				s.XValues, s.YValues = append(s.XValues, p.x/one.size), append(s.YValues, p.y)
 			}
--- /dev/null
+++ b/tests/scale/standin_runner.go
@@ -0,0 +1,153 @@
+// A stand-in runner does no work: it starts what it is told, shows how far each
+// run would be, ends it after its span, and beats.
+package main
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+
+	"orchidward/internal/agent"
+	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/job"
+	"orchidward/internal/api/runnerapi"
+	"orchidward/internal/clock"
+)
+
+// stopDelay is how long a run takes to end on order, in milliseconds.
+const stopDelay clock.Millis = 150
+
+type standInRunner struct {
+	incarnation identifier.Incarnation
+	domain      identifier.Domain
+	rack        identifier.Rack
+	capacity    job.Demand
+
+	seq           uint64
+	nextHeartbeat clock.Monotonic
+	leaseEnd      clock.Monotonic
+	runs          []*taskRun
+	ends          []runnerapi.RunEnd
+	lastEnd       uint64
+	// lapses counts the runs whose hold was over.
+	lapses int64
+	// begun hears of every start: when the job was handed in, and when it began.
+	onStart func(handed, at clock.Monotonic)
+	// vary, if given, is how long a run of so long a span really takes.
+	vary func(span clock.Millis) (actual clock.Millis)
+}
+
+// taskRun is one run of a task.
+type taskRun struct {
+	task      identifier.TaskRef
+	attempt   uint64
+	span      clock.Millis
+	startedAt clock.Monotonic
+	stopAt    clock.Monotonic
+}
+
+// note is the text that every job of a scale run bears: how long a task runs
+// and when the job was handed in, by the one clock of the run.
+func encodePayload(span clock.Millis, handed clock.Monotonic) string {
+	return fmt.Sprintf("%d %d", span, handed)
+}
+
+func decodePayload(text string) (span clock.Millis, handed clock.Monotonic, ok bool) {
+	a, b, _ := strings.Cut(text, " ")
+	x, err := strconv.ParseInt(a, 10, 64)
+	if err != nil || x <= 0 {
+		return 0, 0, false
+	}
+	y, err := strconv.ParseInt(b, 10, 64)
+	return clock.Millis(x), clock.Monotonic(y), err == nil
+}
+
+// advance lets time pass, and tells whether the runner would beat now. A run whose
+// hold is over has lapsed.
+func (s *standInRunner) advance(now clock.Monotonic) bool {
+	kept := s.runs[:0]
+	for _, w := range s.runs {
+		how := ""
+		switch {
+		case now > s.leaseEnd:
+			how = runnerapi.OutcomeLeaseLapsed
+			s.lapses++
+		case w.stopAt > 0 && now >= w.stopAt:
+			how = runnerapi.OutcomeStopped
+		case now.Since(w.startedAt) >= w.span:
+			how = runnerapi.OutcomeSuccess
+		}
+		if how == "" {
+			kept = append(kept, w)
+			continue
+		}
+		s.lastEnd++
+		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.lastEnd, Task: w.task, Attempt: w.attempt, Outcome: how})
+	}
+	clear(s.runs[len(kept):])
+	s.runs = kept
+	return now >= s.nextHeartbeat
+}
+
+// heartbeat is what the runner says of itself.
+func (s *standInRunner) heartbeat(now clock.Monotonic) agent.Heartbeat {
+	s.seq++
+	b := agent.Heartbeat{Runner: s.incarnation, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Capacity: s.capacity}
+	for _, w := range s.runs {
+		b.Active = append(b.Active, runnerapi.RunState{Task: w.task, Attempt: w.attempt, ProgressPercent: min(100, int64(now.Since(w.startedAt)*100/w.span))})
+	}
+	b.Finished = append(b.Finished, s.ends...)
+	return b
+}
+
+// applyOrders takes the answer to a beat that was sent at the given time.
+func (s *standInRunner) applyOrders(o agent.Orders, sent, now clock.Monotonic) {
+	s.nextHeartbeat = sent + clock.Monotonic(max(1, o.NextHeartbeat))
+	if o.Lease > 0 {
+		s.leaseEnd = max(s.leaseEnd, sent.Add(o.Lease))
+	}
+	left := s.ends[:0]
+	for _, e := range s.ends {
+		if e.Seq > o.ObservedThrough {
+			left = append(left, e)
+		}
+	}
+	s.ends = left
+	for _, x := range o.Stop {
+		if w := s.find(x.Task, x.Attempt); w != nil && w.stopAt == 0 {
+			w.stopAt = now.Add(stopDelay)
+		}
+	}
+	for _, x := range o.Start {
+		s.start(x, now)
+	}
+}
+
+func (s *standInRunner) find(task identifier.TaskRef, no uint64) *taskRun {
+	for _, one := range s.runs {
+		if one.task == task && one.attempt == no {
+			return one
+		}
+	}
+	return nil
+}
+
+// startProcess turns away what bears no note, and takes the same start only once.
+func (s *standInRunner) start(x runnerapi.Start, now clock.Monotonic) {
+	if s.find(x.Task, x.Attempt) != nil {
+		return
+	}
+	span, handed, ok := decodePayload(x.Payload)
+	if !ok {
+		s.lastEnd++
+		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.lastEnd, Task: x.Task, Attempt: x.Attempt, Outcome: runnerapi.OutcomeRejected})
+		return
+	}
+	if s.vary != nil {
+		span = s.vary(span)
+	}
+	s.runs = append(s.runs, &taskRun{task: x.Task, attempt: x.Attempt, span: span, startedAt: now})
+	if s.onStart != nil {
+		s.onStart(handed, now)
+	}
+}
--- a/tests/scale/runner_test.go
+++ b/tests/scale/standin_runner_test.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/clock"
 )
 
-func startOf(num int, span clock.Millis) runnerapi.Start {
-	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, Attempt: 1, Payload: note(span, 40)}
+func newStart(num int, span clock.Millis) runnerapi.Start {
+	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, Attempt: 1, Payload: encodePayload(span, 40)}
 }
 
 // TestStandIn: a run begins on order and once, shows how far it is, ends well
@@ -18,65 +18,65 @@
 func TestStandIn(t *testing.T) {
 	var handed, began clock.Monotonic
 	count := 0
-	s := &standIn{inc: "a", begun: func(h, at clock.Monotonic) { handed, began, count = h, at, count+1 }}
-	if !s.due(0) {
+	s := &standInRunner{incarnation: "a", onStart: func(h, at clock.Monotonic) { handed, began, count = h, at, count+1 }}
+	if !s.advance(0) {
 		t.Fatal("no first beat")
 	}
-	if b := s.beat(0); b.Seq != 1 || b.Runner != "a" || b.Pool != pool || len(b.Active) > 0 {
+	if b := s.heartbeat(0); b.Seq != 1 || b.Runner != "a" || b.Pool != pool || len(b.Active) > 0 {
 		t.Errorf("first beat %+v", b)
 	}
-	o := agent.Orders{Lease: 6000, NextHeartbeat: 100, Start: []runnerapi.Start{startOf(0, 1000)}}
-	s.obey(o, 0, 50)
-	s.obey(o, 0, 60)
+	o := agent.Orders{Lease: 6000, NextHeartbeat: 100, Start: []runnerapi.Start{newStart(0, 1000)}}
+	s.applyOrders(o, 0, 50)
+	s.applyOrders(o, 0, 60)
 	if count != 1 || handed != 40 || began != 50 {
 		t.Errorf("%d starts, handed in %d, begun %d", count, handed, began)
 	}
-	if s.due(99) || !s.due(100) {
+	if s.advance(99) || !s.advance(100) {
 		t.Error("does not beat every 100 ms")
 	}
-	if b := s.beat(550); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 || b.Active[0].Attempt != 1 {
+	if b := s.heartbeat(550); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 || b.Active[0].Attempt != 1 {
 		t.Errorf("half way: %+v", b.Active)
 	}
-	s.due(1049)
+	s.advance(1049)
 	if len(s.runs) != 1 {
 		t.Error("ended before its span was over")
 	}
-	s.due(1050)
+	s.advance(1050)
 	for range 2 {
-		b := s.beat(1100)
+		b := s.heartbeat(1100)
 		if len(b.Active) != 0 || len(b.Finished) != 1 || b.Finished[0].Outcome != runnerapi.OutcomeSuccess || b.Finished[0].Seq != 1 {
 			t.Fatalf("after its span: %+v", b)
 		}
-		s.obey(agent.Orders{Lease: 6000, NextHeartbeat: 100}, 1100, 1100)
+		s.applyOrders(agent.Orders{Lease: 6000, NextHeartbeat: 100}, 1100, 1100)
 	}
-	s.obey(agent.Orders{Lease: 6000, NextHeartbeat: 100, ObservedThrough: 1}, 1200, 1200)
-	if b := s.beat(1300); len(b.Finished) != 0 {
+	s.applyOrders(agent.Orders{Lease: 6000, NextHeartbeat: 100, ObservedThrough: 1}, 1200, 1200)
+	if b := s.heartbeat(1300); len(b.Finished) != 0 {
 		t.Errorf("an observed end is told again: %+v", b.Finished)
 	}
 }
 
 // TestStandInEnds: on order, past the hold, and what bears no note.
 func TestStandInEnds(t *testing.T) {
-	s := &standIn{}
-	bad := startOf(2, 1000)
+	s := &standInRunner{}
+	bad := newStart(2, 1000)
 	bad.Payload = "x"
-	s.obey(agent.Orders{Lease: 1000, Start: []runnerapi.Start{startOf(0, 9000), startOf(1, 9000), bad}}, 0, 0)
-	s.obey(agent.Orders{Lease: 1000, Stop: []runnerapi.RunStop{{Task: startOf(0, 1).Task, Attempt: 1}}}, 100, 100)
-	s.due(249)
+	s.applyOrders(agent.Orders{Lease: 1000, Start: []runnerapi.Start{newStart(0, 9000), newStart(1, 9000), bad}}, 0, 0)
+	s.applyOrders(agent.Orders{Lease: 1000, Stop: []runnerapi.RunStop{{Task: newStart(0, 1).Task, Attempt: 1}}}, 100, 100)
+	s.advance(249)
 	if len(s.runs) != 2 {
 		t.Errorf("%d runs before the stop took hold", len(s.runs))
 	}
-	s.due(250)
-	s.due(1100)
+	s.advance(250)
+	s.advance(1100)
 	if len(s.runs) != 1 {
 		t.Errorf("%d runs under the hold", len(s.runs))
 	}
-	s.due(1101)
+	s.advance(1101)
 	if s.lapses != 1 {
 		t.Errorf("%d lapses counted", s.lapses)
 	}
 	want := []string{runnerapi.OutcomeRejected, runnerapi.OutcomeStopped, runnerapi.OutcomeLeaseLapsed}
-	b := s.beat(1101)
+	b := s.heartbeat(1101)
 	if len(b.Finished) != len(want) || len(b.Active) != 0 {
 		t.Fatalf("ends %+v", b.Finished)
 	}
@@ -89,13 +89,13 @@
 
 // TestStandInVaries: the percentage and the end go by how long a run really takes.
 func TestStandInVaries(t *testing.T) {
-	s := &standIn{vary: func(span clock.Millis) clock.Millis { return span * 2 }}
-	s.obey(agent.Orders{Lease: 6000, Start: []runnerapi.Start{startOf(0, 1000)}}, 0, 0)
-	s.due(1999)
-	if b := s.beat(1000); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 {
+	s := &standInRunner{vary: func(span clock.Millis) clock.Millis { return span * 2 }}
+	s.applyOrders(agent.Orders{Lease: 6000, Start: []runnerapi.Start{newStart(0, 1000)}}, 0, 0)
+	s.advance(1999)
+	if b := s.heartbeat(1000); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 {
 		t.Errorf("%+v", b.Active)
 	}
-	if s.due(2000); len(s.runs) != 0 {
+	if s.advance(2000); len(s.runs) != 0 {
 		t.Error("did not end")
 	}
 }
@@ -103,11 +103,11 @@
 // TestAgentAndStandIn: behind a real agent that was never in touch the runner
 // gets no hold, and so begins nothing.
 func TestAgentAndStandIn(t *testing.T) {
-	s := &standIn{inc: "a", domain: "n", rack: "r"}
+	s := &standInRunner{incarnation: "a", domain: "n", rack: "r"}
 	m := agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: 6000, HeartbeatInterval: 100}, 0)
-	o := m.HandleHeartbeat(s.beat(0), 0)
-	s.obey(o, 0, 0)
-	if o.Lease != 0 || s.until != 0 || s.next != 100 || len(m.TakeOutput().Messages) != 1 {
-		t.Errorf("orders %+v, until %d, next %d", o, s.until, s.next)
+	o := m.HandleHeartbeat(s.heartbeat(0), 0)
+	s.applyOrders(o, 0, 0)
+	if o.Lease != 0 || s.leaseEnd != 0 || s.nextHeartbeat != 100 || len(m.TakeOutput().Messages) != 1 {
+		t.Errorf("orders %+v, until %d, next %d", o, s.leaseEnd, s.nextHeartbeat)
 	}
 }
