--- a/tests/scale/catalog_changes.go
+++ b/tests/scale/catalog_changes.go
@@ -1,75 +1,125 @@
-// Catalogues of many queues, and how long every gate takes to have a change.
 package main
 
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 	"time"
 
 	"github.com/go-faster/errors"
 
 	"orchidward/internal/api/catalog"
+	"orchidward/internal/api/endpoint"
 )
 
+const (
+	// changeTimeout is how long every gateway may take to have a change.
+	changeTimeout = 12 * time.Second
+	// changeSettleTime is waited after a change before its cost is sampled.
+	changeSettleTime = 300 * time.Millisecond
+	hostCount        = 280
+)
+
+// Names of the figures of a change of the catalog.
+const (
+	figureBodyKB        = "bodyKB"
+	figureAccepted      = "takenMs"
+	figureAllGateways   = "allGatesMs"
+	figureChangeIn      = "gateInKB"
+	figureChangeCPU     = "gateCpuMs"
+	figureChangeMB      = "gateMB"
+	figureChangeLeader  = "leadCpuMs"
+	figureChangeLeadMB  = "leadMB"
+	figureChangeLeadOut = "leadOutKB"
+	figureSeconds       = "seconds"
+)
+
+// catalogChanges changes the catalog, and measures how long every gateway takes to have
+// a change.
 type catalogChanges struct {
 	cluster *cluster
 	version uint64
 }
 
+// catalogItems are queues and pools in a change.
+type catalogItems struct {
+	Queues []catalog.Queue `json:"queues,omitempty"`
+	Pools  []catalog.Pool  `json:"pools,omitempty"`
+}
+
+// changeDocument is a change of the catalog: a PUT has items, a PATCH has those to put.
+type changeDocument struct {
+	Base    uint64 `json:"base"`
+	Version uint64 `json:"version"`
+	catalogItems
+	Put *catalogItems `json:"put,omitempty"`
+}
+
 func makeQueue(i int) catalog.Queue {
-	return catalog.Queue{Name: fmt.Sprintf("q%d", i), Host: fmt.Sprintf("team-%d.jobs.example", i%280), Prefix: fmt.Sprintf("/queues/q%d/", i), Pool: pool, Priority: int64(i % 4), MaxAttempts: 3, LatencyFactor: 2000, LatencyTarget: 60000, Timeout: 600000}
+	return catalog.Queue{
+		Name:          fmt.Sprintf("q%d", i),
+		Host:          fmt.Sprintf("team-%d.jobs.example", i%hostCount),
+		Prefix:        fmt.Sprintf("/queues/q%d/", i),
+		Pool:          pool,
+		Priority:      int64(i % 4),
+		MaxAttempts:   3,
+		LatencyFactor: 2000,
+		LatencyTarget: 60000,
+		Timeout:       600000,
+	}
 }
 
-// change sends one and waits until it is taken.
-func (k *catalogChanges) change(verb string, doc map[string]any) (bytes int, err error) {
-	doc["base"], doc["version"] = k.version, k.version+1
-	body, err := json.Marshal(doc)
+// change sends a change and waits until it is accepted. It returns the body's size.
+func (c *catalogChanges) change(method string, document changeDocument) (bytes int, err error) {
+	document.Base = c.version
+	document.Version = c.version + 1
+	body, err := json.Marshal(document)
 	if err != nil {
 		return 0, err
 	}
-	status, answer, err := k.cluster.send(verb, "http://"+k.cluster.gatewayHTTP[0]+"/v1/catalog", string(body))
+	status, response, err := c.cluster.send(method, "http://"+c.cluster.gatewayHTTP[0]+endpoint.CatalogPath, string(body))
 	if err != nil {
 		return 0, err
 	}
-	if status != 200 {
-		return 0, errors.Errorf("%s catalogue: %d %s", verb, status, answer)
+	if status != http.StatusOK {
+		return 0, errors.Errorf("%s catalog: %d %s", method, status, response)
 	}
-	k.version++
+	c.version++
 	return len(body), nil
 }
 
-func (k *catalogChanges) replaceAll(n int) (bytes int, err error) {
-	list := []catalog.Queue{}
-	for i := range n {
-		list = append(list, makeQueue(i))
+// replaceAll replaces the catalog by one of so many queues.
+func (c *catalogChanges) replaceAll(queues int) (bytes int, err error) {
+	items := catalogItems{Pools: []catalog.Pool{{Name: pool}}}
+	for i := range queues {
+		items.Queues = append(items.Queues, makeQueue(i))
 	}
-	return k.change("PUT", map[string]any{"queues": list, "pools": []catalog.Pool{{Name: pool}}})
+	return c.change(http.MethodPut, changeDocument{catalogItems: items})
 }
 
-func (k *catalogChanges) changeOne(i int) (bytes int, err error) {
-	q := makeQueue(i)
-	q.Priority = int64(k.version % 4)
-	return k.change("PATCH", map[string]any{"put": map[string]any{"queues": []catalog.Queue{q}}})
+// changeOne changes one queue.
+func (c *catalogChanges) changeOne(i int) (bytes int, err error) {
+	queue := makeQueue(i)
+	queue.Priority = int64(c.version % 4)
+	return c.change(http.MethodPatch, changeDocument{Put: &catalogItems{Queues: []catalog.Queue{queue}}})
 }
 
-// epochs is the table's epoch at each gate.
-func (k *catalogChanges) epochs() []float64 {
-	var list []float64
-	for _, front := range k.cluster.gatewayHTTP {
-		vals, err := k.cluster.metrics(front)
-		if err != nil {
-			vals = map[string]float64{}
-		}
-		list = append(list, vals["table_epoch"])
+// epochs are the epochs of the routing table at the gateways, 0 for one that does not
+// answer.
+func (c *catalogChanges) epochs() []float64 {
+	var epochs []float64
+	for _, addr := range c.cluster.gatewayHTTP {
+		metrics, _ := c.cluster.metrics(addr)
+		epochs = append(epochs, metrics["table_epoch"])
 	}
-	return list
+	return epochs
 }
 
-// measure makes a change and measures until every gate has it.
-func (k *catalogChanges) measure(phase string, n int, change func() (bytes int, err error)) (measurement, error) {
+// measure makes a change, waits until every gateway has it, and measures its cost.
+func (c *catalogChanges) measure(phase string, queues int, change func() (bytes int, err error)) (measurement, error) {
 	var m measurement
-	was := k.epochs()
-	a, err := k.cluster.sample()
+	epochs := c.epochs()
+	before, err := c.cluster.sample()
 	if err != nil {
 		return m, err
 	}
@@ -78,31 +128,50 @@
 	if err != nil {
 		return m, err
 	}
-	taken := time.Since(sent)
-	err = k.cluster.wait(12*time.Second, "every gate has the change", func() bool {
-		for i, e := range k.epochs() {
-			if e <= was[i] {
-				return false
-			}
-		}
-		return true
-	})
+	accepted := time.Since(sent)
+	err = c.cluster.wait(changeTimeout, "every gateway has the change", func() bool { return c.allAbove(epochs) })
 	if err != nil {
 		return m, err
 	}
-	all := time.Since(sent)
-	time.Sleep(300 * time.Millisecond)
-	b, err := k.cluster.sample()
+	everywhere := time.Since(sent)
+	time.Sleep(changeSettleTime)
+	after, err := c.cluster.sample()
 	if err != nil {
 		return m, err
 	}
-	secs := b.at.Sub(a.at).Seconds()
-	m = measurement{Phase: phase, X: float64(n), Values: map[string]float64{"bodyKB": float64(bytes) / 1e3, "takenMs": float64(taken.Milliseconds()), "allGatesMs": float64(all.Milliseconds()),
-		"gateInKB": (b.gateways[0].readBytes - a.gateways[0].readBytes) / 1e3, "gateCpuMs": (b.gateways[0].cpu - a.gateways[0].cpu) * 1e3, "gateMB": b.gateways[0].rss / 1e6}}
-	if b.leader >= 0 && a.leader == b.leader {
-		u := b.servers[b.leader].ratesSince(a.servers[b.leader], 1)
-		m.Values["leadCpuMs"], m.Values["leadMB"], m.Values["leadOutKB"] = u.cpu*1e3, u.rss/1e6, u.writtenBytes/1e3
-	}
-	m.Values["seconds"] = secs
+	m = measurement{Phase: phase, X: float64(queues), Values: changeCosts(before, after)}
+	m.Values[figureBodyKB] = float64(bytes) / 1e3
+	m.Values[figureAccepted] = float64(accepted.Milliseconds())
+	m.Values[figureAllGateways] = float64(everywhere.Milliseconds())
 	return m, nil
 }
+
+// allAbove tells whether every gateway has a later epoch than before.
+func (c *catalogChanges) allAbove(epochs []float64) bool {
+	for i, epoch := range c.epochs() {
+		if epoch <= epochs[i] {
+			return false
+		}
+	}
+	return true
+}
+
+// changeCosts are what a change cost the first gateway and, unless it changed, the
+// leader.
+func changeCosts(before, after sample) map[string]float64 {
+	const once = 1
+	gateway := after.gateways[0].ratesSince(before.gateways[0], once)
+	values := map[string]float64{
+		figureChangeIn:  gateway.readBytes / 1e3,
+		figureChangeCPU: gateway.cpu * 1e3,
+		figureChangeMB:  gateway.rss / 1e6,
+		figureSeconds:   after.at.Sub(before.at).Seconds(),
+	}
+	if after.leader >= 0 && before.leader == after.leader {
+		leader := after.servers[after.leader].ratesSince(before.servers[after.leader], once)
+		values[figureChangeLeader] = leader.cpu * 1e3
+		values[figureChangeLeadMB] = leader.rss / 1e6
+		values[figureChangeLeadOut] = leader.writtenBytes / 1e3
+	}
+	return values
+}
--- a/tests/scale/cluster.go
+++ b/tests/scale/cluster.go
@@ -1,9 +1,6 @@
-// The fleet of a scale run: three keepers and gates, each in
-// a process of its own, and the hollow crowd in this one.
 package main
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -12,12 +9,15 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/go-faster/errors"
 
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
 	"orchidward/internal/daemon/lifecycle"
 )
@@ -25,9 +25,31 @@
 const (
 	serverCount  = 3
 	gatewayCount = 2
+	// serverProcs and gatewayProcs are the processors of each process.
 	serverProcs  = 2
+	gatewayProcs = 1
+	// maxBodyKB is the largest body that gateways accept.
+	maxBodyKB = "4096"
+
+	// Ports that are tried. A cluster takes portCount in a row: portsPerServer for each
+	// server, the rest for gateways.
+	firstPort      = 21000
+	lastPort       = 29000
+	portCount      = 50
+	portsPerServer = 10
+	httpPortOffset = 5
+	gatewayPorts   = 40
+
+	requestTimeout = 8 * time.Second
+	readyTimeout   = 20 * time.Second
+	stopTimeout    = 5 * time.Second
+	waitInterval   = 10 * time.Millisecond
 )
 
+// clientName is the client in whose name jobs are submitted.
+const clientName identifier.Client = "q"
+
+// cluster is the processes of a run, and the simulated agents.
 type cluster struct {
 	dir        string
 	goroutines *lifecycle.Group
@@ -35,156 +57,200 @@
 	agents     *simulatedAgents
 	http       *http.Client
 
-	servers, gateways, agentProcesses []*process
-	serverAddrs, serverHTTP           []string
-	gatewayHTTP                       []string
+	servers     []*process
+	serverAddrs []string
+	serverHTTP  []string
+	gateways    []*process
+	gatewayHTTP []string
 }
 
-// freePorts finds a row of ports that nobody listens on.
-func freePorts(n int) (first int, err error) {
-	for at := 21000; at < 29000; at += n {
-		free := true
-		for i := 0; i < n && free; i++ {
-			ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", at+i))
-			if free = err == nil; free {
-				ln.Close()
-			}
-		}
-		if free {
-			return at, nil
+// freePorts finds so many ports in a row on which nobody listens.
+func freePorts(count int) (first int, err error) {
+	for port := firstPort; port < lastPort; port += count {
+		if allFree(port, count) {
+			return port, nil
 		}
 	}
 	return 0, errors.New("no free ports")
 }
 
+func allFree(first, count int) bool {
+	for port := first; port < first+count; port++ {
+		listener, err := net.Listen("tcp", localAddr(port))
+		if err != nil {
+			return false
+		}
+		listener.Close()
+	}
+	return true
+}
+
 func localAddr(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
+// newCluster builds the programs into a folder and starts the processes. With an error
+// it may return a cluster, which the caller must close.
 func newCluster(dir string) (*cluster, error) {
-	var err error
-	f := &cluster{dir: dir, goroutines: lifecycle.New(), clock: clock.NewSystem(), http: &http.Client{Timeout: 8 * time.Second, Transport: &http.Transport{MaxIdleConnsPerHost: 32}}}
-	if _, err = os.Stat("cmd/orchidward-server"); err != nil {
+	if _, err := os.Stat("cmd/orchidward-server"); err != nil {
 		return nil, errors.Wrap(err, "run from the root of the repository")
 	}
-	cmd := exec.Command("go", "build", "-o", dir+"/", "./cmd/orchidward-server", "./cmd/orchidward-gateway")
-	cmd.Stderr = os.Stderr
-	if err = cmd.Run(); err != nil {
+	build := exec.Command("go", "build", "-o", dir+"/", "./cmd/orchidward-server", "./cmd/orchidward-gateway")
+	build.Stderr = os.Stderr
+	if err := build.Run(); err != nil {
 		return nil, errors.Wrap(err, "build")
 	}
-	return f, f.start()
+	c := &cluster{
+		dir:        dir,
+		goroutines: lifecycle.New(),
+		clock:      clock.NewSystem(),
+		http:       &http.Client{Timeout: requestTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: 32}},
+	}
+	return c, c.start()
 }
 
 // start starts the processes; those that came up are ended by close.
-func (f *cluster) start() error {
-	at, err := freePorts(50)
+func (c *cluster) start() error {
+	port, err := freePorts(portCount)
 	if err != nil {
 		return err
 	}
 	for i := range serverCount {
-		f.serverAddrs, f.serverHTTP = append(f.serverAddrs, localAddr(at+10*i)), append(f.serverHTTP, localAddr(at+10*i+5))
+		c.serverAddrs = append(c.serverAddrs, localAddr(port+portsPerServer*i))
+		c.serverHTTP = append(c.serverHTTP, localAddr(port+portsPerServer*i+httpPortOffset))
 	}
-	seeds := strings.Join(f.serverAddrs, ",")
+	seeds := strings.Join(c.serverAddrs, ",")
 	for i := range serverCount {
-		name := fmt.Sprintf("server-%d", i)
-		c, err := startProcess(f.dir, name, "orchidward-server", serverProcs, nil, "--data", filepath.Join(f.dir, "data-"+name), "--addr", f.serverAddrs[i], "--http", f.serverHTTP[i], "--domain", fmt.Sprintf("z%d", i), "--seeds", seeds)
-		if err != nil {
+		if err = c.startServer(i, seeds); err != nil {
 			return err
 		}
-		f.servers = append(f.servers, c)
 	}
 	for i := range gatewayCount {
-		f.gatewayHTTP = append(f.gatewayHTTP, localAddr(at+40+2*i+1))
-		c, err := startProcess(f.dir, fmt.Sprintf("gateway-%d", i), "orchidward-gateway", 1, nil, "--addr", localAddr(at+40+2*i), "--http", f.gatewayHTTP[i], "--domain", fmt.Sprintf("z%d", i), "--seeds", seeds, "--body-kb", "4096")
-		if err != nil {
+		if err = c.startGateway(i, port+gatewayPorts+2*i, seeds); err != nil {
 			return err
 		}
-		f.gateways = append(f.gateways, c)
-	}
-	f.agents = newSimulatedAgents(f.goroutines, f.clock, f.serverAddrs)
-	return f.wait(20*time.Second, "gates ready", func() bool {
-		for _, front := range f.gatewayHTTP {
-			if status, _, err := f.get("http://" + front + "/ready"); err != nil || status != 200 {
-				return false
-			}
-		}
-		return true
-	})
+	}
+	c.agents = newSimulatedAgents(c.goroutines, c.clock, c.serverAddrs)
+	return c.wait(readyTimeout, "gateways ready", c.gatewaysReady)
 }
 
-func (f *cluster) close() {
-	ctx, end := context.WithTimeout(context.Background(), 5*time.Second)
-	defer end()
-	_ = f.goroutines.Stop(ctx)
-	for _, list := range [][]*process{f.agentProcesses, f.gateways, f.servers} {
-		for _, c := range list {
-			c.end()
+func (c *cluster) startServer(i int, seeds string) error {
+	name := fmt.Sprintf("server-%d", i)
+	started, err := startProcess(c.dir, name, "orchidward-server", serverProcs,
+		"--data", filepath.Join(c.dir, "data-"+name),
+		"--addr", c.serverAddrs[i],
+		"--http", c.serverHTTP[i],
+		"--domain", fmt.Sprintf("z%d", i),
+		"--seeds", seeds)
+	if err != nil {
+		return err
+	}
+	c.servers = append(c.servers, started)
+	return nil
+}
+
+func (c *cluster) startGateway(i, port int, seeds string) error {
+	httpAddr := localAddr(port + 1)
+	started, err := startProcess(c.dir, fmt.Sprintf("gateway-%d", i), "orchidward-gateway", gatewayProcs,
+		"--addr", localAddr(port),
+		"--http", httpAddr,
+		"--domain", fmt.Sprintf("z%d", i),
+		"--seeds", seeds,
+		"--body-kb", maxBodyKB)
+	if err != nil {
+		return err
+	}
+	c.gatewayHTTP = append(c.gatewayHTTP, httpAddr)
+	c.gateways = append(c.gateways, started)
+	return nil
+}
+
+func (c *cluster) gatewaysReady() bool {
+	for _, addr := range c.gatewayHTTP {
+		status, _, err := c.get("http://" + addr + "/ready")
+		if err != nil || status != http.StatusOK {
+			return false
 		}
 	}
+	return true
+}
+
+// processes are all of them, the servers last.
+func (c *cluster) processes() []*process { return slices.Concat(c.gateways, c.servers) }
+
+// close ends what was started, gracefully.
+func (c *cluster) close() {
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
+	defer cancel()
+	_ = c.goroutines.Stop(ctx)
+	for _, p := range c.processes() {
+		p.end()
+	}
 }
 
 // kill ends the processes at once.
-func (f *cluster) kill() {
-	for _, list := range [][]*process{f.agentProcesses, f.gateways, f.servers} {
-		for _, c := range list {
-			_ = c.cmd.Process.Kill()
-		}
+func (c *cluster) kill() {
+	for _, p := range c.processes() {
+		_ = p.cmd.Process.Kill()
 	}
 }
 
-func (f *cluster) wait(most time.Duration, what string, met func() (ok bool)) error {
-	for end := time.Now().Add(most); !met(); time.Sleep(10 * time.Millisecond) {
+// wait waits until a condition is met; the error names what was waited for.
+func (c *cluster) wait(limit time.Duration, what string, met func() bool) error {
+	for end := time.Now().Add(limit); !met(); time.Sleep(waitInterval) {
 		if time.Now().After(end) {
-			return errors.Errorf("not within %v: %s", most, what)
+			return errors.Errorf("not within %v: %s", limit, what)
 		}
 	}
 	return nil
 }
 
-func (f *cluster) get(url string) (status int, body []byte, err error) {
-	return f.send(http.MethodGet, url, "")
+func (c *cluster) get(url string) (status int, body []byte, err error) {
+	return c.send(http.MethodGet, url, "")
 }
 
-func (f *cluster) send(verb, url, text string) (status int, body []byte, err error) {
-	r, err := http.NewRequest(verb, url, strings.NewReader(text))
+func (c *cluster) send(method, url, body string) (status int, response []byte, err error) {
+	request, err := http.NewRequest(method, url, strings.NewReader(body))
 	if err != nil {
 		return 0, nil, err
 	}
-	res, err := f.http.Do(r)
+	received, err := c.http.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
-	defer res.Body.Close()
-	body, err = io.ReadAll(res.Body)
-	return res.StatusCode, body, err
+	defer received.Body.Close()
+	response, err = io.ReadAll(received.Body)
+	return received.StatusCode, response, err
 }
 
-// metrics reads a daemon's metrics page.
-func (f *cluster) metrics(addr string) (map[string]float64, error) {
-	_, body, err := f.get("http://" + addr + "/metrics")
+// metrics reads the metrics page of a server or gateway, by names without prefix.
+func (c *cluster) metrics(addr string) (map[string]float64, error) {
+	_, page, err := c.get("http://" + addr + "/metrics")
 	if err != nil {
 		return nil, err
 	}
-	vals := map[string]float64{}
-	for s := bufio.NewScanner(strings.NewReader(string(body))); s.Scan(); {
-		key, val, _ := strings.Cut(s.Text(), " ")
-		if n, err := strconv.ParseFloat(val, 64); err == nil {
-			vals[strings.TrimPrefix(key, "orchidward_")] = n
+	values := map[string]float64{}
+	for _, line := range strings.Split(string(page), "\n") {
+		name, text, _ := strings.Cut(line, " ")
+		if value, err := strconv.ParseFloat(text, 64); err == nil {
+			values[strings.TrimPrefix(name, "orchidward_")] = value
 		}
 	}
-	return vals, nil
+	return values, nil
 }
 
-// leader is the place of the keeper that leads, -1 if none says so.
-func (f *cluster) leader() (i int, vals map[string]float64) {
-	for i, page := range f.serverHTTP {
-		if vals, err := f.metrics(page); err == nil && vals["leader"] == 1 {
-			return i, vals
+// leader is the number of the server that leads, -1 if none says so, and its metrics.
+func (c *cluster) leader() (number int, metrics map[string]float64) {
+	for i, addr := range c.serverHTTP {
+		metrics, err := c.metrics(addr)
+		if err == nil && metrics["leader"] == 1 {
+			return i, metrics
 		}
 	}
 	return -1, nil
 }
 
-// submit hands one job in at a gate.
-func (f *cluster) submit(front, id, body string) (status int, err error) {
-	status, _, err = f.send(http.MethodPut, "http://"+front+"/v1/jobs/q/"+id, body)
+// submit submits a job at a gateway.
+func (c *cluster) submit(gatewayHTTP, id, body string) (status int, err error) {
+	path := endpoint.JobPath(identifier.NewJobKey(clientName, identifier.JobID(id)))
+	status, _, err = c.send(http.MethodPut, "http://"+gatewayHTTP+path, body)
 	return status, err
 }
--- a/tests/scale/lease_trial.go
+++ b/tests/scale/lease_trial.go
@@ -1,11 +1,9 @@
-// A trial in virtual time of one agent whose core loses nothing and answers as
-// the leader does: a poll that a later one replaces at once, any other once it
-// has been held. No beat should go without a hold.
 package main
 
 import (
 	"encoding/json"
 	"fmt"
+	"net/http"
 
 	"orchidward/internal/agent"
 	"orchidward/internal/api/identifier"
@@ -21,7 +19,8 @@
 	pollHoldTime     clock.Millis    = 600
 )
 
-// stubLeader is the core of the trial: the poll it holds, and since when.
+// stubLeader answers polls as the leader does, and loses none: a poll that a later one
+// replaces at once, any other after pollHoldTime.
 type stubLeader struct {
 	agent    *agent.Agent
 	openPoll uint64
@@ -32,12 +31,12 @@
 func (s *stubLeader) answer(id uint64, now clock.Monotonic) {
 	text, err := json.Marshal(runnerapi.PollResponse{Lease: trialLease, StartTimeout: 1000})
 	if err != nil {
-		panic(err)
+		panic("scale: a response does not encode: " + err.Error())
 	}
-	s.agent.HandleMessage("k", wire.Message{Response: &wire.Response{ID: id, Status: 200, Body: text}}, now)
+	s.agent.HandleMessage("k", wire.Message{Response: &wire.Response{ID: id, Status: http.StatusOK, Body: text}}, now)
 }
 
-// step answers what is due and takes in what the agent sends.
+// step answers the poll that is due, and takes those that the agent sends.
 func (s *stubLeader) step(now clock.Monotonic) {
 	if s.openPoll != 0 && now.Since(s.openedAt) >= pollHoldTime {
 		id := s.openPoll
@@ -59,9 +58,10 @@
 	}
 }
 
-// leaseTrial has so many tasks of about such a span run on, out of step, and
-// counts the beats after the first ten seconds that were answered without a hold.
-func leaseTrial(tasks int, span clock.Millis) (polls, bare, beats int) {
+// leaseTrial runs an agent in virtual time with so many running tasks of about such a
+// span, out of step. It counts the polls, and of the heartbeats after the warm-up those
+// that were answered without a lease, of which there should be none.
+func leaseTrial(tasks int, span clock.Millis) (polls, withoutLease, heartbeats int) {
 	s := &standInRunner{incarnation: "a", domain: "n", rack: "r", leaseEnd: 1 << 40}
 	c := &stubLeader{agent: agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: maxLease, HeartbeatInterval: heartbeatInterval}, 0)}
 	for i := range tasks {
@@ -73,15 +73,15 @@
 			o := c.agent.HandleHeartbeat(s.heartbeat(now), now)
 			s.applyOrders(o, now, now)
 			if now > leaseTrialWarmUp {
-				beats++
+				heartbeats++
 				if o.Lease == 0 {
-					bare++
+					withoutLease++
 				}
 			}
 		}
 		c.step(now)
 	}
-	return c.polls, bare, beats
+	return c.polls, withoutLease, heartbeats
 }
 
 func runLeaseTrials() {
@@ -89,7 +89,7 @@
 		tasks int
 		span  clock.Millis
 	}{{1, 117_000}, {5, 117_000}, {14, 117_000}, {14, 300_000}, {24, 3_000_000}, {14, 30_000}, {14, 1 << 40}} {
-		polls, bare, beats := leaseTrial(one.tasks, one.span)
-		fmt.Printf("%d tasks of %d s: %.2f polls/s, %d of %d beats without a hold\n", one.tasks, one.span/1000, float64(polls)/float64(leaseTrialTime)*1000, bare, beats)
+		polls, withoutLease, heartbeats := leaseTrial(one.tasks, one.span)
+		fmt.Printf("%d tasks of %d s: %.2f polls/s, %d of %d heartbeats without a lease\n", one.tasks, one.span/1000, float64(polls)/float64(leaseTrialTime)*1000, withoutLease, heartbeats)
 	}
 }
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -1,9 +1,9 @@
-// The load hands jobs in at the gates at a steady rate of tasks.
 package main
 
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -18,36 +18,41 @@
 	maxGang      = 64
 	gangInterval = 4 * time.Second
 	submitters   = 8
-	// shortTask is the mean of the short tasks' spans.
+	// shortTask is the mean span of short tasks, in ms.
 	shortTask clock.Millis = 3000
 )
 
+// queueFull stands for the status of jobs that the load's own queue did not take.
+const queueFull = -1
+
+// load submits jobs at the gateways at a steady rate of tasks.
 type load struct {
 	cluster  *cluster
 	jobs     *lifecycle.Queue[string]
 	next     atomic.Uint64
 	accepted atomic.Int64
-	// rejected counts jobs that were not taken, by status; 0 is no answer.
+	// rejected counts jobs that were not accepted, by status: 0 for no response, queueFull
+	// for the load's own queue.
 	mu       sync.Mutex
 	rejected map[int]int
 }
 
-func newLoad(f *cluster) *load {
-	l := &load{cluster: f, jobs: lifecycle.NewQueue[string](2048), rejected: map[int]int{}}
+func newLoad(c *cluster) *load {
+	l := &load{cluster: c, jobs: lifecycle.NewQueue[string](2048), rejected: map[int]int{}}
 	for i := range submitters {
-		f.goroutines.Go(func(stop <-chan struct{}) { l.submitJobs(f.gatewayHTTP[i%len(f.gatewayHTTP)], stop) })
+		c.goroutines.Go(func(stop <-chan struct{}) { l.submitJobs(c.gatewayHTTP[i%len(c.gatewayHTTP)], stop) })
 	}
 	return l
 }
 
-func (l *load) submitJobs(front string, stop <-chan struct{}) {
+func (l *load) submitJobs(gatewayHTTP string, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case body := <-l.jobs.Out():
 			id := fmt.Sprintf("%016x", l.next.Add(1))
-			if status, err := l.cluster.submit(front, id, body); err == nil && status < 300 {
+			if status, err := l.cluster.submit(gatewayHTTP, id, body); err == nil && status < http.StatusMultipleChoices {
 				l.accepted.Add(1)
 			} else {
 				l.mu.Lock()
@@ -58,25 +63,24 @@
 	}
 }
 
-// job is so many like tasks, whole as a gang if asked.
+// job is a job of so many equal tasks, as a gang if asked for.
 func (l *load) job(tasks int, span clock.Millis, gang bool, gpus int) string {
 	return fmt.Sprintf(`{"queue":%q,"text":%q,"steps":[{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}]}`,
 		queue, encodePayload(span, l.cluster.clock.Now()), tasks, gang, gpus, span)
 }
 
-// submit hands a job to whoever posts next; one that finds the line full is
-// counted as not taken.
+// submit queues a job to be submitted; it counts as rejected if the queue is full.
 func (l *load) submit(body string) {
 	if !l.jobs.TryPush(body) {
 		l.mu.Lock()
-		l.rejected[-1]++
+		l.rejected[queueFull]++
 		l.mu.Unlock()
 	}
 }
 
-// startProcess offers rate tasks a second until the returned function is called: one
-// gang every gangInterval, of the rate's size and at most maxGang, the rest in
-// jobs of at most jobTasks.
+// start submits rate tasks a second until the returned function is called: one gang every
+// gangInterval, of the rate's size and at most maxGang, the rest in jobs of at most
+// jobTasks.
 func (l *load) start(rate int, seed uint64) func() {
 	over := make(chan struct{})
 	rnd := rand.New(rand.NewPCG(seed, 1))
--- a/tests/scale/main.go
+++ b/tests/scale/main.go
@@ -1,7 +1,3 @@
-// scale measures what a site costs as it grows: a keeper group of three and
-// gates in processes of their own, and hollow agents with
-// stand-in runners in this one. It is bounded in time, ends what it started,
-// prints one table and draws one plot.
 package main
 
 import (
@@ -25,7 +21,7 @@
 	phases      string
 	longTask    time.Duration
 	keepFiles   bool
-	// The site's size.
+	// The full size.
 	runners, starts, tasks int
 }
 
@@ -41,10 +37,10 @@
 	flag.StringVar(&s.phases, "phases", "fleet,queues,starts,clerk,running,all", "which to run; without fleet all runners are there from the start")
 	flag.DurationVar(&s.longTask, "long", 50*time.Minute, "mean span of the tasks that run on; every hundredth of it the percentage of one moves")
 	flag.BoolVar(&s.keepFiles, "keep", false, "keep the processes' logs and data")
-	flag.IntVar(&s.runners, "runners", defaultRunners, "runners at the site's size")
-	flag.IntVar(&s.starts, "starts", defaultStarts, "starts a second at the site's size")
-	flag.IntVar(&s.tasks, "tasks", defaultTasks, "tasks running at the site's size")
-	hold := flag.Bool("hold", false, "only the trial in virtual time of one agent's hold")
+	flag.IntVar(&s.runners, "runners", defaultRunners, "runners at full size")
+	flag.IntVar(&s.starts, "starts", defaultStarts, "starts a second at full size")
+	flag.IntVar(&s.tasks, "tasks", defaultTasks, "tasks running at full size")
+	hold := flag.Bool("hold", false, "only the trial in virtual time of one agent's lease")
 	flag.Parse()
 	if *hold {
 		runLeaseTrials()
--- a/tests/scale/measure.go
+++ b/tests/scale/measure.go
@@ -1,4 +1,3 @@
-// A measurement is the difference of two looks at the whole fleet.
 package main
 
 import (
@@ -7,133 +6,187 @@
 	"time"
 )
 
-// sample is all that can be counted at one moment.
+// sample is all that is counted, at one moment.
 type sample struct {
-	at            time.Time
+	at time.Time
+	// leader is the number of the server that leads, -1 for none.
 	leader        int
 	servers       []usage
 	gateways      []usage
-	agents        []usage
 	self          usage
 	commitIndex   float64
 	snapshotIndex float64
-
-	starts, ends, lapsed, sent, received float64
-	bytesOut, bytesIn                    float64
-	sampled                              float64
+	agents        agentCounts
 }
 
-func (f *cluster) sample() (sample, error) {
-	var l sample
+func (c *cluster) sample() (sample, error) {
 	var err error
-	l.at = time.Now()
-	for _, set := range []struct {
-		list []*process
-		into *[]usage
-	}{{f.servers, &l.servers}, {f.gateways, &l.gateways}, {f.agentProcesses, &l.agents}} {
-		for _, c := range set.list {
-			u, err := usageOf(c.pid())
-			if err != nil {
-				return l, err
-			}
-			*set.into = append(*set.into, u)
-		}
+	s := sample{at: time.Now()}
+	if s.servers, err = usageOfAll(c.servers); err != nil {
+		return s, err
+	}
+	if s.gateways, err = usageOfAll(c.gateways); err != nil {
+		return s, err
 	}
-	if l.self, err = usageOf(os.Getpid()); err != nil {
-		return l, err
+	if s.self, err = usageOf(os.Getpid()); err != nil {
+		return s, err
 	}
-	lead, vals := f.leader()
-	if l.leader = lead; lead >= 0 {
-		l.commitIndex, l.snapshotIndex = vals["commit_index"], vals["snapshot_index"]
+	leader, metrics := c.leader()
+	s.leader = leader
+	if leader >= 0 {
+		s.commitIndex = metrics["commit_index"]
+		s.snapshotIndex = metrics["snapshot_index"]
 	}
-	w := f.agents
-	l.starts, l.ends, l.lapsed, l.sent, l.received = float64(w.starts.Load()), float64(w.ends.Load()), float64(w.lapsed.Load()), float64(w.sent.Load()), float64(w.received.Load())
-	out, in, n := w.sampled()
-	l.bytesOut, l.bytesIn, l.sampled = float64(out), float64(in), float64(n)
-	return l, nil
+	s.agents = c.agents.counts()
+	return s, nil
 }
 
-// measurement is one point: what was varied, how far, and what came of it.
+func usageOfAll(processes []*process) ([]usage, error) {
+	var list []usage
+	for _, p := range processes {
+		u, err := usageOf(p.pid())
+		if err != nil {
+			return nil, err
+		}
+		list = append(list, u)
+	}
+	return list, nil
+}
+
+// measurement is one measurement of a point: what was varied, how far, and the figures.
 type measurement struct {
 	Phase  string             `json:"phase"`
 	X      float64            `json:"x"`
 	Values map[string]float64 `json:"values"`
 }
 
-// figureOrder are the columns of the table, in order.
-var figureOrder = []string{"leadCpu%", "leadMB", "leadInKB/s", "leadOutKB/s", "leadGets/s", "leadPuts/s", "entries/s", "views",
-	"followCpu%", "followMB", "followInKB/s", "followOutKB/s", "followPuts/s", "gateCpu%", "gateMB", "gateInKB/s", "gateOutKB/s",
-	"agentCpu%", "agentMB", "agentInKB/s", "agentOutKB/s", "polls/s/agent", "pollOutB/s/agent", "pollInB/s/agent",
-	"starts/s", "lapsed/s", "waitP50ms", "waitP99ms", "waitMaxms", "running", "cores"}
+// Names of figures. Those of followers and gateways are means over them.
+const (
+	figureLeaderCPU     = "leadCpu%"
+	figureLeaderMB      = "leadMB"
+	figureLeaderIn      = "leadInKB/s"
+	figureLeaderOut     = "leadOutKB/s"
+	figureLeaderReads   = "leadGets/s"
+	figureLeaderWrites  = "leadPuts/s"
+	figureEntries       = "entries/s"
+	figureSnapshots     = "views"
+	figureFollowerCPU   = "followCpu%"
+	figureFollowerMB    = "followMB"
+	figureFollowerIn    = "followInKB/s"
+	figureFollowerOut   = "followOutKB/s"
+	figureFollowerWrite = "followPuts/s"
+	figureGatewayCPU    = "gateCpu%"
+	figureGatewayMB     = "gateMB"
+	figureGatewayIn     = "gateInKB/s"
+	figureGatewayOut    = "gateOutKB/s"
+	figureAgentPolls    = "polls/s/agent"
+	figureAgentOut      = "pollOutB/s/agent"
+	figureAgentIn       = "pollInB/s/agent"
+	figureStarts        = "starts/s"
+	figureLapsed        = "lapsed/s"
+	figureWaitP50       = "waitP50ms"
+	figureWaitP99       = "waitP99ms"
+	figureWaitMax       = "waitMaxms"
+	figureRunning       = "running"
+	figureCores         = "cores"
+	// figurePolls is the polls a second of all agents together, which is not printed.
+	figurePolls = "polls"
+)
 
-// measure looks, waits, looks again.
-func (f *cluster) measure(phase string, x float64, window time.Duration) (measurement, error) {
+// figureOrder are the figures in the order of the table.
+var figureOrder = []string{
+	figureLeaderCPU, figureLeaderMB, figureLeaderIn, figureLeaderOut, figureLeaderReads, figureLeaderWrites,
+	figureEntries, figureSnapshots,
+	figureFollowerCPU, figureFollowerMB, figureFollowerIn, figureFollowerOut, figureFollowerWrite,
+	figureGatewayCPU, figureGatewayMB, figureGatewayIn, figureGatewayOut,
+	figureAgentPolls, figureAgentOut, figureAgentIn,
+	figureStarts, figureLapsed, figureWaitP50, figureWaitP99, figureWaitMax, figureRunning, figureCores,
+}
+
+// measure measures a point over a window. It fails if the leader changes meanwhile.
+func (c *cluster) measure(phase string, x float64, window time.Duration) (measurement, error) {
 	var m measurement
-	f.agents.takeWaits()
-	a, err := f.sample()
+	c.agents.takeWaits()
+	before, err := c.sample()
 	if err != nil {
 		return m, err
 	}
 	time.Sleep(window)
-	b, err := f.sample()
+	after, err := c.sample()
 	if err != nil {
 		return m, err
 	}
-	if a.leader < 0 || a.leader != b.leader {
-		return m, fmt.Errorf("%s %v: the leader changed or was not found (%d, %d)", phase, x, a.leader, b.leader)
+	if before.leader < 0 || before.leader != after.leader {
+		return m, fmt.Errorf("%s %v: the leader changed or was not found (%d, %d)", phase, x, before.leader, after.leader)
 	}
-	m = measurement{Phase: phase, X: x, Values: rates(a, b)}
-	h := f.agents.takeWaits()
-	if h.TotalCount() > 0 {
-		m.Values["waitP50ms"], m.Values["waitP99ms"], m.Values["waitMaxms"] = float64(h.ValueAtQuantile(50)), float64(h.ValueAtQuantile(99)), float64(h.Max())
+	m = measurement{Phase: phase, X: x, Values: rates(before, after)}
+	if waits := c.agents.takeWaits(); waits.TotalCount() > 0 {
+		m.Values[figureWaitP50] = float64(waits.ValueAtQuantile(50))
+		m.Values[figureWaitP99] = float64(waits.ValueAtQuantile(99))
+		m.Values[figureWaitMax] = float64(waits.Max())
 	}
-	m.Values["running"] = float64(f.agents.running.Load())
+	m.Values[figureRunning] = float64(c.agents.running.Load())
 	return m, nil
 }
 
-func rates(a, b sample) map[string]float64 {
-	secs := b.at.Sub(a.at).Seconds()
-	v := map[string]float64{}
-	cores := b.self.ratesSince(a.self, secs).cpu
-	put := func(name string, val float64, of int) { v[name] += val / float64(of) }
-	for i := range b.servers {
-		u := b.servers[i].ratesSince(a.servers[i], secs)
-		cores += u.cpu
-		if i == b.leader {
-			v["leadCpu%"], v["leadMB"], v["leadInKB/s"], v["leadOutKB/s"] = u.cpu*100, u.rss/1e6, u.readBytes/1e3, u.writtenBytes/1e3
-			v["leadGets/s"], v["leadPuts/s"] = u.readCalls, u.writeCalls
-			continue
+// rates are the figures of the time between two samples.
+func rates(before, after sample) map[string]float64 {
+	seconds := after.at.Sub(before.at).Seconds()
+	values := map[string]float64{}
+	cores := after.self.ratesSince(before.self, seconds).cpu
+	for i := range after.servers {
+		rate := after.servers[i].ratesSince(before.servers[i], seconds)
+		cores += rate.cpu
+		if i == after.leader {
+			addLeader(values, rate)
+		} else {
+			addFollower(values, rate, len(after.servers)-1)
 		}
-		put("followCpu%", u.cpu*100, len(b.servers)-1)
-		put("followMB", u.rss/1e6, len(b.servers)-1)
-		put("followInKB/s", u.readBytes/1e3, len(b.servers)-1)
-		put("followOutKB/s", u.writtenBytes/1e3, len(b.servers)-1)
-		put("followPuts/s", u.writeCalls, len(b.servers)-1)
-	}
-	for i := range b.gateways {
-		u := b.gateways[i].ratesSince(a.gateways[i], secs)
-		cores += u.cpu
-		put("gateCpu%", u.cpu*100, len(b.gateways))
-		put("gateMB", u.rss/1e6, len(b.gateways))
-		put("gateInKB/s", u.readBytes/1e3, len(b.gateways))
-		put("gateOutKB/s", u.writtenBytes/1e3, len(b.gateways))
 	}
-	for i := range b.agents {
-		u := b.agents[i].ratesSince(a.agents[i], secs)
-		cores += u.cpu
-		put("agentCpu%", u.cpu*100, len(b.agents))
-		put("agentMB", u.rss/1e6, len(b.agents))
-		put("agentInKB/s", u.readBytes/1e3, len(b.agents))
-		put("agentOutKB/s", u.writtenBytes/1e3, len(b.agents))
+	for i := range after.gateways {
+		rate := after.gateways[i].ratesSince(before.gateways[i], seconds)
+		cores += rate.cpu
+		addGateway(values, rate, len(after.gateways))
 	}
-	if n := b.sampled; n > 0 {
-		v["pollOutB/s/agent"], v["pollInB/s/agent"] = (b.bytesOut-a.bytesOut)/n/secs, (b.bytesIn-a.bytesIn)/n/secs
+	if n := after.agents.sampled; n > 0 {
+		values[figureAgentOut] = (after.agents.bytesOut - before.agents.bytesOut) / n / seconds
+		values[figureAgentIn] = (after.agents.bytesIn - before.agents.bytesIn) / n / seconds
 	}
-	v["polls"] = (b.sent - a.sent) / secs
-	v["starts/s"], v["entries/s"], v["cores"] = (b.starts-a.starts)/secs, (b.commitIndex-a.commitIndex)/secs, cores
-	v["lapsed/s"] = (b.lapsed - a.lapsed) / secs
-	if b.snapshotIndex != a.snapshotIndex {
-		v["views"] = 1
+	values[figurePolls] = (after.agents.sent - before.agents.sent) / seconds
+	values[figureStarts] = (after.agents.starts - before.agents.starts) / seconds
+	values[figureLapsed] = (after.agents.lapsed - before.agents.lapsed) / seconds
+	values[figureEntries] = (after.commitIndex - before.commitIndex) / seconds
+	values[figureCores] = cores
+	if after.snapshotIndex != before.snapshotIndex {
+		values[figureSnapshots] = 1
 	}
-	return v
+	return values
+}
+
+func addLeader(values map[string]float64, rate usage) {
+	values[figureLeaderCPU] = rate.cpu * 100
+	values[figureLeaderMB] = rate.rss / 1e6
+	values[figureLeaderIn] = rate.readBytes / 1e3
+	values[figureLeaderOut] = rate.writtenBytes / 1e3
+	values[figureLeaderReads] = rate.readCalls
+	values[figureLeaderWrites] = rate.writeCalls
+}
+
+// addFollower adds one of so many followers to their means.
+func addFollower(values map[string]float64, rate usage, followers int) {
+	share := 1 / float64(followers)
+	values[figureFollowerCPU] += rate.cpu * 100 * share
+	values[figureFollowerMB] += rate.rss / 1e6 * share
+	values[figureFollowerIn] += rate.readBytes / 1e3 * share
+	values[figureFollowerOut] += rate.writtenBytes / 1e3 * share
+	values[figureFollowerWrite] += rate.writeCalls * share
+}
+
+// addGateway adds one of so many gateways to their means.
+func addGateway(values map[string]float64, rate usage, gateways int) {
+	share := 1 / float64(gateways)
+	values[figureGatewayCPU] += rate.cpu * 100 * share
+	values[figureGatewayMB] += rate.rss / 1e6 * share
+	values[figureGatewayIn] += rate.readBytes / 1e3 * share
+	values[figureGatewayOut] += rate.writtenBytes / 1e3 * share
 }
--- a/tests/scale/plan.go
+++ b/tests/scale/plan.go
@@ -1,13 +1,13 @@
-// The points of a run, in their order: fleets, the catalogue, starts, tasks
-// that run on, and all of it at once.
 package main
 
 import (
 	"fmt"
 	"math/rand/v2"
+	"net/http"
 	"strings"
 	"time"
 
+	"orchidward/internal/api/endpoint"
 	"orchidward/internal/clock"
 )
 
@@ -17,7 +17,7 @@
 	phaseStarts   = "starts/s, all runners"
 	phaseRunning  = "tasks running"
 	phaseAll      = "all at once"
-	phaseWhole    = "queues, whole catalogue"
+	phaseWhole    = "queues, whole catalog"
 	phasePatch    = "queues, one changed"
 	phaseOperator = "clerk"
 
@@ -25,13 +25,14 @@
 	settleTime   = 2 * time.Second
 )
 
-// The site's size, where nothing else is asked for.
+// The full size, where nothing else is asked for.
 const (
 	defaultRunners = 600
 	defaultTasks   = 8200
 	defaultStarts  = 70
 )
 
+// plan is the points of a run, in their order.
 type plan struct {
 	settings
 	cluster    *cluster
@@ -42,6 +43,7 @@
 	overloaded bool
 }
 
+// scaled is a size, a tenth of it in a small run.
 func (p *plan) scaled(n int) int {
 	if p.small {
 		return max(1, n/10)
@@ -49,7 +51,7 @@
 	return n
 }
 
-// mayRun tells whether another point may begin, and says it where not.
+// mayRun tells whether another point may begin, and notes it where not.
 func (p *plan) mayRun(what string) bool {
 	switch {
 	case time.Since(p.startedAt) > p.limit:
@@ -62,7 +64,7 @@
 	return false
 }
 
-// repeat measures a point a few times over.
+// repeat measures a point a few times.
 func (p *plan) repeat(phase string, x float64) {
 	for range p.repetitions {
 		m, err := p.cluster.measure(phase, x, p.window)
@@ -70,12 +72,13 @@
 			p.report.notef("failed: %s at %v: %v", phase, x, err)
 			return
 		}
-		m.Values["polls/s/agent"] = m.Values["polls"] / float64(max(1, len(p.cluster.agents.agents)))
+		m.Values[figureAgentPolls] = m.Values[figurePolls] / float64(max(1, len(p.cluster.agents.agents)))
 		p.report.add(m)
-		p.overloaded = p.overloaded || m.Values["cores"] > p.maxCores
+		p.overloaded = p.overloaded || m.Values[figureCores] > p.maxCores
 	}
 }
 
+// measureUnderLoad measures a point while so many tasks start a second.
 func (p *plan) measureUnderLoad(phase string, x float64, rate int) {
 	if rate == 0 {
 		time.Sleep(settleTime)
@@ -89,16 +92,18 @@
 	time.Sleep(shortTask.Duration())
 }
 
+// selected tells whether a phase was asked for.
 func (p *plan) selected(phase string) bool {
 	return strings.Contains(","+p.phases+",", ","+phase+",")
 }
 
+// run runs the phases that were asked for.
 func (p *plan) run() {
 	if !p.publishFirstCatalog() || !p.growRunners() {
 		return
 	}
 	if p.selected("queues") {
-		p.catalogues()
+		p.catalogs()
 	}
 	if p.selected("starts") {
 		for _, rate := range []int{5, 20, p.starts} {
@@ -118,10 +123,10 @@
 	}
 	p.load.mu.Lock()
 	defer p.load.mu.Unlock()
-	p.report.notef("jobs taken %d, not taken by status (0 no answer, -1 the load's own line full) %v", p.load.accepted.Load(), p.load.rejected)
+	p.report.notef("jobs accepted %d, not accepted by status (0 no response, -1 the load's own queue full) %v", p.load.accepted.Load(), p.load.rejected)
 }
 
-// growRunners lets the fleet grow, at rest and with a little work at each size.
+// growRunners adds runners, and measures each size at rest and with a little load.
 func (p *plan) growRunners() bool {
 	sizes := []int{11, 100, 300, p.runners}
 	if !p.selected("fleet") {
@@ -145,10 +150,10 @@
 	return true
 }
 
-// publishFirstCatalog gives the group its first catalogue, once all keepers know of such.
+// publishFirstCatalog publishes a first catalog, once the servers' level allows it.
 func (p *plan) publishFirstCatalog() bool {
 	var last error
-	err := p.cluster.wait(20*time.Second, "first catalogue", func() bool {
+	err := p.cluster.wait(20*time.Second, "first catalog", func() bool {
 		if _, last = p.changes.replaceAll(3); last != nil {
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -160,9 +165,10 @@
 	return err == nil
 }
 
-func (p *plan) catalogues() {
+// catalogs measures changes of catalogs of growing size.
+func (p *plan) catalogs() {
 	for _, n := range []int{3, 280, 1400, 10000} {
-		if n = max(1, p.scaled(n)); !p.mayRun(fmt.Sprintf("catalogue of %d queues", n)) {
+		if n = max(1, p.scaled(n)); !p.mayRun(fmt.Sprintf("catalog of %d queues", n)) {
 			return
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -176,49 +182,51 @@
 
 func (p *plan) addChange(m measurement, err error) {
 	if err != nil {
-		p.report.notef("failed: catalogue: %v", err)
+		p.report.notef("failed: catalog: %v", err)
 		return
 	}
 	p.report.add(m)
 }
 
-// running fills the site with tasks that run on, step by step.
+// running adds tasks that run for long, step by step.
 func (p *plan) running() {
-	rnd, long := rand.New(rand.NewPCG(1, 2)), clock.Millis(p.longTask.Milliseconds())
+	random := rand.New(rand.NewPCG(1, 2))
+	long := clock.Millis(p.longTask.Milliseconds())
 	err := p.cluster.wait(10*time.Second, "short tasks over", func() bool { return p.cluster.agents.running.Load() == 0 })
 	if err != nil {
 		p.report.notef("failed: %v", err)
 	}
-	handed := int(p.cluster.agents.running.Load())
+	submitted := int(p.cluster.agents.running.Load())
 	for _, n := range []int{500, 2000, 4000, p.tasks} {
 		if n = p.scaled(n); !p.mayRun(fmt.Sprintf("%d tasks running", n)) {
 			return
 		}
-		was, began := p.cluster.agents.running.Load(), time.Now()
-		for k := 0; handed < n; k++ {
-			tasks := min(longJobTasks, n-handed)
+		before := p.cluster.agents.running.Load()
+		began := time.Now()
+		for k := 0; submitted < n; k++ {
+			tasks := min(longJobTasks, n-submitted)
 			gpus := 0
 			if k%8 == 7 {
 				gpus = 1
 			}
-			p.load.submit(p.load.job(tasks, long*2/3+clock.Millis(rnd.Int64N(int64(long)*2/3)), false, gpus))
-			handed += tasks
+			p.load.submit(p.load.job(tasks, long*2/3+clock.Millis(random.Int64N(int64(long)*2/3)), false, gpus))
+			submitted += tasks
 		}
 		err := p.cluster.wait(25*time.Second, "the tasks run", func() bool { return int(p.cluster.agents.running.Load()) >= n })
 		now := p.cluster.agents.running.Load()
-		p.report.notef("placing: %d tasks more in %.1f s, %.0f a second, %d of %d run (%v)", now-was, time.Since(began).Seconds(), float64(now-was)/time.Since(began).Seconds(), now, n, err)
+		p.report.notef("placing: %d tasks more in %.1f s, %.0f a second, %d of %d run (%v)", now-before, time.Since(began).Seconds(), float64(now-before)/time.Since(began).Seconds(), now, n, err)
 		time.Sleep(settleTime)
 		p.repeat(phaseRunning, float64(p.cluster.agents.running.Load()))
 	}
 }
 
-// operatorReads asks what operators ask.
+// operatorReads reads what operators read.
 func (p *plan) operatorReads() {
-	for _, path := range []string{"/v1/runners", "/v1/jobs?limit=100", "/v1/keepers", "/v1/table"} {
+	for _, path := range []string{endpoint.RunnersPath, endpoint.JobsPath + "?limit=100", endpoint.ServersPath, endpoint.LimitsPath} {
 		for range p.repetitions {
 			began := time.Now()
 			status, body, err := p.cluster.get("http://" + p.cluster.gatewayHTTP[0] + path)
-			if err != nil || status != 200 {
+			if err != nil || status != http.StatusOK {
 				p.report.notef("failed: GET %s: %d %v", path, status, err)
 				continue
 			}
--- a/tests/scale/process.go
+++ b/tests/scale/process.go
@@ -1,5 +1,3 @@
-// Children are the processes that a scale run starts, measured by what the
-// kernel says of them and ended by their pids.
 package main
 
 import (
@@ -19,52 +17,72 @@
 // Linux that Go runs on.
 const ticksPerSecond = 100
 
+// endTimeout is how long a process may take to end before it is killed.
+const endTimeout = 5 * time.Second
+
+// process is a process that a run starts, measured by what the kernel says of it and
+// ended by its id.
 type process struct {
 	name string
 	cmd  *exec.Cmd
 	log  *os.File
 }
 
-// startProcess runs a program with so many processors at its call. It is killed when
-// the scale run dies; for that the caller must be on the main thread.
-func startProcess(dir, name, program string, procs int, env []string, args ...string) (*process, error) {
-	var err error
-	c := &process{name: name}
-	if c.log, err = os.Create(filepath.Join(dir, name+".log")); err != nil {
+// startProcess runs a program with so many processors at its disposal. It is killed when
+// this process dies; for that the caller must be on the main thread.
+func startProcess(dir, name, program string, processors int, args ...string) (*process, error) {
+	log, err := os.Create(filepath.Join(dir, name+".log"))
+	if err != nil {
 		return nil, err
 	}
-	c.cmd = exec.Command(filepath.Join(dir, program), args...)
-	c.cmd.Env = append(append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", procs)), env...)
-	c.cmd.Stdout, c.cmd.Stderr = c.log, c.log
-	c.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err = c.cmd.Start(); err != nil {
+	cmd := exec.Command(filepath.Join(dir, program), args...)
+	cmd.Env = append(os.Environ(), fmt.Sprintf("GOMAXPROCS=%d", processors))
+	cmd.Stdout = log
+	cmd.Stderr = log
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err = cmd.Start(); err != nil {
 		return nil, errors.Wrap(err, name)
 	}
-	return c, nil
+	return &process{name: name, cmd: cmd, log: log}, nil
 }
 
-func (c *process) pid() int { return c.cmd.Process.Pid }
+func (p *process) pid() int { return p.cmd.Process.Pid }
 
 // end stops the process and waits for it.
-func (c *process) end() {
-	_ = c.cmd.Process.Signal(syscall.SIGTERM)
-	t := time.AfterFunc(5*time.Second, func() { _ = c.cmd.Process.Kill() })
-	_ = c.cmd.Wait()
-	t.Stop()
-	c.log.Close()
+func (p *process) end() {
+	_ = p.cmd.Process.Signal(syscall.SIGTERM)
+	kill := time.AfterFunc(endTimeout, func() { _ = p.cmd.Process.Kill() })
+	_ = p.cmd.Wait()
+	kill.Stop()
+	p.log.Close()
 }
 
-// usage is what a process has used since its start, and the memory it holds.
-// Read and written are bytes through system calls, the disk's included; gets
-// and puts are the calls. The kernel's write_bytes is of no use here: it counts
-// 2 MiB for every small write into a large page of the cache.
-type usage struct{ cpu, rss, readBytes, writtenBytes, readCalls, writeCalls float64 }
+// usage is what a process has used since its start, and the memory it has. cpu is in
+// seconds, rss in bytes. The bytes are those of system calls, the disk's included; the
+// kernel's write_bytes is of no use here: it counts 2 MiB for every small write into a
+// large page of the cache.
+type usage struct {
+	cpu          float64
+	rss          float64
+	readBytes    float64
+	writtenBytes float64
+	readCalls    float64
+	writeCalls   float64
+}
 
-func (u usage) ratesSince(was usage, secs float64) usage {
-	return usage{cpu: (u.cpu - was.cpu) / secs, rss: u.rss, readBytes: (u.readBytes - was.readBytes) / secs, writtenBytes: (u.writtenBytes - was.writtenBytes) / secs,
-		readCalls: (u.readCalls - was.readCalls) / secs, writeCalls: (u.writeCalls - was.writeCalls) / secs}
+// ratesSince is the use a second since an earlier moment; the memory is as it is now.
+func (u usage) ratesSince(earlier usage, seconds float64) usage {
+	return usage{
+		cpu:          (u.cpu - earlier.cpu) / seconds,
+		rss:          u.rss,
+		readBytes:    (u.readBytes - earlier.readBytes) / seconds,
+		writtenBytes: (u.writtenBytes - earlier.writtenBytes) / seconds,
+		readCalls:    (u.readCalls - earlier.readCalls) / seconds,
+		writeCalls:   (u.writeCalls - earlier.writeCalls) / seconds,
+	}
 }
 
+// usageOf reads the usage of a process from /proc.
 func usageOf(pid int) (usage, error) {
 	var u usage
 	dir := fmt.Sprintf("/proc/%d/", pid)
@@ -85,38 +103,53 @@
 	return u, nil
 }
 
-// parseCPU reads the seconds of processor time from a process's stat line.
+// Fields of /proc/PID/stat after the name: user and system time in ticks.
+const (
+	firstTimeField = 11
+	lastTimeField  = 12
+)
+
+// parseCPU reads the seconds of processor time from a process's stat line. The name of
+// the program, in parentheses, may have spaces and parentheses itself.
 func parseCPU(stat string) (float64, error) {
-	var secs float64
-	f := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
-	if len(f) < 13 {
+	var seconds float64
+	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
+	if len(fields) <= lastTimeField {
 		return 0, errors.Errorf("stat %q", stat)
 	}
-	for _, one := range f[11:13] {
-		n, err := strconv.ParseFloat(one, 64)
+	for _, field := range fields[firstTimeField : lastTimeField+1] {
+		ticks, err := strconv.ParseFloat(field, 64)
 		if err != nil {
 			return 0, err
 		}
-		secs += n / ticksPerSecond
+		seconds += ticks / ticksPerSecond
 	}
-	return secs, nil
+	return seconds, nil
 }
 
+// parse takes in lines of /proc/PID/status or io: a name and a number, in KiB where a
+// unit follows.
 func (u *usage) parse(text string) {
-	into := map[string]*float64{"VmRSS": &u.rss, "rchar": &u.readBytes, "wchar": &u.writtenBytes, "syscr": &u.readCalls, "syscw": &u.writeCalls}
-	for _, l := range strings.Split(text, "\n") {
-		key, val, _ := strings.Cut(l, ":")
-		f := strings.Fields(val)
-		if into[key] == nil || len(f) == 0 {
+	targets := map[string]*float64{
+		"VmRSS": &u.rss,
+		"rchar": &u.readBytes,
+		"wchar": &u.writtenBytes,
+		"syscr": &u.readCalls,
+		"syscw": &u.writeCalls,
+	}
+	for _, line := range strings.Split(text, "\n") {
+		name, rest, _ := strings.Cut(line, ":")
+		fields := strings.Fields(rest)
+		if targets[name] == nil || len(fields) == 0 {
 			continue
 		}
-		n, err := strconv.ParseFloat(f[0], 64)
+		value, err := strconv.ParseFloat(fields[0], 64)
 		if err != nil {
 			continue
 		}
-		if len(f) > 1 {
-			n *= 1024
+		if len(fields) > 1 {
+			value *= 1024
 		}
-		*into[key] = n
+		*targets[name] = value
 	}
 }
--- a/tests/scale/regression.go
+++ b/tests/scale/regression.go
@@ -1,4 +1,3 @@
-// A slope is the straight line that lies nearest to what was measured.
 package main
 
 import "math"
@@ -6,14 +5,14 @@
 // point is one measurement: how much of the one thing, and how much of the other.
 type point struct{ x, y float64 }
 
-// regression is y = base + rate x. Fit is the share of the spread that it explains,
-// 1 for all of it; it is NaN where nothing can be said of it.
+// regression is y = base + slope x. rSquared is the share of the variance that it
+// explains, NaN where there is none.
 type regression struct{ base, slope, rSquared float64 }
 
 func (l regression) at(x float64) float64 { return l.base + l.slope*x }
 
-// fitLine is the line of least squares; ok is false unless the spots lie at two
-// places or more.
+// fitLine is the line of least squares; ok is false unless there are points at two
+// values of x or more.
 func fitLine(list []point) (l regression, ok bool) {
 	n, sx, sy := float64(len(list)), 0.0, 0.0
 	for _, s := range list {
@@ -39,7 +38,7 @@
 	return l, true
 }
 
-// summary is the mean, the least and the most of some values.
+// summary is the mean, the least and the greatest of some values, and their number.
 type summary struct {
 	mean, low, high float64
 	n               int
--- a/tests/scale/report.go
+++ b/tests/scale/report.go
@@ -1,5 +1,3 @@
-// The report keeps the points, prints them as a table with the slopes, and
-// draws the plot.
 package main
 
 import (
@@ -28,14 +26,14 @@
 
 func (r *report) add(m measurement) {
 	r.measurements = append(r.measurements, m)
-	if _, queues := m.Values["allGatesMs"]; queues {
-		fmt.Printf("# %s %v: all gates in %.0f ms, %.0f kB to a gate\n", m.Phase, m.X, m.Values["allGatesMs"], m.Values["gateInKB"])
+	if _, queues := m.Values[figureAllGateways]; queues {
+		fmt.Printf("# %s %v: all gateways in %.0f ms, %.0f kB to a gateway\n", m.Phase, m.X, m.Values[figureAllGateways], m.Values[figureChangeIn])
 		return
 	}
-	fmt.Printf("# %s %v: lead %.1f%% %.0f MB, %.1f starts/s, %.1f lapsed/s, %.0f running, %.1f cores\n", m.Phase, m.X, m.Values["leadCpu%"], m.Values["leadMB"], m.Values["starts/s"], m.Values["lapsed/s"], m.Values["running"], m.Values["cores"])
+	fmt.Printf("# %s %v: lead %.1f%% %.0f MB, %.1f starts/s, %.1f lapsed/s, %.0f running, %.1f cores\n", m.Phase, m.X, m.Values[figureLeaderCPU], m.Values[figureLeaderMB], m.Values[figureStarts], m.Values[figureLapsed], m.Values[figureRunning], m.Values[figureCores])
 }
 
-// rows are the points, alike ones together, in the order they came.
+// rows are the measurements by point and figure, the points in the order they came.
 func (r *report) rows() (keys []string, vals map[string]map[string][]float64) {
 	vals = map[string]map[string][]float64{}
 	for _, m := range r.measurements {
@@ -69,7 +67,7 @@
 		fmt.Printf("\n%s\n", key)
 		names := []string{}
 		for name := range vals[key] {
-			if name != "polls" {
+			if name != figurePolls {
 				names = append(names, name)
 			}
 		}
@@ -92,7 +90,7 @@
 	return len(figureOrder)
 }
 
-// pointsOf are one figure over what was varied.
+// pointsOf are the values of a figure in a phase, over what was varied.
 func (r *report) pointsOf(phase, figure string) []point {
 	var list []point
 	for _, m := range r.measurements {
@@ -103,15 +101,15 @@
 	return list
 }
 
-// regressedFigures are the figures for which slopes are worked out.
-var regressedFigures = []string{"leadCpu%", "leadMB", "leadInKB/s", "leadOutKB/s", "entries/s", "leadGets/s", "leadPuts/s", "followCpu%", "followMB", "followInKB/s", "followOutKB/s", "gateMB", "gateCpu%", "gateInKB/s", "agentCpu%", "agentMB", "agentInKB/s", "agentOutKB/s", "polls/s/agent", "pollOutB/s/agent", "pollInB/s/agent"}
+// regressedFigures are the figures to which lines are fitted.
+var regressedFigures = []string{figureLeaderCPU, figureLeaderMB, figureLeaderIn, figureLeaderOut, figureEntries, figureLeaderReads, figureLeaderWrites, figureFollowerCPU, figureFollowerMB, figureFollowerIn, figureFollowerOut, figureGatewayMB, figureGatewayCPU, figureGatewayIn, figureAgentPolls, figureAgentOut, figureAgentIn}
 
-// slopes prints the lines, and the site's size worked out from them beside
-// what was measured there.
+// slopes prints the fitted lines, and what they add up to at full size beside what was
+// measured there.
 func (r *report) slopes() {
 	fmt.Printf("\nslopes: figure = base + rate x; fit 1 is a straight line\n")
 	for _, name := range regressedFigures {
-		site, known := 0.0, true
+		total, known := 0.0, true
 		for i, one := range []struct {
 			phase string
 			size  float64
@@ -122,13 +120,13 @@
 				continue
 			}
 			fmt.Printf("  %-18s %-22s %10.3f + %.6f x   fit %.3f\n", name, one.phase, l.base, l.slope, l.rSquared)
-			if site += l.slope * one.size; i == 0 {
-				site += l.base
+			if total += l.slope * one.size; i == 0 {
+				total += l.base
 			}
 		}
 		if known {
 			s := summarize(values(r.pointsOf(phaseAll, name)))
-			fmt.Printf("  %-18s at the site's size: %.1f worked out, %.1f measured (%.1f to %.1f, n=%d)\n", name, site, s.mean, s.low, s.high, s.n)
+			fmt.Printf("  %-18s at full size: %.1f worked out, %.1f measured (%.1f to %.1f, n=%d)\n", name, total, s.mean, s.low, s.high, s.n)
 		}
 	}
 }
@@ -141,16 +139,16 @@
 	return vals
 }
 
-// draw plots the leader's processor time over the share of the site's size.
+// draw plots the leader's processor time over the share of the full size.
 func (r *report) draw(path string) error {
 	c := chart.Chart{Title: "leader: share of one core", Width: 760, Height: 420,
-		XAxis: chart.XAxis{Name: "share of the site's size"}, YAxis: chart.YAxis{Name: "% of a core"}}
+		XAxis: chart.XAxis{Name: "share of the full size"}, YAxis: chart.YAxis{Name: "% of a core"}}
 	for i, one := range []struct {
 		phase string
 		size  float64
 	}{{phaseIdle, float64(r.runners)}, {phaseSlow, float64(r.runners)}, {phaseStarts, float64(r.starts)}, {phaseRunning, float64(r.tasks)}} {
 		s := chart.ContinuousSeries{Name: fmt.Sprintf("%s (1 = %v)", one.phase, one.size), Style: chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 1, DotColor: chart.GetDefaultColor(i), DotWidth: 3}}
-		for _, p := range r.pointsOf(one.phase, "leadCpu%") {
+		for _, p := range r.pointsOf(one.phase, figureLeaderCPU) {
 			if !math.IsNaN(p.y) {
 				s.XValues, s.YValues = append(s.XValues, p.x/one.size), append(s.YValues, p.y)
 			}
--- a/tests/scale/simulated_agents.go
+++ b/tests/scale/simulated_agents.go
@@ -1,10 +1,7 @@
-// A hollow agent is the agent's own machine on the agent's own line to the
-// core, beside a stand-in runner; many of them share one process.
 package main
 
 import (
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"sync"
 	"sync/atomic"
@@ -22,142 +19,168 @@
 )
 
 const (
-	pool                    = "scale"
-	maxLease                = 6000
-	heartbeatInterval       = 100
-	groupSize               = 75
-	sampleEvery             = 20
-	domainCount             = 7
-	runnersPerRack          = 12
-	gpusPerRunner           = 5
-	maxWait           int64 = 120_000
+	pool = "scale"
+	// maxLease and heartbeatInterval are in ms.
+	maxLease          = 6000
+	heartbeatInterval = 100
+	// groupSize is how many agents share a goroutine.
+	groupSize = 75
+	// maxFrames is how many frames wait for a group.
+	maxFrames = 8192
+	// sampleEvery is the share of agents whose bytes are counted: one in so many.
+	sampleEvery    = 20
+	domainCount    = 7
+	runnersPerRack = 12
+	gpusPerRunner  = 5
+	runnerMilli    = 24000
+	runnerMemMB    = 64000
+	// maxWait is the longest wait for a start that the histogram tells apart, in ms.
+	maxWait int64 = 120_000
+	// waitDigits is the precision of the histogram in decimal digits.
+	waitDigits = 3
 )
 
+// simulatedAgent is an agent's own state machine on a link of its own to the servers,
+// beside a stand-in runner. Many of them share this process.
 type simulatedAgent struct {
 	machine *agent.Agent
 	link    *link.Link
 	runner  *standInRunner
-	// size counts this agent's bytes; nil where they are not counted.
+	// traffic counts this agent's bytes; nil where they are not counted.
 	traffic *traffic
 }
 
-// traffic weighs frames by encoding them.
-type traffic struct {
-	sent, received atomic.Int64
-}
-
-type byteCounter struct{ total *atomic.Int64 }
-
-func (t byteCounter) Write(b []byte) (int, error) {
-	t.total.Add(int64(len(b)))
-	return len(b), nil
-}
-
-func countBytes(n *atomic.Int64, msg wire.Message) {
-	var w io.Writer = byteCounter{n}
-	if err := wire.NewEncoder(w).Encode(msg); err != nil {
-		panic(err)
-	}
-}
-
-// crowd is all the hollow agents of a run.
+// simulatedAgents are all simulated agents of a run.
 type simulatedAgents struct {
 	goroutines *lifecycle.Group
 	clock      *clock.System
 	seeds      []string
+	agents     []*simulatedAgent
+
+	mu sync.Mutex
+	// waits are the times from the submission of jobs to the starts of their tasks.
+	waits *hdrhistogram.Histogram
+
+	starts, lapsed, sent, running atomic.Int64
+}
 
-	mu     sync.Mutex
-	waits  *hdrhistogram.Histogram
-	agents []*simulatedAgent
+func newWaits() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxWait, waitDigits) }
 
-	starts, ends, lapsed, sent, received, running atomic.Int64
+func newSimulatedAgents(goroutines *lifecycle.Group, clock *clock.System, seeds []string) *simulatedAgents {
+	return &simulatedAgents{goroutines: goroutines, clock: clock, seeds: seeds, waits: newWaits()}
 }
 
-func newSimulatedAgents(c *lifecycle.Group, clock *clock.System, seeds []string) *simulatedAgents {
-	return &simulatedAgents{goroutines: c, clock: clock, seeds: seeds, waits: hdrhistogram.New(1, maxWait, 3)}
+// taskStarted records how long a task of a job waited for its start.
+func (a *simulatedAgents) taskStarted(submitted, started clock.Monotonic) {
+	a.starts.Add(1)
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	_ = a.waits.RecordValue(min(maxWait, max(1, int64(started.Since(submitted)))))
 }
 
-// begun notes how long a task of a job waited for its start.
-func (w *simulatedAgents) taskStarted(handed, at clock.Monotonic) {
-	w.starts.Add(1)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	_ = w.waits.RecordValue(min(maxWait, max(1, int64(at.Since(handed)))))
+// takeWaits returns the waits since it was last called.
+func (a *simulatedAgents) takeWaits() *hdrhistogram.Histogram {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	waits := a.waits
+	a.waits = newWaits()
+	return waits
 }
 
-// take hands over the waits since it was last called.
-func (w *simulatedAgents) takeWaits() *hdrhistogram.Histogram {
-	var h *hdrhistogram.Histogram
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	h, w.waits = w.waits, hdrhistogram.New(1, maxWait, 3)
-	return h
+// agentCounts is what the agents have counted so far.
+type agentCounts struct {
+	starts, lapsed, sent float64
+	// bytesOut and bytesIn are those of the agents that are sampled.
+	bytesOut, bytesIn float64
+	sampled           float64
 }
 
-// newRunner is the i-th runner of the fleet: one half of them has accelerators.
-func (w *simulatedAgents) newRunner(i int) *standInRunner {
-	s := &standInRunner{incarnation: identifier.Incarnation(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())), domain: identifier.Domain(fmt.Sprintf("z%d", i%domainCount)), rack: identifier.Rack(fmt.Sprintf("rack-%d", i/runnersPerRack)), onStart: w.taskStarted}
-	rnd := rand.New(rand.NewPCG(uint64(i), 3))
-	s.vary = func(span clock.Millis) clock.Millis {
-		return span*9/10 + clock.Millis(rnd.Int64N(int64(span)/5+1))
+func (a *simulatedAgents) counts() agentCounts {
+	counts := agentCounts{
+		starts: float64(a.starts.Load()),
+		lapsed: float64(a.lapsed.Load()),
+		sent:   float64(a.sent.Load()),
 	}
-	s.capacity = job.Demand{MilliCores: 24000, Mem: 64000}
-	if i%2 == 1 {
-		s.capacity.GPUs = gpusPerRunner
+	for _, one := range a.agents {
+		if one.traffic == nil {
+			continue
+		}
+		counts.bytesOut += float64(one.traffic.sent.Load())
+		counts.bytesIn += float64(one.traffic.received.Load())
+		counts.sampled++
 	}
-	return s
+	return counts
 }
 
 // grow adds agents until there are so many.
-func (w *simulatedAgents) grow(to int) error {
-	for len(w.agents) < to {
-		g := &group{agents: w, frames: lifecycle.NewQueue[frame](8192)}
-		for len(g.members) < groupSize && len(w.agents) < to {
-			h, err := w.newAgent(len(w.agents), g)
+func (a *simulatedAgents) grow(count int) error {
+	for len(a.agents) < count {
+		g := &group{agents: a, frames: lifecycle.NewQueue[frame](maxFrames)}
+		for len(g.members) < groupSize && len(a.agents) < count {
+			added, err := a.newAgent(len(a.agents), g)
 			if err != nil {
 				return err
 			}
-			g.members, w.agents = append(g.members, h), append(w.agents, h)
+			g.members = append(g.members, added)
+			a.agents = append(a.agents, added)
 		}
-		w.goroutines.Go(g.run)
+		a.goroutines.Go(g.run)
 	}
 	return nil
 }
 
-func (w *simulatedAgents) newAgent(i int, g *group) (*simulatedAgent, error) {
-	var err error
-	h := &simulatedAgent{runner: w.newRunner(i)}
-	if h.link, err = link.Listen("127.0.0.1:0", w.goroutines); err != nil {
+func (a *simulatedAgents) newAgent(i int, g *group) (*simulatedAgent, error) {
+	listener, err := link.Listen("127.0.0.1:0", a.goroutines)
+	if err != nil {
 		return nil, err
 	}
+	added := &simulatedAgent{link: listener, runner: a.newRunner(i)}
 	if i%sampleEvery == 0 {
-		h.traffic = &traffic{}
+		added.traffic = &traffic{}
 	}
-	h.runner.nextHeartbeat = w.clock.Now() + clock.Monotonic(i%heartbeatInterval)
-	h.machine = agent.New(agent.Config{Name: identifier.Runner(fmt.Sprintf("hollow-%d", i)), Addr: h.link.Addr(), Domain: h.runner.domain, Seeds: w.seeds,
-		Seed: time.Now().UnixMicro() + int64(i), MaxLease: maxLease, HeartbeatInterval: heartbeatInterval}, w.clock.Now())
-	h.link.Serve(func(from wire.Peer, msg wire.Message) { g.frames.TryPush(frame{h, from, msg}) })
-	return h, nil
-}
-
-// sampled are the bytes of the agents whose frames are weighed, and their number.
-func (w *simulatedAgents) sampled() (sent, got int64, n int) {
-	for _, h := range w.agents {
-		if h.traffic != nil {
-			sent, got, n = sent+h.traffic.sent.Load(), got+h.traffic.received.Load(), n+1
-		}
+	now := a.clock.Now()
+	added.runner.nextHeartbeat = now + clock.Monotonic(i%heartbeatInterval)
+	added.machine = agent.New(agent.Config{
+		Name:              identifier.Runner(fmt.Sprintf("hollow-%d", i)),
+		Addr:              listener.Addr(),
+		Domain:            added.runner.domain,
+		Seeds:             a.seeds,
+		Seed:              time.Now().UnixMicro() + int64(i),
+		MaxLease:          maxLease,
+		HeartbeatInterval: heartbeatInterval,
+	}, now)
+	listener.Serve(func(from wire.Peer, message wire.Message) { g.frames.TryPush(frame{added, from, message}) })
+	return added, nil
+}
+
+// newRunner is the i-th runner: every second one has GPUs. Runs take up to a tenth more
+// or less than their span.
+func (a *simulatedAgents) newRunner(i int) *standInRunner {
+	random := rand.New(rand.NewPCG(uint64(i), 3))
+	r := &standInRunner{
+		incarnation: identifier.Incarnation(fmt.Sprintf("run%d-%d", i, time.Now().UnixMilli())),
+		domain:      identifier.Domain(fmt.Sprintf("z%d", i%domainCount)),
+		rack:        identifier.Rack(fmt.Sprintf("rack-%d", i/runnersPerRack)),
+		capacity:    job.Demand{MilliCores: runnerMilli, Mem: runnerMemMB},
+		onStart:     a.taskStarted,
+		vary: func(span clock.Millis) clock.Millis {
+			return span*9/10 + clock.Millis(random.Int64N(int64(span)/5+1))
+		},
+	}
+	if i%2 == 1 {
+		r.capacity.GPUs = gpusPerRunner
 	}
-	return sent, got, n
+	return r
 }
 
-// frame is one for an agent.
+// frame is a message for an agent.
 type frame struct {
 	to      *simulatedAgent
 	from    wire.Peer
 	message wire.Message
 }
 
-// group is some agents that one duty looks after.
+// group is some agents that share a goroutine.
 type group struct {
 	agents  *simulatedAgents
 	frames  *lifecycle.Queue[frame]
@@ -165,48 +188,52 @@
 }
 
 func (g *group) run(stop <-chan struct{}) {
-	t := time.NewTicker(agent.TickInterval.Duration())
-	defer t.Stop()
+	ticker := time.NewTicker(agent.TickInterval.Duration())
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case x := <-g.frames.Out():
-			g.agents.received.Add(1)
-			if x.to.traffic != nil {
-				countBytes(&x.to.traffic.received, x.message)
+		case received := <-g.frames.Out():
+			g.handle(received)
+		case <-ticker.C:
+			for _, member := range g.members {
+				g.tick(member)
 			}
-			x.to.machine.HandleMessage(x.from, x.message, g.agents.clock.Now())
-			g.flush(x.to)
-		case <-t.C:
-			g.step()
 		}
 	}
 }
 
-func (g *group) step() {
-	for _, h := range g.members {
-		now := g.agents.clock.Now()
-		h.machine.Tick(now)
-		was, ends := len(h.runner.runs), h.runner.lastEnd
-		if h.runner.advance(now) {
-			o := h.machine.HandleHeartbeat(h.runner.heartbeat(now), now)
-			h.runner.applyOrders(o, now, now)
-		}
-		g.agents.running.Add(int64(len(h.runner.runs) - was))
-		g.agents.ends.Add(int64(h.runner.lastEnd - ends))
-		g.agents.lapsed.Add(h.runner.lapses)
-		h.runner.lapses = 0
-		g.flush(h)
+func (g *group) handle(received frame) {
+	to := received.to
+	if to.traffic != nil {
+		countBytes(&to.traffic.received, received.message)
+	}
+	to.machine.HandleMessage(received.from, received.message, g.agents.clock.Now())
+	g.flush(to)
+}
+
+func (g *group) tick(member *simulatedAgent) {
+	now := g.agents.clock.Now()
+	member.machine.Tick(now)
+	runsBefore := len(member.runner.runs)
+	if member.runner.advance(now) {
+		orders := member.machine.HandleHeartbeat(member.runner.heartbeat(now), now)
+		member.runner.applyOrders(orders, now, now)
 	}
+	g.agents.running.Add(int64(len(member.runner.runs) - runsBefore))
+	g.agents.lapsed.Add(member.runner.lapses)
+	member.runner.lapses = 0
+	g.flush(member)
 }
 
-func (g *group) flush(h *simulatedAgent) {
-	for _, s := range h.machine.TakeOutput().Messages {
+// flush sends what an agent's state machine wants sent.
+func (g *group) flush(member *simulatedAgent) {
+	for _, envelope := range member.machine.TakeOutput().Messages {
 		g.agents.sent.Add(1)
-		if h.traffic != nil {
-			countBytes(&h.traffic.sent, s.Message)
+		if member.traffic != nil {
+			countBytes(&member.traffic.sent, envelope.Message)
 		}
-		h.link.Send(s.To, s.Message)
+		member.link.Send(envelope.To, envelope.Message)
 	}
 }
--- a/tests/scale/standin_runner.go
+++ b/tests/scale/standin_runner.go
@@ -1,5 +1,3 @@
-// A stand-in runner does no work: it starts what it is told, shows how far each
-// run would be, ends it after its span, and beats.
 package main
 
 import (
@@ -14,9 +12,11 @@
 	"orchidward/internal/clock"
 )
 
-// stopDelay is how long a run takes to end on order, in milliseconds.
+// stopDelay is how long a run takes to end on order, in ms.
 const stopDelay clock.Millis = 150
 
+// standInRunner does no work: it starts what it is told, reports how far each run would
+// be, ends it after its span, and sends heartbeats.
 type standInRunner struct {
 	incarnation identifier.Incarnation
 	domain      identifier.Domain
@@ -29,11 +29,12 @@
 	runs          []*taskRun
 	ends          []runnerapi.RunEnd
 	lastEnd       uint64
-	// lapses counts the runs whose hold was over.
+	// lapses counts the runs whose lease lapsed.
 	lapses int64
-	// begun hears of every start: when the job was handed in, and when it began.
-	onStart func(handed, at clock.Monotonic)
-	// vary, if given, is how long a run of so long a span really takes.
+	// onStart, if set, is called for every start: when the job was submitted, and when
+	// the run started.
+	onStart func(submitted, at clock.Monotonic)
+	// vary, if set, is how long a run of a span really takes.
 	vary func(span clock.Millis) (actual clock.Millis)
 }
 
@@ -46,13 +47,13 @@
 	stopAt    clock.Monotonic
 }
 
-// note is the text that every job of a scale run bears: how long a task runs
-// and when the job was handed in, by the one clock of the run.
-func encodePayload(span clock.Millis, handed clock.Monotonic) string {
-	return fmt.Sprintf("%d %d", span, handed)
+// encodePayload is the payload of every job of a scale run: how long a task runs and when
+// the job was submitted, by the one clock of the run.
+func encodePayload(span clock.Millis, submitted clock.Monotonic) string {
+	return fmt.Sprintf("%d %d", span, submitted)
 }
 
-func decodePayload(text string) (span clock.Millis, handed clock.Monotonic, ok bool) {
+func decodePayload(text string) (span clock.Millis, submitted clock.Monotonic, ok bool) {
 	a, b, _ := strings.Cut(text, " ")
 	x, err := strconv.ParseInt(a, 10, 64)
 	if err != nil || x <= 0 {
@@ -62,8 +63,8 @@
 	return clock.Millis(x), clock.Monotonic(y), err == nil
 }
 
-// advance lets time pass, and tells whether the runner would beat now. A run whose
-// hold is over has lapsed.
+// advance lets time pass, and tells whether a heartbeat is due. Runs end whose lease has
+// lapsed.
 func (s *standInRunner) advance(now clock.Monotonic) bool {
 	kept := s.runs[:0]
 	for _, w := range s.runs {
@@ -89,7 +90,7 @@
 	return now >= s.nextHeartbeat
 }
 
-// heartbeat is what the runner says of itself.
+// heartbeat is the next heartbeat.
 func (s *standInRunner) heartbeat(now clock.Monotonic) agent.Heartbeat {
 	s.seq++
 	b := agent.Heartbeat{Runner: s.incarnation, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Capacity: s.capacity}
@@ -100,7 +101,7 @@
 	return b
 }
 
-// applyOrders takes the answer to a beat that was sent at the given time.
+// applyOrders takes the response to a heartbeat that was sent at the given time.
 func (s *standInRunner) applyOrders(o agent.Orders, sent, now clock.Monotonic) {
 	s.nextHeartbeat = sent + clock.Monotonic(max(1, o.NextHeartbeat))
 	if o.Lease > 0 {
@@ -132,12 +133,12 @@
 	return nil
 }
 
-// startProcess turns away what bears no note, and takes the same start only once.
+// start rejects what has no payload of its own, and takes the same start only once.
 func (s *standInRunner) start(x runnerapi.Start, now clock.Monotonic) {
 	if s.find(x.Task, x.Attempt) != nil {
 		return
 	}
-	span, handed, ok := decodePayload(x.Payload)
+	span, submitted, ok := decodePayload(x.Payload)
 	if !ok {
 		s.lastEnd++
 		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.lastEnd, Task: x.Task, Attempt: x.Attempt, Outcome: runnerapi.OutcomeRejected})
@@ -148,6 +149,6 @@
 	}
 	s.runs = append(s.runs, &taskRun{task: x.Task, attempt: x.Attempt, span: span, startedAt: now})
 	if s.onStart != nil {
-		s.onStart(handed, now)
+		s.onStart(submitted, now)
 	}
 }
--- a/tests/scale/standin_runner_test.go
+++ b/tests/scale/standin_runner_test.go
@@ -13,26 +13,26 @@
 	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, Attempt: 1, Payload: encodePayload(span, 40)}
 }
 
-// TestStandIn: a run begins on order and once, shows how far it is, ends well
-// after its span, and its end is told until it was observed.
+// TestStandIn: a run starts on order and once, reports its progress, succeeds after its
+// span, and its end is reported until it was observed.
 func TestStandIn(t *testing.T) {
-	var handed, began clock.Monotonic
+	var submitted, began clock.Monotonic
 	count := 0
-	s := &standInRunner{incarnation: "a", onStart: func(h, at clock.Monotonic) { handed, began, count = h, at, count+1 }}
+	s := &standInRunner{incarnation: "a", onStart: func(h, at clock.Monotonic) { submitted, began, count = h, at, count+1 }}
 	if !s.advance(0) {
-		t.Fatal("no first beat")
+		t.Fatal("no first heartbeat")
 	}
 	if b := s.heartbeat(0); b.Seq != 1 || b.Runner != "a" || b.Pool != pool || len(b.Active) > 0 {
-		t.Errorf("first beat %+v", b)
+		t.Errorf("first heartbeat %+v", b)
 	}
 	o := agent.Orders{Lease: 6000, NextHeartbeat: 100, Start: []runnerapi.Start{newStart(0, 1000)}}
 	s.applyOrders(o, 0, 50)
 	s.applyOrders(o, 0, 60)
-	if count != 1 || handed != 40 || began != 50 {
-		t.Errorf("%d starts, handed in %d, begun %d", count, handed, began)
+	if count != 1 || submitted != 40 || began != 50 {
+		t.Errorf("%d starts, submitted at %d, started at %d", count, submitted, began)
 	}
 	if s.advance(99) || !s.advance(100) {
-		t.Error("does not beat every 100 ms")
+		t.Error("no heartbeat every 100 ms")
 	}
 	if b := s.heartbeat(550); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 || b.Active[0].Attempt != 1 {
 		t.Errorf("half way: %+v", b.Active)
@@ -51,11 +51,12 @@
 	}
 	s.applyOrders(agent.Orders{Lease: 6000, NextHeartbeat: 100, ObservedThrough: 1}, 1200, 1200)
 	if b := s.heartbeat(1300); len(b.Finished) != 0 {
-		t.Errorf("an observed end is told again: %+v", b.Finished)
+		t.Errorf("an observed end is reported again: %+v", b.Finished)
 	}
 }
 
-// TestStandInEnds: on order, past the hold, and what bears no note.
+// TestStandInEnds: a run ends on order and when its lease lapses; one without a payload is
+// rejected.
 func TestStandInEnds(t *testing.T) {
 	s := &standInRunner{}
 	bad := newStart(2, 1000)
@@ -64,12 +65,12 @@
 	s.applyOrders(agent.Orders{Lease: 1000, Stop: []runnerapi.RunStop{{Task: newStart(0, 1).Task, Attempt: 1}}}, 100, 100)
 	s.advance(249)
 	if len(s.runs) != 2 {
-		t.Errorf("%d runs before the stop took hold", len(s.runs))
+		t.Errorf("%d runs before the stop took effect", len(s.runs))
 	}
 	s.advance(250)
 	s.advance(1100)
 	if len(s.runs) != 1 {
-		t.Errorf("%d runs under the hold", len(s.runs))
+		t.Errorf("%d runs under the lease", len(s.runs))
 	}
 	s.advance(1101)
 	if s.lapses != 1 {
@@ -87,7 +88,7 @@
 	}
 }
 
-// TestStandInVaries: the percentage and the end go by how long a run really takes.
+// TestStandInVaries: progress and end go by how long a run really takes.
 func TestStandInVaries(t *testing.T) {
 	s := &standInRunner{vary: func(span clock.Millis) clock.Millis { return span * 2 }}
 	s.applyOrders(agent.Orders{Lease: 6000, Start: []runnerapi.Start{newStart(0, 1000)}}, 0, 0)
@@ -100,8 +101,8 @@
 	}
 }
 
-// TestAgentAndStandIn: behind a real agent that was never in touch the runner
-// gets no hold, and so begins nothing.
+// TestAgentAndStandIn: behind a real agent that never reached a server the runner gets no
+// lease, and so starts nothing.
 func TestAgentAndStandIn(t *testing.T) {
 	s := &standInRunner{incarnation: "a", domain: "n", rack: "r"}
 	m := agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: 6000, HeartbeatInterval: 100}, 0)
