--- a/tests/simulation/scenarios/drain_capacity_test.go
+++ b/tests/simulation/scenarios/drain_capacity_test.go
@@ -12,23 +12,29 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// taskStates counts the tasks of each row in each state.
-func taskStates(cluster *simulation.Cluster) map[identifier.Row]map[state.TaskState]int {
-	out := map[identifier.Row]map[state.TaskState]int{}
+// tasksByState counts tasks by their state.
+type tasksByState map[state.TaskState]int
+
+// taskStates counts the tasks of each row by their state.
+func taskStates(cluster *simulation.Cluster) map[identifier.Row]tasksByState {
+	counts := map[identifier.Row]tasksByState{}
 	for _, j := range cluster.Leader().Machine.State().Jobs {
 		row := j.Spec.Row
-		if out[row] == nil {
-			out[row] = map[state.TaskState]int{}
+		if counts[row] == nil {
+			counts[row] = tasksByState{}
 		}
 		for _, tasks := range j.Steps {
-			for _, t := range tasks {
-				out[row][t.State]++
+			for _, task := range tasks {
+				counts[row][task.State]++
 			}
 		}
 	}
-	return out
+	return counts
 }
 
+// always tells that an order is still wanted.
+func always() bool { return true }
+
 // TestDrainWithoutCapacity drains a domain of a full cluster, so that preflight finds too
 // little capacity, and loses the leader just then or not. Tasks do as their row says:
 // row check preempts the cheaper row push, push waits, stock is suspended, and gangs
@@ -41,78 +47,103 @@
 	}
 }
 
+// tightDrain is what was seen of the drain while its domain was out.
+type tightDrain struct {
+	drain  *state.Drain
+	states map[identifier.Row]tasksByState
+	// displaced counts the displaced tasks of row check, unplaced those that neither
+	// run again nor have ended.
+	displaced, unplaced int
+}
+
 func drainWithoutCapacity(t *testing.T, loss simulation.FaultKind, seed int64) {
 	t.Parallel()
 	spec := simulation.FastNetwork()
-	spec.Cores, spec.DefectPercent = 4, 0
-	var during map[identifier.Row]map[state.TaskState]int
-	var c *state.Drain
-	away, left := 0, 0
+	spec.Cores = 4
+	spec.DefectPercent = 0
+	var seen tightDrain
 	cluster := simulation.Run(simulation.Scenario{Seed: seed, Spec: spec, Window: 30000, Recovery: 70000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(6600, func() { cluster.Clients.StopAt = 0 })
-		cluster.At(7500, func() {
-			cluster.Clients.ReadLimits(func(epoch int64) {
-				cluster.Clients.PatchLimits(epoch, map[string]any{"push.weight": 1, "stock.weight": 2, "check.weight": 4}, func(status int, _ int64) {
-					if status != http.StatusOK {
-						t.Errorf("the weights got %d", status)
-					}
-				})
-			})
-		})
-		cluster.At(8000, func() {
-			fill := func(row identifier.Row, tasks int64, gang bool) {
-				cluster.Clients.Submit(row, job.Step{Name: "long", Tasks: tasks, Gang: gang, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 20000})
-			}
-			for i := 0; i < 6; i++ {
-				fill("check", 1, false)
-				fill("push", 3, false)
-				fill("stock", 1, false)
-			}
-			fill("check", 3, true)
-			fill("stock", 4, true)
-			fill("push", 4, true)
-		})
-		cluster.At(13000, func() { cluster.Clients.SetDrained("north", true, func() bool { return true }) })
+		cluster.At(7500, func() { setWeights(t, cluster) })
+		cluster.At(8000, func() { fillCluster(cluster) })
+		cluster.At(13000, func() { cluster.Clients.SetDrained("north", true, always) })
 		if loss != "" {
 			cluster.At(13020, func() { cluster.Inject(simulation.Fault{Duration: 8000, Kind: loss}) })
 		}
-		cluster.At(19000, func() {
-			during = taskStates(cluster)
-			for _, one := range cluster.Leader().Machine.State().Drains {
-				c = one
-			}
-			if c.Stage != state.Closed {
-				t.Errorf("6 s after the order the drain is at %s", c.Stage)
-			}
-			for _, ref := range c.Displaced {
-				j := cluster.Leader().Machine.State().Jobs[ref.Job]
-				if j.Spec.Row != "check" {
-					continue
-				}
-				away++
-				if s := j.Task(ref).State; s != state.Placed && !s.Ended() {
-					left++
-				}
-			}
-		})
-		cluster.At(22000, func() { cluster.Clients.SetDrained("north", false, func() bool { return true }) })
+		cluster.At(19000, func() { seen = lookAtDrain(t, cluster) })
+		cluster.At(22000, func() { cluster.Clients.SetDrained("north", false, always) })
 	}})
 	simulationtest.CheckInvariants(t, seed, cluster)
-	if c == nil || c.Fits || !c.PreflightDone || len(c.Displaced) < 10 || c.Shortage.Cores == 0 {
-		t.Fatalf("the drain: %+v", c)
+	seen.check(t)
+	for row, states := range taskStates(cluster) {
+		if states[state.Waiting]+states[state.Suspended]+states[state.Placed] > 0 {
+			t.Errorf("in the end %s: %v", row, states)
+		}
 	}
-	if n := during["stock"]; n[state.Suspended] == 0 {
-		t.Errorf("row stock is suspended: %v", n)
+}
+
+// setWeights makes row check the dearest and row push the cheapest.
+func setWeights(t *testing.T, cluster *simulation.Cluster) {
+	weights := map[string]any{"push.weight": 1, "stock.weight": 2, "check.weight": 4}
+	cluster.Clients.ReadLimits(func(epoch int64) {
+		cluster.Clients.PatchLimits(epoch, weights, func(status int, _ int64) {
+			if status != http.StatusOK {
+				t.Errorf("the weights got %d", status)
+			}
+		})
+	})
+}
+
+// fillCluster submits long tasks of each row, gangs among them.
+func fillCluster(cluster *simulation.Cluster) {
+	submit := func(row identifier.Row, tasks int64, gang bool) {
+		cluster.Clients.Submit(row, job.Step{Name: "long", Tasks: tasks, Gang: gang, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 20000})
 	}
-	if away == 0 || left > 0 {
-		t.Errorf("row check preempts: of %d displaced, %d are not placed", away, left)
+	for range 6 {
+		submit(simulation.RowCheck, 1, false)
+		submit(simulation.RowPush, 3, false)
+		submit(simulation.RowStock, 1, false)
+	}
+	submit(simulation.RowCheck, 3, true)
+	submit(simulation.RowStock, 4, true)
+	submit(simulation.RowPush, 4, true)
+}
+
+func lookAtDrain(t *testing.T, cluster *simulation.Cluster) tightDrain {
+	seen := tightDrain{states: taskStates(cluster)}
+	store := cluster.Leader().Machine.State()
+	for _, drain := range store.Drains {
+		seen.drain = drain
 	}
-	if n := during["push"]; n[state.Waiting] == 0 || n[state.Suspended] > 0 {
-		t.Errorf("row push waits: %v", n)
+	if seen.drain.Stage != state.Closed {
+		t.Errorf("6 s after the order the drain is at %s", seen.drain.Stage)
 	}
-	for row, n := range taskStates(cluster) {
-		if n[state.Waiting]+n[state.Suspended]+n[state.Placed] > 0 {
-			t.Errorf("in the end %s: %v", row, n)
+	for _, ref := range seen.drain.Displaced {
+		displaced := store.Jobs[ref.Job]
+		if displaced.Spec.Row != simulation.RowCheck {
+			continue
 		}
+		seen.displaced++
+		if taskState := displaced.Task(ref).State; taskState != state.Placed && !taskState.Ended() {
+			seen.unplaced++
+		}
+	}
+	return seen
+}
+
+func (d tightDrain) check(t *testing.T) {
+	t.Helper()
+	drain := d.drain
+	if drain == nil || drain.Fits || !drain.PreflightDone || len(drain.Displaced) < 10 || drain.Shortage.Cores == 0 {
+		t.Fatalf("the drain: %+v", drain)
+	}
+	if states := d.states[simulation.RowStock]; states[state.Suspended] == 0 {
+		t.Errorf("row stock is not suspended: %v", states)
+	}
+	if d.displaced == 0 || d.unplaced > 0 {
+		t.Errorf("row check does not preempt: of %d displaced, %d are not placed", d.displaced, d.unplaced)
+	}
+	if states := d.states[simulation.RowPush]; states[state.Waiting] == 0 || states[state.Suspended] > 0 {
+		t.Errorf("row push does not wait: %v", states)
 	}
 }
--- a/tests/simulation/scenarios/drain_leader_loss_test.go
+++ b/tests/simulation/scenarios/drain_leader_loss_test.go
@@ -14,7 +14,7 @@
 // order on, and again of the reopening: crashed, frozen and isolated. The next leader
 // must finish with the same scope and displaced tasks.
 func TestDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, loss := range []string{"crash", "freeze", "alone"} {
+	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated} {
 		for n := 0; n < 14; n++ {
 			for _, onReopen := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%d/%v", loss, n, onReopen), func(t *testing.T) {
@@ -26,19 +26,18 @@
 	}
 }
 
-func drainSurvivesLeaderLoss(t *testing.T, loss string, n int, onReopen bool) {
-	var c *state.Drain
+func drainSurvivesLeaderLoss(t *testing.T, loss simulation.FaultKind, n int, onReopen bool) {
+	// first is the scope and stage of each drain before the reopening.
 	var first []string
-	failpoint := &leaderFailpoint{how: loss, entries: n, duration: 8000}
+	failpoint := &leaderFailpoint{loss: loss, entries: n, duration: 8000}
 	scenario := simulation.Scenario{Seed: int64(n) + 100, Window: 30000, Recovery: 20000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 60
 		failpoint.install(cluster)
-		still := func() bool { return true }
 		cluster.At(12000, func() {
 			if !onReopen {
 				failpoint.arm()
 			}
-			cluster.Clients.SetDrained("north", true, still)
+			cluster.Clients.SetDrained("north", true, always)
 		})
 		cluster.At(22000, func() {
 			if onReopen {
@@ -49,29 +48,42 @@
 					first = append(first, fmt.Sprint(x.Scope, x.Stage))
 				}
 			}
-			cluster.Clients.SetDrained("north", false, still)
+			cluster.Clients.SetDrained("north", false, always)
 		})
 	}}
 	cluster := simulationtest.RunScenario(t, scenario)
 	if !failpoint.fired {
 		t.Fatal("the failpoint never fired")
 	}
-	for _, x := range cluster.Leader().Machine.State().Drains {
-		c = x
-	}
-	if c == nil || c.Stage != state.Open || !c.PreflightDone || c.Verdict == "" || len(c.Scope) != 5 {
-		t.Fatalf("the drain ended as %+v", c)
-	}
 	if len(first) != 1 || !strings.HasSuffix(first[0], string(state.Closed)) {
 		t.Errorf("ten seconds after the order the drain is at %v", first)
 	}
-	seen := map[state.Stage]int{}
-	for _, m := range c.History {
-		seen[m.Stage]++
+	drains := cluster.Leader().Machine.State().Drains
+	if len(drains) == 0 {
+		t.Fatal("there is no drain in the end")
+	}
+	for _, drain := range drains {
+		checkCompleteDrain(t, drain)
+	}
+}
+
+// checkCompleteDrain requires a drain that went through every stage once.
+func checkCompleteDrain(t *testing.T, drain *state.Drain) {
+	t.Helper()
+	if drain.Stage != state.Open || !drain.PreflightDone || drain.Verdict == "" || len(drain.Scope) != 5 {
+		t.Fatalf("the drain ended as %+v", drain)
+	}
+	entered := map[state.Stage]int{}
+	for _, entry := range drain.History {
+		entered[entry.Stage]++
+	}
+	stages := []state.Stage{
+		state.Preflight, state.Predrain, state.Cordon, state.Postdrain, state.Closed,
+		state.Preopen, state.Opening, state.Postopen, state.Open,
 	}
-	for _, s := range []state.Stage{state.Preflight, state.Predrain, state.Cordon, state.Postdrain, state.Closed, state.Preopen, state.Opening, state.Postopen, state.Open} {
-		if seen[s] != 1 {
-			t.Errorf("stage %s was entered %d times: %v", s, seen[s], c.History)
+	for _, stage := range stages {
+		if entered[stage] != 1 {
+			t.Errorf("stage %s was entered %d times: %v", stage, entered[stage], drain.History)
 		}
 	}
 }
@@ -79,7 +91,7 @@
 // TestRackDrainSurvivesLeaderLoss loses the leader at every log entry of a rack's drain
 // from the first poll that says so on, and again when the rack stays after all.
 func TestRackDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, loss := range []string{"crash", "freeze"} {
+	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze} {
 		for n := 0; n < 12; n++ {
 			for _, onReopen := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%d/%v", loss, n, onReopen), func(t *testing.T) {
@@ -91,8 +103,8 @@
 	}
 }
 
-func rackDrainSurvivesLeaderLoss(t *testing.T, loss string, n int, onReopen bool) {
-	failpoint := &leaderFailpoint{how: loss, entries: n, duration: 6000}
+func rackDrainSurvivesLeaderLoss(t *testing.T, loss simulation.FaultKind, n int, onReopen bool) {
+	failpoint := &leaderFailpoint{loss: loss, entries: n, duration: 6000}
 	var closed *state.Drain
 	cluster := simulation.Run(simulation.Scenario{Seed: int64(n) + 400, Spec: simulation.FastNetwork(), Window: 26000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 50
--- a/tests/simulation/scenarios/leader_failpoint_test.go
+++ b/tests/simulation/scenarios/leader_failpoint_test.go
@@ -1,43 +1,53 @@
 package scenarios
 
-import "orchidward/tests/simulation"
+import (
+	"orchidward/internal/api/identifier"
+	"orchidward/tests/simulation"
+)
 
 // leaderFailpoint loses the leader for a while as soon as its log has grown by so many
 // entries since the failpoint was armed.
 type leaderFailpoint struct {
+	// loss is LeaderCrash, LeaderFreeze or LeaderIsolated.
+	loss    simulation.FaultKind
+	entries int
+	// duration is how long the leader is lost, in ms.
+	duration int64
+
 	cluster    *simulation.Cluster
-	how        string
-	entries    int
-	duration   int64
-	armedIndex uint64
+	armedIndex identifier.Index
 	fired      bool
 }
 
-func (s *leaderFailpoint) install(cluster *simulation.Cluster) {
-	s.cluster = cluster
-	cluster.Failpoint = s.check
+func (f *leaderFailpoint) install(cluster *simulation.Cluster) {
+	f.cluster = cluster
+	cluster.Failpoint = f.check
 }
 
 // arm counts entries from now on.
-func (s *leaderFailpoint) arm() {
-	if server := s.cluster.Leader(); server != nil {
-		s.armedIndex = uint64(server.Machine.Raft().LastIndex())
+func (f *leaderFailpoint) arm() {
+	if leader := f.cluster.Leader(); leader != nil {
+		f.armedIndex = leader.Machine.Raft().LastIndex()
 	}
 }
 
-func (s *leaderFailpoint) check(server *simulation.Server) bool {
-	if s.armedIndex == 0 || s.fired || !server.IsLeader() || uint64(server.Machine.Raft().LastIndex()) < s.armedIndex+uint64(s.entries) {
+// check loses a server if it is the leader and has the entries.
+func (f *leaderFailpoint) check(server *simulation.Server) (crashed bool) {
+	if f.armedIndex == 0 || f.fired || !server.IsLeader() {
+		return false
+	}
+	if server.Machine.Raft().LastIndex() < f.armedIndex+identifier.Index(f.entries) {
 		return false
 	}
-	s.fired = true
-	switch s.how {
-	case "crash":
-		s.cluster.After(s.duration, s.cluster.CrashServer(server))
+	f.fired = true
+	switch f.loss {
+	case simulation.LeaderCrash:
+		f.cluster.After(f.duration, f.cluster.CrashServer(server))
 		return true
-	case "freeze":
-		s.cluster.After(s.duration, s.cluster.Freeze(server.Process))
-	case "alone":
-		s.cluster.After(s.duration, s.cluster.Isolate(server.Process, true, true))
+	case simulation.LeaderFreeze:
+		f.cluster.After(f.duration, f.cluster.Freeze(server.Process))
+	case simulation.LeaderIsolated:
+		f.cluster.After(f.duration, f.cluster.Isolate(server.Process, true, true))
 	}
 	return false
 }
