--- a/tests/simulation/scenarios/drain_leader_loss_test.go
+++ b/tests/simulation/scenarios/drain_leader_loss_test.go
@@ -10,96 +10,108 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestDrainSurvivesLeaderLoss takes the closing's owner away at every single log entry from
-// the order to close on, and again on the way back: killed, frozen and cut
-// off. Whoever is next must finish with the same scope and displaced set.
+// TestDrainSurvivesLeaderLoss loses the leader at every log entry of a drain from the
+// order on, and again of the reopening: crashed, frozen and isolated. The next leader
+// must finish with the same scope and displaced tasks.
 func TestDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, how := range []string{"crash", "freeze", "alone"} {
+	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated} {
 		for n := 0; n < 14; n++ {
-			for _, back := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%d/%v", how, n, back), func(t *testing.T) {
+			for _, onReopen := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%d/%v", loss, n, onReopen), func(t *testing.T) {
 					t.Parallel()
-					drainSurvivesLeaderLoss(t, how, n, back)
+					drainSurvivesLeaderLoss(t, loss, n, onReopen)
 				})
 			}
 		}
 	}
 }
 
-func drainSurvivesLeaderLoss(t *testing.T, how string, n int, back bool) {
-	var c *state.Drain
+func drainSurvivesLeaderLoss(t *testing.T, loss simulation.FaultKind, n int, onReopen bool) {
+	// first is the scope and stage of each drain before the reopening.
 	var first []string
-	trap := &leaderFailpoint{how: how, entries: n, duration: 8000}
+	failpoint := &leaderFailpoint{loss: loss, entries: n, duration: 8000}
 	scenario := simulation.Scenario{Seed: int64(n) + 100, Window: 30000, Recovery: 20000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 60
-		trap.install(cluster)
-		still := func() bool { return true }
+		failpoint.install(cluster)
 		cluster.At(12000, func() {
-			if !back {
-				trap.arm()
+			if !onReopen {
+				failpoint.arm()
 			}
-			cluster.Clients.SetDrained("north", true, still)
+			cluster.Clients.SetDrained("north", true, always)
 		})
 		cluster.At(22000, func() {
-			if back {
-				trap.arm()
+			if onReopen {
+				failpoint.arm()
 			}
 			if server := cluster.Leader(); server != nil {
 				for _, x := range server.Machine.State().Drains {
 					first = append(first, fmt.Sprint(x.Scope, x.Stage))
 				}
 			}
-			cluster.Clients.SetDrained("north", false, still)
+			cluster.Clients.SetDrained("north", false, always)
 		})
 	}}
 	cluster := simulationtest.RunScenario(t, scenario)
-	if !trap.fired {
-		t.Fatal("the owner was never taken away")
+	if !failpoint.fired {
+		t.Fatal("the failpoint never fired")
 	}
-	for _, x := range cluster.Leader().Machine.State().Drains {
-		c = x
+	if len(first) != 1 || !strings.HasSuffix(first[0], string(state.Closed)) {
+		t.Errorf("ten seconds after the order the drain is at %v", first)
 	}
-	if c == nil || c.Stage != state.Open || !c.PreflightDone || c.Verdict == "" || len(c.Scope) != 5 {
-		t.Fatalf("the closing came to %+v", c)
+	drains := cluster.Leader().Machine.State().Drains
+	if len(drains) == 0 {
+		t.Fatal("there is no drain in the end")
 	}
-	if len(first) != 1 || !strings.HasSuffix(first[0], string(state.Closed)) {
-		t.Errorf("ten seconds after the order the closing stood at %v", first)
+	for _, drain := range drains {
+		checkCompleteDrain(t, drain)
+	}
+}
+
+// checkCompleteDrain requires a drain that went through every stage once.
+func checkCompleteDrain(t *testing.T, drain *state.Drain) {
+	t.Helper()
+	if drain.Stage != state.Open || !drain.PreflightDone || drain.Verdict == "" || len(drain.Scope) != 5 {
+		t.Fatalf("the drain ended as %+v", drain)
+	}
+	entered := map[state.Stage]int{}
+	for _, entry := range drain.History {
+		entered[entry.Stage]++
 	}
-	seen := map[state.Stage]int{}
-	for _, m := range c.History {
-		seen[m.Stage]++
+	stages := []state.Stage{
+		state.Preflight, state.Predrain, state.Cordon, state.Postdrain, state.Closed,
+		state.Preopen, state.Opening, state.Postopen, state.Open,
 	}
-	for _, s := range []state.Stage{state.Preflight, state.Predrain, state.Cordon, state.Postdrain, state.Closed, state.Preopen, state.Opening, state.Postopen, state.Open} {
-		if seen[s] != 1 {
-			t.Errorf("stage %s was entered %d times: %v", s, seen[s], c.History)
+	for _, stage := range stages {
+		if entered[stage] != 1 {
+			t.Errorf("stage %s was entered %d times: %v", stage, entered[stage], drain.History)
 		}
 	}
 }
 
-// TestRackDrainSurvivesLeaderLoss takes the owner of a rack's closing away at every log entry
-// from the first word of leaving on, and again when the rack stays after all.
+// TestRackDrainSurvivesLeaderLoss loses the leader at every log entry of a rack's drain
+// from the first poll that says so on, and again when the rack stays after all.
 func TestRackDrainSurvivesLeaderLoss(t *testing.T) {
-	for _, how := range []string{"crash", "freeze"} {
+	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze} {
 		for n := 0; n < 12; n++ {
-			for _, back := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%d/%v", how, n, back), func(t *testing.T) {
+			for _, onReopen := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%d/%v", loss, n, onReopen), func(t *testing.T) {
 					t.Parallel()
-					rackDrainSurvivesLeaderLoss(t, how, n, back)
+					rackDrainSurvivesLeaderLoss(t, loss, n, onReopen)
 				})
 			}
 		}
 	}
 }
 
-func rackDrainSurvivesLeaderLoss(t *testing.T, how string, n int, back bool) {
-	trap := &leaderFailpoint{how: how, entries: n, duration: 6000}
+func rackDrainSurvivesLeaderLoss(t *testing.T, loss simulation.FaultKind, n int, onReopen bool) {
+	failpoint := &leaderFailpoint{loss: loss, entries: n, duration: 6000}
 	var closed *state.Drain
 	cluster := simulation.Run(simulation.Scenario{Seed: int64(n) + 400, Spec: simulation.FastNetwork(), Window: 26000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 50
-		trap.install(cluster)
+		failpoint.install(cluster)
 		cluster.At(10000, func() {
-			if !back {
-				trap.arm()
+			if !onReopen {
+				failpoint.arm()
 			}
 			for _, r := range cluster.Runners[:3] {
 				r.Drain(4000)
@@ -110,8 +122,8 @@
 				found := *one
 				closed = &found
 			}
-			if back {
-				trap.arm()
+			if onReopen {
+				failpoint.arm()
 			}
 			for _, r := range cluster.Runners[:3] {
 				r.CancelDrain()
@@ -119,8 +131,8 @@
 		})
 	}})
 	simulationtest.CheckInvariants(t, int64(n)+400, cluster)
-	if !trap.fired {
-		t.Fatal("the owner was never taken away")
+	if !failpoint.fired {
+		t.Fatal("the failpoint never fired")
 	}
 	if closed == nil || closed.Stage != state.Closed || len(closed.Scope) != 3 || closed.Verdict == "" || closed.UnconfirmedStops > 0 {
 		t.Errorf("3.5 s after the departure: %+v", closed)
@@ -132,6 +144,6 @@
 		}
 	}
 	if len(list) != 1 {
-		t.Errorf("%d closings for one rack", len(list))
+		t.Errorf("%d drains for one rack", len(list))
 	}
 }
