--- a/internal/controlplane/membership_plan.go
+++ b/internal/controlplane/membership_plan.go
@@ -39,7 +39,7 @@
 
 // nextMembers is the member list that should be next, one member different from this
 // one. It is nil when all is as it should be, or when after the change the live voters
-// would be no majority. settled says that the leader has had the time to hear whoever
+// would be no majority. established says that the leader has had the time to hear whoever
 // lives: only then is a live voter demoted.
 func nextMembers(members []memberState, want int, established bool) []raft.Member {
 	var next []raft.Member
--- a/internal/daemon/agentd/cancelled_heartbeat_test.go
+++ b/internal/daemon/agentd/cancelled_heartbeat_test.go
@@ -2,77 +2,43 @@
 
 import (
 	"context"
-	"strings"
-	"sync"
 	"testing"
 	"time"
 
-	"orchidward/internal/agent"
-	"orchidward/internal/api/job"
+	"orchidward/internal/api/identifier"
 	"orchidward/internal/daemon/lifecycle"
-	"orchidward/internal/daemon/logging"
-	"orchidward/internal/transport/link"
-	"orchidward/internal/transport/wire"
 )
 
-// TestGivenUp: a heartbeat whose caller was told that the agent has not heard of
-// it is never heard of, also not when the desk gets to it later.
-func TestGivenUp(t *testing.T) {
-	c := lifecycle.New()
-	core, err := link.Listen("127.0.0.1:0", c)
-	if err != nil {
-		t.Fatal(err)
-	}
-	var mu sync.Mutex
-	told := ""
-	core.Serve(func(_ wire.Peer, msg wire.Message) {
-		if msg.Request != nil {
-			mu.Lock()
-			told += string(msg.Request.Body)
-			mu.Unlock()
-		}
-	})
-	log := logging.New()
-	log.Quiet()
-	l := &life{}
-	d, err := New(Settings{Agent: agent.Config{Name: "r1", Addr: "127.0.0.1:0", Domain: "north", Seeds: []string{core.Addr()}, Seed: 1, MaxLease: 10000, HeartbeatInterval: 500}}, c, log, l)
-	if err != nil {
-		t.Fatal(err)
-	}
-	ctx, end := context.WithTimeout(context.Background(), 60*time.Second)
-	defer end()
-	left, leave := context.WithCancel(ctx)
-	leave()
-	room := job.Demand{Cores: 4, Mem: 1024}
-	if _, ok := d.Heartbeat(left, agent.Heartbeat{Runner: "given-up", Domain: "north", Rack: "k", Capacity: room}); ok {
-		t.Error("a heartbeat was answered before the desk began")
+// TestCancelledHeartbeatNeverHandled checks that a heartbeat whose caller was told that the
+// agent has not heard of it is never handled, also not when the loop comes to it later.
+func TestCancelledHeartbeatNeverHandled(t *testing.T) {
+	const cancelled, next identifier.Incarnation = "given-up", "the-next"
+	group := lifecycle.New()
+	controlPlane, addr := startControlPlane(t, group)
+	d, life := newTestDaemon(t, group, addr)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	defer cancel()
+	if _, ok := d.Heartbeat(cancelledContext(ctx), heartbeat(cancelled, 0)); ok {
+		t.Error("a heartbeat was answered before the loop began")
 	}
-	for _, h := range l.hooks {
-		if err = h.OnStart(ctx); err != nil {
-			t.Fatal(err)
-		}
-	}
-	heard := func(name string) bool {
-		mu.Lock()
-		defer mu.Unlock()
-		return strings.Contains(told, name)
-	}
-	until := time.Now().Add(15 * time.Second)
-	for seq := uint64(1); !heard("the-next"); seq++ {
-		if _, ok := d.Heartbeat(ctx, agent.Heartbeat{Runner: "the-next", Seq: seq, Domain: "north", Rack: "k", Capacity: room}); !ok || time.Now().After(until) {
-			t.Fatal("the core was not told of the next life")
+
+	life.start(ctx, t)
+	deadline := time.Now().Add(reportTimeout)
+	sendUntilReported := func(incarnation identifier.Incarnation, failure string) {
+		t.Helper()
+		for seq := uint64(1); !controlPlane.reported(incarnation); seq++ {
+			if _, ok := d.Heartbeat(ctx, heartbeat(incarnation, seq)); !ok || time.Now().After(deadline) {
+				t.Fatal(failure)
+			}
 		}
 	}
-	if heard("given-up") {
-		t.Fatal("a heartbeat that was given up was told to the core")
-	}
-	// Had it been heard of, its life would now be a former one for good.
-	for seq := uint64(1); !heard("given-up"); seq++ {
-		if _, ok := d.Heartbeat(ctx, agent.Heartbeat{Runner: "given-up", Seq: seq, Domain: "north", Rack: "k", Capacity: room}); !ok || time.Now().After(until) {
-			t.Fatal("a heartbeat that was given up was heard of: its life counts as past")
-		}
+	sendUntilReported(next, "the next incarnation was not reported to the control plane")
+	if controlPlane.reported(cancelled) {
+		t.Fatal("a heartbeat that was given up was reported to the control plane")
 	}
-	if err = c.Stop(ctx); err != nil {
+	// Had it been handled, its incarnation would count as replaced and never be reported.
+	sendUntilReported(cancelled, "a heartbeat that was given up was heard of: its incarnation counts as past")
+	if err := group.Stop(ctx); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/daemon/eventloop/calls_test.go
+++ b/internal/daemon/eventloop/calls_test.go
@@ -7,10 +7,11 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// TestCallQueue: calls are carried out in order; what is refused or given up never is, and
-// a full queue refuses at once.
+// TestCallQueue checks that calls are carried out in order, that one which is refused or
+// given up never is, and that a full queue refuses at once.
 func TestCallQueue(t *testing.T) {
-	q, list := NewCallQueue[*[]int](2), []int{}
+	q := NewCallQueue[*[]int](2)
+	list := []int{}
 	if !q.Post(func(m *[]int) { *m = append(*m, 1) }) {
 		t.Fatal("an empty queue refused")
 	}
--- a/internal/daemon/eventloop/loop_test.go
+++ b/internal/daemon/eventloop/loop_test.go
@@ -11,7 +11,13 @@
 )
 
 // counter is a machine that counts its inputs.
-type counter struct{ messages, ticks, calls, outputs, prepared int }
+type counter struct {
+	messages int
+	ticks    int
+	calls    int
+	outputs  int
+	prepared int
+}
 
 func (c *counter) handlers() Handlers {
 	return Handlers{
@@ -24,8 +30,8 @@
 	}
 }
 
-// TestLoop: every input reaches the machine, its output is handed on after each, and a
-// loop that has ended takes no calls.
+// TestLoop checks that every input reaches the machine, that its output is handed on after
+// each, and that a loop that has ended takes no calls.
 func TestLoop(t *testing.T) {
 	c := &counter{}
 	l := New(c, 16)
@@ -54,8 +60,8 @@
 	}
 }
 
-// TestCompletions: work that ended elsewhere is an input, and one that failed ends the
-// loop before its output is handed on.
+// TestCompletions checks that work that ended elsewhere is an input, and that a failure
+// ends the loop before the output is handed on.
 func TestCompletions(t *testing.T) {
 	c := &counter{}
 	l := New(c, 16)
--- a/internal/daemon/logging/run_test.go
+++ b/internal/daemon/logging/run_test.go
@@ -14,9 +14,10 @@
 	"go.uber.org/fx"
 )
 
-// daemonEnv is set for the process that TestHangup starts of itself.
+// daemonEnv is set for the process that TestHangupDoesNotStop starts of itself.
 const daemonEnv = "ORCHIDWARD_LOGS_DAEMON"
 
+// TestMain runs a daemon in the process that TestHangupDoesNotStop starts.
 func TestMain(m *testing.M) {
 	if os.Getenv(daemonEnv) != "" {
 		Run(fx.Invoke(func(l *Logger, life fx.Lifecycle) {
@@ -29,10 +30,11 @@
 	os.Exit(m.Run())
 }
 
-// TestHangup: a hangup is noted and ends nothing; being told to stop does.
-func TestHangup(t *testing.T) {
-	ctx, end := context.WithTimeout(context.Background(), 60*time.Second)
-	defer end()
+// TestHangupDoesNotStop checks that a hangup is logged and ends nothing, and that a
+// termination signal does.
+func TestHangupDoesNotStop(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
+	defer cancel()
 	cmd := exec.CommandContext(ctx, os.Args[0])
 	cmd.Env = append(os.Environ(), daemonEnv+"=1")
 	pipe, err := cmd.StderrPipe()
@@ -64,7 +66,7 @@
 	}
 }
 
-// TestQuiet: a quiet log leaves out events and keeps faults.
+// TestQuiet checks that a quiet log leaves out events and keeps errors.
 func TestQuiet(t *testing.T) {
 	var text bytes.Buffer
 	l := New()
--- a/internal/daemon/serverd/daemon.go
+++ b/internal/daemon/serverd/daemon.go
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// begin hooks the goroutines into the process's life, by way of the HTTP server if there is
-// one.
+// begin hooks the goroutines into the process's lifecycle, by way of the HTTP server if
+// there is one.
 func (d *Daemon) begin(settings Settings, group *lifecycle.Group, life fx.Lifecycle, id identifier.Node) error {
 	begin := func() {
 		d.link.Serve(d.loop.Receive)
@@ -156,7 +156,7 @@
 	d.server.HandleMessage(from, msg, d.clock.Now(), d.clock.Wall())
 }
 
-// observe notes that the process runs: it may have stood still.
+// observe records that the process runs: it may have stood still.
 func (d *Daemon) observe() { d.requests.Observe(d.clock.Now()) }
 
 // handOnOutput gives the server the requests that wait for it, and hands on what it sends,
@@ -201,7 +201,7 @@
 }
 
 // handleWritten takes the outcome of an operation of the disk. A disk that fails ends the
-// process: what it holds is not known any more.
+// process: its contents are not known any more.
 func (d *Daemon) handleWritten(operation *wal.Operation, err error) error {
 	d.writes.Done(operation)
 	if err != nil {
--- a/internal/daemon/settings/file_test.go
+++ b/internal/daemon/settings/file_test.go
@@ -27,8 +27,8 @@
 }
 
 func parse(t *testing.T, text string, args ...string) (flags, error) {
-	var f flags
 	t.Helper()
+	var f flags
 	from, err := ReadFile(write(t, text))
 	if err != nil {
 		return f, err
@@ -41,8 +41,8 @@
 	return f, err
 }
 
-// TestSettingsFile: values of every kind come through as they were written,
-// large numbers among them, and the command line wins.
+// TestSettingsFile checks that values of every kind are read as they were written, large
+// numbers among them, that the command line has precedence, and that faults are reported.
 func TestSettingsFile(t *testing.T) {
 	f, err := parse(t, `{"addr": "10.0.0.1:7001", "seeds": ["10.0.0.1:1", "10.0.0.2:2"], "file-kb": 1048576, "slow": true}`, "--addr", "10.0.0.9:9")
 	if err != nil || f.Addr != "10.0.0.9:9" || strings.Join(f.Seeds, " ") != "10.0.0.1:1 10.0.0.2:2" || f.FileKb != 1048576 || !f.Slow {
@@ -61,20 +61,20 @@
 	}
 }
 
-// TestFaultsAllAtOnce: every fault is named, with its key.
-func TestFaultsAllAtOnce(t *testing.T) {
-	c := &Validator{}
-	c.Addr("addr", "localhost:1")
-	c.Addrs("seeds", []string{"10.0.0.1:1", "10.0.0.2"}, 3)
-	c.Name("domain", "no rth")
-	c.Range("files", 2, 3, 99)
-	got := strings.Join(c.Problems(), "; ")
+// TestAllProblemsReported checks that every problem is reported, with its key.
+func TestAllProblemsReported(t *testing.T) {
+	v := &Validator{}
+	v.Addr("addr", "localhost:1")
+	v.Addrs("seeds", []string{"10.0.0.1:1", "10.0.0.2"}, 3)
+	v.Name("domain", "no rth")
+	v.Range("files", 2, 3, 99)
+	got := strings.Join(v.Problems(), "; ")
 	for _, want := range []string{"addr: want IP:PORT", "seeds: want at least 3, have 2", `seeds: want IP:PORT, have "10.0.0.2"`, "domain: want 1 to 64", "files: want 3 to 99, have 2"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s lacks %s", got, want)
 		}
 	}
-	if c = new(Validator); len(c.Problems()) > 0 {
-		t.Error("faults out of nothing")
+	if problems := new(Validator).Problems(); len(problems) > 0 {
+		t.Errorf("problems of no setting: %v", problems)
 	}
 }
--- a/internal/daemon/settings/validator.go
+++ b/internal/daemon/settings/validator.go
@@ -10,12 +10,12 @@
 // Validator gathers the problems of settings, each with its key.
 type Validator struct{ problems []string }
 
-// Invalid notes what is wrong with a key; message is a format for args.
+// Invalid records what is wrong with a key; message is a format for args.
 func (v *Validator) Invalid(key, message string, args ...any) {
 	v.problems = append(v.problems, key+": "+fmt.Sprintf(message, args...))
 }
 
-// Problems lists what was noted, one line each.
+// Problems lists what was recorded, one line each.
 func (v *Validator) Problems() []string { return v.problems }
 
 // Addr wants an IP number and a port.
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -37,7 +37,7 @@
 	// Gin is nil for a server made by NewHandlerServer.
 	Gin   *gin.Engine
 	Gauge *Gauges
-	// DrainDelay is how long a stop goes on taking requests, each answered with word that
+	// DrainDelay is how long a stop goes on taking requests, each answered saying that
 	// its connection closes, before the listener closes.
 	DrainDelay time.Duration
 
@@ -139,7 +139,7 @@
 	group.Go(func(<-chan struct{}) { _ = s.http.Serve(s.listener) })
 }
 
-// Run hooks a daemon into the process's life: begin starts its goroutines, and requests are
+// Run hooks a daemon into the process's lifecycle: begin starts its goroutines, and requests are
 // served until the graceful stop.
 func (s *Server) Run(life fx.Lifecycle, group *lifecycle.Group, log *logging.Logger, program string, begin func()) {
 	life.Append(fx.Hook{
