--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -12,13 +12,13 @@
 	"orchidward/internal/transport/wire"
 )
 
-// patience is how long a test waits for what must happen.
-const patience = 20 * time.Second
+// testTimeout is how long a test waits for what must happen.
+const testTimeout = 20 * time.Second
 
-// waitFor waits until a condition holds.
+// waitFor waits until a condition is met.
 func waitFor(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); runtime.Gosched() {
+	for deadline := time.Now().Add(testTimeout); !condition(); runtime.Gosched() {
 		if time.Now().After(deadline) {
 			t.Fatal(failure)
 		}
@@ -69,7 +69,7 @@
 func newRemoteProcess(t *testing.T, conn net.Conn) *remoteProcess {
 	t.Helper()
 	t.Cleanup(func() { conn.Close() })
-	_ = conn.SetDeadline(time.Now().Add(patience))
+	_ = conn.SetDeadline(time.Now().Add(testTimeout))
 	return &remoteProcess{conn, wire.NewDecoder(bufio.NewReader(conn))}
 }
 
@@ -86,9 +86,9 @@
 	return newRemoteProcess(t, conn)
 }
 
-// TestReplyToClosedConnectionDropped: a reply goes out on the connection that its
-// request came on; once that is closed it is dropped, whoever has connected since and
-// whatever number their requests bear.
+// TestReplyToClosedConnectionDropped checks that a reply goes out on the connection that
+// its request came on; once that is closed it is dropped, whoever has connected since and
+// whatever number their requests have.
 func TestReplyToClosedConnectionDropped(t *testing.T) {
 	l, in := listen(t)
 	first := dialAndRequest(t, l, 5)
@@ -112,9 +112,9 @@
 	}
 }
 
-// TestQueuedMessagesNotSentToSuccessor: what waits for a process whose connection is
-// lost goes to nobody else that listens at its address next; that one gets what is
-// sent from then on.
+// TestQueuedMessagesNotSentToSuccessor checks that what waits for a process whose
+// connection is lost goes to nobody else that listens at its address next; that process
+// gets what is sent from then on.
 func TestQueuedMessagesNotSentToSuccessor(t *testing.T) {
 	const (
 		queuedRequests = 300
@@ -143,7 +143,7 @@
 	defer successor.Close()
 	_ = first.(*net.TCPConn).SetLinger(0)
 	first.Close()
-	_ = successor.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	_ = successor.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	conn, err := successor.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/transport/wire/codec_test.go
+++ b/internal/transport/wire/codec_test.go
@@ -35,7 +35,6 @@
 
 // roundTrip encodes a message and decodes it.
 func roundTrip(t *testing.T, m Message) Message {
-	t.Helper()
 	t.Helper()
 	var buf bytes.Buffer
 	if err := NewEncoder(&buf).Encode(m); err != nil {
@@ -48,7 +47,7 @@
 	return decoded
 }
 
-// TestRoundTrip: every message is decoded as it was encoded.
+// TestRoundTrip checks that every message is decoded as it was encoded.
 func TestRoundTrip(t *testing.T) {
 	for _, m := range append(firstVersionMessages(), laterMessages()...) {
 		if decoded := roundTrip(t, m); !reflect.DeepEqual(m, decoded) {
@@ -57,8 +56,8 @@
 	}
 }
 
-// TestLargeAppend: an append of many entries needs more than the encoder's first
-// segment, which an arena of several segments once refused to link.
+// TestLargeAppend checks an append of so many entries that it needs more than the encoder's
+// first segment, which an arena of several segments once refused to link.
 func TestLargeAppend(t *testing.T) {
 	m := Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
@@ -69,7 +68,8 @@
 	}
 }
 
-// FuzzFrame: whatever comes in, decoding neither panics nor returns an empty message.
+// FuzzFrame checks that whatever comes in, decoding neither panics nor returns an empty
+// message.
 func FuzzFrame(f *testing.F) {
 	for _, m := range firstVersionMessages() {
 		var buf bytes.Buffer
