--- a/internal/daemon/lifecycle/queue.go
+++ b/internal/daemon/lifecycle/queue.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Push waits until there is room, or for the stop; then it is false.
+// Push waits until the queue is not full, or for the stop; then it is false.
 func (q *Queue[T]) Push(v T, stop <-chan struct{}) bool {
 	select {
 	case q.values <- v:
