--- a/tests/simulation/doc.go
+++ b/tests/simulation/doc.go
@@ -1,4 +1,4 @@
-// Package simulation runs a whole cluster in virtual time: the same state machines
+// Package simulation runs a cluster in virtual time: the same state machines
 // that the daemons run, over a network that delays, loses and blocks messages, on
 // disks that lose what was not synced, by clocks that drift and jump. Simulated
 // clients and operators put it to use, and package invariants checks from outside
--- a/tests/simulation/membership/cut_off_test.go
+++ b/tests/simulation/membership/cut_off_test.go
@@ -4,12 +4,12 @@
 	"encoding/json"
 	"fmt"
 	"net/http"
-	"sort"
 	"testing"
 
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/state"
 	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // cutOffDuration is how long a server of the control plane is cut off, in ms.
@@ -32,13 +32,13 @@
 )
 
 // send sends an order until it is acknowledged or refused, and calls done then.
-func (o *operatorTool) send(addrs []string, verb, path string, body []byte, done func()) {
-	o.attempt(addrs, 0, o.cluster.Now, verb, path, body, done)
+func (o *operatorTool) send(addrs []string, method, path string, body []byte, done func()) {
+	o.attempt(addrs, 0, o.cluster.Now, method, path, body, done)
 }
 
-func (o *operatorTool) attempt(addrs []string, n int, since int64, verb, path string, body []byte, done func()) {
+func (o *operatorTool) attempt(addrs []string, n int, since int64, method, path string, body []byte, done func()) {
 	cluster := o.cluster
-	cluster.Request(cluster.Clients.Process, addrs[n%len(addrs)], verb, path, body, operatorTimeout, func(status int, _ []byte) {
+	cluster.Request(cluster.Clients.Process, addrs[n%len(addrs)], method, path, body, operatorTimeout, func(status int, _ []byte) {
 		switch {
 		case status == http.StatusOK:
 			o.spans = append(o.spans, cluster.Now-since)
@@ -50,7 +50,7 @@
 			return
 		}
 		gap := min(operatorBackoff<<min(n, 6), operatorMaxBackoff)
-		cluster.After(int64(gap), func() { o.attempt(addrs, n+1, since, verb, path, body, done) })
+		cluster.After(int64(gap), func() { o.attempt(addrs, n+1, since, method, path, body, done) })
 	})
 }
 
@@ -66,16 +66,6 @@
 	return addrs
 }
 
-// percentile of a list of times.
-func percentile(list []int64, percent int) int64 {
-	if len(list) == 0 {
-		return 0
-	}
-	sorted := append([]int64(nil), list...)
-	sort.Slice(sorted, func(i, j int) bool { return sorted[i] < sorted[j] })
-	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
-}
-
 // isolations are the ways in which one server is cut off from the others.
 var isolations = map[string]func(w *simulation.Cluster, k *simulation.Server) (undo func()){
 	"both ways":        func(w *simulation.Cluster, k *simulation.Server) func() { return isolateFromServers(w, k, true, true) },
@@ -142,8 +132,8 @@
 				if len(spans) < 60 {
 					t.Errorf("too little evidence: %d orders", len(spans))
 				}
-				t.Logf("%d orders: p50 %d, p99 %d, worst %d ms; %d answers of 503 within 50 ms", len(spans), percentile(spans, 50), percentile(spans, 99), percentile(spans, 100), fast)
-				if worst := percentile(spans, 100); worst > 2000 {
+				t.Logf("%d orders: p50 %d, p99 %d, worst %d ms; %d answers of 503 within 50 ms", len(spans), simulationtest.Percentile(spans, 50), simulationtest.Percentile(spans, 99), simulationtest.Percentile(spans, 100), fast)
+				if worst := simulationtest.Percentile(spans, 100); worst > 2000 {
 					t.Errorf("an order took %d ms", worst)
 				}
 				if name != "frozen" && fast == 0 {
@@ -174,10 +164,10 @@
 		addrs := serverAddrs(cluster, victim.Addr)
 		var next func(n int)
 		next = func(n int) {
-			verb := []string{http.MethodPut, http.MethodDelete}[n%2]
+			method := []string{http.MethodPut, http.MethodDelete}[n%2]
 			last.underWay, last.count = true, n+1
-			o.send(addrs, verb, endpoint.DrainPath("east"), nil, func() {
-				last.underWay, last.closed = false, verb == http.MethodPut
+			o.send(addrs, method, endpoint.DrainPath("east"), nil, func() {
+				last.underWay, last.closed = false, method == http.MethodPut
 				cluster.After(300, func() {
 					if cluster.Now < 7000+cutOffDuration+2000 {
 						next(n + 1)
--- a/tests/simulation/membership/diskless_test.go
+++ b/tests/simulation/membership/diskless_test.go
@@ -23,10 +23,10 @@
 	spec.DisklessServers = 2
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 361, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 40
-		porters := append([]*simulation.Server(nil), cluster.Servers[3:]...)
+		diskless := append([]*simulation.Server(nil), cluster.Servers[3:]...)
 		seeds := []string{"p1", "nobody", "p2"}
 		know := func(when string) {
-			for _, p := range porters {
+			for _, p := range diskless {
 				if !p.Machine.KnowsLeader() || p.Machine.Raft() != nil {
 					t.Errorf("%s %s knows of no leader", when, p.Name)
 				}
@@ -49,8 +49,8 @@
 			}
 		})
 		cluster.At(20000, func() {
-			cluster.After(1000, cluster.CrashServer(porters[0]))
-			cluster.After(1500, cluster.CrashServer(porters[1]))
+			cluster.After(1000, cluster.CrashServer(diskless[0]))
+			cluster.After(1500, cluster.CrashServer(diskless[1]))
 		})
 		cluster.At(25000, func() {
 			know("started anew,")
@@ -128,10 +128,10 @@
 	spec.DisklessServers = 1
 	cluster := simulation.NewCluster(362, spec)
 	cluster.Clients.StopAt = 0
-	porter := cluster.Servers[3]
+	diskless := cluster.Servers[3]
 	ask := func() []wire.Envelope {
-		m := porter.Machine
-		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: http.MethodGet, Path: endpoint.LimitsPath, Budget: 1000}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
+		m := diskless.Machine
+		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: http.MethodGet, Path: endpoint.LimitsPath, Budget: 1000}}, cluster.Monotonic(diskless.Process), cluster.WallTime(diskless.Process))
 		list := m.TakeOutput().Messages
 		return list
 	}
@@ -144,8 +144,8 @@
 	if len(list) != 1 || cluster.Leader() == nil || string(list[0].To) != cluster.Leader().Addr || list[0].Message.Request == nil || list[0].Message.Request.Hops != 1 {
 		t.Fatalf("asked with a leader known: %+v", list)
 	}
-	porter.Machine.HandleMessage(list[0].To, wire.Message{Response: &wire.Response{ID: list[0].Message.Request.ID, Status: 200}}, cluster.Monotonic(porter.Process), cluster.WallTime(porter.Process))
-	if back := porter.Machine.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != http.StatusOK {
+	diskless.Machine.HandleMessage(list[0].To, wire.Message{Response: &wire.Response{ID: list[0].Message.Request.ID, Status: 200}}, cluster.Monotonic(diskless.Process), cluster.WallTime(diskless.Process))
+	if back := diskless.Machine.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != http.StatusOK {
 		t.Errorf("the leader's answer came back as %+v", back)
 	}
 	for _, server := range cluster.Servers[:3] {
--- a/tests/simulation/membership/founding_test.go
+++ b/tests/simulation/membership/founding_test.go
@@ -30,11 +30,11 @@
 
 // requireSingleGroup fails the test when two leaders have a lease at once.
 func requireSingleGroup(t *testing.T, cluster *simulation.Cluster, seed int64) {
-	told := false
+	reported := false
 	var look func()
 	look = func() {
-		if leadersWithLease(cluster) > 1 && !told {
-			told = true
+		if leadersWithLease(cluster) > 1 && !reported {
+			reported = true
 			t.Errorf("seed %d, at %d: two groups", seed, cluster.Now)
 		}
 		cluster.After(10, look)
--- a/tests/simulation/membership/graceful_stop_test.go
+++ b/tests/simulation/membership/graceful_stop_test.go
@@ -16,18 +16,18 @@
 
 // stopGracefully stops a server: its process ends once it has left the group and
 // stopDrainDelay is over, and starts again after downtime ms, never for 0.
-func stopGracefully(cluster *simulation.Cluster, server *simulation.Server, away int64) {
-	life, told := server.Incarnation, cluster.Now
+func stopGracefully(cluster *simulation.Cluster, server *simulation.Server, downtime int64) {
+	incarnation, stoppedAt := server.Incarnation, cluster.Now
 	server.Machine.Leave()
 	server.Flush()
 	var look func()
 	look = func() {
 		switch {
-		case server.Incarnation != life || !server.Up:
-		case server.Machine.Left() && cluster.Now >= told+stopDrainDelay:
+		case server.Incarnation != incarnation || !server.Up:
+		case server.Machine.Left() && cluster.Now >= stoppedAt+stopDrainDelay:
 			server.Stop()
-			if away > 0 {
-				cluster.After(away, server.Start)
+			if downtime > 0 {
+				cluster.After(downtime, server.Start)
 			}
 		default:
 			cluster.After(10, look)
@@ -77,10 +77,10 @@
 }
 
 // sendOrder sends an order without a version, which nobody may send again.
-func (s *submitter) sendOrder(verb string) {
+func (s *submitter) sendOrder(method string) {
 	cluster := s.cluster
-	gate := cluster.Gateways[cluster.Random.Intn(len(cluster.Gateways))].Addr
-	cluster.Request(cluster.Clients.Process, gate, verb, endpoint.DrainPath("east"), nil, 2000, func(status int, _ []byte) {
+	gateway := cluster.Gateways[cluster.Random.Intn(len(cluster.Gateways))].Addr
+	cluster.Request(cluster.Clients.Process, gateway, method, endpoint.DrainPath("east"), nil, 2000, func(status int, _ []byte) {
 		if status == http.StatusGatewayTimeout || status == 0 {
 			s.unknownOutcomes++
 		}
@@ -89,8 +89,8 @@
 
 func (s *submitter) submit(path string, body []byte) {
 	cluster := s.cluster
-	gate := cluster.Gateways[cluster.Random.Intn(len(cluster.Gateways))].Addr
-	cluster.Request(cluster.Clients.Process, gate, http.MethodPut, path, body, 2000, func(status int, _ []byte) {
+	gateway := cluster.Gateways[cluster.Random.Intn(len(cluster.Gateways))].Addr
+	cluster.Request(cluster.Clients.Process, gateway, http.MethodPut, path, body, 2000, func(status int, _ []byte) {
 		if status == http.StatusGatewayTimeout || status == 0 {
 			s.unknownOutcomes++
 		}
@@ -197,26 +197,26 @@
 	spec := simulation.FastNetwork()
 	spec.ElectionTimeout = 250
 	cluster := simulation.NewCluster(seed, spec)
-	var leaving, fresh *simulation.Server
-	cluster.At(7000, func() { fresh = addEmptyServer(cluster, "k9", "north") })
+	var leaving, replacement *simulation.Server
+	cluster.At(7000, func() { replacement = addEmptyServer(cluster, "k9", "north") })
 	cluster.At(10000, func() {
 		leaving = cluster.Leader()
 		for _, server := range cluster.Servers {
-			if !leads && server != cluster.Leader() && server != fresh {
+			if !leads && server != cluster.Leader() && server != replacement {
 				leaving = server
 			}
 		}
 		stopGracefully(cluster, leaving, 0)
 	})
 	cluster.At(10000+stopDrainDelay, func() {
-		if !isVoter(cluster, fresh) || isVoter(cluster, leaving) {
+		if !isVoter(cluster, replacement) || isVoter(cluster, leaving) {
 			list, _ := cluster.Voters()
 			t.Errorf("%s is about to end, and those that vote are %v", leaving.Name, list)
 		}
 	})
 	cluster.At(10000+stopDrainDelay+50, func() {
 		for _, server := range cluster.Servers {
-			if server.Up && server != fresh {
+			if server.Up && server != replacement {
 				cluster.CrashServer(server)
 				return
 			}
--- a/tests/simulation/membership/old_seeds_test.go
+++ b/tests/simulation/membership/old_seeds_test.go
@@ -44,13 +44,13 @@
 			})
 			cluster.At(42000, func() {
 				requireSpreadVoters(t, cluster, "two leaders were replaced")
-				fresh := 0
+				replacement := 0
 				for _, member := range cluster.Leader().Machine.Raft().Members() {
 					if strings.HasSuffix(member.Addr, "b") {
-						fresh++
+						replacement++
 					}
 				}
-				if fresh != 2 {
+				if replacement != 2 {
 					t.Errorf("two leaders were replaced, members are: %v", cluster.Leader().Machine.Raft().Members())
 				}
 			})
--- a/tests/simulation/membership/second_loss_test.go
+++ b/tests/simulation/membership/second_loss_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"orchidward/tests/simulation"
+	"orchidward/tests/simulation/simulationtest"
 )
 
 // recoveryPromise is what a cluster of one size promises: from recoveryMs after the start
@@ -77,9 +78,9 @@
 func (scenario *lossScenario) replace(server *simulation.Server) func() {
 	server.Crash()
 	server.Removed = true
-	fresh := scenario.AddServer(server.Name+"b", server.Domain)
-	fresh.Seeds = append([]string{scenario.Gateways[0].Addr}, scenario.Seeds...)
-	return fresh.Start
+	replacement := scenario.AddServer(server.Name+"b", server.Domain)
+	replacement.Seeds = append([]string{scenario.Gateways[0].Addr}, scenario.Seeds...)
+	return replacement.Start
 }
 
 // victims picks as many voters as the group tolerates to lose: the leader first or not at
@@ -198,12 +199,11 @@
 				}
 				spans = append(spans, scenario.Now-scenario.replacementAt)
 			}
-			sort.Slice(spans, func(i, j int) bool { return spans[i] < spans[j] })
-			worst := spans[len(spans)-1]
+			worst := simulationtest.Longest(spans)
 			if worst > s.recoveryMs {
 				t.Errorf("%d ms from a replacement's start until the group tolerates the next loss, promised %d", worst, s.recoveryMs)
 			}
-			t.Logf("time to tolerance: p50 %d ms, p99 %d ms, worst %d ms of %d", spans[len(spans)/2], spans[len(spans)*99/100], worst, len(spans))
+			t.Logf("time to tolerance: p50 %d ms, p99 %d ms, worst %d ms of %d", simulationtest.Median(spans), simulationtest.Percentile(spans, 99), worst, len(spans))
 		})
 	}
 }
--- a/tests/simulation/membership/voters_test.go
+++ b/tests/simulation/membership/voters_test.go
@@ -23,11 +23,11 @@
 	return s
 }
 
-func eachLargeCluster(t *testing.T, scene func(t *testing.T, spec simulation.ClusterSpec)) {
+func eachLargeCluster(t *testing.T, test func(t *testing.T, spec simulation.ClusterSpec)) {
 	for name, spec := range map[string]simulation.ClusterSpec{"6 in 3": sixInThreeDomains(), "8 in 4": eightInFourDomains()} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			scene(t, spec)
+			test(t, spec)
 		})
 	}
 }
--- a/tests/simulation/register/changes_test.go
+++ b/tests/simulation/register/changes_test.go
@@ -72,10 +72,10 @@
 
 func (p *changeSet) draw(rnd *rand.Rand, seen uint64) *change {
 	c := drawChange(rnd, len(p.list), seen)
-	verb, body := c.encode()
+	method, body := c.encode()
 	text := string(body)
 	if !p.ignoreMethod {
-		text = verb + text
+		text = method + text
 	}
 	if same := p.byText[text]; same != nil {
 		return same
@@ -88,7 +88,7 @@
 }
 
 // encode returns the method and the body by which a change is sent.
-func (c *change) encode() (verb string, body []byte) {
+func (c *change) encode() (method string, body []byte) {
 	queues, pools := []map[string]any{}, []map[string]any{}
 	for _, name := range slices.Sorted(maps.Keys(c.queues)) {
 		queues = append(queues, map[string]any{"name": name, "host": "h", "prefix": "/" + name + "/", "pool": c.queues[name], "timeoutMs": 1000})
@@ -107,11 +107,11 @@
 	if len(pools) > 0 {
 		items["pools"] = pools
 	}
-	verb = http.MethodPut
+	method = http.MethodPut
 	if c.replaces {
 		maps.Copy(doc, items)
 	} else {
-		verb = http.MethodPatch
+		method = http.MethodPatch
 		if len(items) > 0 {
 			doc["put"] = items
 		}
@@ -123,7 +123,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return verb, body
+	return method, body
 }
 
 // decodeRegister decodes the response to a read of the catalog.
--- a/tests/simulation/register/histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -41,10 +41,10 @@
 }
 
 func (m *replicatedRegister) send(c *change) {
-	verb, body := c.encode()
+	method, body := c.encode()
 	var faults jsondoc.FieldErrors
 	read := catalog.ReadWhole
-	if verb == http.MethodPatch {
+	if method == http.MethodPatch {
 		read = catalog.ReadPatch
 	}
 	cmd := &state.Command{ChangeCatalog: read(body, &faults)}
--- a/tests/simulation/register/specification_test.go
+++ b/tests/simulation/register/specification_test.go
@@ -94,7 +94,7 @@
 	if x.outcomeUnknown() {
 		end = "?"
 	}
-	return fmt.Sprintf("%d..%s change %d, %d to %d, whole %v: %d", x.startedAt, end, c.number, c.base, c.version, c.replaces, x.status)
+	return fmt.Sprintf("%d..%s change %d, %d to %d, replaces %v: %d", x.startedAt, end, c.number, c.base, c.version, c.replaces, x.status)
 }
 
 // effect is what a call can do at a point: it could not have been answered as it was
--- a/tests/simulation/scenarios/delayed_orders_test.go
+++ b/tests/simulation/scenarios/delayed_orders_test.go
@@ -19,16 +19,16 @@
 }
 
 // send sends an order to one address, once.
-func (o retryingClient) send(addr, verb, path string, body []byte, done func(status int)) {
-	o.cluster.Request(o.cluster.Clients.Process, addr, verb, path, body, o.timeout, func(status int, _ []byte) { done(status) })
+func (o retryingClient) send(addr, method, path string, body []byte, done func(status int)) {
+	o.cluster.Request(o.cluster.Clients.Process, addr, method, path, body, o.timeout, func(status int, _ []byte) { done(status) })
 }
 
 // sendUntilAnswered sends an order to one address after another until its outcome is
 // known.
-func (o retryingClient) sendUntilAnswered(addrs []string, verb, path string, body []byte, done func(status int)) {
-	o.send(addrs[0], verb, path, body, func(status int) {
+func (o retryingClient) sendUntilAnswered(addrs []string, method, path string, body []byte, done func(status int)) {
+	o.send(addrs[0], method, path, body, func(status int) {
 		if status == 0 || status >= 500 || status == http.StatusTooManyRequests {
-			o.cluster.After(50, func() { o.sendUntilAnswered(append(addrs[1:], addrs[0]), verb, path, body, done) })
+			o.cluster.After(50, func() { o.sendUntilAnswered(append(addrs[1:], addrs[0]), method, path, body, done) })
 			return
 		}
 		done(status)
@@ -102,20 +102,20 @@
 }
 
 // play has an order given up, sent again elsewhere and withdrawn.
-func (s delayedOrder) sendAndWithdraw(verb, path string, body []byte, undoVerb string) (cluster *simulation.Cluster, late bool) {
+func (s delayedOrder) sendAndWithdraw(method, path string, body []byte, undoMethod string) (cluster *simulation.Cluster, late bool) {
 	return s.run(func(o retryingClient, addrs []string, acked func()) {
-		o.send(addrs[0], verb, path, body, func(int) {
-			o.sendUntilAnswered(addrs[1:], verb, path, body, func(int) {
-				o.sendUntilAnswered(addrs[1:], undoVerb, path, nil, func(int) { acked() })
+		o.send(addrs[0], method, path, body, func(int) {
+			o.sendUntilAnswered(addrs[1:], method, path, body, func(int) {
+				o.sendUntilAnswered(addrs[1:], undoMethod, path, nil, func(int) { acked() })
 			})
 		})
 	})
 }
 
 // sendAndCancel gives an order up and cancels it, without sending it again.
-func (s delayedOrder) sendAndCancel(verb, path string, body []byte) (cluster *simulation.Cluster, late bool) {
+func (s delayedOrder) sendAndCancel(method, path string, body []byte) (cluster *simulation.Cluster, late bool) {
 	return s.run(func(o retryingClient, addrs []string, acked func()) {
-		o.send(addrs[0], verb, path, body, func(status int) {
+		o.send(addrs[0], method, path, body, func(status int) {
 			if status != http.StatusOK && status != http.StatusCreated {
 				o.sendUntilAnswered(addrs[1:], http.MethodDelete, path, nil, func(int) { acked() })
 			}
