--- a/tests/mutation/main_test.go
+++ b/tests/mutation/main_test.go
@@ -7,22 +7,39 @@
 	"testing"
 )
 
-// TestPlaces: the place that each wound breaks is still there, and only once;
-// a wound that no longer wounds would go unseen until somebody ran them all.
-func TestPlaces(t *testing.T) {
-	if len(all()) < 40 {
-		t.Errorf("only %d wounds", len(all()))
+// minMutations guards against a table that is no longer listed.
+const minMutations = 138
+
+// TestOriginals: the text that each mutation replaces stands in its file, and only once;
+// otherwise it would be seen only when somebody runs them all.
+func TestOriginals(t *testing.T) {
+	if n := len(allMutations()); n < minMutations {
+		t.Errorf("only %d mutations", n)
 	}
-	for _, w := range all() {
-		for _, e := range append([]edit{{w.file, w.old, w.new}}, w.also...) {
+	for _, m := range allMutations() {
+		for _, e := range m.edits() {
 			text, err := os.ReadFile(filepath.Join("../..", e.file))
 			if err != nil {
 				t.Error(err)
 				continue
 			}
-			if n := strings.Count(string(text), e.old); n != 1 {
-				t.Errorf("%s: %q stands %d times in %s", w.name, e.old, n, e.file)
+			if n := strings.Count(string(text), e.original); n != 1 {
+				t.Errorf("%s: %q stands %d times in %s", m.name, e.original, n, e.file)
 			}
 		}
 	}
 }
+
+// TestNames: each mutation has a name of its own, and says what it wants.
+func TestNames(t *testing.T) {
+	seen := map[string]bool{}
+	for _, m := range allMutations() {
+		if seen[m.name] {
+			t.Errorf("two mutations are called %q", m.name)
+		}
+		seen[m.name] = true
+		if m.want == "" || len(m.tests) == 0 || m.original == m.replacement {
+			t.Errorf("%s: names no test or message, or changes nothing", m.name)
+		}
+	}
+}
--- /dev/null
+++ b/tests/mutation/mutation.go
@@ -0,0 +1,126 @@
+package main
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+)
+
+// testTimeout bounds the tests of one mutation, as the go command writes it.
+const testTimeout = "120s"
+
+// mutation is one way of breaking the code, and the tests that must notice it.
+type mutation struct {
+	name string
+	// file is where the code is broken, from the top of the tree: original stands in it
+	// once, and replacement takes its place.
+	file        string
+	original    string
+	replacement string
+	// also are further edits. Some promises are kept by two checks, and only a tree
+	// without both breaks them.
+	also []edit
+	// tests are the arguments of go test.
+	tests []string
+	// want is in what the failing tests print.
+	want string
+}
+
+// edit replaces a text that stands once in a file.
+type edit struct {
+	file        string
+	original    string
+	replacement string
+}
+
+// test are the arguments that run the tests of a package whose names match.
+func test(pkg, pattern string) []string { return []string{pkg, "-run", pattern} }
+
+// packages are the arguments that run all tests of some packages.
+func packages(pkgs ...string) []string { return pkgs }
+
+// faultSequences are the arguments that run the simulation's fault sequences whose names
+// begin like this.
+func faultSequences(names string) []string {
+	return test("./tests/simulation/scenarios", "TestFaultSequences/^("+names+")")
+}
+
+// allMutations lists the mutations of all subjects.
+func allMutations() []mutation {
+	return slices.Concat(
+		consensusMutations,
+		storageMutations,
+		membershipMutations,
+		timeMutations,
+		versionMutations,
+		jobMutations,
+		runnerMutations,
+		operatorMutations,
+		requestMutations,
+	)
+}
+
+// edits lists all edits of the mutation.
+func (m mutation) edits() []edit {
+	first := edit{file: m.file, original: m.original, replacement: m.replacement}
+	return append([]edit{first}, m.also...)
+}
+
+// run breaks a copy of the tree and returns the line by which its tests notice that.
+func (m mutation) run() (noticedBy string, err error) {
+	dir, err := os.MkdirTemp("", "orchidward-mutation")
+	if err != nil {
+		return "", err
+	}
+	defer os.RemoveAll(dir)
+	if err := copyTree(dir); err != nil {
+		return "", err
+	}
+	for _, e := range m.edits() {
+		if err := e.apply(dir); err != nil {
+			return "", err
+		}
+	}
+	return m.runTests(dir)
+}
+
+// copyTree copies the files that git tracks.
+func copyTree(dir string) error {
+	output, err := exec.Command("sh", "-c", "git ls-files -z | xargs -0 cp --parents -t "+dir).CombinedOutput()
+	if err != nil {
+		return fmt.Errorf("copy the tree: %w: %s", err, output)
+	}
+	return nil
+}
+
+func (e edit) apply(dir string) error {
+	path := filepath.Join(dir, e.file)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	if n := strings.Count(string(text), e.original); n != 1 {
+		return fmt.Errorf("%q stands %d times in %s, want once", e.original, n, e.file)
+	}
+	return os.WriteFile(path, []byte(strings.Replace(string(text), e.original, e.replacement, 1)), 0o644)
+}
+
+// runTests runs the mutation's tests in a broken tree. They must fail, and say what the
+// mutation wants: a build that fails, or another test, notices nothing.
+func (m mutation) runTests(dir string) (noticedBy string, err error) {
+	cmd := exec.Command("go", append([]string{"test", "-count=1", "-timeout", testTimeout}, m.tests...)...)
+	cmd.Dir = dir
+	output, err := cmd.CombinedOutput()
+	if err == nil {
+		return "", errUnnoticed
+	}
+	for _, line := range strings.Split(string(output), "\n") {
+		if strings.Contains(line, m.want) {
+			return strings.TrimSpace(line), nil
+		}
+	}
+	return "", &otherFailureError{want: m.want, output: string(output)}
+}
--- /dev/null
+++ b/tests/mutation/versions.go
@@ -0,0 +1,36 @@
+package main
+
+// versionMutations break what keeps servers of different versions apart.
+var versionMutations = []mutation{
+	{
+		name:        "level raised by most",
+		file:        "internal/controlplane/levels.go",
+		original:    "if status.SilentFor > levelSilentLimit || status.Level <= s.state.Level {",
+		replacement: "if status.SilentFor > levelSilentLimit {",
+		also: []edit{
+			{
+				file:        "internal/controlplane/levels.go",
+				original:    "to = min(to, status.Level)",
+				replacement: "",
+			},
+		},
+		tests: test("./tests/simulation/scenarios", "TestUpgrade"),
+		want:  "upgraded, the level is",
+	},
+	{
+		name:        "unknown entries read as empty",
+		file:        "internal/state/commands.go",
+		original:    "\td.DisallowUnknownFields()\n",
+		replacement: "",
+		tests:       test("./tests/simulation/scenarios", "TestUnknownEntry"),
+		want:        "went on past an entry",
+	},
+	{
+		name:        "states are not compared",
+		file:        "internal/controlplane/levels.go",
+		original:    "if !ok || checksum == command.Checksum {",
+		replacement: "if !ok || checksum > 0 || checksum == command.Checksum {",
+		tests:       test("./tests/simulation/scenarios", "TestStateDivergence"),
+		want:        "its state diverged",
+	},
+}
