--- a/internal/controlplane/replies.go
+++ b/internal/controlplane/replies.go
@@ -23,14 +23,14 @@
 var (
 	errBusy           = apiError{http.StatusServiceUnavailable, "busy", "too many requests under way", 1000}
 	errLeaderChanged  = apiError{http.StatusGatewayTimeout, "leader-changed", "the outcome is not known here; ask again", leaderChangedRetryAfter}
-	errTimeUnsure     = apiError{http.StatusServiceUnavailable, "time-unsure", "the keepers' clocks have yet to agree; no start can be appointed", 1000}
-	errQueuesTooNew   = apiError{http.StatusServiceUnavailable, codeLevel, "queues wait until every keeper has been upgraded", 500}
-	errAgentsTooNew   = apiError{http.StatusServiceUnavailable, codeLevel, "agents wait until every keeper has been upgraded", 500}
-	errPoliciesTooNew = apiError{http.StatusConflict, codeLevel, "policies wait until every keeper has been upgraded", 5000}
+	errTimeUnsure     = apiError{http.StatusServiceUnavailable, "time-unsure", "the servers' clocks have yet to agree; no start can be appointed", 1000}
+	errQueuesTooNew   = apiError{http.StatusServiceUnavailable, codeLevel, "queues wait until every server has been upgraded", 500}
+	errAgentsTooNew   = apiError{http.StatusServiceUnavailable, codeLevel, "agents wait until every server has been upgraded", 500}
+	errPoliciesTooNew = apiError{http.StatusConflict, codeLevel, "policies wait until every server has been upgraded", 5000}
 	errCatalogBusy    = apiError{http.StatusTooManyRequests, "catalog-busy", "too many changes under way", 500}
 	errLimitsBusy     = apiError{http.StatusTooManyRequests, "table-busy", "too many table changes under way", 500}
 	errRunnersFull    = apiError{http.StatusServiceUnavailable, "runners-full", "no room for another runner", 60000}
-	errLearnersFull   = apiError{http.StatusServiceUnavailable, "seats-full", "enough learners are waiting for a seat", 5000}
+	errLearnersFull   = apiError{http.StatusServiceUnavailable, "seats-full", "enough learners are waiting to become voters", 5000}
 	errTooOldToJoin   = apiError{http.StatusConflict, "too-old", "the group's level is above this program's", 0}
 	errJoinMalformed  = apiError{http.StatusBadRequest, codeBadRequest, "join does not parse", 0}
 	errJoinIncomplete = apiError{http.StatusUnprocessableEntity, "unprocessable", "join lacks an identity or an address", 0}
@@ -39,7 +39,7 @@
 	errNoJob          = apiError{http.StatusNotFound, "no-job", "no such job", 0}
 	errNoQueue        = apiError{http.StatusNotFound, "no-queue", "no such queue", 0}
 	errNoCatalog      = apiError{http.StatusNotFound, "no-catalog", "there is no catalogue yet", 0}
-	errNoDrain        = apiError{http.StatusNotFound, "no-closing", "no such closing", 0}
+	errNoDrain        = apiError{http.StatusNotFound, "no-closing", "no such drain", 0}
 )
 
 // Codes that several error responses share.
--- a/internal/daemon/gatewayd/requests.go
+++ b/internal/daemon/gatewayd/requests.go
@@ -37,7 +37,7 @@
 	case response := <-answered:
 		return response
 	default:
-		return unknownOutcome("stopping", "this gate has stopped; the outcome is not known", retryAfterRefusal)
+		return unknownOutcome("stopping", "this gateway has stopped; the outcome is not known", retryAfterRefusal)
 	}
 }
 
@@ -63,6 +63,6 @@
 
 // overloaded answers a request that was not taken in.
 func overloaded() gateway.Response {
-	body := jsondoc.ErrorBody{Code: "busy", Message: "this gate is full"}
+	body := jsondoc.ErrorBody{Code: "busy", Message: "this gateway is full"}
 	return gateway.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterRefusal, Body: body.JSON()}
 }
--- a/internal/daemon/serverd/requests.go
+++ b/internal/daemon/serverd/requests.go
@@ -38,7 +38,7 @@
 	case response := <-answered:
 		return response
 	default:
-		return inflight.Refusal(http.StatusGatewayTimeout, "stopping", "this keeper has stopped; the outcome is not known", retryAfterStop)
+		return inflight.Refusal(http.StatusGatewayTimeout, "stopping", "this server has stopped; the outcome is not known", retryAfterStop)
 	}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -115,7 +115,7 @@
 		r := g.requests.byID[id]
 		switch {
 		case g.now >= r.deadline:
-			g.fail(id, codeNoAnswer, "the core did not answer in time")
+			g.fail(id, codeNoAnswer, "the control plane did not answer in time")
 		case r.retryDue(g.now):
 			g.forward(r)
 		}
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -24,7 +24,7 @@
 	codeNoAnswer   = "no-answer"
 )
 
-const messageOutOfTouch = "this gate has lost touch with the core"
+const messageOutOfTouch = "this gateway has lost contact with the control plane"
 
 // How long a caller should wait after an error response.
 const (
@@ -44,7 +44,7 @@
 	case !g.Ready(g.now):
 		g.replyError(r.ID, http.StatusServiceUnavailable, codeOutOfTouch, messageOutOfTouch, retryAfterFailure)
 	case r.Method != http.MethodGet && g.stalls.Draining(g.now):
-		g.replyError(r.ID, http.StatusServiceUnavailable, codeStalled, "this gate stood still and can't tell how old the request is", retryAfterStall)
+		g.replyError(r.ID, http.StatusServiceUnavailable, codeStalled, "this gateway stood still and can't tell how old the request is", retryAfterStall)
 	case g.requests.full():
 		g.replyError(r.ID, http.StatusServiceUnavailable, codeBusy, "too many requests under way", retryAfterFailure)
 	case g.validate(r):
--- a/internal/state/drain_requests.go
+++ b/internal/state/drain_requests.go
@@ -14,7 +14,7 @@
 	if command.ID != "" && s.Drains[command.ID] != nil {
 		named := s.Drains[command.ID]
 		if named.Kind != KindDomain || named.Domain != command.Domain {
-			return rejected(http.StatusConflict, codeDrainIDTaken, "this id names another closing")
+			return rejected(http.StatusConflict, codeDrainIDTaken, "this id names another drain")
 		}
 		return drainResult(named)
 	}
@@ -49,7 +49,7 @@
 		drain = s.domainDrain(identifier.Domain(command.Name))
 	}
 	if drain == nil {
-		return rejected(http.StatusNotFound, codeNoDrain, "no such closing")
+		return rejected(http.StatusNotFound, codeNoDrain, "no such drain")
 	}
 	if drain.Stage.Reopening() {
 		return drainResult(drain)
--- a/internal/transport/httpclient/client.go
+++ b/internal/transport/httpclient/client.go
@@ -12,7 +12,7 @@
 )
 
 // ErrUnreachable says that no gateway answered; a change was then sent to none.
-var ErrUnreachable = errors.New("no gate answered")
+var ErrUnreachable = errors.New("no gateway answered")
 
 // ErrOutcomeUnknown says that a gateway may have taken the request, and that its response is
 // not known.
