--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -10,12 +10,10 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
+	"orchidward/internal/scheduler"
 	"orchidward/internal/state"
 )
 
-// nominalWorkRate is the rate of a runner on which work goes as fast as estimated.
-const nominalWorkRate = 1000
-
 // agentRunner is what the leader keeps of a runner that an agent speaks for. Agents stand
 // between the leader and runners that speak another protocol. They name an attempt by its
 // task and its number; these names are turned into leases and back in this file, and from
@@ -69,7 +67,7 @@
 		previousCheckpoints: previous,
 		runs:                map[identifier.LeaseID]*agentRun{},
 		sentStops:           map[runnerapi.RunStop]bool{},
-		workRate:            nominalWorkRate,
+		workRate:            scheduler.NominalWorkRate,
 	}
 }
 
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -7,6 +7,7 @@
 	"orchidward/internal/api/job"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
+	"orchidward/internal/scheduler"
 	"orchidward/internal/state"
 )
 
@@ -94,7 +95,7 @@
 		agent.workRate = sum / n
 		agent.workRateAt = s.now
 	case s.now.Since(agent.workRateAt) > workRateTTL:
-		agent.workRate = nominalWorkRate
+		agent.workRate = scheduler.NominalWorkRate
 	}
 }
 
@@ -103,7 +104,7 @@
 	if contact := s.leader.runners[name]; contact != nil && contact.agent != nil {
 		return contact.agent.workRate
 	}
-	return nominalWorkRate
+	return scheduler.NominalWorkRate
 }
 
 // quarantined reports whether nothing should be placed on a runner for now.
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -24,7 +24,7 @@
 	}
 	cycle.needed = false
 	cycle.lastAt = s.now
-	plan := scheduler.Schedule(s.state, scheduler.RunnerView{Fresh: s.schedulable(), Pace: s.workRate}, s.policyCache)
+	plan := scheduler.Schedule(s.state, scheduler.RunnerView{Schedulable: s.schedulable(), WorkRate: s.workRate}, s.policyCache)
 	s.waitReasons = plan.Reasons
 	s.recordPolicyResults(plan.Policies)
 	if len(plan.Preemptions) > 0 {
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -113,10 +113,10 @@
 	return scheduleOn(store, func(identifier.Runner) bool { return true })
 }
 
-// scheduleOn runs a cycle in which all runners work at the normal pace.
+// scheduleOn runs a cycle in which all runners work at the nominal rate.
 func scheduleOn(store *state.Store, fresh func(r identifier.Runner) bool) Plan {
-	pace := func(identifier.Runner) int64 { return normalPace }
-	return Schedule(store, RunnerView{Fresh: fresh, Pace: pace}, policy.NewCache())
+	workRate := func(identifier.Runner) int64 { return NominalWorkRate }
+	return Schedule(store, RunnerView{Schedulable: fresh, WorkRate: workRate}, policy.NewCache())
 }
 
 // scheduleAndPlace runs a cycle and applies its placements.
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -18,9 +18,9 @@
 	onTrial bool
 	// rackLeaving says that another runner of its rack has announced its departure.
 	rackLeaving bool
-	// pace is how fast tasks run there, in thousandths of the expected pace. It is known
-	// for the nodes of pools only.
-	pace int64
+	// workRate is how fast tasks run there, in thousandths of what their estimates say. It
+	// is known for the nodes of pools only.
+	workRate int64
 }
 
 // unreserved is what units without a reservation may use.
@@ -40,7 +40,7 @@
 	nodes := make([]*node, 0, len(store.RunnerNames()))
 	for _, name := range store.RunnerNames() {
 		runner := store.Runners[name]
-		if runner.Gone || runner.CordonedBy() != "" || !view.Fresh(name) {
+		if runner.Gone || runner.CordonedBy() != "" || !view.Schedulable(name) {
 			continue
 		}
 		onTrial := needsTrial(runner, mean)
@@ -144,15 +144,15 @@
 	return score
 }
 
-// slowPace is the pace below which a runner comes last.
-const slowPace = 400
+// slowWorkRate is the work rate below which a runner comes last.
+const slowWorkRate = 400
 
-// slowness is what the node's pace adds to its score.
+// slowness is what the node's work rate adds to its score.
 func (n *node) slowness() int64 {
-	if n.pace < slowPace {
+	if n.workRate < slowWorkRate {
 		return slowPenalty
 	}
-	return max(0, normalPace-n.pace)
+	return max(0, NominalWorkRate-n.workRate)
 }
 
 // bestNode finds the node with the best score for one task, nil when none fits.
--- a/internal/scheduler/policy_scoring.go
+++ b/internal/scheduler/policy_scoring.go
@@ -126,7 +126,7 @@
 		NeedMem:         step.Demand.Mem,
 		Urgency:         u.job.Spec.Urgency,
 		Defects:         task.Defects,
-		Members:         int64(len(u.nums)),
+		Members:         int64(len(u.taskNumbers)),
 	}
 	for _, label := range n.runner.Labels {
 		inputs.Labels[string(label)] = true
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -28,7 +28,7 @@
 		return
 	}
 	p := newPreemption(c, u)
-	for range u.nums {
+	for range u.taskNumbers {
 		if !p.addTask() {
 			return
 		}
@@ -42,7 +42,7 @@
 	if c.store.Limits.Cell(u.job.Spec.Row, limits.ColumnOnOutage) != limits.OnOutagePreempt {
 		return false
 	}
-	for _, num := range u.nums {
+	for _, num := range u.taskNumbers {
 		drain := c.store.Drains[u.task(num).DisplacedBy]
 		if drain != nil && drain.PreflightDone && !drain.Fits {
 			return true
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -40,10 +40,11 @@
 // scheduleQueues places the jobs of queues: those on time first, then the late ones, then
 // those that are too late; of each by priority, and then by when they are due.
 func (c *cycle) scheduleQueues() {
-	for want := onTime; want <= tooLate; want++ {
-		misses, seen := 0, 0
+	for class := onTime; class <= tooLate; class++ {
+		misses := 0
+		seen := 0
 		c.store.EachQueueJob(func(j *state.Job) bool {
-			if timelinessOf(j, c.store.Now) != want {
+			if timelinessOf(j, c.store.Now) != class {
 				return true
 			}
 			if result := c.tryJob(j, c.tryQueueUnit); !result.placed && result.newShape {
@@ -56,29 +57,29 @@
 }
 
 // tryQueueUnit tries to place a unit of a queue's job.
-func (c *cycle) tryQueueUnit(u unit) attempt {
+func (c *cycle) tryQueueUnit(u unit) placementResult {
 	shape := queueShape(u)
 	if reason, known := c.unplaceable[shape]; known {
 		c.plan.Reasons.add(u, reason)
-		return attempt{}
+		return placementResult{}
 	}
 	nodes := c.findQueueNodes(u)
 	if nodes == nil {
 		reason := c.reserveForQueue(u)
 		c.unplaceable[shape] = reason
 		c.plan.Reasons.add(u, reason)
-		return attempt{newShape: true}
+		return placementResult{newShape: true}
 	}
 	for _, n := range nodes {
 		n.free = n.free.Minus(u.spec().Demand)
 	}
 	c.place(u, nodes)
-	return attempt{placed: true, newShape: true}
+	return placementResult{placed: true, newShape: true}
 }
 
 func queueShape(u unit) unitShape {
 	step := u.spec()
-	shape := unitShape{demand: step.Demand, count: len(u.nums)}
+	shape := unitShape{demand: step.Demand, count: len(u.taskNumbers)}
 	shape.constraints = u.job.Terms.Pool + "/" + string(step.PreferredRack)
 	for _, label := range step.Labels {
 		shape.constraints += " " + string(label)
@@ -156,28 +157,28 @@
 // is returned when a task fits on none.
 func (c *cycle) assignNodes(u unit, candidates []*node) []*node {
 	var assigned []*node
-	sofar := assignment{used: map[*node]job.Demand{}, tasks: map[*node]int64{}}
-	for _, num := range u.nums {
-		n := c.bestQueueNode(u, u.task(num), candidates, sofar)
+	pending := assignment{used: map[*node]job.Demand{}, tasks: map[*node]int64{}}
+	for _, num := range u.taskNumbers {
+		n := c.bestQueueNode(u, u.task(num), candidates, pending)
 		if n == nil {
 			return nil
 		}
-		sofar.used[n] = sofar.used[n].Plus(u.spec().Demand)
-		sofar.tasks[n]++
+		pending.used[n] = pending.used[n].Plus(u.spec().Demand)
+		pending.tasks[n]++
 		assigned = append(assigned, n)
 	}
 	return assigned
 }
 
-func (c *cycle) bestQueueNode(u unit, task *state.Task, candidates []*node, sofar assignment) *node {
+func (c *cycle) bestQueueNode(u unit, task *state.Task, candidates []*node, pending assignment) *node {
 	step := u.spec()
 	var best *node
 	var bestScore int64
 	for _, n := range candidates {
-		if !step.Demand.Fits(n.unreserved().Minus(sofar.used[n])) || !n.eligible(step) {
+		if !step.Demand.Fits(n.unreserved().Minus(pending.used[n])) || !n.eligible(step) {
 			continue
 		}
-		if step.MaxPerRunner > 0 && c.tasksOn(u, n)+sofar.tasks[n] >= step.MaxPerRunner {
+		if step.MaxPerRunner > 0 && c.tasksOn(u, n)+pending.tasks[n] >= step.MaxPerRunner {
 			continue
 		}
 		score := n.score(step.Demand, task.AvoidRunner) + n.slowness()
--- a/internal/scheduler/queues_test.go
+++ b/internal/scheduler/queues_test.go
@@ -65,12 +65,12 @@
 	store := newQueueStore(t, 3)
 	submitToQueue(t, store, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
 	view := RunnerView{
-		Fresh: func(name identifier.Runner) bool { return name != "r01" },
-		Pace: func(name identifier.Runner) int64 {
+		Schedulable: func(name identifier.Runner) bool { return name != "r01" },
+		WorkRate: func(name identifier.Runner) int64 {
 			if name == "r00" {
 				return 200
 			}
-			return normalPace
+			return NominalWorkRate
 		},
 	}
 	tasks := map[identifier.Runner]int{}
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -14,13 +14,13 @@
 	for _, n := range nodes {
 		left := n.runner.Capacity
 		var count int64
-		for len(chosen) < len(u.nums) && demand.Fits(left) && (perNode == 0 || count < perNode) {
+		for len(chosen) < len(u.taskNumbers) && demand.Fits(left) && (perNode == 0 || count < perNode) {
 			left = left.Minus(demand)
 			chosen = append(chosen, n)
 			count++
 		}
 	}
-	if len(chosen) < len(u.nums) {
+	if len(chosen) < len(u.taskNumbers) {
 		return nil
 	}
 	return chosen
--- a/internal/scheduler/rows.go
+++ b/internal/scheduler/rows.go
@@ -11,8 +11,8 @@
 	"orchidward/internal/state"
 )
 
-// scheduleDisplaced places displaced jobs of rows, the dearest first: resources reserved
-// for cheap work must not keep dear work out.
+// scheduleDisplaced places displaced jobs of rows, the highest price first: resources
+// reserved for cheap work must not keep work of a higher price out.
 func (c *cycle) scheduleDisplaced() {
 	jobs := c.store.DisplacedJobs()
 	slices.SortStableFunc(jobs, func(a, b *state.Job) int { return cmp.Compare(c.price(b), c.price(a)) })
@@ -73,24 +73,24 @@
 
 // tryRowUnit tries to place a unit of a row's job. For displaced work that does not fit
 // it may plan preemptions.
-func (c *cycle) tryRowUnit(u unit) attempt {
+func (c *cycle) tryRowUnit(u unit) placementResult {
 	if c.placed[u.firstTask()] {
-		return attempt{placed: true, newShape: true}
+		return placementResult{placed: true, newShape: true}
 	}
 	row := u.job.Spec.Row
 	use := c.rowUse[row]
-	for range u.nums {
+	for range u.taskNumbers {
 		use = use.Plus(u.spec().Demand)
 	}
 	if !use.WithinLimit(c.rowLimit(row)) {
 		c.plan.Reasons.add(u, reasonRowLimit(row))
-		return attempt{newShape: true}
+		return placementResult{newShape: true}
 	}
 	shape := rowShape(u)
 	if reason, known := c.unplaceable[shape]; known {
 		c.plan.Reasons.add(u, reason)
 		c.preemptFor(u)
-		return attempt{}
+		return placementResult{}
 	}
 	nodes := c.takeNodes(u)
 	if nodes == nil {
@@ -98,12 +98,12 @@
 		c.unplaceable[shape] = reason
 		c.plan.Reasons.add(u, reason)
 		c.preemptFor(u)
-		return attempt{newShape: true}
+		return placementResult{newShape: true}
 	}
 	c.place(u, nodes)
 	c.rowUse[row] = use
 	c.placed[u.firstTask()] = true
-	return attempt{placed: true, newShape: true}
+	return placementResult{placed: true, newShape: true}
 }
 
 func (c *cycle) rowLimit(row identifier.Row) job.Demand {
@@ -114,7 +114,7 @@
 }
 
 func rowShape(u unit) unitShape {
-	shape := unitShape{demand: u.spec().Demand, count: len(u.nums)}
+	shape := unitShape{demand: u.spec().Demand, count: len(u.taskNumbers)}
 	for _, label := range u.spec().Labels {
 		shape.constraints += string(label) + " "
 	}
@@ -126,7 +126,7 @@
 func (c *cycle) takeNodes(u unit) []*node {
 	var taken []*node
 	step := u.spec()
-	for _, num := range u.nums {
+	for _, num := range u.taskNumbers {
 		n := c.pickNode(u, u.task(num))
 		if n == nil {
 			for _, t := range taken {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -33,15 +33,15 @@
 	return Plan{Reasons: Reasons{}, Policies: PolicyResults{}}
 }
 
-// normalPace is the pace of a runner on which tasks take as long as expected.
-const normalPace = 1000
+// NominalWorkRate is the work rate of a runner on which tasks take as long as estimated.
+const NominalWorkRate = 1000
 
 // RunnerView is what a leader knows of runners beyond the state.
 type RunnerView struct {
-	// Fresh tells whether the runner may be given tasks now.
-	Fresh func(r identifier.Runner) bool
-	// Pace is how fast tasks run there, in thousandths of the expected pace.
-	Pace func(r identifier.Runner) int64
+	// Schedulable tells whether the runner may be given tasks now.
+	Schedulable func(r identifier.Runner) bool
+	// WorkRate is how fast tasks run there, in thousandths of what their estimates say.
+	WorkRate func(r identifier.Runner) int64
 }
 
 // cycle is one scheduling cycle.
@@ -86,7 +86,7 @@
 	nodes, pools := splitByPool(usableNodes(store, view))
 	for _, pool := range pools {
 		for _, n := range pool {
-			n.pace = view.Pace(n.runner.Name)
+			n.workRate = view.WorkRate(n.runner.Name)
 		}
 	}
 	c := &cycle{
--- a/internal/scheduler/unit.go
+++ b/internal/scheduler/unit.go
@@ -10,7 +10,8 @@
 type unit struct {
 	job  *state.Job
 	step int
-	nums []int
+	// taskNumbers are the numbers of its tasks in the step.
+	taskNumbers []int
 }
 
 func (u unit) spec() *job.Step { return &u.job.Spec.Steps[u.step] }
@@ -19,7 +20,7 @@
 
 // firstTask names the unit by its first task.
 func (u unit) firstTask() identifier.TaskRef {
-	return identifier.TaskRef{Job: u.job.Key, Step: u.step, Num: u.nums[0]}
+	return identifier.TaskRef{Job: u.job.Key, Step: u.step, Num: u.taskNumbers[0]}
 }
 
 // unitShape is what makes units alike: when one does not fit, none of that shape does.
@@ -30,32 +31,32 @@
 	count       int
 }
 
-// attempt is what came of trying to place units.
-type attempt struct {
+// placementResult is what came of trying to place units.
+type placementResult struct {
 	placed bool
 	// newShape is false when every unit that was not placed has a shape that was
 	// already known not to fit.
 	newShape bool
 }
 
-func (a attempt) or(b attempt) attempt {
-	return attempt{placed: a.placed || b.placed, newShape: a.newShape || b.newShape}
+func (r placementResult) or(other placementResult) placementResult {
+	return placementResult{placed: r.placed || other.placed, newShape: r.newShape || other.newShape}
 }
 
 // tryJob tries to place every ready step of a job, unit by unit.
-func (c *cycle) tryJob(j *state.Job, tryUnit func(u unit) attempt) attempt {
-	var total attempt
+func (c *cycle) tryJob(j *state.Job, tryUnit func(u unit) placementResult) placementResult {
+	var total placementResult
 	for step, spec := range j.Spec.Steps {
 		if !j.Ready(step) {
 			continue
 		}
 		waiting := j.WaitingTasks(step)
 		if spec.Gang {
-			total = total.or(tryUnit(unit{job: j, step: step, nums: waiting}))
+			total = total.or(tryUnit(unit{job: j, step: step, taskNumbers: waiting}))
 			continue
 		}
 		for _, num := range waiting {
-			one := tryUnit(unit{job: j, step: step, nums: []int{num}})
+			one := tryUnit(unit{job: j, step: step, taskNumbers: []int{num}})
 			total = total.or(one)
 			if !one.placed || c.full() {
 				break
@@ -67,10 +68,10 @@
 
 // place adds the placement of a unit, its i-th task on the i-th node, to the plan.
 func (c *cycle) place(u unit, nodes []*node) {
-	placement := state.Placement{Job: u.job.Key, Step: u.step, Tasks: u.nums}
+	placement := state.Placement{Job: u.job.Key, Step: u.step, Tasks: u.taskNumbers}
 	for _, n := range nodes {
 		placement.Runners = append(placement.Runners, n.runner.Name)
 	}
-	c.placedTasks += len(u.nums)
+	c.placedTasks += len(u.taskNumbers)
 	c.plan.Placements = append(c.plan.Placements, placement)
 }
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -137,8 +137,8 @@
 	{
 		name:        "late work first",
 		file:        "internal/scheduler/queues.go",
-		original:    "for want := onTime; want <= tooLate; want++ {",
-		replacement: "for want := tooLate; want >= onTime; want-- {",
+		original:    "for class := onTime; class <= tooLate; class++ {",
+		replacement: "for class := tooLate; class >= onTime; class-- {",
 		tests:       test("./internal/scheduler", "TestTimelyJobsFirst"),
 		want:        "want q/first",
 	},
