--- a/internal/controlplane/drain_controller.go
+++ b/internal/controlplane/drain_controller.go
@@ -12,18 +12,18 @@
 type drainProgress struct {
 	// proposals is the last entry proposed for each drain, by its id.
 	proposals map[string]identifier.Index
-	// stages is when each drain came to its stage, by this leader's clock.
-	stages map[string]stageEntry
+	// observed is when each drain came to its stage, by this leader's clock.
+	observed map[string]observedStage
 }
 
-// stageEntry notes when, by this leader's clock, a drain came to its stage.
-type stageEntry struct {
+// observedStage notes when, by this leader's clock, a drain came to its stage.
+type observedStage struct {
 	stage state.Stage
 	at    clock.Monotonic
 }
 
 func newDrainProgress() drainProgress {
-	return drainProgress{proposals: map[string]identifier.Index{}, stages: map[string]stageEntry{}}
+	return drainProgress{proposals: map[string]identifier.Index{}, observed: map[string]observedStage{}}
 }
 
 // advanceDrains moves each drain on as far as the state allows.
@@ -34,14 +34,14 @@
 		if progress.proposals[id] > s.appliedIndex {
 			continue
 		}
-		if progress.stages[id].stage != drain.Stage {
-			progress.stages[id] = stageEntry{drain.Stage, s.now}
+		if progress.observed[id].stage != drain.Stage {
+			progress.observed[id] = observedStage{drain.Stage, s.now}
 		}
 		if drain.Stage == state.Open {
 			delete(progress.proposals, id)
 			continue
 		}
-		if step := s.nextDrainStep(drain, s.now.Since(progress.stages[id].at)); step != nil {
+		if step := s.nextDrainStep(drain, s.now.Since(progress.observed[id].at)); step != nil {
 			progress.proposals[id] = s.propose(&state.Command{AdvanceDrain: step})
 		}
 	}
@@ -58,8 +58,8 @@
 			return nil
 		}
 	case state.Postdrain:
-		step.JudgeNow = inStage > s.stopTimeout(drain)
-		if len(stopping) > 0 && !step.JudgeNow && len(running) == 0 {
+		step.TimedOut = inStage > s.stopTimeout(drain)
+		if len(stopping) > 0 && !step.TimedOut && len(running) == 0 {
 			return nil
 		}
 	case state.Closed:
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -196,7 +196,7 @@
 // tasksOn is the number of tasks of the unit's step on a node: those with an open lease,
 // and those placed in this cycle.
 func (c *cycle) tasksOn(u unit, n *node) int64 {
-	count := c.store.TasksBeside(u.job, u.step, n.runner)
+	count := c.store.StepTasksOn(u.job, u.step, n.runner)
 	for _, placement := range c.plan.Placements {
 		if placement.Job != u.job.Key || placement.Step != u.step {
 			continue
--- a/internal/scheduler/rows.go
+++ b/internal/scheduler/rows.go
@@ -5,7 +5,6 @@
 	"slices"
 
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/api/job"
 	"orchidward/internal/api/limits"
 	"orchidward/internal/scheduler/feasibility"
 	"orchidward/internal/state"
@@ -82,7 +81,7 @@
 	for range u.taskNumbers {
 		use = use.Plus(u.spec().Demand)
 	}
-	if !use.WithinLimit(c.rowLimit(row)) {
+	if !use.WithinLimit(c.store.RowLimit(row)) {
 		c.plan.Reasons.add(u, reasonRowLimit(row))
 		return placementResult{newShape: true}
 	}
@@ -106,13 +105,6 @@
 	return placementResult{placed: true, newShape: true}
 }
 
-func (c *cycle) rowLimit(row identifier.Row) job.Demand {
-	return job.Demand{
-		Cores: c.store.Limits.Int(row, limits.ColumnMaxCores),
-		Mem:   c.store.Limits.Int(row, limits.ColumnMaxMem),
-	}
-}
-
 func rowShape(u unit) unitShape {
 	shape := unitShape{demand: u.spec().Demand, count: len(u.taskNumbers)}
 	for _, label := range u.spec().Labels {
--- a/internal/state/commands.go
+++ b/internal/state/commands.go
@@ -172,8 +172,8 @@
 	// From is the stage that the leader saw; in another stage the command does
 	// nothing.
 	From Stage `json:"from"`
-	// JudgeNow says that the time for confirming stops has run out.
-	JudgeNow bool `json:"judge,omitempty"`
+	// TimedOut says that the time for confirming stops has run out.
+	TimedOut bool `json:"judge,omitempty"`
 }
 
 // Encode returns the data of a log entry.
--- a/internal/state/drain_requests.go
+++ b/internal/state/drain_requests.go
@@ -79,11 +79,14 @@
 	return found
 }
 
+// generatedDrainID is the form of the ids that createDrain makes up.
+const generatedDrainID = "c-%d"
+
 // createDrain adds a drain in its first stage. It makes up an id when none is given
 // or the given one is taken.
 func (s *Store) createDrain(id, kind string, domain identifier.Domain, rack identifier.Rack) *Drain {
 	for id == "" || s.Drains[id] != nil {
-		id = fmt.Sprintf("c-%d", s.NextDrain)
+		id = fmt.Sprintf(generatedDrainID, s.NextDrain)
 		s.NextDrain++
 	}
 	drain := &Drain{ID: id, Kind: kind, Domain: domain, Rack: rack, StartedAt: s.Now}
--- a/internal/state/drain_scope.go
+++ b/internal/state/drain_scope.go
@@ -93,7 +93,9 @@
 }
 
 // updateCordons derives which drain cordons each runner, the oldest of several.
-// Placement and recovery look at nothing else of a drain.
+// Placement and recovery look at nothing else of a drain. Only a cordon that may be
+// lifted marks its runner changed: the leader then has starts to send it, while a new
+// cordon by itself has nothing to tell a runner.
 func (s *Store) updateCordons() {
 	for name, runner := range s.Runners {
 		if runner.cordonedBy != "" {
--- a/internal/state/drain_stages.go
+++ b/internal/state/drain_stages.go
@@ -15,7 +15,7 @@
 	if drain == nil || drain.Stage != command.From {
 		return
 	}
-	s.carryOutStage(drain, command.JudgeNow)
+	s.carryOutStage(drain, command.TimedOut)
 	s.foldChecksum(
 		hashText(drain.ID),
 		hashText(string(drain.Stage)),
@@ -138,7 +138,7 @@
 	verdictOverThreshold   = "unconfirmed stops over threshold, operator to look"
 )
 
-// checkPostdrain is the paper's post-disable check. It waits until every stop is
+// checkPostdrain is the post-disable check of the paper that [Stage] names. It waits until every stop is
 // confirmed or the time for that has run out, and then compares the unconfirmed ones
 // with the tolerated share of the displaced tasks. A lease that is not revoked yet
 // sends the drain back to the stage that revokes it.
--- a/internal/state/drain_test.go
+++ b/internal/state/drain_test.go
@@ -27,7 +27,7 @@
 	if state := f.firstTask("a/2").State; state != Suspended {
 		t.Fatalf("the displaced task is %s", state)
 	}
-	f.apply(0, &Command{AdvanceDrain: &AdvanceDrain{ID: "m1", From: Postdrain, JudgeNow: true}})
+	f.apply(0, &Command{AdvanceDrain: &AdvanceDrain{ID: "m1", From: Postdrain, TimedOut: true}})
 	if drain.Stage != Closed || drain.UnconfirmedStops != 1 || drain.Verdict != "unconfirmed stops over threshold, operator to look" {
 		t.Fatalf("post-drain %+v", drain)
 	}
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -40,11 +40,11 @@
 			return false
 		}
 	}
-	return j.Terms != nil || s.inUse[j.Spec.Row].Plus(check.total).WithinLimit(s.rowLimit(j.Spec.Row))
+	return j.Terms != nil || s.inUse[j.Spec.Row].Plus(check.total).WithinLimit(s.RowLimit(j.Spec.Row))
 }
 
-// rowLimit is the demand that the open leases of a row may have together.
-func (s *Store) rowLimit(row identifier.Row) job.Demand {
+// RowLimit is the demand that the open leases of a row may have together.
+func (s *Store) RowLimit(row identifier.Row) job.Demand {
 	return job.Demand{
 		Cores: s.Limits.Int(row, limits.ColumnMaxCores),
 		Mem:   s.Limits.Int(row, limits.ColumnMaxMem),
@@ -106,7 +106,7 @@
 	if c.spec.MaxPerRunner <= 0 {
 		return true
 	}
-	return c.store.TasksBeside(c.job, c.step, runner)+c.perRunner[runner.Name] < c.spec.MaxPerRunner
+	return c.store.StepTasksOn(c.job, c.step, runner)+c.perRunner[runner.Name] < c.spec.MaxPerRunner
 }
 
 // applyPlacement opens a lease for each task of a valid placement.
@@ -160,9 +160,9 @@
 	return lease
 }
 
-// TasksBeside is the number of tasks of a step with an open lease on the runner, in
-// all occurrences of the job together.
-func (s *Store) TasksBeside(j *Job, step int, r *Runner) int64 {
+// StepTasksOn is the number of tasks of a step with an open lease on the runner, in
+// all occurrences of the job together, as the step's MaxPerRunner counts them.
+func (s *Store) StepTasksOn(j *Job, step int, r *Runner) int64 {
 	var count int64
 	for _, lease := range r.leases {
 		if lease.Task.Step == step && s.Jobs[lease.Task.Job].rootKey() == j.rootKey() {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -114,12 +114,16 @@
 	return runner != nil && runner.cordonedBy != ""
 }
 
+// previousSpanFactor is for how many times its length a lease duration still counts
+// after it was lowered.
+const previousSpanFactor = 3
+
 // LeaseSpan is how long a runner may go on working after its last contact, in
 // milliseconds. After the duration was lowered, the longer one counts until no
 // runner can still be using it.
 func (s *Store) LeaseSpan() clock.Millis {
 	span := s.Limits.SiteMillis(limits.SiteLeaseSpan)
-	if s.PreviousLeaseSpan > span && s.Now < s.LeaseSpanChangedAt.Add(3*s.PreviousLeaseSpan) {
+	if s.PreviousLeaseSpan > span && s.Now < s.LeaseSpanChangedAt.Add(previousSpanFactor*s.PreviousLeaseSpan) {
 		return s.PreviousLeaseSpan
 	}
 	return span
