--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -243,7 +243,7 @@
 func (a *Agent) followOrders(response *runnerapi.PollResponse, open *openPoll) {
 	a.takeLease(response)
 	if response.StartTimeout > 0 {
-		a.polls.timeout = response.StartTimeout*6/10 + pollSlack
+		a.polls.timeout = runnerapi.PollTimeout(response.StartTimeout) + pollSlack
 	}
 	a.polls.seq = max(a.polls.seq, response.Seq)
 	if len(response.Servers) > 0 {
--- a/internal/api/runnerapi/poll.go
+++ b/internal/api/runnerapi/poll.go
@@ -79,6 +79,11 @@
 	Checkpoint string `json:"saved,omitempty"`
 }
 
+// PollTimeout is how long the control plane keeps a poll open that it has nothing to
+// answer with, by the start time-out in force: a start must reach the runner well within
+// that.
+func PollTimeout(startTimeout clock.Millis) clock.Millis { return startTimeout * 6 / 10 }
+
 // PollResponse is the response to a poll.
 type PollResponse struct {
 	// Starts and Stops are attempts to start and to stop.
--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -4,7 +4,6 @@
 	"cmp"
 	"maps"
 	"math"
-	"net/http"
 	"slices"
 
 	"orchidward/internal/api/identifier"
@@ -88,6 +87,7 @@
 	for _, id := range slices.Sorted(maps.Keys(contact.agent.runs)) {
 		data := contact.agent.runs[id].checkpoint
 		if data != "" && s.state.Leases[id] != nil {
+			// The full slice expression keeps previousCheckpoints from being overwritten.
 			list = append(list[:len(list):len(list)], state.Checkpoint{Lease: id, Data: data})
 		}
 	}
@@ -177,9 +177,10 @@
 const lookahead = 8
 
 // matchPreviousRun finds an attempt among those of the poll before, which mostly come in
-// the same order, at or after next. The match is valid while its lease is open: a task has
+// the same order, at or after next; following is where to look for the one after it. The
+// match is valid while its lease is open: a task has
 // one open lease at most.
-func (s *Server) matchPreviousRun(name identifier.Runner, incarnation identifier.Incarnation, previous []*agentRun, next int, runName runnerapi.RunStop) (run *agentRun, at int) {
+func (s *Server) matchPreviousRun(name identifier.Runner, incarnation identifier.Incarnation, previous []*agentRun, next int, runName runnerapi.RunStop) (run *agentRun, following int) {
 	for i := next; i < len(previous) && i < next+lookahead; i++ {
 		if previous[i].name != runName {
 			continue
@@ -200,7 +201,7 @@
 		return true
 	}
 	if !poll.LeftInOrder && !poll.PresumedDead {
-		return poll.SilentFor < 2*s.startTimeout()
+		return poll.SilentFor < s.schedulableSilence()
 	}
 	runner := s.state.Runners[name]
 	if runner != nil && runner.Incarnation == poll.Incarnation && !runner.Gone && s.leader.lossProposal[name] <= s.appliedIndex {
@@ -208,83 +209,3 @@
 	}
 	return false
 }
-
-// observedThrough is the number up to which every end is committed, or is one that
-// nobody waits for.
-func (s *Server) observedThrough(name identifier.Runner, contact *runnerContact) uint64 {
-	observed := contact.agent.sentObservedThrough
-	for _, end := range contact.agent.ends {
-		if end.lease != 0 && s.state.AcceptsEnd(name, contact.incarnation, end.lease, end.task) {
-			return observed
-		}
-		observed = max(observed, end.seq)
-	}
-	return observed
-}
-
-// answerAgentPoll answers an agent's open poll if there is something to tell that it was
-// not told, or the poll has been open for long enough.
-func (s *Server) answerAgentPoll(name identifier.Runner, contact *runnerContact, response *runnerapi.PollResponse, timeout clock.Millis) {
-	agent := contact.agent
-	response.StopRuns = s.runsToStop(agent, response.Stops)
-	response.Stops = nil
-	response.ObservedThrough = s.observedThrough(name, contact)
-	fresh := len(response.Starts) > 0 || response.ObservedThrough > agent.sentObservedThrough
-	for _, run := range response.StopRuns {
-		fresh = fresh || !agent.sentStops[run]
-	}
-	if !fresh && s.now.Since(contact.poll.since) < timeout {
-		return
-	}
-	contact.poll.open = false
-	agent.sentObservedThrough = response.ObservedThrough
-	clear(agent.sentStops)
-	for _, run := range response.StopRuns {
-		agent.sentStops[run] = true
-	}
-	for i := range response.Starts {
-		s.fillAgentStart(&response.Starts[i])
-	}
-	empty := s.emptyPollResponse(contact)
-	response.Lease = empty.Lease
-	response.StartTimeout = empty.StartTimeout
-	response.FencingToken = empty.FencingToken
-	response.Servers = empty.Servers
-	s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, response)
-}
-
-// runsToStop names the attempts of the given leases, and those that the state does not
-// know.
-func (s *Server) runsToStop(agent *agentRunner, leases []identifier.LeaseID) []runnerapi.RunStop {
-	var list []runnerapi.RunStop
-	for _, id := range leases {
-		var name runnerapi.RunStop
-		if run := agent.runs[id]; run != nil {
-			name = run.name
-		} else if lease := s.state.Leases[id]; lease != nil {
-			name = runnerapi.RunStop{Task: s.state.AgentTaskRef(lease.Task), Attempt: lease.Attempt}
-		}
-		list = append(list, name)
-	}
-	return append(list, agent.unknownRuns...)
-}
-
-// fillAgentStart adds what an agent's start order bears from its job.
-func (s *Server) fillAgentStart(start *runnerapi.Start) {
-	if j := s.state.Jobs[start.Task.Job]; j != nil {
-		start.Payload = j.Spec.Payload
-		start.Checkpoint = j.Task(start.Task).Checkpoint
-		start.Task = s.state.AgentTaskRef(start.Task)
-	}
-}
-
-// serverAddrs lists the addresses of the group's members, this leader first.
-func (s *Server) serverAddrs() []string {
-	list := []string{s.config.Addr}
-	for _, member := range s.raft.Members() {
-		if member.ID != s.config.ID {
-			list = append(list, member.Addr)
-		}
-	}
-	return list
-}
--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -4,13 +4,15 @@
 	"fmt"
 
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 	"orchidward/internal/state"
 	"orchidward/internal/transport/wire"
 )
 
 const (
+	// A snapshot is taken after snapshotEntries entries or snapshotBytes bytes.
+	snapshotEntries = 8000
+	snapshotBytes   = 8 << 20
 	// A snapshot is also taken when the write-ahead log is snapshotLogPercent full and
 	// minSnapshotEntries entries have come since the last one.
 	snapshotLogPercent = 50
@@ -34,7 +36,7 @@
 
 // processRaftOutput hands on what the consensus sends and writes, and applies what it
 // committed. It reports whether a leader may have more to do because of it.
-func (s *Server) processRaftOutput(out raft.Output) (more bool) {
+func (s *Server) processRaftOutput(out raft.Output) bool {
 	if out.InstalledSnapshot != nil && !s.installSnapshot(out.InstalledSnapshot) {
 		return false
 	}
@@ -72,9 +74,9 @@
 	}
 }
 
-// installSnapshot replaces the state by the leader's. It is not ok when this program is
-// too old for it.
-func (s *Server) installSnapshot(snapshot *raft.Snapshot) (ok bool) {
+// installSnapshot replaces the state by the leader's. It returns false, and halts this
+// server, when this program is too old for it.
+func (s *Server) installSnapshot(snapshot *raft.Snapshot) bool {
 	installed, err := state.Decode(snapshot.Data)
 	if err != nil {
 		panic(fmt.Sprintf("controlplane: the leader's snapshot does not decode: %v", err))
@@ -183,12 +185,3 @@
 	s.raft.Compact(s.appliedIndex, s.state.Encode())
 	s.logEvent("snapshot", "index", s.appliedIndex)
 }
-
-// advanceClocks takes the time of an input.
-func (s *Server) advanceClocks(now clock.Monotonic, wall clock.WallTime) {
-	s.now = max(s.now, now)
-	s.wall = wall
-	if s.raft != nil && s.clusterTime.clock.base > 0 {
-		s.raft.CarryClusterTime(s.clusterTime.clock.timeAt(s.now), s.clusterTime.term)
-	}
-}
--- a/internal/controlplane/config.go
+++ b/internal/controlplane/config.go
@@ -52,24 +52,5 @@
 	Quit string
 }
 
-const tickMillis = 20
-
 // TickInterval is how often Tick should be called.
-const TickInterval clock.Millis = tickMillis
-
-const (
-	// schedulingInterval is the least time between two scheduling cycles, in
-	// milliseconds.
-	schedulingInterval = 20
-	// A snapshot is taken after snapshotEntries entries or snapshotBytes bytes.
-	snapshotEntries = 8000
-	snapshotBytes   = 8 << 20
-	// memberDeadAfter is how long a member is silent, in milliseconds, before it
-	// counts as dead for good.
-	memberDeadAfter = 10000
-	// maxLearners bounds the members without a vote.
-	maxLearners = 4
-	// checksumInterval is how often the members compare the checksums of their
-	// states, in milliseconds.
-	checksumInterval = 2000
-)
+const TickInterval clock.Millis = 20
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -26,6 +26,8 @@
 	joinTimeout clock.Millis = 1500
 	// searchInterval is how often a member without a leader asks for the group.
 	searchInterval = 4 * discoveryInterval
+	// rejoinAfter is how long a member has no leader before it searches for its group.
+	rejoinAfter = memberDeadAfter / 2
 )
 
 // discovery is the search of a server whose disk is empty for its group. It asks its
@@ -210,7 +212,7 @@
 // requestRejoin asks to be taken in again when this server, long without a leader,
 // hears of a group that has removed it or knows it by an earlier address.
 func (s *Server) requestRejoin(from wire.Peer, announcement *wire.Announcement) {
-	if s.raft == nil || s.now.Since(s.leaderlessSince) <= memberDeadAfter/2 {
+	if s.raft == nil || s.now.Since(s.leaderlessSince) <= rejoinAfter {
 		return
 	}
 	if announcement.Founded && announcement.LeaderID != 0 && announcement.Node != s.config.ID {
@@ -220,8 +222,10 @@
 
 // searchForGroup keeps asking the seeds and members while no leader is heard.
 func (s *Server) searchForGroup() {
-	due := int64(s.now)%int64(searchInterval) < tickMillis
-	if s.now.Since(s.leaderlessSince) < memberDeadAfter/2 || !due {
+	// Ticks come every TickInterval, so that one of them falls into the beginning of each
+	// searchInterval.
+	due := clock.Millis(s.now)%searchInterval < TickInterval
+	if s.now.Since(s.leaderlessSince) < rejoinAfter || !due {
 		return
 	}
 	for _, seed := range s.config.Seeds {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -36,8 +36,10 @@
 //     responses; job_views.go and cluster_views.go: what clients and operators read.
 //   - leader.go: the leader's periodic work; scheduling.go, leases.go,
 //     drain_controller.go, cluster_clock.go: its parts.
-//   - runner_polls.go, runner_contact.go, agent_polls.go, runner_health.go, gangs.go:
-//     runners, from their polls to their loss.
+//   - runner_polls.go and poll_answers.go, agent_polls.go and agent_answers.go: what
+//     runners and agents report, and what they are ordered; runner_contact.go: silence
+//     and loss; run_progress.go and runner_health.go: stalled and slow attempts;
+//     gangs.go: tasks that run together.
 //   - discovery.go, announcements.go, membership.go, membership_plan.go,
 //     graceful_stop.go, levels.go: the group, from its founding to changes of version.
 //   - gateway_sync.go, gateways.go: what gateways are told; forwarder_node.go: servers
--- a/internal/controlplane/gangs.go
+++ b/internal/controlplane/gangs.go
@@ -22,13 +22,16 @@
 // gangLeaseLevel is the level of the state from which on runners know gang leases.
 const gangLeaseLevel uint16 = 1
 
+// gangLeasePercent is the part of a lease that a gang lease lasts.
+const gangLeasePercent = 70
+
 // gangLease is how long a member may go on without being told that its gang is complete, 0
 // where it need not be told: less than a lease, and longer than a change of leaders takes.
 func (s *Server) gangLease(lease *state.Lease) clock.Millis {
 	if s.state.Level < gangLeaseLevel || !spansRunners(lease, s.state.Partners(lease)) {
 		return 0
 	}
-	return s.newLeaseSpan() * 7 / 10
+	return s.newLeaseSpan() * gangLeasePercent / 100
 }
 
 // spansRunners reports whether the lease is a gang member's whose partners are on other
@@ -58,7 +61,8 @@
 
 // collectCompleteGangs names the members running here whose partners all run. It reports
 // whether there is one that the runner has not been told of since it began.
-func (s *Server) collectCompleteGangs(contact *runnerContact, response *runnerapi.PollResponse) (anyNew bool) {
+func (s *Server) collectCompleteGangs(contact *runnerContact, response *runnerapi.PollResponse) bool {
+	anyNew := false
 	for id := range contact.running {
 		lease := s.state.Leases[id]
 		if lease == nil || lease.RevokeReason != "" {
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -7,8 +7,8 @@
 )
 
 // timeEntryInterval is how often a leader commits the cluster time although there is
-// nothing else to commit, in milliseconds.
-const timeEntryInterval = 10000
+// nothing else to commit.
+const timeEntryInterval clock.Millis = 10000
 
 // leaderState is what only a leader has: when each runner was last heard, its open
 // poll, and what is under way. None of it is replicated; a new leader starts all timers
@@ -56,7 +56,7 @@
 		lossProposal:    map[identifier.Runner]identifier.Index{},
 		leases:          newLeaseConfirmations(),
 		drains:          newDrainProgress(),
-		cycle:           schedulingCycle{needed: true, lastAt: -schedulingInterval},
+		cycle:           schedulingCycle{needed: true, lastAt: -clock.Monotonic(schedulingInterval)},
 		maxVotersLiveAt: s.now,
 	}
 	for _, name := range s.state.RunnerNames() {
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -9,9 +9,8 @@
 	"orchidward/internal/state"
 )
 
-// sweepInterval is how often confirmations of closed leases are forgotten, in
-// milliseconds.
-const sweepInterval = 1000
+// sweepInterval is how often confirmations of closed leases are forgotten.
+const sweepInterval clock.Millis = 1000
 
 // leaseConfirmations is what a leader knows of the starts of open leases.
 type leaseConfirmations struct {
--- a/internal/controlplane/levels.go
+++ b/internal/controlplane/levels.go
@@ -15,6 +15,8 @@
 const (
 	// checksumsKept is how many of the last entries a server remembers the checksum of.
 	checksumsKept = 1024
+	// checksumInterval is how often the members compare the checksums of their states.
+	checksumInterval clock.Millis = 2000
 	// levelSilentLimit is how long a member may be silent while a level is raised.
 	levelSilentLimit clock.Millis = 2000
 )
@@ -57,7 +59,8 @@
 	return true
 }
 
-// raiseLevel raises the level of the group once all members know a higher one.
+// raiseLevel raises the level of the group once all members know a higher one. While the
+// leader lacks the status of some member it does not know that member's level.
 func (s *Server) raiseLevel() {
 	l := s.leader
 	to := s.config.Level
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -5,14 +5,18 @@
 	"net/http"
 
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
 )
 
 const (
-	// voterSilentLimit is how long a voter is silent, in milliseconds, before a learner
-	// that has caught up takes its place. Losses may follow one another within few
-	// seconds.
-	voterSilentLimit = 2000
+	// voterSilentLimit is how long a voter is silent before a learner that has caught up
+	// takes its place. Losses may follow one another within few seconds.
+	voterSilentLimit clock.Millis = 2000
+	// memberDeadAfter is how long a member is silent before it counts as dead for good.
+	memberDeadAfter clock.Millis = 10000
+	// maxLearners bounds the members without a vote.
+	maxLearners = 4
 	// A group has minVoters voters, and maxVoters where so many members live.
 	minVoters = 3
 	maxVoters = 5
@@ -83,6 +87,7 @@
 func (s *Server) memberState(member raft.Member, status raft.MemberStatus, gone bool) memberState {
 	silentFor := status.SilentFor
 	if gone {
+		// Longer than any member that may still return, so that it is replaced first.
 		silentFor = max(silentFor, memberDeadAfter) * 2
 	}
 	heard := status.WallTimeReadAt != 0 && silentFor < voterSilentLimit && !status.Leaving
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -5,108 +5,38 @@
 
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/job"
-	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
 	"orchidward/internal/scheduler"
 	"orchidward/internal/state"
 )
 
 // Runners are judged by what their tasks do. The leader watches how far each attempt
-// says it is: one that stalls is revoked, with its checkpoint, and its runner is
+// says it is (run_progress.go): one that stalls is revoked, with its checkpoint, and its runner is
 // quarantined for a while; a runner on which work goes slowly comes last. All of it is
 // evidence of this leader alone; the next one gathers its own.
 
 const (
-	// healthCheckInterval is how often attempts are judged, in milliseconds.
-	healthCheckInterval = 100
+	// healthCheckInterval is how often attempts are judged.
+	healthCheckInterval clock.Millis = 100
 	// minStall is the stall limit of an attempt without an expected duration.
-	minStall = 600
+	minStall clock.Millis = 600
 	// restoreTime is how long an attempt may take to restore its checkpoint.
-	restoreTime = 800
+	restoreTime clock.Millis = 800
 	// quarantineTime is how long a runner gets no work after an attempt stalled.
-	quarantineTime = 6000
+	quarantineTime clock.Millis = 6000
 	// slowWorkRate is the rate under which a runner is slow, in thousandths: below what a
 	// wrong estimate, a distant rack and an old machine come to together.
 	slowWorkRate = 350
-	// maxCountedRate bounds the rate of one attempt, in thousandths.
-	maxCountedRate = 2000
-	// workRateTTL is how long a rate counts without new evidence.
-	workRateTTL = 4000
 	// minMoveGain is what moving an attempt costs at least, and what must be gained.
-	minMoveGain = 400
+	minMoveGain clock.Millis = 400
 	// maxRevocations bounds the attempts revoked at once.
 	maxRevocations = 16
-	// fullEstimate is the progress, in percent, of an attempt that has taken as long as
-	// was estimated; past that it tells no more.
-	fullEstimate = 99
 	// Attempts are judged on fresh reports only: the agent must have been heard within
 	// maxReportAge, and have heard its runner within maxReportSilence.
-	maxReportAge     = 1000
-	maxReportSilence = 400
+	maxReportAge     clock.Millis = 1000
+	maxReportSilence clock.Millis = 400
 )
 
-// runProgress is how an attempt has come along: its progress when first seen and now, in
-// percent, and how long it had stalled at the last poll.
-type runProgress struct {
-	firstPercent int64
-	percent      int64
-	stalledFor   clock.Millis
-	// rate is how fast it goes, in thousandths of its estimate; 0 for unknown.
-	rate int64
-}
-
-// recordProgress takes what an attempt says of itself.
-func (s *Server) recordProgress(agent *agentRunner, run *agentRun, reported runnerapi.RunState) {
-	lease := s.state.Leases[run.lease]
-	if lease == nil {
-		return
-	}
-	if reported.StalledFor > 0 {
-		agent.noStallBefore = min(agent.noStallBefore, s.now.Add(stallLimit(lease)-reported.StalledFor))
-	}
-	if run.progress == nil {
-		run.progress = &runProgress{firstPercent: reported.ProgressPercent, percent: reported.ProgressPercent, stalledFor: reported.StalledFor}
-		return
-	}
-	progress := run.progress
-	progress.stalledFor = reported.StalledFor
-	progress.percent = reported.ProgressPercent
-	progress.rate = reported.ProgressRate * int64(lease.ExpectedRun) / 1000
-	if reported.ProgressPercent >= fullEstimate {
-		progress.rate = 0
-	}
-}
-
-// updateWorkRate takes the rate of a runner from those of its attempts that tell one.
-// Members of a gang that spans several runners go as fast as the slowest of them, and say
-// nothing of their own. Old evidence is forgotten.
-func (s *Server) updateWorkRate(agent *agentRunner) {
-	var sum, n int64
-	for id, run := range agent.runs {
-		progress := run.progress
-		lease := s.state.Leases[id]
-		if progress != nil && progress.rate > 0 && lease != nil && !spansRunners(lease, s.state.Partners(lease)) {
-			sum += min(progress.rate, maxCountedRate)
-			n++
-		}
-	}
-	switch {
-	case n > 0:
-		agent.workRate = sum / n
-		agent.workRateAt = s.now
-	case s.now.Since(agent.workRateAt) > workRateTTL:
-		agent.workRate = scheduler.NominalWorkRate
-	}
-}
-
-// workRate is how fast work goes on a runner, in thousandths of its estimates.
-func (s *Server) workRate(name identifier.Runner) int64 {
-	if contact := s.leader.runners[name]; contact != nil && contact.agent != nil {
-		return contact.agent.workRate
-	}
-	return scheduler.NominalWorkRate
-}
-
 // quarantined reports whether nothing should be placed on a runner for now.
 func (s *Server) quarantined(contact *runnerContact) bool {
 	return contact.agent != nil && s.now < contact.agent.quarantinedUntil
@@ -228,7 +158,7 @@
 		return false
 	}
 	left := lease.ExpectedRun * clock.Millis(100-progress.percent) / 100
-	here := left * 1000 / clock.Millis(progress.rate)
+	here := left * scheduler.NominalWorkRate / clock.Millis(progress.rate)
 	there := lease.ExpectedRun
 	if step.Checkpoints {
 		there = min(there, left+restoreTime)
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -1,7 +1,6 @@
 package controlplane
 
 import (
-	"cmp"
 	"net/http"
 	"slices"
 
@@ -36,9 +35,6 @@
 	return s.state.Limits.SiteMillis(limits.SiteLeaseSpan)
 }
 
-// pollTimeout is how long a poll stays open when there is nothing to tell the runner.
-func (s *Server) pollTimeout() clock.Millis { return s.startTimeout() * 6 / 10 }
-
 // openPoll is a poll in the order of those that are answered empty in time.
 type openPoll struct {
 	runner identifier.Runner
@@ -158,29 +154,6 @@
 	}
 }
 
-// closePoll answers a poll that a later one has replaced.
-func (s *Server) closePoll(contact *runnerContact) {
-	if contact.poll.open {
-		contact.poll.open = false
-		s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, s.emptyPollResponse(contact))
-	}
-}
-
-// emptyPollResponse is an answer without orders.
-func (s *Server) emptyPollResponse(contact *runnerContact) runnerapi.PollResponse {
-	response := runnerapi.PollResponse{
-		Lease:        s.newLeaseSpan(),
-		StartTimeout: s.startTimeout(),
-	}
-	if contact.agent == nil {
-		response.Gateways = s.gateways.liveClientAddrs(s.now)
-		return response
-	}
-	response.FencingToken = uint64(s.term)
-	response.Servers = s.serverAddrs()
-	return response
-}
-
 // reportRunnerIfChanged proposes what the runner says of itself when it differs from
 // the state.
 func (s *Server) reportRunnerIfChanged(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) {
@@ -243,111 +216,3 @@
 		contact.endsProposal = s.propose(&state.Command{ReportEnds: report})
 	}
 }
-
-// answerPolls answers the open polls that have something to hear, or have been open
-// long enough. Only those are visited whose runner something happened to, or whose time
-// has come.
-func (s *Server) answerPolls() {
-	timeout := s.pollTimeout()
-	s.markOverduePolls(timeout)
-	for _, name := range s.takeChangedRunners() {
-		contact := s.leader.runners[name]
-		if contact == nil || !contact.poll.open {
-			continue
-		}
-		s.reportNewEnds(name, contact)
-		response := s.pollOrders(name, contact)
-		if contact.agent != nil {
-			s.answerAgentPoll(name, contact, &response, timeout)
-		} else {
-			s.answerPoll(name, contact, &response, timeout)
-		}
-	}
-}
-
-// markOverduePolls marks the runners whose polls have been open for long enough.
-func (s *Server) markOverduePolls(timeout clock.Millis) {
-	l := s.leader
-	for len(l.openPolls) > 0 && s.now.Since(l.openPolls[0].since) >= timeout {
-		first := l.openPolls[0]
-		if contact := l.runners[first.runner]; contact != nil && contact.poll.open && contact.poll.id == first.id {
-			l.changedRunners[first.runner] = true
-		}
-		l.openPolls = l.openPolls[1:]
-	}
-}
-
-// answerPoll answers a runner's open poll if there is something to tell, or the poll
-// has been open for long enough.
-func (s *Server) answerPoll(name identifier.Runner, contact *runnerContact, response *runnerapi.PollResponse, timeout clock.Millis) {
-	newGang := s.collectCompleteGangs(contact, response)
-	for _, id := range contact.endedIDs() {
-		end := contact.ended[id]
-		if !s.state.AcceptsEnd(name, contact.incarnation, end.Lease, end.Task) {
-			response.AckedEnds = append(response.AckedEnds, id)
-		}
-	}
-	orders := len(response.Starts) + len(response.Stops) + len(response.AckedEnds)
-	if !newGang && orders == 0 && s.now.Since(contact.poll.since) < timeout {
-		return
-	}
-	contact.poll.open = false
-	for _, id := range response.CompleteGangs {
-		contact.gangs.current[id] = true
-	}
-	empty := s.emptyPollResponse(contact)
-	response.Lease = empty.Lease
-	response.StartTimeout = empty.StartTimeout
-	response.Gateways = empty.Gateways
-	s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, response)
-}
-
-// takeChangedRunners takes the runners whose polls are to be looked at, in order.
-func (s *Server) takeChangedRunners() []identifier.Runner {
-	var list []identifier.Runner
-	for name := range s.leader.changedRunners {
-		list = append(list, name)
-	}
-	clear(s.leader.changedRunners)
-	slices.Sort(list)
-	return list
-}
-
-// pollOrders collects what a runner is to start and to stop. Starts go out only for
-// leases in the state as it now stands.
-func (s *Server) pollOrders(name identifier.Runner, contact *runnerContact) runnerapi.PollResponse {
-	var response runnerapi.PollResponse
-	runner := s.state.Runners[name]
-	if runner == nil || runner.Incarnation != contact.incarnation {
-		return response
-	}
-	runner.EachLease(func(lease *state.Lease) {
-		_, ended := contact.ended[lease.ID]
-		switch {
-		case ended:
-		case lease.RevokeReason != "":
-			response.Stops = append(response.Stops, lease.ID)
-		case !contact.running[lease.ID] && !contact.draining && runner.CordonedBy() == "":
-			response.Starts = append(response.Starts, s.startOrder(lease))
-		}
-	})
-	slices.SortFunc(response.Starts, func(x, y runnerapi.Start) int { return cmp.Compare(x.Lease, y.Lease) })
-	for id := range contact.running {
-		if s.state.Leases[id] == nil {
-			response.Stops = append(response.Stops, id)
-		}
-	}
-	slices.Sort(response.Stops)
-	return response
-}
-
-func (s *Server) startOrder(lease *state.Lease) runnerapi.Start {
-	return runnerapi.Start{
-		Lease:       lease.ID,
-		Task:        lease.Task,
-		Demand:      lease.Demand,
-		ExpectedRun: lease.ExpectedRun,
-		GangLease:   s.gangLease(lease),
-		Attempt:     lease.Attempt,
-	}
-}
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -7,6 +7,9 @@
 	"orchidward/internal/state"
 )
 
+// schedulingInterval is the least time between two scheduling cycles.
+const schedulingInterval clock.Millis = 20
+
 // schedulingCycle says when the leader plans placements next.
 type schedulingCycle struct {
 	// needed says that something changed since the last cycle.
@@ -36,10 +39,13 @@
 	}
 }
 
+// schedulableSilence is how long a runner may be silent and still be given work.
+func (s *Server) schedulableSilence() clock.Millis { return 2 * s.startTimeout() }
+
 // schedulable gives a test of whether a runner may be given work now: it has polled
 // lately under its present incarnation, is not leaving and is not quarantined.
 func (s *Server) schedulable() func(name identifier.Runner) bool {
-	limit := 2 * s.startTimeout()
+	limit := s.schedulableSilence()
 	return func(name identifier.Runner) bool {
 		contact := s.leader.runners[name]
 		return contact != nil && contact.hasPolled && !contact.draining && contact.incarnation == s.state.Runners[name].Incarnation &&
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -270,3 +270,12 @@
 	}
 	s.output.Messages = append(s.output.Messages, wire.Envelope{To: to, Message: msg})
 }
+
+// advanceClocks takes the time of an input.
+func (s *Server) advanceClocks(now clock.Monotonic, wall clock.WallTime) {
+	s.now = max(s.now, now)
+	s.wall = wall
+	if s.raft != nil && s.clusterTime.clock.base > 0 {
+		s.raft.CarryClusterTime(s.clusterTime.clock.timeAt(s.now), s.clusterTime.term)
+	}
+}
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -17,7 +17,7 @@
 		replacement: `runner.cordonedBy = ""`,
 		also: []edit{
 			{
-				file:        "internal/controlplane/runner_polls.go",
+				file:        "internal/controlplane/poll_answers.go",
 				original:    `case !contact.running[lease.ID] && !contact.draining && runner.CordonedBy() == "":`,
 				replacement: "case !contact.running[lease.ID]:",
 			},
