--- a/tests/mutation/membership.go
+++ b/tests/mutation/membership.go
@@ -21,8 +21,8 @@
 	{
 		name:        "silent voter is kept long",
 		file:        "internal/controlplane/membership.go",
-		original:    "voterSilentLimit = 2000",
-		replacement: "voterSilentLimit = 10000",
+		original:    "voterSilentLimit clock.Millis = 2000",
+		replacement: "voterSilentLimit clock.Millis = 10000",
 		tests:       test("./tests/simulation/membership", "TestLossesInTurn"),
 		want:        "nobody leads",
 	},
@@ -108,8 +108,8 @@
 	{
 		name:        "silent voter remains until the next loss",
 		file:        "internal/controlplane/membership.go",
-		original:    "voterSilentLimit = 2000",
-		replacement: "voterSilentLimit = 12000",
+		original:    "voterSilentLimit clock.Millis = 2000",
+		replacement: "voterSilentLimit clock.Millis = 12000",
 		tests:       test("./tests/simulation/membership", "TestSecondLoss"),
 		want:        "not served within",
 	},
