--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -56,7 +56,7 @@
 		config: config,
 		now:    now,
 		runner: runnerState{
-			leaseEnd: now.Add(withDrift(config.MaxLease)),
+			leaseEnd: now.Add(config.MaxLease.WithDrift()),
 			past:     map[identifier.Incarnation]bool{},
 		},
 		polls: newPollState(config),
@@ -65,9 +65,6 @@
 	return a
 }
 
-// withDrift is a span by the slowest clock there may be.
-func withDrift(span clock.Millis) clock.Millis { return span + span/50 }
-
 // PrepareToStop says that this agent is about to end: from now on its runner is given the
 // longest lease there is.
 func (a *Agent) PrepareToStop() { a.stopping = true }
@@ -108,7 +105,7 @@
 // HandleMessage passes in a message of the control plane.
 func (a *Agent) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	a.now = max(a.now, now)
-	if announcement := msg.Announcement; announcement != nil && announcement.Node != 0 && announcement.LeaderID == announcement.Node {
+	if announcement := msg.Announcement; announcement != nil && announcement.NamesSenderLeader() {
 		a.followLeader(announcement)
 		return
 	}
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,6 +1,6 @@
 // Package agent is the part of the scheduler that stands beside one runner which speaks
 // another protocol. It alone speaks to that runner: it answers the runner's heartbeats at
-// once from what the control plane has granted, passes on starts and stops with the
+// once under the lease that the control plane gave it, passes on starts and stops with the
 // leader's fencing token, reports to the control plane what changed, and lets work run on
 // under its lease while the control plane looks for a new leader.
 //
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -46,8 +46,8 @@
 	return r.leftAt > 0 && now.Since(r.leftAt) > farewellDelay
 }
 
-// is reports whether the last heartbeat came from this incarnation.
-func (r *runnerState) is(incarnation identifier.Incarnation) bool {
+// isIncarnation reports whether the last heartbeat came from this incarnation.
+func (r *runnerState) isIncarnation(incarnation identifier.Incarnation) bool {
 	return r.heartbeat != nil && r.heartbeat.Runner == incarnation
 }
 
@@ -59,7 +59,7 @@
 	switch {
 	case a.runner.past[heartbeat.Runner]:
 		return orders
-	case !a.runner.is(heartbeat.Runner):
+	case !a.runner.isIncarnation(heartbeat.Runner):
 		a.beginIncarnation(heartbeat.Runner)
 	case heartbeat.Seq <= a.runner.heartbeat.Seq:
 		return orders
@@ -74,7 +74,7 @@
 	orders.ObservedThrough = a.orders.observedThrough
 	if left := a.contact.leaseLeft(a.now); left > 0 {
 		orders.Lease = min(left, a.usualLease())
-		a.runner.leaseEnd = max(a.runner.leaseEnd, a.now.Add(withDrift(orders.Lease)))
+		a.runner.leaseEnd = max(a.runner.leaseEnd, a.now.Add(orders.Lease.WithDrift()))
 		orders.Start = a.orders.takeStarts(a.now)
 	}
 	orders.Stop = a.orders.stopsForRunner()
@@ -85,7 +85,7 @@
 // RunnerLeft takes the runner's farewell.
 func (a *Agent) RunnerLeft(incarnation identifier.Incarnation, now clock.Monotonic) {
 	a.now = max(a.now, now)
-	if a.runner.is(incarnation) {
+	if a.runner.isIncarnation(incarnation) {
 		a.runner.leftAt = a.now
 	}
 }
@@ -137,12 +137,12 @@
 }
 
 // attempts is the set of those that a heartbeat reports, as running or ended.
-func (b *Heartbeat) attempts() map[attempt]bool {
+func (h *Heartbeat) attempts() map[attempt]bool {
 	set := map[attempt]bool{}
-	for _, active := range b.Active {
+	for _, active := range h.Active {
 		set[attempt{active.Task, active.Attempt}] = true
 	}
-	for _, finished := range b.Finished {
+	for _, finished := range h.Finished {
 		set[attempt{finished.Task, finished.Attempt}] = true
 	}
 	return set
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -24,11 +24,12 @@
 	)
 }
 
-// startOrder is a start on its way to the runner. given says that an answer bore it.
+// startOrder is a start on its way to the runner. handedOut says that the
+// answer to a heartbeat carried it.
 type startOrder struct {
 	runnerapi.Start
-	expires clock.Monotonic
-	given   bool
+	expires   clock.Monotonic
+	handedOut bool
 }
 
 // pendingOrders are the orders of the control plane for one incarnation of the runner.
@@ -46,13 +47,13 @@
 	return pendingOrders{starts: map[attempt]*startOrder{}, stops: map[attempt]bool{}, cleared: map[attempt]bool{}}
 }
 
-// takeStarts hands out the starts that were not given yet. The next heartbeat shows
+// takeStarts hands out the starts that were not handed out yet. The next heartbeat shows
 // whether they arrived.
 func (p *pendingOrders) takeStarts(now clock.Monotonic) []runnerapi.Start {
 	var list []runnerapi.Start
 	for _, order := range p.inOrder() {
-		if !order.given && now <= order.expires {
-			order.given = true
+		if !order.handedOut && now <= order.expires {
+			order.handedOut = true
 			list = append(list, order.Start)
 		}
 	}
@@ -97,7 +98,8 @@
 }
 
 // dropExpired drops starts whose time is up and reports whether there were any.
-func (p *pendingOrders) dropExpired(now clock.Monotonic) (dropped bool) {
+func (p *pendingOrders) dropExpired(now clock.Monotonic) bool {
+	dropped := false
 	for name, order := range p.starts {
 		if now > order.expires {
 			delete(p.starts, name)
@@ -107,11 +109,12 @@
 	return dropped
 }
 
-// dropFetched drops, at a heartbeat, starts that the runner has or was given, that have
+// dropFetched drops, at a heartbeat, starts that the runner has or was handed, that have
 // expired, or that a draining runner must not get. It reports whether there were any.
-func (p *pendingOrders) dropFetched(present map[attempt]bool, draining bool, now clock.Monotonic) (dropped bool) {
+func (p *pendingOrders) dropFetched(present map[attempt]bool, draining bool, now clock.Monotonic) bool {
+	dropped := false
 	for name, order := range p.starts {
-		if present[name] || order.given || now > order.expires || draining {
+		if present[name] || order.handedOut || now > order.expires || draining {
 			delete(p.starts, name)
 			dropped = true
 		}
@@ -154,7 +157,8 @@
 
 // addStarts takes new starts and reports whether there were any. An attempt that is already
 // ordered, is to stop, or that the runner reports, is passed over.
-func (p *pendingOrders) addStarts(list []runnerapi.Start, present map[attempt]bool, expires clock.Monotonic) (added bool) {
+func (p *pendingOrders) addStarts(list []runnerapi.Start, present map[attempt]bool, expires clock.Monotonic) bool {
+	added := false
 	for _, start := range list {
 		name := attempt{start.Task, start.Attempt}
 		if p.starts[name] == nil && !p.stops[name] && !present[name] {
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -24,6 +24,9 @@
 	// minBackoff and maxBackoff bound the pause after a failed poll.
 	minBackoff clock.Millis = 50
 	maxBackoff clock.Millis = 400
+	// jitterFactor is a prime that spreads the numbers of polls, which begin at another
+	// one in each agent, over the length of a pause.
+	jitterFactor uint64 = 7919
 	// replaceDelay is how soon a poll with something to report replaces one still open.
 	replaceDelay clock.Millis = 10
 	// tokenRequestInterval is how often the fencing token is asked for.
@@ -76,7 +79,7 @@
 func (p *pollState) failed(now clock.Monotonic) {
 	p.current++
 	p.backoff = min(max(minBackoff, p.backoff*2), maxBackoff)
-	jitter := clock.Millis(p.seq * 7919 % uint64(p.backoff))
+	jitter := clock.Millis(p.seq * jitterFactor % uint64(p.backoff))
 	p.nextAt = now.Add(p.backoff/2 + jitter)
 }
 
@@ -250,7 +253,7 @@
 		a.polls.servers = response.Servers
 		a.polls.current = 0
 	}
-	if !a.runner.is(open.incarnation) {
+	if !a.runner.isIncarnation(open.incarnation) {
 		return
 	}
 	a.orders.observedThrough = max(a.orders.observedThrough, response.ObservedThrough)
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -11,6 +11,8 @@
 	minRateSpan    clock.Millis = 300
 	maxRateSpan    clock.Millis = 800
 	minRatePercent              = 4
+	// rateScale turns percents a millisecond into thousandths of the task a second.
+	rateScale = 10_000
 	// finalPercent is where an attempt's progress tells no more.
 	finalPercent = 99
 )
@@ -23,7 +25,7 @@
 	interval clock.Millis
 	// stallReported says that the control plane is told that it makes none.
 	stallReported bool
-	// rate is how far it came lately, in thousandths of the whole a second, measured from
+	// rate is how far it came lately, in thousandths of the task a second, measured from
 	// ratePercent at rateSince.
 	rate        int64
 	ratePercent int64
@@ -32,7 +34,7 @@
 
 // measureRate takes the rate once enough has been seen of it, and reports whether it has
 // fallen to less than half.
-func (p *runProgress) measureRate(percent int64, now clock.Monotonic) (fell bool) {
+func (p *runProgress) measureRate(percent int64, now clock.Monotonic) bool {
 	span := now.Since(p.rateSince)
 	if percent >= finalPercent || span < minRateSpan {
 		return false
@@ -41,7 +43,7 @@
 		return false
 	}
 	previous := p.rate
-	p.rate = max(1, (percent-p.ratePercent)*10_000/int64(span))
+	p.rate = max(1, (percent-p.ratePercent)*rateScale/int64(span))
 	p.ratePercent = percent
 	p.rateSince = now
 	return previous > 0 && p.rate*2 < previous
--- a/internal/clock/time.go
+++ b/internal/clock/time.go
@@ -30,3 +30,10 @@
 
 // Duration is the same length as a time.Duration.
 func (s Millis) Duration() time.Duration { return time.Duration(s) * time.Millisecond }
+
+// driftFraction is the part of a span by which a clock may run slow: one in fifty.
+const driftFraction = 50
+
+// WithDrift is the longest that a span may last on another clock: the span as measured
+// by the slowest clock there may be.
+func (s Millis) WithDrift() Millis { return s + s/driftFraction }
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -103,7 +103,7 @@
 	if !announcement.Founded || len(announcement.Members) == 0 {
 		return
 	}
-	byLeader := announcement.Role == wire.RoleServer && announcement.Node != 0 && announcement.Node == announcement.LeaderID
+	byLeader := announcement.Role == wire.RoleServer && announcement.NamesSenderLeader()
 	switch {
 	case byLeader:
 		f.selfVouchedAt = s.now
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -16,9 +16,6 @@
 // differ nor links and processes that delay a message can make it look younger than
 // it is. See docs/notes/worst-days.md.
 
-// driftFraction is the part of a span by which a clock may run slow: one in fifty.
-const driftFraction = 50
-
 // expiredRetryAfter is when a client may come back whose order was too old.
 const expiredRetryAfter clock.Millis = 200
 
@@ -38,7 +35,7 @@
 		return true
 	}
 	age := s.now.Since(request.LeaderTime.At)
-	return age+age/driftFraction > request.Budget
+	return age.WithDrift() > request.Budget
 }
 
 // observeLeaderTime takes a reading of the leader's clock that came with a message.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -52,6 +52,7 @@
 		lastAttempt: uint64(config.Seed),
 		servers:     serverSet{failedAt: map[wire.Peer]clock.Monotonic{}},
 		sync: leaderSync{
+			// Long enough ago that the gateway is not ready.
 			leaderHeardAt: now.Add(-10 * LeaderContactTimeout),
 			lastAnnounce:  now.Add(-announceInterval),
 		},
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -120,7 +120,7 @@
 		g.send(from, wire.Message{Announcement: reply})
 		return
 	}
-	byLeader := announcement.Role == wire.RoleServer && announcement.Node != 0 && announcement.LeaderID == announcement.Node
+	byLeader := announcement.Role == wire.RoleServer && announcement.NamesSenderLeader()
 	if byLeader && len(announcement.Members) > 0 {
 		g.followLeader(announcement)
 		return
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -144,7 +144,6 @@
 	if r == nil {
 		return
 	}
-	refused := response.Status == http.StatusServiceUnavailable || response.Status == http.StatusTooManyRequests
 	switch {
 	case response.Expired && g.now < r.deadline && r.expiredReturns < maxExpiredReturns:
 		r.expiredReturns++
@@ -158,7 +157,7 @@
 		g.requests.endAttempt(r)
 		r.outcomeUnknown = true
 		r.retryAt = g.now.Add(retryInterval)
-	case r.outcomeUnknown && r.Method != http.MethodGet && refused:
+	case r.outcomeUnknown && r.Method != http.MethodGet && response.IsRefusal():
 		g.replyError(r.ID, http.StatusGatewayTimeout, codeNoAnswer, "an earlier try may have been taken; the outcome is not known", retryAfterUnknown)
 	default:
 		g.reply(Response{ID: r.ID, Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter})
--- a/internal/gateway/routing_copy.go
+++ b/internal/gateway/routing_copy.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// replaceTable takes a newer table whole; an older one never replaces it.
+// replaceTable takes a newer table in place of this one; an older one never replaces it.
 func (g *Gateway) replaceTable(table *controlplane.RoutingTable) {
 	g.useTable(g.routing.replica.Replace(routing.Table{Epoch: table.Epoch, Version: table.Version, Rows: table.Rows, Routes: table.Routes}))
 }
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -140,19 +140,13 @@
 		q.maybeDone = true
 		q.dispatched = false
 		q.retryAt = now
-	case q.mayHaveChanged() && isRefusal(reply.Status):
+	case q.mayHaveChanged() && reply.IsRefusal():
 		r.respond(q, outcomeUnknown())
 	default:
 		r.respond(q, gateway.Response{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter})
 	}
 }
 
-// isRefusal reports whether a status says that a request was not carried out, and may be
-// made again later.
-func isRefusal(status int) bool {
-	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-}
-
 // Tick answers what is out of time or has no leader to go to, and dispatches again what
 // is due.
 func (r *Requests) Tick(now clock.Monotonic, connected bool) {
--- a/internal/transport/wire/message.go
+++ b/internal/transport/wire/message.go
@@ -99,6 +99,12 @@
 	LeaderTime LeaderTime
 }
 
+// IsRefusal reports whether the status says that the request was not carried out, and may
+// be sent again later.
+func (r *Response) IsRefusal() bool {
+	return r.Status == http.StatusServiceUnavailable || r.Status == http.StatusTooManyRequests
+}
+
 // Announcement is how processes discover one another: it says who the sender is and
 // whom it knows.
 type Announcement struct {
@@ -121,3 +127,7 @@
 	// LeaderTime is a reading of the sender's clock, where the sender leads.
 	LeaderTime LeaderTime
 }
+
+// NamesSenderLeader reports whether the sender, a server that belongs to a group, says that
+// it leads itself.
+func (a *Announcement) NamesSenderLeader() bool { return a.Node != 0 && a.LeaderID == a.Node }
--- a/tests/mutation/time.go
+++ b/tests/mutation/time.go
@@ -45,7 +45,7 @@
 	{
 		name:        "age of orders is ignored",
 		file:        "internal/controlplane/order_expiry.go",
-		original:    "return age+age/driftFraction > request.Budget",
+		original:    "return age.WithDrift() > request.Budget",
 		replacement: "return age < 0",
 		tests:       test("./tests/simulation/scenarios", "TestDelayedDrainOrder"),
 		want:        "is closed again",
