--- a/cmd/orchidward-runner/daemon.go
+++ b/cmd/orchidward-runner/daemon.go
@@ -53,7 +53,7 @@
 	retired bool
 }
 
-func newDaemon(f *flags, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle, shutdown fx.Shutdowner) (*daemon, error) {
+func newDaemon(f *flags, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle, shutdown fx.Shutdowner) (*daemon, error) {
 	config, err := newConfig(f)
 	if err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 	}
 	d.addControls()
 	log.Event("start", "program", programName, "name", f.Name, "incarnation", config.Incarnation, "domain", f.Domain, "rack", f.Rack)
-	d.http.Run(life, group, log, programName, func() {
+	d.http.Run(hooks, group, log, programName, func() {
 		d.link.Serve(d.loop.Receive)
 		group.Go(d.run)
 	})
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -42,5 +42,5 @@
 func main() {
 	f := &flags{}
 	settings.Parse(f, "orchidward-server", "Control-plane server of orchidward.", f.check)
-	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Daemon, life fx.Lifecycle) { d.LeaveOnStop(life) }))
+	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Daemon, hooks fx.Lifecycle) { d.LeaveOnStop(hooks) }))
 }
--- a/internal/consensus/wal/batch.go
+++ b/internal/consensus/wal/batch.go
@@ -13,8 +13,14 @@
 // and vote (8), the number of entries (4), and for each entry its index (8), term
 // (8), kind (1), length (4) and data.
 const (
+	batchVoteOffset  = 8
+	batchCountOffset = 16
 	batchHeaderBytes = 20
-	entryHeaderBytes = 21
+
+	entryTermOffset   = 8
+	entryKindOffset   = 16
+	entryLengthOffset = 17
+	entryHeaderBytes  = 21
 )
 
 var errMalformedBatch = errors.Wrap(ErrDamaged, "record body does not parse")
@@ -40,9 +46,9 @@
 	}
 	hardState := raft.HardState{
 		Term: identifier.Term(binary.LittleEndian.Uint64(body)),
-		Vote: identifier.Node(binary.LittleEndian.Uint64(body[8:])),
+		Vote: identifier.Node(binary.LittleEndian.Uint64(body[batchVoteOffset:])),
 	}
-	count := int(binary.LittleEndian.Uint32(body[16:]))
+	count := int(binary.LittleEndian.Uint32(body[batchCountOffset:]))
 	rest := body[batchHeaderBytes:]
 	var entries []raft.Entry
 	for i := 0; i < count; i++ {
@@ -65,15 +71,15 @@
 	if len(data) < entryHeaderBytes {
 		return raft.Entry{}, nil, false
 	}
-	dataBytes := int(binary.LittleEndian.Uint32(data[17:]))
+	dataBytes := int(binary.LittleEndian.Uint32(data[entryLengthOffset:]))
 	rest = data[entryHeaderBytes:]
 	if dataBytes > len(rest) {
 		return raft.Entry{}, nil, false
 	}
 	e = raft.Entry{
 		Index: identifier.Index(binary.LittleEndian.Uint64(data)),
-		Term:  identifier.Term(binary.LittleEndian.Uint64(data[8:])),
-		Kind:  raft.EntryKind(data[16]),
+		Term:  identifier.Term(binary.LittleEndian.Uint64(data[entryTermOffset:])),
+		Kind:  raft.EntryKind(data[entryKindOffset]),
 		Data:  append([]byte(nil), rest[:dataBytes]...),
 	}
 	return e, rest[dataBytes:], true
--- a/internal/consensus/wal/snapshot_file.go
+++ b/internal/consensus/wal/snapshot_file.go
@@ -14,8 +14,10 @@
 // little endian, is the index (8 bytes), the term (8), the length of the member list
 // (4), the member list as JSON, and the state.
 const (
-	snapshotFileName    = "view"
-	snapshotHeaderBytes = 20
+	snapshotFileName      = "view"
+	snapshotTermOffset    = 8
+	snapshotMembersOffset = 16
+	snapshotHeaderBytes   = 20
 )
 
 func (l *Log) saveSnapshot(s *raft.Snapshot) error {
@@ -44,14 +46,14 @@
 	if !ok || len(body) < snapshotHeaderBytes {
 		return nil, errors.Wrap(ErrDamaged, "snapshot file")
 	}
-	membersBytes := int(binary.LittleEndian.Uint32(body[16:]))
+	membersBytes := int(binary.LittleEndian.Uint32(body[snapshotMembersOffset:]))
 	rest := body[snapshotHeaderBytes:]
 	if membersBytes > len(rest) {
 		return nil, errors.Wrap(ErrDamaged, "snapshot file")
 	}
 	s := &raft.Snapshot{
 		Index: identifier.Index(binary.LittleEndian.Uint64(body)),
-		Term:  identifier.Term(binary.LittleEndian.Uint64(body[8:])),
+		Term:  identifier.Term(binary.LittleEndian.Uint64(body[snapshotTermOffset:])),
 		Data:  rest[membersBytes:],
 	}
 	if err := json.Unmarshal(rest[:membersBytes], &s.Members); err != nil {
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -34,6 +34,8 @@
 //     that wait for their entry; forwarding.go and leader_link.go: those passed on to
 //     the leader; order_expiry.go: orders too old to carry out; replies.go: error
 //     responses; job_views.go and cluster_views.go: what clients and operators read.
+//   - command_events.go: what is logged of commands; policy_results.go: how placement
+//     policies did.
 //   - leader.go: the leader's periodic work; scheduling.go, leases.go,
 //     drain_controller.go, cluster_clock.go: its parts.
 //   - runner_polls.go and poll_answers.go, agent_polls.go and agent_answers.go: what
@@ -45,6 +47,6 @@
 //   - gateway_sync.go, gateways.go: what gateways are told; forwarder_node.go: servers
 //     without a disk.
 //
-// docs/architecture.md shows how this package fits into the whole, docs/design.md the
-// rules that it keeps.
+// docs/architecture.md shows how this package and the others work together,
+// docs/design.md the rules that it keeps.
 package controlplane
--- a/internal/controlplane/gateway_sync.go
+++ b/internal/controlplane/gateway_sync.go
@@ -15,7 +15,7 @@
 
 // Parameters of a gateway's sync request: the address at which the gateway serves
 // clients, the epoch of its routing table, and the name after which the next page begins.
-// A gateway of an earlier version sends neither epoch nor name and is sent whole tables.
+// A gateway of an earlier version sends neither epoch nor name and is sent full tables.
 const (
 	SyncGatewayParam = "gate"
 	SyncSinceParam   = "since"
@@ -27,7 +27,7 @@
 const maxStalePageBytes = 4 << 10
 
 // SyncResponse is what a gateway hears from the leader: a page of what changed in the
-// routing table, the members, and the other gateways. Table is the whole table, for
+// routing table, the members, and the other gateways. Table is the full table, for
 // gateways of an earlier version. Leader is the leader's id.
 type SyncResponse struct {
 	Epoch    identifier.Epoch `json:"epoch"`
@@ -40,13 +40,13 @@
 
 // StaleResponse is the body of the response to a request that was checked by an older
 // routing table. Page is what changed since, where that is little; without it, and
-// without a whole table, the gateway asks for it.
+// without a full table, the gateway asks for it.
 type StaleResponse struct {
 	RoutingTable
 	Page *routing.Page `json:"page,omitempty"`
 }
 
-// RoutingTable is the whole routing table: the limits by row, and the routes of the
+// RoutingTable is the full routing table: the limits by row, and the routes of the
 // catalogue's queues. Version is the catalogue's, 0 while there is none.
 type RoutingTable struct {
 	Epoch   identifier.Epoch                     `json:"epoch"`
@@ -134,7 +134,7 @@
 }
 
 // staleBody is what goes with the return of a stale request. Gateways that stamp their
-// requests with the leader's time know pages; others are sent the whole table.
+// requests with the leader's time know pages; others are sent the full table.
 func (s *Server) staleBody(r *wire.Request) []byte {
 	if !r.HasLeaderTime {
 		return encodeStale(s.fullRoutingTable())
--- a/internal/controlplane/graceful_stop.go
+++ b/internal/controlplane/graceful_stop.go
@@ -7,13 +7,13 @@
 
 const (
 	// undecidedTimeout is how long a leader that stops waits for what it has proposed,
-	// and gracefulStopTimeout how long the whole stop may take.
+	// and gracefulStopTimeout how long the stop may take in all.
 	undecidedTimeout    clock.Millis = 300
 	gracefulStopTimeout clock.Millis = 1500
 )
 
 // gracefulStop is the orderly stop of a server. One that leads takes no more requests,
-// waits until what it has proposed is applied and every live voter has the whole log,
+// waits until what it has proposed is applied and every live voter has the complete log,
 // and transfers leadership. One that follows tells the leader that it leaves, so that a
 // learner that has caught up can take its place. A server that stops never asks for an
 // election, but goes on voting and forwarding requests to the end.
--- a/internal/daemon/agentd/daemon.go
+++ b/internal/daemon/agentd/daemon.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"runtime/debug"
 
 	"go.uber.org/fx"
 
@@ -38,10 +37,8 @@
 }
 
 // New opens the agent's address. The agent begins, and ends, with the process.
-func New(settings Settings, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle) (*Daemon, error) {
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(settings.Memory / 10 * 8)
-	}
+func New(settings Settings, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle) (*Daemon, error) {
+	lifecycle.LimitMemory(settings.Memory)
 	d := &Daemon{log: log, clock: clock.NewSystem()}
 	d.agent = agent.New(settings.Agent, d.clock.Now())
 	d.loop = eventloop.New(d.agent, callQueueSize)
@@ -50,7 +47,7 @@
 		return nil, err
 	}
 	log.Event("start", "program", "agent", "name", settings.Agent.Name, "addr", settings.Agent.Addr, "domain", settings.Agent.Domain)
-	life.Append(fx.Hook{OnStart: func(context.Context) error {
+	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
 		d.link.Serve(d.loop.Receive)
 		group.Go(d.run)
 		return nil
@@ -81,16 +78,16 @@
 	}
 }
 
-// Heartbeat answers a heartbeat of the runner. When it is not ok, the agent has not heard
+// Heartbeat answers a heartbeat of the runner. When ok is false, the agent has not heard
 // of the heartbeat and never will.
-func (d *Daemon) Heartbeat(ctx context.Context, b agent.Heartbeat) (o agent.Orders, ok bool) {
-	ok = d.loop.Do(ctx, func(a *agent.Agent) { o = a.HandleHeartbeat(b, d.clock.Now()) })
-	return o, ok
+func (d *Daemon) Heartbeat(ctx context.Context, heartbeat agent.Heartbeat) (orders agent.Orders, ok bool) {
+	ok = d.loop.Do(ctx, func(a *agent.Agent) { orders = a.HandleHeartbeat(heartbeat, d.clock.Now()) })
+	return orders, ok
 }
 
-// RunnerLeft takes the runner's farewell. When it is not ok, the agent has not heard of it
+// RunnerLeft takes the runner's farewell. When it returns false, the agent has not heard of it
 // and never will.
-func (d *Daemon) RunnerLeft(ctx context.Context, incarnation identifier.Incarnation) (ok bool) {
+func (d *Daemon) RunnerLeft(ctx context.Context, incarnation identifier.Incarnation) bool {
 	return d.loop.Do(ctx, func(a *agent.Agent) { a.RunnerLeft(incarnation, d.clock.Now()) })
 }
 
@@ -107,8 +104,8 @@
 	return d.loop.Do(ctx, func(a *agent.Agent) { a.PrepareToStop() })
 }
 
-// Inspect runs f on the agent's own goroutine. When it is not ok, f has not run and never
+// Inspect runs f on the agent's own goroutine. When it returns false, f has not run and never
 // will.
-func (d *Daemon) Inspect(ctx context.Context, f func(a *agent.Agent)) (ok bool) {
+func (d *Daemon) Inspect(ctx context.Context, f func(a *agent.Agent)) bool {
 	return d.loop.Do(ctx, f)
 }
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"math/rand/v2"
-	"runtime/debug"
 	"sync/atomic"
 
 	"go.uber.org/fx"
@@ -59,10 +58,8 @@
 }
 
 // New opens the gateway's addresses. The gateway begins, and ends, with the process.
-func New(settings Settings, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle) (*Daemon, error) {
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(settings.Memory / 10 * 8)
-	}
+func New(settings Settings, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle) (*Daemon, error) {
+	lifecycle.LimitMemory(settings.Memory)
 	d := &Daemon{
 		log:          log,
 		clock:        clock.NewSystem(),
@@ -82,7 +79,7 @@
 	if settings.HTTP == "" {
 		d.gauges = httpserver.NewGauges()
 		log.Event("start", "program", programName, "addr", settings.Addr, "domain", settings.Domain)
-		life.Append(fx.Hook{OnStart: func(context.Context) error {
+		hooks.Append(fx.Hook{OnStart: func(context.Context) error {
 			begin()
 			return nil
 		}})
@@ -95,7 +92,7 @@
 	d.gauges = d.http.Gauge
 	d.addRoutes()
 	log.Event("start", "program", programName, "addr", settings.Addr, "http", settings.HTTP, "domain", settings.Domain)
-	d.http.Run(life, group, log, programName, begin)
+	d.http.Run(hooks, group, log, programName, begin)
 	return d, nil
 }
 
--- a/internal/daemon/gatewayd/requests.go
+++ b/internal/daemon/gatewayd/requests.go
@@ -9,6 +9,15 @@
 	"orchidward/internal/gateway"
 )
 
+// Codes of the daemon's own error responses; docs/api.md lists them.
+const (
+	codeNoAnswer   = "no-answer"
+	codeStopping   = "stopping"
+	codeBusy       = "busy"
+	codeTooLarge   = "too-large"
+	codeBadRequest = "bad-request"
+)
+
 // retryAfterRefusal is when a caller may come back whose request was not taken in.
 const retryAfterRefusal clock.Millis = 1000
 
@@ -30,14 +39,14 @@
 		return response
 	case <-ctx.Done():
 		d.forget(r.ID)
-		return unknownOutcome("no-answer", "the caller left; the outcome is not known", 0)
+		return unknownOutcome(codeNoAnswer, "the caller left; the outcome is not known", 0)
 	case <-d.loop.Done():
 	}
 	select {
 	case response := <-answered:
 		return response
 	default:
-		return unknownOutcome("stopping", "this gate has stopped; the outcome is not known", retryAfterRefusal)
+		return unknownOutcome(codeStopping, "this gate has stopped; the outcome is not known", retryAfterRefusal)
 	}
 }
 
@@ -49,9 +58,9 @@
 	})
 }
 
-// Inspect runs f on the gateway's own goroutine. When it is not ok, f has not run and never
+// Inspect runs f on the gateway's own goroutine. When it returns false, f has not run and never
 // will.
-func (d *Daemon) Inspect(ctx context.Context, f func(g *gateway.Gateway)) (ok bool) {
+func (d *Daemon) Inspect(ctx context.Context, f func(g *gateway.Gateway)) bool {
 	return d.loop.Do(ctx, f)
 }
 
@@ -63,6 +72,6 @@
 
 // overloaded answers a request that was not taken in.
 func overloaded() gateway.Response {
-	body := jsondoc.ErrorBody{Code: "busy", Message: "this gate is full"}
+	body := jsondoc.ErrorBody{Code: codeBusy, Message: "this gate is full"}
 	return gateway.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterRefusal, Body: body.JSON()}
 }
--- a/internal/daemon/gatewayd/routes.go
+++ b/internal/daemon/gatewayd/routes.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
@@ -95,15 +96,15 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, "too-large", "the body is over "+strconv.FormatInt(d.maxBodyBytes, 10)+" bytes")
+		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, codeTooLarge, "the body is over "+strconv.FormatInt(d.maxBodyBytes, 10)+" bytes")
 		return r, false
 	case err != nil:
-		httpserver.WriteError(c, http.StatusBadRequest, "bad-request", "the body could not be read")
+		httpserver.WriteError(c, http.StatusBadRequest, codeBadRequest, "the body could not be read")
 		return r, false
 	}
 	budget, ok := readBudget(c.GetHeader(budgetHeader))
 	if !ok {
-		httpserver.WriteError(c, http.StatusBadRequest, "bad-request", budgetHeader+" wants 50 to 30000")
+		httpserver.WriteError(c, http.StatusBadRequest, codeBadRequest, fmt.Sprintf("%s wants %d to %d", budgetHeader, minBudget, maxBudget))
 		return r, false
 	}
 	return gateway.Request{
@@ -127,7 +128,9 @@
 
 func writeResponse(c *gin.Context, response gateway.Response) {
 	if response.RetryAfter > 0 {
-		c.Header("Retry-After", strconv.FormatInt(int64(response.RetryAfter+999)/1000, 10))
+		// The header has whole seconds; rounded down, a caller would come back too early.
+		seconds := (response.RetryAfter + 999) / 1000
+		c.Header("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
 	c.Data(response.Status, "application/json", response.Body)
 }
--- a/internal/daemon/lifecycle/group.go
+++ b/internal/daemon/lifecycle/group.go
@@ -63,6 +63,6 @@
 }
 
 // Module provides a Group that is stopped with the program.
-var Module = fx.Module("lifecycle", fx.Provide(New), fx.Invoke(func(life fx.Lifecycle, g *Group) {
-	life.Append(fx.Hook{OnStop: g.Stop})
+var Module = fx.Module("lifecycle", fx.Provide(New), fx.Invoke(func(hooks fx.Lifecycle, g *Group) {
+	hooks.Append(fx.Hook{OnStop: g.Stop})
 }))
--- a/internal/daemon/lifecycle/queue.go
+++ b/internal/daemon/lifecycle/queue.go
@@ -7,8 +7,8 @@
 // NewQueue makes an empty queue for size values.
 func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{make(chan T, size)} }
 
-// TryPush adds a value without waiting; ok is false when the queue is full.
-func (q *Queue[T]) TryPush(v T) (ok bool) {
+// TryPush adds a value without waiting. It returns false when the queue is full.
+func (q *Queue[T]) TryPush(v T) bool {
 	select {
 	case q.values <- v:
 		return true
--- a/internal/daemon/serverd/daemon.go
+++ b/internal/daemon/serverd/daemon.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
 
@@ -59,10 +58,8 @@
 
 // New opens the server's folder and addresses. The server begins, and ends, with the
 // process, and ends the process when it must halt.
-func New(settings Settings, group *lifecycle.Group, log *logging.Logger, life fx.Lifecycle, shutdown fx.Shutdowner) (*Daemon, error) {
-	if settings.Memory > 0 {
-		debug.SetMemoryLimit(settings.Memory / 10 * 8)
-	}
+func New(settings Settings, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle, shutdown fx.Shutdowner) (*Daemon, error) {
+	lifecycle.LimitMemory(settings.Memory)
 	d := &Daemon{
 		log:      log,
 		clock:    clock.NewSystem(),
@@ -84,7 +81,7 @@
 	if d.link, err = link.Listen(settings.Addr, group); err != nil {
 		return nil, err
 	}
-	if err = d.begin(settings, group, life, id); err != nil {
+	if err = d.begin(settings, group, hooks, id); err != nil {
 		d.link.Close()
 		return nil, err
 	}
@@ -107,7 +104,7 @@
 
 // begin hooks the goroutines into the process's lifecycle, by way of the HTTP server if
 // there is one.
-func (d *Daemon) begin(settings Settings, group *lifecycle.Group, life fx.Lifecycle, id identifier.Node) error {
+func (d *Daemon) begin(settings Settings, group *lifecycle.Group, hooks fx.Lifecycle, id identifier.Node) error {
 	begin := func() {
 		d.link.Serve(d.loop.Receive)
 		group.Go(d.store.run)
@@ -123,10 +120,10 @@
 	}
 	d.log.Event("start", "program", programName, "node", id, "addr", settings.Addr, "domain", settings.Domain)
 	if d.http != nil {
-		d.http.Run(life, group, d.log, programName, begin)
+		d.http.Run(hooks, group, d.log, programName, begin)
 		return nil
 	}
-	life.Append(fx.Hook{OnStart: func(context.Context) error {
+	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
 		begin()
 		return nil
 	}})
--- a/internal/daemon/serverd/graceful_stop.go
+++ b/internal/daemon/serverd/graceful_stop.go
@@ -12,8 +12,8 @@
 // leadership goes to another server while this one still serves, so that nothing waits for
 // an election. Hooks run in reverse at the stop: it is to be called after the faces that
 // bring requests, so that they still serve meanwhile.
-func (d *Daemon) LeaveOnStop(life fx.Lifecycle) {
-	life.Append(fx.Hook{OnStop: d.leave})
+func (d *Daemon) LeaveOnStop(hooks fx.Lifecycle) {
+	hooks.Append(fx.Hook{OnStop: d.leave})
 }
 
 // leave waits until the server has left or the context ends; what could not be done in time
--- a/internal/daemon/serverd/requests.go
+++ b/internal/daemon/serverd/requests.go
@@ -10,6 +10,12 @@
 	"orchidward/internal/inflight"
 )
 
+// Codes of the daemon's own error responses; docs/api.md lists them.
+const (
+	codeNoAnswer = "no-answer"
+	codeStopping = "stopping"
+)
+
 // retryAfterStop is when a caller may come back to a server that has stopped.
 const retryAfterStop clock.Millis = 1000
 
@@ -31,19 +37,19 @@
 		return response
 	case <-ctx.Done():
 		d.loop.Post(func(*controlplane.Server) { d.requests.Forget(r.ID) })
-		return inflight.Refusal(http.StatusGatewayTimeout, "no-answer", "the caller left; the outcome is not known", 0)
+		return inflight.Refusal(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
 	case <-d.loop.Done():
 	}
 	select {
 	case response := <-answered:
 		return response
 	default:
-		return inflight.Refusal(http.StatusGatewayTimeout, "stopping", "this keeper has stopped; the outcome is not known", retryAfterStop)
+		return inflight.Refusal(http.StatusGatewayTimeout, codeStopping, "this keeper has stopped; the outcome is not known", retryAfterStop)
 	}
 }
 
-// Inspect runs f on the server's own goroutine. When it is not ok, f has not run and never
+// Inspect runs f on the server's own goroutine. When it returns false, f has not run and never
 // will.
-func (d *Daemon) Inspect(ctx context.Context, f func(s *controlplane.Server)) (ok bool) {
+func (d *Daemon) Inspect(ctx context.Context, f func(s *controlplane.Server)) bool {
 	return d.loop.Do(ctx, f)
 }
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -141,8 +141,8 @@
 
 // Run hooks a daemon into the process's lifecycle: begin starts its goroutines, and requests are
 // served until the graceful stop.
-func (s *Server) Run(life fx.Lifecycle, group *lifecycle.Group, log *logging.Logger, program string, begin func()) {
-	life.Append(fx.Hook{
+func (s *Server) Run(hooks fx.Lifecycle, group *lifecycle.Group, log *logging.Logger, program string, begin func()) {
+	hooks.Append(fx.Hook{
 		OnStart: func(context.Context) error {
 			begin()
 			s.Serve(group)
--- a/internal/transport/link/connection.go
+++ b/internal/transport/link/connection.go
@@ -110,7 +110,7 @@
 
 // runDialled runs a connection until it ends, and reports whether it is not to be
 // dialled again: it was idle, or the link is closed.
-func (l *Link) runDialled(to wire.Peer, c *connection, conn net.Conn, stop <-chan struct{}) (done bool) {
+func (l *Link) runDialled(to wire.Peer, c *connection, conn net.Conn, stop <-chan struct{}) bool {
 	defer conn.Close()
 	setUserTimeout(conn)
 	if !l.attach(c, conn) {
@@ -134,7 +134,7 @@
 
 // writeLoop sends what is queued until the connection fails, the link stops, or
 // nothing was sent for idleTimeout. It reports whether it ended for the last reason.
-func (l *Link) writeLoop(c *connection, conn net.Conn, stop <-chan struct{}) (idle bool) {
+func (l *Link) writeLoop(c *connection, conn net.Conn, stop <-chan struct{}) bool {
 	buffer := bufio.NewWriterSize(conn, bufferBytes)
 	encoder := wire.NewEncoder(buffer)
 	timer := time.NewTimer(idleTimeout)
