--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -17,7 +17,7 @@
 		replacement: `runner.cordonedBy = ""`,
 		also: []edit{
 			{
-				file:        "internal/controlplane/runner_polls.go",
+				file:        "internal/controlplane/poll_answers.go",
 				original:    `case !contact.running[lease.ID] && !contact.draining && runner.CordonedBy() == "":`,
 				replacement: "case !contact.running[lease.ID]:",
 			},
@@ -137,8 +137,8 @@
 	{
 		name:        "late work first",
 		file:        "internal/scheduler/queues.go",
-		original:    "for want := onTime; want <= tooLate; want++ {",
-		replacement: "for want := tooLate; want >= onTime; want-- {",
+		original:    "for class := onTime; class <= tooLate; class++ {",
+		replacement: "for class := tooLate; class >= onTime; class-- {",
 		tests:       test("./internal/scheduler", "TestTimelyJobsFirst"),
 		want:        "want q/first",
 	},
