--- a/internal/consensus/wal/snapshot_writer_test.go
+++ b/internal/consensus/wal/snapshot_writer_test.go
@@ -43,7 +43,7 @@
 	}
 	save(t, log, raft.Write{Snapshot: &raft.Snapshot{Index: 30, Term: 2, Data: []byte("new")}})
 	if done, err := log.WriteChunk(superseded); !done || err != nil {
-		t.Fatal(done, err)
+		t.Fatalf("a superseded snapshot is written on: done %v, %v", done, err)
 	}
 	if _, recovered := reopen(t, disk); recovered.Snapshot.Index != 30 || string(recovered.Snapshot.Data) != "new" {
 		t.Errorf("a superseded snapshot replaced that at 30: %d", recovered.Snapshot.Index)
