--- a/cmd/zone-drill/drill.go
+++ b/cmd/zone-drill/drill.go
@@ -16,6 +16,7 @@
 	"orchidward/internal/transport/httpclient"
 )
 
+// Times without a unit of their own are in milliseconds.
 const (
 	// eventDelay is how long events wait for those of other runners.
 	eventDelay = 700
--- a/internal/consensus/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -32,7 +32,7 @@
 func (l *log) last() identifier.Index { return l.base + identifier.Index(len(l.entries)) }
 
 // term is the term of the entry at an index; ok is false when the log does not
-// hold it.
+// have it.
 func (l *log) term(index identifier.Index) (term identifier.Term, ok bool) {
 	switch {
 	case index == l.base:
--- a/internal/consensus/raft/voting.go
+++ b/internal/consensus/raft/voting.go
@@ -24,7 +24,8 @@
 
 // handlePreVoteRequest answers whether a request for a vote would be granted
 // (Ongaro's thesis, section 9.6). A refusal is sent only to a member that has missed
-// a term; any other gets no reply, as if the message had been lost.
+// a term; any other gets no reply, as if the message had been lost. A member whose
+// log is still empty grants none: it has joined with an empty disk and waits for a snapshot.
 func (r *Raft) handlePreVoteRequest(m Message) {
 	staleTerm := m.Term <= r.hardState.Term
 	reject := staleTerm || !r.candidateUpToDate(m) || r.leaseMayBeActive() || r.log.last() == 0
--- a/internal/controlplane/gangs.go
+++ b/internal/controlplane/gangs.go
@@ -15,8 +15,8 @@
 // few polls, the leader revokes the whole gang: suspicion is enough to stop, though not to
 // place anew. See docs/notes/gangs.md.
 
-// silentGangPolls is how many spans of a poll a runner may miss before its partners are
-// stopped.
+// silentGangPolls is for how many start time-outs a runner may be silent before its
+// partners are stopped; it polls at least once in each.
 const silentGangPolls = 3
 
 // gangLeaseLevel is the level of the state from which on runners know gang leases.
@@ -52,7 +52,8 @@
 	if contact == nil || !contact.hasPolled || contact.incarnation != lease.Incarnation || lease.RevokeReason != "" {
 		return false
 	}
-	if contact.silentFor(s.now) > s.startTimeout()*3/2 {
+	missedPoll := s.startTimeout() * 3 / 2
+	if contact.silentFor(s.now) > missedPoll {
 		return false
 	}
 	_, ended := contact.ended[lease.ID]
--- a/internal/controlplane/levels.go
+++ b/internal/controlplane/levels.go
@@ -37,8 +37,8 @@
 	return c.values[index%checksumsKept], known
 }
 
-// halt takes this server out of service for good: what was handed out so far still
-// goes, and nothing more does. The owner ends the process.
+// halt takes this server out of service for good: output that TakeOutput has yet to hand
+// over is still carried out, no further input is taken. The owner ends the process.
 func (s *Server) halt(reason string, fields ...any) {
 	if s.halted {
 		return
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -10,11 +10,13 @@
 	"orchidward/internal/transport/wire"
 )
 
-// A runner counts as lost this long after its leases can have lasted, besides the part of
-// the lease by which clocks may drift.
+// A runner counts as lost once its leases can have lasted no longer: after their length,
+// the part of it by which clocks are allowed to drift (one in so many), and a margin.
 const (
-	runnerLapseMargin clock.Millis = 1000
-	agentLapseMargin  clock.Millis = 300
+	runnerDriftFraction              = 10
+	agentDriftFraction               = 20
+	runnerLapseMargin   clock.Millis = 1000
+	agentLapseMargin    clock.Millis = 300
 )
 
 // runnerContact is what a leader knows of one incarnation of a runner: when it was last
@@ -89,9 +91,9 @@
 // too, later heartbeats may have been answered, up to the end of the agent's lease.
 func (c *runnerContact) leaseLapsed(now clock.Monotonic, lease clock.Millis) bool {
 	if c.agent == nil {
-		return now.Since(c.lastHeard) > lease+lease/10+runnerLapseMargin
+		return now.Since(c.lastHeard) > lease+lease/runnerDriftFraction+runnerLapseMargin
 	}
-	span := lease + lease/20 + agentLapseMargin
+	span := lease + lease/agentDriftFraction + agentLapseMargin
 	return now.Since(c.lastHeard) > span || c.silentBefore > span
 }
 
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -163,6 +163,7 @@
 	if step.Checkpoints {
 		there = min(there, left+restoreTime)
 	}
+	// Moving must gain a quarter of the time there, as estimates are wrong, and minMoveGain.
 	return here > there+there/4+minMoveGain
 }
 
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -48,7 +48,10 @@
 	limit := s.schedulableSilence()
 	return func(name identifier.Runner) bool {
 		contact := s.leader.runners[name]
-		return contact != nil && contact.hasPolled && !contact.draining && contact.incarnation == s.state.Runners[name].Incarnation &&
-			contact.silentFor(s.now) < limit && !s.quarantined(contact)
+		return contact != nil &&
+			contact.hasPolled && !contact.draining &&
+			contact.incarnation == s.state.Runners[name].Incarnation &&
+			contact.silentFor(s.now) < limit &&
+			!s.quarantined(contact)
 	}
 }
--- a/internal/scheduler/policy/check.go
+++ b/internal/scheduler/policy/check.go
@@ -47,8 +47,8 @@
 	err error
 }
 
-// reject keeps the first error and ends the walk of the node.
-func (c *checker) reject(n syntax.Node, reason string) (descend bool) {
+// reject keeps the first error. It returns false, which ends the walk of the node.
+func (c *checker) reject(n syntax.Node, reason string) bool {
 	if c.err == nil {
 		start, _ := n.Span()
 		c.err = errors.Errorf("policy:%d:%d: %s", start.Line, start.Col, reason)
@@ -59,7 +59,7 @@
 const reasonString = "text is only for label(), zone() and rack()"
 
 // visit checks one node and tells whether the walk goes on with its children.
-func (c *checker) visit(n syntax.Node) (descend bool) {
+func (c *checker) visit(n syntax.Node) bool {
 	switch n := n.(type) {
 	case nil, *syntax.ParenExpr, *syntax.UnaryExpr, *syntax.CondExpr:
 		return true
@@ -90,7 +90,9 @@
 	return c.reject(n, "not for policies: want one expression of runner's and task's fields")
 }
 
-func (c *checker) visitCall(call *syntax.CallExpr) (descend bool) {
+// visitCall checks a call and walks its arguments itself: the name of the function, and the
+// word that a predicate takes, would not pass as values.
+func (c *checker) visitCall(call *syntax.CallExpr) bool {
 	function, ok := call.Fn.(*syntax.Ident)
 	if !ok || !functions[function.Name] {
 		return c.reject(call, "only min, max, abs, label, zone and rack may be called")
--- a/internal/state/task_state.go
+++ b/internal/state/task_state.go
@@ -25,5 +25,5 @@
 // Ended tells whether the state is final.
 func (s TaskState) Ended() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// Unplaced are the states that count as waiting in the row's limit.
+// Unplaced tells whether a task in this state counts as waiting in its row's limit.
 func (s TaskState) Unplaced() bool { return s == Waiting || s == AwaitingRunner || s == Suspended }
--- a/internal/transport/link/connection.go
+++ b/internal/transport/link/connection.go
@@ -36,7 +36,7 @@
 	return &connection{queue: lifecycle.NewQueue[wire.Message](queueLength)}
 }
 
-// discard drops what waits for a connection that is down: all of it will be asked for
+// discard drops what waits for a connection that is down: what is still wanted is sent
 // again, and another process may be at the address by then.
 func (c *connection) discard() {
 	for {
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -100,7 +100,9 @@
 	return !l.closed && to != "" && !to.Accepted() && len(l.connections) < maxConnections
 }
 
-// FrameCounts returns how many messages were queued and how many were dropped.
+// FrameCounts returns how many messages were accepted for sending and how many were
+// dropped, because their queue was full or their peer could not be dialled. A message
+// whose queue is full counts as both.
 func (l *Link) FrameCounts() (sent, dropped uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/wire/encode.go
+++ b/internal/transport/wire/encode.go
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// encodeMembers fills a member list, which is allocated only for members to hold.
+// encodeMembers fills a member list; for no members it allocates none.
 func encodeMembers(allocate func(n int32) (frame.Member_List, error), members []raft.Member) error {
 	if len(members) == 0 {
 		return nil
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -5,7 +5,7 @@
 	{
 		name:        "task placed anew before its lease expires",
 		file:        "internal/controlplane/runner_contact.go",
-		original:    "return now.Since(c.lastHeard) > lease+lease/10+runnerLapseMargin",
+		original:    "return now.Since(c.lastHeard) > lease+lease/runnerDriftFraction+runnerLapseMargin",
 		replacement: "return now.Since(c.lastHeard) > 3000",
 		tests:       faultSequences("half|steps"),
 		want:        "P3 at",
