--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -20,5 +20,6 @@
 //     nothing.
 //
 // Begin with agent.go (the machine and its inputs); heartbeats.go follows the runner,
-// orders.go what it is to do, progress.go its attempts, and polls.go the control plane.
+// orders.go what it is to do, progress.go its attempts, polls.go and poll_state.go the
+// control plane, and fencing_token.go the number of its leader.
 package agent
--- /dev/null
+++ b/internal/agent/fencing_token.go
@@ -0,0 +1,48 @@
+package agent
+
+import (
+	"net/http"
+
+	"orchidward/internal/api/endpoint"
+	"orchidward/internal/clock"
+	"orchidward/internal/transport/wire"
+)
+
+// tokenRequestInterval is how often the fencing token is asked for.
+const tokenRequestInterval clock.Millis = 200
+
+// fencingToken is the highest fencing token known, and the last request for one.
+type fencingToken struct {
+	value       uint64
+	requestID   uint64
+	requestedAt clock.Monotonic
+}
+
+// requestFencingToken asks the control plane for its fencing token before there is a
+// heartbeat to report: a runner that obeyed an earlier process takes nothing with a lower
+// one.
+func (a *Agent) requestFencingToken() {
+	t := &a.token
+	if a.runner.heartbeat != nil || t.value > 0 || len(a.polls.servers) == 0 {
+		return
+	}
+	if a.now < t.requestedAt.Add(tokenRequestInterval) {
+		return
+	}
+	t.requestedAt = a.now
+	a.polls.seq++
+	t.requestID = a.polls.seq
+	a.send(a.polls.server(), &wire.Request{
+		ID:     t.requestID,
+		Method: http.MethodGet,
+		Path:   endpoint.FencingTokenPath,
+		Budget: tokenRequestInterval,
+	})
+	a.polls.current++
+}
+
+func (a *Agent) handleFencingToken(r *wire.Response) {
+	if response, ok := decodePollResponse(r); ok {
+		a.token.value = max(a.token.value, response.FencingToken)
+	}
+}
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -5,7 +5,6 @@
 	"net/http"
 
 	"orchidward/internal/api/endpoint"
-	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
 	"orchidward/internal/transport/wire"
@@ -19,82 +18,10 @@
 	// searchTimeout takes its place once nothing was heard for lostAfter.
 	searchTimeout clock.Millis = 300
 	lostAfter     clock.Millis = 2000
-	// sentPollTTL is how long the time of a poll is remembered.
-	sentPollTTL clock.Millis = 5000
-	// minBackoff and maxBackoff bound the pause after a failed poll.
-	minBackoff clock.Millis = 50
-	maxBackoff clock.Millis = 400
-	// jitterFactor is a prime that spreads the numbers of polls, which begin at another
-	// one in each agent, over the length of a pause.
-	jitterFactor uint64 = 7919
 	// replaceDelay is how soon a poll with something to report replaces one still open.
 	replaceDelay clock.Millis = 10
-	// tokenRequestInterval is how often the fencing token is asked for.
-	tokenRequestInterval clock.Millis = 200
 )
 
-// pollState is how the agent polls the control plane: one poll is kept open, and goes to
-// one server after another until one answers.
-type pollState struct {
-	servers []string
-	current int
-	// seq is the number of the last poll or request.
-	seq  uint64
-	open *openPoll
-	// sentAt is when each of the last polls was sent.
-	sentAt  map[uint64]clock.Monotonic
-	nextAt  clock.Monotonic
-	backoff clock.Millis
-	// timeout is how long a poll is awaited.
-	timeout clock.Millis
-	// refusedStatus is the status of the last refusal that was logged.
-	refusedStatus int
-}
-
-// openPoll is the poll under way.
-type openPoll struct {
-	seq         uint64
-	sentAt      clock.Monotonic
-	incarnation identifier.Incarnation
-}
-
-func newPollState(config Config) pollState {
-	p := pollState{
-		servers: config.Seeds,
-		seq:     uint64(config.Seed),
-		timeout: initialPollTimeout,
-		sentAt:  map[uint64]clock.Monotonic{},
-	}
-	if n := len(config.Seeds); n > 0 {
-		p.current = int(uint64(config.Seed) % uint64(n))
-	}
-	return p
-}
-
-// server is the one to ask now.
-func (p *pollState) server() string { return p.servers[p.current%len(p.servers)] }
-
-// failed turns to the next server, after a pause that grows and differs from one agent to
-// another.
-func (p *pollState) failed(now clock.Monotonic) {
-	p.current++
-	p.backoff = min(max(minBackoff, p.backoff*2), maxBackoff)
-	jitter := clock.Millis(p.seq * jitterFactor % uint64(p.backoff))
-	p.nextAt = now.Add(p.backoff/2 + jitter)
-}
-
-// begin opens a poll and forgets when old ones were sent.
-func (p *pollState) begin(incarnation identifier.Incarnation, now clock.Monotonic) {
-	p.seq++
-	p.open = &openPoll{seq: p.seq, sentAt: now, incarnation: incarnation}
-	p.sentAt[p.seq] = now
-	for seq, sentAt := range p.sentAt {
-		if now.Since(sentAt) > sentPollTTL {
-			delete(p.sentAt, seq)
-		}
-	}
-}
-
 // pollTimeout is how long to wait for the answer to the open poll. While the agent is out
 // of touch it asks more often, since the control plane answers its first poll at once.
 func (a *Agent) pollTimeout() clock.Millis {
@@ -286,39 +213,3 @@
 	p.open = nil
 	a.pollIfDue()
 }
-
-// fencingToken is the highest fencing token known, and the last request for one.
-type fencingToken struct {
-	value       uint64
-	requestID   uint64
-	requestedAt clock.Monotonic
-}
-
-// requestFencingToken asks the control plane for its fencing token before there is a
-// heartbeat to report: a runner that obeyed an earlier process takes nothing with a lower
-// one.
-func (a *Agent) requestFencingToken() {
-	t := &a.token
-	if a.runner.heartbeat != nil || t.value > 0 || len(a.polls.servers) == 0 {
-		return
-	}
-	if a.now < t.requestedAt.Add(tokenRequestInterval) {
-		return
-	}
-	t.requestedAt = a.now
-	a.polls.seq++
-	t.requestID = a.polls.seq
-	a.send(a.polls.server(), &wire.Request{
-		ID:     t.requestID,
-		Method: http.MethodGet,
-		Path:   endpoint.FencingTokenPath,
-		Budget: tokenRequestInterval,
-	})
-	a.polls.current++
-}
-
-func (a *Agent) handleFencingToken(r *wire.Response) {
-	if response, ok := decodePollResponse(r); ok {
-		a.token.value = max(a.token.value, response.FencingToken)
-	}
-}
--- a/internal/daemon/settings/parse.go
+++ b/internal/daemon/settings/parse.go
@@ -43,7 +43,8 @@
 	for i, arg := range args {
 		path, ok := strings.CutPrefix(arg, fileFlag+"=")
 		if arg == fileFlag && i+1 < len(args) {
-			path, ok = args[i+1], true
+			path = args[i+1]
+			ok = true
 		}
 		if ok && path != "" {
 			paths = append(paths, path)
