--- a/internal/controlplane/gateway_sync.go
+++ b/internal/controlplane/gateway_sync.go
@@ -8,53 +8,14 @@
 
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
-	"orchidward/internal/consensus/raft"
 	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
 )
 
-// Parameters of a gateway's sync request: the address at which the gateway serves
-// clients, the epoch of its routing table, and the name after which the next page begins.
-// A gateway of an earlier version sends neither epoch nor name and is sent full tables.
-const (
-	SyncGatewayParam = "gate"
-	SyncSinceParam   = "since"
-	SyncAfterParam   = "after"
-)
-
 // maxStalePageBytes bounds the page that goes with the response to a stale request. More
 // is fetched by the gateway, once for all its requests.
 const maxStalePageBytes = 4 << 10
 
-// SyncResponse is what a gateway hears from the leader: a page of what changed in the
-// routing table, the members, and the other gateways. Table is the full table, for
-// gateways of an earlier version. Leader is the leader's id.
-type SyncResponse struct {
-	Epoch    identifier.Epoch `json:"epoch"`
-	Table    *RoutingTable    `json:"table,omitempty"`
-	Page     *routing.Page    `json:"page,omitempty"`
-	Leader   string           `json:"lead"`
-	Members  []raft.Member    `json:"members"`
-	Gateways []string         `json:"gates"`
-}
-
-// StaleResponse is the body of the response to a request that was checked by an older
-// routing table. Page is what changed since, where that is little; without it, and
-// without a full table, the gateway asks for it.
-type StaleResponse struct {
-	RoutingTable
-	Page *routing.Page `json:"page,omitempty"`
-}
-
-// RoutingTable is the full routing table: the limits by row, and the routes of the
-// catalogue's queues. Version is the catalogue's, 0 while there is none.
-type RoutingTable struct {
-	Epoch   identifier.Epoch                     `json:"epoch"`
-	Rows    map[identifier.Row]map[string]string `json:"rows"`
-	Version uint64                               `json:"version,omitempty"`
-	Routes  []catalog.Route                      `json:"places,omitempty"`
-}
-
 // routingState is the history of the routing table, and the catalogue that it was last
 // told of.
 type routingState struct {
@@ -72,9 +33,9 @@
 	return table
 }
 
-func (s *Server) fullRoutingTable() *RoutingTable {
+func (s *Server) fullRoutingTable() *routing.FullTable {
 	table := s.routingTable()
-	return &RoutingTable{Epoch: table.Epoch, Rows: table.Rows, Version: table.Version, Routes: table.Routes}
+	return &routing.FullTable{Epoch: table.Epoch, Rows: table.Rows, Version: table.Version, Routes: table.Routes}
 }
 
 // trackRouting tells the history what the last entry changed.
@@ -108,15 +69,15 @@
 		s.replyError(r.peer, r.ID, errQueryMalformed)
 		return
 	}
-	s.gateways.clientAddrSeen(query.Get(SyncGatewayParam), s.now)
-	response := SyncResponse{
+	s.gateways.clientAddrSeen(query.Get(routing.SyncGatewayParam), s.now)
+	response := routing.SyncResponse{
 		Epoch:    s.state.Limits.Epoch,
 		Leader:   s.config.ID.String(),
 		Members:  s.raft.Members(),
 		Gateways: s.gateways.liveClientAddrs(s.now),
 	}
-	after := query.Get(SyncAfterParam)
-	since, err := strconv.ParseUint(query.Get(SyncSinceParam), 10, 64)
+	after := query.Get(routing.SyncAfterParam)
+	since, err := strconv.ParseUint(query.Get(routing.SyncSinceParam), 10, 64)
 	wantsPages := err == nil
 	switch {
 	case !wantsPages && r.Epoch != response.Epoch:
@@ -150,7 +111,7 @@
 	return text
 }
 
-// stalePage is a StaleResponse with nothing but a page.
+// stalePage is a routing.StaleResponse with nothing but a page.
 type stalePage struct {
 	Page *routing.Page `json:"page"`
 }
--- a/internal/daemon/gatewayd/daemon_fixture_test.go
+++ b/internal/daemon/gatewayd/daemon_fixture_test.go
@@ -14,9 +14,9 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/limits"
 	"orchidward/internal/consensus/raft"
-	"orchidward/internal/controlplane"
 	"orchidward/internal/daemon/lifecycle"
 	"orchidward/internal/daemon/logging"
+	"orchidward/internal/routing"
 	"orchidward/internal/transport/link"
 	"orchidward/internal/transport/wire"
 )
@@ -56,9 +56,9 @@
 		t.Fatal(err)
 	}
 	leader = &fakeLeader{link: listener, members: []raft.Member{{ID: leaderNode, Addr: listener.Addr(), Voter: true}}}
-	leader.syncBody, err = json.Marshal(controlplane.SyncResponse{
+	leader.syncBody, err = json.Marshal(routing.SyncResponse{
 		Epoch:   1,
-		Table:   &controlplane.RoutingTable{Epoch: 1, Rows: limits.Default().Rows},
+		Table:   &routing.FullTable{Epoch: 1, Rows: limits.Default().Rows},
 		Leader:  leaderNode.String(),
 		Members: leader.members,
 	})
--- a/internal/gateway/fake_leader_test.go
+++ b/internal/gateway/fake_leader_test.go
@@ -11,7 +11,6 @@
 	"orchidward/internal/api/catalog"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
-	"orchidward/internal/controlplane"
 	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
 )
@@ -76,13 +75,13 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	number, err := strconv.ParseUint(query.Get(controlplane.SyncSinceParam), 10, 64)
+	number, err := strconv.ParseUint(query.Get(routing.SyncSinceParam), 10, 64)
 	if err != nil {
 		l.t.Fatalf("synced with %s", request.Query)
 	}
 	since := identifier.Epoch(number)
-	after := query.Get(controlplane.SyncAfterParam)
-	response := controlplane.SyncResponse{Epoch: l.table.Epoch, Leader: leaderNode.String(), Members: l.gateway.servers.members}
+	after := query.Get(routing.SyncAfterParam)
+	response := routing.SyncResponse{Epoch: l.table.Epoch, Leader: leaderNode.String(), Members: l.gateway.servers.members}
 	if since != l.table.Epoch || after != "" {
 		page := l.history.Page(since, after)
 		response.Page = &page
@@ -117,5 +116,5 @@
 func (l *fakeLeader) stalePage(attempt *wire.Request) []byte {
 	l.t.Helper()
 	page := l.history.Page(attempt.Epoch, "")
-	return encode(l.t, controlplane.StaleResponse{Page: &page})
+	return encode(l.t, routing.StaleResponse{Page: &page})
 }
--- a/internal/gateway/gateway_fixture_test.go
+++ b/internal/gateway/gateway_fixture_test.go
@@ -10,7 +10,7 @@
 	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
 	"orchidward/internal/consensus/raft"
-	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
 )
 
@@ -35,9 +35,9 @@
 	}
 	g.HandleMessage(leaderAddr, wire.Message{Announcement: announcement}, readyAt-100)
 	g.Tick(readyAt - 50)
-	body := encode(t, controlplane.SyncResponse{
+	body := encode(t, routing.SyncResponse{
 		Epoch:   1,
-		Table:   &controlplane.RoutingTable{Epoch: 1, Rows: limits.Default().Rows},
+		Table:   &routing.FullTable{Epoch: 1, Rows: limits.Default().Rows},
 		Leader:  leaderNode.String(),
 		Members: g.servers.members,
 	})
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/clock"
-	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
 )
 
@@ -86,11 +86,11 @@
 	since, after := g.routing.replica.NextRequest()
 	sync.request = &syncRequest{id: g.takeAttempt(), sentAt: g.now, to: target, after: after}
 	query := url.Values{
-		controlplane.SyncGatewayParam: {g.config.HTTP},
-		controlplane.SyncSinceParam:   {strconv.FormatUint(uint64(since), 10)},
+		routing.SyncGatewayParam: {g.config.HTTP},
+		routing.SyncSinceParam:   {strconv.FormatUint(uint64(since), 10)},
 	}
 	if after != "" {
-		query.Set(controlplane.SyncAfterParam, after)
+		query.Set(routing.SyncAfterParam, after)
 	}
 	g.send(target, wire.Message{Request: &wire.Request{
 		ID:     sync.request.id,
@@ -166,7 +166,7 @@
 		g.servers.failed(sync.to, g.now)
 		return
 	}
-	var response controlplane.SyncResponse
+	var response routing.SyncResponse
 	if err := json.Unmarshal(r.Body, &response); err != nil {
 		g.logEvent("sync-malformed", "error", err)
 		return
@@ -193,7 +193,7 @@
 }
 
 // updateServers takes the servers that the leader names.
-func (g *Gateway) updateServers(response *controlplane.SyncResponse) {
+func (g *Gateway) updateServers(response *routing.SyncResponse) {
 	g.servers.members = response.Members
 	g.servers.gateways = response.Gateways
 	if leader, ok := identifier.ParseNode(response.Leader); ok && leader != g.servers.leaderID {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -12,7 +12,7 @@
 	"orchidward/internal/api/limits"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
-	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
 )
 
@@ -197,7 +197,7 @@
 // takeStaleTable takes the table, or what changed in it, that came with the return of a
 // stale request.
 func (g *Gateway) takeStaleTable(body []byte) {
-	var stale controlplane.StaleResponse
+	var stale routing.StaleResponse
 	if err := json.Unmarshal(body, &stale); err != nil {
 		return
 	}
@@ -205,7 +205,7 @@
 	case stale.Page != nil:
 		g.useTable(g.routing.replica.Patch(*stale.Page))
 	case stale.Epoch > 0:
-		g.replaceTable(&stale.RoutingTable)
+		g.replaceTable(&stale.FullTable)
 	}
 }
 
--- a/internal/gateway/routing_copy.go
+++ b/internal/gateway/routing_copy.go
@@ -6,7 +6,6 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
-	"orchidward/internal/controlplane"
 	"orchidward/internal/routing"
 )
 
@@ -60,7 +59,7 @@
 }
 
 // replaceTable takes a newer table in place of this one; an older one never replaces it.
-func (g *Gateway) replaceTable(table *controlplane.RoutingTable) {
+func (g *Gateway) replaceTable(table *routing.FullTable) {
 	g.useTable(g.routing.replica.Replace(routing.Table{Epoch: table.Epoch, Version: table.Version, Rows: table.Rows, Routes: table.Routes}))
 }
 
--- a/internal/gateway/stale_requests_test.go
+++ b/internal/gateway/stale_requests_test.go
@@ -7,7 +7,7 @@
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/limits"
 	"orchidward/internal/clock"
-	"orchidward/internal/controlplane"
+	"orchidward/internal/routing"
 	"orchidward/internal/transport/wire"
 )
 
@@ -17,7 +17,7 @@
 	t.Helper()
 	table := limits.Default()
 	table.Rows["default"][limits.ColumnMaxTasks] = maxTasks
-	return encode(t, controlplane.RoutingTable{Epoch: epoch, Rows: table.Rows})
+	return encode(t, routing.FullTable{Epoch: epoch, Rows: table.Rows})
 }
 
 // TestStaleRequestCheckedAgain checks that a request that met a newer table is checked by
--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -11,5 +11,6 @@
 // Invariants: a replica's epoch never goes back, and each of its routes
 // is one that some table had at that epoch or later.
 //
-// Begin with page.go, which is what travels, then history.go and replica.go.
+// Begin with page.go and documents.go, which are what travels, then history.go and
+// replica.go.
 package routing
