--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -44,6 +44,9 @@
 	Data []byte
 }
 
+// noVote stands for no vote in a term.
+const noVote identifier.Node = 0
+
 // HardState is what must be on disk before a member acts on it. A Vote of 0 is
 // none.
 type HardState struct {
--- a/internal/consensus/raft/voting.go
+++ b/internal/consensus/raft/voting.go
@@ -53,13 +53,13 @@
 // handleVoteRequest votes for a candidate of the current term, unless this member
 // has voted for another in it. The vote is sent only once it is on disk.
 func (r *Raft) handleVoteRequest(m Message) {
-	free := r.hardState.Vote == 0 || r.hardState.Vote == m.From
+	free := r.hardState.Vote == noVote || r.hardState.Vote == m.From
 	grant := free && r.candidateUpToDate(m) && r.role == Follower && r.log.last() > 0
 	if !grant {
 		r.sendAfterSync(Message{Kind: VoteReply, To: m.From, Reject: true})
 		return
 	}
-	if r.hardState.Vote == 0 {
+	if r.hardState.Vote == noVote {
 		r.setHardState(HardState{Term: r.hardState.Term, Vote: m.From})
 	}
 	r.timer.postpone(r.now)
--- a/internal/controlplane/doc.go
+++ b/internal/controlplane/doc.go
@@ -33,7 +33,8 @@
 //   - requests.go: the API's requests as the leader serves them; proposals.go: those
 //     that wait for their entry; forwarding.go and leader_link.go: those passed on to
 //     the leader; order_expiry.go: orders too old to carry out; replies.go: error
-//     responses; job_views.go and cluster_views.go: what clients and operators read.
+//     responses; job_documents.go and cluster_documents.go: what clients and
+//     operators read.
 //   - command_events.go: what is logged of commands; policy_results.go: how placement
 //     policies did.
 //   - leader.go: the leader's periodic work; scheduling.go, leases.go,
