--- a/internal/consensus/raft/voting.go
+++ b/internal/consensus/raft/voting.go
@@ -24,7 +24,8 @@
 
 // handlePreVoteRequest answers whether a request for a vote would be granted
 // (Ongaro's thesis, section 9.6). A refusal is sent only to a member that has missed
-// a term; any other gets no reply, as if the message had been lost.
+// a term; any other gets no reply, as if the message had been lost. A member whose
+// log is still empty grants none: it has joined with an empty disk and waits for a snapshot.
 func (r *Raft) handlePreVoteRequest(m Message) {
 	staleTerm := m.Term <= r.hardState.Term
 	reject := staleTerm || !r.candidateUpToDate(m) || r.leaseMayBeActive() || r.log.last() == 0
@@ -52,13 +53,13 @@
 // handleVoteRequest votes for a candidate of the current term, unless this member
 // has voted for another in it. The vote is sent only once it is on disk.
 func (r *Raft) handleVoteRequest(m Message) {
-	free := r.hardState.Vote == 0 || r.hardState.Vote == m.From
+	free := r.hardState.Vote == noVote || r.hardState.Vote == m.From
 	grant := free && r.candidateUpToDate(m) && r.role == Follower && r.log.last() > 0
 	if !grant {
 		r.sendAfterSync(Message{Kind: VoteReply, To: m.From, Reject: true})
 		return
 	}
-	if r.hardState.Vote == 0 {
+	if r.hardState.Vote == noVote {
 		r.setHardState(HardState{Term: r.hardState.Term, Vote: m.From})
 	}
 	r.timer.postpone(r.now)
