--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -237,7 +237,7 @@
 		name:        "handler calls an unknown outcome rejected",
 		file:        "platform/responses.go",
 		original:    "\t\treplyError(w, http.StatusGatewayTimeout, \"the outcome is not known\")\n",
-		replacement: "\t\treplyRetryLater(w, http.StatusServiceUnavailable, a.RetryAfter, \"not taken\")\n",
+		replacement: "\t\treplyRetryLater(w, http.StatusServiceUnavailable, response.RetryAfter, \"not taken\")\n",
 		tests:       test("./platform", "TestUnknownOutcomeIsTimeoutOnEveryAddress"),
 		want:        "answered 503",
 	},
