--- a/tests/scale/lease_trial.go
+++ b/tests/scale/lease_trial.go
@@ -49,7 +49,8 @@
 				continue
 			}
 			was := s.openPoll
-			s.openPoll, s.openedAt = x.Message.Request.ID, now
+			s.openPoll = x.Message.Request.ID
+			s.openedAt = now
 			s.polls++
 			if was != 0 {
 				s.answer(was, now)
@@ -63,9 +64,22 @@
 // that were answered without a lease, of which there should be none.
 func leaseTrial(tasks int, span clock.Millis) (polls, withoutLease, heartbeats int) {
 	s := &standInRunner{incarnation: "a", domain: "n", rack: "r", leaseEnd: 1 << 40}
-	c := &stubLeader{agent: agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: maxLease, HeartbeatInterval: heartbeatInterval}, 0)}
+	c := &stubLeader{agent: agent.New(agent.Config{
+		Name:              "a",
+		Addr:              "x",
+		Domain:            "n",
+		Seeds:             []string{"k"},
+		Seed:              1,
+		MaxLease:          maxLease,
+		HeartbeatInterval: heartbeatInterval,
+	}, 0)}
 	for i := range tasks {
-		s.runs = append(s.runs, &taskRun{task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: i}, attempt: 1, span: span + clock.Millis(i)*span/97, startedAt: clock.Monotonic(-217 * i)})
+		s.runs = append(s.runs, &taskRun{
+			task:      identifier.TaskRef{Job: "q/00000000000000a1.0", Num: i},
+			attempt:   1,
+			span:      span + clock.Millis(i)*span/97,
+			startedAt: clock.Monotonic(-217 * i),
+		})
 	}
 	for now := clock.Monotonic(0); now < leaseTrialTime; now += clock.Monotonic(agent.TickInterval) {
 		c.agent.Tick(now)
@@ -84,12 +98,23 @@
 	return c.polls, withoutLease, heartbeats
 }
 
+// runLeaseTrials prints the result of leaseTrial for several numbers and spans of tasks.
 func runLeaseTrials() {
 	for _, one := range []struct {
 		tasks int
 		span  clock.Millis
-	}{{1, 117_000}, {5, 117_000}, {14, 117_000}, {14, 300_000}, {24, 3_000_000}, {14, 30_000}, {14, 1 << 40}} {
+	}{
+		{1, 117_000},
+		{5, 117_000},
+		{14, 117_000},
+		{14, 300_000},
+		{24, 3_000_000},
+		{14, 30_000},
+		{14, 1 << 40},
+	} {
 		polls, withoutLease, heartbeats := leaseTrial(one.tasks, one.span)
-		fmt.Printf("%d tasks of %d s: %.2f polls/s, %d of %d heartbeats without a lease\n", one.tasks, one.span/1000, float64(polls)/float64(leaseTrialTime)*1000, withoutLease, heartbeats)
+		pollsPerSecond := float64(polls) / float64(leaseTrialTime) * 1000
+		fmt.Printf("%d tasks of %d s: %.2f polls/s, ", one.tasks, one.span/1000, pollsPerSecond)
+		fmt.Printf("%d of %d heartbeats without a lease\n", withoutLease, heartbeats)
 	}
 }
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -65,8 +65,10 @@
 
 // job is a job of so many equal tasks, as a gang if asked for.
 func (l *load) job(tasks int, span clock.Millis, gang bool, gpus int) string {
-	return fmt.Sprintf(`{"queue":%q,"text":%q,"steps":[{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}]}`,
-		queue, encodePayload(span, l.cluster.clock.Now()), tasks, gang, gpus, span)
+	step := fmt.Sprintf(`{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}`,
+		tasks, gang, gpus, span)
+	payload := encodePayload(span, l.cluster.clock.Now())
+	return fmt.Sprintf(`{"queue":%q,"text":%q,"steps":[%s]}`, queue, payload, step)
 }
 
 // submit queues a job to be submitted; it counts as rejected if the queue is full.
@@ -90,8 +92,9 @@
 	tasks := max(1, min(jobTasks, rate/2))
 	gap := time.Duration(float64(tasks) / plain * float64(time.Second))
 	l.cluster.goroutines.Go(func(stop <-chan struct{}) {
-		small, big := time.NewTicker(gap), time.NewTicker(gangInterval)
+		small := time.NewTicker(gap)
 		defer small.Stop()
+		big := time.NewTicker(gangInterval)
 		defer big.Stop()
 		for {
 			select {
--- a/tests/scale/main.go
+++ b/tests/scale/main.go
@@ -34,8 +34,10 @@
 	flag.IntVar(&s.repetitions, "reps", 2, "measurements of each point")
 	flag.Float64Var(&s.maxCores, "cores", 3, "heavier points are left out once one took more processors than this")
 	flag.BoolVar(&s.small, "small", false, "a tenth of every size, to try the tool itself")
-	flag.StringVar(&s.phases, "phases", "fleet,queues,starts,clerk,running,all", "which to run; without fleet all runners are there from the start")
-	flag.DurationVar(&s.longTask, "long", 50*time.Minute, "mean span of the tasks that run on; every hundredth of it the percentage of one moves")
+	flag.StringVar(&s.phases, "phases", "fleet,queues,starts,clerk,running,all",
+		"which to run; without fleet all runners are there from the start")
+	flag.DurationVar(&s.longTask, "long", 50*time.Minute,
+		"mean span of the tasks that run on; every hundredth of it the percentage of one moves")
 	flag.BoolVar(&s.keepFiles, "keep", false, "keep the processes' logs and data")
 	flag.IntVar(&s.runners, "runners", defaultRunners, "runners at full size")
 	flag.IntVar(&s.starts, "starts", defaultStarts, "starts a second at full size")
@@ -85,7 +87,14 @@
 		}
 	})
 	r := newReport(s)
-	p := &plan{settings: s, cluster: f, report: r, load: newLoad(f), changes: &catalogChanges{cluster: f}, startedAt: time.Now()}
+	p := &plan{
+		settings:  s,
+		cluster:   f,
+		report:    r,
+		load:      newLoad(f),
+		changes:   &catalogChanges{cluster: f},
+		startedAt: time.Now(),
+	}
 	p.run()
 	return r.write(filepath.Join(s.outDir, "points.json"), filepath.Join(s.outDir, "scale.svg"))
 }
--- a/tests/scale/plan.go
+++ b/tests/scale/plan.go
@@ -123,7 +123,8 @@
 	}
 	p.load.mu.Lock()
 	defer p.load.mu.Unlock()
-	p.report.notef("jobs accepted %d, not accepted by status (0 no response, -1 the load's own queue full) %v", p.load.accepted.Load(), p.load.rejected)
+	p.report.notef("jobs accepted %d, not accepted by status (0 no response, -1 the load's own queue full) %v",
+		p.load.accepted.Load(), p.load.rejected)
 }
 
 // growRunners adds runners, and measures each size at rest and with a little load.
@@ -212,9 +213,13 @@
 			p.load.submit(p.load.job(tasks, long*2/3+clock.Millis(random.Int64N(int64(long)*2/3)), false, gpus))
 			submitted += tasks
 		}
-		err := p.cluster.wait(25*time.Second, "the tasks run", func() bool { return int(p.cluster.agents.running.Load()) >= n })
+		err := p.cluster.wait(25*time.Second, "the tasks run", func() bool {
+			return int(p.cluster.agents.running.Load()) >= n
+		})
 		now := p.cluster.agents.running.Load()
-		p.report.notef("placing: %d tasks more in %.1f s, %.0f a second, %d of %d run (%v)", now-before, time.Since(began).Seconds(), float64(now-before)/time.Since(began).Seconds(), now, n, err)
+		took := time.Since(began).Seconds()
+		p.report.notef("placing: %d tasks more in %.1f s, %.0f a second, %d of %d run (%v)",
+			now-before, took, float64(now-before)/took, now, n, err)
 		time.Sleep(settleTime)
 		p.repeat(phaseRunning, float64(p.cluster.agents.running.Load()))
 	}
@@ -222,7 +227,12 @@
 
 // operatorReads reads what operators read.
 func (p *plan) operatorReads() {
-	for _, path := range []string{endpoint.RunnersPath, endpoint.JobsPath + "?limit=100", endpoint.ServersPath, endpoint.LimitsPath} {
+	for _, path := range []string{
+		endpoint.RunnersPath,
+		endpoint.JobsPath + "?limit=100",
+		endpoint.ServersPath,
+		endpoint.LimitsPath,
+	} {
 		for range p.repetitions {
 			began := time.Now()
 			status, body, err := p.cluster.get("http://" + p.cluster.gatewayHTTP[0] + path)
--- a/tests/scale/regression.go
+++ b/tests/scale/regression.go
@@ -14,26 +14,33 @@
 // fitLine is the line of least squares; ok is false unless there are points at two
 // values of x or more.
 func fitLine(list []point) (l regression, ok bool) {
-	n, sx, sy := float64(len(list)), 0.0, 0.0
-	for _, s := range list {
-		sx, sy = sx+s.x, sy+s.y
-	}
-	if n < 2 {
+	if len(list) < 2 {
 		return regression{}, false
 	}
-	mx, my := sx/n, sy/n
-	xx, xy, yy := 0.0, 0.0, 0.0
-	for _, s := range list {
-		dx, dy := s.x-mx, s.y-my
-		xx, xy, yy = xx+dx*dx, xy+dx*dy, yy+dy*dy
+	n := float64(len(list))
+	var sumX, sumY float64
+	for _, p := range list {
+		sumX += p.x
+		sumY += p.y
+	}
+	meanX := sumX / n
+	meanY := sumY / n
+	var squaresX, products, squaresY float64 // of the differences from the means
+	for _, p := range list {
+		dx := p.x - meanX
+		dy := p.y - meanY
+		squaresX += dx * dx
+		products += dx * dy
+		squaresY += dy * dy
 	}
-	if xx == 0 {
+	if squaresX == 0 {
 		return regression{}, false
 	}
-	l.slope = xy / xx
-	l.base, l.rSquared = my-l.slope*mx, math.NaN()
-	if yy > 0 {
-		l.rSquared = xy * xy / (xx * yy)
+	l.slope = products / squaresX
+	l.base = meanY - l.slope*meanX
+	l.rSquared = math.NaN()
+	if squaresY > 0 {
+		l.rSquared = products * products / (squaresX * squaresY)
 	}
 	return l, true
 }
@@ -51,7 +58,8 @@
 	s := summary{low: vals[0], high: vals[0], n: len(vals)}
 	for _, v := range vals {
 		s.mean += v / float64(len(vals))
-		s.low, s.high = min(s.low, v), max(s.high, v)
+		s.low = min(s.low, v)
+		s.high = max(s.high, v)
 	}
 	return s
 }
--- a/tests/scale/report.go
+++ b/tests/scale/report.go
@@ -1,13 +1,15 @@
 package main
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"math"
 	"os"
-	"sort"
+	"slices"
 
 	"github.com/wcharczuk/go-chart/v2"
+	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
 type report struct {
@@ -26,11 +28,15 @@
 
 func (r *report) add(m measurement) {
 	r.measurements = append(r.measurements, m)
-	if _, queues := m.Values[figureAllGateways]; queues {
-		fmt.Printf("# %s %v: all gateways in %.0f ms, %.0f kB to a gateway\n", m.Phase, m.X, m.Values[figureAllGateways], m.Values[figureChangeIn])
+	v := m.Values
+	fmt.Printf("# %s %v: ", m.Phase, m.X)
+	if _, ofCatalog := v[figureAllGateways]; ofCatalog {
+		fmt.Printf("all gateways in %.0f ms, %.0f kB to a gateway\n", v[figureAllGateways], v[figureChangeIn])
 		return
 	}
-	fmt.Printf("# %s %v: lead %.1f%% %.0f MB, %.1f starts/s, %.1f lapsed/s, %.0f running, %.1f cores\n", m.Phase, m.X, m.Values[figureLeaderCPU], m.Values[figureLeaderMB], m.Values[figureStarts], m.Values[figureLapsed], m.Values[figureRunning], m.Values[figureCores])
+	fmt.Printf("lead %.1f%% %.0f MB, ", v[figureLeaderCPU], v[figureLeaderMB])
+	fmt.Printf("%.1f starts/s, %.1f lapsed/s, ", v[figureStarts], v[figureLapsed])
+	fmt.Printf("%.0f running, %.1f cores\n", v[figureRunning], v[figureCores])
 }
 
 // rows are the measurements by point and figure, the points in the order they came.
@@ -39,7 +45,8 @@
 	for _, m := range r.measurements {
 		key := fmt.Sprintf("%s = %v", m.Phase, m.X)
 		if vals[key] == nil {
-			keys, vals[key] = append(keys, key), map[string][]float64{}
+			keys = append(keys, key)
+			vals[key] = map[string][]float64{}
 		}
 		for name, v := range m.Values {
 			vals[key][name] = append(vals[key][name], v)
@@ -71,8 +78,8 @@
 				names = append(names, name)
 			}
 		}
-		sort.Slice(names, func(i, j int) bool {
-			return figureRank(names[i]) < figureRank(names[j]) || figureRank(names[i]) == figureRank(names[j]) && names[i] < names[j]
+		slices.SortFunc(names, func(a, b string) int {
+			return cmp.Or(cmp.Compare(figureRank(a), figureRank(b)), cmp.Compare(a, b))
 		})
 		for _, name := range names {
 			s := summarize(vals[key][name])
@@ -82,10 +89,8 @@
 }
 
 func figureRank(name string) int {
-	for i, one := range figureOrder {
-		if one == name {
-			return i
-		}
+	if i := slices.Index(figureOrder, name); i >= 0 {
+		return i
 	}
 	return len(figureOrder)
 }
@@ -102,33 +107,69 @@
 }
 
 // regressedFigures are the figures to which lines are fitted.
-var regressedFigures = []string{figureLeaderCPU, figureLeaderMB, figureLeaderIn, figureLeaderOut, figureEntries, figureLeaderReads, figureLeaderWrites, figureFollowerCPU, figureFollowerMB, figureFollowerIn, figureFollowerOut, figureGatewayMB, figureGatewayCPU, figureGatewayIn, figureAgentPolls, figureAgentOut, figureAgentIn}
+var regressedFigures = []string{
+	figureLeaderCPU,
+	figureLeaderMB,
+	figureLeaderIn,
+	figureLeaderOut,
+	figureEntries,
+	figureLeaderReads,
+	figureLeaderWrites,
+	figureFollowerCPU,
+	figureFollowerMB,
+	figureFollowerIn,
+	figureFollowerOut,
+	figureGatewayMB,
+	figureGatewayCPU,
+	figureGatewayIn,
+	figureAgentPolls,
+	figureAgentOut,
+	figureAgentIn,
+}
+
+// sizedPhase is a phase that varies one size, and that size at its full.
+type sizedPhase struct {
+	phase    string
+	fullSize float64
+}
 
 // slopes prints the fitted lines, and what they add up to at full size beside what was
 // measured there.
 func (r *report) slopes() {
 	fmt.Printf("\nslopes: figure = base + rate x; fit 1 is a straight line\n")
 	for _, name := range regressedFigures {
-		total, known := 0.0, true
-		for i, one := range []struct {
-			phase string
-			size  float64
-		}{{phaseIdle, float64(r.runners)}, {phaseStarts, float64(r.starts)}, {phaseRunning, float64(r.tasks)}} {
-			l, ok := fitLine(r.pointsOf(one.phase, name))
-			if !ok {
-				known = false
-				continue
-			}
-			fmt.Printf("  %-18s %-22s %10.3f + %.6f x   fit %.3f\n", name, one.phase, l.base, l.slope, l.rSquared)
-			if total += l.slope * one.size; i == 0 {
-				total += l.base
-			}
+		total, ok := r.extrapolate(name)
+		if !ok {
+			continue
+		}
+		s := summarize(values(r.pointsOf(phaseAll, name)))
+		fmt.Printf("  %-18s at full size: %.1f worked out, ", name, total)
+		fmt.Printf("%.1f measured (%.1f to %.1f, n=%d)\n", s.mean, s.low, s.high, s.n)
+	}
+}
+
+// extrapolate prints the fitted lines of a figure and returns their sum at full size: the
+// base of the first, and the slope of each times its size. It is not ok when a line is
+// missing.
+func (r *report) extrapolate(figure string) (total float64, ok bool) {
+	ok = true
+	for i, one := range []sizedPhase{
+		{phaseIdle, float64(r.runners)},
+		{phaseStarts, float64(r.starts)},
+		{phaseRunning, float64(r.tasks)},
+	} {
+		l, fits := fitLine(r.pointsOf(one.phase, figure))
+		if !fits {
+			ok = false
+			continue
 		}
-		if known {
-			s := summarize(values(r.pointsOf(phaseAll, name)))
-			fmt.Printf("  %-18s at full size: %.1f worked out, %.1f measured (%.1f to %.1f, n=%d)\n", name, total, s.mean, s.low, s.high, s.n)
+		fmt.Printf("  %-18s %-22s %10.3f + %.6f x   fit %.3f\n", figure, one.phase, l.base, l.slope, l.rSquared)
+		total += l.slope * one.fullSize
+		if i == 0 {
+			total += l.base
 		}
 	}
+	return total, ok
 }
 
 func values(list []point) []float64 {
@@ -139,22 +180,45 @@
 	return vals
 }
 
+// leaderCPUSeries is the leader's processor time in one phase, in one colour of the plot.
+func (r *report) leaderCPUSeries(of sizedPhase, color drawing.Color) chart.ContinuousSeries {
+	series := chart.ContinuousSeries{
+		Name: fmt.Sprintf("%s (1 = %v)", of.phase, of.fullSize),
+		Style: chart.Style{
+			StrokeColor: color,
+			StrokeWidth: 1,
+			DotColor:    color,
+			DotWidth:    3,
+		},
+	}
+	for _, p := range r.pointsOf(of.phase, figureLeaderCPU) {
+		if math.IsNaN(p.y) {
+			continue
+		}
+		series.XValues = append(series.XValues, p.x/of.fullSize)
+		series.YValues = append(series.YValues, p.y)
+	}
+	return series
+}
+
 // draw plots the leader's processor time over the share of the full size.
 func (r *report) draw(path string) error {
-	c := chart.Chart{Title: "leader: share of one core", Width: 760, Height: 420,
-		XAxis: chart.XAxis{Name: "share of the full size"}, YAxis: chart.YAxis{Name: "% of a core"}}
-	for i, one := range []struct {
-		phase string
-		size  float64
-	}{{phaseIdle, float64(r.runners)}, {phaseSlow, float64(r.runners)}, {phaseStarts, float64(r.starts)}, {phaseRunning, float64(r.tasks)}} {
-		s := chart.ContinuousSeries{Name: fmt.Sprintf("%s (1 = %v)", one.phase, one.size), Style: chart.Style{StrokeColor: chart.GetDefaultColor(i), StrokeWidth: 1, DotColor: chart.GetDefaultColor(i), DotWidth: 3}}
-		for _, p := range r.pointsOf(one.phase, figureLeaderCPU) {
-			if !math.IsNaN(p.y) {
-				s.XValues, s.YValues = append(s.XValues, p.x/one.size), append(s.YValues, p.y)
-			}
-		}
-		if len(s.XValues) > 1 {
-			c.Series = append(c.Series, s)
+	c := chart.Chart{
+		Title:  "leader: share of one core",
+		Width:  760,
+		Height: 420,
+		XAxis:  chart.XAxis{Name: "share of the full size"},
+		YAxis:  chart.YAxis{Name: "% of a core"},
+	}
+	for i, one := range []sizedPhase{
+		{phaseIdle, float64(r.runners)},
+		{phaseSlow, float64(r.runners)},
+		{phaseStarts, float64(r.starts)},
+		{phaseRunning, float64(r.tasks)},
+	} {
+		series := r.leaderCPUSeries(one, chart.GetDefaultColor(i))
+		if len(series.XValues) > 1 {
+			c.Series = append(c.Series, series)
 		}
 	}
 	if len(c.Series) == 0 {
--- a/tests/scale/standin_runner.go
+++ b/tests/scale/standin_runner.go
@@ -53,52 +53,74 @@
 	return fmt.Sprintf("%d %d", span, submitted)
 }
 
+// decodePayload reads what encodePayload has written.
 func decodePayload(text string) (span clock.Millis, submitted clock.Monotonic, ok bool) {
-	a, b, _ := strings.Cut(text, " ")
-	x, err := strconv.ParseInt(a, 10, 64)
-	if err != nil || x <= 0 {
+	spanText, submittedText, _ := strings.Cut(text, " ")
+	spanMs, err := strconv.ParseInt(spanText, 10, 64)
+	if err != nil || spanMs <= 0 {
 		return 0, 0, false
 	}
-	y, err := strconv.ParseInt(b, 10, 64)
-	return clock.Millis(x), clock.Monotonic(y), err == nil
+	submittedMs, err := strconv.ParseInt(submittedText, 10, 64)
+	return clock.Millis(spanMs), clock.Monotonic(submittedMs), err == nil
 }
 
 // advance lets time pass, and tells whether a heartbeat is due. Runs end whose lease has
 // lapsed.
 func (s *standInRunner) advance(now clock.Monotonic) bool {
 	kept := s.runs[:0]
-	for _, w := range s.runs {
-		how := ""
+	for _, run := range s.runs {
+		outcome := ""
 		switch {
 		case now > s.leaseEnd:
-			how = runnerapi.OutcomeLeaseLapsed
+			outcome = runnerapi.OutcomeLeaseLapsed
 			s.lapses++
-		case w.stopAt > 0 && now >= w.stopAt:
-			how = runnerapi.OutcomeStopped
-		case now.Since(w.startedAt) >= w.span:
-			how = runnerapi.OutcomeSuccess
+		case run.stopAt > 0 && now >= run.stopAt:
+			outcome = runnerapi.OutcomeStopped
+		case now.Since(run.startedAt) >= run.span:
+			outcome = runnerapi.OutcomeSuccess
 		}
-		if how == "" {
-			kept = append(kept, w)
+		if outcome == "" {
+			kept = append(kept, run)
 			continue
 		}
-		s.lastEnd++
-		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.lastEnd, Task: w.task, Attempt: w.attempt, Outcome: how})
+		s.addEnd(run.task, run.attempt, outcome)
 	}
 	clear(s.runs[len(kept):])
 	s.runs = kept
 	return now >= s.nextHeartbeat
 }
 
+// addEnd records that an attempt has ended, under the next number.
+func (s *standInRunner) addEnd(task identifier.TaskRef, attempt uint64, outcome string) {
+	s.lastEnd++
+	s.ends = append(s.ends, runnerapi.RunEnd{
+		Seq:     s.lastEnd,
+		Task:    task,
+		Attempt: attempt,
+		Outcome: outcome,
+	})
+}
+
 // heartbeat is the next heartbeat.
 func (s *standInRunner) heartbeat(now clock.Monotonic) agent.Heartbeat {
 	s.seq++
-	b := agent.Heartbeat{Runner: s.incarnation, Seq: s.seq, Pool: pool, Domain: s.domain, Rack: s.rack, Capacity: s.capacity}
-	for _, w := range s.runs {
-		b.Active = append(b.Active, runnerapi.RunState{Task: w.task, Attempt: w.attempt, ProgressPercent: min(100, int64(now.Since(w.startedAt)*100/w.span))})
+	heartbeat := agent.Heartbeat{
+		Runner:   s.incarnation,
+		Seq:      s.seq,
+		Pool:     pool,
+		Domain:   s.domain,
+		Rack:     s.rack,
+		Capacity: s.capacity,
+	}
+	for _, run := range s.runs {
+		heartbeat.Active = append(heartbeat.Active, runnerapi.RunState{
+			Task:            run.task,
+			Attempt:         run.attempt,
+			ProgressPercent: min(100, int64(now.Since(run.startedAt)*100/run.span)),
+		})
 	}
-	b.Finished = append(b.Finished, s.ends...)
-	return b
+	heartbeat.Finished = append(heartbeat.Finished, s.ends...)
+	return heartbeat
 }
 
 // applyOrders takes the response to a heartbeat that was sent at the given time.
@@ -124,10 +146,10 @@
 	}
 }
 
-func (s *standInRunner) find(task identifier.TaskRef, no uint64) *taskRun {
-	for _, one := range s.runs {
-		if one.task == task && one.attempt == no {
-			return one
+func (s *standInRunner) find(task identifier.TaskRef, attempt uint64) *taskRun {
+	for _, run := range s.runs {
+		if run.task == task && run.attempt == attempt {
+			return run
 		}
 	}
 	return nil
@@ -140,8 +162,7 @@
 	}
 	span, submitted, ok := decodePayload(x.Payload)
 	if !ok {
-		s.lastEnd++
-		s.ends = append(s.ends, runnerapi.RunEnd{Seq: s.lastEnd, Task: x.Task, Attempt: x.Attempt, Outcome: runnerapi.OutcomeRejected})
+		s.addEnd(x.Task, x.Attempt, runnerapi.OutcomeRejected)
 		return
 	}
 	if s.vary != nil {
