--- a/internal/api/catalog/catalog_test.go
+++ b/internal/api/catalog/catalog_test.go
@@ -8,7 +8,9 @@
 )
 
 // validText is a complete catalogue without faults.
-const validText = `{"base":0,"version":3,"queues":[{"name":"q","host":"H.example","prefix":"/a/","pool":"x","timeoutMs":1,"source":{"odd":1}}],"pools":[{"name":"x"}],"source":{"limits":{"a":1}}}`
+const validText = `{"base":0,"version":3,"queues":[` +
+	`{"name":"q","host":"H.example","prefix":"/a/","pool":"x","timeoutMs":1,"source":{"odd":1}}],` +
+	`"pools":[{"name":"x"}],"source":{"limits":{"a":1}}}`
 
 // TestReadWholeRejects: a text that is cut short, of the wrong shape or out of bounds is
 // rejected before it is proposed.
@@ -35,7 +37,10 @@
 func TestPatch(t *testing.T) {
 	var faults jsondoc.FieldErrors
 	whole := ReadWhole([]byte(validText), &faults)
-	patch := ReadPatch([]byte(`{"base":3,"version":5,"put":{"queues":[{"name":"r","host":"h","prefix":"/","pool":"y","timeoutMs":2},{"name":"q","host":"h.example","prefix":"/b/","pool":"x","timeoutMs":9}],"pools":[{"name":"y"}]},"drop":{"queues":["none"]}}`), &faults)
+	patch := ReadPatch([]byte(`{"base":3,"version":5,"put":{"queues":[`+
+		`{"name":"r","host":"h","prefix":"/","pool":"y","timeoutMs":2},`+
+		`{"name":"q","host":"h.example","prefix":"/b/","pool":"x","timeoutMs":9}],`+
+		`"pools":[{"name":"y"}]},"drop":{"queues":["none"]}}`), &faults)
 	if faults.Any() {
 		t.Fatal(faults.List)
 	}
--- a/internal/api/endpoint/endpoint_test.go
+++ b/internal/api/endpoint/endpoint_test.go
@@ -76,7 +76,13 @@
 
 // TestJobPath: what lies below the collection of jobs is a job's path.
 func TestJobPath(t *testing.T) {
-	for path, want := range map[string]bool{JobPath("a/j"): true, JobsPath + "/a": true, JobsPath: false, JobsPath + "s/a": false, CatalogPath: false} {
+	for path, want := range map[string]bool{
+		JobPath("a/j"):   true,
+		JobsPath + "/a":  true,
+		JobsPath:         false,
+		JobsPath + "s/a": false,
+		CatalogPath:      false,
+	} {
 		if IsJobPath(path) != want {
 			t.Errorf("%s is a job's path: %v", path, !want)
 		}
--- a/internal/consensus/raft/backlog_test.go
+++ b/internal/consensus/raft/backlog_test.go
@@ -25,8 +25,11 @@
 	merged := b.Next()
 	snapshot := b.Next()
 	last := b.Next()
-	if merged.Seq != 3 || merged.HardState.Term != 2 || len(merged.Entries) != 4 || merged.Entries[2].Term != 2 || merged.Entries[1].Term != 1 {
-		t.Errorf("first %+v", merged)
+	if merged.Seq != 3 || merged.HardState.Term != 2 || len(merged.Entries) != 4 {
+		t.Fatalf("first %+v", merged)
+	}
+	if merged.Entries[2].Term != 2 || merged.Entries[1].Term != 1 {
+		t.Errorf("merged entries %+v, want term 1 and then term 2", merged.Entries)
 	}
 	if snapshot.Seq != 4 || snapshot.Snapshot == nil || last.Seq != 5 || b.Next() != nil || b.Bytes() != 0 {
 		t.Errorf("then %+v, %+v, %d bytes left", snapshot, last, b.Bytes())
--- a/internal/consensus/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -93,9 +93,11 @@
 		})
 		seen := sum.counters
 		if sum.terms < 200 || seen.membershipChanges < 200 || seen.pairsLost < 150 || seen.hostsLost < 30 {
-			t.Errorf("of %d: too little evidence: %d terms, %d membership changes, %d pairs lost, %d hosts for good", maxMembers, sum.terms, seen.membershipChanges, seen.pairsLost, seen.hostsLost)
+			t.Errorf("of %d: too little evidence: %d terms, %d membership changes, %d pairs lost, %d hosts for good",
+				maxMembers, sum.terms, seen.membershipChanges, seen.pairsLost, seen.hostsLost)
 		}
-		t.Logf("of %d: %d terms had a leader, %d membership changes, %d pairs lost at once, %d hosts for good", maxMembers, sum.terms, seen.membershipChanges, seen.pairsLost, seen.hostsLost)
+		t.Logf("of %d: %d terms had a leader, %d membership changes, %d pairs lost at once, %d hosts for good",
+			maxMembers, sum.terms, seen.membershipChanges, seen.pairsLost, seen.hostsLost)
 	}
 }
 
--- a/internal/consensus/raft/large_entries_test.go
+++ b/internal/consensus/raft/large_entries_test.go
@@ -100,7 +100,8 @@
 	g.maxRetainedBytes = max(g.maxRetainedBytes, committedBytes)
 	limit := defaultTail.transferBytes + snapshotEveryBytes + 8*largeEntryBytes
 	if committedBytes > limit {
-		g.t.Fatalf("at %d host %d keeps %d bytes of committed entries in %d, limit %d", g.now, h.id, committedBytes, len(h.raft.log.entries), limit)
+		g.t.Fatalf("at %d host %d keeps %d bytes of committed entries in %d, limit %d",
+			g.now, h.id, committedBytes, len(h.raft.log.entries), limit)
 	}
 }
 
@@ -167,7 +168,9 @@
 			for g.proposals < 2000 && missed > 1000 {
 				g.advance(1000)
 			}
-			t.Logf("away for %d entries: caught up in %d ms; with the leader gone midway %d ms; restarted midway %d ms; %d entries, at most %d bytes kept", missed, plainMs, leaderGoneMs, restartedMs, g.proposals, g.maxRetainedBytes)
+			t.Logf("away for %d entries: caught up in %d ms; with the leader gone midway %d ms; restarted midway %d ms",
+				missed, plainMs, leaderGoneMs, restartedMs)
+			t.Logf("%d entries, at most %d bytes kept", g.proposals, g.maxRetainedBytes)
 		})
 	}
 }
--- a/internal/consensus/wal/log_test.go
+++ b/internal/consensus/wal/log_test.go
@@ -28,7 +28,8 @@
 		save(t, log, w)
 		_, recovered := reopen(t, disk)
 		if recovered.HardState != hardState || lastIndex(recovered) != identifier.Index(last) || recovered.TornTail {
-			t.Fatalf("batch %d: hard state %v, last entry %d of %d, torn %v", batch, recovered.HardState, lastIndex(recovered), last, recovered.TornTail)
+			t.Fatalf("batch %d: hard state %v, last entry %d of %d, torn %v",
+				batch, recovered.HardState, lastIndex(recovered), last, recovered.TornTail)
 		}
 		for i, e := range recovered.Entries {
 			if want := entry(int(recovered.Snapshot.Index)+1+i, 3); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
--- a/internal/consensus/wal/powerloss_test.go
+++ b/internal/consensus/wal/powerloss_test.go
@@ -87,7 +87,8 @@
 func (p *powerLossTest) checkRecovered(recovered *Recovered) {
 	last := lastIndex(recovered)
 	if recovered.Snapshot.Index < p.snapshotIndex || last < p.acknowledged || last > p.requested {
-		p.fatalf("snapshot %d of %d, entries to %d, acknowledged %d, requested %d", recovered.Snapshot.Index, p.snapshotIndex, last, p.acknowledged, p.requested)
+		p.fatalf("snapshot %d of %d, entries to %d, acknowledged %d, requested %d",
+			recovered.Snapshot.Index, p.snapshotIndex, last, p.acknowledged, p.requested)
 	}
 	if !slices.Contains(p.hardStates, recovered.HardState) {
 		p.fatalf("hard state %v, want one of %v", recovered.HardState, p.hardStates)
--- a/internal/consensus/wal/snapshot_writer_test.go
+++ b/internal/consensus/wal/snapshot_writer_test.go
@@ -31,7 +31,8 @@
 			want = 15
 		}
 		if recovered.Snapshot.Index != want || int(lastIndex(recovered)) != last {
-			t.Fatalf("after chunk %d: snapshot %d and %d entries, want snapshot %d and entries to %d", chunks, recovered.Snapshot.Index, len(recovered.Entries), want, last)
+			t.Fatalf("after chunk %d: snapshot %d and %d entries, want snapshot %d and entries to %d",
+				chunks, recovered.Snapshot.Index, len(recovered.Entries), want, last)
 		}
 	}
 	if chunks != 4 {
--- a/internal/daemon/settings/file_test.go
+++ b/internal/daemon/settings/file_test.go
@@ -44,7 +44,8 @@
 // TestSettingsFile checks that values of every kind are read as they were written, large
 // numbers among them, that the command line has precedence, and that faults are reported.
 func TestSettingsFile(t *testing.T) {
-	f, err := parse(t, `{"addr": "10.0.0.1:7001", "seeds": ["10.0.0.1:1", "10.0.0.2:2"], "file-kb": 1048576, "slow": true}`, "--addr", "10.0.0.9:9")
+	text := `{"addr": "10.0.0.1:7001", "seeds": ["10.0.0.1:1", "10.0.0.2:2"], "file-kb": 1048576, "slow": true}`
+	f, err := parse(t, text, "--addr", "10.0.0.9:9")
 	if err != nil || f.Addr != "10.0.0.9:9" || strings.Join(f.Seeds, " ") != "10.0.0.1:1 10.0.0.2:2" || f.FileKb != 1048576 || !f.Slow {
 		t.Errorf("%+v, %v", f, err)
 	}
@@ -69,7 +70,13 @@
 	v.Name("domain", "no rth")
 	v.Range("files", 2, 3, 99)
 	got := strings.Join(v.Problems(), "; ")
-	for _, want := range []string{"addr: want IP:PORT", "seeds: want at least 3, have 2", `seeds: want IP:PORT, have "10.0.0.2"`, "domain: want 1 to 64", "files: want 3 to 99, have 2"} {
+	for _, want := range []string{
+		"addr: want IP:PORT",
+		"seeds: want at least 3, have 2",
+		`seeds: want IP:PORT, have "10.0.0.2"`,
+		"domain: want 1 to 64",
+		"files: want 3 to 99, have 2",
+	} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%s lacks %s", got, want)
 		}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -159,8 +159,15 @@
 		for i := 0; i < 200 && r.Epoch() < h.table.Epoch; i++ {
 			fetchPage(t, h.history, r)
 		}
-		if r.Epoch() != h.table.Epoch || !hasRoutes(r, h.routes) || r.Rows()["a"]["weight"] != h.table.Rows["a"]["weight"] || r.Version() != h.table.Version {
-			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d, %d routes of %d", seed, r.Epoch(), h.table.Epoch, r.Version(), h.table.Version, len(r.Routes()), len(h.routes))
+		if r.Epoch() != h.table.Epoch || r.Version() != h.table.Version {
+			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d",
+				seed, r.Epoch(), h.table.Epoch, r.Version(), h.table.Version)
+		}
+		if !hasRoutes(r, h.routes) {
+			t.Fatalf("seed %d: %d routes, which are not the %d of the table", seed, len(r.Routes()), len(h.routes))
+		}
+		if got, want := r.Rows()["a"]["weight"], h.table.Rows["a"]["weight"]; got != want {
+			t.Fatalf("seed %d: weight %q in row a, want %q", seed, got, want)
 		}
 		if changes < 20 {
 			t.Errorf("seed %d: too little evidence: %d changes taken", seed, changes)
--- a/internal/transport/httpclient/client_test.go
+++ b/internal/transport/httpclient/client_test.go
@@ -52,13 +52,25 @@
 	}
 }
 
+// unknownOutcomes are ways for a gateway to respond that leave the outcome of a request
+// unknown.
+func unknownOutcomes() map[string]func(*net.TCPConn, *http.Request) {
+	return map[string]func(*net.TCPConn, *http.Request){
+		"no response": neverRespond,
+		"reset":       respondAndReset("HTTP/1.1 2"),
+		"unknown":     respondWith(responseText(http.StatusGatewayTimeout, `{}`)),
+	}
+}
+
 // TestIdempotentIsRepeated checks that requests for jobs, which are known by their ids, and
 // reads are sent again after no response, a reset or a 504.
 func TestIdempotentIsRepeated(t *testing.T) {
-	for fault, answer := range map[string]func(*net.TCPConn, *http.Request){
-		"no response": neverRespond, "reset": respondAndReset("HTTP/1.1 2"), "unknown": respondWith(responseText(http.StatusGatewayTimeout, `{}`)),
-	} {
-		for _, one := range []struct{ method, path string }{{http.MethodPut, "/v1/jobs/a/1"}, {http.MethodDelete, "/v1/jobs/a/1"}, {http.MethodGet, "/v1/table"}} {
+	for fault, answer := range unknownOutcomes() {
+		for _, one := range []struct{ method, path string }{
+			{http.MethodPut, "/v1/jobs/a/1"},
+			{http.MethodDelete, "/v1/jobs/a/1"},
+			{http.MethodGet, "/v1/table"},
+		} {
 			first := newFakeGateway(t, answer)
 			second := newFakeGateway(t, respondWith(responseText(http.StatusOK, one.path)))
 			c := New([]string{first.addr(), second.addr()}, attemptTimeout)
@@ -98,9 +110,7 @@
 // TestUnknownIsNoRefusal checks that once an attempt may have been taken, neither the
 // refusals of later ones nor an unreachable gateway turn the outcome into "not taken".
 func TestUnknownIsNoRefusal(t *testing.T) {
-	for fault, answer := range map[string]func(*net.TCPConn, *http.Request){
-		"no response": neverRespond, "reset": respondAndReset("HTTP/1.1 2"), "unknown": respondWith(responseText(http.StatusGatewayTimeout, `{}`)),
-	} {
+	for fault, answer := range unknownOutcomes() {
 		for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
 			first := newFakeGateway(t, answer)
 			second := newFakeGateway(t, respondWith(responseText(status, `{}`)))
@@ -191,7 +201,9 @@
 func TestNoRedirection(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		other := newFakeGateway(t, respondWith(responseText(http.StatusOK, "{}")))
-		gateway := newFakeGateway(t, respondWith(fmt.Sprintf("HTTP/1.1 %d X\r\nLocation: http://%s/\r\nContent-Length: 0\r\n\r\n", status, other.addr())))
+		header := fmt.Sprintf("Location: http://%s/\r\nContent-Length: 0\r\n", other.addr())
+		redirection := fmt.Sprintf("HTTP/1.1 %d X\r\n%s\r\n", status, header)
+		gateway := newFakeGateway(t, respondWith(redirection))
 		got, err := New([]string{gateway.addr()}, attemptTimeout).Do(t.Context(), http.MethodPut, "/v1/closings/north", []byte("{}"))
 		if err != nil || got.Status != status || other.count() != 0 {
 			t.Errorf("%d came to %d, %v; another got it %d times", status, got.Status, err, other.count())
--- a/internal/transport/httpserver/random_streams_test.go
+++ b/internal/transport/httpserver/random_streams_test.go
@@ -135,7 +135,9 @@
 	case 2:
 		return rawRequest(method, path, name, withLength(len(body)+random.Intn(5)-2), body)
 	case 3:
-		return rawRequest(method, path, name, withLength(len(body))+[]string{"Connection: close\r\n", chunked, "Expect: 100-continue\r\n", withLength(1)}[random.Intn(4)], body)
+		fields := []string{"Connection: close\r\n", chunked, "Expect: 100-continue\r\n", withLength(1)}
+		field := fields[random.Intn(len(fields))]
+		return rawRequest(method, path, name, withLength(len(body))+field, body)
 	}
 	return rawRequest(method, path, name, withLength(len(body)), body)
 }
