--- a/internal/daemon/logging/run.go
+++ b/internal/daemon/logging/run.go
@@ -35,12 +35,12 @@
 		log.Error("cannot-start", "error", dig.RootCause(err).Error())
 		os.Exit(exitFailure)
 	}
-	signal := wait(log, app.Wait(), hangups)
+	shutdown := wait(log, app.Wait(), hangups)
 	if err := withTimeout(app.Stop); err != nil {
 		log.Error("stopped-late", "error", err)
 		os.Exit(exitFailure)
 	}
-	os.Exit(signal.ExitCode)
+	os.Exit(shutdown.ExitCode)
 }
 
 func withTimeout(run func(ctx context.Context) error) error {
@@ -53,8 +53,8 @@
 func wait(log *Logger, stop <-chan fx.ShutdownSignal, hangups <-chan os.Signal) fx.ShutdownSignal {
 	for {
 		select {
-		case signal := <-stop:
-			return signal
+		case shutdown := <-stop:
+			return shutdown
 		case <-hangups:
 			log.Event("hangup")
 		}
--- a/tests/scale/simulated_agents.go
+++ b/tests/scale/simulated_agents.go
@@ -66,8 +66,8 @@
 
 func newWaits() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxWait, waitDigits) }
 
-func newSimulatedAgents(goroutines *lifecycle.Group, clock *clock.System, seeds []string) *simulatedAgents {
-	return &simulatedAgents{goroutines: goroutines, clock: clock, seeds: seeds, waits: newWaits()}
+func newSimulatedAgents(goroutines *lifecycle.Group, system *clock.System, seeds []string) *simulatedAgents {
+	return &simulatedAgents{goroutines: goroutines, clock: system, seeds: seeds, waits: newWaits()}
 }
 
 // taskStarted records how long a task of a job waited for its start.
--- a/tests/simulation/http.go
+++ b/tests/simulation/http.go
@@ -28,14 +28,14 @@
 	respond := func(status int, body []byte) {
 		c.transmit(to, from, func() { finish(status, body) })
 	}
-	for _, gateway := range c.Gateways {
-		if gateway.Process == to {
-			c.transmit(from, to, func() { gateway.handleRequest(request, respond) })
+	for _, receiver := range c.Gateways {
+		if receiver.Process == to {
+			c.transmit(from, to, func() { receiver.handleRequest(request, respond) })
 		}
 	}
-	for _, server := range c.Servers {
-		if server.Process == to {
-			c.transmit(from, to, func() { server.handleRequest(request, respond) })
+	for _, receiver := range c.Servers {
+		if receiver.Process == to {
+			c.transmit(from, to, func() { receiver.handleRequest(request, respond) })
 		}
 	}
 }
