--- a/cmd/orchidctl/cluster.go
+++ b/cmd/orchidctl/cluster.go
@@ -69,7 +69,8 @@
 	}
 	fmt.Printf("%v  %v %s  stage %v  scope %v\n", d.ID, d.Kind, where, d.Stage, d.Scope)
 	if d.PreflightDone {
-		fmt.Printf("  preflight fits=%v short=%v  displaced %d tasks, %v gangs\n", d.Fits, formatDemand(d.Shortage), len(d.Displaced), d.DisplacedGangs)
+		fmt.Printf("  preflight fits=%v short=%v  displaced %d tasks, %v gangs\n",
+			d.Fits, formatDemand(d.Shortage), len(d.Displaced), d.DisplacedGangs)
 	}
 	if d.Verdict != "" {
 		fmt.Printf("  post-drain: %v (unconfirmed stops: %v)\n", d.Verdict, d.UnconfirmedStops)
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -36,11 +36,26 @@
 }
 
 func (f *flags) settings() serverd.Settings {
-	return serverd.Settings{Data: f.Data, Addr: f.Addr, HTTP: f.HTTP, Domain: identifier.Domain(f.Domain), Seeds: f.Seeds, Files: f.Files, FileKb: f.FileKb, MayFound: true, ElectionTimeout: clock.Millis(f.ElectMs)}
+	return serverd.Settings{
+		Data:            f.Data,
+		Addr:            f.Addr,
+		HTTP:            f.HTTP,
+		Domain:          identifier.Domain(f.Domain),
+		Seeds:           f.Seeds,
+		Files:           f.Files,
+		FileKb:          f.FileKb,
+		MayFound:        true,
+		ElectionTimeout: clock.Millis(f.ElectMs),
+	}
 }
 
 func main() {
 	f := &flags{}
 	settings.Parse(f, "orchidward-server", "Control-plane server of orchidward.", f.check)
-	logging.Run(fx.Supply(f.settings()), lifecycle.Module, fx.Provide(serverd.New), fx.Invoke(func(d *serverd.Daemon, life fx.Lifecycle) { d.LeaveOnStop(life) }))
+	logging.Run(
+		fx.Supply(f.settings()),
+		lifecycle.Module,
+		fx.Provide(serverd.New),
+		fx.Invoke(func(d *serverd.Daemon, life fx.Lifecycle) { d.LeaveOnStop(life) }),
+	)
 }
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -97,7 +97,10 @@
 // New makes a member from what its disk holds: the hard state, the newest
 // snapshot, and the entries after it. A new group starts from a snapshot that
 // carries its first members and no data. The seed randomizes election timeouts.
-func New(id identifier.Node, timing Timing, seed int64, now clock.Monotonic, hardState HardState, snapshot *Snapshot, entries []Entry) *Raft {
+func New(
+	id identifier.Node, timing Timing, seed int64, now clock.Monotonic,
+	hardState HardState, snapshot *Snapshot, entries []Entry,
+) *Raft {
 	r := &Raft{
 		id:             id,
 		timing:         timing,
--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -148,7 +148,9 @@
 }
 
 // resolveAgentRun finds an attempt by its name, or nil where the state knows of none.
-func (s *Server) resolveAgentRun(name identifier.Runner, incarnation identifier.Incarnation, agent *agentRunner, runName runnerapi.RunStop) *agentRun {
+func (s *Server) resolveAgentRun(
+	name identifier.Runner, incarnation identifier.Incarnation, agent *agentRunner, runName runnerapi.RunStop,
+) *agentRun {
 	id, _, ok := s.state.ResolveRun(name, incarnation, runName.Task, runName.Attempt)
 	if !ok {
 		return nil
@@ -181,7 +183,10 @@
 // matchPreviousRun finds an attempt among those of the poll before, which mostly come in
 // the same order, at or after next. The match is valid while its lease is open: a task has
 // one open lease at most.
-func (s *Server) matchPreviousRun(name identifier.Runner, incarnation identifier.Incarnation, previous []*agentRun, next int, runName runnerapi.RunStop) (run *agentRun, at int) {
+func (s *Server) matchPreviousRun(
+	name identifier.Runner, incarnation identifier.Incarnation,
+	previous []*agentRun, next int, runName runnerapi.RunStop,
+) (run *agentRun, at int) {
 	for i := next; i < len(previous) && i < next+lookahead; i++ {
 		if previous[i].name != runName {
 			continue
--- a/internal/controlplane/command_events.go
+++ b/internal/controlplane/command_events.go
@@ -15,7 +15,11 @@
 	case command.ChangeLimits != nil:
 		s.logEvent("limits-changed", "status", result.Status, "epoch", s.state.Limits.Epoch)
 	case command.ChangeCatalog != nil:
-		s.logEvent("catalog-changed", "status", result.Status, "base", command.ChangeCatalog.Base, "version", command.ChangeCatalog.Version, "why", result.Message)
+		s.logEvent("catalog-changed",
+			"status", result.Status,
+			"base", command.ChangeCatalog.Base,
+			"version", command.ChangeCatalog.Version,
+			"why", result.Message)
 	case command.StartDrain != nil:
 		s.logEvent("drain-started", "domain", command.StartDrain.Domain, "status", result.Status)
 	case command.EndDrain != nil:
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -203,7 +203,13 @@
 		}
 	}
 	for _, peer := range to {
-		s.send(peer, wire.Message{Request: &wire.Request{ID: s.takeRequestID(), Method: endpoint.MethodJoin, Path: "/", Body: body, Budget: joinTimeout}})
+		s.send(peer, wire.Message{Request: &wire.Request{
+			ID:     s.takeRequestID(),
+			Method: endpoint.MethodJoin,
+			Path:   "/",
+			Body:   body,
+			Budget: joinTimeout,
+		}})
 	}
 }
 
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -33,7 +33,12 @@
 	leader, known := s.currentLeader()
 	toOther := known && leader.ID != s.config.ID && leader.Addr != ""
 	if !toOther || r.Hops > 0 || len(s.forwarded) >= maxProposals || s.leaderLink.lost {
-		s.send(from, wire.Message{Response: &wire.Response{ID: r.ID, Status: http.StatusServiceUnavailable, NotLeader: true, RetryAfter: notLeaderRetryAfter}})
+		s.send(from, wire.Message{Response: &wire.Response{
+			ID:         r.ID,
+			Status:     http.StatusServiceUnavailable,
+			NotLeader:  true,
+			RetryAfter: notLeaderRetryAfter,
+		}})
 		return
 	}
 	id := s.takeRequestID()
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -65,5 +65,10 @@
 // replyExpired answers an order that may be too old. It was not taken, and the
 // reading that goes with the answer lets its sender try again at once.
 func (s *Server) replyExpired(from wire.Peer, id uint64) {
-	s.send(from, wire.Message{Response: &wire.Response{ID: id, Status: http.StatusServiceUnavailable, Expired: true, RetryAfter: expiredRetryAfter}})
+	s.send(from, wire.Message{Response: &wire.Response{
+		ID:         id,
+		Status:     http.StatusServiceUnavailable,
+		Expired:    true,
+		RetryAfter: expiredRetryAfter,
+	}})
 }
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -78,7 +78,9 @@
 // admitPoll finds the contact that a poll belongs to. A poll that must not be taken is
 // answered here, and ok is false: one of an incarnation that was replaced, one that a
 // later poll has overtaken, and one of a runner beyond the bound.
-func (s *Server) admitPoll(peer wire.Peer, id uint64, name identifier.Runner, poll *runnerapi.PollRequest) (contact *runnerContact, ok bool) {
+func (s *Server) admitPoll(
+	peer wire.Peer, id uint64, name identifier.Runner, poll *runnerapi.PollRequest,
+) (contact *runnerContact, ok bool) {
 	if poll.Agent && s.state.Level < state.CatalogLevel {
 		s.replyError(peer, id, errAgentsTooNew)
 		return nil, false
@@ -236,7 +238,12 @@
 	for _, id := range contact.endedIDs() {
 		end := contact.ended[id]
 		if s.state.AcceptsEnd(name, contact.incarnation, end.Lease, end.Task) {
-			report.Ends = append(report.Ends, state.End{Lease: end.Lease, Task: end.Task, Outcome: state.Outcome(end.Outcome), Checkpoint: end.Checkpoint})
+			report.Ends = append(report.Ends, state.End{
+				Lease:      end.Lease,
+				Task:       end.Task,
+				Outcome:    state.Outcome(end.Outcome),
+				Checkpoint: end.Checkpoint,
+			})
 		}
 	}
 	if len(report.Ends) > 0 {
--- a/internal/daemon/gatewayd/routes.go
+++ b/internal/daemon/gatewayd/routes.go
@@ -95,7 +95,8 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, "too-large", "the body is over "+strconv.FormatInt(d.maxBodyBytes, 10)+" bytes")
+		message := "the body is over " + strconv.FormatInt(d.maxBodyBytes, 10) + " bytes"
+		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, "too-large", message)
 		return r, false
 	case err != nil:
 		httpserver.WriteError(c, http.StatusBadRequest, "bad-request", "the body could not be read")
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -44,7 +44,8 @@
 	case !g.Ready(g.now):
 		g.replyError(r.ID, http.StatusServiceUnavailable, codeOutOfTouch, messageOutOfTouch, retryAfterFailure)
 	case r.Method != http.MethodGet && g.stalls.Draining(g.now):
-		g.replyError(r.ID, http.StatusServiceUnavailable, codeStalled, "this gate stood still and can't tell how old the request is", retryAfterStall)
+		g.replyError(r.ID, http.StatusServiceUnavailable, codeStalled,
+			"this gate stood still and can't tell how old the request is", retryAfterStall)
 	case g.requests.full():
 		g.replyError(r.ID, http.StatusServiceUnavailable, codeBusy, "too many requests under way", retryAfterFailure)
 	case g.validate(r):
@@ -159,7 +160,8 @@
 		r.outcomeUnknown = true
 		r.retryAt = g.now.Add(retryInterval)
 	case r.outcomeUnknown && r.Method != http.MethodGet && refused:
-		g.replyError(r.ID, http.StatusGatewayTimeout, codeNoAnswer, "an earlier try may have been taken; the outcome is not known", retryAfterUnknown)
+		g.replyError(r.ID, http.StatusGatewayTimeout, codeNoAnswer,
+			"an earlier try may have been taken; the outcome is not known", retryAfterUnknown)
 	default:
 		g.reply(Response{ID: r.ID, Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter})
 	}
--- a/internal/inflight/responses.go
+++ b/internal/inflight/responses.go
@@ -43,5 +43,6 @@
 }
 
 func outcomeUnknown() gateway.Response {
-	return Refusal(http.StatusGatewayTimeout, codeOutcomeUnknown, "the leader did not answer in time; the outcome is not known", outcomeUnknownRetryAfter)
+	return Refusal(http.StatusGatewayTimeout, codeOutcomeUnknown,
+		"the leader did not answer in time; the outcome is not known", outcomeUnknownRetryAfter)
 }
--- a/internal/invariants/jobs.go
+++ b/internal/invariants/jobs.go
@@ -141,7 +141,8 @@
 	}
 	if len(stuck) > 0 {
 		j := c.Jobs[stuck[0]]
-		c.Violate(everyJobEnds, "job %s was accepted at %d and has not ended (cancelled at %d, start %d)", stuck[0], j.AckedAt, j.CancelledAt, j.StartAt)
+		c.Violate(everyJobEnds, "job %s was accepted at %d and has not ended (cancelled at %d, start %d)",
+			stuck[0], j.AckedAt, j.CancelledAt, j.StartAt)
 	}
 	if unaccepted > 0 {
 		c.Violate(everyJobAccepted, "%d jobs were never accepted", unaccepted)
--- a/internal/state/attempt_lookup.go
+++ b/internal/state/attempt_lookup.go
@@ -49,7 +49,9 @@
 
 // ResolveRun finds the lease of an attempt, be it open or counted lost, and the
 // task's own name.
-func (s *Store) ResolveRun(name identifier.Runner, incarnation identifier.Incarnation, ref identifier.TaskRef, attempt uint64) (id identifier.LeaseID, resolved identifier.TaskRef, ok bool) {
+func (s *Store) ResolveRun(
+	name identifier.Runner, incarnation identifier.Incarnation, ref identifier.TaskRef, attempt uint64,
+) (id identifier.LeaseID, resolved identifier.TaskRef, ok bool) {
 	j, task := s.findTask(ref)
 	if j == nil {
 		return 0, ref, false
--- a/internal/state/queue_jobs.go
+++ b/internal/state/queue_jobs.go
@@ -36,7 +36,8 @@
 	_, id := command.Key.Split()
 	switch {
 	case strings.Contains(string(id), "."):
-		return rejected(http.StatusUnprocessableEntity, codeInvalidID, "the id of a job for a queue has no dot: that is how its times are told apart")
+		return rejected(http.StatusUnprocessableEntity, codeInvalidID,
+			"the id of a job for a queue has no dot: that is how its times are told apart")
 	case queue == nil:
 		return rejected(http.StatusNotFound, codeNoQueue, "no such queue")
 	case s.jobIndex.waitingTasks[queueJobsRow]+command.Spec.TaskCount() > maxQueuedTasks:
