--- a/tests/simulation/client_jobs.go
+++ b/tests/simulation/client_jobs.go
@@ -61,13 +61,25 @@
 		return
 	}
 	for range c.jobsPerSecond(1) {
-		c.Submit(RowStock, job.Step{Name: "run", Tasks: 2 + c.below(3), Gang: true, Demand: job.Demand{Cores: 2 + c.below(3), Mem: 2048}, ExpectedRun: c.runTime(1000, 4000)})
+		c.Submit(RowStock, job.Step{
+			Name:        "run",
+			Tasks:       2 + c.below(3),
+			Gang:        true,
+			Demand:      job.Demand{Cores: 2 + c.below(3), Mem: 2048},
+			ExpectedRun: c.runTime(1000, 4000),
+		})
 	}
 	if c.oneIn(signJobShare) {
 		c.Submit(RowStock, job.Step{Name: "sign", Tasks: 1, Demand: job.Demand{Cores: 1, Mem: 512}, ExpectedRun: c.runTime(15000, 10000)})
 	}
 	if c.oneIn(nightJobShare) {
-		c.Submit(RowStock, job.Step{Name: "night", Tasks: 3, Gang: true, Demand: job.Demand{Cores: 1, Mem: 512}, ExpectedRun: c.runTime(22000, 4000)})
+		c.Submit(RowStock, job.Step{
+			Name:        "night",
+			Tasks:       3,
+			Gang:        true,
+			Demand:      job.Demand{Cores: 1, Mem: 512},
+			ExpectedRun: c.runTime(22000, 4000),
+		})
 	}
 	for range c.jobsPerSecond(2) {
 		price := job.Step{Name: "price", Tasks: 1 + c.below(3), Demand: job.Demand{Cores: 1, Mem: 256}, ExpectedRun: c.runTime(100, 400)}
--- a/tests/simulation/membership/cut_off_test.go
+++ b/tests/simulation/membership/cut_off_test.go
@@ -132,8 +132,12 @@
 				if len(spans) < 60 {
 					t.Errorf("too little evidence: %d orders", len(spans))
 				}
-				t.Logf("%d orders: p50 %d, p99 %d, worst %d ms; %d answers of 503 within 50 ms", len(spans), simulationtest.Percentile(spans, 50), simulationtest.Percentile(spans, 99), simulationtest.Percentile(spans, 100), fast)
-				if worst := simulationtest.Percentile(spans, 100); worst > 2000 {
+				median := simulationtest.Percentile(spans, 50)
+				p99 := simulationtest.Percentile(spans, 99)
+				worst := simulationtest.Percentile(spans, 100)
+				t.Logf("%d orders: p50 %d, p99 %d, worst %d ms; %d answers of 503 within 50 ms",
+					len(spans), median, p99, worst, fast)
+				if worst > 2000 {
 					t.Errorf("an order took %d ms", worst)
 				}
 				if name != "frozen" && fast == 0 {
--- a/tests/simulation/membership/diskless_test.go
+++ b/tests/simulation/membership/diskless_test.go
@@ -129,24 +129,48 @@
 	cluster := simulation.NewCluster(362, spec)
 	cluster.Clients.StopAt = 0
 	diskless := cluster.Servers[3]
+	receive := func(from wire.Peer, message wire.Message) {
+		monotonic := cluster.Monotonic(diskless.Process)
+		diskless.Machine.HandleMessage(from, message, monotonic, cluster.WallTime(diskless.Process))
+	}
 	ask := func() []wire.Envelope {
-		m := diskless.Machine
-		m.HandleMessage("@1", wire.Message{Request: &wire.Request{ID: 9, Method: http.MethodGet, Path: endpoint.LimitsPath, Budget: 1000}}, cluster.Monotonic(diskless.Process), cluster.WallTime(diskless.Process))
-		list := m.TakeOutput().Messages
-		return list
+		receive("@1", wire.Message{Request: &wire.Request{
+			ID:     9,
+			Method: http.MethodGet,
+			Path:   endpoint.LimitsPath,
+			Budget: 1000,
+		}})
+		return diskless.Machine.TakeOutput().Messages
 	}
 	cluster.Run(400)
-	if list := ask(); len(list) != 1 || list[0].To != "@1" || list[0].Message.Response == nil || !list[0].Message.Response.NotLeader || list[0].Message.Response.ID != 9 {
+	// response is the one message of a list, if it is a response to the request.
+	response := func(list []wire.Envelope) *wire.Response {
+		if len(list) != 1 || list[0].To != "@1" {
+			return nil
+		}
+		if response := list[0].Message.Response; response != nil && response.ID == 9 {
+			return response
+		}
+		return nil
+	}
+	list := ask()
+	if got := response(list); got == nil || !got.NotLeader {
 		t.Errorf("with no leader known: %+v", list)
 	}
 	cluster.Run(6000)
-	list := ask()
-	if len(list) != 1 || cluster.Leader() == nil || string(list[0].To) != cluster.Leader().Addr || list[0].Message.Request == nil || list[0].Message.Request.Hops != 1 {
+	leader := cluster.Leader()
+	list = ask()
+	if leader == nil || len(list) != 1 || string(list[0].To) != leader.Addr {
 		t.Fatalf("asked with a leader known: %+v", list)
 	}
-	diskless.Machine.HandleMessage(list[0].To, wire.Message{Response: &wire.Response{ID: list[0].Message.Request.ID, Status: 200}}, cluster.Monotonic(diskless.Process), cluster.WallTime(diskless.Process))
-	if back := diskless.Machine.TakeOutput().Messages; len(back) != 1 || back[0].To != "@1" || back[0].Message.Response == nil || back[0].Message.Response.ID != 9 || back[0].Message.Response.Status != http.StatusOK {
-		t.Errorf("the leader's answer came back as %+v", back)
+	forwarded := list[0].Message.Request
+	if forwarded == nil || forwarded.Hops != 1 {
+		t.Fatalf("forwarded to the leader: %+v", list)
+	}
+	receive(list[0].To, wire.Message{Response: &wire.Response{ID: forwarded.ID, Status: http.StatusOK}})
+	list = diskless.Machine.TakeOutput().Messages
+	if got := response(list); got == nil || got.Status != http.StatusOK {
+		t.Errorf("the leader's response was passed on as %+v", list)
 	}
 	for _, server := range cluster.Servers[:3] {
 		cluster.CrashServer(server)
--- a/tests/simulation/membership/graceful_stop_test.go
+++ b/tests/simulation/membership/graceful_stop_test.go
@@ -47,6 +47,13 @@
 	unknownOutcomes int
 }
 
+// log logs the longest span without an accepted job, and the numbers of jobs by outcome.
+func (s *submitter) log(t *testing.T) {
+	t.Helper()
+	t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome",
+		s.longestGap, s.longestAt, s.accepted, s.unknownOutcomes)
+}
+
 const (
 	submitInterval = 8
 	orderInterval  = 17
@@ -125,7 +132,7 @@
 				})
 			}
 			cluster.Run(20000)
-			t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", load.longestGap, load.longestAt, load.accepted, load.unknownOutcomes)
+			load.log(t)
 			if stops != 3 || load.accepted < 1200 {
 				t.Errorf("too little evidence: %d stops, %d jobs", stops, load.accepted)
 			}
@@ -149,7 +156,7 @@
 			cluster.At(9500+int64(i)*2500, func() { stopGracefully(cluster, server, 800) })
 		}
 		cluster.Run(9000 + int64(spec.Servers)*2500 + 4000)
-		t.Logf("longest span without an accepted job %d ms, to %d; %d accepted, %d of unknown outcome", load.longestGap, load.longestAt, load.accepted, load.unknownOutcomes)
+		load.log(t)
 		if load.longestGap >= 200 || load.unknownOutcomes > 0 {
 			t.Errorf("%d ms without an accepted job to %d, %d answers of unknown outcome", load.longestGap, load.longestAt, load.unknownOutcomes)
 		}
--- a/tests/simulation/mixed_test.go
+++ b/tests/simulation/mixed_test.go
@@ -96,5 +96,11 @@
 	if seed%2 == 0 {
 		spec = simulation.LossyNetwork()
 	}
-	return simulation.Scenario{Seed: seed, Spec: spec, Window: 40000, Recovery: 60000, Faults: simulation.DrawFaults(seed, 5000, 38000, *faultCount)}
+	return simulation.Scenario{
+		Seed:     seed,
+		Spec:     spec,
+		Window:   40000,
+		Recovery: 60000,
+		Faults:   simulation.DrawFaults(seed, 5000, 38000, *faultCount),
+	}
 }
--- a/tests/simulation/register/cluster_test.go
+++ b/tests/simulation/register/cluster_test.go
@@ -127,7 +127,13 @@
 	cluster := simulation.NewCluster(seed, spec)
 	o := &catalogOperators{cluster: cluster, random: rand.New(rand.NewSource(seed)), stopAt: operatorsStart + operatorsWindow}
 	for n := 0; n < 10; n++ {
-		f := simulation.Fault{At: operatorsStart + o.random.Int63n(operatorsWindow-4000), Duration: 200 + o.random.Int63n(4000), Kind: pick(o.random, registerFaults...), Target: o.random.Intn(1000), Parameter: o.random.Intn(1000)}
+		f := simulation.Fault{
+			At:        operatorsStart + o.random.Int63n(operatorsWindow-4000),
+			Duration:  200 + o.random.Int63n(4000),
+			Kind:      pick(o.random, registerFaults...),
+			Target:    o.random.Intn(1000),
+			Parameter: o.random.Intn(1000),
+		}
 		cluster.At(f.At, func() { cluster.Inject(f) })
 	}
 	if seed%3 == 0 {
--- a/tests/simulation/scenarios/latencies_test.go
+++ b/tests/simulation/scenarios/latencies_test.go
@@ -45,15 +45,25 @@
 		t.Errorf("admission to start: median %d of %d", n, len(spans[invariants.SpanAdmissionToStart]))
 	}
 	secs := cluster.Now / 1000
-	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner", cluster.Traffic.Bytes/secs, cluster.Traffic.PollBytes/secs/int64(len(cluster.Runners)))
+	pollBytes := cluster.Traffic.PollBytes / secs / int64(len(cluster.Runners))
+	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner",
+		cluster.Traffic.Bytes/secs, pollBytes)
+	starts := spans[invariants.SpanAdmissionToStart]
+	stops := spans[invariants.SpanCancelToStop]
 	t.Logf("admission to start: median %d ms, worst %d ms of %d; cancel to gone: worst %d ms of %d",
-		simulationtest.Median(spans[invariants.SpanAdmissionToStart]), simulationtest.Longest(spans[invariants.SpanAdmissionToStart]), len(spans[invariants.SpanAdmissionToStart]), simulationtest.Longest(spans[invariants.SpanCancelToStop]), len(spans[invariants.SpanCancelToStop]))
+		simulationtest.Median(starts), simulationtest.Longest(starts), len(starts),
+		simulationtest.Longest(stops), len(stops))
 }
 
 // TestTakeover measures how long the cluster does not answer when its leader is lost,
 // in each way.
 func TestTakeover(t *testing.T) {
-	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated, simulation.AllServersCrash} {
+	for _, loss := range []simulation.FaultKind{
+		simulation.LeaderCrash,
+		simulation.LeaderFreeze,
+		simulation.LeaderIsolated,
+		simulation.AllServersCrash,
+	} {
 		t.Run(string(loss), func(t *testing.T) {
 			t.Parallel()
 			gaps := []int64{}
@@ -69,7 +79,8 @@
 				simulationtest.RunScenario(t, scenario)
 				gaps = append(gaps, gap)
 			}
-			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v", loss, simulationtest.Median(gaps), simulationtest.Longest(gaps), gaps)
+			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v",
+				loss, simulationtest.Median(gaps), simulationtest.Longest(gaps), gaps)
 			if simulationtest.Longest(gaps) > 12000 || simulationtest.Longest(gaps) < 300 {
 				t.Errorf("%s: %v", loss, gaps)
 			}
--- a/tests/simulation/scenarios/load_spike_test.go
+++ b/tests/simulation/scenarios/load_spike_test.go
@@ -17,7 +17,8 @@
 func TestLoadSpike(t *testing.T) {
 	t.Parallel()
 	most, late := 0, 0
-	scenario := simulation.Scenario{Seed: 13, Window: 30000, Recovery: 60000, Faults: []simulation.Fault{{At: 8000, Duration: 10000, Kind: simulation.LoadSpike}}, Setup: func(cluster *simulation.Cluster) {
+	faults := []simulation.Fault{{At: 8000, Duration: 10000, Kind: simulation.LoadSpike}}
+	scenario := simulation.Scenario{Seed: 13, Window: 30000, Recovery: 60000, Faults: faults, Setup: func(cluster *simulation.Cluster) {
 		var look func()
 		look = func() {
 			for _, g := range cluster.Gateways {
--- a/tests/simulation/scenarios/suspend_test.go
+++ b/tests/simulation/scenarios/suspend_test.go
@@ -19,17 +19,14 @@
 	broken := 0
 	for seed := int64(1); seed <= 2; seed++ {
 		for _, clocksStop := range []bool{false, true} {
-			scenario := simulation.Scenario{Seed: seed, Spec: simulation.FastNetwork(), Window: 45000, Recovery: 50000, Setup: func(cluster *simulation.Cluster) {
+			scenario := simulation.Scenario{Seed: seed, Spec: simulation.FastNetwork(), Window: 45000, Recovery: 50000}
+			scenario.Setup = func(cluster *simulation.Cluster) {
 				cluster.ClocksStopInSuspend = clocksStop
-				cluster.At(12000, func() {
-					for _, r := range cluster.Runners {
-						if r.Machine.Running() > 0 {
-							cluster.After(16000, cluster.Freeze(r.Process))
-						}
-					}
+				cluster.At(12000, func() { suspendBusyRunners(cluster) })
+				cluster.At(34000, func() {
+					cluster.Inject(simulation.Fault{Duration: 6000, Kind: simulation.LeaderFreeze})
 				})
-				cluster.At(34000, func() { cluster.Inject(simulation.Fault{Duration: 6000, Kind: simulation.LeaderFreeze}) })
-			}}
+			}
 			cluster := simulation.Run(scenario)
 			if clocksStop {
 				broken += len(cluster.Checker.Violations)
@@ -44,17 +41,37 @@
 	t.Logf("with clocks that stop in suspend: %d invariants violated", broken)
 }
 
+// suspendBusyRunners freezes all runners that run something, for 16 seconds.
+func suspendBusyRunners(cluster *simulation.Cluster) {
+	for _, runner := range cluster.Runners {
+		if runner.Machine.Running() > 0 {
+			cluster.After(16000, cluster.Freeze(runner.Process))
+		}
+	}
+}
+
 // TestResumedGateway: a gateway that was suspended during a change of the limits table
 // decides nothing by the old one.
 func TestResumedGateway(t *testing.T) {
 	t.Parallel()
 	statuses := []int{}
-	scenario := simulation.Scenario{Seed: 19, Window: 20000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
-		g := cluster.Gateways[0]
+	scenario := simulation.Scenario{Seed: 19, Window: 20000, Recovery: 30000}
+	scenario.Setup = func(cluster *simulation.Cluster) {
+		clients := cluster.Clients.Process
+		suspended := cluster.Gateways[0]
+		other := cluster.Gateways[1]
+		submit := func(id string, tasks int) {
+			body := []byte(fmt.Sprintf(`{"pending":"probe","steps":[{"name":"s","tasks":%d}]}`, tasks))
+			path := "/v1/jobs/x/" + id
+			cluster.Request(clients, suspended.Addr, http.MethodPut, path, body, 5000, func(status int, _ []byte) {
+				statuses = append(statuses, status)
+			})
+		}
 		cluster.At(8000, func() {
-			cluster.Suspend(g.Process)
-			text := []byte(fmt.Sprintf(`{"base":%d,"cells":{"probe.maxTasks":1}}`, cluster.Clients.Epoch))
-			cluster.Request(cluster.Clients.Process, cluster.Gateways[1].Addr, http.MethodPatch, endpoint.LimitsPath, text, 2000, func(status int, _ []byte) {
+			cluster.Suspend(suspended.Process)
+			body := []byte(fmt.Sprintf(`{"base":%d,"cells":{"probe.maxTasks":1}}`, cluster.Clients.Epoch))
+			path := endpoint.LimitsPath
+			cluster.Request(clients, other.Addr, http.MethodPatch, path, body, 2000, func(status int, _ []byte) {
 				if status != http.StatusOK {
 					t.Errorf("the change got %d", status)
 				}
@@ -62,14 +79,12 @@
 			cluster.Clients.StopAt = 0
 		})
 		cluster.At(12000, func() {
-			cluster.Request(cluster.Clients.Process, g.Addr, http.MethodPut, "/v1/jobs/x/one", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":2}]}`), 5000, func(status int, _ []byte) { statuses = append(statuses, status) })
-			cluster.Request(cluster.Clients.Process, g.Addr, http.MethodPut, "/v1/jobs/x/two", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":1}]}`), 5000, func(status int, _ []byte) { statuses = append(statuses, status) })
+			submit("one", 2)
+			submit("two", 1)
 		})
-		cluster.At(12200, func() { cluster.Resume(g.Process) })
-		cluster.At(15000, func() {
-			cluster.Request(cluster.Clients.Process, g.Addr, http.MethodPut, "/v1/jobs/x/three", []byte(`{"pending":"probe","steps":[{"name":"s","tasks":2}]}`), 5000, func(status int, _ []byte) { statuses = append(statuses, status) })
-		})
-	}}
+		cluster.At(12200, func() { cluster.Resume(suspended.Process) })
+		cluster.At(15000, func() { submit("three", 2) })
+	}
 	simulationtest.RunScenario(t, scenario)
 	for _, s := range statuses[:2] {
 		if s != http.StatusServiceUnavailable {
