--- a/internal/daemon/gatewayd/routes.go
+++ b/internal/daemon/gatewayd/routes.go
@@ -96,7 +96,8 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, codeTooLarge, "the body is over "+strconv.FormatInt(d.maxBodyBytes, 10)+" bytes")
+		message := "the body is over " + strconv.FormatInt(d.maxBodyBytes, 10) + " bytes"
+		httpserver.WriteError(c, http.StatusRequestEntityTooLarge, codeTooLarge, message)
 		return r, false
 	case err != nil:
 		httpserver.WriteError(c, http.StatusBadRequest, codeBadRequest, "the body could not be read")
