--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	"orchidward/internal/api/identifier"
@@ -85,13 +86,8 @@
 func (p *pendingOrders) clearedStops() []runnerapi.RunStop { return sortedStops(p.cleared) }
 
 func sortedStops(set map[attempt]bool) []runnerapi.RunStop {
-	var attempts []attempt
-	for one := range set {
-		attempts = append(attempts, one)
-	}
-	slices.SortFunc(attempts, compareAttempts)
 	var list []runnerapi.RunStop
-	for _, one := range attempts {
+	for _, one := range slices.SortedFunc(maps.Keys(set), compareAttempts) {
 		list = append(list, runnerapi.RunStop{Task: one.task, Attempt: one.number})
 	}
 	return list
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"maps"
 	"net/http"
 	"slices"
 
@@ -88,14 +89,7 @@
 }
 
 // forwardedIDs lists the forwarded requests in the order in which they were passed on.
-func (s *Server) forwardedIDs() []uint64 {
-	var list []uint64
-	for id := range s.forwarded {
-		list = append(list, id)
-	}
-	slices.Sort(list)
-	return list
-}
+func (s *Server) forwardedIDs() []uint64 { return slices.Sorted(maps.Keys(s.forwarded)) }
 
 // forgetExpired drops forwarded requests whose senders have given up, and gateways
 // that are gone.
--- a/internal/controlplane/poll_answers.go
+++ b/internal/controlplane/poll_answers.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"net/http"
 	"slices"
 
@@ -97,12 +98,8 @@
 
 // takeChangedRunners takes the runners whose polls are to be looked at, in order.
 func (s *Server) takeChangedRunners() []identifier.Runner {
-	var list []identifier.Runner
-	for name := range s.leader.changedRunners {
-		list = append(list, name)
-	}
+	list := slices.Sorted(maps.Keys(s.leader.changedRunners))
 	clear(s.leader.changedRunners)
-	slices.Sort(list)
 	return list
 }
 
--- a/internal/controlplane/proposals.go
+++ b/internal/controlplane/proposals.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"maps"
 	"slices"
 
 	"orchidward/internal/api/identifier"
@@ -71,12 +72,7 @@
 
 // indexes lists the proposals in the order in which they were made.
 func (t *proposalTable) indexes() []identifier.Index {
-	var list []identifier.Index
-	for index := range t.byIndex {
-		list = append(list, index)
-	}
-	slices.Sort(list)
-	return list
+	return slices.Sorted(maps.Keys(t.byIndex))
 }
 
 // propose appends a command to the log. Only an active leader may propose.
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -1,6 +1,7 @@
 package controlplane
 
 import (
+	"maps"
 	"slices"
 
 	"orchidward/internal/api/identifier"
@@ -99,12 +100,7 @@
 
 // endedIDs lists the leases whose end the last poll reported, in ascending order.
 func (c *runnerContact) endedIDs() []identifier.LeaseID {
-	var list []identifier.LeaseID
-	for id := range c.ended {
-		list = append(list, id)
-	}
-	slices.Sort(list)
-	return list
+	return slices.Sorted(maps.Keys(c.ended))
 }
 
 // loseSilentRunners counts a runner lost when it has been silent for longer than its
--- a/internal/runner/attempts.go
+++ b/internal/runner/attempts.go
@@ -1,6 +1,9 @@
 package runner
 
 import (
+	"maps"
+	"slices"
+
 	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
@@ -33,7 +36,7 @@
 	}
 }
 
-func (t *attemptTable) runningIDs() []identifier.LeaseID { return sortedIDs(t.running) }
+func (t *attemptTable) runningIDs() []identifier.LeaseID { return slices.Sorted(maps.Keys(t.running)) }
 
 // forgetUsed forgets leases that are of no more concern.
 func (t *attemptTable) forgetUsed(now clock.Monotonic) {
--- a/internal/runner/polls.go
+++ b/internal/runner/polls.go
@@ -2,7 +2,9 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"net/http"
+	"slices"
 
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
@@ -90,7 +92,7 @@
 	if r.mode == runnerapi.ModeDraining {
 		request.DepartsIn = max(0, r.departsAt.Since(r.now))
 	}
-	ended := sortedIDs(r.attempts.ended)
+	ended := slices.Sorted(maps.Keys(r.attempts.ended))
 	for _, id := range ended[:min(len(ended), maxReportedEnds)] {
 		request.Ended = append(request.Ended, r.attempts.ended[id])
 	}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -2,9 +2,7 @@
 
 import (
 	"math/rand"
-	"slices"
 
-	"orchidward/internal/api/identifier"
 	"orchidward/internal/api/runnerapi"
 	"orchidward/internal/clock"
 )
@@ -153,12 +151,3 @@
 	}
 	r.Retired = true
 }
-
-func sortedIDs[V any](set map[identifier.LeaseID]V) []identifier.LeaseID {
-	var list []identifier.LeaseID
-	for id := range set {
-		list = append(list, id)
-	}
-	slices.Sort(list)
-	return list
-}
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"maps"
 	"slices"
 
 	"orchidward/internal/api/admission"
@@ -142,13 +143,8 @@
 
 // DrainIDs lists the drains by the time they began, then by id.
 func (s *Store) DrainIDs() []string {
-	var ids []string
-	for id := range s.Drains {
-		ids = append(ids, id)
-	}
-	slices.SortFunc(ids, func(a, b string) int {
+	return slices.SortedFunc(maps.Keys(s.Drains), func(a, b string) int {
 		first, second := s.Drains[a], s.Drains[b]
 		return cmp.Or(cmp.Compare(first.StartedAt, second.StartedAt), cmp.Compare(a, b))
 	})
-	return ids
 }
