--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -53,8 +53,8 @@
 
 	ready         atomic.Bool
 	lastRequestID atomic.Uint64
-	// callers are where the responses go, by request. Only the event loop touches them.
-	callers map[uint64]chan<- gateway.Response
+	// callers answer the requests in flight, by their ids. Only the event loop touches them.
+	callers map[uint64]func(gateway.Response)
 }
 
 // New opens the gateway's addresses. The gateway begins, and ends, with the process.
@@ -63,7 +63,7 @@
 	d := &Daemon{
 		log:          log,
 		clock:        clock.NewSystem(),
-		callers:      map[uint64]chan<- gateway.Response{},
+		callers:      map[uint64]func(gateway.Response){},
 		maxBodyBytes: settings.BodyKb << 10,
 	}
 	d.gateway = gateway.New(settings.gateway(), d.clock.Now())
@@ -133,8 +133,8 @@
 		d.link.Send(message.To, message.Message)
 	}
 	for _, response := range out.Responses {
-		if caller := d.callers[response.ID]; caller != nil {
-			caller <- response
+		if answer := d.callers[response.ID]; answer != nil {
+			answer(response)
 			delete(d.callers, response.ID)
 		}
 	}
--- a/internal/daemon/gatewayd/requests.go
+++ b/internal/daemon/gatewayd/requests.go
@@ -2,10 +2,12 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 
 	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/clock"
+	"orchidward/internal/daemon/eventloop"
 	"orchidward/internal/gateway"
 )
 
@@ -26,28 +28,21 @@
 // in is refused at once.
 func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
 	r.ID = d.lastRequestID.Add(1)
-	answered := make(chan gateway.Response, 1)
-	taken := d.loop.Post(func(g *gateway.Gateway) {
-		d.callers[r.ID] = answered
+	response, err := eventloop.Await(ctx, d.loop, func(g *gateway.Gateway, answer func(gateway.Response)) {
+		d.callers[r.ID] = answer
 		g.HandleRequest(r, d.clock.Now())
 	})
-	if !taken {
-		return overloaded()
-	}
-	select {
-	case response := <-answered:
-		return response
-	case <-ctx.Done():
-		d.forget(r.ID)
-		return unknownOutcome(codeNoAnswer, "the caller left; the outcome is not known", 0)
-	case <-d.loop.Done():
-	}
-	select {
-	case response := <-answered:
+	switch {
+	case err == nil:
 		return response
-	default:
-		return unknownOutcome(codeStopping, "this gateway has stopped; the outcome is not known", retryAfterRefusal)
+	case errors.Is(err, eventloop.ErrQueueFull):
+		return overloaded()
+	case errors.Is(err, eventloop.ErrStopped):
+		return gateway.ErrorResponse(http.StatusGatewayTimeout, codeStopping,
+			"this gateway has stopped; the outcome is not known", retryAfterRefusal)
 	}
+	d.forget(r.ID)
+	return gateway.ErrorResponse(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
 }
 
 // forget drops a request whose caller has gone.
@@ -64,13 +59,8 @@
 	return d.loop.Do(ctx, f)
 }
 
-// unknownOutcome answers a request of which it is not known whether it was carried out.
-func unknownOutcome(code, message string, retryAfter clock.Millis) gateway.Response {
-	body := jsondoc.ErrorBody{Code: code, Message: message, RetryAfter: retryAfter}
-	return gateway.Response{Status: http.StatusGatewayTimeout, RetryAfter: retryAfter, Body: body.JSON()}
-}
-
-// overloaded answers a request that was not taken in.
+// overloaded answers a request that was not taken in. Unlike that of other errors its body
+// does not repeat when to come back.
 func overloaded() gateway.Response {
 	body := jsondoc.ErrorBody{Code: codeBusy, Message: "this gateway is full"}
 	return gateway.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterRefusal, Body: body.JSON()}
--- a/internal/daemon/serverd/requests.go
+++ b/internal/daemon/serverd/requests.go
@@ -2,10 +2,12 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 
 	"orchidward/internal/clock"
 	"orchidward/internal/controlplane"
+	"orchidward/internal/daemon/eventloop"
 	"orchidward/internal/gateway"
 	"orchidward/internal/inflight"
 )
@@ -25,27 +27,20 @@
 // gets a 504 in case it still looks.
 func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
 	r.ID = d.lastRequestID.Add(1)
-	answered := make(chan gateway.Response, 1)
-	taken := d.loop.Post(func(s *controlplane.Server) {
-		d.requests.Admit(r, func(response gateway.Response) { answered <- response }, d.clock.Now(), s.Connected())
+	response, err := eventloop.Await(ctx, d.loop, func(s *controlplane.Server, answer func(gateway.Response)) {
+		d.requests.Admit(r, answer, d.clock.Now(), s.Connected())
 	})
-	if !taken {
-		return inflight.Overloaded()
-	}
-	select {
-	case response := <-answered:
+	switch {
+	case err == nil:
 		return response
-	case <-ctx.Done():
-		d.loop.Post(func(*controlplane.Server) { d.requests.Forget(r.ID) })
-		return inflight.Refusal(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
-	case <-d.loop.Done():
-	}
-	select {
-	case response := <-answered:
-		return response
-	default:
-		return inflight.Refusal(http.StatusGatewayTimeout, codeStopping, "this server has stopped; the outcome is not known", retryAfterStop)
+	case errors.Is(err, eventloop.ErrQueueFull):
+		return inflight.Overloaded()
+	case errors.Is(err, eventloop.ErrStopped):
+		return gateway.ErrorResponse(http.StatusGatewayTimeout, codeStopping,
+			"this server has stopped; the outcome is not known", retryAfterStop)
 	}
+	d.loop.Post(func(*controlplane.Server) { d.requests.Forget(r.ID) })
+	return gateway.ErrorResponse(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
 }
 
 // Inspect runs f on the server's own goroutine. When it returns false, f has not run and never
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -5,6 +5,7 @@
 
 	"orchidward/internal/api/endpoint"
 	"orchidward/internal/api/identifier"
+	"orchidward/internal/api/jsondoc"
 	"orchidward/internal/clock"
 	"orchidward/internal/stalldetector"
 	"orchidward/internal/transport/wire"
@@ -62,6 +63,13 @@
 	RetryAfter clock.Millis
 }
 
+// ErrorResponse is a response with an error body, to no request yet: its ID is 0. retryAfter
+// is 0 where coming back is of no use.
+func ErrorResponse(status int, code, message string, retryAfter clock.Millis) Response {
+	body := jsondoc.ErrorBody{Code: code, Message: message, RetryAfter: retryAfter}
+	return Response{Status: status, RetryAfter: retryAfter, Body: body.JSON()}
+}
+
 // Event is one line for the log: a name and alternating keys and values.
 type Event struct {
 	Name   string
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -224,8 +224,9 @@
 
 func (g *Gateway) replyError(id uint64, status int, code, message string, retryAfter clock.Millis) {
 	g.Counts.Refused++
-	body := jsondoc.ErrorBody{Code: code, Message: message, RetryAfter: retryAfter}
-	g.reply(Response{ID: id, Status: status, Body: body.JSON(), RetryAfter: retryAfter})
+	response := ErrorResponse(status, code, message, retryAfter)
+	response.ID = id
+	g.reply(response)
 }
 
 func (g *Gateway) reply(response Response) {
