--- a/tests/simulation/gateway.go
+++ b/tests/simulation/gateway.go
@@ -34,18 +34,12 @@
 		Seeds:  g.cluster.Seeds,
 		Seed:   g.cluster.Random.Int63(),
 	}, 0)
-	g.tick(g.Incarnation)
+	g.cluster.tickWhileUp(g.Process, gateway.TickInterval, g.tick)
 }
 
-func (g *Gateway) tick(incarnation int) {
-	if g.Incarnation != incarnation || !g.Up {
-		return
-	}
-	if !g.Frozen {
-		g.Machine.Tick(g.cluster.Monotonic(g.Process))
-		g.flush()
-	}
-	g.cluster.After(int64(gateway.TickInterval), func() { g.tick(incarnation) })
+func (g *Gateway) tick() {
+	g.Machine.Tick(g.cluster.Monotonic(g.Process))
+	g.flush()
 }
 
 // flush carries out what the state machine wants sent and answered.
--- a/tests/simulation/process.go
+++ b/tests/simulation/process.go
@@ -57,6 +57,23 @@
 // Process returns the process at an address, nil if there is none.
 func (c *Cluster) Process(addr string) *Process { return c.processes[addr] }
 
+// tickWhileUp calls tick at once and at every interval until this incarnation of the
+// process ends, but not while the process is frozen.
+func (c *Cluster) tickWhileUp(p *Process, interval clock.Millis, tick func()) {
+	incarnation := p.Incarnation
+	var next func()
+	next = func() {
+		if p.Incarnation != incarnation || !p.Up {
+			return
+		}
+		if !p.Frozen {
+			tick()
+		}
+		c.After(int64(interval), next)
+	}
+	next()
+}
+
 // processesIn lists the processes of a domain by name.
 func (c *Cluster) processesIn(domain string) []*Process {
 	var list []*Process
--- a/tests/simulation/runner.go
+++ b/tests/simulation/runner.go
@@ -80,7 +80,7 @@
 	}
 	r.Machine = runner.New(config, 0)
 	c.Checker.RunnerStaying(r.Name)
-	r.tick(r.Incarnation)
+	r.cluster.tickWhileUp(r.Process, runner.TickInterval, r.tick)
 }
 
 func (r *Runner) crash() {
@@ -91,15 +91,9 @@
 	r.cluster.Checker.RunnerDead(r.Name)
 }
 
-func (r *Runner) tick(incarnation int) {
-	if r.Incarnation != incarnation || !r.Up {
-		return
-	}
-	if !r.Frozen {
-		r.Machine.Tick(r.cluster.Monotonic(r.Process))
-		r.flush()
-	}
-	r.cluster.After(int64(runner.TickInterval), func() { r.tick(incarnation) })
+func (r *Runner) tick() {
+	r.Machine.Tick(r.cluster.Monotonic(r.Process))
+	r.flush()
 }
 
 // flush reports what happened to the checker and sends the polls that are due.
--- a/tests/simulation/server.go
+++ b/tests/simulation/server.go
@@ -79,7 +79,7 @@
 		s.quit(err.Error())
 		return
 	}
-	s.tick(s.Incarnation)
+	s.cluster.tickWhileUp(s.Process, controlplane.TickInterval, s.tick)
 }
 
 func (s *Server) config() controlplane.Config {
@@ -158,19 +158,10 @@
 	s.Disk = newDisk()
 }
 
-func (s *Server) tick(incarnation int) {
-	if s.Incarnation != incarnation || !s.Up {
-		return
-	}
-	if !s.Frozen {
-		s.Machine.Tick(s.cluster.Monotonic(s.Process), s.cluster.WallTime(s.Process))
-		s.requests.Tick(s.cluster.Monotonic(s.Process), s.Machine.Connected())
-		s.Flush()
-		if s.Machine == nil {
-			return
-		}
-	}
-	s.cluster.After(int64(controlplane.TickInterval), func() { s.tick(incarnation) })
+func (s *Server) tick() {
+	s.Machine.Tick(s.cluster.Monotonic(s.Process), s.cluster.WallTime(s.Process))
+	s.requests.Tick(s.cluster.Monotonic(s.Process), s.Machine.Connected())
+	s.Flush()
 }
 
 // Flush carries out what the state machine wants sent and written. A test that
@@ -236,9 +227,3 @@
 	}
 	return s.Machine.Raft().Role() == raft.Leader
 }
-
-// HasCommittedInTerm tells whether a server has committed an entry of the present
-// term: a leader that has not may not know all that is committed.
-func (s *Server) HasCommittedInTerm() bool {
-	return s.Machine.Raft().CommitIndex() >= s.Machine.Raft().TermStart()
-}
