--- a/tests/simulation/membership/long_absence_test.go
+++ b/tests/simulation/membership/long_absence_test.go
@@ -70,6 +70,7 @@
 	t.Parallel()
 	for name, leave := range absences {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 				spec.LossesTolerated = toleratedDisks
 				for seed := int64(1); seed <= 5; seed++ {
@@ -130,6 +131,7 @@
 	for name, leave := range absences {
 		for _, tolerated := range []int{0, toleratedDisks} {
 			t.Run(fmt.Sprintf("%s, %d tolerated", name, tolerated), func(t *testing.T) {
+				t.Parallel()
 				eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 					spec.ElectionTimeout, spec.LossesTolerated = 250, tolerated
 					for seed := int64(1); seed <= 4; seed++ {
