--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -19,7 +19,8 @@
 	minSnapshotEntries = 256
 )
 
-// process carries out what the consensus decided, until nothing more comes of it.
+// process runs the leader's work and handles the output of the consensus until neither
+// produces anything more.
 func (s *Server) process() {
 	if s.raft == nil {
 		return
@@ -34,8 +35,8 @@
 	}
 }
 
-// processRaftOutput hands on what the consensus sends and writes, and applies what it
-// committed. It reports whether a leader may have more to do because of it.
+// processRaftOutput forwards the messages and writes of the consensus and applies the
+// committed entries. It reports whether the leader may have more work as a result.
 func (s *Server) processRaftOutput(out raft.Output) bool {
 	if out.InstalledSnapshot != nil && !s.installSnapshot(out.InstalledSnapshot) {
 		return false
@@ -62,8 +63,8 @@
 	return len(out.Committed) > 0 && s.leader != nil
 }
 
-// sendRaft sends a message of the consensus to a member, or to a leader that is not
-// among the members known here.
+// sendRaft sends a consensus message to a member, or to a leader that is not in the
+// member list known here.
 func (s *Server) sendRaft(msg *raft.Message) {
 	member, ok := s.raft.Member(msg.To)
 	switch {
@@ -74,8 +75,8 @@
 	}
 }
 
-// installSnapshot replaces the state by the leader's. It returns false, and halts this
-// server, when this program is too old for it.
+// installSnapshot replaces the state with the leader's snapshot. If the snapshot's level
+// is above the one this program knows, it halts the server and returns false.
 func (s *Server) installSnapshot(snapshot *raft.Snapshot) bool {
 	installed, err := state.Decode(snapshot.Data)
 	if err != nil {
@@ -93,14 +94,14 @@
 	return true
 }
 
-// Reasons for which a server halts.
+// Reasons for halting a server.
 const (
 	reasonUnknownEntry = "an entry that this program does not know"
 	reasonLevelAbove   = "the group's level is above this program's"
 )
 
-// applyEntry applies a committed entry to the state, and answers the request that it was
-// proposed for.
+// applyEntry applies a committed entry to the state and answers the request that proposed
+// it.
 func (s *Server) applyEntry(entry raft.Entry) {
 	s.appliedIndex = entry.Index
 	arrivedAt := s.clusterTime.takeArrival(entry.Index, s.now)
@@ -127,8 +128,8 @@
 	s.answerProposal(entry, result)
 }
 
-// decodeCommand reads the command of an entry. It is not ok when this server must not
-// apply it: the server is halted then.
+// decodeCommand decodes the command of an entry. If this server must not apply the
+// command, it halts the server and returns false.
 func (s *Server) decodeCommand(entry raft.Entry) (command *state.Command, ok bool) {
 	command, err := state.DecodeCommand(entry.Data)
 	switch {
@@ -144,8 +145,8 @@
 	return command, true
 }
 
-// recordChanges tells the leader's periodic work what an applied command changed. Leases
-// from firstLease on are new.
+// recordChanges records what an applied command changed, for the leader's next round of
+// work. Leases from firstLease on are new.
 func (s *Server) recordChanges(firstLease identifier.LeaseID) {
 	l := s.leader
 	s.state.TakeChangedRunners(func(name identifier.Runner) {
@@ -163,7 +164,7 @@
 }
 
 // answerProposal answers the request that an entry was proposed for. An entry of another
-// term has replaced the one that was proposed here.
+// term has replaced the one that this server proposed, so the outcome is unknown.
 func (s *Server) answerProposal(entry raft.Entry, result state.Result) {
 	p, ok := s.proposals.take(entry.Index)
 	switch {
@@ -175,8 +176,8 @@
 	}
 }
 
-// maybeSnapshot takes a snapshot when there is reason to: it bounds the log by entries, by
-// bytes, and by how full the disk says the log has become.
+// maybeSnapshot takes a snapshot when the number of entries, their size or the used part
+// of the write-ahead log calls for one.
 func (s *Server) maybeSnapshot() {
 	entries := s.appliedIndex - s.raft.SnapshotIndex()
 	logFull := entries >= minSnapshotEntries && s.LogPercentUsed() >= snapshotLogPercent
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// leaderHintTTL is how long a leader counts that nobody vouches for.
+	// leaderHintTTL is how long a leader remains known without any server confirming it.
 	leaderHintTTL clock.Millis = 2000
-	// selfVouchTTL is how long what others say does not count against a leader's own
-	// word.
+	// selfVouchTTL is how long a leader's own announcement takes precedence over the
+	// reports of other servers.
 	selfVouchTTL = 3 * discoveryInterval
 )
 
-// forwarderNode is what a server on a machine without a disk knows. It holds no log,
-// has no vote and joins no group: it keeps in touch with a group, tells whoever asks
-// where the group is, and forwards requests to the leader.
+// forwarderNode is the state of a server without a disk. Such a server holds no log, has
+// no vote and joins no group. It tracks where the group is, reports that to other
+// processes on request, and forwards requests to the leader.
 type forwarderNode struct {
 	nextPoll clock.Monotonic
 	members  []raft.Member
 	leaderID identifier.Node
-	// vouchedAt is when a server last said that leaderID leads, and selfVouchedAt when
-	// that one itself did.
+	// vouchedAt is when a server last named leaderID as the leader, and selfVouchedAt
+	// when leaderID last did so itself.
 	vouchedAt     clock.Monotonic
 	selfVouchedAt clock.Monotonic
-	// leaderlessGroupAt is when a server was heard that is in a group but knows of no
-	// leader.
+	// leaderlessGroupAt is when an announcement last came from a server that belongs to a
+	// group but knows no leader.
 	leaderlessGroupAt clock.Monotonic
 }
 
 func (f *forwarderNode) knowsGroup() bool { return len(f.members) > 0 }
 
-// leader is the member that leads, by what was heard lately.
+// leader returns the current leader according to recent announcements.
 func (f *forwarderNode) leader(now clock.Monotonic) (leader raft.Member, ok bool) {
 	if f.leaderID == 0 || now.Since(f.vouchedAt) > leaderHintTTL {
 		return leader, false
@@ -49,7 +49,7 @@
 	return leader, false
 }
 
-// describe puts what this server knows of the group into an announcement.
+// describe adds what this server knows of the group to an announcement.
 func (f *forwarderNode) describe(announcement *wire.Announcement, now clock.Monotonic) {
 	announcement.Role = wire.RoleForwarder
 	announcement.Node = 0
@@ -60,13 +60,13 @@
 	}
 }
 
-// undecided reports whether this server can say neither where the group is nor that
-// there is none: then it says nothing.
+// undecided reports whether this server can say neither where the group is nor that there
+// is none. It does not reply to announcements then.
 func (f *forwarderNode) undecided(now clock.Monotonic) bool {
 	return !f.knowsGroup() && f.leaderlessGroupAt != 0 && now.Since(f.leaderlessGroupAt) < quietBeforeFounding
 }
 
-// addresses are those of seeds and members in order, each once.
+// addresses returns the distinct addresses of seeds and members in ascending order.
 func (f *forwarderNode) addresses(seeds []string) []string {
 	set := map[string]bool{}
 	for _, addr := range seeds {
@@ -78,7 +78,8 @@
 	return slices.Sorted(maps.Keys(set))
 }
 
-// pollForLeader asks the leader whether it still leads, or everybody who does.
+// pollForLeader asks the known leader whether it still leads; without a recent answer it
+// asks all seeds and members for the leader.
 func (s *Server) pollForLeader() {
 	f := s.forwarder
 	if s.now < f.nextPoll {
@@ -96,8 +97,9 @@
 	}
 }
 
-// learnGroup takes what a member says of its group. Others are believed only where
-// nothing is known yet, as they know it no better.
+// learnGroup records what a member announces about its group. Announcements of other
+// forwarders and gateways are used only while no group is known, because they are
+// second-hand.
 func (s *Server) learnGroup(announcement *wire.Announcement) {
 	f := s.forwarder
 	if !announcement.Founded || len(announcement.Members) == 0 {
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -11,28 +11,28 @@
 )
 
 const (
-	// notLeaderRetryAfter is when a client may come back to a server that has no
-	// leader to pass its request to.
+	// notLeaderRetryAfter is when a client may retry at a server that knows no leader to
+	// forward its request to.
 	notLeaderRetryAfter clock.Millis = 200
-	// minForwardTimeout is how long the response to a forwarded request is awaited at
-	// least.
+	// minForwardTimeout is the minimum time to wait for the response to a forwarded
+	// request.
 	minForwardTimeout clock.Millis = 500
 )
 
-// forwardedRequest is a request that was passed on to the leader. peer and id are
-// the sender's own; to is whom it was passed to, and the only one whose response
-// counts.
+// forwardedRequest is a request that was forwarded to the leader. peer and id identify it
+// for its sender; to is the server that it was forwarded to, and only a response from
+// that server is accepted.
 type forwardedRequest struct {
 	peer    wire.Peer
 	id      uint64
 	to      wire.Peer
 	expires clock.Monotonic
-	// withdrawable says that it is an order without a number.
+	// withdrawable marks an order without a sequence number.
 	withdrawable bool
 }
 
-// forward passes a request on to the leader. It goes over one server at most, and
-// is refused where no leader is known or the leader is out of reach.
+// forward forwards a request to the leader. A request is forwarded at most once, and is
+// refused if no leader is known or the leader is unreachable.
 func (s *Server) forward(from wire.Peer, r *wire.Request) {
 	leader, known := s.currentLeader()
 	toOther := known && leader.ID != s.config.ID && leader.Addr != ""
@@ -57,8 +57,8 @@
 	s.send(to, wire.Message{Request: &onward})
 }
 
-// replyNotLeader answers a request that was not taken, as this server neither leads nor
-// can pass it on.
+// replyNotLeader rejects a request that this server can neither serve nor forward. The
+// request had no effect.
 func (s *Server) replyNotLeader(to wire.Peer, id uint64) {
 	s.send(to, wire.Message{Response: &wire.Response{
 		ID:         id,
@@ -68,16 +68,16 @@
 	}})
 }
 
-// takeRequestID is the number of the next request of this server's own. Numbers
-// begin at random with every start, so that no response to a request of an earlier
-// incarnation is taken for one of this.
+// takeRequestID returns the id of this server's next request. Ids start at a random
+// number after each restart, so that a response to a request of an earlier incarnation
+// does not match a current one.
 func (s *Server) takeRequestID() uint64 {
 	s.lastRequestID++
 	return s.lastRequestID
 }
 
-// forwardResponse hands the response to a forwarded request back to its sender. A
-// response from any other server than the one that was asked answers something else.
+// forwardResponse returns the response to a forwarded request to its sender. It ignores a
+// response that does not come from the server that the request was forwarded to.
 func (s *Server) forwardResponse(from wire.Peer, r *wire.Response) {
 	request, ok := s.forwarded[r.ID]
 	if !ok || request.to != from {
@@ -90,8 +90,8 @@
 	s.send(request.peer, wire.Message{Response: &back})
 }
 
-// failForwardedExcept answers the requests that were passed to any other server than
-// this leader: what became of them is not known here, and waiting tells no more.
+// failForwardedExcept fails the requests that were forwarded to any server other than
+// this leader: their outcome is unknown here, and waiting longer would not reveal it.
 func (s *Server) failForwardedExcept(leader wire.Peer) {
 	for _, id := range s.forwardedIDs() {
 		request := s.forwarded[id]
@@ -103,11 +103,11 @@
 	}
 }
 
-// forwardedIDs lists the forwarded requests in the order in which they were passed on.
+// forwardedIDs lists the forwarded requests in the order in which they were forwarded.
 func (s *Server) forwardedIDs() []uint64 { return slices.Sorted(maps.Keys(s.forwarded)) }
 
-// forgetExpired drops forwarded requests whose senders have given up, and gateways
-// that are gone.
+// forgetExpired removes forwarded requests whose senders have timed out, and gateways
+// that are no longer live.
 func (s *Server) forgetExpired() {
 	s.gateways.forgetExpired(s.now)
 	for id, request := range s.forwarded {
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -7,39 +7,42 @@
 	"orchidward/internal/state"
 )
 
-// timeEntryInterval is how often a leader commits the cluster time although there is
-// nothing else to commit.
+// timeEntryInterval is how often a leader commits the cluster time when there is nothing
+// else to commit.
 const timeEntryInterval clock.Millis = 10000
 
-// leaderState is what only a leader has: when each runner was last heard, its open
-// poll, and what is under way. None of it is replicated; a new leader starts all timers
-// anew, which can only make it wait longer than it must.
+// leaderState is the state that a server keeps only while it leads: when it last heard
+// from each runner, the runner's open poll, and the operations in progress. None of it is
+// replicated; a new leader restarts all timers, which can only make it wait longer than
+// needed.
 //
-// A field that ends in Proposal is the index of the last entry proposed for a purpose:
-// while it is above the applied index, no further one is proposed.
+// A field whose name ends in Proposal is the index of the last entry proposed for a
+// purpose: while it is above the applied index, no further entry is proposed for that
+// purpose.
 type leaderState struct {
 	clock clusterClock
-	// since is when this leadership began.
+	// since is when this server began to lead.
 	since clock.Monotonic
 
 	runners map[identifier.Runner]*runnerContact
-	// changedRunners are those whose open polls are to be looked at.
+	// changedRunners are the runners whose open polls may have something new to report.
 	changedRunners map[identifier.Runner]bool
-	// openPolls are the open polls in the order in which they came.
+	// openPolls lists the open polls in order of arrival.
 	openPolls []openPoll
-	// lossProposal is kept for each runner that is being counted lost.
+	// lossProposal holds, for each runner that is being declared lost, the index of the
+	// entry.
 	lossProposal map[identifier.Runner]identifier.Index
 
 	leases leaseConfirmations
 	drains drainProgress
 	cycle  schedulingCycle
-	// durations predicts how long tasks run; commonRate is what the rates of the runners
-	// have in common, as a logarithm.
+	// durations predicts how long tasks run; commonRate is the factor that the rates of
+	// all runners have in common, as a logarithm.
 	durations *prediction.Durations
-	// successStreaks counts the successes of each runner since its last defect.
+	// successStreaks counts each runner's successes since its last defect.
 	successStreaks map[identifier.Runner]int
 	commonRate     float64
-	// jobTimes is where the time of jobs went.
+	// jobTimes records how the time of ended jobs was spent.
 	jobTimes jobTimes
 
 	gangProposal    identifier.Index
@@ -48,20 +51,22 @@
 	lastHealthCheck clock.Monotonic
 	lastChecksum    clock.Monotonic
 	lastTimeEntry   clock.Monotonic
-	// maxVotersLiveAt is when maxVoters members were last alive.
+	// maxVotersLiveAt is when at least maxVoters members were last live.
 	maxVotersLiveAt clock.Monotonic
-	// transfers are the transfers of snapshots under way, as the log reported them.
+	// transfers are the snapshot transfers in progress, as last logged.
 	transfers map[identifier.Node]observedTransfer
-	// requests counts what this leader was asked since the log last said so.
+	// requests counts the requests that this leader received since it last logged the
+	// counts.
 	requests requestCounts
-	// quotas are the tenants at their quota, as the log reported them.
+	// quotas are the tenants at their quota, as last logged.
 	quotas quotaLog
-	// seedsAnnouncedAt is when the seeds that are no members were last told of the group.
+	// seedsAnnouncedAt is when the group was last announced to the seeds that are not
+	// members.
 	seedsAnnouncedAt clock.Monotonic
 }
 
-// becomeLeader begins a leadership. Every open lease and every runner counts as heard
-// at this moment.
+// becomeLeader initializes the leader state. Every open lease starts its confirmation
+// timeout now, and every runner counts as heard now.
 func (s *Server) becomeLeader() {
 	s.leader = &leaderState{
 		clock:           newClusterClock(s.carriedClusterTime(), s.now),
@@ -89,12 +94,12 @@
 	s.waitReasons = map[identifier.JobKey]map[int]string{}
 }
 
-// isActiveLeader reports whether this server may act as the leader at this moment.
+// isActiveLeader reports whether this server may act as the leader now.
 func (s *Server) isActiveLeader() bool {
 	return s.stopping == nil && s.leader != nil && s.raft.HasLease(s.now)
 }
 
-// actAsLeader is what the leader does after each input.
+// actAsLeader performs the leader's work that follows each input.
 func (s *Server) actAsLeader() {
 	if !s.isActiveLeader() {
 		return
@@ -105,7 +110,7 @@
 	s.answerPolls()
 }
 
-// runPeriodicTasks is what the leader does with the clock alone.
+// runPeriodicTasks performs the leader's work that depends on time alone.
 func (s *Server) runPeriodicTasks() {
 	if !s.isActiveLeader() {
 		return
@@ -136,8 +141,8 @@
 	}
 }
 
-// commitClusterTime commits the time by an empty command when an appointed start has
-// come, and now and then anyway.
+// commitClusterTime commits the cluster time with an empty command when a scheduled start
+// is due, and every timeEntryInterval.
 func (s *Server) commitClusterTime() {
 	l := s.leader
 	at, scheduled := s.state.NextScheduledStart()
--- a/internal/controlplane/leases.go
+++ b/internal/controlplane/leases.go
@@ -9,15 +9,15 @@
 	"orchidward/internal/state"
 )
 
-// sweepInterval is how often confirmations of closed leases are forgotten.
+// sweepInterval is how often the confirmations of closed leases are removed.
 const sweepInterval clock.Millis = 1000
 
-// leaseConfirmations is what a leader knows of the starts of open leases.
+// leaseConfirmations tracks which open leases have a confirmed start.
 type leaseConfirmations struct {
-	// unconfirmedSince is when each lease without a confirmed start was opened, by
-	// this leader's clock.
+	// unconfirmedSince is when each lease without a confirmed start was opened, by this
+	// leader's clock.
 	unconfirmedSince map[identifier.LeaseID]clock.Monotonic
-	// confirmed are the leases whose runner has said that the attempt runs or ended.
+	// confirmed are the leases whose runner has reported the attempt as running or ended.
 	confirmed map[identifier.LeaseID]bool
 	lastSweep clock.Monotonic
 }
@@ -33,7 +33,8 @@
 	c.unconfirmedSince[id] = now
 }
 
-// revokeUnconfirmedStarts revokes leases whose start nobody confirmed in time.
+// revokeUnconfirmedStarts revokes leases whose start was not confirmed within the
+// timeout.
 func (s *Server) revokeUnconfirmedStarts() {
 	confirmations := &s.leader.leases
 	limit := s.state.Limits.SiteMillis(limits.SiteConfirmTimeout)
@@ -58,8 +59,8 @@
 	}
 }
 
-// forgetClosedLeases drops the confirmations of leases that are no more, now and then:
-// nobody asks for those, and their ids never come again.
+// forgetClosedLeases periodically removes the confirmations of closed leases. They are no
+// longer needed, as lease ids are never reused.
 func (s *Server) forgetClosedLeases() {
 	confirmations := &s.leader.leases
 	if s.now.Since(confirmations.lastSweep) < sweepInterval {
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// minVoterSilence is how long a voter is silent at least before a learner that has
-	// caught up takes its place, silentElections the same in election timeouts. Losses may
-	// follow one another within few seconds.
+	// minVoterSilence is the least time, and silentElections the least number of election
+	// timeouts, that a voter must be silent before a caught-up learner replaces it. Both
+	// are short because losses may follow one another within a few seconds.
 	minVoterSilence clock.Millis = 1000
 	silentElections clock.Millis = 2
-	// memberDeadAfter is how long a member is silent before it counts as dead for good.
+	// memberDeadAfter is how long a member is silent before it is considered permanently
+	// dead.
 	memberDeadAfter clock.Millis = 10000
 	// maxLearners bounds the members without a vote.
 	maxLearners = 4
-	// A group has minVoters voters, and maxVoters where so many members live.
+	// A group has minVoters voters, or maxVoters if that many members are live.
 	minVoters = 3
 	maxVoters = 5
-	// caughtUpGap is how many entries a learner may lack when it becomes a voter.
+	// caughtUpGap is how many entries a learner may lag behind when it becomes a voter.
 	caughtUpGap = 64
 )
 
-// voterSilentLimit is how long a voter is silent before a learner that has caught up takes
-// its place. Most of the time until the group tolerates its next loss is this silence. A
-// voter that comes back later finds its seat taken, and is a learner.
+// voterSilentLimit is how long a voter is silent before a caught-up learner replaces it.
+// This wait accounts for most of the time until the group can tolerate its next loss. A
+// voter that returns later finds itself replaced and becomes a learner.
 func (s *Server) voterSilentLimit() clock.Millis {
 	return max(minVoterSilence, silentElections*s.config.Timing.ElectionTimeout)
 }
 
-// changeMembership changes the group by one member when there is reason to. A learner
-// that has caught up takes the place of a voter that is gone: first it becomes a
-// voter, then the dead one leaves, each by its own entry. A member whose address
-// another identity has taken lost its disk and never comes back, so that nothing is
-// waited for; one that is merely silent is given a little time, and can ask to join
-// again when it returns.
+// changeMembership changes the group by at most one member. A caught-up learner replaces
+// a dead voter in two steps, each with its own entry: the learner becomes a voter, then
+// the dead voter is removed. A member whose address has been taken over by another
+// identity has lost its disk and never returns, so it is replaced without delay; one that
+// is merely silent gets a grace period, and can ask to join again when it returns.
 func (s *Server) changeMembership(statuses []raft.MemberStatus) {
 	members := s.memberStates(statuses)
 	established := s.now.Since(s.leader.since) > s.voterSilentLimit()
@@ -49,8 +49,8 @@
 	}
 }
 
-// logMembershipChange logs why the group is changed: how many voters are wanted, and which
-// members are alive.
+// logMembershipChange logs the inputs of a membership change: how many voters are wanted,
+// and which members are live.
 func (s *Server) logMembershipChange(members []memberState, next []raft.Member, wanted int) {
 	var live []string
 	var silent []string
@@ -75,9 +75,10 @@
 	return voters
 }
 
-// wantedVoters is how many voters there should be. Five become three only when fewer
-// than five have been alive for long, and never where three could not bear the losses that
-// are tolerated; on the way up or down, with four, there is no reason to linger.
+// wantedVoters returns the desired number of voters. A group of five shrinks to three
+// only after fewer than five members have been live for memberDeadAfter, and never if
+// three could not tolerate the configured losses. With four voters the group is already
+// growing or shrinking and there is no reason to wait.
 func (s *Server) wantedVoters(members []memberState) int {
 	live := 0
 	voters := 0
@@ -102,14 +103,14 @@
 	return minVoters
 }
 
-// votersToBearLosses is how many voters it takes for what a majority has on disk, and for a
-// majority itself, to outlast the loss of as many disks as are tolerated.
+// votersToBearLosses returns how many voters are needed so that both committed data and a
+// majority survive the loss of the configured number of disks.
 func (s *Server) votersToBearLosses() int {
 	return 2*min(s.config.LossesTolerated, maxVoters/2) + 1
 }
 
-// memberStates is the group as this leader sees it. Whoever it has not heard in its
-// own term is neither live nor caught up.
+// memberStates returns the group as this leader sees it. A member that has not been heard
+// in this leader's term is neither live nor caught up.
 func (s *Server) memberStates(statuses []raft.MemberStatus) []memberState {
 	members := s.raft.Members()
 	byID := map[identifier.Node]raft.MemberStatus{}
@@ -128,12 +129,13 @@
 	return list
 }
 
-// memberState judges another member by what the leader has heard of it. gone says that
-// its process and its disk are no more.
+// memberState assesses another member by what the leader has heard from it. gone means
+// that the member's process and disk no longer exist.
 func (s *Server) memberState(member raft.Member, status raft.MemberStatus, gone bool) memberState {
 	silentFor := status.SilentFor
 	if gone {
-		// Longer than any member that may still return, so that it is replaced first.
+		// Longer than for any member that may still return, so that this one is replaced
+		// first.
 		silentFor = max(silentFor, memberDeadAfter) * 2
 	}
 	limit := s.voterSilentLimit()
@@ -149,8 +151,8 @@
 	}
 }
 
-// addressTaken reports whether a later member has this one's address: its process and
-// its disk are gone.
+// addressTaken reports whether a member later in the list has the same address, which
+// means that this member's process and disk are gone.
 func addressTaken(members []raft.Member, member raft.Member) bool {
 	taken := false
 	passed := false
@@ -161,13 +163,13 @@
 	return taken
 }
 
-// joinResponse is the answer to a request to join.
+// joinResponse is the response to a join request.
 type joinResponse struct {
 	Asked bool `json:"asked"`
 }
 
-// handleJoin takes a server with an empty disk in as a learner, or notes a member's
-// new address. Asking again does no harm.
+// handleJoin adds a server with an empty disk as a learner, or updates a member's
+// address. It is idempotent.
 func (s *Server) handleJoin(r *apiRequest) {
 	var body joinRequest
 	if err := json.Unmarshal(r.Body, &body); err != nil {
@@ -193,9 +195,9 @@
 	s.replyJSON(r.peer, r.ID, http.StatusAccepted, joinResponse{Asked: true})
 }
 
-// membersWith is a member list with a joining member: a known one has its address
-// changed, another one is added as a learner. It is not ok when there are enough
-// learners.
+// membersWith returns the member list after a join: a known member has its address
+// updated, a new one is added as a learner. ok is false if the group already has
+// maxLearners learners.
 func membersWith(members []raft.Member, joining raft.Member) (next []raft.Member, ok bool) {
 	known := false
 	learners := 0
--- a/internal/controlplane/membership_plan.go
+++ b/internal/controlplane/membership_plan.go
@@ -12,35 +12,35 @@
 	// self marks the leader itself.
 	self bool
 	live bool
-	// replaceable is a voter whose place may be taken.
+	// replaceable marks a voter that may be replaced.
 	replaceable bool
-	// caughtUp is a live learner that has nearly all of the log.
+	// caughtUp marks a live learner that has nearly all of the log.
 	caughtUp bool
-	// abandoned is a learner that has been silent for long.
+	// abandoned marks a learner that has been silent for longer than memberDeadAfter.
 	abandoned bool
 	silentFor clock.Millis
 }
 
-// membershipPlan is the group while its next change is chosen. The choice depends on
-// neither time nor log, only on what the leader has found out of each member.
+// membershipPlan collects what is needed to choose the next membership change. The choice
+// depends on neither the time nor the log, only on the state of each member.
 type membershipPlan struct {
 	members       []memberState
 	voters        int
 	readyLearners int
 	allVotersLive bool
-	// votersByDomain counts a zone's voters, those that may be replaced left out.
+	// votersByDomain counts each zone's voters, excluding replaceable ones.
 	votersByDomain map[identifier.Domain]int
-	// The first choice of each kind, nil where there is none.
+	// The best candidate of each kind, nil if there is none.
 	deadVoter    *memberState
 	readyLearner *memberState
 	surplusVoter *memberState
 	idleLearner  *memberState
 }
 
-// nextMembers is the member list that should be next, one member different from this
-// one. It is nil when all is as it should be, or when after the change the live voters
-// would be no majority. established says that the leader has had the time to hear whoever
-// lives: only then is a live voter demoted.
+// nextMembers returns the next member list, which differs from the current one in one
+// member. It returns nil if no change is needed, or if the live voters would not be a
+// majority after the change. established means that the leader has led for long enough to
+// have heard from every live member; a live voter is demoted only then.
 func nextMembers(members []memberState, want int, established bool) []raft.Member {
 	var next []raft.Member
 	plan := newMembershipPlan(members)
@@ -78,9 +78,9 @@
 	return plan
 }
 
-// rank keeps the first choice of each kind: the voter silent for longest, the caught-up
-// learner whose zone has the fewest voters, and the voter, not the leader itself, whose
-// zone has the most.
+// rank keeps the best candidate of each kind: the voter that has been silent for longest,
+// the caught-up learner whose zone has the fewest voters, and the voter other than the
+// leader whose zone has the most.
 func (p *membershipPlan) rank(member *memberState) {
 	switch {
 	case member.replaceable:
@@ -101,9 +101,9 @@
 	}
 }
 
-// needsVoter reports whether a learner is wanted as a voter: to take a dead one's place,
-// or to grow. Four voters bear no more losses than three and lose more with a zone, so
-// growth waits until two can follow one another at once.
+// needsVoter reports whether a learner should become a voter, to replace a dead voter or
+// to grow the group. Four voters tolerate no more losses than three and lose more when a
+// zone fails, so the group grows only when two learners can be promoted in succession.
 func (p *membershipPlan) needsVoter(want int) bool {
 	switch {
 	case p.voters < minVoters, p.deadVoter != nil && p.voters <= want:
@@ -114,8 +114,9 @@
 	return false
 }
 
-// unbalanced reports whether a zone has two voters more than that of a learner that has
-// caught up: the learner becomes a voter, and then one of that zone a learner.
+// unbalanced reports whether some zone has at least two voters more than the zone of a
+// caught-up learner. The learner is then promoted, and afterwards a voter of that zone is
+// demoted.
 func (p *membershipPlan) unbalanced(want int) bool {
 	if p.voters != want || !p.allVotersLive || p.surplusVoter == nil {
 		return false
@@ -123,7 +124,7 @@
 	return p.votersByDomain[p.surplusVoter.Domain] > p.votersByDomain[p.readyLearner.Domain]+1
 }
 
-// keepsQuorum reports whether the live are a majority of the voters of a list.
+// keepsQuorum reports whether the live members are a majority of the voters in a list.
 func (p *membershipPlan) keepsQuorum(next []raft.Member) bool {
 	live := map[identifier.Node]bool{}
 	for _, current := range p.members {
--- a/internal/controlplane/proposals.go
+++ b/internal/controlplane/proposals.go
@@ -13,20 +13,19 @@
 const (
 	// maxProposals bounds the requests that wait for their entry to be applied.
 	maxProposals = 4096
-	// maxProposalBytes bounds the bodies of these requests. They can fill neither
-	// the memory nor the log on disk, which no snapshot frees before they are
-	// committed.
+	// maxProposalBytes bounds the total size of these requests' bodies, so that they
+	// cannot exhaust memory or fill the write-ahead log: a snapshot frees no log space
+	// before the entries are committed.
 	maxProposalBytes = 8 << 20
-	// maxConfigChanges bounds the changes of the limits table and the catalogue
-	// among them.
+	// maxConfigChanges bounds the pending changes of the limits table and the catalogue.
 	maxConfigChanges = 64
 )
 
-// leaderChangedRetryAfter is when a client may come back whose request was with a
-// leader that another replaced.
+// leaderChangedRetryAfter is when a client may retry a request whose leader was replaced
+// before it answered.
 const leaderChangedRetryAfter clock.Millis = 200
 
-// proposal is a request whose command was proposed and is not applied yet.
+// proposal is a request whose command has been proposed but not applied yet.
 type proposal struct {
 	peer         wire.Peer
 	id           uint64
@@ -35,15 +34,15 @@
 	size         int
 }
 
-// proposalTable holds the proposals of this server by their index in the log. It is
-// bounded by number and by the bytes of the requests' bodies.
+// proposalTable holds this server's pending proposals by log index. It is bounded by
+// their number and by the total size of the requests' bodies.
 type proposalTable struct {
 	byIndex       map[identifier.Index]proposal
 	configChanges int
 	bytes         int
 }
 
-// full reports whether a request with a body of so many bytes must be refused.
+// full reports whether a request with a body of the given size must be refused.
 func (t *proposalTable) full(size int) bool {
 	return len(t.byIndex) >= maxProposals || t.bytes+size > maxProposalBytes
 }
@@ -56,7 +55,7 @@
 	}
 }
 
-// take removes the proposal at an index.
+// take removes and returns the proposal at an index.
 func (t *proposalTable) take(index identifier.Index) (p proposal, ok bool) {
 	p, ok = t.byIndex[index]
 	if !ok {
@@ -70,7 +69,7 @@
 	return p, true
 }
 
-// indexes lists the proposals in the order in which they were made.
+// indexes lists the indexes of the proposals in the order in which they were proposed.
 func (t *proposalTable) indexes() []identifier.Index {
 	return slices.Sorted(maps.Keys(t.byIndex))
 }
@@ -85,7 +84,7 @@
 	return index
 }
 
-// proposeFor proposes a command on behalf of a request, which is answered once the
+// proposeFor proposes a command on behalf of a request. The request is answered once the
 // command is applied.
 func (s *Server) proposeFor(r *apiRequest, command *state.Command) {
 	if s.proposals.full(len(r.Body)) {
@@ -102,8 +101,8 @@
 	})
 }
 
-// replyOutcomeUnknown answers a request that was proposed by a leader which has lost
-// its leadership: the entry may be committed or not.
+// replyOutcomeUnknown answers a request whose entry was proposed by a leader that has
+// since lost leadership: the entry may or may not be committed.
 func (s *Server) replyOutcomeUnknown(p proposal) {
 	s.replyError(p.peer, p.id, errLeaderChanged)
 }
