--- a/internal/controlplane/agent_answers.go
+++ b/internal/controlplane/agent_answers.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/clock"
 )
 
-// observedThrough is the number up to which every end is committed, or is one that
-// nobody waits for.
+// observedThrough returns the highest sequence number such that every end up to it is
+// committed or no longer expected.
 func (s *Server) observedThrough(name identifier.Runner, contact *runnerContact) uint64 {
 	observed := contact.agent.sentObservedThrough
 	for _, end := range contact.agent.ends {
@@ -21,8 +21,8 @@
 	return observed
 }
 
-// answerAgentPoll answers an agent's open poll if there is something to tell that it was
-// not told, or the poll has been open for long enough.
+// answerAgentPoll answers an agent's open poll if there is something to send that was not
+// sent before, or the poll has timed out.
 func (s *Server) answerAgentPoll(name identifier.Runner, contact *runnerContact, response *runnerapi.PollResponse, timeout clock.Millis) {
 	agent := contact.agent
 	response.StopRuns = s.runsToStop(agent, response.Stops)
@@ -52,8 +52,7 @@
 	s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, response)
 }
 
-// runsToStop names the attempts of the given leases, and those that the state does not
-// know.
+// runsToStop lists the attempts of the given leases, and those unknown to the state.
 func (s *Server) runsToStop(agent *agentRunner, leases []identifier.LeaseID) []runnerapi.RunStop {
 	var list []runnerapi.RunStop
 	for _, id := range leases {
@@ -68,7 +67,7 @@
 	return append(list, agent.unknownRuns...)
 }
 
-// fillAgentStart adds what an agent's start order bears from its job.
+// fillAgentStart adds the fields of an agent's start order that come from its job.
 func (s *Server) fillAgentStart(start *runnerapi.Start) {
 	if j := s.state.Jobs[start.Task.Job]; j != nil {
 		start.Payload = j.Spec.Payload
--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -13,50 +13,50 @@
 	"orchidward/internal/state"
 )
 
-// agentRunner is what the leader keeps of a runner that an agent speaks for. Agents stand
-// between the leader and runners that speak another protocol. They name an attempt by its
-// task and its number; these names are turned into leases and back in this file, and from
-// then on an agent's runner is like any other.
+// agentRunner is what the leader keeps about a runner that an agent reports for. Agents
+// translate between the leader and runners that speak another protocol. They identify an
+// attempt by its task and attempt number; this file maps these names to leases and back,
+// and the rest of the package treats an agent's runner like any other.
 type agentRunner struct {
-	// runs is what the last poll said of attempts that the state knows, inOrder the
-	// same in the poll's order.
+	// runs holds the attempts from the last poll that the state knows, inOrder the same
+	// attempts in the poll's order.
 	runs    map[identifier.LeaseID]*agentRun
 	inOrder []*agentRun
-	// ends are the ends of the last poll, by their numbers.
+	// ends are the ends from the last poll, by sequence number.
 	ends []reportedEnd
-	// unknownRuns are attempts of the last poll that the state does not know; they are
-	// to stop.
+	// unknownRuns are the attempts from the last poll that the state does not know and
+	// that must stop.
 	unknownRuns []runnerapi.RunStop
-	// sentStops and sentObservedThrough are what the last answer said.
+	// sentStops and sentObservedThrough are what the last response contained.
 	sentStops           map[runnerapi.RunStop]bool
 	sentObservedThrough uint64
-	// workRate is how fast work goes here, in thousandths of the nominal rate, and
-	// workRateAt when it was last known. rateEvidence is what the runs of the last poll
-	// say of it. quarantinedUntil is until when nothing is
-	// placed here.
+	// workRate is how fast work progresses on this runner, in thousandths of the nominal
+	// rate, and workRateAt when it was last measured. rateEvidence is the evidence from
+	// the runs of the last poll. Nothing is placed on this runner before
+	// quarantinedUntil.
 	workRate         int64
 	workRateAt       clock.Monotonic
 	rateEvidence     prediction.Evidence
 	quarantinedUntil clock.Monotonic
-	// noStallBefore is until when no attempt of the last poll can have stalled for too
-	// long.
+	// noStallBefore is the time before which no attempt from the last poll can exceed its
+	// stall limit.
 	noStallBefore clock.Monotonic
-	// previousCheckpoints is the last progress of what ran on the earlier incarnation
-	// of the runner.
+	// previousCheckpoints are the last checkpoints of attempts on the runner's previous
+	// incarnation.
 	previousCheckpoints []state.Checkpoint
 }
 
-// agentRun is an attempt as agents name it, with the last progress reported.
+// agentRun is an attempt as agents identify it, with its last reported progress.
 type agentRun struct {
 	lease      identifier.LeaseID
 	name       runnerapi.RunStop
 	checkpoint string
 	progress   *runProgress
-	// seq is the number of the last poll that reported the attempt.
+	// seq is the sequence number of the last poll that reported the attempt.
 	seq uint64
 }
 
-// reportedEnd is an end that a runner reports. lease is 0 for one that nobody waits for.
+// reportedEnd is an end that a runner reports. lease is 0 if no lease waits for it.
 type reportedEnd struct {
 	seq   uint64
 	lease identifier.LeaseID
@@ -72,7 +72,8 @@
 	}
 }
 
-// carryOverAgent is what is kept when a new incarnation of a runner reports.
+// carryOverAgent returns what is kept of an agent's runner when a new incarnation of it
+// reports.
 func (s *Server) carryOverAgent(contact *runnerContact) *agentRunner {
 	if contact.agent == nil {
 		return nil
@@ -80,7 +81,7 @@
 	return newAgentRunner(s.checkpoints(contact))
 }
 
-// checkpoints lists the progress last reported of what still counts as running.
+// checkpoints lists the last reported checkpoints of the attempts with an open lease.
 func (s *Server) checkpoints(contact *runnerContact) []state.Checkpoint {
 	if contact.agent == nil {
 		return nil
@@ -96,8 +97,8 @@
 	return list
 }
 
-// recordAgentPoll translates an agent's poll: attempts that run and that ended are added
-// to p under their leases.
+// recordAgentPoll translates an agent's poll: it adds running and ended attempts to the
+// poll under their leases.
 func (s *Server) recordAgentPoll(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) {
 	if contact.agent == nil {
 		contact.agent = newAgentRunner(nil)
@@ -147,7 +148,8 @@
 	}
 }
 
-// resolveAgentRun finds an attempt by its name, or nil where the state knows of none.
+// resolveAgentRun returns the attempt with the given name, or nil if the state does not
+// know it.
 func (s *Server) resolveAgentRun(
 	name identifier.Runner, incarnation identifier.Incarnation, agent *agentRunner, runName runnerapi.RunStop,
 ) *agentRun {
@@ -177,12 +179,12 @@
 	slices.SortStableFunc(agent.ends, func(x, y reportedEnd) int { return cmp.Compare(x.seq, y.seq) })
 }
 
-// lookahead is how far to look for an attempt among those of the poll before.
+// lookahead is how many attempts of the previous poll to search for a match.
 const lookahead = 8
 
-// matchPreviousRun finds an attempt among those of the poll before, which mostly come in
-// the same order, at or after next; following is where to look for the one after it. The
-// match is valid while its lease is open: a task has one open lease at most.
+// matchPreviousRun looks for an attempt in the previous poll, at or after next; attempts
+// are mostly reported in the same order. following is where to look for the next attempt.
+// A match is valid while its lease is open, because a task has at most one open lease.
 func (s *Server) matchPreviousRun(
 	name identifier.Runner, incarnation identifier.Incarnation,
 	previous []*agentRun, next int, runName runnerapi.RunStop,
@@ -200,8 +202,8 @@
 	return nil, next
 }
 
-// runnerPresent reports whether the runner itself is there to be reported on. One that has
-// left in order, or is presumed dead by its agent, is counted lost at once.
+// runnerPresent reports whether the runner itself is in contact with its agent. A runner
+// that has shut down in order, or that its agent presumes dead, is declared lost at once.
 func (s *Server) runnerPresent(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) bool {
 	if contact.agent == nil {
 		return true
--- a/internal/controlplane/announcements.go
+++ b/internal/controlplane/announcements.go
@@ -7,11 +7,12 @@
 	"orchidward/internal/transport/wire"
 )
 
-// seedAnnounceInterval is how often a leader announces the group to the seeds that
-// are no members.
+// seedAnnounceInterval is how often a leader announces the group to the seeds that are
+// not members.
 const seedAnnounceInterval clock.Millis = 1000
 
-// announcement is what this server tells other processes of itself and the group.
+// announcement returns this server's description of itself and the group, for other
+// processes.
 func (s *Server) announcement(wantReply bool) *wire.Announcement {
 	announcement := &wire.Announcement{
 		WantReply: wantReply,
@@ -36,7 +37,7 @@
 	return announcement
 }
 
-// handleAnnouncement takes what another process tells of itself and the group.
+// handleAnnouncement handles another process's description of itself and the group.
 func (s *Server) handleAnnouncement(from wire.Peer, announcement *wire.Announcement) {
 	if announcement.Role == wire.RoleGateway {
 		s.gateways.clientAddrSeen(announcement.HTTP, s.now)
@@ -62,8 +63,8 @@
 	}
 }
 
-// announceLeadership tells gateways and agents that this server leads, so that none
-// of them waits for the leader before it.
+// announceLeadership announces to gateways and agents that this server leads, so that
+// none of them keeps waiting for the previous leader.
 func (s *Server) announceLeadership() {
 	list := s.gateways.livePeerAddrs(s.now)
 	for _, name := range s.state.RunnerNames() {
@@ -79,8 +80,9 @@
 	}
 }
 
-// announceToSeeds tells seeds that are no members where the group is: servers without
-// a disk, which forget it, and machines that have come back empty.
+// announceToSeeds announces the group to the seeds that are not members: servers without
+// a disk, which lose this information on a restart, and machines that returned with an
+// empty disk.
 func (s *Server) announceToSeeds() {
 	if s.now.Since(s.leader.seedsAnnouncedAt) < seedAnnounceInterval {
 		return
--- a/internal/controlplane/authentication.go
+++ b/internal/controlplane/authentication.go
@@ -8,17 +8,17 @@
 	"orchidward/internal/api/identifier"
 )
 
-// caller is who makes a request: a tenant, by the digest of its API key. Requests without a
-// key are those of operators, or were let through by a gateway because the queue asks for
-// none.
+// caller identifies the tenant that makes a request by the digest of its API key.
+// Requests without a key come from operators, or were admitted by a gateway because the
+// queue requires no key.
 type caller struct {
 	tenant string
 	digest catalog.KeyDigest
 }
 
-// authenticate finds the tenant whose API key came with a request, by the catalogue in force
-// here: the gateway that took the request may have an older one. It is not ok when the key
-// belongs to nobody.
+// authenticate finds the tenant that owns the API key of a request, according to the
+// catalogue in force here: the gateway that admitted the request may have an older one.
+// ok is false if no tenant owns the key.
 func (s *Server) authenticate(r *apiRequest) (by caller, ok bool) {
 	query, err := url.ParseQuery(r.Query)
 	if err != nil {
@@ -33,8 +33,9 @@
 	return by, ok
 }
 
-// mayAccess reports whether a caller may see and cancel a job: an operator, the job's tenant,
-// who bears the key that the job was handed in with, or any tenant where the job's is no more.
+// mayAccess reports whether a caller may read and cancel a job. Operators, the job's
+// tenant and the bearer of the key that the job was submitted with may; any tenant may if
+// the job's tenant no longer exists.
 func (s *Server) mayAccess(by caller, key identifier.JobKey) bool {
 	j := s.state.Jobs[key]
 	if by.digest == "" || j == nil || j.Spec.Tenant == by.tenant || j.Spec.KeyDigest == string(by.digest) {
@@ -43,8 +44,8 @@
 	return s.state.Catalog.Tenant(j.Spec.Tenant) == nil
 }
 
-// serveTenant serves the requests that tenants make of their jobs and queues. It reports
-// whether the request is none of these.
+// serveTenant serves the requests that tenants make about their jobs and queues. It
+// returns true, without answering, for any other request.
 func (s *Server) serveTenant(r *apiRequest) (other bool) {
 	switch r.endpoint.Kind {
 	case endpoint.SubmitJob, endpoint.CancelJob, endpoint.GetJob, endpoint.GetJobState, endpoint.GetQueue:
--- a/internal/controlplane/cluster_clock.go
+++ b/internal/controlplane/cluster_clock.go
@@ -9,40 +9,40 @@
 )
 
 const (
-	// slewFraction is the part of the time that passed, one in twenty, by which the
-	// cluster time moves towards what the wall clocks agree on.
+	// slewFraction limits slewing: the cluster time moves towards the agreed wall-clock
+	// time by at most one twentieth of the elapsed time.
 	slewFraction = 20
-	// minStep is the least difference, in milliseconds, for which a group that has
-	// just started steps its clock forward at once.
+	// minStep is the smallest difference, in milliseconds, by which a group that has just
+	// started steps its clock forward instead of slewing it.
 	minStep = 200
-	// agreementWindow is how far apart, in milliseconds, wall clocks may be that are
-	// said to agree.
+	// agreementWindow is how far apart, in milliseconds, wall clocks may be and still
+	// agree.
 	agreementWindow = 1000
-	// neverSet is a cluster time that was never set by anybody: no clock reads so
-	// little.
+	// neverSet is 2000-01-01 00:00 UTC. A cluster time below it has never been set, as no
+	// wall clock reads so little.
 	neverSet clock.ClusterTime = 946_684_800_000
-	// maxReadingAge is how old a member's reading of its wall clock may be.
+	// maxReadingAge is the maximum age of a member's wall-clock reading.
 	maxReadingAge clock.Millis = 2000
 )
 
-// clusterClock is the cluster time, against which appointed starts are held. It
-// starts from what was last committed, advances by the leader's monotonic clock and
-// never goes back. It slews, by at most one part in twenty, towards what a majority
-// of the servers' wall clocks agree on within a second; where no majority agrees it
-// only goes on. A group that has just started as a whole may step forward, once, to
+// clusterClock is the cluster time, which determines when scheduled starts are due. It
+// starts from the last committed time, advances by the leader's monotonic clock and never
+// goes back. It slews, by at most one part in twenty, towards the time that a majority of
+// the servers' wall clocks agree on within a second; without such a majority it runs on
+// unadjusted. When the whole group has just started, the clock may step forward once, to
 // the first such agreement.
 type clusterClock struct {
 	// base is the cluster time at readAt.
 	base   clock.ClusterTime
 	readAt clock.Monotonic
-	// unusedSlew is the time that passed and is too short yet to slew by.
+	// unusedSlew is the elapsed time that is still too short to slew by.
 	unusedSlew int64
-	// clocksAgree is whether the wall clocks last agreed, and agreedOnce whether they
-	// ever did under this leader; from then on the clock never steps.
+	// clocksAgree is whether the wall clocks agreed at the last check, and agreedOnce
+	// whether they have ever agreed under this leader; after that the clock never steps.
 	clocksAgree bool
 	agreedOnce  bool
-	// canAppoint is false while a step may still come: until then no new job may have
-	// an appointed start, which the step would bring forward.
+	// canAppoint is false while a step is still possible. Until then no new job may have
+	// a scheduled start, because the step would bring it forward.
 	canAppoint bool
 }
 
@@ -50,12 +50,12 @@
 	return clusterClock{base: base, readAt: now}
 }
 
-// timeAt is the cluster time at a moment.
+// timeAt returns the cluster time at a moment.
 func (c *clusterClock) timeAt(now clock.Monotonic) clock.ClusterTime {
 	return c.base.Add(now.Since(c.readAt))
 }
 
-// advance brings the clock to now and slews or steps it by the wall clocks.
+// advance moves the clock to now and slews or steps it according to the wall clocks.
 func (c *clusterClock) advance(now clock.Monotonic, clocks wallClocks) {
 	span := now.Since(c.readAt)
 	if span <= 0 {
@@ -79,7 +79,7 @@
 	c.slew(span, diff)
 }
 
-// slew moves the clock by diff, but no more than the allowed part of span.
+// slew moves the clock by diff, limited to one slewFraction-th of span.
 func (c *clusterClock) slew(span clock.Millis, diff int64) {
 	c.unusedSlew += int64(span)
 	most := c.unusedSlew / slewFraction
@@ -87,18 +87,18 @@
 	c.base += clock.ClusterTime(max(-most, min(most, diff)))
 }
 
-// wallClocks is the evidence: what the voters' wall clocks read at this moment.
+// wallClocks holds the readings of the voters' wall clocks at this moment.
 type wallClocks struct {
 	readings []clock.ClusterTime
-	// majority is how many of all voters are one.
+	// majority is the number of voters that form a majority.
 	majority int
-	// coldStart says that no voter in reach has known an earlier leader since it
-	// started, so that nobody has carried the cluster time on.
+	// coldStart means that no reachable voter has known an earlier leader since it
+	// started, so that no server carries the cluster time from before.
 	coldStart bool
 }
 
-// agree finds a majority of the readings that lie within a second, the closest such,
-// and returns the middle one of them.
+// agree finds a majority of the readings that lie within agreementWindow, the one with
+// the smallest spread, and returns its median.
 func (w wallClocks) agree() (at clock.ClusterTime, ok bool) {
 	slices.Sort(w.readings)
 	low := clock.ClusterTime(agreementWindow + 1)
@@ -113,8 +113,7 @@
 	return at, ok
 }
 
-// gatherWallClocks collects the voters' readings, each carried forward from when it
-// was taken.
+// gatherWallClocks collects the voters' readings, each advanced by its age.
 func (s *Server) gatherWallClocks() wallClocks {
 	clocks := wallClocks{coldStart: s.raft.FirstKnownTerm() == s.term}
 	voters := 0
@@ -139,25 +138,25 @@
 	return clocks
 }
 
-// carriedTime is the cluster time as this server carries it on by its own monotonic
-// clock from the last entry that moved it.
+// carriedTime is the cluster time that this server extrapolates, by its own monotonic
+// clock, from the last entry that advanced it.
 type carriedTime struct {
 	clock clusterClock
 	// term is the term of that entry.
 	term identifier.Term
-	// arrivals notes when entries came, for those not yet applied: an entry's time
-	// runs on from then, however late the entry is committed.
+	// arrivals records when entries that are not applied yet arrived: an entry's time
+	// advances from its arrival, however late it is committed.
 	arrivals []arrival
 }
 
-// arrival is when the log came to reach an index.
+// arrival records when the log first reached an index.
 type arrival struct {
 	index identifier.Index
 	at    clock.Monotonic
 }
 
-// recordArrivals notes how far the log reaches, and since when. Entries that came in
-// place of a truncated tail came now, not when the tail did.
+// recordArrivals records how far the log reaches, and since when. Entries that replaced a
+// truncated tail arrived now, not when the tail did.
 func (t *carriedTime) recordArrivals(r *raft.Raft, now clock.Monotonic) {
 	last := r.LastIndex()
 	truncatedFrom := r.TakeTruncatedFrom()
@@ -171,8 +170,8 @@
 	}
 }
 
-// takeArrival tells when an entry about to be applied came here, and forgets those
-// that came before it.
+// takeArrival returns when an entry that is about to be applied arrived, and removes the
+// records of earlier entries.
 func (t *carriedTime) takeArrival(index identifier.Index, now clock.Monotonic) clock.Monotonic {
 	n := 0
 	for n < len(t.arrivals) && t.arrivals[n].index < index {
@@ -185,8 +184,8 @@
 	return t.arrivals[0].at
 }
 
-// entryApplied carries the time on from an entry that was applied, unless it reads
-// less than what is carried already.
+// entryApplied restarts the extrapolation from an applied entry, unless the entry's time
+// is behind the time already reached in the same term.
 func (t *carriedTime) entryApplied(applied clock.ClusterTime, term identifier.Term, arrivedAt, now clock.Monotonic) {
 	if term != t.term || applied > t.clock.timeAt(now) {
 		t.clock = newClusterClock(applied, arrivedAt)
@@ -194,9 +193,10 @@
 	}
 }
 
-// carriedClusterTime is the furthest that any voter in reach has carried cluster time
-// from the last leader's term: a leader that was away itself must not set it back for
-// the others, and one that slept must not carry on from before that term.
+// carriedClusterTime returns the latest cluster time that any reachable voter has
+// extrapolated from the last leader's term. A new leader that was out of contact must not
+// set the time back for the others, and one that was suspended must not continue from
+// before that term.
 func (s *Server) carriedClusterTime() clock.ClusterTime {
 	at := max(s.state.Now, s.clusterTime.clock.timeAt(s.now))
 	for _, status := range s.raft.MemberStatuses() {
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -15,38 +15,38 @@
 )
 
 const (
-	// discoveryInterval is how often a server without a group asks its seeds.
+	// discoveryInterval is how often a server without a group queries its seeds.
 	discoveryInterval clock.Millis = 300
-	// announcementTTL is how long what a seed said of itself counts.
+	// announcementTTL is how long a seed's announcement remains valid.
 	announcementTTL clock.Millis = 1500
-	// quietBeforeFounding is how long a server listens for a group before it founds
-	// one without the seeds that have no disk.
+	// quietBeforeFounding is how long a server must have heard of no group before it
+	// founds one if some of the seeds have no disk.
 	quietBeforeFounding clock.Millis = 5000
-	// joinTimeout is how long the answer to a request to join is awaited.
+	// joinTimeout is how long the sender of a join request waits for the response.
 	joinTimeout clock.Millis = 1500
-	// searchInterval is how often a member without a leader asks for the group.
+	// searchInterval is how often a member without a leader searches for the group.
 	searchInterval = 4 * discoveryInterval
-	// rejoinAfter is how long a member has no leader before it searches for its group: longer
-	// than most elections take. Who was stopped and removed waits as long after its start.
+	// rejoinAfter is how long a member has no leader before it searches for its group:
+	// longer than most elections take. A server that was removed from the group while it
+	// was stopped also waits this long after its start.
 	rejoinAfter clock.Millis = 2500
 )
 
-// discovery is the search of a server whose disk is empty for its group. It asks its
-// seeds until it is told of a group that has it among the founders, or of one that it
-// may join as a learner, or until it finds all seeds as empty as itself and founds a
-// group with them.
+// discovery is how a server with an empty disk searches for its group. It queries its
+// seeds until it learns of a group that lists it as a founder or that it may join as a
+// learner, or until all seeds turn out to be empty and it founds a group with them.
 type discovery struct {
 	nextAttempt clock.Monotonic
 	// lastSeen is when each seed last answered.
 	lastSeen map[string]clock.Monotonic
-	// emptySeeds are the seeds with an empty disk, as members of a group to found,
-	// and diskless those without a disk; both by their own word.
+	// emptySeeds are the seeds that announced an empty disk, as members of a group to
+	// found; diskless are the seeds that announced that they have no disk.
 	emptySeeds map[string]raft.Member
 	diskless   map[string]bool
-	// creating says that the log of a group is being created.
+	// creating means that the log of a group is being created.
 	creating bool
-	// since is when this search began, and groupHeardAt when a message among members
-	// of a group was last heard.
+	// since is when this search began, and groupHeardAt when a consensus message of a
+	// group was last received.
 	since        clock.Monotonic
 	groupHeardAt clock.Monotonic
 }
@@ -60,8 +60,9 @@
 	}
 }
 
-// quietLongEnough reports whether no group was heard of for so long that a leader would
-// have made itself heard. Seeds without a disk forget at a restart that there is one.
+// quietLongEnough reports whether no group has been heard of for so long that a leader
+// would have announced itself. Seeds without a disk lose what they know of the group on a
+// restart, so their answers alone do not prove that there is none.
 func (d *discovery) quietLongEnough(now clock.Monotonic) bool {
 	if now.Since(d.since) < quietBeforeFounding {
 		return false
@@ -69,7 +70,7 @@
 	return d.groupHeardAt == 0 || now.Since(d.groupHeardAt) >= quietBeforeFounding
 }
 
-// discover asks the seeds when it is time to.
+// discover periodically queries the seeds.
 func (s *Server) discover() {
 	d := s.discovery
 	if s.now < d.nextAttempt || d.creating {
@@ -82,7 +83,7 @@
 	s.tryFound()
 }
 
-// discoverGroup takes what a process says while this server looks for its group.
+// discoverGroup handles an announcement while this server is looking for its group.
 func (s *Server) discoverGroup(from wire.Peer, announcement *wire.Announcement) {
 	if announcement.Founded {
 		for _, founder := range announcement.Founders {
@@ -106,10 +107,10 @@
 	}
 }
 
-// tryFound founds a group when every seed has lately said that it is an empty server,
-// this one among them, or that it has no disk. Which seeds have no disk is fixed, and
-// all servers have the same seeds at their first start, so that all of them come to
-// the same group.
+// tryFound founds a group if every seed has recently announced that it is an empty
+// server, this one included, or that it has no disk. The set of diskless seeds is fixed,
+// and all servers have the same seeds at their first start, so all of them found the same
+// group.
 func (s *Server) tryFound() {
 	if !s.config.MayFound {
 		return
@@ -126,8 +127,8 @@
 	s.createInitialLog(founders, 1)
 }
 
-// foundersAmongSeeds lists the seeds that can found a group. It is not ok while some
-// seed is silent, or this server is not among them, or two seeds are one server.
+// foundersAmongSeeds lists the seeds that can found a group. ok is false if some seed is
+// silent, if this server is not among them, or if two seeds are the same server.
 func (s *Server) foundersAmongSeeds() (founders []raft.Member, ok bool) {
 	ids := map[identifier.Node]bool{}
 	for _, seed := range s.config.Seeds {
@@ -145,8 +146,8 @@
 	return founders, ids[s.config.ID] && len(ids) == len(founders)
 }
 
-// createInitialLog asks for a log that begins with this member list. Index 1 is that
-// of a founder; a server that joins begins at 0 and is sent a snapshot.
+// createInitialLog requests a log that begins with this member list. A founder starts at
+// index 1; a server that joins starts at 0 and receives a snapshot.
 func (s *Server) createInitialLog(members []raft.Member, index identifier.Index) {
 	s.discovery.creating = true
 	s.output.CreateLog = &raft.Snapshot{
@@ -158,7 +159,7 @@
 	s.logEvent("log-created", "founder", index == 1, "members", members)
 }
 
-// initialState is the state that a group begins with.
+// initialState returns the state that a group starts with.
 func (s *Server) initialState() *state.Store {
 	initial := state.New()
 	for name, text := range s.config.InitialLimits {
@@ -167,7 +168,7 @@
 	return initial
 }
 
-// LogCreated reports that the log which Output.CreateLog asked for is on disk.
+// LogCreated reports that the log requested by Output.CreateLog is on disk.
 func (s *Server) LogCreated(snapshot *raft.Snapshot, now clock.Monotonic, wall clock.WallTime) {
 	s.advanceClocks(now, wall)
 	if err := s.Resume(raft.HardState{}, snapshot, nil); err != nil {
@@ -175,7 +176,7 @@
 	}
 }
 
-// joinRequest is what a server that wants to join a group says of itself.
+// joinRequest is the body of a request to join a group.
 type joinRequest struct {
 	ID     string            `json:"id"`
 	Addr   string            `json:"addr"`
@@ -183,8 +184,8 @@
 	Level  uint16            `json:"level,omitempty"`
 }
 
-// requestJoin asks to be taken in as a learner: whoever told of the group, if that
-// was a server with a disk, or else the members that were told of.
+// requestJoin asks to be added as a learner. The request goes to the sender of the
+// announcement if that is a server with a disk, and otherwise to the announced members.
 func (s *Server) requestJoin(from wire.Peer, announcement *wire.Announcement) {
 	for _, member := range announcement.Members {
 		if member.ID == s.config.ID && member.Addr == s.config.Addr {
@@ -216,8 +217,8 @@
 	}
 }
 
-// requestRejoin asks to be taken in again when this server, long without a leader,
-// hears of a group that has removed it or knows it by an earlier address.
+// requestRejoin asks to be added again when this server has had no leader for rejoinAfter
+// and hears of a group that has removed it or knows it by an earlier address.
 func (s *Server) requestRejoin(from wire.Peer, announcement *wire.Announcement) {
 	if s.raft == nil || s.now.Since(s.leaderlessSince) <= rejoinAfter {
 		return
@@ -227,9 +228,9 @@
 	}
 }
 
-// searchForGroup keeps asking the seeds and members while no leader is heard.
+// searchForGroup periodically queries the seeds and members while there is no leader.
 func (s *Server) searchForGroup() {
-	// Ticks come every TickInterval, so that one of them falls into the beginning of each
+	// Ticks arrive every TickInterval, so one of them falls into the beginning of each
 	// searchInterval.
 	due := clock.Millis(s.now)%searchInterval < TickInterval
 	if s.now.Since(s.leaderlessSince) < rejoinAfter || !due {
--- a/internal/controlplane/drain_controller.go
+++ b/internal/controlplane/drain_controller.go
@@ -7,16 +7,16 @@
 	"orchidward/internal/state"
 )
 
-// drainProgress is what a leader keeps of the drains under way. What each stage does is
-// decided in package state; the leader only says when a drain goes on.
+// drainProgress is what the leader tracks of the drains in progress. Package state
+// decides what each stage does; the leader only decides when a drain advances.
 type drainProgress struct {
-	// proposals is the last entry proposed for each drain, by its id.
+	// proposals is the index of the last entry proposed for each drain, by drain id.
 	proposals map[string]identifier.Index
-	// observed is when each drain came to its stage, by this leader's clock.
+	// observed is when each drain entered its current stage, by this leader's clock.
 	observed map[string]observedStage
 }
 
-// observedStage notes when, by this leader's clock, a drain came to its stage.
+// observedStage records when, by this leader's clock, a drain entered its stage.
 type observedStage struct {
 	stage state.Stage
 	at    clock.Monotonic
@@ -26,7 +26,7 @@
 	return drainProgress{proposals: map[string]identifier.Index{}, observed: map[string]observedStage{}}
 }
 
-// advanceDrains moves each drain on as far as the state allows.
+// advanceDrains advances each drain as far as the state allows.
 func (s *Server) advanceDrains() {
 	progress := &s.leader.drains
 	for _, id := range s.state.DrainIDs() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// nextDrainStep is the command that moves a drain on from its stage, in which it has
-// been for so long, or nil where it must wait.
+// nextDrainStep returns the command that advances a drain from the stage it has been in
+// for inStage, or nil if the drain must wait.
 func (s *Server) nextDrainStep(drain *state.Drain, inStage clock.Millis) *state.AdvanceDrain {
 	step := &state.AdvanceDrain{ID: drain.ID, From: drain.Stage}
 	running, stopping := s.state.OpenLeases(drain)
@@ -70,8 +70,8 @@
 	return step
 }
 
-// stopsDue reports whether some lease in the drain's scope is to be revoked now, or the
-// time of every runner in it has come.
+// stopsDue reports whether some running lease in the drain's scope is due to be revoked,
+// or whether the stops of all runners in the scope are due.
 func (s *Server) stopsDue(drain *state.Drain, running []*state.Lease) bool {
 	clusterTime := s.leader.clock.timeAt(s.now)
 	for _, lease := range running {
@@ -87,7 +87,8 @@
 	return true
 }
 
-// stopTimeout is how long the post-drain check waits for stops before it judges.
+// stopTimeout returns how long the post-drain check waits for stops before it gives its
+// verdict.
 func (s *Server) stopTimeout(drain *state.Drain) clock.Millis {
 	if drain.Kind == state.KindRack {
 		return s.state.Limits.SiteMillis(limits.SiteDrain)
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -27,7 +27,8 @@
 	id      uint64
 	to      wire.Peer
 	expires clock.Monotonic
-	// withdrawable marks an order without a sequence number.
+	// withdrawable marks an order without a sequence number, of which a copy cannot be
+	// told from a new order.
 	withdrawable bool
 }
 
--- a/internal/controlplane/gangs.go
+++ b/internal/controlplane/gangs.go
@@ -9,24 +9,25 @@
 	"orchidward/internal/state"
 )
 
-// Gangs run together or not at all. A member may go on only while the answers to its
-// runner's polls repeat that all of its partners run on runners heard lately; otherwise its
-// runner ends it. And as soon as one member's runner is silent for longer than a
-// few polls, the leader revokes the whole gang: suspicion is enough to stop, though not to
-// place anew. See docs/notes/gangs.md.
+// The tasks of a gang run together or not at all. A member may continue only while the
+// responses to its runner's polls confirm that all of its partners run on recently heard
+// runners; otherwise its runner ends it. If the runner of one member is silent for longer
+// than a few polls, the leader also revokes the whole gang: a suspected failure is enough
+// reason to stop the members, though not to place them again. See docs/notes/gangs.md.
 
-// silentGangPolls is for how many start time-outs a runner may be silent before its
-// partners are stopped; it polls at least once in each.
+// silentGangPolls is the number of start timeouts that a runner may be silent before its
+// gangs are revoked. A runner polls at least once per start timeout.
 const silentGangPolls = 3
 
-// gangLeaseLevel is the level of the state from which on runners know gang leases.
+// gangLeaseLevel is the state level from which on runners support gang leases.
 const gangLeaseLevel uint16 = 1
 
-// gangLeasePercent is the part of a lease that a gang lease lasts.
+// gangLeasePercent is the duration of a gang lease as a percentage of a lease.
 const gangLeasePercent = 70
 
-// gangLease is how long a member may go on without being told that its gang is complete, 0
-// where it need not be told: less than a lease, and longer than a change of leaders takes.
+// gangLease returns how long a member may continue without confirmation that its gang is
+// complete, or 0 if it needs no confirmation. It is shorter than a lease and longer than
+// a change of leaders takes.
 func (s *Server) gangLease(lease *state.Lease) clock.Millis {
 	if s.state.Level < gangLeaseLevel || !spansRunners(lease, s.state.Partners(lease)) {
 		return 0
@@ -34,8 +35,8 @@
 	return s.newLeaseSpan() * gangLeasePercent / 100
 }
 
-// spansRunners reports whether the lease is a gang member's whose partners are on other
-// runners.
+// spansRunners reports whether the lease belongs to a gang member that has a partner on
+// another runner.
 func spansRunners(lease *state.Lease, partners []*state.Lease) bool {
 	for _, partner := range partners {
 		if partner.Runner != lease.Runner {
@@ -45,8 +46,9 @@
 	return false
 }
 
-// memberRunning reports whether an attempt is seen running, or ended, on a runner that has
-// not missed a poll: an answer based on older reports would outlive a dead partner.
+// memberRunning reports whether an attempt is known to run, or to have ended, on a runner
+// that has not missed a poll. A response based on older reports could keep members
+// running after a partner has died.
 func (s *Server) memberRunning(lease *state.Lease) bool {
 	contact := s.leader.runners[lease.Runner]
 	if contact == nil || !contact.hasPolled || contact.incarnation != lease.Incarnation || lease.RevokeReason != "" {
@@ -60,8 +62,8 @@
 	return contact.running[lease.ID] || ended
 }
 
-// collectCompleteGangs names the members running here whose partners all run. It reports
-// whether there is one that the runner has not been told of since it began.
+// collectCompleteGangs adds the members on this runner whose partners all run to the
+// response. It reports whether any of them has not been reported to the runner yet.
 func (s *Server) collectCompleteGangs(contact *runnerContact, response *runnerapi.PollResponse) bool {
 	anyNew := false
 	for id := range contact.running {
@@ -79,7 +81,7 @@
 }
 
 // gangComplete reports whether a lease belongs to a gang that spans several runners and
-// whose other members all run.
+// whose other members are all running.
 func (s *Server) gangComplete(lease *state.Lease) bool {
 	partners := s.state.Partners(lease)
 	if !spansRunners(lease, partners) {
@@ -93,7 +95,8 @@
 	return true
 }
 
-// revokeSilentGangs revokes the gangs of runners that have been silent for too long.
+// revokeSilentGangs revokes the gangs that have a member on a runner that has been silent
+// for too long.
 func (s *Server) revokeSilentGangs() {
 	l := s.leader
 	if l.gangProposal > s.appliedIndex {
--- a/internal/controlplane/leader_link.go
+++ b/internal/controlplane/leader_link.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// unreachedAfter is how long a leader may leave requests and pings without any
-	// answer before it counts as out of reach.
+	// unreachedAfter is how long requests and pings to the leader may go unanswered
+	// before it counts as unreachable.
 	unreachedAfter clock.Millis = 400
 	// pingAfter is how long the leader may be silent before it is pinged, and
-	// pingInterval how often it then is.
+	// pingInterval how often it is pinged from then on.
 	pingAfter    clock.Millis = 150
 	pingInterval clock.Millis = 100
 )
 
-// leaderLink is what a server knows of its way to the leader it follows. That a
-// follower hears the leader does not show that the leader hears the follower: where
-// a link carries one way only, forwarded requests go nowhere. While requests wait
-// for the leader's responses the leader is therefore pinged. When no answer comes
-// it counts as lost: the requests are failed, and others refused at once, until it
+// leaderLink tracks the connection to the leader that a server follows. A follower that
+// receives the leader's messages cannot conclude that the leader receives its own: if a
+// link works in one direction only, forwarded requests are lost. The leader is therefore
+// pinged while forwarded requests await its responses. If it answers nothing, it counts
+// as unreachable: pending requests fail, and new ones are refused at once until it
 // answers again.
 type leaderLink struct {
-	// leader is where the last known leader listens.
+	// leader is the address of the last known leader.
 	leader wire.Peer
-	// reachedAt is when this server last had a leader to go to: itself while its
-	// lease held, or another one within reach.
+	// reachedAt is when this server last had a reachable leader: itself while it held its
+	// lease, or another server.
 	reachedAt clock.Monotonic
-	// latestTime is the latest reading of a leader's clock that came here.
+	// latestTime is the latest reading of a leader's clock that this server has received.
 	latestTime wire.LeaderTime
-	// hint is who says that it leads, by its own messages: the member list known here
-	// may be older than that leader's membership.
+	// hint is the server that acts as the leader according to its own consensus messages.
+	// The member list known here may predate that leader's membership.
 	hint leaderHint
 
-	// waitingSince is since when some forwarded request has had no response.
+	// waitingSince is since when at least one forwarded request has been pending.
 	waitingSince clock.Monotonic
 	// heardAt is when the leader last answered anything, pingedAt when it was last
 	// pinged.
@@ -44,13 +44,13 @@
 	lost     bool
 }
 
-// leaderHint is a server that acts as the leader and the connection it was heard on.
+// leaderHint is a server that acts as the leader and the connection that it was heard on.
 type leaderHint struct {
 	id   identifier.Node
 	peer wire.Peer
 }
 
-// follow begins anew with another leader.
+// follow resets the link for another leader.
 func (l *leaderLink) follow(leader wire.Peer, now clock.Monotonic) {
 	l.leader = leader
 	l.waitingSince = 0
@@ -59,16 +59,16 @@
 	l.lost = false
 }
 
-// requestSent notes that a request goes to the leader; first says that no other was
-// waiting for it.
+// requestSent records that a request is sent to the leader; first means that no other
+// request was pending.
 func (l *leaderLink) requestSent(now clock.Monotonic, first bool) {
 	if first {
 		l.waitingSince = now
 	}
 }
 
-// answered notes a response or a sign of life, and reports whether the leader had
-// been lost.
+// answered records a response or announcement from the leader and reports whether the
+// leader had been unreachable.
 func (l *leaderLink) answered(now clock.Monotonic) (wasLost bool) {
 	wasLost = l.lost
 	l.heardAt = now
@@ -76,12 +76,12 @@
 	return wasLost
 }
 
-// silentFor is how long the leader has owed an answer.
+// silentFor returns how long the leader has left requests or pings unanswered.
 func (l *leaderLink) silentFor(now clock.Monotonic) clock.Millis {
 	return now.Since(max(l.waitingSince, l.heardAt))
 }
 
-// currentLeader is who leads, as far as this server knows: another one, or itself.
+// currentLeader returns the leader known to this server, which may be the server itself.
 func (s *Server) currentLeader() (leader raft.Member, ok bool) {
 	switch {
 	case s.forwarder != nil:
@@ -92,7 +92,7 @@
 	return s.raft.Member(s.raft.Leader())
 }
 
-// KnowsLeader reports whether this server knows who leads.
+// KnowsLeader reports whether this server knows the current leader.
 func (s *Server) KnowsLeader() bool {
 	if s.raft != nil {
 		return s.raft.Leader() != 0
@@ -101,13 +101,13 @@
 	return known
 }
 
-// Connected reports whether this server has a leader to go to, or had one until so
-// short a time ago that the next one may be about to be elected.
+// Connected reports whether this server has a reachable leader, or had one so recently
+// that the next one may be about to be elected.
 func (s *Server) Connected() bool {
 	return !s.leaderLink.lost && s.now.Since(s.leaderLink.reachedAt) <= 2*s.config.Timing.ElectionTimeout
 }
 
-// trackLeader notes whether a leader is in reach, and turns to a new one.
+// trackLeader records whether a leader is reachable, and switches to a new leader.
 func (s *Server) trackLeader() {
 	if s.reachesLeader() {
 		s.leaderLink.reachedAt = s.now
@@ -127,8 +127,8 @@
 	return s.KnowsLeader() && !s.leaderLink.lost
 }
 
-// probeLeader pings a leader that owes answers, and fails the requests forwarded to
-// it when it has been silent for too long.
+// probeLeader pings a leader that has not answered, and fails the requests forwarded to
+// it once it counts as unreachable.
 func (s *Server) probeLeader() {
 	link := &s.leaderLink
 	if link.leader == "" || len(s.forwarded) == 0 && !link.lost {
@@ -146,7 +146,7 @@
 	}
 }
 
-// leaderAnswered notes that the leader has answered something.
+// leaderAnswered records that the leader has answered.
 func (s *Server) leaderAnswered() {
 	if s.leaderLink.answered(s.now) {
 		s.logEvent("leader-reachable", "leader", s.leaderLink.leader)
--- a/internal/controlplane/levels.go
+++ b/internal/controlplane/levels.go
@@ -7,22 +7,25 @@
 	"orchidward/internal/state"
 )
 
-// New commands and rules wait until every member, learners too, has said that it knows
-// them; then one entry raises the level of the group. A server that meets a command it
-// does not know halts rather than let its state differ from the others'. And every so
-// often an entry of the leader says what the checksum of the state was: a server that
-// has another one at that index halts as well. See docs/notes/versions.md.
+// New commands and rules take effect only after every member, learners included, has
+// reported that it supports them; then one entry raises the level of the group. A server
+// that meets a command it does not know halts rather than let its state diverge. The
+// leader also periodically commits an entry with the checksum of its state: a server
+// whose state has another checksum at that index halts as well. See
+// docs/notes/versions.md.
 
 const (
-	// checksumsKept is how many of the last entries a server remembers the checksum of.
+	// checksumsKept is the number of recent entries for which a server keeps the
+	// checksum.
 	checksumsKept = 1024
 	// checksumInterval is how often the members compare the checksums of their states.
 	checksumInterval clock.Millis = 2000
-	// levelSilentLimit is how long a member may be silent while a level is raised.
+	// levelSilentLimit is how long a member may be silent while the level is raised.
 	levelSilentLimit clock.Millis = 2000
 )
 
-// recentChecksums remembers the checksum of the state after each of the last entries.
+// recentChecksums holds the checksum of the state after each of the last checksumsKept
+// entries.
 type recentChecksums struct {
 	indexes [checksumsKept]identifier.Index
 	values  [checksumsKept]uint64
@@ -38,8 +41,8 @@
 	return c.values[index%checksumsKept], known
 }
 
-// halt takes this server out of service for good: output that TakeOutput has yet to hand
-// over is still carried out, no further input is taken. The owner ends the process.
+// halt stops this server permanently: pending output is still carried out, but no further
+// input is accepted. The owner ends the process.
 func (s *Server) halt(reason string, fields ...any) {
 	if s.halted {
 		return
@@ -50,7 +53,7 @@
 }
 
 // checksumDiffers reports whether this server's state differs from the leader's, and
-// halts it if so.
+// halts the server if so.
 func (s *Server) checksumDiffers(command *state.VerifyChecksum) bool {
 	checksum, ok := s.checksums.get(command.Index)
 	if !ok || checksum == command.Checksum {
@@ -60,8 +63,8 @@
 	return true
 }
 
-// raiseLevel raises the level of the group once all members know a higher one. While the
-// leader lacks the status of some member it does not know that member's level.
+// raiseLevel raises the level of the group once all members support a higher one. It
+// waits until the leader knows the status, and thus the level, of every member.
 func (s *Server) raiseLevel() {
 	l := s.leader
 	to := s.config.Level
@@ -79,12 +82,14 @@
 	l.levelProposal = s.propose(&state.Command{RaiseLevel: &state.RaiseLevel{Level: to}})
 }
 
-// tenantsTooNew reports whether a change needs a level that the group has yet to reach.
+// tenantsTooNew reports whether a change needs a level that the group has not reached
+// yet.
 func (s *Server) tenantsTooNew(change *catalog.Change) bool {
 	return change.TouchesTenants() && s.state.Level < state.TenantLevel
 }
 
-// proposeChecksum lets the members compare the checksums of their states.
+// proposeChecksum periodically proposes an entry by which the members compare the
+// checksums of their states.
 func (s *Server) proposeChecksum() {
 	l := s.leader
 	if s.state.Level < state.ChecksumLevel || s.now.Since(l.lastChecksum) < checksumInterval {
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -8,25 +8,25 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Orders that their sender has given up on must not be carried out later: the sender
-// may since have sent another one that says the opposite. An order carries the latest
-// reading of the leader's clock that its sender had seen, and how long the sender
-// waits from then on. The leader takes it only while no more time than that has
-// passed since the reading, by the very clock that was read: neither clocks that
-// differ nor links and processes that delay a message can make it look younger than
-// it is. See docs/notes/worst-days.md.
+// An order must not be carried out after its sender has timed out: the sender may since
+// have sent one that says the opposite. An order carries the latest reading of the
+// leader's clock that its sender had received, and how long the sender waits from then
+// on. The leader accepts the order only while no more than that time has passed since the
+// reading, measured by the same clock: neither clock differences nor links and processes
+// that delay a message can make an order look younger than it is. See
+// docs/notes/worst-days.md.
 
-// expiredRetryAfter is when a client may come back whose order was too old.
+// expiredRetryAfter is when a client may retry an order that had expired.
 const expiredRetryAfter clock.Millis = 200
 
-// leaderTime is a reading of this leader's clock.
+// leaderTime returns a reading of this leader's clock.
 func (s *Server) leaderTime() wire.LeaderTime {
 	return wire.LeaderTime{Term: s.raft.Term(), At: s.now}
 }
 
-// orderExpired reports whether an order may have come later than its sender waits. An
+// orderExpired reports whether an order may have arrived after its sender's timeout. An
 // order without a reading comes from a program of an earlier version, or from this
-// process itself, and is not judged.
+// process itself, and never expires.
 func (s *Server) orderExpired(request *wire.Request) bool {
 	if !request.HasLeaderTime || !request.IsOrder() {
 		return false
@@ -38,20 +38,20 @@
 	return age.WithDrift() > request.Budget
 }
 
-// observeLeaderTime takes a reading of the leader's clock that came with a message.
+// observeLeaderTime records a reading of the leader's clock that arrived with a message.
 func (s *Server) observeLeaderTime(reading wire.LeaderTime) {
 	if reading.Later(s.leaderLink.latestTime) {
 		s.leaderLink.latestTime = reading
 	}
 }
 
-// observeAppend takes the reading that a leader's append carries.
+// observeAppend records the reading carried by an append message of the leader.
 func (s *Server) observeAppend(msg *raft.Message) {
 	s.observeLeaderTime(wire.LeaderTime{Term: msg.Term, At: msg.SentAt})
 }
 
-// stampLeaderTime adds to a request that was made at this process what it knows of
-// the leader's clock. One that came from elsewhere keeps what its sender knew.
+// stampLeaderTime adds the latest known reading of the leader's clock to a request made
+// in this process. A request from another process keeps the reading that its sender had.
 func (s *Server) stampLeaderTime(from wire.Peer, request *wire.Request) {
 	if from.Local() {
 		request.HasLeaderTime = true
@@ -59,8 +59,8 @@
 	}
 }
 
-// replyExpired answers an order that may be too old. It was not taken, and the
-// reading that goes with the answer lets its sender try again at once.
+// replyExpired rejects an order that may have expired. The order had no effect, and the
+// reading in the response lets its sender retry at once.
 func (s *Server) replyExpired(from wire.Peer, id uint64) {
 	s.send(from, wire.Message{Response: &wire.Response{
 		ID:         id,
--- a/internal/controlplane/poll_answers.go
+++ b/internal/controlplane/poll_answers.go
@@ -12,10 +12,11 @@
 	"orchidward/internal/state"
 )
 
-// pollTimeout is how long a poll stays open when there is nothing to tell the runner.
+// pollTimeout returns how long a poll stays open when there is nothing to send to the
+// runner.
 func (s *Server) pollTimeout() clock.Millis { return runnerapi.PollTimeout(s.startTimeout()) }
 
-// closePoll answers a poll that a later one has replaced.
+// closePoll answers a poll that a later one has superseded.
 func (s *Server) closePoll(contact *runnerContact) {
 	if contact.poll.open {
 		contact.poll.open = false
@@ -23,7 +24,7 @@
 	}
 }
 
-// emptyPollResponse is an answer without orders.
+// emptyPollResponse returns a response without orders.
 func (s *Server) emptyPollResponse(contact *runnerContact) runnerapi.PollResponse {
 	response := runnerapi.PollResponse{
 		Lease:        s.newLeaseSpan(),
@@ -38,9 +39,8 @@
 	return response
 }
 
-// answerPolls answers the open polls that have something to hear, or have been open
-// long enough. Only those are visited whose runner something happened to, or whose time
-// has come.
+// answerPolls answers the open polls that have something to report or have timed out. It
+// visits only the runners that something changed for, and those whose poll has timed out.
 func (s *Server) answerPolls() {
 	timeout := s.pollTimeout()
 	s.markOverduePolls(timeout)
@@ -59,7 +59,7 @@
 	}
 }
 
-// markOverduePolls marks the runners whose polls have been open for long enough.
+// markOverduePolls marks the runners whose polls have timed out.
 func (s *Server) markOverduePolls(timeout clock.Millis) {
 	l := s.leader
 	for len(l.openPolls) > 0 && s.now.Since(l.openPolls[0].since) >= timeout {
@@ -71,8 +71,8 @@
 	}
 }
 
-// answerPoll answers a runner's open poll if there is something to tell, or the poll
-// has been open for long enough.
+// answerPoll answers a runner's open poll if there is something to send or the poll has
+// timed out.
 func (s *Server) answerPoll(name identifier.Runner, contact *runnerContact, response *runnerapi.PollResponse, timeout clock.Millis) {
 	newGang := s.collectCompleteGangs(contact, response)
 	for _, id := range contact.endedIDs() {
@@ -96,15 +96,16 @@
 	s.replyJSON(contact.poll.peer, contact.poll.id, http.StatusOK, response)
 }
 
-// takeChangedRunners takes the runners whose polls are to be looked at, in order.
+// takeChangedRunners returns the runners marked as changed, in order of name, and clears
+// the marks.
 func (s *Server) takeChangedRunners() []identifier.Runner {
 	list := slices.Sorted(maps.Keys(s.leader.changedRunners))
 	clear(s.leader.changedRunners)
 	return list
 }
 
-// pollOrders collects what a runner is to start and to stop. Starts go out only for
-// leases in the state as it now stands.
+// pollOrders collects the attempts that a runner must start and stop. Starts are sent
+// only for leases in the current state.
 func (s *Server) pollOrders(name identifier.Runner, contact *runnerContact) runnerapi.PollResponse {
 	var response runnerapi.PollResponse
 	runner := s.state.Runners[name]
--- a/internal/controlplane/replies.go
+++ b/internal/controlplane/replies.go
@@ -10,8 +10,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// apiError is an error response: its status, a code for programs, a message for
-// people and, where it makes sense to come back, when.
+// apiError is an error response: an HTTP status, a code for programs, a message for
+// people and, if the request may be retried, when.
 type apiError struct {
 	status     int
 	code       string
@@ -44,7 +44,7 @@
 	errNoDrain        = apiError{http.StatusNotFound, "no-closing", "no such drain", 0}
 )
 
-// Codes that several error responses share.
+// Codes shared by several error responses.
 const (
 	codeBadRequest = "bad-request"
 	codeBadMethod  = "bad-method"
@@ -56,7 +56,7 @@
 	s.send(peer, wire.Message{Response: &wire.Response{ID: id, Status: status, Body: body, RetryAfter: retryAfter}})
 }
 
-// replyJSON answers with a document.
+// replyJSON answers a request with a JSON document.
 func (s *Server) replyJSON(peer wire.Peer, id uint64, status int, document any) {
 	text, err := json.Marshal(document)
 	if err != nil {
@@ -75,7 +75,7 @@
 	s.reply(peer, id, f.Status(), f.ErrorBody(), 0)
 }
 
-// replyResult answers with the result of an applied command.
+// replyResult answers a request with the result of its applied command.
 func (s *Server) replyResult(peer wire.Peer, id uint64, r state.Result) {
 	if r.OK() {
 		s.replyJSON(peer, id, r.Status, r.Body)
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -15,14 +15,14 @@
 	"orchidward/internal/transport/wire"
 )
 
-// apiRequest is one request that the leader serves.
+// apiRequest is a request as the leader serves it.
 type apiRequest struct {
 	*wire.Request
 	peer     wire.Peer
 	endpoint endpoint.Endpoint
 }
 
-// handleRequest serves a request, or passes it on to the leader.
+// handleRequest serves a request, or forwards it to the leader.
 func (s *Server) handleRequest(from wire.Peer, r *wire.Request) {
 	if id, withdraws := r.Withdraws(); withdraws {
 		s.handleWithdrawal(from, id)
@@ -44,9 +44,9 @@
 	s.routeRequest(from, r)
 }
 
-// routeRequest serves a request as the leader. One that a gateway checked by an older
-// routing table is returned, so that it is checked again; the requests of servers
-// and gateways themselves are not checked by any table.
+// routeRequest dispatches a request on the leader. A request that a gateway checked
+// against a stale routing table is returned, so that the gateway checks it again;
+// requests that servers and gateways make themselves do not depend on a routing table.
 func (s *Server) routeRequest(from wire.Peer, r *wire.Request) {
 	target, err := endpoint.Parse(r.Method, r.Path)
 	request := &apiRequest{Request: r, peer: from, endpoint: target}
@@ -66,7 +66,7 @@
 	}
 }
 
-// endpointError is the response to a request whose method or path the API lacks.
+// endpointError returns the error response for an unknown path or method.
 func endpointError(err error) apiError {
 	var wrongMethod *endpoint.MethodError
 	if errors.As(err, &wrongMethod) {
@@ -75,7 +75,7 @@
 	return apiError{http.StatusNotFound, codeNoSuchPath, err.Error(), 0}
 }
 
-// serve carries out a request by its endpoint.
+// serve serves a request according to its endpoint.
 func (s *Server) serve(r *apiRequest) {
 	if other := s.serveTenant(r); !other {
 		return
@@ -116,7 +116,7 @@
 	}
 }
 
-// submitJob proposes a job in the name of whoever handed it in.
+// submitJob proposes a job on behalf of its caller.
 func (s *Server) submitJob(r *apiRequest, key identifier.JobKey, by caller) {
 	var faults jsondoc.FieldErrors
 	spec := job.Read(r.Body, &faults)
@@ -139,7 +139,7 @@
 	s.proposeFor(r, &state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: *spec}})
 }
 
-// CancelledJobDoc is the answer to the cancellation of a job that has ended.
+// CancelledJobDoc is the response to the cancellation of a job that has already ended.
 type CancelledJobDoc struct {
 	Job   identifier.JobKey `json:"job"`
 	State string            `json:"state"`
@@ -153,8 +153,8 @@
 	s.proposeFor(r, &state.Command{CancelJob: &state.CancelJob{Key: key}})
 }
 
-// readChange reads the body of a change. When it has faults the request is answered
-// here and ok is false.
+// readChange decodes the body of a change. If the body has faults, it answers the request
+// and returns false.
 func readChange[T any](s *Server, r *apiRequest, read func(text []byte, f *jsondoc.FieldErrors) *T) (change *T, ok bool) {
 	var faults jsondoc.FieldErrors
 	change = read(r.Body, &faults)
@@ -196,8 +196,8 @@
 	}
 }
 
-// startDrain drains a zone. The body may name the operation, so that a repeated
-// request starts no second one.
+// startDrain starts to drain a zone. The body may contain an operation id, which makes
+// the request idempotent.
 func (s *Server) startDrain(r *apiRequest, domain string) {
 	var faults jsondoc.FieldErrors
 	command := &state.StartDrain{Domain: identifier.Domain(domain)}
--- a/internal/controlplane/run_progress.go
+++ b/internal/controlplane/run_progress.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// workRateTTL is how long a rate counts without new evidence.
+	// workRateTTL is how long a rate remains valid without new evidence.
 	workRateTTL clock.Millis = 4000
-	// completePercent is the progress, in percent, of an attempt that is as good as done;
-	// past that it tells no more.
+	// completePercent is the progress, in percent, from which on an attempt counts as
+	// almost done and its progress carries no further information.
 	completePercent = 99
-	// wholeTask is a whole task in the unit of rates, thousandths of a task, times the
-	// milliseconds of a second: divided by a rate it is the run of the whole task.
+	// wholeTask is a whole task in the unit of rates (thousandths of a task per second)
+	// times the milliseconds in a second: divided by a rate it yields the duration of the
+	// whole task.
 	wholeTask = 1000 * 1000
 )
 
-// runProgress is how an attempt has come along: its progress when first seen and now, in
-// percent of the task's work, and how long it had stalled at the last poll.
+// runProgress is the progress of an attempt, in percent of the task's work, when first
+// reported and now, and how long it had stalled at the last poll.
 type runProgress struct {
 	firstPercent int64
 	percent      int64
 	stalledFor   clock.Millis
-	// rate is how fast it goes, in thousandths of the task a second; 0 for unknown.
+	// rate is the speed of the attempt in thousandths of the task per second, 0 if
+	// unknown.
 	rate int64
 }
 
-// wholeRun is how long the whole task takes at the attempt's rate, 0 for unknown.
+// wholeRun returns how long the whole task takes at the attempt's rate, 0 if unknown.
 func (p *runProgress) wholeRun() clock.Millis {
 	if p.rate <= 0 {
 		return 0
@@ -37,12 +39,13 @@
 	return clock.Millis(wholeTask / p.rate)
 }
 
-// remaining is how long the rest of the task takes at the attempt's rate, 0 for unknown.
+// remaining returns how long the rest of the task takes at the attempt's rate, 0 if
+// unknown.
 func (p *runProgress) remaining() clock.Millis {
 	return p.wholeRun() * clock.Millis(100-p.percent) / 100
 }
 
-// recordProgress takes what an attempt says of itself.
+// recordProgress records the progress that an attempt reports.
 func (s *Server) recordProgress(agent *agentRunner, run *agentRun, reported runnerapi.RunState) {
 	lease := s.state.Leases[run.lease]
 	if lease == nil {
@@ -64,12 +67,14 @@
 	}
 }
 
-// updateWorkRate takes the rate of a runner from those of its attempts that tell one,
-// against what was predicted of them. Members of a gang that spans several runners go as
-// fast as the slowest of them, and say nothing of their own. Old evidence is forgotten.
+// updateWorkRate estimates the rate of a runner by comparing the rates of its attempts
+// with the predictions for them. Members of a gang that spans several runners run at the
+// speed of the slowest member and are no evidence for their own runner. Old evidence
+// expires.
 func (s *Server) updateWorkRate(agent *agentRunner) {
 	agent.rateEvidence = prediction.Evidence{}
-	// In the poll's order, as sums of fractions depend on theirs.
+	// In the poll's order, because a floating-point sum depends on the order of its
+	// terms.
 	for _, run := range agent.inOrder {
 		lease := s.state.Leases[run.lease]
 		if run.progress == nil || run.progress.rate <= 0 || lease == nil || spansRunners(lease, s.state.Partners(lease)) {
@@ -87,7 +92,7 @@
 	}
 }
 
-// updateCommonRate takes what the runners' rates have in common.
+// updateCommonRate updates the factor that the rates of all runners have in common.
 func (s *Server) updateCommonRate() {
 	var evidence []prediction.Evidence
 	for _, name := range s.state.RunnerNames() {
@@ -98,8 +103,8 @@
 	s.leader.commonRate = prediction.Common(evidence)
 }
 
-// predictedRun is how long an attempt was to run on a runner of the nominal rate, away from
-// its data if it is, and by which deviation that is usually wrong.
+// predictedRun returns how long an attempt was expected to run on a runner of the nominal
+// rate, far from its data if it is distant, and the usual deviation of that prediction.
 func (s *Server) predictedRun(lease *state.Lease) (run clock.Millis, deviation float64) {
 	j := s.state.Jobs[lease.Task.Job]
 	run = lease.ExpectedRun
@@ -114,15 +119,15 @@
 }
 
 const (
-	// leastRemaining is what a run is expected to go on at least.
+	// leastRemaining is the minimum predicted remaining time of an attempt.
 	leastRemaining clock.Millis = 20
-	// overdueDivisor is the part of its predicted run that an attempt past it is expected
-	// to go on.
+	// overdueDivisor is the fraction of its predicted duration that an overdue attempt is
+	// expected to continue.
 	overdueDivisor = 4
 )
 
-// remaining is how long an attempt is expected to go on; not ok for services, which do not
-// end by themselves.
+// remaining returns how long an attempt is expected to continue. ok is false for
+// services, which do not end by themselves.
 func (s *Server) remaining(lease *state.Lease) (remaining clock.Millis, ok bool) {
 	j := s.state.Jobs[lease.Task.Job]
 	if j.Terms == nil || j.Spec.Steps[lease.Task.Step].Service {
@@ -140,7 +145,8 @@
 	return max(left, run/overdueDivisor, leastRemaining), true
 }
 
-// observeEnds takes the runs of the attempts that an entry is about to end well.
+// observeEnds records the durations of the attempts that an entry is about to end
+// successfully.
 func (s *Server) observeEnds(command *state.Command) {
 	if s.leader == nil || command.ReportEnds == nil {
 		return
@@ -170,7 +176,8 @@
 	}
 }
 
-// workRate is how fast work goes on a runner, in thousandths of the nominal rate.
+// workRate returns how fast work progresses on a runner, in thousandths of the nominal
+// rate.
 func (s *Server) workRate(name identifier.Runner) int64 {
 	if contact := s.leader.runners[name]; contact != nil && contact.agent != nil {
 		return contact.agent.workRate
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -11,8 +11,9 @@
 	"orchidward/internal/transport/wire"
 )
 
-// A runner counts as lost once its leases can have lasted no longer: after their length,
-// the part of it by which clocks are allowed to drift (one in so many), and a margin.
+// A runner is declared lost once its leases must have expired: after the lease duration,
+// plus an allowance for clock drift (the lease duration divided by the drift fraction),
+// plus a margin.
 const (
 	runnerDriftFraction              = 10
 	agentDriftFraction               = 20
@@ -20,53 +21,53 @@
 	agentLapseMargin    clock.Millis = 300
 )
 
-// runnerContact is what a leader knows of one incarnation of a runner: when it was last
-// heard, what its last poll said, and the poll that is open.
+// runnerContact is what the leader knows about one incarnation of a runner: when it was
+// last heard, what its last poll reported, and its open poll.
 type runnerContact struct {
 	incarnation identifier.Incarnation
-	// seq is the number of the last poll.
+	// seq is the sequence number of the last poll.
 	seq       uint64
 	hasPolled bool
 	draining  bool
-	// lastHeard is when the last poll came; silentBefore is for how long, by its agent,
-	// the runner itself had been silent then.
+	// lastHeard is when the last poll arrived; silentBefore is how long the runner itself
+	// had been silent at that time, as reported by its agent.
 	lastHeard    clock.Monotonic
 	silentBefore clock.Millis
-	// agent is set for a runner that an agent speaks for.
+	// agent is set if an agent reports for this runner.
 	agent *agentRunner
 
-	// running and ended are what the last poll said.
+	// running and ended are the attempts that the last poll reported.
 	running map[identifier.LeaseID]bool
 	ended   map[identifier.LeaseID]runnerapi.End
 	gangs   gangNotices
 	poll    pollState
 
-	// reportProposal and endsProposal are the last entries proposed with what the
-	// runner reported of itself and of ended attempts.
+	// reportProposal and endsProposal are the indexes of the last entries proposed with
+	// what the runner reported about itself and about ended attempts.
 	reportProposal identifier.Index
 	endsProposal   identifier.Index
 }
 
-// pollState is a runner's open poll, or its last one.
+// pollState is a runner's open poll or, if none is open, its last one.
 type pollState struct {
 	open bool
 	peer wire.Peer
 	id   uint64
-	// since is when it came. It lies further back for a runner that was away, so that
-	// its poll is answered at once.
+	// since is when the poll arrived. It is backdated for a runner that was out of
+	// contact, so that its poll is answered at once.
 	since clock.Monotonic
 }
 
-// gangNotices are the gangs that answers to a runner's polls called complete.
+// gangNotices are the gangs that responses to a runner's polls reported as complete.
 type gangNotices struct {
-	// current are those of the answers to the last poll, previous those of the answers to
-	// the poll before it.
+	// current are the gangs from the responses to the last poll, previous those from the
+	// responses to the poll before it.
 	current  map[identifier.LeaseID]bool
 	previous map[identifier.LeaseID]bool
 }
 
-// beginPoll clears what the last poll said. The gangs that the answers to it called
-// complete become the previous ones.
+// beginPoll clears what the last poll reported. The gangs that were reported complete in
+// response to it become the previous ones.
 func (c *runnerContact) beginPoll() {
 	if c.running == nil {
 		c.running = map[identifier.LeaseID]bool{}
@@ -81,15 +82,15 @@
 	clear(c.gangs.current)
 }
 
-// silentFor is how long nothing was heard of the runner itself.
+// silentFor returns how long the runner itself has been silent.
 func (c *runnerContact) silentFor(now clock.Monotonic) clock.Millis {
 	return now.Since(c.lastHeard) + c.silentBefore
 }
 
-// leaseLapsed reports whether whatever ran there must have outlived a lease of the given
-// length. The margin covers clocks that drift. An agent's runner keeps its leases by its
-// own last heartbeat, which the agent reports while it polls; when the agent is silent
-// too, later heartbeats may have been answered, up to the end of the agent's lease.
+// leaseLapsed reports whether a lease of the given duration must have expired on the
+// runner. The margin covers clock drift. A runner behind an agent dates its leases from
+// its own last heartbeat, which the agent reports while it polls. If the agent is silent
+// too, it may have answered later heartbeats, up to the end of its own lease.
 func (c *runnerContact) leaseLapsed(now clock.Monotonic, lease clock.Millis) bool {
 	if c.agent == nil {
 		return now.Since(c.lastHeard) > lease+lease/runnerDriftFraction+runnerLapseMargin
@@ -98,13 +99,13 @@
 	return now.Since(c.lastHeard) > span || c.silentBefore > span
 }
 
-// endedIDs lists the leases whose end the last poll reported, in ascending order.
+// endedIDs lists the leases that the last poll reported as ended, in ascending order.
 func (c *runnerContact) endedIDs() []identifier.LeaseID {
 	return slices.Sorted(maps.Keys(c.ended))
 }
 
-// loseSilentRunners counts a runner lost when it has been silent for longer than its
-// leases can have lasted on its own clock.
+// loseSilentRunners declares runners lost that have been silent for longer than their
+// leases can have lasted by their own clocks.
 func (s *Server) loseSilentRunners() {
 	l := s.leader
 	lease := s.state.LeaseSpan()
@@ -119,8 +120,8 @@
 	}
 }
 
-// proposeLoss counts an incarnation of a runner as lost, with the progress that was
-// last reported.
+// proposeLoss declares an incarnation of a runner lost, and records the checkpoints that
+// it last reported.
 func (s *Server) proposeLoss(name identifier.Runner, incarnation identifier.Incarnation, contact *runnerContact) {
 	s.leader.lossProposal[name] = s.propose(&state.Command{LoseRunner: &state.LoseRunner{
 		Runner:      name,
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -8,43 +8,46 @@
 	"orchidward/internal/state"
 )
 
-// Runners are judged by what their tasks do. The leader watches how far each attempt
-// says it is (run_progress.go): one that stalls is revoked, with its checkpoint, and its runner is
-// quarantined for a while; a runner on which work goes slowly comes last, and what runs there
-// stays: moving it was measured to lose more than it gains (docs/notes/decisions-under-load.md).
-// All of it is evidence of this leader alone; the next one gathers its own.
+// Runner health is inferred from the progress of attempts (run_progress.go). An attempt
+// that stalls is revoked together with its checkpoint, and its runner is quarantined for
+// a while. A runner on which work is slow is chosen last, but its attempts stay: moving
+// them was measured to lose more than it gains (docs/notes/decisions-under-load.md). The
+// evidence is local to this leader; a new leader collects its own.
 
 const (
-	// healthCheckInterval is how often attempts are judged.
+	// healthCheckInterval is how often attempts are checked.
 	healthCheckInterval clock.Millis = 100
 	// minStall is the stall limit of an attempt without an expected duration.
 	minStall clock.Millis = 600
 	// restoreTime is how long an attempt may take to restore its checkpoint.
 	restoreTime clock.Millis = 800
-	// quarantineTime is how long a runner gets no work after an attempt stalled.
+	// quarantineTime is how long a runner receives no work after an attempt stalled on
+	// it.
 	quarantineTime clock.Millis = 6000
-	// maxRevocations bounds the attempts revoked at once.
+	// maxRevocations bounds the attempts revoked in one check.
 	maxRevocations = 16
-	// Attempts are judged on fresh reports only: the agent must have been heard within
-	// maxReportAge, and have heard its runner within maxReportSilence.
+	// Only fresh reports count: the agent must have been heard within maxReportAge, and
+	// must have heard from its runner within maxReportSilence.
 	maxReportAge     clock.Millis = 1000
 	maxReportSilence clock.Millis = 400
 )
 
-// quarantined reports whether nothing should be placed on a runner for now.
+// quarantined reports whether a runner currently receives no work because an attempt
+// stalled on it.
 func (s *Server) quarantined(contact *runnerContact) bool {
 	return contact.agent != nil && s.now < contact.agent.quarantinedUntil
 }
 
-// stallLimit is the least time without progress that is held against an attempt.
+// stallLimit returns the minimum time without progress after which an attempt may count
+// as stalled.
 func (s *Server) stallLimit(lease *state.Lease) clock.Millis {
 	run, _ := s.predictedRun(lease)
 	return minStall + run/8
 }
 
-// stalled reports whether an attempt has made no progress for longer than any sound one
-// would, a slow one included: one percent of a slow attempt takes some percent of its
-// expected duration.
+// stalled reports whether an attempt has made no progress for longer than a healthy one
+// could, even a slow one: one percent of progress of a slow attempt takes several percent
+// of its expected duration.
 func (s *Server) stalled(c *runnerContact, p *runProgress, lease *state.Lease) bool {
 	j := s.state.Jobs[lease.Task.Job]
 	step := j.Spec.Steps[lease.Task.Step]
@@ -64,7 +67,7 @@
 	return p.stalledFor+s.now.Since(c.lastHeard) > span
 }
 
-// gangAssembled reports whether all members of an attempt's gang run.
+// gangAssembled reports whether all members of an attempt's gang are running.
 func (s *Server) gangAssembled(lease *state.Lease) bool {
 	for _, partner := range s.state.Partners(lease) {
 		contact := s.leader.runners[partner.Runner]
@@ -75,7 +78,7 @@
 	return true
 }
 
-// revokeUnhealthyRuns revokes attempts that stall, or that will never start.
+// revokeUnhealthyRuns revokes attempts that have stalled or that will never start.
 func (s *Server) revokeUnhealthyRuns() {
 	l := s.leader
 	if l.revokeProposal > s.appliedIndex || s.now.Since(l.lastHealthCheck) < healthCheckInterval {
@@ -102,8 +105,8 @@
 	s.leader.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: leases, Reason: reason}})
 }
 
-// worthChecking reports whether the attempts on a runner can be judged, and whether one of
-// them can have stalled at all.
+// worthChecking reports whether the reports about a runner are fresh enough to check its
+// attempts, and whether enough time has passed for any of them to have stalled.
 func (s *Server) worthChecking(contact *runnerContact) bool {
 	if contact == nil || contact.agent == nil || contact.silentBefore > maxReportSilence || s.now.Since(contact.lastHeard) > maxReportAge {
 		return false
@@ -111,7 +114,8 @@
 	return s.now > contact.agent.noStallBefore
 }
 
-// stalledRuns lists the attempts on a runner that have stalled, and quarantines it for each.
+// stalledRuns lists the stalled attempts on a runner, and quarantines the runner if there
+// are any.
 func (s *Server) stalledRuns(name identifier.Runner, contact *runnerContact) []identifier.LeaseID {
 	var stalled []identifier.LeaseID
 	for _, id := range s.state.Runners[name].LeaseIDs() {
@@ -127,8 +131,9 @@
 	return stalled
 }
 
-// neverStarted lists what was placed on agents' runners and has not started there, and will
-// not: the runner is leaving or cordoned, or the tenant has more in use than its quota.
+// neverStarted lists the leases on agents' runners whose attempts have not started and
+// will not start, because the runner is draining or cordoned or the tenant exceeds its
+// quota.
 func (s *Server) neverStarted() []identifier.LeaseID {
 	var list []identifier.LeaseID
 	anyOverQuota := s.state.AnyOverQuota()
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -15,35 +15,36 @@
 )
 
 const (
-	// awayAfter is how long a runner has not polled when its next poll is answered at
-	// once, so that a runner that was cut off knows that it no longer is.
+	// awayAfter is the gap between polls after which a runner's next poll is answered at
+	// once, so that a runner that was cut off learns that it is connected again.
 	awayAfter clock.Millis = 1000
-	// departureSlack is the difference between two reported times of departure, in
-	// milliseconds, that is not worth an entry.
+	// departureSlack is the largest difference between two reported departure times, in
+	// milliseconds, that is not worth a log entry.
 	departureSlack = 1000
 )
 
-// startTimeout is how long a runner may take, by the limits table, until it confirms a
-// start; it also sets the pace of polls.
+// startTimeout returns how long a runner may take to confirm a start, from the limits
+// table. It also sets the pace of polls.
 func (s *Server) startTimeout() clock.Millis {
 	return s.state.Limits.SiteMillis(limits.SiteStartTimeout)
 }
 
-// newLeaseSpan is how long the leases last that an answer to a poll renews now. Leases
+// newLeaseSpan returns the duration of leases that a poll response renews now. Leases
 // renewed earlier may last longer: see [state.Store.LeaseSpan].
 func (s *Server) newLeaseSpan() clock.Millis {
 	return s.state.Limits.SiteMillis(limits.SiteLeaseSpan)
 }
 
-// openPoll is a poll in the order of those that are answered empty in time.
+// openPoll is an entry in the queue of open polls, which are answered without orders once
+// they time out.
 type openPoll struct {
 	runner identifier.Runner
 	id     uint64
 	since  clock.Monotonic
 }
 
-// handlePoll takes a runner's poll: what it reports is proposed when it differs from
-// the state, and the poll stays open until there is something to tell the runner.
+// handlePoll handles a runner's poll: it proposes what the runner reports if that differs
+// from the state, and keeps the poll open until there is something to send to the runner.
 func (s *Server) handlePoll(peer wire.Peer, id uint64, name identifier.Runner, body []byte) {
 	var faults jsondoc.FieldErrors
 	poll := runnerapi.Read(body, &faults)
@@ -71,9 +72,9 @@
 	s.leader.cycle.needed = true
 }
 
-// admitPoll finds the contact that a poll belongs to. A poll that must not be taken is
-// answered here, and ok is false: one of an incarnation that was replaced, one that a
-// later poll has overtaken, and one of a runner beyond the bound.
+// admitPoll returns the contact that a poll belongs to. It rejects polls of a superseded
+// incarnation, polls that a later one has overtaken, and polls of runners beyond the
+// bound: it answers them and returns false.
 func (s *Server) admitPoll(
 	peer wire.Peer, id uint64, name identifier.Runner, poll *runnerapi.PollRequest,
 ) (contact *runnerContact, ok bool) {
@@ -108,7 +109,7 @@
 	return contact, true
 }
 
-// openPoll makes this the open poll of a runner.
+// openPoll makes a poll the runner's open poll.
 func (s *Server) openPoll(peer wire.Peer, id uint64, contact *runnerContact, poll *runnerapi.PollRequest) {
 	wasAway := !contact.hasPolled || s.now.Since(contact.lastHeard) > awayAfter
 	contact.seq = poll.Seq
@@ -123,8 +124,8 @@
 	contact.beginPoll()
 }
 
-// recordRunning takes the attempts that a poll says run. When one is new here, the
-// runners of its gang have something to hear.
+// recordRunning records the attempts that a poll reports as running. If one has newly
+// started, the polls of its gang's other runners are marked for an answer.
 func (s *Server) recordRunning(contact *runnerContact, poll *runnerapi.PollRequest) {
 	for _, id := range poll.Running {
 		contact.running[id] = true
@@ -146,7 +147,7 @@
 	}
 }
 
-// recordEnded takes the attempts that a poll says have ended.
+// recordEnded records the attempts that a poll reports as ended.
 func (s *Server) recordEnded(contact *runnerContact, poll *runnerapi.PollRequest) {
 	for _, end := range poll.Ended {
 		contact.ended[end.Lease] = end
@@ -156,8 +157,8 @@
 	}
 }
 
-// reportRunnerIfChanged proposes what the runner says of itself when it differs from
-// the state.
+// reportRunnerIfChanged proposes the runner's report about itself if it differs from the
+// state.
 func (s *Server) reportRunnerIfChanged(name identifier.Runner, contact *runnerContact, poll *runnerapi.PollRequest) {
 	if contact.reportProposal > s.appliedIndex {
 		return
@@ -187,7 +188,7 @@
 	contact.reportProposal = s.propose(&state.Command{ReportRunner: report})
 }
 
-// matchesReport reports whether a report says nothing that the state does not have.
+// matchesReport reports whether a report contains nothing new to the state.
 func matchesReport(runner *state.Runner, report *state.ReportRunner) bool {
 	gap := report.DepartsAt - runner.DepartsAt
 	return runner.Incarnation == report.Incarnation &&
@@ -202,7 +203,7 @@
 		gap < departureSlack && gap > -departureSlack
 }
 
-// reportNewEnds proposes the ends that the state has yet to hear of.
+// reportNewEnds proposes the reported ends that the state does not contain yet.
 func (s *Server) reportNewEnds(name identifier.Runner, contact *runnerContact) {
 	if contact.endsProposal > s.appliedIndex {
 		return
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -8,23 +8,24 @@
 )
 
 const (
-	// schedulingInterval is the least time between two scheduling cycles.
+	// schedulingInterval is the minimum time between two scheduling cycles.
 	schedulingInterval clock.Millis = 20
-	// deferralInterval is the time after which deferred tasks are looked at again.
+	// deferralInterval is how often deferred tasks are reconsidered when nothing else
+	// changes.
 	deferralInterval clock.Millis = 100
 )
 
-// schedulingCycle says when the leader plans placements next.
+// schedulingCycle tracks when the leader next plans placements.
 type schedulingCycle struct {
-	// needed says that something changed since the last cycle.
+	// needed means that something changed since the last cycle.
 	needed bool
 	lastAt clock.Monotonic
-	// proposal is the index of the last plan's entry. One plan is under way at a time.
+	// proposal is the index of the last plan's entry. At most one plan is pending.
 	proposal identifier.Index
-	// deferred are the tasks that wait for a better runner. They are looked at again when
-	// nothing changes, too.
+	// deferred are the tasks that wait for a better runner. They are reconsidered every
+	// deferralInterval even if nothing changes.
 	deferred *scheduler.DeferredTasks
-	// usage is what the pools lately had in use.
+	// usage is the recent resource usage of each pool.
 	usage *scheduler.UsageHistory
 }
 
@@ -37,7 +38,7 @@
 	}
 }
 
-// due reports whether a cycle is to be run.
+// due reports whether a cycle should run now.
 func (c *schedulingCycle) due(now clock.Monotonic) bool {
 	if !c.needed && !(c.deferred.Any() && now.Since(c.lastAt) >= deferralInterval) {
 		return false
@@ -45,7 +46,7 @@
 	return now.Since(c.lastAt) >= schedulingInterval
 }
 
-// schedule runs one scheduling cycle when it is time to, and proposes its plan.
+// schedule runs a scheduling cycle if one is due, and proposes its plan.
 func (s *Server) schedule() {
 	cycle := &s.leader.cycle
 	if cycle.proposal > s.appliedIndex || !cycle.due(s.now) {
@@ -69,7 +70,8 @@
 	}
 }
 
-// runnerView is what the scheduler is told of the runners beyond the state.
+// runnerView returns what the scheduler needs to know about runners beyond the replicated
+// state.
 func (s *Server) runnerView() scheduler.RunnerView {
 	cycle := &s.leader.cycle
 	return scheduler.RunnerView{
@@ -89,11 +91,12 @@
 	}
 }
 
-// schedulableSilence is how long a runner may be silent and still be given work.
+// schedulableSilence is how long a runner may be silent and still receive work.
 func (s *Server) schedulableSilence() clock.Millis { return 2 * s.startTimeout() }
 
-// schedulable gives a test of whether a runner may be given work now: it has polled
-// lately under its present incarnation, is not leaving and is not quarantined.
+// schedulable returns a predicate that reports whether a runner may receive work now: it
+// has recently polled under its current incarnation, is not draining and is not
+// quarantined.
 func (s *Server) schedulable() func(name identifier.Runner) bool {
 	limit := s.schedulableSilence()
 	return func(name identifier.Runner) bool {
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -12,25 +12,25 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Server is a control-plane server as a pure state machine: consensus, the replicated
-// state, and the work of the leader. It does no input or output and reads no clock. It is
+// Server is a control-plane server as a deterministic state machine: consensus, the
+// replicated state, and the work of the leader. It does no I/O and reads no clock. It is
 // not safe for concurrent use.
 type Server struct {
-	// LogPercentUsed tells how much of the write-ahead log is in use, so that a snapshot
-	// is taken before it is full. The owner of the disk replaces it.
+	// LogPercentUsed returns the used part of the write-ahead log in percent, so that a
+	// snapshot is taken before the log is full. The owner of the disk sets it.
 	LogPercentUsed func() int
-	// UnauthenticatedRequests counts the requests that were refused here because their API
-	// key is nobody's. Callers may only read it.
+	// UnauthenticatedRequests counts the requests that this server refused because their
+	// API key belongs to no tenant. Callers may only read it.
 	UnauthenticatedRequests uint64
 
 	config Config
 	now    clock.Monotonic
 	wall   clock.WallTime
 	output Output
-	// halted says that this server takes no further input.
+	// halted means that this server accepts no further input.
 	halted bool
-	// hold is a stop that is held back, stopping the graceful stop under way; both are nil
-	// until one begins.
+	// hold is a delayed stop, stopping the graceful stop in progress; both are nil until
+	// one begins.
 	hold     *stopHold
 	stopping *gracefulStop
 
@@ -42,41 +42,41 @@
 	// forwarder is set on a server without a disk, which never belongs to a group.
 	forwarder *forwarderNode
 	gateways  gatewayTable
-	// leaderlessSince is when a leader was last known.
+	// leaderlessSince is when this server last knew a leader.
 	leaderlessSince clock.Monotonic
 
 	state              *state.Store
 	appliedIndex       identifier.Index
 	bytesSinceSnapshot int64
-	// incomingIndex is the last snapshot whose arrival was logged.
+	// incomingIndex is the index of the last incoming snapshot that was logged.
 	incomingIndex identifier.Index
 	clusterTime   carriedTime
 	checksums     recentChecksums
 	routing       routingState
 
-	// proposals are requests that wait for their entry, forwarded those that wait for
-	// the leader's response.
+	// proposals are requests that wait for their entry to be applied, forwarded those
+	// that wait for the leader's response.
 	proposals     proposalTable
 	forwarded     map[uint64]forwardedRequest
 	lastRequestID uint64
-	// delayedOrders are orders that this leader has taken in and not proposed yet.
+	// delayedOrders are orders that this leader has accepted but not proposed yet.
 	delayedOrders []delayedOrder
 	leaderLink    leaderLink
 
-	// leader is what this server keeps while it leads, nil otherwise, and term the last
+	// leader is the state kept while this server leads, nil otherwise; term is the last
 	// term in which it led.
 	leader *leaderState
 	term   identifier.Term
-	// waitReasons says of each job's steps what the last scheduling cycle found them to
-	// wait for.
+	// waitReasons holds, by job and step, what the waiting tasks wait for according to
+	// the last scheduling cycle.
 	waitReasons   map[identifier.JobKey]map[int]string
 	policyCache   *policy.Cache
 	policyResults scheduler.PolicyResults
 }
 
-// New makes a server without any state: one with a disk looks for a group to join or, if
-// the configuration says so, founds one; one without a disk only forwards requests to the
-// leader. Resume follows where the disk held state.
+// New returns a server without any state. One with a disk looks for a group to join or,
+// if the configuration allows it, founds one; one without a disk only forwards requests
+// to the leader. Call Resume next if the disk holds state.
 func New(config Config, now clock.Monotonic) *Server {
 	s := &Server{
 		LogPercentUsed:  func() int { return 0 },
@@ -101,9 +101,11 @@
 	return s
 }
 
-// LevelError says that the state on disk is of a later version than this program.
+// LevelError reports that the state on disk was written by a later version of this
+// program.
 type LevelError struct {
-	// Folder is the level of the state, Program the highest that this program knows.
+	// Folder is the level of the state on disk, Program the highest level that this
+	// program supports.
 	Folder  uint16
 	Program uint16
 }
@@ -112,8 +114,9 @@
 	return fmt.Sprintf("the folder is of level %d, and this program knows %d: start one at least as new as before", e.Folder, e.Program)
 }
 
-// Resume starts from what the disk held. A snapshot that does not decode is damage that
-// no server should run over; one of a later version is a *LevelError.
+// Resume restores the server from its disk. It returns an error if the snapshot does not
+// decode, which means that the disk is damaged, and a *LevelError if it was written by a
+// later version.
 func (s *Server) Resume(hard raft.HardState, snapshot *raft.Snapshot, entries []raft.Entry) error {
 	resumed, err := state.Decode(snapshot.Data)
 	if err != nil {
@@ -132,24 +135,24 @@
 	return nil
 }
 
-// Config is the configuration that the server was started with.
+// Config returns the configuration that the server was created with.
 func (s *Server) Config() Config { return s.config }
 
-// State is the replicated state as applied so far. Callers must not change it.
+// State returns the replicated state as applied so far. Callers must not change it.
 func (s *Server) State() *state.Store { return s.state }
 
-// Raft is the member of the consensus group, nil until this server belongs to one.
+// Raft returns the member of the consensus group, nil until this server belongs to one.
 func (s *Server) Raft() *raft.Raft { return s.raft }
 
-// TakeOutput hands over the output so far.
+// TakeOutput returns the output accumulated since the last call and clears it.
 func (s *Server) TakeOutput() Output {
 	out := s.output
 	s.output = Output{}
 	return out
 }
 
-// Tick passes in the time and starts whatever is due: heartbeats, elections, discovery,
-// and the periodic work of a leader. It should come every TickInterval.
+// Tick advances the time and starts whatever is due: heartbeats, elections, discovery,
+// and the leader's periodic work. It should be called every TickInterval.
 func (s *Server) Tick(now clock.Monotonic, wall clock.WallTime) {
 	if s.halted {
 		return
@@ -181,8 +184,8 @@
 	s.process()
 }
 
-// HandleMessage passes in one message from another process. from is where a response
-// goes; it need not be the sender's listening address.
+// HandleMessage handles one message from another process. from is where responses are
+// sent; it need not be the sender's listening address.
 func (s *Server) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic, wall clock.WallTime) {
 	if s.halted {
 		return
@@ -209,8 +212,8 @@
 	s.transferLeadershipNow()
 }
 
-// handleRaft passes a message on to the consensus. While this server looks for its group,
-// it only shows that there is one.
+// handleRaft passes a message to the consensus. While this server is looking for its
+// group, the message only proves that a group exists.
 func (s *Server) handleRaft(from wire.Peer, msg *raft.Message) {
 	if s.discovery != nil {
 		s.discovery.groupHeardAt = s.now
@@ -226,8 +229,8 @@
 	s.raft.Step(*msg, s.now, s.wall)
 }
 
-// Synced reports that all writes up to and including seq are on disk, which lets
-// acknowledgements that waited for them go out.
+// Synced reports that all writes up to and including seq are on disk, which releases the
+// acknowledgements that waited for them.
 func (s *Server) Synced(seq uint64, now clock.Monotonic, wall clock.WallTime) {
 	if s.halted {
 		return
@@ -240,8 +243,8 @@
 	s.transferLeadershipNow()
 }
 
-// updateLeadership notices that leadership has come or gone. A leader acts only once the
-// entry that opens its term is applied and its lease holds.
+// updateLeadership detects that this server has gained or lost leadership. It acts as the
+// leader only once the first entry of its term is applied and it holds its lease.
 func (s *Server) updateLeadership() {
 	if s.raft == nil {
 		return
@@ -261,7 +264,8 @@
 	}
 }
 
-// loseLeadership ends a leadership. What was proposed may be committed by another leader.
+// loseLeadership clears the leader state. Pending proposals may still be committed by
+// another leader, so their outcome is unknown.
 func (s *Server) loseLeadership() {
 	s.leader = nil
 	s.logEvent("leader-lost", "term", s.term)
@@ -277,7 +281,7 @@
 	s.output.Events = append(s.output.Events, Event{name, fields})
 }
 
-// send sends a message. A leader's responses carry a reading of its clock.
+// send queues a message. A leader's responses carry a reading of its clock.
 func (s *Server) send(to wire.Peer, msg wire.Message) {
 	if msg.Response != nil && s.isActiveLeader() {
 		msg.Response.LeaderTime = s.leaderTime()
@@ -285,7 +289,7 @@
 	s.output.Messages = append(s.output.Messages, wire.Envelope{To: to, Message: msg})
 }
 
-// advanceClocks takes the time of an input.
+// advanceClocks updates the clocks with the time of an input.
 func (s *Server) advanceClocks(now clock.Monotonic, wall clock.WallTime) {
 	s.postponeDelayedOrders(now)
 	s.now = max(s.now, now)
--- a/internal/controlplane/stop_hold.go
+++ b/internal/controlplane/stop_hold.go
@@ -10,27 +10,27 @@
 	"orchidward/internal/transport/wire"
 )
 
-// A server that stops leaves its seat empty until it is back, and where no learner is
-// ready to take it the group tolerates one loss less. So a planned stop is held back for a
-// while as long as another voter is away: the server goes on as before, and stops once
-// all seats are taken or its patience is over. Only the leader knows who is away; another
-// server asks it.
+// A voter that stops leaves the group with one voter fewer until it is back; unless a
+// learner is ready to replace it, the group tolerates one loss fewer during that time. A
+// planned stop is therefore delayed while another voter is absent: the server continues
+// as before, and stops once all other voters are present or maxStopHold has passed. Only
+// the leader knows which voters are absent; other servers ask it.
 
 const (
-	// maxStopHold is how long a stop is held back at most.
+	// maxStopHold is the longest time that a stop is delayed.
 	maxStopHold clock.Millis = 2000
-	// holdQuestionInterval lies between two questions to the leader.
+	// holdQuestionInterval is the time between two queries to the leader.
 	holdQuestionInterval clock.Millis = 100
-	// seatEmptyAfter is how long a voter is silent before its seat counts as empty; it is less
-	// than what a restart takes, and more than a few lost heartbeats.
+	// seatEmptyAfter is how long a voter is silent before it counts as absent. It is
+	// shorter than a restart takes, and longer than a few lost heartbeats.
 	seatEmptyAfter clock.Millis = 500
 )
 
-// stopHold is a stop that is held back.
+// stopHold is a stop that is being delayed.
 type stopHold struct {
 	since   clock.Monotonic
 	askedAt clock.Monotonic
-	// requestID and leader are of the last question, 0 and empty for none.
+	// requestID and leader identify the last query; they are zero if there was none.
 	requestID uint64
 	leader    wire.Peer
 }
@@ -44,8 +44,8 @@
 	return known && self.Voter
 }
 
-// continueHold ends the hold when all other seats are taken or it has lasted for long
-// enough, and otherwise asks the leader.
+// continueHold ends the delay once all other voters are present or maxStopHold has
+// passed, and otherwise queries the leader.
 func (s *Server) continueHold() {
 	hold := s.hold
 	switch {
@@ -62,7 +62,7 @@
 	}
 }
 
-// askForSeats asks the leader, if one is known, who is away.
+// askForSeats asks the leader, if one is known, which voters it hears.
 func (s *Server) askForSeats() {
 	leader, known := s.currentLeader()
 	if !known || leader.ID == s.config.ID || leader.Addr == "" {
@@ -76,12 +76,13 @@
 		Method: http.MethodGet,
 		Path:   endpoint.ServersPath,
 		Budget: holdQuestionInterval,
-		// It is for this leader only, and must not be passed on.
+		// Marks the request as forwarded already: only this leader may answer it.
 		Hops: 1,
 	}})
 }
 
-// handleSeats takes the leader's answer, and reports whether the response was one.
+// handleSeats handles the leader's response to a query, and reports whether the response
+// was one.
 func (s *Server) handleSeats(from wire.Peer, response *wire.Response) bool {
 	hold := s.hold
 	if hold == nil || hold.requestID != response.ID || hold.leader != from {
@@ -97,7 +98,8 @@
 	return true
 }
 
-// seatsTaken reports whether a leader hears all other voters and none of them leaves.
+// seatsTaken reports whether the leader hears all other voters and none of them is
+// leaving.
 func seatsTaken(statuses []raft.MemberStatus) bool {
 	for _, status := range statuses {
 		if status.Voter && (status.WallTimeReadAt == 0 || status.SilentFor > seatEmptyAfter || status.Leaving) {
@@ -107,7 +109,8 @@
 	return true
 }
 
-// seatsTakenBut reports whether the leader hears all voters but the one at an address.
+// seatsTakenBut reports whether the leader hears all voters other than the one at an
+// address.
 func seatsTakenBut(servers []ServerDoc, addr string) bool {
 	for _, server := range servers {
 		if server.Voter && server.Addr != addr && (!server.Heard || server.SilentFor > seatEmptyAfter) {
--- a/internal/controlplane/withdrawal.go
+++ b/internal/controlplane/withdrawal.go
@@ -8,31 +8,33 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Orders to drain a zone, and to put it back into use, have no number. Their caller may
-// hang up and order the opposite by way of another server; the machine that sees the
-// hang-up then withdraws the order. The withdrawal follows the order on the same
-// connections. The leader keeps each such order for drainOrderDelay before it proposes
-// it, so that a withdrawal which waited behind the order, in a stalled connection or a
-// process that stood still, arrives in time. See docs/notes/worst-days.md.
+// Requests to drain a zone, and to put it back into use, carry no sequence number. Their
+// caller may disconnect and send the opposite request through another server; the process
+// that detects the disconnect then withdraws the first request. The withdrawal follows
+// the request on the same connections. The leader delays each such request by
+// drainOrderDelay before it proposes it, so that a withdrawal that was queued behind the
+// request, in a stalled connection or a suspended process, arrives in time. See
+// docs/notes/worst-days.md.
 
 const (
-	// drainOrderDelay is how long a leader keeps an order before it proposes it: long
-	// enough to read what came with it.
+	// drainOrderDelay is how long the leader delays an order before it proposes it: long
+	// enough to read the messages that arrived with it.
 	drainOrderDelay clock.Millis = 25
-	// maxDelayedOrders bounds the orders that are kept, and maxDelayedBody the body of
-	// each, in bytes; such an order names an operation, at most.
+	// maxDelayedOrders bounds the number of delayed orders, and maxDelayedBody the size
+	// of each one's body in bytes; the body of such an order contains at most an
+	// operation id.
 	maxDelayedOrders = 256
 	maxDelayedBody   = 4 << 10
 )
 
-// delayedOrder is an order that the leader has yet to carry out.
+// delayedOrder is an order that the leader has accepted but not proposed yet.
 type delayedOrder struct {
 	request *apiRequest
 	dueAt   clock.Monotonic
 }
 
-// delayOrder keeps an order for a moment, and reports whether it does. One beyond the
-// bounds is carried out at once.
+// delayOrder delays an order and reports whether it did. An order beyond the bounds is
+// not delayed.
 func (s *Server) delayOrder(r *apiRequest) bool {
 	if !endpoint.Withdrawable(r.Method, r.Path) || len(r.Body) > maxDelayedBody || len(s.delayedOrders) >= maxDelayedOrders {
 		return false
@@ -41,8 +43,8 @@
 	return true
 }
 
-// postponeDelayedOrders keeps the orders for the whole delay once more after a gap without
-// input: a withdrawal may have come meanwhile and not been read.
+// postponeDelayedOrders restarts the delay of all delayed orders after a gap without
+// input: a withdrawal may have arrived during the gap and not been read yet.
 func (s *Server) postponeDelayedOrders(now clock.Monotonic) {
 	if len(s.delayedOrders) == 0 || now.Since(s.now) <= drainOrderDelay {
 		return
@@ -52,8 +54,7 @@
 	}
 }
 
-// serveDelayedOrders carries out the orders whose time has come, in the order in which
-// they came.
+// serveDelayedOrders serves the orders whose delay is over, in order of arrival.
 func (s *Server) serveDelayedOrders() {
 	for len(s.delayedOrders) > 0 && s.now >= s.delayedOrders[0].dueAt {
 		r := s.delayedOrders[0].request
@@ -67,8 +68,8 @@
 	}
 }
 
-// returnDelayedOrders answers the orders that this server no longer carries out: none was
-// taken.
+// returnDelayedOrders rejects the delayed orders when this server stops serving them.
+// None of them had any effect.
 func (s *Server) returnDelayedOrders() {
 	for _, order := range s.delayedOrders {
 		s.replyNotLeader(order.request.peer, order.request.ID)
@@ -76,8 +77,9 @@
 	s.delayedOrders = nil
 }
 
-// handleWithdrawal takes an order back that came on the same connection: from those that
-// are kept here, or from the leader that it was passed on to. It is not answered.
+// handleWithdrawal withdraws an order that arrived on the same connection: it drops the
+// order if it is still delayed here, or forwards the withdrawal to the leader that the
+// order was forwarded to. A withdrawal is not answered.
 func (s *Server) handleWithdrawal(from wire.Peer, id uint64) {
 	s.delayedOrders = slices.DeleteFunc(s.delayedOrders, func(order delayedOrder) bool {
 		return order.request.peer == from && order.request.ID == id
@@ -91,8 +93,8 @@
 	}
 }
 
-// withdrawForwarded gives up a request that was passed on to the leader. An order without
-// a number is withdrawn there.
+// withdrawForwarded drops a forwarded request. An order without a sequence number is also
+// withdrawn at the leader.
 func (s *Server) withdrawForwarded(id uint64) {
 	request := s.forwarded[id]
 	delete(s.forwarded, id)
