--- a/internal/controlplane/cluster_documents.go
+++ b/internal/controlplane/cluster_documents.go
@@ -12,7 +12,8 @@
 	"orchidward/internal/state"
 )
 
-// QueueDoc is a queue as the API returns it: how many of its jobs are unfinished.
+// QueueDoc is a queue as the API returns it. Waiting is the number of its unfinished
+// jobs.
 type QueueDoc struct {
 	Queue   string `json:"queue"`
 	Waiting int64  `json:"waiting"`
@@ -36,8 +37,8 @@
 }
 
 // RunnerDoc is a runner as the API returns it. SilentFor is the time since its last poll
-// in milliseconds, CordonedBy the drain that cordons it; Successes and Defects are recent
-// ones.
+// in milliseconds, CordonedBy the drain that cordons it; Successes and Defects count
+// recent attempts.
 type RunnerDoc struct {
 	Runner     identifier.Runner  `json:"runner"`
 	Domain     identifier.Domain  `json:"domain"`
@@ -55,7 +56,7 @@
 	Defects    int64              `json:"defects"`
 }
 
-// RunnersDoc lists the runners in the order of their names.
+// RunnersDoc lists the runners in order of name.
 type RunnersDoc struct {
 	Runners []RunnerDoc `json:"runners"`
 }
@@ -95,7 +96,8 @@
 }
 
 // DrainDoc is a drain as the API returns it: its state, the runners that it cordons, and
-// how many of their leases are not revoked yet, or revoked and not closed.
+// how many of their leases are still running (not revoked) or stopping (revoked but not
+// closed).
 type DrainDoc struct {
 	*state.Drain
 	Cordoned []identifier.Runner `json:"fence"`
@@ -104,7 +106,7 @@
 	Since    string              `json:"since"`
 }
 
-// DrainsDoc lists the drains by when they began.
+// DrainsDoc lists the drains in order of their start.
 type DrainsDoc struct {
 	Drains []DrainDoc `json:"closings"`
 }
@@ -134,7 +136,8 @@
 	}
 }
 
-// replyDrain answers with a drain named by its id, or with a zone's last one.
+// replyDrain answers with the drain that has the given id, or with the latest drain of
+// the zone of that name.
 func (s *Server) replyDrain(r *apiRequest, name string) {
 	found := s.state.Drains[name]
 	if found == nil {
@@ -162,7 +165,7 @@
 	Match     identifier.Index `json:"match"`
 	SilentFor clock.Millis     `json:"quietMs"`
 	Level     uint16           `json:"level"`
-	// Heard says that the leader has heard the server since it began to lead.
+	// Heard means that the leader has heard from the server since it began to lead.
 	Heard bool `json:"heard"`
 }
 
--- a/internal/controlplane/command_events.go
+++ b/internal/controlplane/command_events.go
@@ -5,7 +5,7 @@
 	"orchidward/internal/state"
 )
 
-// logCommand logs what an applied command did, one line each. Only the leader does so.
+// logCommand logs the effect of an applied command, one line each. Only the leader logs.
 func (s *Server) logCommand(command *state.Command, result state.Result) {
 	if s.leader == nil {
 		return
@@ -33,7 +33,8 @@
 	}
 }
 
-// logCatalogChange logs a change of the catalogue, by numbers: API keys are secrets.
+// logCatalogChange logs only the counts of a catalogue change, because API keys are
+// secrets.
 func (s *Server) logCatalogChange(change *catalog.Change, result state.Result) {
 	s.logEvent("catalog-changed",
 		"status", result.Status,
--- a/internal/controlplane/gateway_sync.go
+++ b/internal/controlplane/gateway_sync.go
@@ -12,19 +12,19 @@
 	"orchidward/internal/transport/wire"
 )
 
-// maxStalePageBytes bounds the page that goes with the response to a stale request. More
-// is fetched by the gateway, once for all its requests.
+// maxStalePageBytes bounds the routing page included in the response to a stale request.
+// A gateway fetches larger pages itself, once for all its requests.
 const maxStalePageBytes = 4 << 10
 
-// routingState is the history of the routing table, the catalogue that it was last told of,
-// and the keys of that catalogue's tenants.
+// routingState is the history of the routing table, the catalogue that the history last
+// included, and the API keys of that catalogue's tenants.
 type routingState struct {
 	history *routing.History
 	catalog *catalog.Catalog
 	keys    *catalog.KeyTable
 }
 
-// routingTable is the table in force.
+// routingTable returns the routing table in force.
 func (s *Server) routingTable() routing.Table {
 	table := routing.Table{Epoch: s.state.Limits.Epoch, Rows: s.state.Limits.Rows}
 	if c := s.state.Catalog; c != nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// trackRouting tells the history what the last entry changed.
+// trackRouting updates the history with the changes of the last entry.
 func (s *Server) trackRouting() {
 	r := &s.routing
 	if r.history != nil && s.state.Limits.Epoch == r.history.Epoch() {
@@ -63,7 +63,7 @@
 	r.keys = catalog.NewKeyTable(table.KeySalt, table.Tenants)
 }
 
-// forgetRouting begins the history anew, as the state was replaced.
+// forgetRouting resets the history after the state was replaced.
 func (s *Server) forgetRouting() { s.routing = routingState{} }
 
 func (s *Server) routingPage(since identifier.Epoch, after string) routing.Page {
@@ -71,7 +71,7 @@
 	return s.routing.history.Page(since, after)
 }
 
-// handleSync tells a gateway what changed since the table that it has.
+// handleSync sends a gateway the changes since the routing table that it has.
 func (s *Server) handleSync(r *apiRequest) {
 	query, err := url.ParseQuery(r.Query)
 	if err != nil {
@@ -98,13 +98,13 @@
 	s.replyJSON(r.peer, r.ID, http.StatusOK, response)
 }
 
-// replyStale returns a request that a gateway checked by an older routing table.
+// replyStale returns a request that a gateway checked against an older routing table.
 func (s *Server) replyStale(to wire.Peer, r *wire.Request) {
 	s.send(to, wire.Message{Response: &wire.Response{ID: r.ID, Status: http.StatusConflict, Stale: true, Body: s.staleBody(r)}})
 }
 
-// staleBody is what goes with the return of a stale request. Gateways that stamp their
-// requests with the leader's time know pages; others are sent the full table.
+// staleBody returns the body of the response to a stale request. Gateways that stamp
+// their requests with the leader's time support pages; others receive the full table.
 func (s *Server) staleBody(r *wire.Request) []byte {
 	if !r.HasLeaderTime {
 		return encodeStale(s.fullRoutingTable())
@@ -120,7 +120,7 @@
 	return text
 }
 
-// stalePage is a routing.StaleResponse with nothing but a page.
+// stalePage is a routing.StaleResponse that contains only a page.
 type stalePage struct {
 	Page *routing.Page `json:"page"`
 }
--- a/internal/controlplane/gateways.go
+++ b/internal/controlplane/gateways.go
@@ -9,13 +9,13 @@
 const (
 	// gatewayTTL is how long a gateway counts as live after it was last heard.
 	gatewayTTL clock.Millis = 5000
-	// maxGateways bounds the gateways that are remembered.
+	// maxGateways bounds the number of gateways in the table.
 	maxGateways = 256
 )
 
-// gatewayTable remembers the live gateways, by when each was last heard: by the
-// address at which clients and runners reach it, and by the one at which it listens
-// for the cluster's own processes.
+// gatewayTable records when each gateway was last heard, by the address at which clients
+// and runners reach it, and by the address at which it listens for the cluster's own
+// processes.
 type gatewayTable struct {
 	clientAddrs map[string]clock.Monotonic
 	peerAddrs   map[string]clock.Monotonic
@@ -25,8 +25,8 @@
 	return gatewayTable{clientAddrs: map[string]clock.Monotonic{}, peerAddrs: map[string]clock.Monotonic{}}
 }
 
-// clientAddrSeen notes that the gateway with this client address lives. Beyond the
-// bound no further ones are taken in.
+// clientAddrSeen records that the gateway with this client address is live. A gateway
+// beyond maxGateways is ignored.
 func (t *gatewayTable) clientAddrSeen(addr string, now clock.Monotonic) {
 	_, known := t.clientAddrs[addr]
 	if known || addr != "" && len(t.clientAddrs) < maxGateways {
@@ -34,7 +34,7 @@
 	}
 }
 
-// peerAddrSeen is the same for the address within the cluster.
+// peerAddrSeen does the same for the gateway's address within the cluster.
 func (t *gatewayTable) peerAddrSeen(addr string, now clock.Monotonic) {
 	_, known := t.peerAddrs[addr]
 	if known || len(t.peerAddrs) < maxGateways {
@@ -42,12 +42,13 @@
 	}
 }
 
-// liveClientAddrs lists the client addresses of live gateways in order.
+// liveClientAddrs lists the client addresses of live gateways in ascending order.
 func (t *gatewayTable) liveClientAddrs(now clock.Monotonic) []string {
 	return liveAddrs(t.clientAddrs, now)
 }
 
-// livePeerAddrs lists the addresses of live gateways within the cluster in order.
+// livePeerAddrs lists the addresses of live gateways within the cluster in ascending
+// order.
 func (t *gatewayTable) livePeerAddrs(now clock.Monotonic) []string {
 	return liveAddrs(t.peerAddrs, now)
 }
--- a/internal/controlplane/graceful_stop.go
+++ b/internal/controlplane/graceful_stop.go
@@ -6,26 +6,26 @@
 )
 
 const (
-	// undecidedTimeout is how long a leader that stops waits for what it has proposed,
-	// and gracefulStopTimeout how long the stop may take in all.
+	// undecidedTimeout is how long a stopping leader waits for its proposals to be
+	// applied, and gracefulStopTimeout how long the whole stop may take.
 	undecidedTimeout    clock.Millis = 300
 	gracefulStopTimeout clock.Millis = 1500
 )
 
-// gracefulStop is the orderly stop of a server. One that leads takes no more requests,
-// waits until what it has proposed is applied and every live voter has the complete log,
-// and transfers leadership. One that follows tells the leader that it leaves, so that a
-// learner that has caught up can take its place. A server that stops never asks for an
-// election, but goes on voting and forwarding requests to the end.
+// gracefulStop is the orderly stop of a server. A leader accepts no more requests, waits
+// until its proposals are applied and every live voter has the complete log, and
+// transfers leadership. A follower tells the leader that it is leaving, so that a
+// caught-up learner can replace it. A stopping server never starts an election, but
+// continues to vote and to forward requests until it ends.
 type gracefulStop struct {
 	since clock.Monotonic
-	// transferred says that leadership was handed to another voter.
+	// transferred means that leadership was transferred to another voter.
 	transferred bool
 }
 
-// Leave begins the graceful stop, or has it held back for as long as another voter is away
-// (stop_hold.go). The server must go on being run until Left says that it may end. Calling
-// it again does nothing.
+// Leave begins the graceful stop, or delays it while another voter is absent
+// (stop_hold.go). The server must keep running until Left reports that it may end.
+// Further calls have no effect.
 func (s *Server) Leave() {
 	switch {
 	case s.stopping != nil || s.hold != nil:
@@ -49,8 +49,8 @@
 	s.process()
 }
 
-// Left reports whether the process may end: another server leads, nobody does and this
-// server can't change that, or the stop has taken too long.
+// Left reports whether the process may end: another server leads, this server belongs to
+// no group or has halted, or the stop has exceeded gracefulStopTimeout.
 func (s *Server) Left() bool {
 	if s.stopping == nil {
 		return false
@@ -63,7 +63,8 @@
 	return s.raft.Role() == raft.Follower && otherLeads && len(s.forwarded) == 0
 }
 
-// transferLeadership hands leadership to another voter once nothing is lost by it.
+// transferLeadership transfers leadership to another voter once that loses no proposal,
+// or after undecidedTimeout.
 func (s *Server) transferLeadership() {
 	stop := s.stopping
 	if stop == nil || stop.transferred || s.raft == nil || s.raft.Role() != raft.Leader {
@@ -79,8 +80,8 @@
 	}
 }
 
-// transferLeadershipNow tries again after an input that may have decided the last
-// proposal.
+// transferLeadershipNow retries the transfer after an input that may have completed the
+// last proposal.
 func (s *Server) transferLeadershipNow() {
 	if s.stopping == nil || s.stopping.transferred || s.halted {
 		return
--- a/internal/controlplane/job_documents.go
+++ b/internal/controlplane/job_documents.go
@@ -10,8 +10,8 @@
 	"orchidward/internal/state"
 )
 
-// JobDoc is a job as the API returns it. Times are RFC 3339 in UTC; Steps is left out of
-// lists. Reason says why the job failed, if it did.
+// JobDoc is a job as the API returns it. Times are RFC 3339 in UTC; Steps is omitted from
+// lists. Reason is why the job failed, if it did.
 type JobDoc struct {
 	Job       identifier.JobKey `json:"job"`
 	State     string            `json:"state"`
@@ -22,12 +22,12 @@
 	Ended     string            `json:"ended,omitempty"`
 	Reason    string            `json:"why,omitempty"`
 	Steps     []StepDoc         `json:"steps,omitempty"`
-	// Timing is where the time went of the tasks that the job had to wait for. It is left
-	// out by a server that has not followed the job from its acceptance.
+	// Timing is how the time of the job's critical tasks was spent. A server that has not
+	// followed the job from its acceptance omits it.
 	Timing *TimingDoc `json:"timing,omitempty"`
 }
 
-// StepDoc is one step of a job. Reason says what its waiting tasks wait for.
+// StepDoc is one step of a job. Reason is what its waiting tasks wait for.
 type StepDoc struct {
 	Name   string    `json:"name"`
 	Reason string    `json:"why,omitempty"`
@@ -36,8 +36,9 @@
 	Timing *StepTimingDoc `json:"timing,omitempty"`
 }
 
-// TaskDoc is one task. State is "running" only when the runner has confirmed the start,
-// and "stopping" while its lease is revoked and not closed yet; Reason then says why.
+// TaskDoc is one task. State is "running" only after the runner has confirmed the start,
+// and "stopping" while its lease is revoked but not closed; Reason is then why it was
+// revoked.
 type TaskDoc struct {
 	State   string             `json:"state"`
 	Runner  identifier.Runner  `json:"runner,omitempty"`
@@ -46,32 +47,32 @@
 	Reason  string             `json:"why,omitempty"`
 }
 
-// States of a task with an open lease, beside those of the state machine.
+// States of a task with an open lease, in addition to those of the replicated state.
 const (
 	taskRunning  = "running"
 	taskStopping = "stopping"
 )
 
-// JobStateDoc is a job's state in one word.
+// JobStateDoc is the state of a job without further details.
 type JobStateDoc struct {
 	State string `json:"state"`
 }
 
-// JobListDoc is a page of jobs. Next is the key to ask for the next page with, empty on
-// the last.
+// JobListDoc is a page of jobs. Next is the key to request the next page with, empty on
+// the last page.
 type JobListDoc struct {
 	Jobs []JobDoc `json:"jobs"`
 	Next string   `json:"next,omitempty"`
 }
 
-// Bounds of a page of jobs, and of the jobs looked at for one.
+// Bounds of a page of jobs, and of the jobs scanned for one.
 const (
 	defaultPageSize = 100
 	maxPageSize     = 1000
 	maxPageScan     = 20000
 )
 
-// jobSummary is a job without its steps.
+// jobSummary returns a job without its steps.
 func (s *Server) jobSummary(j *state.Job) JobDoc {
 	doc := JobDoc{
 		Job:      j.Key,
@@ -90,7 +91,7 @@
 	return doc
 }
 
-// jobDoc is a job with its steps and tasks.
+// jobDoc returns a job with its steps and tasks.
 func (s *Server) jobDoc(j *state.Job) JobDoc {
 	doc := s.jobSummary(j)
 	for i, tasks := range j.Steps {
@@ -124,7 +125,7 @@
 	return doc
 }
 
-// waitReason says what the step's waiting tasks wait for.
+// waitReason returns what the step's waiting tasks wait for.
 func (s *Server) waitReason(j *state.Job, step int) string {
 	switch {
 	case j.StartAt > s.leader.clock.timeAt(s.now):
@@ -192,7 +193,7 @@
 	s.replyJSON(r.peer, r.ID, http.StatusOK, page)
 }
 
-// matchesQuery reports whether a job is one that a query asks for.
+// matchesQuery reports whether a job matches a query.
 func matchesQuery(query url.Values, j *state.Job) bool {
 	client, _ := j.Key.Split()
 	return matchesFilter(query, "agent", string(client)) &&
--- a/internal/controlplane/job_timing.go
+++ b/internal/controlplane/job_timing.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// timingLogInterval is how often a leader logs where the time of each queue's jobs went.
+	// timingLogInterval is how often a leader logs how the time of each queue's jobs was
+	// spent.
 	timingLogInterval clock.Millis = 10000
-	// maxLateJobsLogged bounds the late jobs that get a line of their own in
-	// lateLogInterval; the others are counted.
+	// maxLateJobsLogged bounds the late jobs that are logged individually within
+	// lateLogInterval; the others are only counted.
 	maxLateJobsLogged              = 32
 	lateLogInterval   clock.Millis = 1000
-	// maxTimedQueues bounds the queues that totals are kept for.
+	// maxTimedQueues bounds the queues for which totals are kept.
 	maxTimedQueues = 512
 )
 
-// JobTotals are jobs that have ended, and where the time of the tasks went that they had
-// to wait for.
+// JobTotals counts jobs that have ended, and sums up how the time of their critical tasks
+// was spent.
 type JobTotals struct {
-	// Ended is the number of jobs that ended, Late that of those which succeeded after
-	// they were due, and Failed that of those which failed.
+	// Ended is the number of jobs that ended, Late the number that succeeded after they
+	// were due, and Failed the number that failed.
 	Ended, Late, Failed int
 	state.Timing
 }
 
-// jobTimes is what a leader has seen of jobs that ended. Totals are since this leadership
-// began, queues since the log last said so.
+// jobTimes is what a leader has recorded of ended jobs. totals covers this leadership,
+// queues the time since they were last logged.
 type jobTimes struct {
 	totals     JobTotals
 	queues     map[string]*JobTotals
@@ -43,8 +44,8 @@
 	return jobTimes{queues: map[string]*JobTotals{}, loggedAt: now, lateSince: now}
 }
 
-// JobTotals are the totals of jobs that ended under this leadership, zero on a server that
-// does not lead.
+// JobTotals returns the totals of the jobs that ended under this leadership, zero on a
+// server that does not lead.
 func (s *Server) JobTotals() JobTotals {
 	if s.leader == nil {
 		return JobTotals{}
@@ -52,10 +53,10 @@
 	return s.leader.jobTimes.totals
 }
 
-// recordEndedJobs takes the jobs that the last entry has ended.
+// recordEndedJobs records the jobs that the last entry ended.
 func (s *Server) recordEndedJobs() {
 	s.state.TakeEndedJobs(func(j *state.Job) {
-		// A repeated job is timed by its occurrences.
+		// A repeated job is timed through its occurrences.
 		if s.leader == nil || j.Terms == nil || j.Spec.Repeat != nil || j.EndState == state.Cancelled {
 			return
 		}
@@ -83,7 +84,7 @@
 	t.Timing = t.Plus(timing)
 }
 
-// queue returns the totals of a queue, nil where there are too many.
+// queue returns the totals of a queue, or nil if maxTimedQueues is exceeded.
 func (t *jobTimes) queue(name string) *JobTotals {
 	totals := t.queues[name]
 	if totals == nil && len(t.queues) < maxTimedQueues {
@@ -93,7 +94,7 @@
 	return totals
 }
 
-// logLateJob logs where the time of a job went that came too late, or failed.
+// logLateJob logs how the time of a job was spent that finished late or failed.
 func (s *Server) logLateJob(j *state.Job, timing state.Timing) {
 	times := &s.leader.jobTimes
 	if s.now.Since(times.lateSince) >= lateLogInterval {
@@ -116,8 +117,8 @@
 	s.logEvent("job-late", append(fields, timingFields(timing)...)...)
 }
 
-// timingFields are the fields of a log line that say where time went; causes for which
-// nothing was lost are left out.
+// timingFields returns the log fields that show how time was spent; causes without a loss
+// are omitted.
 func timingFields(timing state.Timing) []any {
 	fields := []any{
 		"waitMs", timing.Waiting, "runMs", timing.Running,
@@ -131,7 +132,7 @@
 	return fields
 }
 
-// logJobTimes logs, every timingLogInterval, where the time of each queue's jobs went.
+// logJobTimes logs, every timingLogInterval, how the time of each queue's jobs was spent.
 func (s *Server) logJobTimes() {
 	times := &s.leader.jobTimes
 	if s.now.Since(times.loggedAt) < timingLogInterval {
@@ -146,8 +147,8 @@
 	clear(times.queues)
 }
 
-// TimingDoc says where time went, in milliseconds. Lost has the time of attempts that came
-// to nothing, by cause.
+// TimingDoc is how time was spent, in milliseconds. Lost is the time of attempts that
+// were wasted, by cause.
 type TimingDoc struct {
 	Waiting  clock.Millis            `json:"waitMs"`
 	Running  clock.Millis            `json:"runMs"`
@@ -156,7 +157,7 @@
 	Distant  int                     `json:"distant,omitempty"`
 }
 
-// StepTimingDoc is the timing of the task that a step had to wait for.
+// StepTimingDoc is the timing of the task that determined when a step ended.
 type StepTimingDoc struct {
 	TimingDoc
 	Task  int    `json:"task"`
@@ -177,7 +178,7 @@
 	return doc
 }
 
-// addTiming adds to a job's document what this server has seen of its time.
+// addTiming adds the timing that this server has recorded to a job's document.
 func (d *JobDoc) addTiming(j *state.Job) {
 	steps, chain, ok := j.Timing()
 	if !ok {
--- a/internal/controlplane/policy_results.go
+++ b/internal/controlplane/policy_results.go
@@ -6,8 +6,9 @@
 	"orchidward/internal/scheduler"
 )
 
-// PolicyDoc is how a row's placement policy does, as the API returns it: how often it
-// was used and how often it failed since this server leads, and why it last did.
+// PolicyDoc is the record of a row's placement policy as the API returns it: how often it
+// was used and how often it failed since this server began to lead, and the last reason
+// for a failure.
 type PolicyDoc struct {
 	Row         identifier.Row `json:"row"`
 	Used        int            `json:"used"`
@@ -15,8 +16,8 @@
 	LastFailure string         `json:"lastFailure,omitempty"`
 }
 
-// recordPolicyResults adds up how the rows' policies did in one scheduling cycle, and
-// logs whenever one fails for another reason than before.
+// recordPolicyResults adds the results of the rows' policies in one scheduling cycle to
+// the totals, and logs a failure whose reason differs from the last one.
 func (s *Server) recordPolicyResults(cycle scheduler.PolicyResults) {
 	for row := range s.policyResults {
 		if s.state.Limits.Cell(row, limits.ColumnPolicy) == "" {
--- a/internal/controlplane/quota_holds.go
+++ b/internal/controlplane/quota_holds.go
@@ -5,9 +5,9 @@
 	"orchidward/internal/state"
 )
 
-// exceedsQuota reports whether the attempt of a lease must not start now, as its tenant's
-// quota was lowered since: what runs already, and what was placed before it and may start
-// first, is more than the quota.
+// exceedsQuota reports whether the attempt of a lease must not start now because its
+// tenant's quota was lowered after the placement: the attempts that are already running,
+// together with those that were placed earlier and may start first, exceed the quota.
 func (s *Server) exceedsQuota(lease *state.Lease) bool {
 	tenant := s.state.TenantOf(lease)
 	if !s.state.OverQuota(tenant) {
@@ -23,8 +23,8 @@
 	return !s.state.TenantQuota(tenant).Holds(before)
 }
 
-// mayRun reports whether the attempt of a lease may run by what this leader has heard of its
-// runner.
+// mayRun reports whether the attempt of a lease may be running, according to the last
+// poll of its runner.
 func (s *Server) mayRun(lease *state.Lease) bool {
 	contact := s.leader.runners[lease.Runner]
 	if contact == nil || !contact.hasPolled || contact.incarnation != lease.Incarnation {
--- a/internal/controlplane/quota_log.go
+++ b/internal/controlplane/quota_log.go
@@ -7,25 +7,26 @@
 	"orchidward/internal/clock"
 )
 
-// quotaLogInterval is how long a tenant must have been within its quota before the log says
-// so: a tenant that comes and goes is not logged each time.
+// quotaLogInterval is how long a tenant must have been within its quota before that is
+// logged. A tenant that repeatedly reaches its quota is not logged each time.
 const quotaLogInterval clock.Millis = 5000
 
-// quotaLog is which tenants the log has said to be at their quota.
+// quotaLog tracks which tenants have been logged as being at their quota.
 type quotaLog struct {
-	// waiting are the tenants of which the last plan left work waiting for their quota.
+	// waiting are the tenants that had work waiting for their quota in the last plan.
 	waiting map[string]bool
-	// reported has the tenants that were logged, and when each last had work waiting so.
+	// reported holds the tenants that were logged, and when each last had work waiting
+	// for its quota.
 	reported map[string]clock.Monotonic
 }
 
 func newQuotaLog() quotaLog { return quotaLog{reported: map[string]clock.Monotonic{}} }
 
-// planned takes the tenants at their quota from a plan.
+// planned records the tenants that a plan found at their quota.
 func (l *quotaLog) planned(waiting map[string]bool) { l.waiting = waiting }
 
-// logQuotas logs tenants that have come to their quota, and those that have kept within it
-// for a while.
+// logQuotas logs tenants that have reached their quota, and tenants that have been within
+// it for quotaLogInterval.
 func (s *Server) logQuotas() {
 	l := &s.leader.quotas
 	for _, tenant := range slices.Sorted(maps.Keys(l.waiting)) {
--- a/internal/controlplane/request_counts.go
+++ b/internal/controlplane/request_counts.go
@@ -2,12 +2,12 @@
 
 import "orchidward/internal/clock"
 
-// requestCountInterval is how often a leader logs what it was asked.
+// requestCountInterval is how often a leader logs the requests that it received.
 const requestCountInterval clock.Millis = 10000
 
-// requestCounts is what a leader was asked since a time: all requests, those of other
-// processes among them, and how many of all were returned because the sender's routing
-// table was stale or the order too old, or refused because their key is nobody's.
+// requestCounts counts the requests that a leader received since a time: all of them and
+// those from other processes, and how many were returned because the sender's routing
+// table was stale or the order had expired, or refused because no tenant owns their key.
 type requestCounts struct {
 	since   clock.Monotonic
 	all     int
@@ -18,8 +18,8 @@
 	unauthenticated int
 }
 
-// logRequestCounts logs, every requestCountInterval, what this leader was asked. No line
-// is written while nobody asks anything.
+// logRequestCounts logs the request counts every requestCountInterval. It logs nothing if
+// there were no requests.
 func (s *Server) logRequestCounts() {
 	counts := &s.leader.requests
 	if s.now.Since(counts.since) < requestCountInterval {
--- a/internal/controlplane/tenant_documents.go
+++ b/internal/controlplane/tenant_documents.go
@@ -5,8 +5,9 @@
 	"orchidward/internal/api/job"
 )
 
-// TenantDoc is a tenant as the API returns it, without its API keys: how many it has, what
-// it has in use, and how many of its tasks could be placed now.
+// TenantDoc is a tenant as the API returns it. API keys are omitted: Keys is their
+// number, Used the tenant's current usage, and Waiting the number of its tasks that could
+// be placed now.
 type TenantDoc struct {
 	Name    string        `json:"name"`
 	Weight  int64         `json:"weight"`
@@ -16,7 +17,7 @@
 	Keys    int           `json:"keys"`
 }
 
-// TenantsDoc lists the tenants in the order of the catalogue of this version.
+// TenantsDoc lists the tenants in the order of the catalogue with this version.
 type TenantsDoc struct {
 	Version uint64      `json:"version"`
 	Tenants []TenantDoc `json:"tenants"`
--- a/internal/controlplane/tenant_usage.go
+++ b/internal/controlplane/tenant_usage.go
@@ -8,16 +8,16 @@
 	"orchidward/internal/api/job"
 )
 
-// TenantUsage is what a tenant has in use and may have. Tenant is empty for all tenants but
-// the largest users together, whose quotas are not added up.
+// TenantUsage is the usage and quota of a tenant. Tenant is empty for the sum of all
+// tenants other than the largest users, which has no quota.
 type TenantUsage struct {
 	Tenant string
 	Used   job.Demand
 	Quota  catalog.Quota
 }
 
-// LargestTenants lists the tenants that use the most processors, most first and so many at
-// most, and then all others as one if there are any.
+// LargestTenants lists the tenants that use the most processors, at most so many and in
+// descending order, followed by one entry for all others if there are any.
 func (s *Server) LargestTenants(most int) []TenantUsage {
 	if s.state.Catalog == nil {
 		return nil
--- a/internal/controlplane/transfer_log.go
+++ b/internal/controlplane/transfer_log.go
@@ -9,14 +9,13 @@
 )
 
 const (
-	// transferStalledAfter is how long the transfer of a snapshot may stand still
-	// before the log says so, and transferStalledInterval how often it says so again.
+	// transferStalledAfter is how long a snapshot transfer may make no progress before it
+	// is logged as stalled, and transferStalledInterval how often that is logged again.
 	transferStalledAfter    clock.Millis = 2000
 	transferStalledInterval clock.Millis = 10000
 )
 
-// observedTransfer is the transfer of a snapshot to one member as the log last
-// reported it.
+// observedTransfer is a snapshot transfer to one member, as last logged.
 type observedTransfer struct {
 	index       identifier.Index
 	since       clock.Monotonic
@@ -24,9 +23,8 @@
 	wasReported bool
 }
 
-// logTransfers logs when the transfer of a snapshot to a member begins, stands still
-// and ends: at most one line for each of them, and one every transferStalledInterval
-// while it stands still.
+// logTransfers logs when a snapshot transfer to a member begins, stalls and ends: one
+// line for each, and one every transferStalledInterval while it remains stalled.
 func (s *Server) logTransfers(statuses []raft.MemberStatus) {
 	present := 0
 	for _, status := range statuses {
@@ -43,7 +41,7 @@
 	}
 }
 
-// forgetTransfers forgets the transfers to members that are no more.
+// forgetTransfers removes the transfers to servers that are no longer members.
 func (s *Server) forgetTransfers(statuses []raft.MemberStatus) {
 	for id := range s.leader.transfers {
 		isMember := func(status raft.MemberStatus) bool { return status.ID == id }
@@ -53,8 +51,8 @@
 	}
 }
 
-// logTransfer logs what has happened to the transfer to one member, and returns the one
-// under way, whose index is 0 for none.
+// logTransfer logs changes of the transfer to one member, and returns the transfer in
+// progress, whose index is 0 if there is none.
 func (s *Server) logTransfer(status raft.MemberStatus) observedTransfer {
 	transfer := status.Transfer
 	last, known := s.leader.transfers[status.ID]
@@ -81,7 +79,7 @@
 	return last
 }
 
-// logIncomingSnapshot logs, once for each snapshot, that its chunks arrive here.
+// logIncomingSnapshot logs, once per snapshot, that its chunks are arriving here.
 func (s *Server) logIncomingSnapshot() {
 	index, received, ok := s.raft.IncomingSnapshot()
 	if !ok || index == s.incomingIndex {
