--- a/internal/controlplane/cluster_clock_test.go
+++ b/internal/controlplane/cluster_clock_test.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// TestArrivalOfReplacedEntries: entries that replace a truncated tail came when they did,
-// not when the tail came. A cluster time carried on from the tail's arrival would run
-// ahead by as long as the tail lay there.
+// TestArrivalOfReplacedEntries checks that entries that replace a truncated tail are
+// recorded with their own arrival time. A cluster time extrapolated from the tail's
+// arrival would run ahead by the time between the two arrivals.
 func TestArrivalOfReplacedEntries(t *testing.T) {
 	const (
 		self, first, second identifier.Node = 1, 2, 3
--- a/internal/controlplane/cluster_fixture_test.go
+++ b/internal/controlplane/cluster_fixture_test.go
@@ -18,7 +18,7 @@
 const (
 	serverAddr   = "k"
 	operatorAddr = "op"
-	// wallTimeOffset is the wall clock's reading at the virtual time 0.
+	// wallTimeOffset is the wall-clock time at virtual time 0.
 	wallTimeOffset = 1_800_000_000_000
 	// electionPeriod is long enough for a lone server to become leader.
 	electionPeriod clock.Monotonic = 4000
@@ -31,7 +31,7 @@
 	return clock.WallTime(wallTimeOffset + int64(now))
 }
 
-// newLoneServer is a server that is the only member of its group.
+// newLoneServer returns a server that is the only member of its group.
 func newLoneServer(tb testing.TB) *controlplane.Server {
 	tb.Helper()
 	server := controlplane.New(controlplane.Config{
@@ -54,8 +54,8 @@
 	return server
 }
 
-// testCluster is one server that leads alone, agents, and a fake runner beside each
-// agent, in virtual time.
+// testCluster simulates one server that leads alone, and runners with one agent each, in
+// virtual time.
 type testCluster struct {
 	t             *testing.T
 	now           clock.Monotonic
@@ -65,9 +65,10 @@
 	lastRequestID uint64
 	responses     map[uint64]*wire.Response
 	random        *rand.Rand
-	// succeeded are the tasks whose success a runner was told is committed.
+	// succeeded are the tasks whose success has been acknowledged to a runner as
+	// committed.
 	succeeded map[string]bool
-	// lapsedRuns counts the attempts that ended because their lease ran out.
+	// lapsedRuns counts the attempts that ended because their lease expired.
 	lapsedRuns int
 	// events counts the events that the server has logged, by name.
 	events map[string]int
@@ -81,8 +82,8 @@
 	message   wire.Message
 }
 
-// newTestCluster starts a cluster with so many runners and a catalogue. The seed decides
-// how long messages take.
+// newTestCluster starts a cluster with the given number of runners and a catalogue. The
+// seed determines the message delays.
 func newTestCluster(t *testing.T, seed int64, runners int) *testCluster {
 	t.Helper()
 	c := &testCluster{
@@ -104,7 +105,7 @@
 	return c
 }
 
-// sendToServer sends a request of the operator and returns its number.
+// sendToServer sends a request from the operator and returns its id.
 func (c *testCluster) sendToServer(request wire.Request) (id uint64) {
 	c.lastRequestID++
 	request.ID = c.lastRequestID
@@ -112,7 +113,7 @@
 	return request.ID
 }
 
-// request asks the server and waits for its response.
+// request sends a request to the server and waits for the response.
 func (c *testCluster) request(method, path, body string) *wire.Response {
 	c.t.Helper()
 	id := c.sendToServer(wire.Request{Method: method, Path: path, Body: []byte(body), Budget: requestTimeout})
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// mustRequest is request for one that must succeed.
+// mustRequest sends a request and fails the test unless it succeeds.
 func (c *testCluster) mustRequest(method, path, body string) {
 	c.t.Helper()
 	response := c.request(method, path, body)
@@ -149,7 +150,8 @@
 	c.mustRequest(http.MethodDelete, jobPath(id), "")
 }
 
-// jobState is the state of a job, or the status of a response without one.
+// jobState returns the state of a job, or the HTTP status if the response contains no
+// state.
 func (c *testCluster) jobState(id string) string {
 	c.t.Helper()
 	response := c.request(http.MethodGet, "/v1/states/q/"+id, "")
@@ -160,10 +162,10 @@
 	return doc.State
 }
 
-// jobSucceeded reports whether a job has ended well.
+// jobSucceeded reports whether a job state is Succeeded.
 func jobSucceeded(jobState string) bool { return jobState == string(state.Succeeded) }
 
-// run lets time pass.
+// run advances virtual time by span.
 func (c *testCluster) run(span clock.Monotonic) {
 	for end := c.now + span; c.now < end; c.now++ {
 		c.deliverDue()
@@ -176,7 +178,8 @@
 	}
 }
 
-// deliverDue delivers the messages that arrive now, and those that they bring about.
+// deliverDue delivers the messages that arrive now, and any that these trigger at the
+// same time.
 func (c *testCluster) deliverDue() {
 	var notDue []inFlightMessage
 	for len(c.inFlight) > 0 {
@@ -203,8 +206,8 @@
 	}
 }
 
-// checkRunNames checks that the name by which agents know an attempt leads to its open
-// lease, for as long as that lease is open.
+// checkRunNames checks that the name by which agents identify an attempt resolves to its
+// lease for as long as the lease is open.
 func (c *testCluster) checkRunNames() {
 	c.t.Helper()
 	store := c.server.State()
@@ -244,7 +247,7 @@
 	}
 }
 
-// sendServerOutput sends what the server has to send and syncs what it writes at once.
+// sendServerOutput sends the server's messages and syncs its writes at once.
 func (c *testCluster) sendServerOutput() {
 	for more := true; more; {
 		output := c.server.TakeOutput()
@@ -263,7 +266,7 @@
 	c.send(runner.name, runner.agent.TakeOutput().Messages)
 }
 
-// send puts messages under way for one to three milliseconds.
+// send puts messages in flight for one to three milliseconds.
 func (c *testCluster) send(from string, envelopes []wire.Envelope) {
 	for _, envelope := range envelopes {
 		arrivesAt := c.now + 1 + clock.Monotonic(c.random.Intn(3))
--- a/internal/controlplane/fake_runner_test.go
+++ b/internal/controlplane/fake_runner_test.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// maxLease is the longest lease that a fake runner takes.
+	// maxLease is the longest lease that a fake runner accepts.
 	maxLease          clock.Millis = 6000
 	heartbeatInterval clock.Millis = 100
 	// stopDelay is how long a fake runner takes to stop an attempt.
 	stopDelay clock.Monotonic = 150
-	// endReportDelay is how soon after an end the next heartbeat comes.
+	// endReportDelay is the maximum time from an end to the next heartbeat.
 	endReportDelay clock.Monotonic = 50
-	// departsIn is how long a draining runner says it has left.
+	// departsIn is the time until departure that a draining runner reports.
 	departsIn clock.Millis = 60000
-	// departureNotice is how long a runner goes on at least after an unannounced farewell.
+	// departureNotice is the minimum time that a runner keeps running after it leaves
+	// unannounced.
 	departureNotice clock.Millis = 2000
 )
 
-// fakeRunner is a runner and the agent that speaks for it. The fields from capacity on are
-// set by tests.
+// fakeRunner is a runner together with its agent. Tests set the fields from capacity on.
 type fakeRunner struct {
 	name          string
 	agent         *agent.Agent
@@ -35,24 +35,24 @@
 	nextHeartbeat clock.Monotonic
 	leaseEnd      clock.Monotonic
 	runs          []*fakeRun
-	// ends are those whose report is not acknowledged.
+	// ends are the ends whose report has not been acknowledged.
 	ends       []runnerapi.RunEnd
 	lastEndSeq uint64
 
 	capacity job.Demand
-	// usualLease is the lease that the agent gives, 0 for the longest.
+	// usualLease is the lease that the agent grants, 0 for maxLease.
 	usualLease clock.Millis
 	draining   bool
-	// leaving runners have said farewell without notice: nothing new may start there.
+	// leaving marks a runner that has left unannounced: nothing new may start on it.
 	leaving bool
-	// crashed runners do nothing, stalled ones send heartbeats but make no progress.
+	// crashed runners do nothing; stalled ones send heartbeats but make no progress.
 	crashed bool
 	stalled bool
-	// frozenUntil is until when the runner does nothing.
+	// frozenUntil is when a suspended runner resumes.
 	frozenUntil clock.Monotonic
-	// isolated cuts the agent off from the server.
+	// isolated disconnects the agent from the server.
 	isolated bool
-	// slowdown is how many times as long as expected all work takes, 0 for once.
+	// slowdown is the factor by which all work takes longer than expected, 0 for none.
 	slowdown clock.Monotonic
 }
 
@@ -63,7 +63,7 @@
 	stopAt clock.Monotonic
 }
 
-// progressPercent is how far the attempt has come.
+// progressPercent returns the progress of the attempt.
 func (r *fakeRun) progressPercent(now clock.Monotonic) int64 {
 	return 100 - int64(r.endsAt-now)*100/int64(r.ExpectedRun)
 }
@@ -83,7 +83,7 @@
 	}, c.now)
 }
 
-// restart makes a crashed runner come back as a new incarnation.
+// restart restarts a crashed runner as a new incarnation.
 func (r *fakeRunner) restart() {
 	r.crashed = false
 	r.incarnation++
@@ -94,10 +94,10 @@
 	r.leaseEnd = 0
 }
 
-// stopHeartbeats makes a runner go on with its work without sending heartbeats.
+// stopHeartbeats stops the heartbeats of a runner that otherwise keeps working.
 func (r *fakeRunner) stopHeartbeats() { r.nextHeartbeat = 1 << 40 }
 
-// stepRunner lets a runner do what is due: attempts end, and heartbeats are sent.
+// stepRunner performs a runner's due work: it ends attempts and sends heartbeats.
 func (c *testCluster) stepRunner(runner *fakeRunner) {
 	if runner.crashed || c.now < runner.frozenUntil {
 		return
@@ -128,7 +128,7 @@
 	}
 }
 
-// outcome is how an attempt ends now, empty while it runs.
+// outcome returns the outcome of an attempt that ends now, empty if it keeps running.
 func (r *fakeRunner) outcome(run *fakeRun, now clock.Monotonic) string {
 	switch {
 	case now > r.leaseEnd:
@@ -146,7 +146,7 @@
 	r.ends = append(r.ends, runnerapi.RunEnd{Seq: r.lastEndSeq, Task: run.Task, Attempt: run.Attempt, Outcome: outcome})
 }
 
-// heartbeat is the next heartbeat of the runner.
+// heartbeat returns the runner's next heartbeat.
 func (r *fakeRunner) heartbeat(now clock.Monotonic) agent.Heartbeat {
 	r.heartbeatSeq++
 	heartbeat := agent.Heartbeat{
@@ -170,7 +170,8 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat to the runner's agent and carries out the answer.
+// sendHeartbeat sends a heartbeat to the runner's agent and carries out the orders in the
+// response.
 func (c *testCluster) sendHeartbeat(runner *fakeRunner) {
 	orders := runner.agent.HandleHeartbeat(runner.heartbeat(c.now), c.now)
 	c.sendAgentOutput(runner)
@@ -188,7 +189,7 @@
 	}
 }
 
-// forgetObservedEnds drops the ends that are committed, and remembers the successes among
+// forgetObservedEnds drops the ends that are committed, and records the successes among
 // them.
 func (c *testCluster) forgetObservedEnds(runner *fakeRunner, observedThrough uint64) {
 	unobserved := runner.ends[:0]
@@ -204,7 +205,8 @@
 	runner.ends = unobserved
 }
 
-// withOccurrence is a task as runners name it, always with the occurrence of its job.
+// withOccurrence returns a task as runners name it, always with the occurrence of its
+// job.
 func withOccurrence(task identifier.TaskRef) identifier.TaskRef {
 	if !strings.Contains(string(task.Job), ".") {
 		task.Job += ".0"
@@ -212,7 +214,7 @@
 	return task
 }
 
-// stop orders an attempt to stop at a time, unless it was ordered already.
+// stop orders an attempt to stop at the given time, unless a stop was already ordered.
 func (r *fakeRunner) stop(task identifier.TaskRef, attempt uint64, at clock.Monotonic) {
 	if run := r.find(task, attempt); run != nil && run.stopAt == 0 {
 		run.stopAt = at
@@ -228,7 +230,7 @@
 	return nil
 }
 
-// startRun starts an attempt, unless it runs already, and checks that it may start.
+// startRun starts an attempt, unless it is already running, and checks that it may start.
 func (c *testCluster) startRun(runner *fakeRunner, start runnerapi.Start) {
 	c.t.Helper()
 	if runner.find(start.Task, start.Attempt) != nil {
@@ -238,8 +240,8 @@
 	runner.runs = append(runner.runs, &fakeRun{Start: start, endsAt: c.now + clock.Monotonic(start.ExpectedRun)})
 }
 
-// checkStart reports a start that breaks a guarantee: beyond the runner's capacity, of a
-// task that has succeeded or runs elsewhere, or on a draining runner.
+// checkStart reports a start that violates a guarantee: one beyond the runner's capacity,
+// of a task that has succeeded or runs elsewhere, or on a draining runner.
 func (c *testCluster) checkStart(runner *fakeRunner, start runnerapi.Start) {
 	c.t.Helper()
 	used := start.Demand
--- a/internal/controlplane/forwarding_test.go
+++ b/internal/controlplane/forwarding_test.go
@@ -19,7 +19,7 @@
 	followerAddr                 = "k8"
 )
 
-// newForwarder is a server without a disk that knows of the leader at leaderAddr.
+// newForwarder returns a server without a disk that knows the leader at leaderAddr.
 func newForwarder(t *testing.T) *controlplane.Server {
 	t.Helper()
 	server := controlplane.New(controlplane.Config{
@@ -34,7 +34,7 @@
 	return server
 }
 
-// announceLeader lets a server hear a member say that it leads.
+// announceLeader delivers an announcement in which a member names itself as the leader.
 func announceLeader(server *controlplane.Server, addr string, id identifier.Node, reading wire.LeaderTime, now clock.Monotonic) {
 	announcement := &wire.Announcement{
 		Role:     wire.RoleServer,
@@ -51,7 +51,8 @@
 	server.HandleMessage(wire.Peer(addr), wire.Message{Announcement: announcement}, now, 0)
 }
 
-// forwardedRequest is the request that was passed on, and to whom; nil if there is none.
+// forwardedRequest returns the forwarded request in an output and its destination, or nil
+// if there is none.
 func forwardedRequest(output controlplane.Output) (to wire.Peer, request *wire.Request) {
 	for _, envelope := range output.Messages {
 		if envelope.Message.Request != nil {
@@ -61,7 +62,8 @@
 	return "", nil
 }
 
-// mustForward is forwardedRequest where there must be one.
+// mustForward returns the forwarded request in an output and fails the test if there is
+// none.
 func mustForward(t *testing.T, output controlplane.Output) *wire.Request {
 	t.Helper()
 	_, request := forwardedRequest(output)
@@ -82,8 +84,8 @@
 	return list
 }
 
-// TestForwardedResponseFromOtherServer checks that the response to a forwarded request
-// counts only from the server that it was forwarded to, and only once.
+// TestForwardedResponseFromOtherServer checks that a response to a forwarded request is
+// accepted only from the server that it was forwarded to, and only once.
 func TestForwardedResponseFromOtherServer(t *testing.T) {
 	server := newForwarder(t)
 	server.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: http.MethodGet, Path: "/v1/table", Budget: 1000}}, 110, 0)
@@ -109,9 +111,9 @@
 	}
 }
 
-// TestForwardedOrderCarriesLeaderTime checks that an order made at a server goes to the
-// leader with the latest reading of that leader's clock, and that one made elsewhere keeps
-// its own.
+// TestForwardedOrderCarriesLeaderTime checks that an order made at a server is forwarded
+// with the latest reading of the leader's clock, and that an order from another process
+// keeps its own reading.
 func TestForwardedOrderCarriesLeaderTime(t *testing.T) {
 	server := newForwarder(t)
 	order := &wire.Request{ID: 5, Method: http.MethodPut, Path: "/v1/closings/east", Budget: 900}
@@ -145,8 +147,8 @@
 	}
 }
 
-// TestForwardedRequestFailsOnNewLeader checks that whoever waits for a leader is told as
-// soon as another leads that the outcome is not known.
+// TestForwardedRequestFailsOnNewLeader checks that a request pending at one leader fails
+// with an unknown outcome as soon as another server leads.
 func TestForwardedRequestFailsOnNewLeader(t *testing.T) {
 	server := newForwarder(t)
 	server.Tick(120, 0)
@@ -167,9 +169,9 @@
 	}
 }
 
-// TestForwarderWithdraws checks that a server which has passed an order on withdraws it
-// there when its sender does, or when the server gives it up itself, and that it withdraws
-// nothing for another sender.
+// TestForwarderWithdraws checks that a server withdraws a forwarded order when its sender
+// withdraws it or when the server itself drops it, and that it ignores withdrawals from
+// other senders.
 func TestForwarderWithdraws(t *testing.T) {
 	server := newForwarder(t)
 	order := &wire.Request{ID: 5, Method: http.MethodPut, Path: "/v1/closings/east", Budget: 900}
@@ -194,7 +196,7 @@
 	}
 }
 
-// withdrawals are the numbers of the requests that an output withdraws.
+// withdrawals returns the ids of the requests that an output withdraws.
 func withdrawals(output controlplane.Output) (ids []uint64) {
 	for _, envelope := range output.Messages {
 		if envelope.Message.Request == nil {
--- a/internal/controlplane/graceful_stop.go
+++ b/internal/controlplane/graceful_stop.go
@@ -49,8 +49,9 @@
 	s.process()
 }
 
-// Left reports whether the process may end: another server leads, this server belongs to
-// no group or has halted, or the stop has exceeded gracefulStopTimeout.
+// Left reports whether the process may end: another server leads and no forwarded request
+// is pending, this server belongs to no group or has halted, or the stop has exceeded
+// gracefulStopTimeout.
 func (s *Server) Left() bool {
 	if s.stopping == nil {
 		return false
--- a/internal/controlplane/job_documents.go
+++ b/internal/controlplane/job_documents.go
@@ -22,7 +22,7 @@
 	Ended     string            `json:"ended,omitempty"`
 	Reason    string            `json:"why,omitempty"`
 	Steps     []StepDoc         `json:"steps,omitempty"`
-	// Timing is how the time of the job's critical tasks was spent. A server that has not
+	// Timing is how time was spent on the job's critical path. A server that has not
 	// followed the job from its acceptance omits it.
 	Timing *TimingDoc `json:"timing,omitempty"`
 }
--- a/internal/controlplane/job_timing.go
+++ b/internal/controlplane/job_timing.go
@@ -20,8 +20,8 @@
 	maxTimedQueues = 512
 )
 
-// JobTotals counts jobs that have ended, and sums up how the time of their critical tasks
-// was spent.
+// JobTotals counts jobs that have ended, and sums up how time was spent on their critical
+// paths.
 type JobTotals struct {
 	// Ended is the number of jobs that ended, Late the number that succeeded after they
 	// were due, and Failed the number that failed.
@@ -157,7 +157,7 @@
 	Distant  int                     `json:"distant,omitempty"`
 }
 
-// StepTimingDoc is the timing of the task that determined when a step ended.
+// StepTimingDoc is the timing of the task that finished last in a step.
 type StepTimingDoc struct {
 	TimingDoc
 	Task  int    `json:"task"`
--- a/internal/controlplane/job_timing_test.go
+++ b/internal/controlplane/job_timing_test.go
@@ -8,13 +8,13 @@
 	"orchidward/internal/state"
 )
 
-// lateJob is a job that took a second and was to take a tenth of one.
+// lateJob returns a job that took 1 s with a target of 100 ms.
 func lateJob() *state.Job {
 	terms := &state.QueueTerms{Queue: "r", Target: 100, DueAt: 1100}
 	return &state.Job{Key: "q/j", Terms: terms, AcceptedAt: 1000, EndedAt: 2000, EndState: state.Succeeded}
 }
 
-// eventNames lists the names of the events logged so far, and forgets them.
+// eventNames returns the names of the events logged so far, and clears them.
 func eventNames(s *Server) []string {
 	var names []string
 	for _, event := range s.TakeOutput().Events {
@@ -23,8 +23,8 @@
 	return names
 }
 
-// TestLateJobsLogIsBounded: each late job has a line, up to a bound in a second; how many had
-// none is said afterwards.
+// TestLateJobsLogIsBounded checks that late jobs are logged individually only up to a
+// bound per second, and that the number of the others is logged afterwards.
 func TestLateJobsLogIsBounded(t *testing.T) {
 	s := &Server{leader: &leaderState{jobTimes: newJobTimes(0)}}
 	for range maxLateJobsLogged + 10 {
@@ -40,7 +40,8 @@
 	}
 }
 
-// TestTimingFields: a log line has the causes for which something was lost, and no others.
+// TestTimingFields checks that a log line contains exactly the causes for which time was
+// lost.
 func TestTimingFields(t *testing.T) {
 	timing := state.Timing{Waiting: 1, Running: 2, Attempts: 3, Distant: 4}
 	timing.Lost[state.LostRunner] = 5
@@ -53,8 +54,8 @@
 	}
 }
 
-// TestJobTotals: late and failed jobs are counted apart, and no more queues are kept than the
-// bound.
+// TestJobTotals checks that late and failed jobs are counted separately, and that the
+// number of queues with totals is bounded.
 func TestJobTotals(t *testing.T) {
 	times := newJobTimes(0)
 	failed := lateJob()
--- a/internal/controlplane/leader_benchmark_test.go
+++ b/internal/controlplane/leader_benchmark_test.go
@@ -8,19 +8,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// loadProfile is one load on a leader. Tasks take from minRun to maxRun milliseconds.
+// loadProfile describes a load on a leader. Tasks take from minRun to maxRun
+// milliseconds.
 type loadProfile struct {
 	name           string
 	agents         int
 	tasksPerSecond int
-	// initiallyRunning is how many attempts run before the measurement begins.
+	// initiallyRunning is the number of attempts that run before the measurement begins.
 	initiallyRunning int
 	minRun           int
 	maxRun           int
 }
 
-// BenchmarkLeader measures the processor time that a leader takes in a second of virtual
-// time, in microseconds, the garbage collector's included.
+// BenchmarkLeader measures the processor time, in microseconds, that a leader needs per
+// second of virtual time, including garbage collection.
 func BenchmarkLeader(b *testing.B) {
 	for _, profile := range []loadProfile{
 		{"74-agents-300-starts", 74, 300, 0, 600, 6000},
@@ -34,7 +35,7 @@
 	}
 }
 
-// warmedUpLoad is a load that has come to a steady state.
+// warmedUpLoad returns a load that has reached a steady state.
 func warmedUpLoad(b *testing.B, profile loadProfile) *leaderLoad {
 	b.Helper()
 	load := newLeaderLoad(b, profile.agents, func(random *rand.Rand) int {
@@ -74,7 +75,7 @@
 	for _, a := range load.agents {
 		running += len(a.runs)
 	}
-	// The other threads do nothing but collect garbage.
+	// The other threads only collect garbage.
 	collector := process - thread
 	b.ReportMetric(float64(counts.serverNanos+collector)/1000/float64(seconds), "cpu-us/vs")
 	b.ReportMetric(float64(counts.serverNanos)/1000/float64(seconds), "own-us/vs")
--- a/internal/controlplane/leader_load_fixture_test.go
+++ b/internal/controlplane/leader_load_fixture_test.go
@@ -19,15 +19,15 @@
 
 const (
 	tasksPerJob = 3
-	// deliverySlots is more than the longest delivery takes, in milliseconds.
+	// deliverySlots exceeds the longest delivery time, in milliseconds.
 	deliverySlots = 8
-	// loadPollInterval is how often a simulated agent looks for a reason to poll, in
+	// loadPollInterval is how often a simulated agent checks whether it must poll, in
 	// milliseconds.
 	loadPollInterval = 100
 )
 
-// leaderLoad is one server that leads alone, its writes synced at once, under simulated
-// agents in virtual time. Only the server's processor time is measured.
+// leaderLoad simulates one server that leads alone, its writes synced at once, under a
+// load of agents in virtual time. Only the server's processor time is measured.
 type leaderLoad struct {
 	b      *testing.B
 	now    clock.Monotonic
@@ -35,21 +35,21 @@
 	random *rand.Rand
 	agents []*loadAgent
 	byName map[string]*loadAgent
-	// toServer and fromServer are messages under way, by the millisecond in which they
-	// arrive.
+	// toServer and fromServer are the messages in flight, by the millisecond in which
+	// they arrive.
 	toServer      [deliverySlots][]inFlightMessage
 	fromServer    [deliverySlots][]inFlightMessage
 	lastRequestID uint64
 	jobs          int
-	// expectedRun draws how long the tasks of the next job take, in milliseconds.
+	// expectedRun draws the duration of the tasks of the next job, in milliseconds.
 	expectedRun func(random *rand.Rand) int
-	// fillingUp lets attempts end at a random time of their span, as if they had been
-	// started over a long time.
+	// fillingUp makes each attempt end at a random time within its expected run, as if
+	// attempts had been started over a long time.
 	fillingUp bool
 	counts    loadCounts
 }
 
-// loadCounts is what was counted since the last reset.
+// loadCounts holds the counts since the last reset.
 type loadCounts struct {
 	// serverNanos is the server's own processor time.
 	serverNanos int64
@@ -58,16 +58,16 @@
 	refused     int
 }
 
-// loadAgent is an agent and its runner, with no state but what its polls say.
+// loadAgent is an agent and its runner, with no state other than what its polls report.
 type loadAgent struct {
 	name       string
 	pollSeq    uint64
 	lastEndSeq uint64
 	runs       []loadRun
 	ends       []runnerapi.RunEnd
-	// openPoll is the number of the last poll, 0 once it is answered.
+	// openPoll is the id of the open poll, 0 if there is none.
 	openPoll uint64
-	// changed says that something changed since the last poll.
+	// changed means that something has changed since the last poll.
 	changed bool
 }
 
@@ -79,7 +79,7 @@
 	expectedRun clock.Millis
 }
 
-// processorTime reads one of the kernel's clocks of processor time, in nanoseconds.
+// processorTime reads one of the kernel's processor-time clocks, in nanoseconds.
 func processorTime(id int32) int64 {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(id, &reading); err != nil {
@@ -113,7 +113,7 @@
 	l.send(operatorAddr, method, path, []byte(body))
 }
 
-// send puts a request to the server under way and returns its number.
+// send puts a request to the server in flight and returns its id.
 func (l *leaderLoad) send(from, method, path string, body []byte) (id uint64) {
 	l.lastRequestID++
 	request := &wire.Request{ID: l.lastRequestID, Method: method, Path: path, Body: body, Budget: requestTimeout}
@@ -122,12 +122,13 @@
 	return request.ID
 }
 
-// arrivalSlot draws when a message sent now arrives, one to three milliseconds later.
+// arrivalSlot draws the arrival slot of a message sent now: one to three milliseconds
+// later.
 func (l *leaderLoad) arrivalSlot() int {
 	return (int(l.now) + 1 + l.random.Intn(3)) % deliverySlots
 }
 
-// run lets time pass, with so many tasks submitted a second.
+// run advances virtual time by span and submits the given number of tasks per second.
 func (l *leaderLoad) run(span clock.Monotonic, tasksPerSecond int) {
 	const thousandthsPerJob = tasksPerJob * 1000
 	due := 0
@@ -139,7 +140,7 @@
 	}
 }
 
-// step is one millisecond.
+// step advances the simulation by one millisecond.
 func (l *leaderLoad) step() {
 	slot := int(l.now) % deliverySlots
 	for _, m := range l.fromServer[slot] {
@@ -161,7 +162,8 @@
 	}
 }
 
-// stepServer is one millisecond of the server. It returns what the server sends.
+// stepServer advances the server by one millisecond and returns the messages that it
+// sends.
 func (l *leaderLoad) stepServer(arrived []inFlightMessage) []wire.Envelope {
 	var sent []wire.Envelope
 	for _, m := range arrived {
@@ -187,7 +189,7 @@
 	l.request(http.MethodPut, jobPath(numberedJob(l.jobs)), body)
 }
 
-// deliver takes a response of the server.
+// deliver handles a response from the server.
 func (l *leaderLoad) deliver(m inFlightMessage) {
 	response := m.message.Response
 	if response == nil {
@@ -242,8 +244,8 @@
 	l.counts.started++
 }
 
-// stepAgent ends the attempts that are due, and polls when something has changed or no
-// poll is open.
+// stepAgent ends the attempts that are due, and polls if something has changed or no poll
+// is open.
 func (l *leaderLoad) stepAgent(a *loadAgent) {
 	a.endDueRuns(l.now)
 	if a.openPoll != 0 && !a.changed {
@@ -269,8 +271,8 @@
 	a.runs = running
 }
 
-// pollBody is what package agent would send. It is built by hand because encoding/json
-// would take longer than the server under test.
+// pollBody returns the poll that package agent would send. It is built by hand because
+// encoding/json would take longer than the server under test.
 func (a *loadAgent) pollBody(now clock.Monotonic) []byte {
 	text := make([]byte, 0, 400+128*len(a.runs)+128*len(a.ends))
 	text = append(text, `{"incarnation":"`+a.name+`-0","seq":`...)
@@ -299,7 +301,8 @@
 	return append(text, '}')
 }
 
-// appendSeparator begins the i-th item of a list: the list's own beginning, or a comma.
+// appendSeparator appends what precedes the i-th item of a list: the start of the list,
+// or a comma.
 func appendSeparator(text []byte, i int, list string) []byte {
 	if i > 0 {
 		return append(text, ',')
@@ -318,8 +321,8 @@
 	return strconv.AppendUint(text, attempt, 10)
 }
 
-// appendProgress says that the attempt makes one percent of progress at a time, at the
-// expected speed.
+// appendProgress appends the progress of an attempt that advances at the expected rate,
+// in steps of one percent.
 func appendProgress(text []byte, run *loadRun, now clock.Monotonic) []byte {
 	onePercent := clock.Monotonic(max(1, run.expectedRun/100))
 	elapsed := now - run.startedAt
--- a/internal/controlplane/leadership_loss_test.go
+++ b/internal/controlplane/leadership_loss_test.go
@@ -12,15 +12,15 @@
 	"orchidward/internal/transport/wire"
 )
 
-// deliver hands a server a message and syncs what it writes at once. It returns all that
-// the server sends.
+// deliver delivers a message to a server and syncs its writes at once. It returns all
+// messages that the server sends.
 func deliver(server *controlplane.Server, from wire.Peer, message wire.Message, now clock.Monotonic) []wire.Envelope {
 	server.HandleMessage(from, message, now, 0)
 	return syncWrites(server, now)
 }
 
-// syncWrites syncs what a server writes until it writes nothing more. It returns all that
-// the server sends.
+// syncWrites syncs a server's writes until there are no more. It returns all messages
+// that the server sends.
 func syncWrites(server *controlplane.Server, now clock.Monotonic) []wire.Envelope {
 	var sent []wire.Envelope
 	output := server.TakeOutput()
@@ -34,8 +34,8 @@
 	return sent
 }
 
-// newLeaderOfThree is the leader of itself, "k2" and "k3", which have acknowledged all
-// of its log, and the time at which they have.
+// newLeaderOfThree returns the leader of a group of itself, "k2" and "k3", which have
+// acknowledged all of its log, and the time at that point.
 func newLeaderOfThree(t *testing.T) (server *controlplane.Server, now clock.Monotonic) {
 	t.Helper()
 	server = controlplane.New(controlplane.Config{ID: 1, Addr: "k1", Domain: "a", Timing: raft.DefaultTiming(), Level: state.SupportedLevel}, 0)
@@ -60,8 +60,8 @@
 	return nil, 0
 }
 
-// acknowledgeAll answers a server's messages as members that agree to everything, and what
-// it sends because of that.
+// acknowledgeAll answers a server's messages on behalf of members that accept everything,
+// and continues with the messages that the server sends in return.
 func acknowledgeAll(server *controlplane.Server, sent []wire.Envelope, now clock.Monotonic) {
 	for len(sent) > 0 {
 		var next []wire.Envelope
@@ -74,7 +74,7 @@
 	}
 }
 
-// acknowledge answers one message, and returns what the server sends next.
+// acknowledge answers one message and returns what the server sends next.
 func acknowledge(server *controlplane.Server, from wire.Peer, message *raft.Message, now clock.Monotonic) []wire.Envelope {
 	reply := raft.Message{From: message.To, To: message.From, Term: message.Term, SentAt: message.SentAt}
 	switch message.Kind {
@@ -91,9 +91,9 @@
 	return deliver(server, from, wire.Message{Raft: &reply}, now)
 }
 
-// TestDeposedLeaderReportsUnknownOutcome checks that a leader that loses its leadership
-// with a proposal under way says that the outcome is not known. It says neither that it
-// did not take the request nor that another leads, as the entry may yet be committed.
+// TestDeposedLeaderReportsUnknownOutcome checks that a leader that loses leadership with
+// a pending proposal reports an unknown outcome. It must not report that the request was
+// rejected or that another server leads, because the entry may still be committed.
 func TestDeposedLeaderReportsUnknownOutcome(t *testing.T) {
 	server, now := newLeaderOfThree(t)
 	order := &wire.Request{ID: 5, Method: http.MethodPut, Path: "/v1/jobs/a/1", Body: []byte(`{"pending":"stock","steps":[{"name":"s"}]}`), Budget: 3000}
--- a/internal/controlplane/membership_plan_test.go
+++ b/internal/controlplane/membership_plan_test.go
@@ -10,19 +10,19 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// Marks before a member in the text of a group.
+// Marks before a member in the text form of a group.
 const (
 	goneMark   = '-'
 	silentMark = '?'
 )
 
-// toLearner is the distance from the letter of a voter to that of a learner.
+// toLearner is the offset from a voter's letter to a learner's.
 const toLearner = 'a' - 'A'
 
-// parseGroup makes a group of a text, its first member the leader. "A" is a live voter of
-// domain A, "a" a learner of it that has caught up. A "-" before a member says that it is
-// gone: a voter that may be replaced, or an abandoned learner. A "?" says that it is not
-// heard.
+// parseGroup parses the text form of a group. Its first member is the leader. "A" is a
+// live voter in domain A, "a" a caught-up learner there. A preceding "-" means that the
+// member is dead: a replaceable voter or an abandoned learner. A preceding "?" means that
+// it is silent.
 func parseGroup(text string) []memberState {
 	var members []memberState
 	mark := rune(0)
@@ -53,7 +53,7 @@
 	}
 }
 
-// String is the member as parseGroup reads it.
+// String returns the member in the form that parseGroup accepts.
 func (s memberState) String() string {
 	letter := []rune(s.Domain)[0]
 	if !s.Voter {
@@ -76,7 +76,7 @@
 	return text.String()
 }
 
-// afterChange is the group as its leader sees it once a change is committed.
+// afterChange returns the group as its leader sees it once a change is committed.
 func afterChange(members []memberState, next []raft.Member) []memberState {
 	var changed []memberState
 	for _, member := range next {
@@ -94,8 +94,8 @@
 	return changed
 }
 
-// TestMembershipPlan follows groups to where no further change is made, by the changes
-// that the leader in domain A would make.
+// TestMembershipPlan applies the changes that the leader, in domain A, plans for a group
+// until no further change is planned, and checks the resulting group.
 func TestMembershipPlan(t *testing.T) {
 	for _, test := range []struct {
 		group  string
@@ -133,16 +133,16 @@
 	}
 }
 
-// changeCounts counts the changes that a test has seen.
+// changeCounts counts the planned changes by kind.
 type changeCounts struct {
 	promoted int
 	demoted  int
 	removed  int
 }
 
-// TestMembershipPlanRandomGroups checks every change in groups drawn at random: it is of
-// one member, the live are a majority of the voters after it, no learner is promoted that
-// has not caught up, and no group changes without end.
+// TestMembershipPlanRandomGroups checks every change planned for random groups: it
+// affects one member, the live members are a majority of the voters after it, only
+// caught-up learners are promoted, and the sequence of changes ends.
 func TestMembershipPlanRandomGroups(t *testing.T) {
 	const (
 		groups     = 50000
@@ -193,7 +193,7 @@
 	return parseGroup(text.String())
 }
 
-// checkChange says what is wrong with a change, empty for nothing.
+// checkChange returns what is wrong with a change, empty if it is valid.
 func checkChange(members []memberState, next []raft.Member, counts *changeCounts) (fault string) {
 	current := map[identifier.Node]memberState{}
 	for _, member := range members {
@@ -236,8 +236,8 @@
 	return ""
 }
 
-// TestVotersSpreadOverDomains checks that with all members live and caught up the voters
-// come to be spread over the domains as evenly as can be.
+// TestVotersSpreadOverDomains checks that if all members are live and caught up, the
+// voters end up spread over the domains as evenly as possible.
 func TestVotersSpreadOverDomains(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	for n := 0; n < 20000; n++ {
@@ -266,8 +266,8 @@
 	}
 }
 
-// randomHealthyGroup has two members in each domain, in any order. The first is the
-// leader and the first three vote.
+// randomHealthyGroup returns a group with two members in each domain, in random order.
+// The first member is the leader and the first three are voters.
 func randomHealthyGroup(random *rand.Rand, domains int) []memberState {
 	var text strings.Builder
 	for i := 0; i < 2*domains; i++ {
--- a/internal/controlplane/order_expiry_test.go
+++ b/internal/controlplane/order_expiry_test.go
@@ -9,10 +9,11 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestExpiredOrder checks that a leader takes an order only while no more time than its
-// sender waits has passed on the leader's clock since the reading that came with it. One
-// with a reading of another term, or with none, is refused. Reads are always served. An
-// order to drain a zone is judged once more when it is carried out, some moments later.
+// TestExpiredOrder checks that a leader accepts an order only if, by the leader's clock,
+// no more time than its sender waits has passed since the reading that came with it. It
+// refuses an order with a reading from another term or with an empty reading, and always
+// serves reads. An order to drain a zone is checked again when it is carried out after
+// its delay.
 func TestExpiredOrder(t *testing.T) {
 	const drainPath = "/v1/closings/nowhere"
 	cluster := newTestCluster(t, 1, 0)
@@ -60,7 +61,8 @@
 	}
 }
 
-// requestWithin sends a request and returns its response, nil if none comes in time.
+// requestWithin sends a request and returns its response, nil if none arrives within
+// limit milliseconds.
 func (c *testCluster) requestWithin(limit int, request wire.Request) *wire.Response {
 	id := c.sendToServer(request)
 	for i := 0; i < limit && c.responses[id] == nil; i++ {
--- a/internal/controlplane/proposals_test.go
+++ b/internal/controlplane/proposals_test.go
@@ -9,9 +9,9 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestUndecidedBytesBounded checks that while nothing can be committed the bodies of the
-// requests that wait stay under 8 MiB, for which the log on disk has space; more are
-// refused.
+// TestUndecidedBytesBounded checks that while nothing can be committed, the bodies of
+// pending requests stay below 8 MiB, for which the log on disk has space; further
+// requests are refused.
 func TestUndecidedBytesBounded(t *testing.T) {
 	const (
 		requests = 64
--- a/internal/controlplane/quota_log_test.go
+++ b/internal/controlplane/quota_log_test.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/api/endpoint"
 )
 
-// TestQuotaLoggedOnce guards against a tenant at its quota that the log doesn't name, or names again and again.
+// TestQuotaLoggedOnce checks that a tenant at its quota is logged, and only once.
 func TestQuotaLoggedOnce(t *testing.T) {
 	c := newTestCluster(t, 1, 2)
 	c.mustRequest(http.MethodPatch, endpoint.CatalogPath,
--- a/internal/controlplane/runner_health_test.go
+++ b/internal/controlplane/runner_health_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestStalledRunsMoved checks that attempts are moved from a runner on which all work
-// stalls while its heartbeats go on, and that nothing new is placed there for a while.
+// TestStalledRunsMoved checks that attempts are moved away from a runner whose work has
+// stalled while its heartbeats continue, and that nothing new is placed there for a
+// while.
 func TestStalledRunsMoved(t *testing.T) {
 	const id = "00000000000000a1"
 	cluster := newTestCluster(t, 1, 2)
@@ -21,9 +22,9 @@
 	}
 }
 
-// TestSlowRunnerAvoided checks that work is placed elsewhere once a runner has become six times
-// as slow, while there is capacity elsewhere, and that what runs there stays and is done as
-// soon as its rate allows: nothing that it has done is thrown away.
+// TestSlowRunnerAvoided checks that work is placed on other runners while they have
+// capacity once a runner has become six times slower. Attempts already on the slow runner
+// stay and finish as soon as its rate allows, so that their progress is not lost.
 func TestSlowRunnerAvoided(t *testing.T) {
 	const before, after = "00000000000000f1", "00000000000000f2"
 	cluster := newTestCluster(t, 4, 3)
@@ -48,8 +49,8 @@
 	}
 }
 
-// TestStalledRunsStopped checks that stalled attempts are stopped although there is no
-// other runner to move to, and that they are done once the runner works again.
+// TestStalledRunsStopped checks that stalled attempts are stopped even if there is no
+// other runner to move them to, and that they complete once the runner works again.
 func TestStalledRunsStopped(t *testing.T) {
 	const id = "00000000000000a2"
 	cluster := newTestCluster(t, 2, 1)
--- a/internal/controlplane/runner_loss_test.go
+++ b/internal/controlplane/runner_loss_test.go
@@ -6,9 +6,9 @@
 	"orchidward/internal/clock"
 )
 
-// TestIsolatedRunnerKeepsLease isolates the agent of a runner that was frozen just as the
-// runner goes on. The runner then has leases by heartbeats that the server never hears of,
-// and none of its tasks may start elsewhere before those leases are over.
+// TestIsolatedRunnerKeepsLease isolates the agent of a suspended runner just as the
+// runner resumes. The runner then renews its leases by heartbeats that the server does
+// not learn of, and none of its tasks may start elsewhere before those leases expire.
 func TestIsolatedRunnerKeepsLease(t *testing.T) {
 	for seed := int64(1); seed <= 10; seed++ {
 		cluster := newTestCluster(t, seed, 3)
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestNewIncarnationRestartsWork crashes a runner that comes back as a new incarnation,
-// its agent restarted meanwhile. What it ran starts again at once.
+// TestNewIncarnationRestartsWork crashes a runner that returns as a new incarnation, with
+// its agent restarted in between. The runner's tasks must start again at once.
 func TestNewIncarnationRestartsWork(t *testing.T) {
 	const id = "00000000000000c1"
 	cluster := newTestCluster(t, 3, 2)
@@ -43,8 +43,8 @@
 	}
 }
 
-// newShortLeaseCluster is a cluster of three runners whose agents give them leases shorter
-// than those of the control plane.
+// newShortLeaseCluster returns a cluster of three runners whose agents grant them shorter
+// leases than the control plane does.
 func newShortLeaseCluster(t *testing.T, seed int64) *testCluster {
 	t.Helper()
 	cluster := newTestCluster(t, seed, 3)
@@ -56,9 +56,10 @@
 	return cluster
 }
 
-// TestDeadRunnerWorkRestarted crashes a runner for good. What it ran starts elsewhere as
-// soon as its own lease must be over, long before the agent's; and never sooner, also
-// when only its heartbeats stopped while it went on.
+// TestDeadRunnerWorkRestarted crashes a runner permanently. Its tasks must start
+// elsewhere as soon as the runner's own lease must have expired, long before the agent's
+// lease does, and never earlier, even if only its heartbeats stopped while it kept
+// running.
 func TestDeadRunnerWorkRestarted(t *testing.T) {
 	const id = "00000000000000d1"
 	for seed := int64(1); seed <= 10; seed++ {
@@ -77,9 +78,9 @@
 	}
 }
 
-// TestUnannouncedLeaver has a runner say farewell without having announced its departure. It
-// serves on, with or without heartbeats, and ends some seconds later. Nothing that it runs
-// may start elsewhere meanwhile, and the job is done soon after.
+// TestUnannouncedLeaver has a runner leave without prior notice. It keeps running, with
+// or without heartbeats, and ends some seconds later. None of its tasks may start
+// elsewhere before that, and the job must complete soon afterwards.
 func TestUnannouncedLeaver(t *testing.T) {
 	const id = "00000000000000e1"
 	for seed := int64(1); seed <= 12; seed++ {
--- a/internal/controlplane/runner_orders_test.go
+++ b/internal/controlplane/runner_orders_test.go
@@ -9,12 +9,12 @@
 	"orchidward/internal/state"
 )
 
-// numberedJob is the id of the i-th job of a test.
+// numberedJob returns the id of the i-th job of a test.
 func numberedJob(i int) string { return fmt.Sprintf("%016x", i) }
 
-// TestCancelDuringStart cancels jobs while their start orders are on their way or were
-// just delivered. Capacity may be given to others only once the runner has reported the
-// end, or a heartbeat sent after the order does not show the attempt.
+// TestCancelDuringStart cancels jobs while their start orders are in flight or have just
+// been delivered. Their capacity may be reused only once the runner has reported the end,
+// or a heartbeat sent after the order does not list the attempt.
 func TestCancelDuringStart(t *testing.T) {
 	const jobs = 30
 	for seed := int64(1); seed <= 20; seed++ {
@@ -36,10 +36,10 @@
 	}
 }
 
-// TestNoStartOnDrainingRunner checks that nothing starts on a runner once its agent has
-// answered a heartbeat that says the runner drains, also when start orders were on their
-// way, and that all work is done elsewhere. An order that the agent drops counted as
-// started before, which takes a rare order of events: few seeds show it.
+// TestNoStartOnDrainingRunner checks that nothing starts on a runner after its agent has
+// answered a heartbeat that reports draining, even if start orders were in flight, and
+// that all work completes elsewhere. It guards against counting an order that the agent
+// drops as started, which takes a rare sequence of events that few seeds produce.
 func TestNoStartOnDrainingRunner(t *testing.T) {
 	const (
 		jobs  = 6
@@ -65,7 +65,7 @@
 }
 
 // TestLongRunsKeepLeases checks that many long attempts, whose percentages change rarely
-// and each at another time, keep their leases for as long as they run.
+// and at different times, keep their leases for as long as they run.
 func TestLongRunsKeepLeases(t *testing.T) {
 	const jobs = 60
 	cluster := newTestCluster(t, 5, 3)
--- a/internal/controlplane/tenant_documents_test.go
+++ b/internal/controlplane/tenant_documents_test.go
@@ -12,7 +12,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestTenantsListedWithoutKeys guards against keys, or their digests, among what is shown of tenants, and wrong figures.
+// TestTenantsListedWithoutKeys checks that the list of tenants contains neither API keys
+// nor their digests, and that its figures are correct.
 func TestTenantsListedWithoutKeys(t *testing.T) {
 	c := newTestCluster(t, 1, 2)
 	c.mustRequest(http.MethodPatch, endpoint.CatalogPath,
@@ -40,7 +41,8 @@
 	}
 }
 
-// requestOfTenant hands in a job of five tasks with the digest of a key.
+// requestOfTenant returns a request that submits a job of five tasks with the digest of a
+// key.
 func requestOfTenant(id, digest string) wire.Request {
 	return wire.Request{
 		Method: http.MethodPut,
--- a/internal/controlplane/transfer_log_test.go
+++ b/internal/controlplane/transfer_log_test.go
@@ -13,18 +13,19 @@
 	"orchidward/internal/transport/wire"
 )
 
-// joiner is a server with an empty disk that has asked a lone leader to be taken in.
+// The joiner is a server with an empty disk that has asked a lone leader to join its
+// group.
 const (
 	joinerID   identifier.Node = 2
 	joinerAddr                 = "j"
 )
 
-// eventCounter runs a lone leader and counts what it logs by the name of the event.
+// eventCounter runs a lone leader and counts its log events by name.
 type eventCounter struct {
 	server *controlplane.Server
 	now    clock.Monotonic
 	counts map[string]int
-	// toJoiner are the messages of the consensus to the joiner so far.
+	// toJoiner are the consensus messages sent to the joiner so far.
 	toJoiner []*raft.Message
 }
 
@@ -40,7 +41,7 @@
 	c.collect()
 }
 
-// collect takes the output, and syncs at once what is to be written.
+// collect processes the server's output and syncs its writes at once.
 func (c *eventCounter) collect() {
 	for more := true; more; {
 		output := c.server.TakeOutput()
@@ -69,9 +70,9 @@
 	c.handle(wire.Message{Raft: &reply})
 }
 
-// TestTransferLogged checks that the log says when the transfer of a snapshot begins, that
-// it stands still, and that it ends; that a transfer which stands still is not mentioned
-// with every tick; and how many requests the leader had.
+// TestTransferLogged checks that the start, a stall and the end of a snapshot transfer
+// are logged, that a stalled transfer is not logged on every tick, and that the leader
+// logs its request counts.
 func TestTransferLogged(t *testing.T) {
 	c := &eventCounter{server: newLoneServer(t), counts: map[string]int{}}
 	c.run(clock.Millis(electionPeriod))
--- a/internal/controlplane/withdrawal_test.go
+++ b/internal/controlplane/withdrawal_test.go
@@ -21,14 +21,14 @@
 // withdraw withdraws a request of the operator.
 func (c *testCluster) withdraw(id uint64) { c.sendToServer(*wire.NewWithdrawal(0, id)) }
 
-// TestWithdrawnOrderIsNotTaken checks that a leader drops an order that is withdrawn in
-// the moment for which it keeps it, also when that moment fell into a stall, and that the
-// order takes effect when it is not, or too late.
+// TestWithdrawnOrderIsNotTaken checks that a leader drops an order that is withdrawn
+// during its delay, even if the leader was suspended in that time, and that the order
+// takes effect if it is not withdrawn or withdrawn too late.
 func TestWithdrawnOrderIsNotTaken(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		// runs is how long the leader runs between order and withdrawal, stalls how long
-		// it then stands still.
+		// it is then suspended.
 		runs   clock.Monotonic
 		stalls clock.Monotonic
 		want   int
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestDelayedOrdersKeepTheirOrder checks that orders are carried out in the order in which
-// they came, and that one that is withdrawn takes none of the others with it.
+// TestDelayedOrdersKeepTheirOrder checks that orders are carried out in order of arrival,
+// and that the withdrawal of one does not affect the others.
 func TestDelayedOrdersKeepTheirOrder(t *testing.T) {
 	cluster := newTestCluster(t, 1, 0)
 	first := cluster.sendDrain()
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestStoppingLeaderReturnsDelayedOrders checks that a leader that stops says of the
-// orders that it has not carried out that it did not take them.
+// TestStoppingLeaderReturnsDelayedOrders checks that a stopping leader rejects the orders
+// that it has not carried out.
 func TestStoppingLeaderReturnsDelayedOrders(t *testing.T) {
 	cluster := newTestCluster(t, 1, 0)
 	id := cluster.sendDrain()
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestDelayedOrdersBounded checks that a leader keeps orders only up to a bound, in number
-// and in bytes, and answers those beyond it at once.
+// TestDelayedOrdersBounded checks that a leader delays orders only up to a bound, in
+// number and in bytes, and answers those beyond it at once.
 func TestDelayedOrdersBounded(t *testing.T) {
 	const tooMany = 300
 	cluster := newTestCluster(t, 1, 0)
