--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -18,10 +18,10 @@
 // attempt by its task and attempt number; this file maps these names to leases and back,
 // and the rest of the package treats an agent's runner like any other.
 type agentRunner struct {
-	// runs holds the attempts from the last poll that the state knows, inOrder the same
+	// runs holds the attempts from the last poll that the state knows, orderedRuns the same
 	// attempts in the poll's order.
-	runs    map[identifier.LeaseID]*agentRun
-	inOrder []*agentRun
+	runs        map[identifier.LeaseID]*agentRun
+	orderedRuns []*agentRun
 	// ends are the ends from the last poll, by sequence number.
 	ends []reportedEnd
 	// unknownRuns are the attempts from the last poll that the state does not know and
@@ -120,9 +120,9 @@
 func (s *Server) recordActiveRuns(name identifier.Runner, agent *agentRunner, poll *runnerapi.PollRequest) {
 	agent.noStallBefore = math.MaxInt64
 	agent.unknownRuns = agent.unknownRuns[:0]
-	previous := agent.inOrder
+	previous := agent.orderedRuns
 	next := 0
-	agent.inOrder = make([]*agentRun, 0, len(poll.Active))
+	agent.orderedRuns = make([]*agentRun, 0, len(poll.Active))
 	for _, reported := range poll.Active {
 		runName := runnerapi.RunStop{Task: reported.Task, Attempt: reported.Attempt}
 		var run *agentRun
@@ -137,7 +137,7 @@
 		run.name = runName
 		run.checkpoint = reported.Checkpoint
 		run.seq = poll.Seq
-		agent.inOrder = append(agent.inOrder, run)
+		agent.orderedRuns = append(agent.orderedRuns, run)
 		poll.Running = append(poll.Running, run.lease)
 		s.recordProgress(agent, run, reported)
 	}
--- a/internal/controlplane/authentication.go
+++ b/internal/controlplane/authentication.go
@@ -46,7 +46,7 @@
 
 // serveTenant serves the requests that tenants make about their jobs and queues. It
 // returns true, without answering, for any other request.
-func (s *Server) serveTenant(r *apiRequest) (other bool) {
+func (s *Server) serveTenant(r *apiRequest) (unhandled bool) {
 	switch r.endpoint.Kind {
 	case endpoint.SubmitJob, endpoint.CancelJob, endpoint.GetJob, endpoint.GetJobState, endpoint.GetQueue:
 	default:
--- a/internal/controlplane/cluster_clock.go
+++ b/internal/controlplane/cluster_clock.go
@@ -18,9 +18,9 @@
 	// agreementWindow is how far apart, in milliseconds, wall clocks may be and still
 	// agree.
 	agreementWindow = 1000
-	// neverSet is 2000-01-01 00:00 UTC. A cluster time below it has never been set, as no
+	// minValidTime is 2000-01-01 00:00 UTC. A cluster time below it has never been set, as no
 	// wall clock reads so little.
-	neverSet clock.ClusterTime = 946_684_800_000
+	minValidTime clock.ClusterTime = 946_684_800_000
 	// maxReadingAge is the maximum age of a member's wall-clock reading.
 	maxReadingAge clock.Millis = 2000
 )
@@ -65,14 +65,14 @@
 	c.readAt = now
 	agreed, ok := clocks.agree()
 	c.clocksAgree = ok
-	young := !c.agreedOnce && (clocks.coldStart || c.base < neverSet)
-	c.canAppoint = ok || !young
+	mayStep := !c.agreedOnce && (clocks.coldStart || c.base < minValidTime)
+	c.canAppoint = ok || !mayStep
 	if !ok {
 		return
 	}
 	diff := int64(agreed - c.base)
 	c.agreedOnce = true
-	if young && diff > minStep {
+	if mayStep && diff > minStep {
 		c.base = agreed
 		return
 	}
@@ -82,9 +82,9 @@
 // slew moves the clock by diff, limited to one slewFraction-th of span.
 func (c *clusterClock) slew(span clock.Millis, diff int64) {
 	c.unusedSlew += int64(span)
-	most := c.unusedSlew / slewFraction
-	c.unusedSlew -= most * slewFraction
-	c.base += clock.ClusterTime(max(-most, min(most, diff)))
+	maxSlew := c.unusedSlew / slewFraction
+	c.unusedSlew -= maxSlew * slewFraction
+	c.base += clock.ClusterTime(max(-maxSlew, min(maxSlew, diff)))
 }
 
 // wallClocks holds the readings of the voters' wall clocks at this moment.
@@ -101,11 +101,11 @@
 // the smallest spread, and returns its median.
 func (w wallClocks) agree() (at clock.ClusterTime, ok bool) {
 	slices.Sort(w.readings)
-	low := clock.ClusterTime(agreementWindow + 1)
+	minSpread := clock.ClusterTime(agreementWindow + 1)
 	for i := 0; w.majority > 0 && i+w.majority <= len(w.readings); i++ {
 		span := w.readings[i+w.majority-1] - w.readings[i]
-		if span < low {
-			low = span
+		if span < minSpread {
+			minSpread = span
 			at = w.readings[i+(w.majority-1)/2]
 			ok = true
 		}
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -19,9 +19,9 @@
 	discoveryInterval clock.Millis = 300
 	// announcementTTL is how long a seed's announcement remains valid.
 	announcementTTL clock.Millis = 1500
-	// quietBeforeFounding is how long a server must have heard of no group before it
+	// foundingQuietPeriod is how long a server must have heard of no group before it
 	// founds one if some of the seeds have no disk.
-	quietBeforeFounding clock.Millis = 5000
+	foundingQuietPeriod clock.Millis = 5000
 	// joinTimeout is how long the sender of a join request waits for the response.
 	joinTimeout clock.Millis = 1500
 	// searchInterval is how often a member without a leader searches for the group.
@@ -60,14 +60,14 @@
 	}
 }
 
-// quietLongEnough reports whether no group has been heard of for so long that a leader
+// quietPeriodOver reports whether no group has been heard of for so long that a leader
 // would have announced itself. Seeds without a disk lose what they know of the group on a
 // restart, so their answers alone do not prove that there is none.
-func (d *discovery) quietLongEnough(now clock.Monotonic) bool {
-	if now.Since(d.since) < quietBeforeFounding {
+func (d *discovery) quietPeriodOver(now clock.Monotonic) bool {
+	if now.Since(d.since) < foundingQuietPeriod {
 		return false
 	}
-	return d.groupHeardAt == 0 || now.Since(d.groupHeardAt) >= quietBeforeFounding
+	return d.groupHeardAt == 0 || now.Since(d.groupHeardAt) >= foundingQuietPeriod
 }
 
 // discover periodically queries the seeds.
@@ -80,7 +80,7 @@
 	for _, seed := range s.config.Seeds {
 		s.send(wire.Peer(seed), wire.Message{Announcement: s.announcement(true)})
 	}
-	s.tryFound()
+	s.maybeFoundGroup()
 }
 
 // discoverGroup handles an announcement while this server is looking for its group.
@@ -107,11 +107,11 @@
 	}
 }
 
-// tryFound founds a group if every seed has recently announced that it is an empty
+// maybeFoundGroup founds a group if every seed has recently announced that it is an empty
 // server, this one included, or that it has no disk. The set of diskless seeds is fixed,
 // and all servers have the same seeds at their first start, so all of them found the same
 // group.
-func (s *Server) tryFound() {
+func (s *Server) maybeFoundGroup() {
 	if !s.config.MayFound {
 		return
 	}
@@ -120,7 +120,7 @@
 		return
 	}
 	everySeed := len(founders) == len(s.config.Seeds)
-	if !everySeed && !s.discovery.quietLongEnough(s.now) {
+	if !everySeed && !s.discovery.quietPeriodOver(s.now) {
 		return
 	}
 	slices.SortFunc(founders, func(a, b raft.Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -208,7 +208,7 @@
 	}
 	for _, peer := range to {
 		s.send(peer, wire.Message{Request: &wire.Request{
-			ID:     s.takeRequestID(),
+			ID:     s.nextRequestID(),
 			Method: endpoint.MethodJoin,
 			Path:   "/",
 			Body:   body,
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -13,9 +13,9 @@
 const (
 	// leaderHintTTL is how long a leader remains known without any server confirming it.
 	leaderHintTTL clock.Millis = 2000
-	// selfVouchTTL is how long a leader's own announcement takes precedence over the
+	// selfConfirmTTL is how long a leader's own announcement takes precedence over the
 	// reports of other servers.
-	selfVouchTTL = 3 * discoveryInterval
+	selfConfirmTTL = 3 * discoveryInterval
 )
 
 // forwarderNode is the state of a server without a disk. Such a server holds no log, has
@@ -25,10 +25,10 @@
 	nextPoll clock.Monotonic
 	members  []raft.Member
 	leaderID identifier.Node
-	// vouchedAt is when a server last named leaderID as the leader, and selfVouchedAt
+	// confirmedAt is when a server last named leaderID as the leader, and selfConfirmedAt
 	// when leaderID last did so itself.
-	vouchedAt     clock.Monotonic
-	selfVouchedAt clock.Monotonic
+	confirmedAt     clock.Monotonic
+	selfConfirmedAt clock.Monotonic
 	// leaderlessGroupAt is when an announcement last came from a server that belongs to a
 	// group but knows no leader.
 	leaderlessGroupAt clock.Monotonic
@@ -38,7 +38,7 @@
 
 // leader returns the current leader according to recent announcements.
 func (f *forwarderNode) leader(now clock.Monotonic) (leader raft.Member, ok bool) {
-	if f.leaderID == 0 || now.Since(f.vouchedAt) > leaderHintTTL {
+	if f.leaderID == 0 || now.Since(f.confirmedAt) > leaderHintTTL {
 		return leader, false
 	}
 	for _, member := range f.members {
@@ -63,7 +63,7 @@
 // undecided reports whether this server can say neither where the group is nor that there
 // is none. It does not reply to announcements then.
 func (f *forwarderNode) undecided(now clock.Monotonic) bool {
-	return !f.knowsGroup() && f.leaderlessGroupAt != 0 && now.Since(f.leaderlessGroupAt) < quietBeforeFounding
+	return !f.knowsGroup() && f.leaderlessGroupAt != 0 && now.Since(f.leaderlessGroupAt) < foundingQuietPeriod
 }
 
 // addresses returns the distinct addresses of seeds and members in ascending order.
@@ -86,7 +86,7 @@
 		return
 	}
 	f.nextPoll = s.now.Add(discoveryInterval)
-	if leader, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchTTL {
+	if leader, ok := f.leader(s.now); ok && s.now.Since(f.selfConfirmedAt) < selfConfirmTTL {
 		s.send(wire.Peer(leader.Addr), wire.Message{Announcement: s.announcement(true)})
 		return
 	}
@@ -108,10 +108,10 @@
 	byLeader := announcement.Role == wire.RoleServer && announcement.NamesSenderLeader()
 	switch {
 	case byLeader:
-		f.selfVouchedAt = s.now
+		f.selfConfirmedAt = s.now
 		s.observeLeaderTime(announcement.LeaderTime)
 	case announcement.Role == wire.RoleServer && announcement.LeaderID != 0:
-		if _, ok := f.leader(s.now); ok && s.now.Since(f.selfVouchedAt) < selfVouchTTL {
+		if _, ok := f.leader(s.now); ok && s.now.Since(f.selfConfirmedAt) < selfConfirmTTL {
 			return
 		}
 	case announcement.Role == wire.RoleServer:
@@ -128,5 +128,5 @@
 	}
 	f.members = announcement.Members
 	f.leaderID = announcement.LeaderID
-	f.vouchedAt = s.now
+	f.confirmedAt = s.now
 }
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -36,17 +36,17 @@
 // refused if no leader is known or the leader is unreachable.
 func (s *Server) forward(from wire.Peer, r *wire.Request) {
 	leader, known := s.currentLeader()
-	toOther := known && leader.ID != s.config.ID && leader.Addr != ""
-	if !toOther || r.Hops > 0 || len(s.forwarded) >= maxProposals || s.leaderLink.lost {
+	otherLeads := known && leader.ID != s.config.ID && leader.Addr != ""
+	if !otherLeads || r.Hops > 0 || len(s.forwarded) >= maxProposals || s.leaderLink.lost {
 		s.replyNotLeader(from, r.ID)
 		return
 	}
-	id := s.takeRequestID()
+	id := s.nextRequestID()
 	to := wire.Peer(leader.Addr)
-	onward := *r
-	onward.ID = id
-	onward.Hops = r.Hops + 1
-	s.stampLeaderTime(from, &onward)
+	outgoing := *r
+	outgoing.ID = id
+	outgoing.Hops = r.Hops + 1
+	s.stampLeaderTime(from, &outgoing)
 	s.leaderLink.requestSent(s.now, len(s.forwarded) == 0)
 	s.forwarded[id] = forwardedRequest{
 		peer:         from,
@@ -55,7 +55,7 @@
 		expires:      s.now.Add(max(r.Budget, minForwardTimeout)),
 		withdrawable: endpoint.Withdrawable(r.Method, r.Path),
 	}
-	s.send(to, wire.Message{Request: &onward})
+	s.send(to, wire.Message{Request: &outgoing})
 }
 
 // replyNotLeader rejects a request that this server can neither serve nor forward. The
@@ -69,10 +69,10 @@
 	}})
 }
 
-// takeRequestID returns the id of this server's next request. Ids start at a random
+// nextRequestID returns the id of this server's next request. Ids start at a random
 // number after each restart, so that a response to a request of an earlier incarnation
 // does not match a current one.
-func (s *Server) takeRequestID() uint64 {
+func (s *Server) nextRequestID() uint64 {
 	s.lastRequestID++
 	return s.lastRequestID
 }
@@ -86,9 +86,9 @@
 	}
 	delete(s.forwarded, r.ID)
 	s.observeLeaderTime(r.LeaderTime)
-	back := *r
-	back.ID = request.id
-	s.send(request.peer, wire.Message{Response: &back})
+	reply := *r
+	reply.ID = request.id
+	s.send(request.peer, wire.Message{Response: &reply})
 }
 
 // failForwardedExcept fails the requests that were forwarded to any server other than
--- a/internal/controlplane/graceful_stop.go
+++ b/internal/controlplane/graceful_stop.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// undecidedTimeout is how long a stopping leader waits for its proposals to be
+	// pendingProposalsTimeout is how long a stopping leader waits for its proposals to be
 	// applied, and gracefulStopTimeout how long the whole stop may take.
-	undecidedTimeout    clock.Millis = 300
-	gracefulStopTimeout clock.Millis = 1500
+	pendingProposalsTimeout clock.Millis = 300
+	gracefulStopTimeout     clock.Millis = 1500
 )
 
 // gracefulStop is the orderly stop of a server. A leader accepts no more requests, waits
@@ -29,7 +29,7 @@
 func (s *Server) Leave() {
 	switch {
 	case s.stopping != nil || s.hold != nil:
-	case s.holdsSeat():
+	case s.isVoter():
 		s.hold = &stopHold{since: s.now}
 		s.continueHold()
 	default:
@@ -41,7 +41,7 @@
 	s.hold = nil
 	s.stopping = &gracefulStop{since: s.now}
 	s.logEvent("leaving")
-	s.returnDelayedOrders()
+	s.rejectDelayedOrders()
 	if s.raft != nil {
 		s.raft.PrepareToLeave()
 	}
@@ -65,13 +65,13 @@
 }
 
 // transferLeadership transfers leadership to another voter once that loses no proposal,
-// or after undecidedTimeout.
+// or after pendingProposalsTimeout.
 func (s *Server) transferLeadership() {
 	stop := s.stopping
 	if stop == nil || stop.transferred || s.raft == nil || s.raft.Role() != raft.Leader {
 		return
 	}
-	late := s.now.Since(stop.since) > undecidedTimeout
+	late := s.now.Since(stop.since) > pendingProposalsTimeout
 	if !late && (len(s.proposals.byIndex) > 0 || !s.raft.Replicated()) {
 		return
 	}
--- a/internal/controlplane/job_timing.go
+++ b/internal/controlplane/job_timing.go
@@ -32,16 +32,16 @@
 // jobTimes is what a leader has recorded of ended jobs. totals covers this leadership,
 // queues the time since they were last logged.
 type jobTimes struct {
-	totals     JobTotals
-	queues     map[string]*JobTotals
-	loggedAt   clock.Monotonic
-	lateSince  clock.Monotonic
-	lateLogged int
-	lateHidden int
+	totals          JobTotals
+	queues          map[string]*JobTotals
+	loggedAt        clock.Monotonic
+	lateWindowStart clock.Monotonic
+	lateLogged      int
+	lateSuppressed  int
 }
 
 func newJobTimes(now clock.Monotonic) jobTimes {
-	return jobTimes{queues: map[string]*JobTotals{}, loggedAt: now, lateSince: now}
+	return jobTimes{queues: map[string]*JobTotals{}, loggedAt: now, lateWindowStart: now}
 }
 
 // JobTotals returns the totals of the jobs that ended under this leadership, zero on a
@@ -97,16 +97,16 @@
 // logLateJob logs how the time of a job was spent that finished late or failed.
 func (s *Server) logLateJob(j *state.Job, timing state.Timing) {
 	times := &s.leader.jobTimes
-	if s.now.Since(times.lateSince) >= lateLogInterval {
-		if times.lateHidden > 0 {
-			s.logEvent("late-jobs-not-logged", "jobs", times.lateHidden)
+	if s.now.Since(times.lateWindowStart) >= lateLogInterval {
+		if times.lateSuppressed > 0 {
+			s.logEvent("late-jobs-not-logged", "jobs", times.lateSuppressed)
 		}
-		times.lateSince = s.now
+		times.lateWindowStart = s.now
 		times.lateLogged = 0
-		times.lateHidden = 0
+		times.lateSuppressed = 0
 	}
 	if times.lateLogged >= maxLateJobsLogged {
-		times.lateHidden++
+		times.lateSuppressed++
 		return
 	}
 	times.lateLogged++
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -116,7 +116,7 @@
 		return
 	}
 	s.advanceClusterClock()
-	s.loseSilentRunners()
+	s.declareSilentRunnersLost()
 	s.revokeUnconfirmedStarts()
 	s.revokeSilentGangs()
 	s.revokeUnhealthyRuns()
--- a/internal/controlplane/leader_link.go
+++ b/internal/controlplane/leader_link.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// unreachedAfter is how long requests and pings to the leader may go unanswered
+	// leaderUnreachableAfter is how long requests and pings to the leader may go unanswered
 	// before it counts as unreachable.
-	unreachedAfter clock.Millis = 400
+	leaderUnreachableAfter clock.Millis = 400
 	// pingAfter is how long the leader may be silent before it is pinged, and
 	// pingInterval how often it is pinged from then on.
 	pingAfter    clock.Millis = 150
@@ -139,7 +139,7 @@
 		link.pingedAt = s.now
 		s.send(link.leader, wire.Message{Announcement: s.announcement(true)})
 	}
-	if silent > unreachedAfter && !link.lost {
+	if silent > leaderUnreachableAfter && !link.lost {
 		link.lost = true
 		s.logEvent("leader-unreachable", "leader", link.leader, "requests", len(s.forwarded))
 		s.failForwardedExcept("")
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -94,7 +94,7 @@
 		s.leader.maxVotersLiveAt = s.now
 		return maxVoters
 	}
-	if voters >= maxVoters && s.votersToBearLosses() >= maxVoters {
+	if voters >= maxVoters && s.votersToTolerateLosses() >= maxVoters {
 		return maxVoters
 	}
 	if voters >= maxVoters && s.now.Since(s.leader.maxVotersLiveAt) <= memberDeadAfter {
@@ -103,9 +103,9 @@
 	return minVoters
 }
 
-// votersToBearLosses returns how many voters are needed so that both committed data and a
+// votersToTolerateLosses returns how many voters are needed so that both committed data and a
 // majority survive the loss of the configured number of disks.
-func (s *Server) votersToBearLosses() int {
+func (s *Server) votersToTolerateLosses() int {
 	return 2*min(s.config.LossesTolerated, maxVoters/2) + 1
 }
 
--- a/internal/controlplane/membership_plan_test.go
+++ b/internal/controlplane/membership_plan_test.go
@@ -16,8 +16,8 @@
 	silentMark = '?'
 )
 
-// toLearner is the offset from a voter's letter to a learner's.
-const toLearner = 'a' - 'A'
+// learnerOffset is the offset from a voter's letter to a learner's.
+const learnerOffset = 'a' - 'A'
 
 // parseGroup parses the text form of a group. Its first member is the leader. "A" is a
 // live voter in domain A, "a" a caught-up learner there. A preceding "-" means that the
@@ -41,7 +41,7 @@
 	voter := letter >= 'A' && letter <= 'Z'
 	domain := letter
 	if !voter {
-		domain -= toLearner
+		domain -= learnerOffset
 	}
 	return memberState{
 		Member:      raft.Member{ID: identifier.Node(position + 1), Domain: identifier.Domain(domain), Voter: voter},
@@ -57,7 +57,7 @@
 func (s memberState) String() string {
 	letter := []rune(s.Domain)[0]
 	if !s.Voter {
-		letter += toLearner
+		letter += learnerOffset
 	}
 	switch {
 	case s.replaceable, s.abandoned:
@@ -186,7 +186,7 @@
 		}
 		letter := 'A' + rune(random.Intn(domains))
 		if i >= voters {
-			letter += toLearner
+			letter += learnerOffset
 		}
 		text.WriteRune(letter)
 	}
--- a/internal/controlplane/quota_log.go
+++ b/internal/controlplane/quota_log.go
@@ -22,8 +22,8 @@
 
 func newQuotaLog() quotaLog { return quotaLog{reported: map[string]clock.Monotonic{}} }
 
-// planned records the tenants that a plan found at their quota.
-func (l *quotaLog) planned(waiting map[string]bool) { l.waiting = waiting }
+// recordPlan records the tenants that a plan found at their quota.
+func (l *quotaLog) recordPlan(waiting map[string]bool) { l.waiting = waiting }
 
 // logQuotas logs tenants that have reached their quota, and tenants that have been within
 // it for quotaLogInterval.
--- a/internal/controlplane/requests.go
+++ b/internal/controlplane/requests.go
@@ -77,7 +77,7 @@
 
 // serve serves a request according to its endpoint.
 func (s *Server) serve(r *apiRequest) {
-	if other := s.serveTenant(r); !other {
+	if unhandled := s.serveTenant(r); !unhandled {
 		return
 	}
 	switch r.endpoint.Kind {
--- a/internal/controlplane/run_progress.go
+++ b/internal/controlplane/run_progress.go
@@ -75,7 +75,7 @@
 	agent.rateEvidence = prediction.Evidence{}
 	// In the poll's order, because a floating-point sum depends on the order of its
 	// terms.
-	for _, run := range agent.inOrder {
+	for _, run := range agent.orderedRuns {
 		lease := s.state.Leases[run.lease]
 		if run.progress == nil || run.progress.rate <= 0 || lease == nil || spansRunners(lease, s.state.Partners(lease)) {
 			continue
@@ -119,8 +119,8 @@
 }
 
 const (
-	// leastRemaining is the minimum predicted remaining time of an attempt.
-	leastRemaining clock.Millis = 20
+	// minRemaining is the minimum predicted remaining time of an attempt.
+	minRemaining clock.Millis = 20
 	// overdueDivisor is the fraction of its predicted duration that an overdue attempt is
 	// expected to continue.
 	overdueDivisor = 4
@@ -136,13 +136,13 @@
 	contact := s.leader.runners[lease.Runner]
 	if contact != nil && contact.agent != nil {
 		if run := contact.agent.runs[lease.ID]; run != nil && run.progress != nil && run.progress.rate > 0 {
-			return max(run.progress.remaining()-s.now.Since(contact.lastHeard), leastRemaining), true
+			return max(run.progress.remaining()-s.now.Since(contact.lastHeard), minRemaining), true
 		}
 	}
 	run, _ := s.predictedRun(lease)
 	run = run * prediction.NominalRate / clock.Millis(s.workRate(lease.Runner))
 	left := run - s.state.Now.Since(lease.OpenedAt)
-	return max(left, run/overdueDivisor, leastRemaining), true
+	return max(left, run/overdueDivisor, minRemaining), true
 }
 
 // observeEnds records the durations of the attempts that an entry is about to end
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -29,10 +29,10 @@
 	seq       uint64
 	hasPolled bool
 	draining  bool
-	// lastHeard is when the last poll arrived; silentBefore is how long the runner itself
+	// lastHeard is when the last poll arrived; agentReportedSilence is how long the runner itself
 	// had been silent at that time, as reported by its agent.
-	lastHeard    clock.Monotonic
-	silentBefore clock.Millis
+	lastHeard            clock.Monotonic
+	agentReportedSilence clock.Millis
 	// agent is set if an agent reports for this runner.
 	agent *agentRunner
 
@@ -84,7 +84,7 @@
 
 // silentFor returns how long the runner itself has been silent.
 func (c *runnerContact) silentFor(now clock.Monotonic) clock.Millis {
-	return now.Since(c.lastHeard) + c.silentBefore
+	return now.Since(c.lastHeard) + c.agentReportedSilence
 }
 
 // leaseLapsed reports whether a lease of the given duration must have expired on the
@@ -96,7 +96,7 @@
 		return now.Since(c.lastHeard) > lease+lease/runnerDriftFraction+runnerLapseMargin
 	}
 	span := lease + lease/agentDriftFraction + agentLapseMargin
-	return now.Since(c.lastHeard) > span || c.silentBefore > span
+	return now.Since(c.lastHeard) > span || c.agentReportedSilence > span
 }
 
 // endedIDs lists the leases that the last poll reported as ended, in ascending order.
@@ -104,9 +104,9 @@
 	return slices.Sorted(maps.Keys(c.ended))
 }
 
-// loseSilentRunners declares runners lost that have been silent for longer than their
+// declareSilentRunnersLost declares runners lost that have been silent for longer than their
 // leases can have lasted by their own clocks.
-func (s *Server) loseSilentRunners() {
+func (s *Server) declareSilentRunnersLost() {
 	l := s.leader
 	lease := s.state.LeaseSpan()
 	for _, name := range s.state.RunnerNames() {
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -17,8 +17,8 @@
 const (
 	// healthCheckInterval is how often attempts are checked.
 	healthCheckInterval clock.Millis = 100
-	// minStall is the stall limit of an attempt without an expected duration.
-	minStall clock.Millis = 600
+	// minStallLimit is the stall limit of an attempt without an expected duration.
+	minStallLimit clock.Millis = 600
 	// restoreTime is how long an attempt may take to restore its checkpoint.
 	restoreTime clock.Millis = 800
 	// quarantineTime is how long a runner receives no work after an attempt stalled on
@@ -42,7 +42,7 @@
 // as stalled.
 func (s *Server) stallLimit(lease *state.Lease) clock.Millis {
 	run, _ := s.predictedRun(lease)
-	return minStall + run/8
+	return minStallLimit + run/8
 }
 
 // stalled reports whether an attempt has made no progress for longer than a healthy one
@@ -51,13 +51,13 @@
 func (s *Server) stalled(c *runnerContact, p *runProgress, lease *state.Lease) bool {
 	j := s.state.Jobs[lease.Task.Job]
 	step := j.Spec.Steps[lease.Task.Step]
-	span := max(s.stallLimit(lease), minStall+p.wholeRun()/8)
+	span := max(s.stallLimit(lease), minStallLimit+p.wholeRun()/8)
 	switch {
 	case p.stalledFor == 0 || step.Service:
 		return false
 	case p.percent >= completePercent:
 		run, _ := s.predictedRun(lease)
-		span = 2 * (minStall + run)
+		span = 2 * (minStallLimit + run)
 	case p.percent == p.firstPercent && j.Task(lease.Task).Checkpoint != "":
 		span += restoreTime
 	}
@@ -88,12 +88,12 @@
 	s.updateCommonRate()
 	var stalled []identifier.LeaseID
 	for _, name := range s.state.RunnerNames() {
-		if c := l.runners[name]; s.worthChecking(c) {
+		if c := l.runners[name]; s.shouldCheckRuns(c) {
 			stalled = append(stalled, s.stalledRuns(name, c)...)
 		}
 	}
-	if never := s.neverStarted(); len(never) > 0 {
-		s.revokeRuns(never, state.RevokeStartUnconfirmed)
+	if unstartable := s.unstartableLeases(); len(unstartable) > 0 {
+		s.revokeRuns(unstartable, state.RevokeStartUnconfirmed)
 	}
 	if len(stalled) > 0 {
 		slices.Sort(stalled)
@@ -105,10 +105,10 @@
 	s.leader.revokeProposal = s.propose(&state.Command{RevokeLeases: &state.RevokeLeases{Leases: leases, Reason: reason}})
 }
 
-// worthChecking reports whether the reports about a runner are fresh enough to check its
+// shouldCheckRuns reports whether the reports about a runner are fresh enough to check its
 // attempts, and whether enough time has passed for any of them to have stalled.
-func (s *Server) worthChecking(contact *runnerContact) bool {
-	if contact == nil || contact.agent == nil || contact.silentBefore > maxReportSilence || s.now.Since(contact.lastHeard) > maxReportAge {
+func (s *Server) shouldCheckRuns(contact *runnerContact) bool {
+	if contact == nil || contact.agent == nil || contact.agentReportedSilence > maxReportSilence || s.now.Since(contact.lastHeard) > maxReportAge {
 		return false
 	}
 	return s.now > contact.agent.noStallBefore
@@ -131,10 +131,10 @@
 	return stalled
 }
 
-// neverStarted lists the leases on agents' runners whose attempts have not started and
+// unstartableLeases lists the leases on agents' runners whose attempts have not started and
 // will not start, because the runner is draining or cordoned or the tenant exceeds its
 // quota.
-func (s *Server) neverStarted() []identifier.LeaseID {
+func (s *Server) unstartableLeases() []identifier.LeaseID {
 	var list []identifier.LeaseID
 	anyOverQuota := s.state.AnyOverQuota()
 	for _, name := range s.state.RunnerNames() {
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	// awayAfter is the gap between polls after which a runner's next poll is answered at
+	// pollGapLimit is the gap between polls after which a runner's next poll is answered at
 	// once, so that a runner that was cut off learns that it is connected again.
-	awayAfter clock.Millis = 1000
-	// departureSlack is the largest difference between two reported departure times, in
+	pollGapLimit clock.Millis = 1000
+	// departureTolerance is the largest difference between two reported departure times, in
 	// milliseconds, that is not worth a log entry.
-	departureSlack = 1000
+	departureTolerance = 1000
 )
 
 // startTimeout returns how long a runner may take to confirm a start, from the limits
@@ -111,14 +111,14 @@
 
 // openPoll makes a poll the runner's open poll.
 func (s *Server) openPoll(peer wire.Peer, id uint64, contact *runnerContact, poll *runnerapi.PollRequest) {
-	wasAway := !contact.hasPolled || s.now.Since(contact.lastHeard) > awayAfter
+	wasSilent := !contact.hasPolled || s.now.Since(contact.lastHeard) > pollGapLimit
 	contact.seq = poll.Seq
 	contact.lastHeard = s.now
-	contact.silentBefore = poll.SilentFor
+	contact.agentReportedSilence = poll.SilentFor
 	contact.hasPolled = true
 	contact.draining = poll.Mode == runnerapi.ModeDraining
 	contact.poll = pollState{open: true, peer: peer, id: id, since: s.now}
-	if wasAway {
+	if wasSilent {
 		contact.poll.since -= clock.Monotonic(s.startTimeout())
 	}
 	contact.beginPoll()
@@ -200,7 +200,7 @@
 		runner.Domain == report.Domain &&
 		runner.Rack == report.Rack &&
 		runner.Draining == report.Draining &&
-		gap < departureSlack && gap > -departureSlack
+		gap < departureTolerance && gap > -departureTolerance
 }
 
 // reportNewEnds proposes the reported ends that the state does not contain yet.
--- a/internal/controlplane/scheduling.go
+++ b/internal/controlplane/scheduling.go
@@ -59,7 +59,7 @@
 	plan := scheduler.Schedule(s.state, view, s.policyCache)
 	cycle.deferred.Update(plan.Deferred, s.now)
 	s.waitReasons = plan.Reasons
-	s.leader.quotas.planned(plan.AtQuota)
+	s.leader.quotas.recordPlan(plan.AtQuota)
 	s.recordPolicyResults(plan.Policies)
 	if len(plan.Preemptions) > 0 {
 		s.logEvent("preemption", "leases", len(plan.Preemptions))
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -203,7 +203,7 @@
 		s.updateLeadership()
 		s.handleRequest(from, msg.Request)
 	case msg.Response != nil:
-		if !s.handleSeats(from, msg.Response) {
+		if !s.handleVotersResponse(from, msg.Response) {
 			s.forwardResponse(from, msg.Response)
 		}
 	}
@@ -269,7 +269,7 @@
 func (s *Server) loseLeadership() {
 	s.leader = nil
 	s.logEvent("leader-lost", "term", s.term)
-	s.returnDelayedOrders()
+	s.rejectDelayedOrders()
 	for _, index := range s.proposals.indexes() {
 		if p, ok := s.proposals.take(index); ok {
 			s.replyOutcomeUnknown(p)
--- a/internal/controlplane/stop_hold.go
+++ b/internal/controlplane/stop_hold.go
@@ -19,11 +19,11 @@
 const (
 	// maxStopHold is the longest time that a stop is delayed.
 	maxStopHold clock.Millis = 2000
-	// holdQuestionInterval is the time between two queries to the leader.
-	holdQuestionInterval clock.Millis = 100
-	// seatEmptyAfter is how long a voter is silent before it counts as absent. It is
+	// holdQueryInterval is the time between two queries to the leader.
+	holdQueryInterval clock.Millis = 100
+	// voterAbsentAfter is how long a voter is silent before it counts as absent. It is
 	// shorter than a restart takes, and longer than a few lost heartbeats.
-	seatEmptyAfter clock.Millis = 500
+	voterAbsentAfter clock.Millis = 500
 )
 
 // stopHold is a stop that is being delayed.
@@ -35,8 +35,8 @@
 	leader    wire.Peer
 }
 
-// holdsSeat reports whether this server is a voter.
-func (s *Server) holdsSeat() bool {
+// isVoter reports whether this server is a voter.
+func (s *Server) isVoter() bool {
 	if s.raft == nil {
 		return false
 	}
@@ -54,36 +54,36 @@
 		s.logEvent("stop-hold-over", "heldMs", s.now.Since(hold.since))
 		s.beginStop()
 	case s.raft.Role() == raft.Leader:
-		if seatsTaken(s.raft.MemberStatuses()) {
+		if allVotersPresent(s.raft.MemberStatuses()) {
 			s.beginStop()
 		}
-	case hold.requestID == 0 || s.now.Since(hold.askedAt) >= holdQuestionInterval:
-		s.askForSeats()
+	case hold.requestID == 0 || s.now.Since(hold.askedAt) >= holdQueryInterval:
+		s.queryVoters()
 	}
 }
 
-// askForSeats asks the leader, if one is known, which voters it hears.
-func (s *Server) askForSeats() {
+// queryVoters asks the leader, if one is known, which voters it hears.
+func (s *Server) queryVoters() {
 	leader, known := s.currentLeader()
 	if !known || leader.ID == s.config.ID || leader.Addr == "" {
 		return
 	}
 	s.hold.askedAt = s.now
-	s.hold.requestID = s.takeRequestID()
+	s.hold.requestID = s.nextRequestID()
 	s.hold.leader = wire.Peer(leader.Addr)
 	s.send(s.hold.leader, wire.Message{Request: &wire.Request{
 		ID:     s.hold.requestID,
 		Method: http.MethodGet,
 		Path:   endpoint.ServersPath,
-		Budget: holdQuestionInterval,
+		Budget: holdQueryInterval,
 		// Marks the request as forwarded already: only this leader may answer it.
 		Hops: 1,
 	}})
 }
 
-// handleSeats handles the leader's response to a query, and reports whether the response
+// handleVotersResponse handles the leader's response to a query, and reports whether the response
 // was one.
-func (s *Server) handleSeats(from wire.Peer, response *wire.Response) bool {
+func (s *Server) handleVotersResponse(from wire.Peer, response *wire.Response) bool {
 	hold := s.hold
 	if hold == nil || hold.requestID != response.ID || hold.leader != from {
 		return false
@@ -92,28 +92,28 @@
 	if response.Status != http.StatusOK || json.Unmarshal(response.Body, &doc) != nil {
 		return true
 	}
-	if seatsTakenBut(doc.Servers, s.config.Addr) {
+	if otherVotersPresent(doc.Servers, s.config.Addr) {
 		s.beginStop()
 	}
 	return true
 }
 
-// seatsTaken reports whether the leader hears all other voters and none of them is
+// allVotersPresent reports whether the leader hears all other voters and none of them is
 // leaving.
-func seatsTaken(statuses []raft.MemberStatus) bool {
+func allVotersPresent(statuses []raft.MemberStatus) bool {
 	for _, status := range statuses {
-		if status.Voter && (status.WallTimeReadAt == 0 || status.SilentFor > seatEmptyAfter || status.Leaving) {
+		if status.Voter && (status.WallTimeReadAt == 0 || status.SilentFor > voterAbsentAfter || status.Leaving) {
 			return false
 		}
 	}
 	return true
 }
 
-// seatsTakenBut reports whether the leader hears all voters other than the one at an
+// otherVotersPresent reports whether the leader hears all voters other than the one at an
 // address.
-func seatsTakenBut(servers []ServerDoc, addr string) bool {
+func otherVotersPresent(servers []ServerDoc, addr string) bool {
 	for _, server := range servers {
-		if server.Voter && server.Addr != addr && (!server.Heard || server.SilentFor > seatEmptyAfter) {
+		if server.Voter && server.Addr != addr && (!server.Heard || server.SilentFor > voterAbsentAfter) {
 			return false
 		}
 	}
--- a/internal/controlplane/tenant_usage.go
+++ b/internal/controlplane/tenant_usage.go
@@ -18,7 +18,7 @@
 
 // LargestTenants lists the tenants that use the most processors, at most so many and in
 // descending order, followed by one entry for all others if there are any.
-func (s *Server) LargestTenants(most int) []TenantUsage {
+func (s *Server) LargestTenants(limit int) []TenantUsage {
 	if s.state.Catalog == nil {
 		return nil
 	}
@@ -29,12 +29,12 @@
 	slices.SortFunc(list, func(a, b TenantUsage) int {
 		return cmp.Or(cmp.Compare(b.Used.CPU(), a.Used.CPU()), cmp.Compare(a.Tenant, b.Tenant))
 	})
-	if len(list) <= most {
+	if len(list) <= limit {
 		return list
 	}
 	others := TenantUsage{}
-	for _, tenant := range list[most:] {
+	for _, tenant := range list[limit:] {
 		others.Used = others.Used.Plus(tenant.Used)
 	}
-	return append(list[:most:most], others)
+	return append(list[:limit:limit], others)
 }
--- a/internal/controlplane/withdrawal.go
+++ b/internal/controlplane/withdrawal.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// returnDelayedOrders rejects the delayed orders when this server stops serving them.
+// rejectDelayedOrders rejects the delayed orders when this server stops serving them.
 // None of them had any effect.
-func (s *Server) returnDelayedOrders() {
+func (s *Server) rejectDelayedOrders() {
 	for _, order := range s.delayedOrders {
 		s.replyNotLeader(order.request.peer, order.request.ID)
 	}
@@ -84,10 +84,10 @@
 	s.delayedOrders = slices.DeleteFunc(s.delayedOrders, func(order delayedOrder) bool {
 		return order.request.peer == from && order.request.ID == id
 	})
-	for _, onward := range s.forwardedIDs() {
-		request := s.forwarded[onward]
+	for _, forwardedID := range s.forwardedIDs() {
+		request := s.forwarded[forwardedID]
 		if request.peer == from && request.id == id {
-			s.withdrawForwarded(onward)
+			s.withdrawForwarded(forwardedID)
 			return
 		}
 	}
@@ -99,6 +99,6 @@
 	request := s.forwarded[id]
 	delete(s.forwarded, id)
 	if request.withdrawable {
-		s.send(request.to, wire.Message{Request: wire.NewWithdrawal(s.takeRequestID(), id)})
+		s.send(request.to, wire.Message{Request: wire.NewWithdrawal(s.nextRequestID(), id)})
 	}
 }
--- a/internal/controlplane/withdrawal_test.go
+++ b/internal/controlplane/withdrawal_test.go
@@ -8,14 +8,14 @@
 	"orchidward/internal/transport/wire"
 )
 
-const drainOfNowhere = "/v1/closings/nowhere"
+const unknownDomainDrainPath = "/v1/closings/nowhere"
 
 // drains counts the drains in the cluster's state.
 func (c *testCluster) drains() int { return len(c.server.State().Drains) }
 
 // sendDrain sends an order to drain a domain that no runner has reported from.
 func (c *testCluster) sendDrain() (id uint64) {
-	return c.sendToServer(wire.Request{Method: http.MethodPut, Path: drainOfNowhere, Body: []byte(`{"unseen":true}`), Budget: requestTimeout})
+	return c.sendToServer(wire.Request{Method: http.MethodPut, Path: unknownDomainDrainPath, Body: []byte(`{"unseen":true}`), Budget: requestTimeout})
 }
 
 // withdraw withdraws a request of the operator.
@@ -27,11 +27,11 @@
 func TestWithdrawnOrderIsNotTaken(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// runs is how long the leader runs between order and withdrawal, stalls how long
+		// runFor is how long the leader runFor between order and withdrawal, stalls how long
 		// it is then suspended.
-		runs   clock.Monotonic
-		stalls clock.Monotonic
-		want   int
+		runFor     clock.Monotonic
+		suspendFor clock.Monotonic
+		want       int
 	}{
 		{"at once", 1, 0, 0},
 		{"within the delay", 20, 0, 0},
@@ -41,9 +41,9 @@
 		t.Run(test.name, func(t *testing.T) {
 			cluster := newTestCluster(t, 1, 0)
 			id := cluster.sendDrain()
-			cluster.run(test.runs)
-			if test.stalls > 0 {
-				cluster.now += test.stalls
+			cluster.run(test.runFor)
+			if test.suspendFor > 0 {
+				cluster.now += test.suspendFor
 				cluster.tick()
 			}
 			cluster.withdraw(id)
@@ -63,7 +63,7 @@
 func TestDelayedOrdersKeepTheirOrder(t *testing.T) {
 	cluster := newTestCluster(t, 1, 0)
 	first := cluster.sendDrain()
-	withdrawn := cluster.sendToServer(wire.Request{Method: http.MethodDelete, Path: drainOfNowhere, Budget: requestTimeout})
+	withdrawn := cluster.sendToServer(wire.Request{Method: http.MethodDelete, Path: unknownDomainDrainPath, Budget: requestTimeout})
 	last := cluster.sendDrain()
 	cluster.withdraw(withdrawn)
 	cluster.run(200)
@@ -102,10 +102,10 @@
 func TestDelayedOrdersBounded(t *testing.T) {
 	const tooMany = 300
 	cluster := newTestCluster(t, 1, 0)
-	large := cluster.sendToServer(wire.Request{Method: http.MethodPut, Path: drainOfNowhere, Body: make([]byte, 5<<10), Budget: requestTimeout})
+	large := cluster.sendToServer(wire.Request{Method: http.MethodPut, Path: unknownDomainDrainPath, Body: make([]byte, 5<<10), Budget: requestTimeout})
 	var ids []uint64
 	for range tooMany {
-		ids = append(ids, cluster.sendToServer(wire.Request{Method: http.MethodDelete, Path: drainOfNowhere, Budget: requestTimeout}))
+		ids = append(ids, cluster.sendToServer(wire.Request{Method: http.MethodDelete, Path: unknownDomainDrainPath, Budget: requestTimeout}))
 	}
 	cluster.run(15)
 	if response := cluster.responses[large]; response == nil || response.Status != http.StatusBadRequest {
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -110,7 +110,7 @@
 	{
 		name:        "a leader that does not answer is waited for",
 		file:        "internal/controlplane/leader_link.go",
-		original:    "if silent > unreachedAfter && !link.lost {",
+		original:    "if silent > leaderUnreachableAfter && !link.lost {",
 		replacement: "if silent > 1<<40 && !link.lost {",
 		tests:       test("./tests/simulation/membership", "TestServerCutOff"),
 		want:        "never said so at once",
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -45,7 +45,7 @@
 	{
 		name:        "agent's last poll counts as its runner's",
 		file:        "internal/controlplane/runner_contact.go",
-		original:    "return now.Since(c.lastHeard) > span || c.silentBefore > span",
+		original:    "return now.Since(c.lastHeard) > span || c.agentReportedSilence > span",
 		replacement: "return c.silentFor(now) > span",
 		tests:       test("./internal/controlplane", "TestIsolatedRunnerKeepsLease"),
 		want:        "TWICE",
@@ -53,8 +53,8 @@
 	{
 		name:        "drained starts are kept",
 		file:        "internal/controlplane/runner_health.go",
-		original:    "if never := s.neverStarted(); len(never) > 0 {",
-		replacement: "if never := s.neverStarted(); len(never) > 1<<20 {",
+		original:    "if unstartable := s.unstartableLeases(); len(unstartable) > 0 {",
+		replacement: "if unstartable := s.unstartableLeases(); len(unstartable) > 1<<20 {",
 		tests:       test("./internal/controlplane", "TestNoStartOnDrainingRunner"),
 		want:        "is running",
 	},
--- a/tests/mutation/time.go
+++ b/tests/mutation/time.go
@@ -5,7 +5,7 @@
 	{
 		name:        "cluster time believes any clock",
 		file:        "internal/controlplane/cluster_clock.go",
-		original:    "if young && diff > minStep {",
+		original:    "if mayStep && diff > minStep {",
 		replacement: "if diff > minStep || diff < -minStep {",
 		tests:       test("./tests/simulation/scenarios", "TestClocks"),
 		want:        "cluster time is off",
@@ -13,8 +13,8 @@
 	{
 		name:        "clocks need not agree",
 		file:        "internal/controlplane/cluster_clock.go",
-		original:    "low := clock.ClusterTime(agreementWindow + 1)",
-		replacement: "low := clock.ClusterTime(1 << 40)",
+		original:    "minSpread := clock.ClusterTime(agreementWindow + 1)",
+		replacement: "minSpread := clock.ClusterTime(1 << 40)",
 		tests:       test("./tests/simulation/scenarios", "TestClocks"),
 		want:        "cluster time is off",
 	},
