--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -80,7 +80,7 @@
 func (s *Server) installSnapshot(snapshot *raft.Snapshot) bool {
 	installed, err := state.Decode(snapshot.Data)
 	if err != nil {
-		panic(fmt.Sprintf("controlplane: the leader's snapshot does not decode: %v", err))
+		panic(fmt.Sprintf("controlplane: decode the leader's snapshot: %v", err))
 	}
 	if installed.Level > s.config.Level {
 		s.halt(reasonLevelAbove, "level", installed.Level)
--- a/internal/controlplane/cluster_fixture_test.go
+++ b/internal/controlplane/cluster_fixture_test.go
@@ -214,7 +214,7 @@
 	for id, lease := range store.Leases {
 		found, task, ok := store.ResolveRun(lease.Runner, lease.Incarnation, store.AgentTaskRef(lease.Task), lease.Attempt)
 		if !ok || found != id || task != lease.Task {
-			c.t.Errorf("%d: %v, attempt %d, leads to %d, not to its open lease %d", c.now, lease.Task, lease.Attempt, found, id)
+			c.t.Errorf("%d: %v, attempt %d, resolves to lease %d, want its open lease %d", c.now, lease.Task, lease.Attempt, found, id)
 		}
 	}
 }
--- a/internal/controlplane/discovery.go
+++ b/internal/controlplane/discovery.go
@@ -197,7 +197,7 @@
 	}
 	body, err := json.Marshal(joinRequest{s.config.ID.String(), s.config.Addr, s.config.Domain, s.config.Level})
 	if err != nil {
-		panic("controlplane: a request to join does not encode: " + err.Error())
+		panic("controlplane: encode a join request: " + err.Error())
 	}
 	to := []wire.Peer{from}
 	if announcement.Role != wire.RoleServer {
--- a/internal/controlplane/forwarding_test.go
+++ b/internal/controlplane/forwarding_test.go
@@ -68,7 +68,7 @@
 	t.Helper()
 	_, request := forwardedRequest(output)
 	if request == nil {
-		t.Fatal("nothing was forwarded")
+		t.Fatal("no request was forwarded")
 	}
 	return request
 }
@@ -91,23 +91,23 @@
 	server.HandleMessage("#1", wire.Message{Request: &wire.Request{ID: 5, Method: http.MethodGet, Path: "/v1/table", Budget: 1000}}, 110, 0)
 	to, request := forwardedRequest(server.TakeOutput())
 	if to != leaderAddr || request.Hops != 1 || request.ID == 5 {
-		t.Fatalf("forwarded to %s: %+v", to, request)
+		t.Fatalf("forwarded to %s as %+v", to, request)
 	}
 
 	server.HandleMessage(followerAddr, wire.Message{Response: &wire.Response{ID: request.ID, Status: http.StatusOK, Body: []byte("another's")}}, 120, 0)
 	if list := responses(server.TakeOutput()); len(list) != 0 {
-		t.Errorf("took the reply of one that was not asked: %+v", list)
+		t.Errorf("forwarded the response of a server that was not asked: %+v", list)
 	}
 
 	server.HandleMessage(leaderAddr, wire.Message{Response: &wire.Response{ID: request.ID, Status: http.StatusOK, Body: []byte("own")}}, 130, 0)
 	list := responses(server.TakeOutput())
 	if len(list) != 1 || list[0].To != "#1" || list[0].Message.Response.ID != 5 || string(list[0].Message.Response.Body) != "own" {
-		t.Errorf("the response came back as %+v", list)
+		t.Errorf("forwarded responses: %+v", list)
 	}
 
 	server.HandleMessage(leaderAddr, wire.Message{Response: &wire.Response{ID: request.ID, Status: http.StatusInternalServerError}}, 140, 0)
 	if list := responses(server.TakeOutput()); len(list) != 0 {
-		t.Errorf("a second response was passed back: %+v", list)
+		t.Errorf("forwarded a second response: %+v", list)
 	}
 }
 
@@ -120,7 +120,7 @@
 	server.HandleMessage("@1", wire.Message{Request: order}, 110, 0)
 	request := mustForward(t, server.TakeOutput())
 	if !request.HasLeaderTime || request.LeaderTime != (wire.LeaderTime{Term: 3, At: 40}) {
-		t.Errorf("an order made here goes as %+v", request)
+		t.Errorf("an order made at this server was forwarded as %+v", request)
 	}
 
 	announceLeader(server, leaderAddr, leaderNode, wire.LeaderTime{Term: 3, At: 400}, 500)
@@ -129,7 +129,7 @@
 	server.HandleMessage("@2", wire.Message{Request: order}, 520, 0)
 	request = mustForward(t, server.TakeOutput())
 	if request.LeaderTime.At != 400 {
-		t.Errorf("after a later reading it goes as %+v", request)
+		t.Errorf("after a later reading it was forwarded as %+v", request)
 	}
 
 	elsewhere := &wire.Request{
@@ -143,7 +143,7 @@
 	server.HandleMessage("#1", wire.Message{Request: elsewhere}, 530, 0)
 	request = mustForward(t, server.TakeOutput())
 	if !request.HasLeaderTime || request.LeaderTime != elsewhere.LeaderTime {
-		t.Errorf("an order from elsewhere goes as %+v", request)
+		t.Errorf("an order from another process was forwarded as %+v", request)
 	}
 }
 
@@ -161,11 +161,11 @@
 	server.Tick(1120, 0)
 	list := responses(server.TakeOutput())
 	if len(list) != 1 {
-		t.Fatalf("with a new leader, 2 s before its time: %+v", list)
+		t.Fatalf("responses with a new leader, 2 s before the timeout: %+v", list)
 	}
 	response := list[0].Message.Response
 	if response.ID != 5 || response.Status != http.StatusGatewayTimeout || response.RetryAfter == 0 {
-		t.Errorf("with a new leader, 2 s before its time: %+v", response)
+		t.Errorf("response with a new leader, 2 s before the timeout: %+v", response)
 	}
 }
 
@@ -179,7 +179,7 @@
 	first := mustForward(t, server.TakeOutput())
 	server.HandleMessage("@2", wire.Message{Request: wire.NewWithdrawal(1, 5)}, 120, 0)
 	if list := withdrawals(server.TakeOutput()); len(list) > 0 {
-		t.Errorf("withdrawn for another sender: %v", list)
+		t.Errorf("withdrawn on behalf of another sender: %v", list)
 	}
 	server.HandleMessage("@1", wire.Message{Request: wire.NewWithdrawal(6, 5)}, 130, 0)
 	if list := withdrawals(server.TakeOutput()); len(list) != 1 || list[0] != first.ID {
@@ -192,7 +192,7 @@
 	announceLeader(server, followerAddr, followerNode, wire.LeaderTime{Term: 4, At: 10}, 1100)
 	server.Tick(1120, 0)
 	if list := withdrawals(server.TakeOutput()); len(list) != 1 || list[0] != second.ID {
-		t.Errorf("with another leader withdrawn %v, want %d", list, second.ID)
+		t.Errorf("after a change of leaders, withdrawn %v, want %d", list, second.ID)
 	}
 }
 
--- a/internal/controlplane/gateway_sync.go
+++ b/internal/controlplane/gateway_sync.go
@@ -128,7 +128,7 @@
 func encodeStale(body any) []byte {
 	text, err := json.Marshal(body)
 	if err != nil {
-		panic("controlplane: a routing table does not encode: " + err.Error())
+		panic("controlplane: encode a routing table: " + err.Error())
 	}
 	return text
 }
--- a/internal/controlplane/job_timing_test.go
+++ b/internal/controlplane/job_timing_test.go
@@ -31,12 +31,12 @@
 		s.logLateJob(lateJob(), state.Timing{})
 	}
 	if lines := len(eventNames(s)); lines != maxLateJobsLogged {
-		t.Errorf("%d lines in a second, want %d", lines, maxLateJobsLogged)
+		t.Errorf("%d events in a second, want %d", lines, maxLateJobsLogged)
 	}
 	s.now = clock.Monotonic(lateLogInterval)
 	s.logLateJob(lateJob(), state.Timing{})
 	if names := eventNames(s); !slices.Equal(names, []string{"late-jobs-not-logged", "job-late"}) {
-		t.Errorf("a second later: %v", names)
+		t.Errorf("events a second later: %v", names)
 	}
 }
 
@@ -50,7 +50,7 @@
 		"runnerLostMs", clock.Millis(5),
 	}
 	if have := timingFields(timing); !slices.Equal(have, want) {
-		t.Errorf("have %v, want %v", have, want)
+		t.Errorf("got %v, want %v", have, want)
 	}
 }
 
@@ -64,12 +64,12 @@
 	times.totals.add(failed, state.Timing{Running: 9}, false)
 	want := JobTotals{Ended: 2, Late: 1, Failed: 1, Timing: state.Timing{Waiting: 7, Running: 9}}
 	if times.totals != want {
-		t.Errorf("the totals are %+v", times.totals)
+		t.Errorf("totals are %+v", times.totals)
 	}
 	for i := range 2 * maxTimedQueues {
 		times.queue(string(rune(i)))
 	}
 	if len(times.queues) > maxTimedQueues {
-		t.Errorf("%d queues are kept", len(times.queues))
+		t.Errorf("totals kept for %d queues", len(times.queues))
 	}
 }
--- a/internal/controlplane/leader_load_fixture_test.go
+++ b/internal/controlplane/leader_load_fixture_test.go
@@ -83,7 +83,7 @@
 func processorTime(id int32) int64 {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(id, &reading); err != nil {
-		panic(fmt.Sprintf("clock %d can't be read: %v", id, err))
+		panic(fmt.Sprintf("read clock %d: %v", id, err))
 	}
 	return reading.Nano()
 }
--- a/internal/controlplane/leadership_loss_test.go
+++ b/internal/controlplane/leadership_loss_test.go
@@ -56,7 +56,7 @@
 			return server, now
 		}
 	}
-	t.Fatal("no leader")
+	t.Fatal("no leader was elected")
 	return nil, 0
 }
 
@@ -99,7 +99,7 @@
 	order := &wire.Request{ID: 5, Method: http.MethodPut, Path: "/v1/jobs/a/1", Body: []byte(`{"pending":"stock","steps":[{"name":"s"}]}`), Budget: 3000}
 	for _, envelope := range deliver(server, "#1", wire.Message{Request: order}, now) {
 		if envelope.Message.Response != nil {
-			t.Fatalf("answered before it is decided: %+v", envelope.Message.Response)
+			t.Fatalf("answered before the entry was committed: %+v", envelope.Message.Response)
 		}
 	}
 
@@ -113,10 +113,10 @@
 		}
 		answers++
 		if response.Status != http.StatusGatewayTimeout || response.NotLeader || response.Expired {
-			t.Errorf("deposed, it answered %+v", response)
+			t.Errorf("the deposed leader answered %+v", response)
 		}
 	}
 	if answers != 1 {
-		t.Errorf("deposed, it answered %d times", answers)
+		t.Errorf("the deposed leader answered %d times, want 1", answers)
 	}
 }
--- a/internal/controlplane/membership_plan_test.go
+++ b/internal/controlplane/membership_plan_test.go
@@ -128,7 +128,7 @@
 			members = afterChange(members, next)
 		}
 		if got := formatGroup(members); got != test.want {
-			t.Errorf("%s with %d voters wanted comes to %s, want %s", test.group, test.voters, got, test.want)
+			t.Errorf("%s with %d voters wanted ends as %s, want %s", test.group, test.voters, got, test.want)
 		}
 	}
 }
@@ -161,16 +161,16 @@
 				break
 			}
 			if fault := checkChange(members, next, &counts); fault != "" {
-				t.Fatalf("%s, then %s with %d wanted: %s", initial, formatGroup(members), voters, fault)
+				t.Fatalf("%s, then %s with %d voters wanted: %s", initial, formatGroup(members), voters, fault)
 			}
 			members = afterChange(members, next)
 			if changes > maxChanges {
-				t.Fatalf("%s with %d wanted never comes to rest, last %s", initial, voters, formatGroup(members))
+				t.Fatalf("%s with %d voters wanted keeps changing, last %s", initial, voters, formatGroup(members))
 			}
 		}
 	}
 	if counts.promoted < minCount || counts.demoted < minCount || counts.removed < minCount {
-		t.Errorf("too few changes of some kind: %+v", counts)
+		t.Errorf("fewer than the minimum number of changes of some kind: %+v", counts)
 	}
 }
 
@@ -260,7 +260,7 @@
 		mostPerDomain := (want + domains - 1) / domains
 		for domain, count := range votersIn {
 			if count > mostPerDomain || voters != want {
-				t.Fatalf("%d of %d voters in domain %s of %d: %s", count, voters, domain, domains, formatGroup(members))
+				t.Fatalf("%d of %d voters are in domain %s, one of %d domains: %s", count, voters, domain, domains, formatGroup(members))
 			}
 		}
 	}
--- a/internal/controlplane/order_expiry_test.go
+++ b/internal/controlplane/order_expiry_test.go
@@ -55,7 +55,7 @@
 				t.Fatalf("%+v, want it accepted: %v", response, test.accepted)
 			}
 			if response.LeaderTime.Term != term || cluster.now.Since(response.LeaderTime.At) > 100 {
-				t.Errorf("the response's reading is %+v at %d", response.LeaderTime, cluster.now)
+				t.Errorf("the response carries the reading %+v at time %d", response.LeaderTime, cluster.now)
 			}
 		})
 	}
--- a/internal/controlplane/proposals.go
+++ b/internal/controlplane/proposals.go
@@ -79,7 +79,7 @@
 	command.At = s.leader.clock.timeAt(s.now)
 	index, ok := s.raft.Propose(command.Encode())
 	if !ok {
-		panic("controlplane: a server that does not lead has proposed")
+		panic("controlplane: propose called on a server that is not the leader")
 	}
 	return index
 }
--- a/internal/controlplane/proposals_test.go
+++ b/internal/controlplane/proposals_test.go
@@ -27,13 +27,13 @@
 		for _, envelope := range responses(cluster.server.TakeOutput()) {
 			response := envelope.Message.Response
 			if response.Status != http.StatusServiceUnavailable || response.RetryAfter == 0 {
-				t.Errorf("request %d was answered before it was decided: %+v", id, response)
+				t.Errorf("request %d was answered before its entry was committed: %+v", id, response)
 			}
 			refused++
 		}
 	}
 	accepted := requests - refused
 	if size := accepted * len(body); size > limit || accepted < 20 {
-		t.Errorf("%d of %d bytes each were taken, %d refused", accepted, len(body), refused)
+		t.Errorf("%d requests of %d bytes each were accepted, %d refused", accepted, len(body), refused)
 	}
 }
--- a/internal/controlplane/quota_log_test.go
+++ b/internal/controlplane/quota_log_test.go
@@ -20,7 +20,7 @@
 		t.Errorf("at its quota %d times, within %d times", at, within)
 	}
 	if largest := c.server.LargestTenants(1); len(largest) != 2 || largest[0].Tenant != "t" || largest[1].Tenant != "" {
-		t.Errorf("%+v", largest)
+		t.Errorf("largest tenants are %+v", largest)
 	}
 	c.cancel("first")
 	c.run(20000)
@@ -30,6 +30,6 @@
 	c.sendToServer(requestOfTenant("second", "nobody's"))
 	c.run(1000)
 	if c.server.UnauthenticatedRequests != 1 {
-		t.Errorf("%d requests with nobody's key", c.server.UnauthenticatedRequests)
+		t.Errorf("%d unauthenticated requests, want 1", c.server.UnauthenticatedRequests)
 	}
 }
--- a/internal/controlplane/replies.go
+++ b/internal/controlplane/replies.go
@@ -60,7 +60,7 @@
 func (s *Server) replyJSON(peer wire.Peer, id uint64, status int, document any) {
 	text, err := json.Marshal(document)
 	if err != nil {
-		panic("controlplane: a response does not encode: " + err.Error())
+		panic("controlplane: encode a response: " + err.Error())
 	}
 	s.reply(peer, id, status, text, 0)
 }
--- a/internal/controlplane/runner_health_test.go
+++ b/internal/controlplane/runner_health_test.go
@@ -15,10 +15,10 @@
 	cluster.submit(id, 8, 1000)
 	cluster.run(7500)
 	if got := cluster.jobState(id); !jobSucceeded(got) {
-		t.Errorf("after 7.5 s the job is %s", got)
+		t.Errorf("after 7.5 s, the job is %s", got)
 	}
 	if n := len(cluster.runners[0].runs); n > 0 {
-		t.Errorf("%d attempts are left on the stalled runner", n)
+		t.Errorf("%d attempts remain on the stalled runner", n)
 	}
 }
 
@@ -35,17 +35,17 @@
 	cluster.run(900)
 	for _, run := range running {
 		if !slices.Contains(cluster.runners[0].runs, run) {
-			t.Errorf("attempt %v was taken from the slow runner", run)
+			t.Errorf("attempt %v was removed from the slow runner", run)
 		}
 	}
 	cluster.submit(after, 4, 1000)
 	cluster.run(1700)
 	if got := cluster.jobState(after); !jobSucceeded(got) {
-		t.Errorf("1.7 s after it came, the runner having turned slow, job %s is %s", after, got)
+		t.Errorf("1.7 s after its submission, with one slow runner, job %s is %s", after, got)
 	}
 	cluster.run(500)
 	if got := cluster.jobState(before); !jobSucceeded(got) {
-		t.Errorf("3.1 s after the runner turned slow job %s is %s", before, got)
+		t.Errorf("3.1 s after the runner became slow, job %s is %s", before, got)
 	}
 }
 
@@ -63,11 +63,11 @@
 	}
 	cluster.run(2500)
 	if n := len(runner.runs); n > 0 {
-		t.Errorf("after 3 s %d attempts are left on the stalled runner", n)
+		t.Errorf("after 3 s, %d attempts remain on the stalled runner", n)
 	}
 	runner.stalled = false
 	cluster.run(9000)
 	if got := cluster.jobState(id); !jobSucceeded(got) {
-		t.Errorf("9 s after the runner works again the job is %s", got)
+		t.Errorf("9 s after the runner recovered, the job is %s", got)
 	}
 }
--- a/internal/controlplane/runner_loss_test.go
+++ b/internal/controlplane/runner_loss_test.go
@@ -39,7 +39,7 @@
 	runner.restart()
 	cluster.run(6000)
 	if got := cluster.jobState(id); !jobSucceeded(got) {
-		t.Errorf("6 s after the runner's return the job is %s", got)
+		t.Errorf("6 s after the runner's restart, the job is %s", got)
 	}
 }
 
@@ -73,7 +73,7 @@
 		}
 		cluster.run(10000)
 		if got := cluster.jobState(id); !jobSucceeded(got) {
-			t.Errorf("seed %d: 10 s after the crash the job is %s", seed, got)
+			t.Errorf("seed %d: 10 s after the failure, the job is %s", seed, got)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		runner.crashed = true
 		cluster.run(13000)
 		if got := cluster.jobState(id); !jobSucceeded(got) {
-			t.Errorf("seed %d: 13 s after the runner's end the job is %s", seed, got)
+			t.Errorf("seed %d: 13 s after the runner's exit, the job is %s", seed, got)
 		}
 	}
 }
--- a/internal/controlplane/runner_orders_test.go
+++ b/internal/controlplane/runner_orders_test.go
@@ -80,13 +80,13 @@
 	}
 	cluster.run(100000)
 	if cluster.lapsedRuns > 0 {
-		t.Errorf("the leases of %d of %d attempts lapsed with nothing lost", cluster.lapsedRuns, jobs)
+		t.Errorf("the leases of %d of %d attempts expired although nothing failed", cluster.lapsedRuns, jobs)
 	}
 	running := 0
 	for _, runner := range cluster.runners {
 		running += len(runner.runs)
 	}
 	if running != jobs {
-		t.Errorf("%d of %d attempts run", running, jobs)
+		t.Errorf("%d of %d attempts are running", running, jobs)
 	}
 }
--- a/internal/controlplane/tenant_documents_test.go
+++ b/internal/controlplane/tenant_documents_test.go
@@ -28,7 +28,7 @@
 	response := c.request(http.MethodGet, endpoint.TenantsPath, "")
 	for _, secret := range []string{"held-key", digest} {
 		if strings.Contains(string(response.Body), secret) {
-			t.Errorf("shown: %s", response.Body)
+			t.Errorf("the tenant list contains a key or its digest: %s", response.Body)
 		}
 	}
 	var doc controlplane.TenantsDoc
@@ -37,7 +37,7 @@
 	}
 	tenant := doc.Tenants[0]
 	if tenant.Used.CPU() != 1800 || tenant.Waiting != 3 || tenant.Keys != 1 || tenant.Weight != 500 || doc.Version != 3 {
-		t.Errorf("%+v", doc)
+		t.Errorf("tenant list is %+v", doc)
 	}
 }
 
--- a/internal/controlplane/transfer_log_test.go
+++ b/internal/controlplane/transfer_log_test.go
@@ -80,7 +80,7 @@
 	c.handle(wire.Message{Request: &wire.Request{ID: 1, Method: endpoint.MethodJoin, Path: "/", Body: body, Budget: requestTimeout}})
 	c.run(200)
 	if len(c.toJoiner) == 0 {
-		t.Fatal("nothing was sent to the joiner")
+		t.Fatal("no message was sent to the joiner")
 	}
 	c.reply(raft.Message{Kind: raft.AppendReply, Reject: true, Index: c.toJoiner[0].Index})
 	if !slices.ContainsFunc(c.toJoiner, func(m *raft.Message) bool { return m.Kind == raft.InstallSnapshot }) {
@@ -88,19 +88,19 @@
 	}
 	c.run(1000)
 	if c.counts["snapshot-transfer"] != 1 || c.counts["snapshot-transfer-stalled"] != 0 {
-		t.Errorf("after a second: %v", c.counts)
+		t.Errorf("events after a second: %v", c.counts)
 	}
 	c.run(8000)
 	if c.counts["snapshot-transfer"] != 1 || c.counts["snapshot-transfer-stalled"] != 1 {
-		t.Errorf("after nine seconds without an acknowledgement: %v", c.counts)
+		t.Errorf("events after nine seconds without an acknowledgement: %v", c.counts)
 	}
 	c.reply(raft.Message{Kind: raft.AppendReply, Index: c.server.Raft().SnapshotIndex()})
 	c.run(200)
 	if c.counts["snapshot-transfer-ended"] != 1 {
-		t.Errorf("after the acknowledgement: %v", c.counts)
+		t.Errorf("events after the acknowledgement: %v", c.counts)
 	}
 	c.run(3000)
 	if c.counts["leader-requests"] != 1 {
-		t.Errorf("one request within ten seconds is mentioned %d times", c.counts["leader-requests"])
+		t.Errorf("one request within ten seconds is logged %d times", c.counts["leader-requests"])
 	}
 }
--- a/internal/controlplane/withdrawal_test.go
+++ b/internal/controlplane/withdrawal_test.go
@@ -69,12 +69,12 @@
 	cluster.run(200)
 	for _, id := range []uint64{first, last} {
 		if response := cluster.responses[id]; response == nil || response.Status != http.StatusOK {
-			t.Errorf("order %d is answered %+v", id, response)
+			t.Errorf("order %d got response %+v", id, response)
 		}
 	}
 	for _, drain := range cluster.server.State().Drains {
 		if drain.Stage.Reopening() {
-			t.Errorf("the domain is %s by an order that was withdrawn", drain.Stage)
+			t.Errorf("the domain is %s because of a withdrawn order", drain.Stage)
 		}
 	}
 	if cluster.drains() != 1 {
@@ -93,7 +93,7 @@
 	cluster.run(200)
 	response := cluster.responses[id]
 	if response == nil || !response.NotLeader || cluster.drains() != 0 {
-		t.Errorf("answered %+v, %d drains", response, cluster.drains())
+		t.Errorf("response %+v, %d drains", response, cluster.drains())
 	}
 }
 
@@ -109,7 +109,7 @@
 	}
 	cluster.run(15)
 	if response := cluster.responses[large]; response == nil || response.Status != http.StatusBadRequest {
-		t.Errorf("a large body is answered %+v", response)
+		t.Errorf("a large body got response %+v", response)
 	}
 	answered := 0
 	for _, id := range ids {
@@ -118,12 +118,12 @@
 		}
 	}
 	if answered != tooMany-256 {
-		t.Errorf("%d of %d orders are answered at once, want those beyond 256", answered, tooMany)
+		t.Errorf("%d of %d orders were answered at once, want only those beyond 256", answered, tooMany)
 	}
 	cluster.run(100)
 	for _, id := range ids {
 		if cluster.responses[id] == nil {
-			t.Fatalf("order %d has no answer", id)
+			t.Fatalf("order %d got no response", id)
 		}
 	}
 }
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -97,7 +97,7 @@
 		original:    "if !ok || request.to != from {",
 		replacement: "if !ok {",
 		tests:       test("./internal/controlplane", "TestForwardedResponseFromOtherServer"),
-		want:        "took the reply of",
+		want:        "forwarded the response of a server that was not asked",
 	},
 	{
 		name:        "gateway accepts any sender's response",
@@ -161,7 +161,7 @@
 		original:    "t.bytes+size > maxProposalBytes",
 		replacement: "t.bytes < 0",
 		tests:       test("./internal/controlplane", "TestUndecidedBytesBounded"),
-		want:        "bytes each were taken",
+		want:        "bytes each were accepted",
 	},
 	{
 		name:        "truncated body passes for a complete one",
@@ -285,7 +285,7 @@
 		original:    "s.replyError(p.peer, p.id, errLeaderChanged)",
 		replacement: `s.replyError(p.peer, p.id, apiError{503, "leader-changed", "", 0})`,
 		tests:       test("./internal/controlplane", "TestDeposedLeaderReportsUnknownOutcome"),
-		want:        "deposed, it answered",
+		want:        "the deposed leader answered",
 	},
 	{
 		name:        "requests are held back without a leader",
--- a/tests/mutation/tenants.go
+++ b/tests/mutation/tenants.go
@@ -8,7 +8,7 @@
 		original:    "	case !ok:\n",
 		replacement: "	case false && !ok:\n",
 		tests:       test("./internal/controlplane", "TestQuotaLoggedOnce"),
-		want:        "requests with nobody's key",
+		want:        "unauthenticated requests, want 1",
 	},
 	{
 		name:        "gateway does not check keys",
