--- a/internal/controlplane/apply.go
+++ b/internal/controlplane/apply.go
@@ -13,8 +13,8 @@
 	// A snapshot is taken after snapshotEntries entries or snapshotBytes bytes.
 	snapshotEntries = 8000
 	snapshotBytes   = 8 << 20
-	// A snapshot is also taken when the write-ahead log is snapshotLogPercent full and
-	// minSnapshotEntries entries have come since the last one.
+	// A snapshot is also taken when the write-ahead log is snapshotLogPercent full and at
+	// least minSnapshotEntries entries have been applied since the last one.
 	snapshotLogPercent = 50
 	minSnapshotEntries = 256
 )
--- a/internal/controlplane/cluster_clock.go
+++ b/internal/controlplane/cluster_clock.go
@@ -79,7 +79,7 @@
 	c.slew(span, diff)
 }
 
-// slew moves the clock by diff, limited to one slewFraction-th of span.
+// slew moves the clock by diff, limited to 1/slewFraction of span.
 func (c *clusterClock) slew(span clock.Millis, diff int64) {
 	c.unusedSlew += int64(span)
 	maxSlew := c.unusedSlew / slewFraction
--- a/internal/controlplane/leader.go
+++ b/internal/controlplane/leader.go
@@ -25,7 +25,7 @@
 	since clock.Monotonic
 
 	runners map[identifier.Runner]*runnerContact
-	// changedRunners are the runners whose open polls may have something new to report.
+	// changedRunners are the runners whose open polls may need an answer.
 	changedRunners map[identifier.Runner]bool
 	// openPolls lists the open polls in order of arrival.
 	openPolls []openPoll
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -129,8 +129,8 @@
 	return list
 }
 
-// memberState assesses another member by what the leader has heard from it. gone means
-// that the member's process and disk no longer exist.
+// memberState assesses another member by what the leader has heard from it. addressReused
+// means that the member's process and disk no longer exist.
 func (s *Server) memberState(member raft.Member, status raft.MemberStatus, gone bool) memberState {
 	silentFor := status.SilentFor
 	if gone {
--- a/internal/controlplane/order_expiry.go
+++ b/internal/controlplane/order_expiry.go
@@ -8,13 +8,13 @@
 	"orchidward/internal/transport/wire"
 )
 
-// An order must not be carried out after its sender has timed out: the sender may since
-// have sent one that says the opposite. An order carries the latest reading of the
-// leader's clock that its sender had received, and how long the sender waits from then
-// on. The leader accepts the order only while no more than that time has passed since the
-// reading, measured by the same clock: neither clock differences nor links and processes
-// that delay a message can make an order look younger than it is. See
-// docs/notes/worst-days.md.
+// An order, a request that changes state, must not be carried out after its sender has
+// timed out: the sender may since have sent one that says the opposite. An order carries
+// the latest reading of the leader's clock that its sender had received, and how long the
+// sender waits from then on. The leader accepts the order only while no more than that
+// time has passed since the reading, measured by the same clock: neither clock
+// differences nor links and processes that delay a message can make an order look younger
+// than it is. See docs/notes/worst-days.md.
 
 // expiredRetryAfter is when a client may retry an order that had expired.
 const expiredRetryAfter clock.Millis = 200
--- a/internal/controlplane/poll_answers.go
+++ b/internal/controlplane/poll_answers.go
@@ -39,8 +39,8 @@
 	return response
 }
 
-// answerPolls answers the open polls that have something to report or have timed out. It
-// visits only the runners that something changed for, and those whose poll has timed out.
+// answerPolls answers the open polls of runners that there is something to send to, and
+// those that have timed out. It visits only the runners marked as changed.
 func (s *Server) answerPolls() {
 	timeout := s.pollTimeout()
 	s.markOverduePolls(timeout)
--- a/internal/controlplane/run_progress.go
+++ b/internal/controlplane/run_progress.go
@@ -145,8 +145,8 @@
 	return max(left, run/overdueDivisor, minRemaining), true
 }
 
-// observeEnds records the durations of the attempts that an entry is about to end
-// successfully.
+// observeEnds records the outcomes of the attempts that an entry is about to end, and the
+// durations of the successful ones.
 func (s *Server) observeEnds(command *state.Command) {
 	if s.leader == nil || command.ReportEnds == nil {
 		return
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -124,8 +124,8 @@
 	contact.beginPoll()
 }
 
-// recordRunning records the attempts that a poll reports as running. If one has newly
-// started, the polls of its gang's other runners are marked for an answer.
+// recordRunning records the attempts that a poll reports as running. If one of them is
+// newly reported, the runners of its gang's other members are marked as changed.
 func (s *Server) recordRunning(contact *runnerContact, poll *runnerapi.PollRequest) {
 	for _, id := range poll.Running {
 		contact.running[id] = true
--- a/internal/controlplane/withdrawal_test.go
+++ b/internal/controlplane/withdrawal_test.go
@@ -18,7 +18,7 @@
 	return c.sendToServer(wire.Request{Method: http.MethodPut, Path: unknownDomainDrainPath, Body: []byte(`{"unseen":true}`), Budget: requestTimeout})
 }
 
-// withdraw withdraws a request of the operator.
+// withdraw withdraws a request from the operator.
 func (c *testCluster) withdraw(id uint64) { c.sendToServer(*wire.NewWithdrawal(0, id)) }
 
 // TestWithdrawnOrderIsNotTaken checks that a leader drops an order that is withdrawn
