--- a/internal/controlplane/agent_polls.go
+++ b/internal/controlplane/agent_polls.go
@@ -18,8 +18,8 @@
 // attempt by its task and attempt number; this file maps these names to leases and back,
 // and the rest of the package treats an agent's runner like any other.
 type agentRunner struct {
-	// runs holds the attempts from the last poll that the state knows, orderedRuns the same
-	// attempts in the poll's order.
+	// runs holds the attempts from the last poll that the state knows, orderedRuns the
+	// same attempts in the poll's order.
 	runs        map[identifier.LeaseID]*agentRun
 	orderedRuns []*agentRun
 	// ends are the ends from the last poll, by sequence number.
--- a/internal/controlplane/cluster_clock.go
+++ b/internal/controlplane/cluster_clock.go
@@ -18,8 +18,8 @@
 	// agreementWindow is how far apart, in milliseconds, wall clocks may be and still
 	// agree.
 	agreementWindow = 1000
-	// minValidTime is 2000-01-01 00:00 UTC. A cluster time below it has never been set, as no
-	// wall clock reads so little.
+	// minValidTime is 2000-01-01 00:00 UTC. A cluster time below it has never been set,
+	// as no wall clock reads so little.
 	minValidTime clock.ClusterTime = 946_684_800_000
 	// maxReadingAge is the maximum age of a member's wall-clock reading.
 	maxReadingAge clock.Millis = 2000
--- a/internal/controlplane/forwarding.go
+++ b/internal/controlplane/forwarding.go
@@ -37,7 +37,7 @@
 func (s *Server) forward(from wire.Peer, r *wire.Request) {
 	leader, known := s.currentLeader()
 	otherLeads := known && leader.ID != s.config.ID && leader.Addr != ""
-	if !otherLeads || r.Hops > 0 || len(s.forwarded) >= maxProposals || s.leaderLink.lost {
+	if !otherLeads || r.Hops > 0 || len(s.forwarded) >= maxProposals || s.leaderLink.unreachable {
 		s.replyNotLeader(from, r.ID)
 		return
 	}
--- a/internal/controlplane/leader_link.go
+++ b/internal/controlplane/leader_link.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// leaderUnreachableAfter is how long requests and pings to the leader may go unanswered
-	// before it counts as unreachable.
+	// leaderUnreachableAfter is how long requests and pings to the leader may go
+	// unanswered before it counts as unreachable.
 	leaderUnreachableAfter clock.Millis = 400
 	// pingAfter is how long the leader may be silent before it is pinged, and
 	// pingInterval how often it is pinged from then on.
@@ -39,9 +39,9 @@
 	waitingSince clock.Monotonic
 	// heardAt is when the leader last answered anything, pingedAt when it was last
 	// pinged.
-	heardAt  clock.Monotonic
-	pingedAt clock.Monotonic
-	lost     bool
+	heardAt     clock.Monotonic
+	pingedAt    clock.Monotonic
+	unreachable bool
 }
 
 // leaderHint is a server that acts as the leader and the connection that it was heard on.
@@ -56,7 +56,7 @@
 	l.waitingSince = 0
 	l.heardAt = now
 	l.pingedAt = 0
-	l.lost = false
+	l.unreachable = false
 }
 
 // requestSent records that a request is sent to the leader; first means that no other
@@ -69,11 +69,11 @@
 
 // answered records a response or announcement from the leader and reports whether the
 // leader had been unreachable.
-func (l *leaderLink) answered(now clock.Monotonic) (wasLost bool) {
-	wasLost = l.lost
+func (l *leaderLink) answered(now clock.Monotonic) (wasUnreachable bool) {
+	wasUnreachable = l.unreachable
 	l.heardAt = now
-	l.lost = false
-	return wasLost
+	l.unreachable = false
+	return wasUnreachable
 }
 
 // silentFor returns how long the leader has left requests or pings unanswered.
@@ -104,7 +104,7 @@
 // Connected reports whether this server has a reachable leader, or had one so recently
 // that the next one may be about to be elected.
 func (s *Server) Connected() bool {
-	return !s.leaderLink.lost && s.now.Since(s.leaderLink.reachedAt) <= 2*s.config.Timing.ElectionTimeout
+	return !s.leaderLink.unreachable && s.now.Since(s.leaderLink.reachedAt) <= 2*s.config.Timing.ElectionTimeout
 }
 
 // trackLeader records whether a leader is reachable, and switches to a new leader.
@@ -124,14 +124,14 @@
 	if s.raft != nil && s.raft.Role() == raft.Leader {
 		return s.raft.HasLease(s.now)
 	}
-	return s.KnowsLeader() && !s.leaderLink.lost
+	return s.KnowsLeader() && !s.leaderLink.unreachable
 }
 
 // probeLeader pings a leader that has not answered, and fails the requests forwarded to
 // it once it counts as unreachable.
 func (s *Server) probeLeader() {
 	link := &s.leaderLink
-	if link.leader == "" || len(s.forwarded) == 0 && !link.lost {
+	if link.leader == "" || len(s.forwarded) == 0 && !link.unreachable {
 		return
 	}
 	silent := link.silentFor(s.now)
@@ -139,8 +139,8 @@
 		link.pingedAt = s.now
 		s.send(link.leader, wire.Message{Announcement: s.announcement(true)})
 	}
-	if silent > leaderUnreachableAfter && !link.lost {
-		link.lost = true
+	if silent > leaderUnreachableAfter && !link.unreachable {
+		link.unreachable = true
 		s.logEvent("leader-unreachable", "leader", link.leader, "requests", len(s.forwarded))
 		s.failForwardedExcept("")
 	}
--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -103,8 +103,8 @@
 	return minVoters
 }
 
-// votersToTolerateLosses returns how many voters are needed so that both committed data and a
-// majority survive the loss of the configured number of disks.
+// votersToTolerateLosses returns how many voters are needed so that both committed data
+// and a majority survive the loss of the configured number of disks.
 func (s *Server) votersToTolerateLosses() int {
 	return 2*min(s.config.LossesTolerated, maxVoters/2) + 1
 }
@@ -131,9 +131,9 @@
 
 // memberState assesses another member by what the leader has heard from it. addressReused
 // means that the member's process and disk no longer exist.
-func (s *Server) memberState(member raft.Member, status raft.MemberStatus, gone bool) memberState {
+func (s *Server) memberState(member raft.Member, status raft.MemberStatus, addressReused bool) memberState {
 	silentFor := status.SilentFor
-	if gone {
+	if addressReused {
 		// Longer than for any member that may still return, so that this one is replaced
 		// first.
 		silentFor = max(silentFor, memberDeadAfter) * 2
--- a/internal/controlplane/membership_plan.go
+++ b/internal/controlplane/membership_plan.go
@@ -31,10 +31,10 @@
 	// votersByDomain counts each zone's voters, excluding replaceable ones.
 	votersByDomain map[identifier.Domain]int
 	// The best candidate of each kind, nil if there is none.
-	deadVoter    *memberState
-	readyLearner *memberState
-	surplusVoter *memberState
-	idleLearner  *memberState
+	deadVoter        *memberState
+	readyLearner     *memberState
+	surplusVoter     *memberState
+	abandonedLearner *memberState
 }
 
 // nextMembers returns the next member list, which differs from the current one in one
@@ -51,8 +51,8 @@
 		next = plan.withVote(plan.surplusVoter, false)
 	case plan.readyLearner != nil && (plan.needsVoter(want) || established && plan.unbalanced(want)):
 		next = plan.withVote(plan.readyLearner, true)
-	case plan.idleLearner != nil:
-		next = plan.without(plan.idleLearner)
+	case plan.abandonedLearner != nil:
+		next = plan.without(plan.abandonedLearner)
 	}
 	if next != nil && !plan.keepsQuorum(next) {
 		return nil
@@ -93,7 +93,7 @@
 			p.readyLearner = member
 		}
 	case member.abandoned:
-		p.idleLearner = member
+		p.abandonedLearner = member
 	case member.Voter && !member.self:
 		if p.surplusVoter == nil || p.votersByDomain[member.Domain] > p.votersByDomain[p.surplusVoter.Domain] {
 			p.surplusVoter = member
--- a/internal/controlplane/runner_contact.go
+++ b/internal/controlplane/runner_contact.go
@@ -29,8 +29,8 @@
 	seq       uint64
 	hasPolled bool
 	draining  bool
-	// lastHeard is when the last poll arrived; agentReportedSilence is how long the runner itself
-	// had been silent at that time, as reported by its agent.
+	// lastHeard is when the last poll arrived; agentReportedSilence is how long the
+	// runner itself had been silent at that time, as reported by its agent.
 	lastHeard            clock.Monotonic
 	agentReportedSilence clock.Millis
 	// agent is set if an agent reports for this runner.
@@ -104,8 +104,8 @@
 	return slices.Sorted(maps.Keys(c.ended))
 }
 
-// declareSilentRunnersLost declares runners lost that have been silent for longer than their
-// leases can have lasted by their own clocks.
+// declareSilentRunnersLost declares runners lost that have been silent for longer than
+// their leases can have lasted by their own clocks.
 func (s *Server) declareSilentRunnersLost() {
 	l := s.leader
 	lease := s.state.LeaseSpan()
--- a/internal/controlplane/runner_health.go
+++ b/internal/controlplane/runner_health.go
@@ -131,9 +131,9 @@
 	return stalled
 }
 
-// unstartableLeases lists the leases on agents' runners whose attempts have not started and
-// will not start, because the runner is draining or cordoned or the tenant exceeds its
-// quota.
+// unstartableLeases lists the leases on agents' runners whose attempts have not started
+// and will not start, because the runner is draining or cordoned or the tenant exceeds
+// its quota.
 func (s *Server) unstartableLeases() []identifier.LeaseID {
 	var list []identifier.LeaseID
 	anyOverQuota := s.state.AnyOverQuota()
--- a/internal/controlplane/runner_polls.go
+++ b/internal/controlplane/runner_polls.go
@@ -15,11 +15,11 @@
 )
 
 const (
-	// pollGapLimit is the gap between polls after which a runner's next poll is answered at
-	// once, so that a runner that was cut off learns that it is connected again.
+	// pollGapLimit is the gap between polls after which a runner's next poll is answered
+	// at once, so that a runner that was cut off learns that it is connected again.
 	pollGapLimit clock.Millis = 1000
-	// departureTolerance is the largest difference between two reported departure times, in
-	// milliseconds, that is not worth a log entry.
+	// departureTolerance is the largest difference between two reported departure times,
+	// in milliseconds, that is not worth a log entry.
 	departureTolerance = 1000
 )
 
--- a/internal/controlplane/stop_hold.go
+++ b/internal/controlplane/stop_hold.go
@@ -81,8 +81,8 @@
 	}})
 }
 
-// handleVotersResponse handles the leader's response to a query, and reports whether the response
-// was one.
+// handleVotersResponse handles the leader's response to a query, and reports whether the
+// response was one.
 func (s *Server) handleVotersResponse(from wire.Peer, response *wire.Response) bool {
 	hold := s.hold
 	if hold == nil || hold.requestID != response.ID || hold.leader != from {
--- a/internal/controlplane/withdrawal_test.go
+++ b/internal/controlplane/withdrawal_test.go
@@ -27,8 +27,8 @@
 func TestWithdrawnOrderIsNotTaken(t *testing.T) {
 	for _, test := range []struct {
 		name string
-		// runFor is how long the leader runFor between order and withdrawal, stalls how long
-		// it is then suspended.
+		// runFor is how long the leader runFor between order and withdrawal, stalls how
+		// long it is then suspended.
 		runFor     clock.Monotonic
 		suspendFor clock.Monotonic
 		want       int
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -110,8 +110,8 @@
 	{
 		name:        "a leader that does not answer is waited for",
 		file:        "internal/controlplane/leader_link.go",
-		original:    "if silent > leaderUnreachableAfter && !link.lost {",
-		replacement: "if silent > 1<<40 && !link.lost {",
+		original:    "if silent > leaderUnreachableAfter && !link.unreachable {",
+		replacement: "if silent > 1<<40 && !link.unreachable {",
 		tests:       test("./tests/simulation/membership", "TestServerCutOff"),
 		want:        "never said so at once",
 	},
