--- a/internal/controlplane/membership.go
+++ b/internal/controlplane/membership.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// minVoterSilence is the least time, and silentElections the least number of election
-	// timeouts, that a voter must be silent before a caught-up learner replaces it. Both
-	// are short because losses may follow one another within a few seconds.
+	// minVoterSilence is the minimum time, and silentElections the minimum number of
+	// election timeouts, that a voter must be silent before a caught-up learner replaces
+	// it. Both are short because losses may follow one another within a few seconds.
 	minVoterSilence clock.Millis = 1000
 	silentElections clock.Millis = 2
 	// memberDeadAfter is how long a member is silent before it is considered permanently
--- a/internal/controlplane/run_progress.go
+++ b/internal/controlplane/run_progress.go
@@ -121,8 +121,8 @@
 const (
 	// minRemaining is the minimum predicted remaining time of an attempt.
 	minRemaining clock.Millis = 20
-	// overdueDivisor is the divisor of its predicted duration that gives the time for
-	// which an overdue attempt is expected to continue.
+	// overdueDivisor determines the remaining time of an overdue attempt:
+	// 1/overdueDivisor of its predicted duration.
 	overdueDivisor = 4
 )
 
