--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -92,7 +92,7 @@
 func (c *Checker) Sweep() {
 	for key, j := range c.Jobs {
 		sinceCancel := c.cluster.Time() - j.CancelledAt
-		if j.EndState != "" && sinceCancel > endedJobSwept {
+		if j.EndState != "" && sinceCancel > endedJobSweepPeriod {
 			continue
 		}
 		c.checkCancelled(key, j)
--- a/internal/invariants/drains.go
+++ b/internal/invariants/drains.go
@@ -11,9 +11,9 @@
 
 // DrainedSince is when the drain of a domain was acknowledged; ok is false for a
 // domain that is not known to be drained.
-func (c *Checker) DrainedSince(domain string) (at int64, ok bool) {
-	at, ok = c.drainedSince[domain]
-	return at, ok
+func (c *Checker) DrainedSince(domain string) (since int64, ok bool) {
+	since, ok = c.drainedSince[domain]
+	return since, ok
 }
 
 // ReopenRequested records that a client sent the order to reopen a domain: from
--- a/internal/invariants/fixture_test.go
+++ b/internal/invariants/fixture_test.go
@@ -23,9 +23,9 @@
 func (c *fakeCluster) Undisturbed() bool             { return c.undisturbed }
 func (c *fakeCluster) Logf(string, ...any)           {}
 
-// observed is a checker with one job that has started nowhere, on a cluster of two
+// checkerFixture is a checker with one job that has started nowhere, on a cluster of two
 // runners.
-type observed struct {
+type checkerFixture struct {
 	*Checker
 	cluster *fakeCluster
 	key     identifier.JobKey
@@ -34,11 +34,11 @@
 
 const fixtureStart = 100_000
 
-// newObserved makes a checker with a job of one step.
-func newObserved(step job.Step) *observed {
+// newCheckerFixture makes a checker with a job of one step.
+func newCheckerFixture(step job.Step) *checkerFixture {
 	view := RunnerView{Domain: "north", Incarnation: 1, Live: true, Capacity: job.Demand{Cores: 8, Mem: 8}}
 	cluster := &fakeCluster{now: fixtureStart, runners: map[string]RunnerView{"r1": view, "r2": view}}
-	o := &observed{Checker: New(cluster), cluster: cluster, key: "c/j"}
+	o := &checkerFixture{Checker: New(cluster), cluster: cluster, key: "c/j"}
 	step.Name = "s"
 	step.Demand = job.Demand{Cores: 1, Mem: 1}
 	o.job = &Job{Spec: job.Spec{Steps: []job.Step{step}}, SubmittedAt: fixtureStart, AckedAt: fixtureStart}
@@ -47,7 +47,7 @@
 }
 
 // event records that something happened to an attempt at a task of the job.
-func (o *observed) event(runnerName, kind string, task int, lease identifier.LeaseID) {
+func (o *checkerFixture) event(runnerName, kind string, task int, lease identifier.LeaseID) {
 	o.RunnerEvent(runnerName, runner.Event{
 		Kind:   kind,
 		Lease:  lease,
@@ -56,12 +56,12 @@
 	})
 }
 
-func (o *observed) start(runnerName string, task int, lease identifier.LeaseID) {
+func (o *checkerFixture) start(runnerName string, task int, lease identifier.LeaseID) {
 	o.event(runnerName, runner.EventStart, task, lease)
 }
 
-// endWell ends an attempt with success, which is acknowledged if acked is set.
-func (o *observed) endWell(runnerName string, task int, lease identifier.LeaseID, acked bool) {
+// reportSuccess ends an attempt with success, which is acknowledged if acked is set.
+func (o *checkerFixture) reportSuccess(runnerName string, task int, lease identifier.LeaseID, acked bool) {
 	o.event(runnerName, runnerapi.OutcomeSuccess, task, lease)
 	if acked {
 		o.event(runnerName, runner.EventAcked, task, lease)
@@ -69,7 +69,7 @@
 }
 
 // violated lists the names of the invariants that were violated.
-func (o *observed) violated() string {
+func (o *checkerFixture) violated() string {
 	text := ""
 	for _, line := range o.Violations {
 		var name string
--- a/internal/invariants/leniency_test.go
+++ b/internal/invariants/leniency_test.go
@@ -18,88 +18,88 @@
 	want string
 	step job.Step
 	// prepare brings the cause about; act is called so many ms later.
-	prepare func(o *observed)
-	act     func(o *observed)
+	prepare func(o *checkerFixture)
+	act     func(o *checkerFixture)
 }{
 	{
 		name: "start after the acknowledgement of a success", edge: 1600, want: RunsOnce, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) {
+		prepare: func(o *checkerFixture) {
 			o.start("r1", 0, 1)
-			o.endWell("r1", 0, 1, true)
+			o.reportSuccess("r1", 0, 1, true)
 		},
-		act: func(o *observed) { o.start("r2", 0, 2) },
+		act: func(o *checkerFixture) { o.start("r2", 0, 2) },
 	},
 	{
 		name: "start after the last allowed defect was acknowledged", edge: 1600, want: DefectsBounded, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) {
+		prepare: func(o *checkerFixture) {
 			o.start("r1", 0, 1)
 			o.event("r1", runnerapi.OutcomeDefect, 0, 1)
 			o.event("r1", runner.EventAcked, 0, 1)
 		},
-		act: func(o *observed) { o.start("r2", 0, 2) },
+		act: func(o *checkerFixture) { o.start("r2", 0, 2) },
 	},
 	{
 		name: "cancelled task runs on while something was wrong", edge: 10300, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) {
+		prepare: func(o *checkerFixture) {
 			o.start("r1", 0, 1)
 			o.job.CancelledAt = o.cluster.now
 		},
-		act: func(o *observed) { o.Sweep() },
+		act: func(o *checkerFixture) { o.Sweep() },
 	},
 	{
 		name: "cancelled task runs on while all is well", edge: 1000, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) {
+		prepare: func(o *checkerFixture) {
 			o.cluster.quiet = true
 			o.start("r1", 0, 1)
 			o.job.CancelledAt = o.cluster.now
 		},
-		act: func(o *observed) { o.Sweep() },
+		act: func(o *checkerFixture) { o.Sweep() },
 	},
 	{
 		name: "start after a cancel", edge: 3000, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) { o.job.CancelledAt = o.cluster.now },
-		act:     func(o *observed) { o.start("r1", 0, 1) },
+		prepare: func(o *checkerFixture) { o.job.CancelledAt = o.cluster.now },
+		act:     func(o *checkerFixture) { o.start("r1", 0, 1) },
 	},
 	{
 		name: "start on a leaving runner", edge: 2000, want: NoStartOnLeavingRunner, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) { o.RunnerLeaving("r1") },
-		act:     func(o *observed) { o.start("r1", 0, 1) },
+		prepare: func(o *checkerFixture) { o.RunnerLeaving("r1") },
+		act:     func(o *checkerFixture) { o.start("r1", 0, 1) },
 	},
 	{
 		name: "start in a drained domain", edge: 5000, want: NoStartInDrainedDomain, step: job.Step{Tasks: 1, MaxDefects: 1},
-		prepare: func(o *observed) { o.DrainAcked("north") },
-		act:     func(o *observed) { o.start("r1", 0, 1) },
+		prepare: func(o *checkerFixture) { o.DrainAcked("north") },
+		act:     func(o *checkerFixture) { o.start("r1", 0, 1) },
 	},
 	{
 		name: "gang runs in part", edge: 8700, want: GangRunsTogether, step: job.Step{Tasks: 2, Gang: true, MaxDefects: 1},
-		prepare: func(o *observed) {
+		prepare: func(o *checkerFixture) {
 			o.start("r1", 0, 1)
 			o.Sweep()
 		},
-		act: func(o *observed) { o.Sweep() },
+		act: func(o *checkerFixture) { o.Sweep() },
 	},
 	{
 		name: "gang runs in part with nothing wrong", edge: 4500, want: GangRunsTogether, step: job.Step{Tasks: 2, Gang: true, MaxDefects: 1},
-		prepare: func(o *observed) {
+		prepare: func(o *checkerFixture) {
 			o.cluster.undisturbed = true
 			o.start("r1", 0, 1)
 			o.Sweep()
 		},
-		act: func(o *observed) { o.Sweep() },
+		act: func(o *checkerFixture) { o.Sweep() },
 	},
 }
 
 // TestLeniencyEdges acts at the edge of each leniency, and one millisecond past it.
 func TestLeniencyEdges(t *testing.T) {
-	for _, one := range leniencies {
-		t.Run(one.name, func(t *testing.T) {
-			for past, want := range []string{"", one.want} {
-				o := newObserved(one.step)
-				one.prepare(o)
-				o.cluster.now += one.edge + int64(past)
-				one.act(o)
+	for _, tc := range leniencies {
+		t.Run(tc.name, func(t *testing.T) {
+			for past, want := range []string{"", tc.want} {
+				o := newCheckerFixture(tc.step)
+				tc.prepare(o)
+				o.cluster.now += tc.edge + int64(past)
+				tc.act(o)
 				if got := o.violated(); got != want {
-					t.Errorf("%d ms after: violated %q, want %q (%v)", one.edge+int64(past), got, want, o.Violations)
+					t.Errorf("%d ms after: violated %q, want %q (%v)", tc.edge+int64(past), got, want, o.Violations)
 				}
 			}
 		})
@@ -111,7 +111,7 @@
 func TestEarlyStartEdge(t *testing.T) {
 	const edge = 1000
 	for past, want := range []string{"", StartsInOrder} {
-		o := newObserved(job.Step{Tasks: 1, MaxDefects: 1})
+		o := newCheckerFixture(job.Step{Tasks: 1, MaxDefects: 1})
 		o.job.StartAt = o.cluster.now + edge + int64(past)
 		o.start("r1", 0, 1)
 		if got := o.violated(); got != want {
@@ -125,30 +125,30 @@
 // then nobody can have been told of it.
 func TestUnreportedSuccessEdge(t *testing.T) {
 	const inTouch = 10000
-	for _, one := range []struct {
+	for _, tc := range []struct {
 		name   string
 		after  int64
-		change func(o *observed)
+		change func(o *checkerFixture)
 		want   string
 	}{
-		{"in touch", inTouch - 1, func(*observed) {}, RunsOnce},
-		{"out of touch for a lease", inTouch, func(*observed) {}, ""},
-		{"in touch, another incarnation", 10, func(o *observed) {
+		{"in touch", inTouch - 1, func(*checkerFixture) {}, RunsOnce},
+		{"out of touch for a lease", inTouch, func(*checkerFixture) {}, ""},
+		{"in touch, another incarnation", 10, func(o *checkerFixture) {
 			view := o.cluster.runners["r1"]
 			view.Incarnation++
 			o.cluster.runners["r1"] = view
 		}, ""},
 	} {
-		t.Run(one.name, func(t *testing.T) {
-			o := newObserved(job.Step{Tasks: 1, MaxDefects: 1})
+		t.Run(tc.name, func(t *testing.T) {
+			o := newCheckerFixture(job.Step{Tasks: 1, MaxDefects: 1})
 			o.start("r1", 0, 1)
-			o.endWell("r1", 0, 1, false)
+			o.reportSuccess("r1", 0, 1, false)
 			o.PollAnswered("r1")
-			o.cluster.now += one.after
-			one.change(o)
+			o.cluster.now += tc.after
+			tc.change(o)
 			o.start("r2", 0, 2)
-			if got := o.violated(); got != one.want {
-				t.Errorf("violated %q, want %q", got, one.want)
+			if got := o.violated(); got != tc.want {
+				t.Errorf("violated %q, want %q", got, tc.want)
 			}
 		})
 	}
@@ -159,7 +159,7 @@
 // limit. Nothing escapes both: a sweep comes several times a second.
 func TestQuietCancelWindow(t *testing.T) {
 	const sweepInterval = 200
-	o := newObserved(job.Step{Tasks: 1, MaxDefects: 1})
+	o := newCheckerFixture(job.Step{Tasks: 1, MaxDefects: 1})
 	o.cluster.quiet = true
 	o.start("r1", 0, 1)
 	o.job.CancelledAt = o.cluster.now
@@ -176,7 +176,7 @@
 // violation; with the log read they are one.
 func TestUnreadEnds(t *testing.T) {
 	for logLost, want := range []string{JobStateIsTrue, ""} {
-		o := newObserved(job.Step{Tasks: 1, MaxDefects: 1})
+		o := newCheckerFixture(job.Step{Tasks: 1, MaxDefects: 1})
 		o.start("r1", 0, 1)
 		if logLost == 1 {
 			o.RunnerLogLost("r1")
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -68,8 +68,8 @@
 	quietCancelledRunEnd = 1500
 	// maxIncompleteGangUndisturbed is MaxIncompleteGang in a run without faults.
 	maxIncompleteGangUndisturbed = 4500
-	// endedJobSwept is how long after its cancel an ended job is still swept.
-	endedJobSwept = 2000
+	// endedJobSweepPeriod is how long after its cancel an ended job is still swept.
+	endedJobSweepPeriod = 2000
 )
 
 // Keys of Checker.Counts.
--- a/internal/state/dedup.go
+++ b/internal/state/dedup.go
@@ -31,12 +31,12 @@
 
 // The positions of the fields in a packed record. Times are in little-endian order.
 const (
-	dedupChecksumAt   = shortHashSize
-	dedupAcceptedAt   = dedupChecksumAt + shortHashSize
-	dedupDroppedAt    = dedupAcceptedAt + 8
-	dedupEndCodeAt    = dedupDroppedAt + 8
-	dedupRecordSize   = dedupEndCodeAt + 1
-	maxRecordsExpired = 16
+	dedupChecksumOffset = shortHashSize
+	dedupAcceptedOffset = dedupChecksumOffset + shortHashSize
+	dedupDroppedOffset  = dedupAcceptedOffset + 8
+	dedupEndCodeOffset  = dedupDroppedOffset + 8
+	dedupRecordSize     = dedupEndCodeOffset + 1
+	maxRecordsExpired   = 16
 )
 
 // The codes of the states that a job ends in.
@@ -105,11 +105,11 @@
 func (c *DedupCache) record(i int) dedupRecord {
 	packed := c.records[i*dedupRecordSize : (i+1)*dedupRecordSize]
 	return dedupRecord{
-		key:        hash(packed[:dedupChecksumAt]),
-		checksum:   hash(packed[dedupChecksumAt:dedupAcceptedAt]),
-		acceptedAt: clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupAcceptedAt:])),
-		droppedAt:  clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupDroppedAt:])),
-		endCode:    packed[dedupEndCodeAt],
+		key:        hash(packed[:dedupChecksumOffset]),
+		checksum:   hash(packed[dedupChecksumOffset:dedupAcceptedOffset]),
+		acceptedAt: clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupAcceptedOffset:])),
+		droppedAt:  clock.ClusterTime(binary.LittleEndian.Uint64(packed[dedupDroppedOffset:])),
+		endCode:    packed[dedupEndCodeOffset],
 	}
 }
 
--- a/internal/state/drain_scope.go
+++ b/internal/state/drain_scope.go
@@ -22,7 +22,7 @@
 // nothing says when it should end; see docs/notes/closings.md.
 func (s *Store) rackScopes() map[rackID][]identifier.Runner {
 	if s.Level < RackScopeLevel {
-		return s.formerRackScopes()
+		return s.legacyRackScopes()
 	}
 	scopes := map[rackID][]identifier.Runner{}
 	for _, name := range s.RunnerNames() {
@@ -39,9 +39,9 @@
 	return runner.Draining && (!runner.Gone || s.Level < RackScopeLevel)
 }
 
-// formerRackScopes is rackScopes as it was below RackScopeLevel, for logs of that time:
+// legacyRackScopes is rackScopes as it was below RackScopeLevel, for logs of that time:
 // the whole rack as soon as more than half of it has announced that it leaves.
-func (s *Store) formerRackScopes() map[rackID][]identifier.Runner {
+func (s *Store) legacyRackScopes() map[rackID][]identifier.Runner {
 	leaving := map[rackID][]identifier.Runner{}
 	present := map[rackID][]identifier.Runner{}
 	for _, name := range s.RunnerNames() {
--- a/internal/state/job_index.go
+++ b/internal/state/job_index.go
@@ -195,16 +195,16 @@
 
 // NextScheduledStart is the earliest start still to come, of a delayed job or of an
 // occurrence of a repeated one.
-func (s *Store) NextScheduledStart() (at clock.ClusterTime, ok bool) {
+func (s *Store) NextScheduledStart() (start clock.ClusterTime, ok bool) {
 	if j := s.jobIndex.nextDelayed(); j != nil {
-		at = j.StartAt
+		start = j.StartAt
 		ok = true
 	}
-	if j := s.jobIndex.nextRepeating(); j != nil && (!ok || j.nextOccurrence() < at) {
-		at = j.nextOccurrence()
+	if j := s.jobIndex.nextRepeating(); j != nil && (!ok || j.nextOccurrence() < start) {
+		start = j.nextOccurrence()
 		ok = true
 	}
-	return at, ok
+	return start, ok
 }
 
 // JobsAfter visits the jobs in the order of their keys, from the one after the
--- a/internal/state/job_lifecycle.go
+++ b/internal/state/job_lifecycle.go
@@ -58,7 +58,7 @@
 	}
 	j.EndState = j.finalState()
 	j.EndedAt = s.Now
-	j.timeCompleted()
+	j.dropTaskTimings()
 	s.jobIndex.markEnded(j)
 	s.EndedJobs = append(s.EndedJobs, j.Key)
 	s.jobIndex.unfinishedByRow[j.Spec.Row]--
--- a/internal/state/job_timing.go
+++ b/internal/state/job_timing.go
@@ -174,18 +174,18 @@
 
 // readyAt is when the tasks of a step could first be placed.
 func (j *Job) readyAt(step int) clock.ClusterTime {
-	at := max(j.AcceptedAt, j.StartAt)
+	ready := max(j.AcceptedAt, j.StartAt)
 	after := j.Spec.Steps[step].After
 	for i := range j.Spec.Steps {
 		if slices.Contains(after, j.Spec.Steps[i].Name) {
-			at = max(at, j.timing.steps[i].EndedAt)
+			ready = max(ready, j.timing.steps[i].EndedAt)
 		}
 	}
-	return at
+	return ready
 }
 
-// timeOpened notes that a task was given a lease.
-func (j *Job) timeOpened(lease *Lease, distant bool) {
+// recordLeaseOpened notes that a task was given a lease.
+func (j *Job) recordLeaseOpened(lease *Lease, distant bool) {
 	if j.timing == nil || j.timing.tasks == nil {
 		return
 	}
@@ -201,8 +201,8 @@
 	}
 }
 
-// timeEnded notes that an attempt of a task has ended.
-func (j *Job) timeEnded(lease *Lease, outcome Outcome, now clock.ClusterTime) {
+// recordLeaseEnded notes that an attempt of a task has ended.
+func (j *Job) recordLeaseEnded(lease *Lease, outcome Outcome, now clock.ClusterTime) {
 	if j.timing == nil || j.timing.tasks == nil {
 		return
 	}
@@ -215,9 +215,9 @@
 	task.Lost[lossCause(lease, outcome)] += now.Since(lease.OpenedAt)
 }
 
-// timeSucceeded notes that a task has succeeded. Of those that do so in one entry, the first
+// recordTaskSucceeded notes that a task has succeeded. Of those that do so in one entry, the first
 // stands for its step: it is the one that reported it.
-func (j *Job) timeSucceeded(ref identifier.TaskRef, now clock.ClusterTime) {
+func (j *Job) recordTaskSucceeded(ref identifier.TaskRef, now clock.ClusterTime) {
 	if j.timing == nil || j.timing.tasks == nil {
 		return
 	}
@@ -227,8 +227,8 @@
 	}
 }
 
-// timeCompleted drops what is no longer needed once the job has ended.
-func (j *Job) timeCompleted() {
+// dropTaskTimings drops what is no longer needed once the job has ended.
+func (j *Job) dropTaskTimings() {
 	if j.timing != nil {
 		j.timing.tasks = nil
 	}
--- a/internal/state/lease_lifecycle.go
+++ b/internal/state/lease_lifecycle.go
@@ -121,7 +121,7 @@
 		s.Runners[lease.Runner].recordOutcome(outcome == OutcomeSuccess)
 	}
 	j := s.Jobs[lease.Task.Job]
-	j.timeEnded(lease, outcome, s.Now)
+	j.recordLeaseEnded(lease, outcome, s.Now)
 	if j.Terms != nil {
 		s.endQueuedAttempt(j, lease, outcome)
 	} else {
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -133,7 +133,7 @@
 		}
 		s.jobIndex.clearDisplaced(j, task)
 		s.openLease(lease)
-		j.timeOpened(lease, s.Distant(lease))
+		j.recordLeaseOpened(lease, s.Distant(lease))
 		s.setTaskState(j, ref, Placed)
 	}
 	s.jobIndex.update(j, s.Now)
--- a/internal/state/runner_index.go
+++ b/internal/state/runner_index.go
@@ -20,8 +20,8 @@
 }
 
 func (x *runnerIndex) add(name identifier.Runner) {
-	at, _ := slices.BinarySearch(x.names, name)
-	x.names = slices.Insert(x.names, at, name)
+	i, _ := slices.BinarySearch(x.names, name)
+	x.names = slices.Insert(x.names, i, name)
 	x.markChanged(name)
 }
 
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -50,13 +50,13 @@
 // forgetLostLease removes a lease from the lost ones and tells whether it was among
 // them.
 func (t *Task) forgetLostLease(id identifier.LeaseID) bool {
-	at := slices.Index(t.LostLeases, id)
-	if at < 0 {
+	index := slices.Index(t.LostLeases, id)
+	if index < 0 {
 		return false
 	}
-	t.LostLeases = slices.Delete(slices.Clone(t.LostLeases), at, at+1)
-	if at < len(t.LostAttempts) {
-		t.LostAttempts = slices.Delete(slices.Clone(t.LostAttempts), at, at+1)
+	t.LostLeases = slices.Delete(slices.Clone(t.LostLeases), index, index+1)
+	if index < len(t.LostAttempts) {
+		t.LostAttempts = slices.Delete(slices.Clone(t.LostAttempts), index, index+1)
 	}
 	return true
 }
--- a/internal/state/tenant_quota_test.go
+++ b/internal/state/tenant_quota_test.go
@@ -110,8 +110,8 @@
 	return use
 }
 
-// endOne reports how one open lease ended, or revokes it.
-func (m *tenantModel) endOne() {
+// endOrRevokeLease reports how one open lease ended, or revokes it.
+func (m *tenantModel) endOrRevokeLease() {
 	for id := identifier.LeaseID(1 + m.random.Int63n(int64(m.store.NextLease))); id < m.store.NextLease; id++ {
 		lease := m.store.Leases[id]
 		if lease == nil {
@@ -128,8 +128,8 @@
 	}
 }
 
-// disturb counts a runner as lost, or has it come back as a new incarnation.
-func (m *tenantModel) disturb() {
+// loseOrRestartRunner counts a runner as lost, or has it come back as a new incarnation.
+func (m *tenantModel) loseOrRestartRunner() {
 	number := 5 + m.random.Intn(4)
 	name, incarnation := m.runner(number)
 	if m.random.Intn(2) == 0 {
@@ -172,9 +172,9 @@
 			case 0, 1:
 				m.submit()
 			case 2, 3, 4:
-				m.endOne()
+				m.endOrRevokeLease()
 			case 5:
-				m.disturb()
+				m.loseOrRestartRunner()
 			case 6:
 				if m.random.Intn(4) == 0 {
 					m.changeQuotas()
--- a/internal/state/tenant_rate.go
+++ b/internal/state/tenant_rate.go
@@ -14,16 +14,16 @@
 
 // tenantRate is how fast a tenant hands jobs in, as a token bucket that its weight fills.
 type tenantRate struct {
-	credit int64
-	at     clock.ClusterTime
+	credit     int64
+	refilledAt clock.ClusterTime
 }
 
 // take takes a job's credit and tells whether there was enough.
 func (r *tenantRate) take(weight int64, now clock.ClusterTime) bool {
 	limit := max(jobCredit, weight*int64(creditSpan))
-	gained := weight * int64(min(now.Since(r.at), maxCreditSpan))
+	gained := weight * int64(min(now.Since(r.refilledAt), maxCreditSpan))
 	r.credit = min(limit, r.credit+gained)
-	r.at = now
+	r.refilledAt = now
 	if r.credit < jobCredit {
 		return false
 	}
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -9,7 +9,7 @@
 	s.jobIndex.countTasks(j, ref.Step, task.State, -1)
 	task.State = taskState
 	if taskState == Succeeded {
-		j.timeSucceeded(ref, s.Now)
+		j.recordTaskSucceeded(ref, s.Now)
 	}
 	s.foldChecksum(j.Seq, uint64(ref.Step), uint64(ref.Num), hashText(string(taskState)), uint64(task.Defects))
 	s.jobIndex.countTasks(j, ref.Step, taskState, 1)
