--- a/internal/state/rack_scope_test.go
+++ b/internal/state/rack_scope_test.go
@@ -215,9 +215,9 @@
 	}
 }
 
-// TestRackDrainLetsGo plays the departures that were seen on a day of many: most of a rack
+// TestRackDrainReleasesRemainingRunner plays the departures that were seen on a day of many: most of a rack
 // leaves and ends, and the one that stays takes work again.
-func TestRackDrainLetsGo(t *testing.T) {
+func TestRackDrainReleasesRemainingRunner(t *testing.T) {
 	f := newFixtureAtLevel(t, RackScopeLevel)
 	leave := func(i int) {
 		f.apply(http.StatusOK, &Command{ReportRunner: f.runnerReport(i, "a", true, 90000)})
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -17,7 +17,7 @@
 		file:        "internal/state/drain_scope.go",
 		original:    "\tif s.Level < RackScopeLevel {\n",
 		replacement: "\tif true {\n",
-		tests:       test("./internal/state", "TestRackDrainLetsGo"),
+		tests:       test("./internal/state", "TestRackDrainReleasesRemainingRunner"),
 		want:        "takes no work",
 	},
 	{
