--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -1,10 +1,9 @@
 package state
 
-// Apply carries out one command. It must be called with the commands of the log
-// in order. A rejected command is not an error: its result has a status of 400 or
-// more, and the state changes only by what is due at its time, such as delayed
-// starts and expired records. Cluster time never goes back, whatever command.At
-// says.
+// Apply executes one command. The commands of the log must be passed in log order. A
+// rejected command is not an error: its result has a status of 400 or more, and it
+// changes only state that is due at its time, such as delayed starts and expired records.
+// Cluster time never goes back, whatever command.At says.
 func (s *Store) Apply(command *Command) Result {
 	s.Now = max(s.Now, command.At)
 	s.startDelayedJobs()
@@ -20,8 +19,8 @@
 	return result
 }
 
-// dispatch carries out the command itself. VerifyChecksum does nothing here: the
-// server compares the checksums.
+// dispatch executes the command itself. VerifyChecksum is a no-op here: the server
+// compares the checksums.
 func (s *Store) dispatch(command *Command) Result {
 	switch {
 	case command.SubmitJob != nil:
@@ -43,7 +42,7 @@
 	return Result{}
 }
 
-// dispatchInternal carries out the commands that have no result.
+// dispatchInternal executes the commands that have no result.
 func (s *Store) dispatchInternal(command *Command) {
 	switch {
 	case command.ReportEnds != nil:
@@ -61,7 +60,7 @@
 	}
 }
 
-// raiseLevel raises the level and converts the state to its form at that level.
+// raiseLevel raises the level and migrates the state to the form used at that level.
 func (s *Store) raiseLevel(command *RaiseLevel) {
 	s.Level = max(s.Level, command.Level)
 	if s.Level >= ResendLevel && s.Catalog != nil {
@@ -72,7 +71,7 @@
 	}
 }
 
-// startDelayedJobs makes the jobs pending whose start time has come.
+// startDelayedJobs makes jobs pending once their start time is reached.
 func (s *Store) startDelayedJobs() {
 	s.startDueOccurrences()
 	for {
--- a/internal/state/attempt_lookup.go
+++ b/internal/state/attempt_lookup.go
@@ -7,12 +7,12 @@
 	"orchidward/internal/api/identifier"
 )
 
-// firstOccurrenceSuffix ends the name that agents know a job by which is not
+// firstOccurrenceSuffix is the suffix of the name by which agents know a job that is not
 // repeated.
 const firstOccurrenceSuffix = ".0"
 
-// FindJob looks a job up by its key, nil when it is not kept. A job that is not
-// repeated may also be named as its occurrence 0.
+// FindJob returns the job with the given key, or nil if the store does not hold it. A job
+// that is not repeated may also be named as its occurrence 0.
 func (s *Store) FindJob(key identifier.JobKey) *Job {
 	if j := s.Jobs[key]; j != nil {
 		return j
@@ -28,8 +28,8 @@
 	return j
 }
 
-// AgentTaskRef is the name that agents know a task by, which always has the number
-// of the occurrence.
+// AgentTaskRef returns the name by which agents know a task. It always includes the
+// occurrence number.
 func (s *Store) AgentTaskRef(ref identifier.TaskRef) identifier.TaskRef {
 	if j := s.Jobs[ref.Job]; j != nil && j.Parent == "" {
 		ref.Job = occurrenceKey(j.Key, 0)
@@ -37,8 +37,8 @@
 	return ref
 }
 
-// findTask looks a task up by a name that an agent may have given it, nil when it is
-// not kept.
+// findTask looks up a task by a name that an agent may have used for it, and returns nil
+// if the store does not hold it.
 func (s *Store) findTask(ref identifier.TaskRef) (j *Job, task *Task) {
 	j = s.FindJob(ref.Job)
 	if j == nil {
@@ -47,7 +47,7 @@
 	return j, j.Task(ref)
 }
 
-// ResolveRun finds the lease of an attempt, be it open or counted lost, and the
+// ResolveRun returns the lease of an attempt, whether open or counted lost, and the
 // task's own name.
 func (s *Store) ResolveRun(
 	name identifier.Runner, incarnation identifier.Incarnation, ref identifier.TaskRef, attempt uint64,
@@ -72,8 +72,8 @@
 	return 0, ref, false
 }
 
-// AcceptsEnd tells whether the end of an attempt still matters: its lease is open,
-// or was counted lost and the task has not ended since.
+// AcceptsEnd reports whether the end of an attempt can still change the state: its lease
+// is open, or the lease was counted lost and the task has not ended since.
 func (s *Store) AcceptsEnd(name identifier.Runner, incarnation identifier.Incarnation, id identifier.LeaseID, ref identifier.TaskRef) bool {
 	if lease := s.Leases[id]; lease != nil {
 		return lease.belongsTo(name, incarnation)
--- a/internal/state/catalog.go
+++ b/internal/state/catalog.go
@@ -6,15 +6,14 @@
 	"orchidward/internal/api/catalog"
 )
 
-// catalogAck is the answer to a change of the catalogue: the version that it led
-// to, or the one in force when it is rejected.
+// catalogAck is the response to a catalogue change: the resulting version, or the version
+// in force if the change is rejected.
 type catalogAck struct {
 	Version uint64 `json:"version"`
 }
 
-// changeCatalog takes a change of the catalogue when it builds on the version in
-// force. A resend of an accepted change is acknowledged for as long as the change
-// is remembered.
+// changeCatalog applies a catalogue change that is based on the version in force. A
+// resend of an accepted change is acknowledged as long as the change is remembered.
 func (s *Store) changeCatalog(change *catalog.Change) Result {
 	current := s.currentCatalog()
 	if current.Has(change) {
@@ -38,7 +37,7 @@
 	return accepted(http.StatusOK, catalogAck{Version: change.Version})
 }
 
-// currentCatalog is the catalogue in force, an empty one while there is none.
+// currentCatalog returns the catalogue in force, or an empty one if there is none.
 func (s *Store) currentCatalog() *catalog.Catalog {
 	if s.Catalog != nil {
 		return s.Catalog
--- a/internal/state/checkpoints.go
+++ b/internal/state/checkpoints.go
@@ -1,7 +1,8 @@
 package state
 
-// saveCheckpoint keeps the checkpoint that an attempt has reported, for the next
-// attempt of the task. In a gang every member's checkpoint is the gang's.
+// saveCheckpoint stores the checkpoint reported by an attempt for the next attempt of the
+// task. The members of a gang share one checkpoint: the last one that any of them
+// reported.
 func (s *Store) saveCheckpoint(lease *Lease, data string) {
 	j := s.Jobs[lease.Task.Job]
 	step := j.Spec.Steps[lease.Task.Step]
@@ -17,8 +18,8 @@
 	j.Task(lease.Task).Checkpoint = data
 }
 
-// saveCheckpoints keeps the last checkpoints of a runner's attempts that are about
-// to be counted lost.
+// saveCheckpoints stores the last checkpoints of a runner's attempts before they are
+// counted lost.
 func (s *Store) saveCheckpoints(checkpoints []Checkpoint, runner *Runner) {
 	for _, checkpoint := range checkpoints {
 		lease := s.Leases[checkpoint.Lease]
--- a/internal/state/commands.go
+++ b/internal/state/commands.go
@@ -33,20 +33,20 @@
 	ChangeCatalog *catalog.Change `json:"catalog,omitempty"`
 }
 
-// RaiseLevel raises the level: from this entry on commands and rules of that level
-// may be used, since every member has said that it supports them.
+// RaiseLevel raises the level: from this entry on, commands and rules of that level may
+// be used, since every member has announced that it supports them.
 type RaiseLevel struct {
 	Level uint16 `json:"level"`
 }
 
-// VerifyChecksum is the checksum of the leader's store after the entry at Index, for
-// the other servers to compare with theirs.
+// VerifyChecksum carries the checksum of the leader's store after the entry at Index. The
+// other servers compare it with theirs.
 type VerifyChecksum struct {
 	Index    identifier.Index `json:"index"`
 	Checksum uint64           `json:"sum"`
 }
 
-// SubmitJob hands a job in. A resend of the same content gets the same answer.
+// SubmitJob submits a job. A resend of the same content gets the same response.
 type SubmitJob struct {
 	Key  identifier.JobKey `json:"key"`
 	Spec job.Spec          `json:"spec"`
@@ -60,20 +60,20 @@
 // StartDrain starts the drain of a failure domain.
 type StartDrain struct {
 	Domain identifier.Domain `json:"domain"`
-	// ID names the drain, when given, so that a resend starts no second one.
+	// ID identifies the drain if set, so that a resend does not start a second one.
 	ID string `json:"id,omitempty"`
-	// AllowUnknown drains a domain from which no runner has reported yet.
+	// AllowUnknown allows draining a domain from which no runner has reported yet.
 	AllowUnknown bool `json:"unseen,omitempty"`
 }
 
-// EndDrain reopens the scope of a drain, named by its id or by its domain.
+// EndDrain reopens the scope of a drain, identified by its id or its domain.
 type EndDrain struct {
 	Name string `json:"name"`
 }
 
-// ReportRunner is what a runner says of itself, committed whenever it changes. A new
-// incarnation ends all leases of the one before as lost, after Checkpoints have been
-// recorded.
+// ReportRunner is a runner's report of its own properties, committed whenever they
+// change. A new incarnation ends all leases of the previous one as lost, after
+// Checkpoints have been recorded.
 type ReportRunner struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"inc"`
@@ -98,17 +98,18 @@
 type Outcome string
 
 const (
-	// OutcomeSuccess is success.
+	// OutcomeSuccess is an attempt that succeeded.
 	OutcomeSuccess Outcome = "well"
-	// OutcomeDefect is a failure that counts against the task's allowed defects.
+	// OutcomeDefect is an attempt that failed. It counts against the task's allowed
+	// defects.
 	OutcomeDefect Outcome = "defect"
 	// OutcomeStopped is an attempt that ended because its lease was revoked.
 	OutcomeStopped Outcome = "stopped"
-	// OutcomeLeaseLapsed is an attempt that the runner stopped because it had no
-	// contact with a server for as long as its lease lasts.
+	// OutcomeLeaseLapsed is an attempt that the runner stopped because it had no contact
+	// with a server for the duration of its lease.
 	OutcomeLeaseLapsed Outcome = "lapsed"
 	// OutcomeGangBroken is an attempt that ended because another member of its gang
-	// did.
+	// ended.
 	OutcomeGangBroken Outcome = "broken"
 	// OutcomeGangIncomplete is an attempt that ended because not all members of its
 	// gang started.
@@ -122,23 +123,23 @@
 // End is the end of one attempt.
 type End struct {
 	Lease identifier.LeaseID `json:"grant"`
-	// Task names the task again, in case the lease is no longer open.
+	// Task repeats the task, in case the lease is no longer open.
 	Task    identifier.TaskRef `json:"ref"`
 	Outcome Outcome            `json:"how"`
 	// Checkpoint is the last checkpoint, empty for none.
 	Checkpoint string `json:"saved,omitempty"`
 }
 
-// ReportEnds reports attempts that ended on one incarnation of a runner. Leases of
-// another incarnation are left alone.
+// ReportEnds reports attempts that ended on one incarnation of a runner. Leases of other
+// incarnations are not affected.
 type ReportEnds struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"inc"`
 	Ends        []End                  `json:"list"`
 }
 
-// Placement places tasks of one step, the i-th of Tasks on the i-th of Runners. For a
-// gang it has all its waiting tasks.
+// Placement places tasks of one step: the i-th of Tasks on the i-th of Runners. A
+// placement of a gang contains all its waiting tasks.
 type Placement struct {
 	Job     identifier.JobKey   `json:"job"`
 	Step    int                 `json:"step"`
@@ -146,8 +147,8 @@
 	Runners []identifier.Runner `json:"on"`
 }
 
-// PlaceTasks opens leases. Each placement is checked against the state again and
-// skipped when it is no longer valid.
+// PlaceTasks opens leases. Each placement is validated again against the current state
+// and skipped if it is no longer valid.
 type PlaceTasks struct {
 	Placements []Placement `json:"puts"`
 }
@@ -158,21 +159,21 @@
 	Reason string               `json:"why"`
 }
 
-// LoseRunner counts a runner as lost and ends all its leases, after Checkpoints have
-// been recorded. It does nothing when the runner has reported another incarnation.
+// LoseRunner counts a runner as lost and ends all its leases, after Checkpoints have been
+// recorded. It is a no-op if the runner has reported another incarnation.
 type LoseRunner struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"inc"`
 	Checkpoints []Checkpoint           `json:"saves,omitempty"`
 }
 
-// AdvanceDrain carries out the stage that a drain is in.
+// AdvanceDrain executes the current stage of a drain.
 type AdvanceDrain struct {
 	ID string `json:"id"`
-	// From is the stage that the leader saw; in another stage the command does
-	// nothing.
+	// From is the stage that the leader saw. If the drain is in another stage, the
+	// command is a no-op.
 	From Stage `json:"from"`
-	// TimedOut says that the time for confirming stops has run out.
+	// TimedOut is set once the time for confirming stops has run out.
 	TimedOut bool `json:"judge,omitempty"`
 }
 
@@ -185,9 +186,9 @@
 	return data
 }
 
-// DecodeCommand reads the data of a log entry. It fails on a field that this program
-// does not know: what the field asks for would not be done, and the state would
-// diverge from that of the other servers.
+// DecodeCommand parses the data of a log entry. It fails on fields unknown to this
+// program: ignoring what such a field asks for would make the state diverge from that of
+// the other servers.
 func DecodeCommand(data []byte) (*Command, error) {
 	command := &Command{}
 	d := json.NewDecoder(bytes.NewReader(data))
--- a/internal/state/dedup.go
+++ b/internal/state/dedup.go
@@ -14,13 +14,13 @@
 
 type hash [shortHashSize]byte
 
-// shortHash is the beginning of the text's SHA-256 hash.
+// shortHash returns the first shortHashSize bytes of the text's SHA-256 hash.
 func shortHash(text string) hash {
 	full := sha256.Sum256([]byte(text))
 	return hash(full[:shortHashSize])
 }
 
-// dedupRecord is what is kept of a job whose details were dropped.
+// dedupRecord is what is remembered of a job whose details were dropped.
 type dedupRecord struct {
 	key        hash
 	checksum   hash
@@ -29,7 +29,7 @@
 	endCode    byte
 }
 
-// The positions of the fields in a packed record. Times are in little-endian order.
+// Offsets of the fields in a packed record. Times are little-endian.
 const (
 	dedupChecksumOffset = shortHashSize
 	dedupAcceptedOffset = dedupChecksumOffset + shortHashSize
@@ -39,7 +39,7 @@
 	maxRecordsExpired   = 16
 )
 
-// The codes of the states that a job ends in.
+// Codes of the final states of a job.
 const (
 	endCodeUnknown   byte = 0
 	endCodeSucceeded byte = 1
@@ -59,7 +59,7 @@
 	return endCodeUnknown
 }
 
-// endState is the state that the job ended in.
+// endState returns the final state of the job.
 func (r *dedupRecord) endState() TaskState {
 	switch r.endCode {
 	case endCodeSucceeded:
@@ -72,21 +72,21 @@
 	return ""
 }
 
-// DedupCache remembers the ids of jobs whose details were dropped, so that a late
-// resend never runs a job again. The records stay packed as they are written to a
-// snapshot, so that a day's ids cost a snapshot no more than a copy, and are dropped
-// in the order in which they came.
+// DedupCache remembers the ids of jobs whose details were dropped, so that a late resend
+// never runs a job again. Records are stored packed, in the format of a snapshot, so that
+// snapshotting a day's ids costs no more than a copy. They are dropped in the order in
+// which they were added.
 type DedupCache struct {
 	records []byte
-	// positions has the number of each key's record, counted from the first record
-	// that was ever added; dropped is the number of those dropped since.
+	// positions maps each key to its record's sequence number, counted from the first
+	// record ever added; dropped is the number of records dropped since then.
 	positions map[hash]int
 	dropped   int
 }
 
 func newDedupCache() *DedupCache { return &DedupCache{positions: map[hash]int{}} }
 
-// Len is the number of remembered jobs.
+// Len returns the number of remembered jobs.
 func (c *DedupCache) Len() int { return len(c.records) / dedupRecordSize }
 
 // add remembers an ended job.
@@ -101,7 +101,7 @@
 	c.records = append(c.records, endCodeOf(j.EndState))
 }
 
-// record unpacks a record, counted from the oldest one kept.
+// record unpacks the i-th record, counted from the oldest one kept.
 func (c *DedupCache) record(i int) dedupRecord {
 	packed := c.records[i*dedupRecordSize : (i+1)*dedupRecordSize]
 	return dedupRecord{
@@ -121,8 +121,8 @@
 	return c.record(position - c.dropped), true
 }
 
-// expire drops the records of jobs whose details were dropped before the given time,
-// a few with every command.
+// expire drops the records of jobs whose details were dropped before the given time. Each
+// call drops at most maxRecordsExpired of them.
 func (c *DedupCache) expire(before clock.ClusterTime) {
 	for range min(c.Len(), maxRecordsExpired) {
 		oldest := c.record(0)
@@ -135,8 +135,8 @@
 	}
 }
 
-// load replaces the content by packed records; an incomplete one at the end is
-// left out.
+// load replaces the content by packed records; an incomplete record at the end is
+// ignored.
 func (c *DedupCache) load(records []byte) {
 	count := len(records) / dedupRecordSize
 	c.records = append([]byte(nil), records[:count*dedupRecordSize]...)
@@ -148,8 +148,8 @@
 	}
 }
 
-// UnmarshalJSON reads the records of a snapshot of the first version, which had them
-// inside the document.
+// UnmarshalJSON reads the records from a version 1 snapshot, which contained them in the
+// JSON document.
 func (c *DedupCache) UnmarshalJSON(text []byte) error {
 	var records []byte
 	if err := json.Unmarshal(text, &records); err != nil {
@@ -159,8 +159,8 @@
 	return nil
 }
 
-// RememberedJob is when a job was accepted and how it ended, of which only the id is
-// still remembered.
+// RememberedJob returns when a job was accepted and how it ended, for a job of which only
+// the id is still remembered.
 func (s *Store) RememberedJob(key identifier.JobKey) (acceptedAt clock.ClusterTime, end TaskState, ok bool) {
 	record, ok := s.Dedup.lookup(key)
 	if !ok {
--- a/internal/state/drain_requests.go
+++ b/internal/state/drain_requests.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/api/identifier"
 )
 
-// startDrain starts the drain of a domain, or returns the one that is in force. A
-// drain that the command names by its id is never started again.
+// startDrain starts the drain of a domain, or returns the drain in force. If the command
+// carries an id that is already in use, no new drain is started.
 func (s *Store) startDrain(command *StartDrain) Result {
 	if command.ID != "" && s.Drains[command.ID] != nil {
 		named := s.Drains[command.ID]
@@ -32,7 +32,7 @@
 	return drainResult(drain)
 }
 
-// domainKnown tells whether any runner has reported from the domain.
+// domainKnown reports whether any runner of the domain has reported.
 func (s *Store) domainKnown(domain identifier.Domain) bool {
 	for _, runner := range s.Runners {
 		if runner.Domain == domain {
@@ -42,7 +42,8 @@
 	return false
 }
 
-// endDrain begins to reopen the scope of a drain, named by its id or by its domain.
+// endDrain starts reopening the scope of a drain, which is identified by its id or its
+// domain.
 func (s *Store) endDrain(command *EndDrain) Result {
 	drain := s.Drains[command.Name]
 	if drain == nil {
@@ -61,9 +62,10 @@
 	return drainResult(drain)
 }
 
-// domainDrain is the domain's drain in force, or else its latest, nil for none.
-// Among drains that started in the same millisecond the order of their ids does not
-// tell the latest, so below ResendLevel the one found may not be the one in force.
+// domainDrain returns the domain's drain in force, or else its latest drain, or nil if it
+// has none. The order of ids does not show which of several drains that started in the
+// same millisecond is the latest, so below ResendLevel the result may not be the drain in
+// force.
 func (s *Store) domainDrain(domain identifier.Domain) *Drain {
 	var found *Drain
 	for _, id := range s.DrainIDs() {
@@ -79,11 +81,11 @@
 	return found
 }
 
-// generatedDrainID is the form of the ids that createDrain makes up.
+// generatedDrainID is the format of the ids that createDrain generates.
 const generatedDrainID = "c-%d"
 
-// createDrain adds a drain in its first stage. It makes up an id when none is given
-// or the given one is taken.
+// createDrain adds a drain in its first stage. It generates an id if none is given or the
+// given one is already in use.
 func (s *Store) createDrain(id, kind string, domain identifier.Domain, rack identifier.Rack) *Drain {
 	for id == "" || s.Drains[id] != nil {
 		id = fmt.Sprintf(generatedDrainID, s.NextDrain)
@@ -95,8 +97,8 @@
 	return drain
 }
 
-// drainResult answers with the drain as it is now: the document is encoded at once,
-// since later commands change the drain.
+// drainResult returns the drain in its current state. The document is encoded
+// immediately, since later commands change the drain.
 func drainResult(drain *Drain) Result {
 	document, err := json.Marshal(drain)
 	if err != nil {
--- a/internal/state/drain_scope.go
+++ b/internal/state/drain_scope.go
@@ -8,7 +8,8 @@
 	"orchidward/internal/clock"
 )
 
-// rackID names a rack: racks of different domains may have the same name.
+// rackID identifies a rack by domain and name, since racks of different domains may have
+// the same name.
 type rackID struct {
 	domain identifier.Domain
 	rack   identifier.Rack
@@ -16,10 +17,10 @@
 
 func (r *Runner) rackID() rackID { return rackID{domain: r.Domain, rack: r.Rack} }
 
-// rackScopes is, for each rack with leaving runners, the runners that its drain
-// concerns, in ascending order: those that have announced that they leave, until they
-// are lost. A drain that guessed at more would cordon runners that stay, for which
-// nothing says when it should end; see docs/notes/closings.md.
+// rackScopes returns the drain scope of each rack that has leaving runners: the runners
+// that have announced their departure and are not lost yet, in ascending order. A wider
+// scope would cordon runners that stay, and nothing would indicate when to lift that
+// cordon; see docs/notes/closings.md.
 func (s *Store) rackScopes() map[rackID][]identifier.Runner {
 	if s.Level < RackScopeLevel {
 		return s.legacyRackScopes()
@@ -33,14 +34,16 @@
 	return scopes
 }
 
-// leaving reports whether a runner belongs into its rack's drain. Below RackScopeLevel
-// it does for as long as nobody says otherwise, lost or not.
+// leaving reports whether a runner belongs to the scope of its rack's drain. Below
+// RackScopeLevel it does until a report says that it stays, even while the runner is
+// lost.
 func (s *Store) leaving(runner *Runner) bool {
 	return runner.Draining && (!runner.Gone || s.Level < RackScopeLevel)
 }
 
-// legacyRackScopes is rackScopes as it was below RackScopeLevel, for logs of that time:
-// the whole rack as soon as more than half of it has announced that it leaves.
+// legacyRackScopes is rackScopes as implemented below RackScopeLevel, kept to replay logs
+// of that time: the scope is the whole rack as soon as more than half of it has announced
+// its departure.
 func (s *Store) legacyRackScopes() map[rackID][]identifier.Runner {
 	leaving := map[rackID][]identifier.Runner{}
 	present := map[rackID][]identifier.Runner{}
@@ -62,8 +65,8 @@
 	return leaving
 }
 
-// updateRackDrains keeps one drain for every rack with leaving runners, and reopens
-// those of the other racks.
+// updateRackDrains maintains one drain for each rack with leaving runners, and reopens
+// the drains of all other racks.
 func (s *Store) updateRackDrains() {
 	scopes := s.rackScopes()
 	drains := map[rackID]*Drain{}
@@ -92,8 +95,8 @@
 	s.updateCordons()
 }
 
-// setRackScope sets the scope of a rack's drain. New runners in it start the stages
-// again.
+// setRackScope sets the scope of a rack's drain. If runners were added, a drain in the
+// Postdrain or Closed stage restarts at Preflight.
 func (s *Store) setRackScope(drain *Drain, scope []identifier.Runner) {
 	grown := slices.ContainsFunc(scope, func(name identifier.Runner) bool { return !drain.inScope(name) })
 	drain.Scope = slices.Clone(scope)
@@ -102,10 +105,10 @@
 	}
 }
 
-// updateCordons derives which drain cordons each runner, the oldest of several.
-// Placement and recovery look at nothing else of a drain. Only a cordon that may be
-// lifted marks its runner changed: the leader then has starts to send it, while a new
-// cordon by itself has nothing to tell a runner.
+// updateCordons recomputes which drain cordons each runner; if there are several, the
+// oldest does. Placement and recovery depend on nothing else of a drain. Only a runner
+// that was cordoned before is marked as changed: its cordon may be lifted, so the leader
+// may have starts to send to it. A new cordon alone gives the leader nothing to send.
 func (s *Store) updateCordons() {
 	for name, runner := range s.Runners {
 		if runner.cordonedBy != "" {
@@ -130,8 +133,8 @@
 	}
 }
 
-// extendDomainScope adds the domain's runners to the scope of its drain, also those
-// that report for the first time while it is in force.
+// extendDomainScope adds the runners of the domain to the scope of its drain, including
+// those that report for the first time while the drain is in force.
 func (s *Store) extendDomainScope(drain *Drain) {
 	for name, runner := range s.Runners {
 		if runner.Domain == drain.Domain && !drain.inScope(name) {
@@ -141,9 +144,10 @@
 	slices.Sort(drain.Scope)
 }
 
-// StopDue tells whether the leases of a runner in scope are to be revoked now. In a
-// domain they are at once; in a rack the tasks run on until a margin before the
-// runner's departure, or before the first departure when it stays itself.
+// StopDue reports whether the leases of a runner in scope are due to be revoked. In a
+// domain drain they are due immediately. In a rack drain, tasks keep running until a
+// margin before the runner's departure, or before the first departure in scope if the
+// runner itself stays.
 func (s *Store) StopDue(drain *Drain, name identifier.Runner, now clock.ClusterTime) bool {
 	if drain.Kind == KindDomain {
 		return true
@@ -155,7 +159,8 @@
 	return now >= departsAt.Add(-s.Limits.SiteMillis(limits.SiteDepartureMargin))
 }
 
-// firstDeparture is when the first runner in scope leaves, 0 when none does.
+// firstDeparture returns the time of the earliest announced departure in scope, or 0 if
+// there is none.
 func (s *Store) firstDeparture(drain *Drain) clock.ClusterTime {
 	var first clock.ClusterTime
 	for _, name := range drain.Scope {
@@ -167,8 +172,8 @@
 	return first
 }
 
-// OpenLeases lists the open leases in scope: those that are not revoked, and those
-// that are but whose end is not confirmed.
+// OpenLeases returns the open leases in scope: those that are not revoked (running), and
+// those that are revoked but whose end is not confirmed (unconfirmed).
 func (s *Store) OpenLeases(drain *Drain) (running, unconfirmed []*Lease) {
 	for _, name := range drain.Scope {
 		runner := s.Runners[name]
--- a/internal/state/drain_stages.go
+++ b/internal/state/drain_stages.go
@@ -6,10 +6,10 @@
 	"orchidward/internal/scheduler/feasibility"
 )
 
-// advanceDrain carries out the stage that a drain is in. The leader decides when;
-// what a stage does is decided here, from the state alone, so that the next leader
-// goes on where the last one stopped. A command for another stage than the current
-// one does nothing.
+// advanceDrain executes the current stage of a drain. The leader decides when to advance;
+// the effect of a stage is computed here, from the state alone, so that a new leader
+// resumes where the previous one stopped. A command for a stage other than the current
+// one is a no-op.
 func (s *Store) advanceDrain(command *AdvanceDrain) {
 	drain := s.Drains[command.ID]
 	if drain == nil || drain.Stage != command.From {
@@ -50,8 +50,8 @@
 	}
 }
 
-// runPreflight records whether the runners that are not cordoned can take the
-// displaced tasks, gangs complete. The drain goes on whatever the answer.
+// runPreflight records whether the runners that are not cordoned have room for the
+// displaced tasks, with each gang complete. The drain continues whatever the result.
 func (s *Store) runPreflight(drain *Drain) {
 	units := s.recordDisplaced(drain)
 	nodes := []feasibility.Node{}
@@ -65,14 +65,14 @@
 	drain.Fits, drain.Shortage = feasibility.Pack(units, nodes)
 }
 
-// gangID names a gang.
+// gangID identifies a gang.
 type gangID struct {
 	job  identifier.JobKey
 	step int
 }
 
-// recordDisplaced records the displaced tasks in the drain and returns them as units
-// to be placed. A gang with a member in scope is displaced with all its members.
+// recordDisplaced records the displaced tasks in the drain and returns them as units to
+// place. A gang with a member in scope is displaced with all its members.
 func (s *Store) recordDisplaced(drain *Drain) []feasibility.Unit {
 	drain.Displaced = nil
 	drain.DisplacedGangs = 0
@@ -98,7 +98,7 @@
 	return units
 }
 
-// openTasks lists the tasks of a step that have not ended.
+// openTasks returns the tasks of a step that have not ended.
 func (j *Job) openTasks(step int) []identifier.TaskRef {
 	var open []identifier.TaskRef
 	for num, task := range j.Steps[step] {
@@ -109,8 +109,8 @@
 	return open
 }
 
-// revokeDueLeases revokes the leases of those runners in scope whose time has come,
-// and ends the stage once that is all of them.
+// revokeDueLeases revokes the leases of the runners in scope that are due, and ends the
+// stage once all runners in scope are due.
 func (s *Store) revokeDueLeases(drain *Drain) {
 	allDue := true
 	for _, name := range drain.Scope {
@@ -131,17 +131,17 @@
 	}
 }
 
-// The verdicts of the post-drain check.
+// Verdicts of the post-drain check.
 const (
 	verdictConfirmed       = "all cordoned"
 	verdictWithinThreshold = "cordoned, unconfirmed stops within threshold"
 	verdictOverThreshold   = "unconfirmed stops over threshold, operator to look"
 )
 
-// checkPostdrain is the post-disable check of the paper that [Stage] names. It waits until every stop is
-// confirmed or the time for that has run out, and then compares the unconfirmed ones
-// with the tolerated share of the displaced tasks. A lease that is not revoked yet
-// sends the drain back to the stage that revokes it.
+// checkPostdrain returns the post-disable check of the paper cited at [Stage]. It waits
+// until every stop is confirmed or the time for confirming has run out, and then compares
+// the number of unconfirmed stops with the tolerated share of the displaced tasks. A
+// lease that is not revoked yet returns the drain to the Cordon stage.
 func (s *Store) checkPostdrain(drain *Drain, timedOut bool) {
 	running, unconfirmed := s.OpenLeases(drain)
 	if len(running) > 0 {
@@ -169,8 +169,8 @@
 	return verdictOverThreshold
 }
 
-// releaseDisplaced makes the tasks wait for a placement that waited for the end of
-// the drain.
+// releaseDisplaced returns the tasks that were suspended until the end of the drain to
+// the Waiting state.
 func (s *Store) releaseDisplaced(drain *Drain) {
 	s.eachUnfinishedTask(func(j *Job, ref identifier.TaskRef, task *Task) {
 		if task.DisplacedBy != drain.ID {
--- a/internal/state/expiry.go
+++ b/internal/state/expiry.go
@@ -2,11 +2,11 @@
 
 import "orchidward/internal/api/limits"
 
-// maxJobsExpired bounds the ended jobs that one command drops.
+// maxJobsExpired bounds the number of ended jobs that one command drops.
 const maxJobsExpired = 8
 
-// expireRecords drops what is past its retention, a little with every command, so
-// that none takes long.
+// expireRecords drops records past their retention. Each command drops a bounded number,
+// so that no single command takes long.
 func (s *Store) expireRecords() {
 	s.expireEndedJobs()
 	s.Dedup.expire(s.Now.Add(-s.Limits.SiteMillis(limits.SiteRememberedJobSpan)))
@@ -14,7 +14,7 @@
 	s.expireDrains()
 }
 
-// expireEndedJobs drops the details of ended jobs; their ids go to the dedup cache.
+// expireEndedJobs drops the details of ended jobs; their ids move to the dedup cache.
 func (s *Store) expireEndedJobs() {
 	retention := s.Limits.SiteMillis(limits.SiteJobRetention)
 	for range min(len(s.EndedJobs), maxJobsExpired) {
--- a/internal/state/job.go
+++ b/internal/state/job.go
@@ -9,51 +9,54 @@
 // Job is an accepted job and the state of each of its tasks.
 type Job struct {
 	Key identifier.JobKey `json:"key"`
-	// Seq numbers the jobs in the order in which they were accepted.
+	// Seq numbers the jobs in order of acceptance.
 	Seq        uint64            `json:"seq"`
 	AcceptedAt clock.ClusterTime `json:"at"`
-	// StartAt is the earliest time of the first placement, 0 for at once.
+	// StartAt is the earliest time of the first placement, 0 for immediately.
 	StartAt clock.ClusterTime `json:"start,omitempty"`
-	// Checksum is the checksum of Spec as submitted, by which a resend is told from
+	// Checksum is the checksum of Spec as submitted. It distinguishes a resend from
 	// another job of the same key.
 	Checksum string   `json:"sum"`
 	Spec     job.Spec `json:"spec"`
-	// Steps has the tasks of each step, by their number.
+	// Steps holds the tasks of each step, indexed by task number.
 	Steps [][]*Task `json:"steps"`
-	// Cancelled and Failure say that the job is being ended; Failure is the reason,
-	// for people.
+	// Cancelled and Failure are set while the job is being ended; Failure is a
+	// human-readable reason.
 	Cancelled bool   `json:"cancel,omitempty"`
 	Failure   string `json:"fail,omitempty"`
 	// EndState and EndedAt are set once the job has ended.
 	EndState TaskState         `json:"end,omitempty"`
 	EndedAt  clock.ClusterTime `json:"ended,omitempty"`
-	// Terms are those of the job's queue, nil for a job of a row.
+	// Terms are the terms of the job's queue, nil for a job of a row.
 	Terms *QueueTerms `json:"terms,omitempty"`
-	// Occurrences is the number of occurrences of a repeated job that were started.
-	// Each is a job of its own, whose Parent is this one.
+	// Occurrences is the number of occurrences of a repeated job that have been started.
+	// Each is a separate job whose Parent is this one.
 	Occurrences int64             `json:"times,omitempty"`
 	Parent      identifier.JobKey `json:"parent,omitempty"`
 
-	// The rest is derived, see rebuildIndexes.
+	// The following fields are derived, see rebuildIndexes.
 
 	// openOccurrences is the number of occurrences that have not ended.
 	openOccurrences int
-	// stepCounts has the counts of each step's tasks.
+	// stepCounts holds the task counts of each step.
 	stepCounts []stepCount
 	// openLeases is the number of open leases of the job's tasks.
 	openLeases int
-	// displacedTasks is the number of tasks that a drain displaced.
+	// displacedTasks is the number of tasks displaced by a drain.
 	displacedTasks int
-	// queue is the queue of pending jobs that the job is in, nil for none.
+	// queue is the queue of pending jobs that holds the job, nil if the job is not
+	// pending.
 	queue *jobQueue
-	// overShare says that the job's tenant handed in more than its weight just then. It is
-	// not derived again: a job that comes by a snapshot counts as within the share.
+	// overShare is set if the job's tenant was submitting jobs faster than its weight
+	// allows when this job was submitted. It is not restored: a job read from a snapshot
+	// counts as within the share.
 	overShare bool
-	// timing is where the job's time went, nil when that was not followed from its start.
+	// timing records how the job's time was spent, nil unless this process has followed
+	// the job from its start.
 	timing *jobTiming
 }
 
-// resetDerived clears what rebuildIndexes derives.
+// resetDerived clears the fields that rebuildIndexes derives.
 func (j *Job) resetDerived() {
 	j.stepCounts = make([]stepCount, len(j.Steps))
 	j.openOccurrences = 0
@@ -63,8 +66,8 @@
 	j.timing = nil
 }
 
-// stepCount counts the tasks of one step by their state. Succeeded tasks are among
-// the ended ones.
+// stepCount counts the tasks of one step by their state. Succeeded tasks are also counted
+// as ended.
 type stepCount struct {
 	waiting   int
 	placed    int
@@ -86,8 +89,8 @@
 	}
 }
 
-// Task finds a task by its step and number, nil when the job has no such task. The
-// job named in ref is not compared.
+// Task returns the task with the given step and number, or nil if the job has no such
+// task. The job key in ref is ignored.
 func (j *Job) Task(ref identifier.TaskRef) *Task {
 	if ref.Step < 0 || ref.Step >= len(j.Steps) {
 		return nil
@@ -98,8 +101,8 @@
 	return j.Steps[ref.Step][ref.Num]
 }
 
-// DependenciesMet tells whether all tasks of the steps that this one comes after
-// have succeeded.
+// DependenciesMet reports whether all tasks of the steps that this step depends on have
+// succeeded.
 func (j *Job) DependenciesMet(step int) bool {
 	for _, name := range j.Spec.Steps[step].After {
 		for i := range j.Spec.Steps {
@@ -115,8 +118,8 @@
 	return j.stepCounts[step].succeeded >= len(j.Steps[step])
 }
 
-// Ready tells whether the step has tasks to place now. A gang is ready when none of
-// its members has a lease, so that all start together.
+// Ready reports whether the step has tasks that can be placed now. A gang is ready only
+// if none of its members has a lease, so that all members start together.
 func (j *Job) Ready(step int) bool {
 	counts := j.stepCounts[step]
 	if counts.waiting == 0 || j.ending() {
@@ -128,7 +131,7 @@
 	return j.DependenciesMet(step)
 }
 
-// anyStepReady tells whether any step has tasks to place now.
+// anyStepReady reports whether any step has tasks that can be placed now.
 func (j *Job) anyStepReady() bool {
 	for step := range j.Steps {
 		if j.Ready(step) {
@@ -138,21 +141,22 @@
 	return false
 }
 
-// OverShare tells whether the job is beyond what its tenant's weight entitles it to: it
-// gets what the work within shares leaves free.
+// OverShare reports whether the job exceeds the share that its tenant's weight allows.
+// Such a job only gets capacity that jobs within their share leave free.
 func (j *Job) OverShare() bool { return j.overShare }
 
-// ending tells whether the job is cancelled or failing, so that none of its tasks is
-// to be placed any more.
+// ending reports whether the job is cancelled or failing, so that no more of its tasks
+// may be placed.
 func (j *Job) ending() bool { return j.Cancelled || j.Failure != "" }
 
-// RemainingCriticalPath is the expected duration, in milliseconds, of the longest chain
-// of steps that have not succeeded.
+// RemainingCriticalPath returns the expected duration, in milliseconds, of the longest
+// chain of steps that have not succeeded.
 func (j *Job) RemainingCriticalPath() clock.Millis {
 	return j.RemainingCriticalPathBy(func(step *job.Step) clock.Millis { return step.ExpectedRun })
 }
 
-// RemainingCriticalPathBy is the same when a step takes as long as run says.
+// RemainingCriticalPathBy is like RemainingCriticalPath, with the duration of each step
+// given by run.
 func (j *Job) RemainingCriticalPathBy(run func(step *job.Step) clock.Millis) clock.Millis {
 	if len(j.Spec.Steps) == 1 {
 		return run(&j.Spec.Steps[0])
@@ -160,7 +164,7 @@
 	return j.Spec.CriticalPathWithout(j.stepSucceeded, run)
 }
 
-// WaitingTasks lists the numbers of the step's waiting tasks.
+// WaitingTasks returns the numbers of the step's waiting tasks.
 func (j *Job) WaitingTasks(step int) []int {
 	var nums []int
 	for num, task := range j.Steps[step] {
@@ -171,7 +175,7 @@
 	return nums
 }
 
-// The states of a job that has not ended. An ended job's state is that of a task.
+// States of a job that has not ended. The state of an ended job is a TaskState.
 const (
 	jobWaiting    = "waiting"
 	jobRunning    = "running"
@@ -179,7 +183,7 @@
 	jobFailing    = "failing"
 )
 
-// State is the state of the job in one word.
+// State returns the state of the job as a single word.
 func (j *Job) State() string {
 	switch {
 	case j.EndState != "":
--- a/internal/state/job_index.go
+++ b/internal/state/job_index.go
@@ -10,24 +10,25 @@
 	"orchidward/internal/clock"
 )
 
-// jobIndex holds what is derived from the jobs. A job that is placed in one of the
-// ordered sets must leave it before a field changes that its order depends on.
+// jobIndex holds the indexes derived from the jobs. A job must be removed from an ordered
+// set before any field that determines its order changes.
 type jobIndex struct {
 	byKey *redblacktree.Tree
-	// pending has the jobs of each row that have a task to place now. The jobs of
-	// all queues are under the empty row.
+	// pending holds the jobs of each row that have a task to place now. The jobs of all
+	// queues are under the empty row.
 	pending map[identifier.Row]*jobQueue
-	// delayed has the jobs whose earliest start is still to come.
+	// delayed holds the jobs whose earliest start is in the future.
 	delayed *treeset.Set
-	// displaced has the jobs with tasks that a drain displaced.
+	// displaced holds the jobs with tasks displaced by a drain.
 	displaced *treeset.Set
-	// repeating has the repeated jobs with occurrences to come, by the next one.
+	// repeating holds the repeated jobs that have occurrences to come, ordered by the
+	// next one.
 	repeating *treeset.Set
 
 	waitingTasks      map[identifier.Row]int64
 	unfinishedByRow   map[identifier.Row]int
 	unfinishedByQueue map[string]int64
-	// ended has the jobs that ended since they were last taken.
+	// ended holds the jobs that ended since the last call of TakeEndedJobs.
 	ended []*Job
 }
 
@@ -48,8 +49,8 @@
 	return cmp.Compare(x.(identifier.JobKey), y.(identifier.JobKey))
 }
 
-// add indexes a new job by its key and counts it when it is unfinished. Its tasks
-// are counted by countTasks.
+// add indexes a new job by its key and counts it if it is unfinished. Its tasks are
+// counted by countTasks.
 func (x *jobIndex) add(j *Job) {
 	x.byKey.Put(j.Key, j)
 	if j.EndState == "" {
@@ -57,7 +58,7 @@
 	}
 }
 
-// remove forgets an ended job.
+// remove removes an ended job from the index.
 func (x *jobIndex) remove(key identifier.JobKey) { x.byKey.Remove(key) }
 
 // countAllTasks counts the tasks of a job read from a snapshot.
@@ -81,8 +82,8 @@
 	}
 }
 
-// update moves the job to the set that it belongs to by its tasks and its start
-// time: pending, delayed or none.
+// update moves the job to the set that matches its tasks and its start time: pending,
+// delayed or none.
 func (x *jobIndex) update(j *Job, now clock.ClusterTime) {
 	ready := j.anyStepReady()
 	startable := ready && j.StartAt <= now
@@ -101,7 +102,7 @@
 	}
 }
 
-// rowQueue returns the row's queue of pending jobs, a new one when it has none.
+// rowQueue returns the row's queue of pending jobs, creating it if needed.
 func (x *jobIndex) rowQueue(row identifier.Row) *jobQueue {
 	queue := x.pending[row]
 	if queue == nil {
@@ -111,7 +112,7 @@
 	return queue
 }
 
-// maxEndedKept bounds the ended jobs that wait to be taken.
+// maxEndedKept bounds the ended jobs held for TakeEndedJobs.
 const maxEndedKept = 4096
 
 func (x *jobIndex) markEnded(j *Job) {
@@ -120,8 +121,8 @@
 	}
 }
 
-// TakeEndedJobs visits the jobs that have ended since the last call, in that order, and
-// forgets them.
+// TakeEndedJobs visits the jobs that have ended since the last call, in the order in
+// which they ended, and clears the list.
 func (s *Store) TakeEndedJobs(visit func(j *Job)) {
 	for _, j := range s.jobIndex.ended {
 		visit(j)
@@ -129,11 +130,11 @@
 	s.jobIndex.ended = s.jobIndex.ended[:0]
 }
 
-// nextDelayed returns the delayed job with the earliest start, nil for none.
+// nextDelayed returns the delayed job with the earliest start, or nil if there is none.
 func (x *jobIndex) nextDelayed() *Job { return firstJob(x.delayed) }
 
-// nextRepeating returns the repeated job whose next occurrence is the earliest, nil
-// for none.
+// nextRepeating returns the repeated job whose next occurrence is the earliest, or nil if
+// there is none.
 func (x *jobIndex) nextRepeating() *Job { return firstJob(x.repeating) }
 
 func firstJob(set *treeset.Set) *Job {
@@ -165,13 +166,14 @@
 	}
 }
 
-// WaitingTasks is the number of unplaced tasks in a row, as its limit counts them.
+// WaitingTasks returns the number of unplaced tasks in a row, as counted against the
+// limit of the row.
 func (s *Store) WaitingTasks(row identifier.Row) int64 { return s.jobIndex.waitingTasks[row] }
 
-// QueuedJobs is the number of unfinished jobs of a queue.
+// QueuedJobs returns the number of unfinished jobs of a queue.
 func (s *Store) QueuedJobs(name string) int64 { return s.jobIndex.unfinishedByQueue[name] }
 
-// DisplacedJobs lists the jobs with displaced tasks, oldest first.
+// DisplacedJobs returns the jobs with displaced tasks, oldest first.
 func (s *Store) DisplacedJobs() []*Job {
 	var jobs []*Job
 	for _, value := range s.jobIndex.displaced.Values() {
@@ -180,7 +182,7 @@
 	return jobs
 }
 
-// HasPending tells whether any job has something to place, or has displaced tasks.
+// HasPending reports whether any job has tasks to place or displaced tasks.
 func (s *Store) HasPending() bool {
 	if !s.jobIndex.displaced.Empty() {
 		return true
@@ -193,8 +195,8 @@
 	return false
 }
 
-// NextScheduledStart is the earliest start still to come, of a delayed job or of an
-// occurrence of a repeated one.
+// NextScheduledStart returns the earliest start in the future, of a delayed job or of an
+// occurrence of a repeated job.
 func (s *Store) NextScheduledStart() (start clock.ClusterTime, ok bool) {
 	if j := s.jobIndex.nextDelayed(); j != nil {
 		start = j.StartAt
@@ -207,8 +209,8 @@
 	return start, ok
 }
 
-// JobsAfter visits the jobs in the order of their keys, from the one after the
-// given key, for as long as visit returns true.
+// JobsAfter visits the jobs in key order, starting after the given key, until visit
+// returns false.
 func (s *Store) JobsAfter(after identifier.JobKey, visit func(j *Job) (more bool)) {
 	node, ok := s.jobIndex.byKey.Ceiling(after)
 	if !ok {
@@ -223,8 +225,8 @@
 	}
 }
 
-// eachUnfinishedTask visits the tasks of every unfinished job, by the job's key, and
-// completes each job whose tasks have all ended by then.
+// eachUnfinishedTask visits the tasks of every unfinished job, in the order of job keys,
+// and then completes each job whose tasks have all ended.
 func (s *Store) eachUnfinishedTask(visit func(j *Job, ref identifier.TaskRef, task *Task)) {
 	for _, key := range s.jobIndex.byKey.Keys() {
 		j := s.Jobs[key.(identifier.JobKey)]
--- a/internal/state/job_lifecycle.go
+++ b/internal/state/job_lifecycle.go
@@ -6,13 +6,13 @@
 	"orchidward/internal/api/identifier"
 )
 
-// cancelAck is the answer to a cancel.
+// cancelAck is the response to a cancel.
 type cancelAck struct {
 	Job   identifier.JobKey `json:"job"`
 	State string            `json:"state"`
 }
 
-// cancelJob ends a job. A cancel of a job that has ended changes nothing.
+// cancelJob ends a job. Cancelling a job that has ended has no effect.
 func (s *Store) cancelJob(command *CancelJob) Result {
 	j := s.Jobs[command.Key]
 	if j == nil {
@@ -47,7 +47,7 @@
 }
 
 // completeJob ends the job when all its tasks have ended and none of its leases and
-// occurrences is open. It must follow every change of the job's tasks.
+// occurrences is open. It must be called after every change of the job's tasks.
 func (s *Store) completeJob(j *Job) {
 	s.jobIndex.update(j, s.Now)
 	if j.EndState != "" || j.openLeases > 0 || j.Spec.Repeat != nil && !j.occurrencesDone() {
@@ -74,7 +74,7 @@
 	return true
 }
 
-// finalState is the state that a job ends in, whose tasks have all ended.
+// finalState returns the final state of a job whose tasks have all ended.
 func (j *Job) finalState() TaskState {
 	if j.Failure != "" {
 		return Failed
--- a/internal/state/job_queue.go
+++ b/internal/state/job_queue.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/api/identifier"
 )
 
-// jobQueue orders the jobs of one row that have something to place: by priority and
-// then by age, and once more by age alone, so that a stream of urgent work cannot
-// starve the rest of its row.
+// jobQueue orders the jobs of one row that have tasks to place: by priority and then age,
+// and separately by age alone, so that a stream of urgent jobs cannot starve the rest of
+// the row.
 type jobQueue struct {
 	byPriority *treeset.Set
 	byAge      *treeset.Set
@@ -35,7 +35,7 @@
 
 func (q *jobQueue) len() int { return q.byAge.Size() }
 
-// comparePriority puts the job first that is to be placed first.
+// comparePriority orders jobs by placement priority, the job to place first coming first.
 func comparePriority(a, b any) int {
 	x, y := a.(*Job), b.(*Job)
 	if x.Terms != nil && y.Terms != nil {
@@ -44,8 +44,8 @@
 	return cmp.Or(cmp.Compare(y.Spec.Urgency, x.Spec.Urgency), compareAge(a, b))
 }
 
-// compareQueueTerms orders jobs of queues by priority, where 0 is the highest, then
-// by when they are due.
+// compareQueueTerms orders jobs of queues by priority, where 0 is the highest, then by
+// due time.
 func compareQueueTerms(x, y *Job) int {
 	return cmp.Or(
 		cmp.Compare(x.Terms.Priority, y.Terms.Priority),
@@ -67,12 +67,12 @@
 	return cmp.Or(cmp.Compare(x.nextOccurrence(), y.nextOccurrence()), compareAge(a, b))
 }
 
-// agedJobInterval is how many jobs a PendingIterator yields for one that is taken
-// by age alone.
+// agedJobInterval is the interval at which a PendingIterator takes a job by age alone:
+// every fourth job.
 const agedJobInterval = 4
 
-// PendingIterator yields the row's jobs in the order in which they should be
-// placed, every fourth one taken by age alone.
+// PendingIterator yields a row's jobs in placement order, every fourth one taken by age
+// alone.
 type PendingIterator struct {
 	byPriority treeset.Iterator
 	byAge      treeset.Iterator
@@ -80,7 +80,7 @@
 	steps      int
 }
 
-// Next returns the next job, each one once, or nil at the end.
+// Next returns the next job, or nil at the end. Each job is returned once.
 func (p *PendingIterator) Next() *Job {
 	for {
 		first, second := &p.byPriority, &p.byAge
@@ -102,7 +102,7 @@
 	}
 }
 
-// PendingJobs iterates over the row's jobs that have something to place.
+// PendingJobs returns an iterator over the row's jobs that have tasks to place.
 func (s *Store) PendingJobs(row identifier.Row) *PendingIterator {
 	queue := s.jobIndex.pending[row]
 	if queue == nil {
@@ -115,7 +115,7 @@
 	}
 }
 
-// Backlog is the number of the row's jobs that have something to place.
+// Backlog returns the number of the row's jobs that have tasks to place.
 func (s *Store) Backlog(row identifier.Row) int {
 	queue := s.jobIndex.pending[row]
 	if queue == nil {
@@ -127,8 +127,8 @@
 // queueJobsRow is the row that the jobs of all queues are counted under.
 const queueJobsRow identifier.Row = ""
 
-// EachQueueJob visits the jobs of queues that have something to place, by priority
-// and then by when they are due, for as long as visit returns true.
+// EachQueueJob visits the jobs of queues that have tasks to place, by priority and then
+// by due time, until visit returns false.
 func (s *Store) EachQueueJob(visit func(j *Job) (more bool)) {
 	queue := s.jobIndex.pending[queueJobsRow]
 	if queue == nil {
--- a/internal/state/job_timing.go
+++ b/internal/state/job_timing.go
@@ -8,26 +8,27 @@
 	"orchidward/internal/clock"
 )
 
-// LossCause says why an attempt came to nothing.
+// LossCause is the reason why the work of an attempt was lost.
 type LossCause int
 
 const (
 	// LostDefect attempts failed.
 	LostDefect LossCause = iota
-	// LostSlow attempts were revoked because their runner was slow; only servers of before
-	// did so.
+	// LostSlow attempts were revoked because their runner was slow; only earlier versions
+	// did this.
 	LostSlow
 	// LostStalled attempts were revoked because they made no progress.
 	LostStalled
-	// LostPreempted attempts made way for other work.
+	// LostPreempted attempts were preempted by other work.
 	LostPreempted
-	// LostDrained attempts made way for a drain.
+	// LostDrained attempts were revoked by a drain.
 	LostDrained
-	// LostRunner attempts were on a runner that was counted lost, or that lost its lease.
+	// LostRunner attempts ran on a runner that was counted lost or whose lease lapsed.
 	LostRunner
-	// LostGang attempts ended because another member of their gang did.
+	// LostGang attempts ended because another member of their gang ended.
 	LostGang
-	// LostUnstarted attempts were refused, or never confirmed.
+	// LostUnstarted attempts were refused by the runner, or their start was never
+	// confirmed.
 	LostUnstarted
 	// LostOther attempts were revoked for any other reason.
 	LostOther
@@ -42,7 +43,7 @@
 
 func (c LossCause) String() string { return lossCauseNames[c] }
 
-// lossCause is the cause for which an attempt that did not succeed was in vain.
+// lossCause returns the cause for which an attempt that did not succeed was lost.
 func lossCause(lease *Lease, outcome Outcome) LossCause {
 	switch outcome {
 	case OutcomeDefect:
@@ -74,21 +75,22 @@
 	return LostOther
 }
 
-// Timing is where the time of a task went, or of the tasks that a job had to wait for, in
+// Timing breaks down the time of a task, or of the tasks that a job had to wait for, in
 // milliseconds of cluster time.
 type Timing struct {
-	// Waiting is the time that a task was ready and had no lease, Running that of the
-	// attempt that succeeded, and Lost that of the attempts that did not, by cause.
+	// Waiting is the time during which a task was ready and had no lease, Running the
+	// duration of the attempt that succeeded, and Lost the duration of the other attempts
+	// by cause.
 	Waiting clock.Millis
 	Running clock.Millis
 	Lost    [LossCauses]clock.Millis
-	// Attempts is the number of leases, Distant that of those outside the preferred rack
-	// of the step.
+	// Attempts is the number of leases, and Distant the number of those outside the
+	// preferred rack of the step.
 	Attempts int
 	Distant  int
 }
 
-// Plus adds two timings up.
+// Plus returns the sum of two timings.
 func (t Timing) Plus(other Timing) Timing {
 	t.Waiting += other.Waiting
 	t.Running += other.Running
@@ -100,7 +102,7 @@
 	return t
 }
 
-// TotalLost is the time of all attempts that did not succeed.
+// TotalLost returns the total duration of the attempts that did not succeed.
 func (t Timing) TotalLost() clock.Millis {
 	var total clock.Millis
 	for _, lost := range t.Lost {
@@ -112,20 +114,20 @@
 // taskTiming is the timing of a task that has not ended.
 type taskTiming struct {
 	Timing
-	// waitingSince is when its last attempt ended, 0 before the first.
+	// waitingSince is when the last attempt ended, 0 before the first.
 	waitingSince clock.ClusterTime
 }
 
-// StepTiming is the timing of the task of a step that ended last: the one that whatever
-// comes after the step had to wait for.
+// StepTiming is the timing of the task of a step that ended last, which is the task that
+// the steps after it had to wait for.
 type StepTiming struct {
 	Timing
 	Task    int
 	EndedAt clock.ClusterTime
 }
 
-// jobTiming is what this process has seen of a job's time. It is derived from the entries
-// that the process applied: a snapshot does not have it.
+// jobTiming is the timing of a job as observed by this process. It is derived from the
+// log entries that the process applied and is not part of snapshots.
 type jobTiming struct {
 	tasks [][]taskTiming
 	steps []StepTiming
@@ -140,8 +142,8 @@
 }
 
 // Timing returns the timings of the job's ended steps, and their sum over the chain of
-// steps that ended last. It is not ok for a job that this process has not followed from its
-// acceptance.
+// steps that ended last. ok is false for a job that this process has not followed since
+// its acceptance.
 func (j *Job) Timing() (steps []StepTiming, chain Timing, ok bool) {
 	if j.timing == nil || len(j.Spec.Steps) == 0 {
 		return nil, Timing{}, false
@@ -158,7 +160,8 @@
 	return j.timing.steps, chain, true
 }
 
-// lastStep is the step that ended last among those that the filter passes, -1 for none.
+// lastStep returns the step that ended last among those accepted by the filter, or -1 if
+// there is none.
 func (t *jobTiming) lastStep(passes func(step int) bool) int {
 	last := -1
 	for i := range t.steps {
@@ -172,7 +175,7 @@
 	return last
 }
 
-// readyAt is when the tasks of a step could first be placed.
+// readyAt returns the earliest time at which the tasks of a step could be placed.
 func (j *Job) readyAt(step int) clock.ClusterTime {
 	ready := max(j.AcceptedAt, j.StartAt)
 	after := j.Spec.Steps[step].After
@@ -184,7 +187,7 @@
 	return ready
 }
 
-// recordLeaseOpened notes that a task was given a lease.
+// recordLeaseOpened records that a task was given a lease.
 func (j *Job) recordLeaseOpened(lease *Lease, distant bool) {
 	if j.timing == nil || j.timing.tasks == nil {
 		return
@@ -201,7 +204,7 @@
 	}
 }
 
-// recordLeaseEnded notes that an attempt of a task has ended.
+// recordLeaseEnded records that an attempt of a task has ended.
 func (j *Job) recordLeaseEnded(lease *Lease, outcome Outcome, now clock.ClusterTime) {
 	if j.timing == nil || j.timing.tasks == nil {
 		return
@@ -215,8 +218,9 @@
 	task.Lost[lossCause(lease, outcome)] += now.Since(lease.OpenedAt)
 }
 
-// recordTaskSucceeded notes that a task has succeeded. Of those that do so in one entry, the first
-// stands for its step: it is the one that reported it.
+// recordTaskSucceeded records that a task has succeeded. If several tasks of a step
+// succeed in one entry, as the members of a gang do, the first one provides the timing of
+// the step: it is the task whose success was reported.
 func (j *Job) recordTaskSucceeded(ref identifier.TaskRef, now clock.ClusterTime) {
 	if j.timing == nil || j.timing.tasks == nil {
 		return
@@ -227,7 +231,8 @@
 	}
 }
 
-// dropTaskTimings drops what is no longer needed once the job has ended.
+// dropTaskTimings drops the timings of single tasks, which are not needed once the job
+// has ended.
 func (j *Job) dropTaskTimings() {
 	if j.timing != nil {
 		j.timing.tasks = nil
--- a/internal/state/lease.go
+++ b/internal/state/lease.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/clock"
 )
 
-// Lease is the lease of one attempt: this task, on this runner, in this incarnation
-// of it. A revoked lease stays open and keeps its resources until the runner
-// confirms the end or is counted lost.
+// Lease is the lease of one attempt: one task on one incarnation of a runner. A revoked
+// lease stays open and holds its resources until the runner confirms the end or is
+// counted lost.
 type Lease struct {
 	ID          identifier.LeaseID     `json:"id"`
 	Task        identifier.TaskRef     `json:"ref"`
@@ -20,14 +20,14 @@
 	Demand      job.Demand             `json:"demand"`
 	ExpectedRun clock.Millis           `json:"spanMs"`
 	OpenedAt    clock.ClusterTime      `json:"at"`
-	// RevokeReason is empty while the lease is not revoked.
+	// RevokeReason is empty unless the lease is revoked.
 	RevokeReason string `json:"stop,omitempty"`
-	// Attempt counts the attempts of the task, from 1; the members of a gang share
-	// one. It is 0 for jobs of rows.
+	// Attempt numbers the attempts of the task from 1; the members of a gang share one
+	// number. It is 0 for jobs of rows.
 	Attempt uint64 `json:"no,omitempty"`
 }
 
-// belongsTo tells whether the lease was opened for this incarnation of the runner.
+// belongsTo reports whether the lease was opened for this incarnation of the runner.
 func (l *Lease) belongsTo(name identifier.Runner, incarnation identifier.Incarnation) bool {
 	return l.Runner == name && l.Incarnation == incarnation
 }
@@ -43,12 +43,12 @@
 	RevokeGangMemberSilent = "gang partner silent"
 	RevokeStalled          = "stands still"
 	RevokeSlow             = "sooner done elsewhere"
-	// RevokeDrainPrefix comes before the id of the drain that revoked the lease.
+	// RevokeDrainPrefix is followed by the id of the drain that revoked the lease.
 	RevokeDrainPrefix = "closing "
 )
 
-// revokingDrain is the drain that revoked the lease, nil when none did or when it no
-// longer cordons its scope.
+// revokingDrain returns the drain that revoked the lease, or nil if no drain did or the
+// drain no longer cordons its scope.
 func (s *Store) revokingDrain(lease *Lease) *Drain {
 	id, ok := strings.CutPrefix(lease.RevokeReason, RevokeDrainPrefix)
 	if !ok {
--- a/internal/state/lease_lifecycle.go
+++ b/internal/state/lease_lifecycle.go
@@ -4,7 +4,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-// revokeLeases revokes the leases that are still open.
+// revokeLeases revokes those of the listed leases that are still open.
 func (s *Store) revokeLeases(command *RevokeLeases) {
 	for _, id := range command.Leases {
 		if lease := s.Leases[id]; lease != nil {
@@ -13,8 +13,8 @@
 	}
 }
 
-// revokeLease revokes a lease, and those of the other members of its gang. The
-// first reason stands.
+// revokeLease revokes a lease and those of the other members of its gang. A lease that is
+// already revoked keeps its first reason.
 func (s *Store) revokeLease(lease *Lease, reason string) {
 	if lease.RevokeReason != "" {
 		return
@@ -40,8 +40,8 @@
 	}
 }
 
-// Partners lists the open leases of the other members of the lease's gang, revoked
-// ones included.
+// Partners returns the open leases of the other members of the lease's gang, including
+// revoked ones.
 func (s *Store) Partners(lease *Lease) []*Lease {
 	j := s.Jobs[lease.Task.Job]
 	if !j.Spec.Steps[lease.Task.Step].Gang {
@@ -57,8 +57,8 @@
 	return partners
 }
 
-// reportEnds takes the ends that a runner reports. An end of a lease that was
-// counted lost may still decide about its task.
+// reportEnds processes the attempt ends reported by a runner. The end of an attempt whose
+// lease was counted lost can still decide the outcome of its task.
 func (s *Store) reportEnds(command *ReportEnds) {
 	s.runnerIndex.markChanged(command.Runner)
 	for _, end := range command.Ends {
@@ -73,7 +73,7 @@
 	}
 }
 
-// reportLateEnd takes the end of an attempt whose lease was already counted lost.
+// reportLateEnd processes the end of an attempt whose lease was already counted lost.
 func (s *Store) reportLateEnd(runner identifier.Runner, end End) {
 	j, task := s.findTask(end.Task)
 	if task == nil || !task.forgetLostLease(end.Lease) || task.State.Ended() {
@@ -100,8 +100,8 @@
 	s.completeJob(j)
 }
 
-// succeedLate ends a task by the success of an attempt that was counted lost, and
-// revokes the attempt that replaced it. Services never succeed.
+// succeedLate completes a task when an attempt that was counted lost turns out to have
+// succeeded, and revokes the attempt that replaced it. Services never succeed.
 func (s *Store) succeedLate(j *Job, ref identifier.TaskRef) {
 	if j.Terms != nil && j.Spec.Steps[ref.Step].Service {
 		return
@@ -114,7 +114,7 @@
 	task.Reason = ""
 }
 
-// endLease closes a lease and decides what becomes of its task.
+// endLease closes a lease and determines the next state of its task.
 func (s *Store) endLease(lease *Lease, outcome Outcome) {
 	s.closeLease(lease)
 	if outcome == OutcomeSuccess || outcome == OutcomeDefect {
--- a/internal/state/limits.go
+++ b/internal/state/limits.go
@@ -9,12 +9,13 @@
 	"orchidward/internal/api/limits"
 )
 
-// limitsAck is the answer to an accepted change of the limits table.
+// limitsAck is the response to an accepted change of the limits table.
 type limitsAck struct {
 	Epoch identifier.Epoch `json:"epoch"`
 }
 
-// limitsConflict is the answer to a change whose cells were changed since its base.
+// limitsConflict is the response to a change of cells that were modified after its base
+// epoch.
 type limitsConflict struct {
 	Cells []string         `json:"cells"`
 	Epoch identifier.Epoch `json:"epoch"`
--- a/internal/state/placement.go
+++ b/internal/state/placement.go
@@ -7,7 +7,7 @@
 	"orchidward/internal/scheduler/feasibility"
 )
 
-// placeTasks opens the leases of those placements that are still valid.
+// placeTasks applies the placements that are still valid.
 func (s *Store) placeTasks(command *PlaceTasks) {
 	for i := range command.Placements {
 		placement := &command.Placements[i]
@@ -17,8 +17,8 @@
 	}
 }
 
-// placementValid checks a placement against the state as it is now, which may
-// differ from what the leader saw when it planned.
+// placementValid checks a placement against the current state, which may differ from the
+// state that the leader used for planning.
 func (s *Store) placementValid(placement *Placement) bool {
 	j := s.Jobs[placement.Job]
 	if j == nil || placement.Step < 0 || placement.Step >= len(j.Steps) {
@@ -46,7 +46,7 @@
 	return j.Terms != nil || s.inUse[j.Spec.Row].Plus(check.total).WithinLimit(s.RowLimit(j.Spec.Row))
 }
 
-// RowLimit is the demand that the open leases of a row may have together.
+// RowLimit returns the maximum total demand of the open leases of a row.
 func (s *Store) RowLimit(row identifier.Row) job.Demand {
 	return job.Demand{
 		Cores: s.Limits.Int(row, limits.ColumnMaxCores),
@@ -54,7 +54,7 @@
 	}
 }
 
-// placementCheck adds up the tasks of one placement.
+// placementCheck accumulates the tasks of one placement while they are validated.
 type placementCheck struct {
 	store *Store
 	job   *Job
@@ -79,7 +79,7 @@
 	}
 }
 
-// add tells whether the task can be placed on the runner besides those added
+// add reports whether the task can be placed on the runner in addition to the tasks added
 // before.
 func (c *placementCheck) add(num int, runner *Runner) bool {
 	task := c.job.Task(identifier.TaskRef{Job: c.job.Key, Step: c.step, Num: num})
@@ -139,13 +139,15 @@
 	s.jobIndex.update(j, s.Now)
 }
 
-// Distant tells whether an attempt runs away from the data of its step.
+// Distant reports whether an attempt runs outside the preferred rack of its step, where
+// its data is.
 func (s *Store) Distant(lease *Lease) bool {
 	preferred := s.Jobs[lease.Task.Job].Spec.Steps[lease.Task.Step].PreferredRack
 	return preferred != "" && preferred != s.Runners[lease.Runner].Rack
 }
 
-// nextGangAttempt is the number that the next attempts of all the tasks can share.
+// nextGangAttempt returns an attempt number that none of the tasks has used, for all of
+// them to share.
 func (j *Job) nextGangAttempt(step int, nums []int) uint64 {
 	var next uint64
 	for _, num := range nums {
@@ -170,8 +172,9 @@
 	return lease
 }
 
-// StepTasksOn is the number of tasks of a step with an open lease on the runner, in
-// all occurrences of the job together, as the step's MaxPerRunner counts them.
+// StepTasksOn returns the number of tasks of a step with an open lease on the runner,
+// summed over all occurrences of the job. This is the number that the step's MaxPerRunner
+// limits.
 func (s *Store) StepTasksOn(j *Job, step int, r *Runner) int64 {
 	var count int64
 	for _, lease := range r.leases {
@@ -182,8 +185,8 @@
 	return count
 }
 
-// rootKey is the key that the job was submitted under: of an occurrence, the
-// repeated job's.
+// rootKey returns the key that the job was submitted under: for an occurrence, the key of
+// the repeated job.
 func (j *Job) rootKey() identifier.JobKey {
 	if j.Parent != "" {
 		return j.Parent
--- a/internal/state/queue_attempts.go
+++ b/internal/state/queue_attempts.go
@@ -2,10 +2,11 @@
 
 import "orchidward/internal/api/identifier"
 
-// unknownAttempt stands for the number of an attempt whose lease is no longer kept.
+// unknownAttempt is the attempt number used when the lease of the attempt no longer
+// exists.
 const unknownAttempt uint64 = 0
 
-// endQueuedAttempt decides what becomes of a task of a queue's job whose lease has
+// endQueuedAttempt determines the next state of a task of a queue's job whose lease has
 // ended.
 func (s *Store) endQueuedAttempt(j *Job, lease *Lease, outcome Outcome) {
 	task := j.Task(lease.Task)
@@ -41,7 +42,7 @@
 	}
 }
 
-// succeedTasks ends the task with success, and with it every member of its gang.
+// succeedTasks marks the task, and every member of its gang, as succeeded.
 func (s *Store) succeedTasks(j *Job, ref identifier.TaskRef) {
 	s.setTaskState(j, ref, Succeeded)
 	if !j.Spec.Steps[ref.Step].Gang {
@@ -54,9 +55,9 @@
 	}
 }
 
-// countQueuedDefect counts a failed attempt against the terms of the job's queue. An
-// attempt of a gang counts once, whichever members report it; the count is kept with
-// the first member. Services may fail any number of times.
+// countQueuedDefect counts a failed attempt against the maximum in the terms of the job's
+// queue. An attempt of a gang counts once however many members report it; the count is
+// kept with the first member. Services may fail any number of times.
 func (s *Store) countQueuedDefect(j *Job, ref identifier.TaskRef, runner identifier.Runner, attempt uint64) {
 	task := j.Task(ref)
 	task.AvoidRunner = runner
@@ -80,7 +81,7 @@
 	s.failQueuedJob(j, ref)
 }
 
-// failQueuedJob fails a job whose task has used up its attempts.
+// failQueuedJob fails a job one of whose tasks has used up its attempts.
 func (s *Store) failQueuedJob(j *Job, ref identifier.TaskRef) {
 	task := j.Task(ref)
 	if task.State == Placed {
--- a/internal/state/queue_jobs.go
+++ b/internal/state/queue_jobs.go
@@ -8,26 +8,27 @@
 	"orchidward/internal/clock"
 )
 
-// QueueTerms are the terms of the job's queue as they stood when the job was
-// accepted. Later changes of the catalogue don't touch them.
+// QueueTerms are the terms of the job's queue at the time the job was accepted. Later
+// catalogue changes do not affect them.
 type QueueTerms struct {
 	Queue string `json:"queue"`
 	Pool  string `json:"pool"`
 	// Priority 0 is the highest.
 	Priority int64 `json:"rank"`
-	// MaxAttempts is the number of failed attempts that fail a task.
+	// MaxAttempts is the number of failed attempts after which a task fails.
 	MaxAttempts int64 `json:"tries"`
-	// Target is the time that the job may take: its critical path times the
-	// queue's latency factor, and the queue's latency target.
+	// Target is the time allowed for the job: its critical path times the queue's latency
+	// factor, plus the queue's latency target.
 	Target clock.Millis `json:"aimMs"`
-	// DueAt is Target after the job's acceptance or its occurrence's time.
+	// DueAt is Target after the acceptance of the job or the scheduled time of its
+	// occurrence.
 	DueAt clock.ClusterTime `json:"due"`
 }
 
-// maxQueuedTasks bounds the waiting tasks of all queues.
+// maxQueuedTasks bounds the waiting tasks of all queues together.
 const maxQueuedTasks = 60_000
 
-// submitToQueue takes a job for a queue of the catalogue.
+// submitToQueue accepts a job for a queue of the catalogue.
 func (s *Store) submitToQueue(command *SubmitJob, checksum string) Result {
 	if s.Catalog == nil {
 		return retryLater(http.StatusServiceUnavailable, codeNoCatalog, "there is no catalogue yet", retryAfterShortly)
@@ -60,7 +61,7 @@
 	return accepted(http.StatusCreated, newSubmitAck(j.Key, j.Checksum, j.AcceptedAt))
 }
 
-// latencyFactorUnit is the latency factor of 1: factors are in thousandths.
+// latencyFactorUnit is a latency factor of 1: factors are in thousandths.
 const latencyFactorUnit = 1000
 
 func (s *Store) queueTerms(queue *catalog.Queue, j *Job) *QueueTerms {
@@ -75,7 +76,7 @@
 	}
 }
 
-// leaveQueue updates the counts of the job's queue, or its parent, once it has
+// leaveQueue updates the counts of the job's queue, or the job's parent, once the job has
 // ended.
 func (s *Store) leaveQueue(j *Job) {
 	if j.Terms == nil {
@@ -91,8 +92,8 @@
 	}
 }
 
-// EligibleOn tells whether the runner belongs to the pool of the job's queue. Jobs
-// of rows run on the runners that belong to no pool.
+// EligibleOn reports whether the runner belongs to the pool of the job's queue. Jobs of
+// rows run on runners without a pool.
 func (j *Job) EligibleOn(r *Runner) bool {
 	if j.Terms == nil {
 		return r.Pool == ""
--- a/internal/state/repeat.go
+++ b/internal/state/repeat.go
@@ -10,24 +10,24 @@
 // maxOccurrencesPerCommand bounds the occurrences that one command starts.
 const maxOccurrencesPerCommand = 64
 
-// nextOccurrence is when the next occurrence of a repeated job is due.
+// nextOccurrence returns the scheduled time of the next occurrence of a repeated job.
 func (j *Job) nextOccurrence() clock.ClusterTime { return j.Spec.Repeat.DueAt(j.Occurrences) }
 
-// moreOccurrences tells whether a repeated job has occurrences to come.
+// moreOccurrences reports whether a repeated job has occurrences that have not started.
 func (j *Job) moreOccurrences() bool { return j.Occurrences < j.Spec.Repeat.Count }
 
-// occurrencesDone tells whether no occurrence is open and none is to come.
+// occurrencesDone reports whether no occurrence is open and no more will be started.
 func (j *Job) occurrencesDone() bool {
 	return j.openOccurrences == 0 && (j.Cancelled || !j.moreOccurrences())
 }
 
-// occurrenceKey is the key of one occurrence of a repeated job, counted from 0.
+// occurrenceKey returns the key of one occurrence of a repeated job, numbered from 0.
 func occurrenceKey(parent identifier.JobKey, number int64) identifier.JobKey {
 	return identifier.JobKey(string(parent) + "." + strconv.FormatInt(number, 10))
 }
 
-// startDueOccurrences makes a job of its own from each occurrence that is due.
-// Occurrences of one job may overlap.
+// startDueOccurrences creates a separate job for each occurrence that is due. Occurrences
+// of one job may overlap.
 func (s *Store) startDueOccurrences() {
 	for range maxOccurrencesPerCommand {
 		parent := s.jobIndex.nextRepeating()
@@ -66,7 +66,7 @@
 	s.foldChecksum(occurrence.Seq)
 }
 
-// occurrenceEnded tells the repeated job that one of its occurrences has ended.
+// occurrenceEnded updates the repeated job after one of its occurrences has ended.
 func (s *Store) occurrenceEnded(occurrence *Job) {
 	parent := s.Jobs[occurrence.Parent]
 	if parent == nil {
@@ -79,8 +79,8 @@
 	s.completeJob(parent)
 }
 
-// abortOccurrences cancels the open occurrences of a repeated job and starts no
-// further ones.
+// abortOccurrences cancels the open occurrences of a repeated job and prevents further
+// ones from starting.
 func (s *Store) abortOccurrences(j *Job, reason string) {
 	if j.Spec.Repeat == nil {
 		return
@@ -97,7 +97,7 @@
 }
 
 // indexQueueJobs counts the unfinished jobs of queues and the open occurrences of
-// repeated jobs, and orders the repeated jobs by their next occurrence.
+// repeated jobs, and indexes the repeated jobs by their next occurrence.
 func (s *Store) indexQueueJobs() {
 	for _, j := range s.Jobs {
 		if j.Terms == nil || j.EndState != "" {
@@ -116,7 +116,8 @@
 	}
 }
 
-// addRepeatedJob keeps the job itself, without tasks, until an occurrence is due.
+// addRepeatedJob adds the repeated job itself, which has no tasks; its occurrences are
+// created when they are due.
 func (s *Store) addRepeatedJob(j *Job) {
 	s.Jobs[j.Key] = j
 	s.jobIndex.add(j)
--- a/internal/state/result.go
+++ b/internal/state/result.go
@@ -6,26 +6,26 @@
 	"orchidward/internal/clock"
 )
 
-// Result is the outcome of a command, for whoever sent it. Commands of the leader
+// Result is the outcome of a command, for its sender. Commands that the leader issues
 // itself have the zero Result.
 type Result struct {
 	// Status is an HTTP status.
 	Status int
-	// Code names the reason of a rejection in one word, for programs.
+	// Code is the machine-readable reason for a rejection.
 	Code string
-	// Message names the reason of a rejection, for people.
+	// Message is the human-readable reason for a rejection.
 	Message string
-	// Body is a document to be encoded as JSON, nil for none.
+	// Body is a document to be encoded as JSON, or nil.
 	Body any
-	// RetryAfter is how long to wait before sending a rejected command again, in
-	// milliseconds; 0 when that is of no use.
+	// RetryAfter is the time to wait before sending a rejected command again, in
+	// milliseconds; 0 if a retry would not succeed.
 	RetryAfter clock.Millis
 }
 
-// OK tells whether the command was accepted.
+// OK reports whether the command was accepted.
 func (r Result) OK() bool { return r.Status < http.StatusMultipleChoices }
 
-// The codes of rejections.
+// Codes of rejections.
 const (
 	codeBusy            = "busy"
 	codeDrainIDTaken    = "id-taken"
@@ -53,7 +53,7 @@
 	codeTooManyRows     = "too-many-rows"
 )
 
-// How long to wait after a rejection, by what has to happen first.
+// Times to wait after a rejection, by the event that must happen first.
 const (
 	retryAfterShortly clock.Millis = 1_000
 	retryAfterPlacing clock.Millis = 2_000
--- a/internal/state/row_attempts.go
+++ b/internal/state/row_attempts.go
@@ -5,8 +5,7 @@
 	"orchidward/internal/api/limits"
 )
 
-// endRowAttempt decides what becomes of a task of a row's job whose lease has
-// ended.
+// endRowAttempt determines the next state of a task of a row's job whose lease has ended.
 func (s *Store) endRowAttempt(j *Job, lease *Lease, outcome Outcome) {
 	task := j.Task(lease.Task)
 	if task.Lease != lease.ID || task.State != Placed {
@@ -38,8 +37,8 @@
 	}
 }
 
-// rescheduleTask makes a task that lost its attempt wait for a new placement, for
-// its runner or for the end of the drain, as its row has chosen.
+// rescheduleTask makes a task that lost its attempt wait for a new placement, for its
+// runner to return, or for the end of the drain, depending on the row's settings.
 func (s *Store) rescheduleTask(j *Job, lease *Lease, outcome Outcome) {
 	task := j.Task(lease.Task)
 	row := j.Spec.Row
@@ -67,9 +66,8 @@
 	}
 }
 
-// inheritDisplacement marks a task that was preempted for displaced work as
-// displaced by the same drain, so that it may preempt strictly cheaper work in its
-// turn.
+// inheritDisplacement marks a task that was preempted by displaced work as displaced by
+// the same drain, so that it may in turn preempt strictly cheaper work.
 func (s *Store) inheritDisplacement(j *Job, task *Task) {
 	if s.Level < CatalogLevel || s.Limits.Cell(j.Spec.Row, limits.ColumnOnOutage) != limits.OnOutagePreempt {
 		return
@@ -83,8 +81,8 @@
 	}
 }
 
-// countDefect counts a reported defect against the task's allowance and fails the
-// job once that is used up.
+// countDefect counts a reported defect against the task's allowed defects and fails the
+// job once they are used up.
 func (s *Store) countDefect(j *Job, ref identifier.TaskRef, runner identifier.Runner) {
 	task := j.Task(ref)
 	task.Defects++
--- a/internal/state/runner.go
+++ b/internal/state/runner.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/clock"
 )
 
-// Runner is what the state keeps of one runner: its last report, the incarnations
-// before the current one, and how its recent attempts ended.
+// Runner is the state of one runner: its last report, its previous incarnations, and the
+// outcomes of its recent attempts.
 type Runner struct {
 	Name        identifier.Runner      `json:"name"`
 	Incarnation identifier.Incarnation `json:"inc"`
@@ -17,18 +17,18 @@
 	Labels      []identifier.Label     `json:"labels,omitempty"`
 	Domain      identifier.Domain      `json:"domain"`
 	Rack        identifier.Rack        `json:"rack"`
-	// Draining runners have announced that they leave at DepartsAt.
+	// Draining is set once the runner has announced its departure at DepartsAt.
 	Draining  bool              `json:"draining,omitempty"`
 	DepartsAt clock.ClusterTime `json:"departsAt,omitempty"`
-	// Gone runners were counted lost and have not reported since.
+	// Gone is set once the runner was counted lost, until it reports again.
 	Gone             bool                     `json:"gone,omitempty"`
 	PastIncarnations []identifier.Incarnation `json:"past,omitempty"`
-	// Successes and Defects count recent ends, see recordOutcome.
+	// Successes and Defects count the outcomes of recent attempts, see recordOutcome.
 	Successes int64 `json:"good"`
 	Defects   int64 `json:"bad"`
-	// Pool is the pool of the catalogue that the runner serves, empty for none.
+	// Pool is the pool of the catalogue that the runner serves, or empty.
 	Pool string `json:"pool,omitempty"`
-	// AgentAddr is the address of the agent that speaks for the runner, if one does.
+	// AgentAddr is the address of the agent that acts for the runner, or empty.
 	AgentAddr string `json:"addr,omitempty"`
 
 	used       job.Demand
@@ -37,38 +37,39 @@
 }
 
 const (
-	// maxPastIncarnations is the number of earlier incarnations that are rejected.
+	// maxPastIncarnations is the number of previous incarnations that are remembered and
+	// rejected.
 	maxPastIncarnations = 16
-	// maxOutcomes is the number of ends above which the counts are halved.
+	// maxOutcomes is the total number of outcomes above which both counts are halved.
 	maxOutcomes = 64
 )
 
-// Used is the demand of the runner's open leases, revoked ones included.
+// Used returns the demand of the runner's open leases, including revoked ones.
 func (r *Runner) Used() job.Demand { return r.used }
 
-// Free is the capacity less what open leases take. It is negative when the runner
-// has reported a smaller capacity since.
+// Free returns the capacity minus the demand of the open leases. It is negative if the
+// runner has since reported a smaller capacity.
 func (r *Runner) Free() job.Demand { return r.Capacity.Minus(r.used) }
 
-// CordonedBy is the id of the drain that cordons the runner, empty when none does.
+// CordonedBy returns the id of the drain that cordons the runner, or an empty string.
 func (r *Runner) CordonedBy() string { return r.cordonedBy }
 
-// OpenLeases is the number of open leases, revoked ones included.
+// OpenLeases returns the number of open leases, including revoked ones.
 func (r *Runner) OpenLeases() int { return len(r.leases) }
 
-// WasIncarnation tells whether the incarnation is an earlier one of this runner.
+// WasIncarnation reports whether the incarnation is a previous one of this runner.
 func (r *Runner) WasIncarnation(incarnation identifier.Incarnation) bool {
 	return slices.Contains(r.PastIncarnations, incarnation)
 }
 
-// EachLease visits the runner's open leases, in no order.
+// EachLease visits the runner's open leases, in no particular order.
 func (r *Runner) EachLease(visit func(lease *Lease)) {
 	for _, lease := range r.leases {
 		visit(lease)
 	}
 }
 
-// LeaseIDs lists the runner's open leases in ascending order.
+// LeaseIDs returns the ids of the runner's open leases in ascending order.
 func (r *Runner) LeaseIDs() []identifier.LeaseID {
 	ids := make([]identifier.LeaseID, 0, len(r.leases))
 	for id := range r.leases {
@@ -78,14 +79,14 @@
 	return ids
 }
 
-// resetDerived clears what rebuildIndexes derives.
+// resetDerived clears the fields that rebuildIndexes derives.
 func (r *Runner) resetDerived() {
 	r.used = job.Demand{}
 	r.leases = map[identifier.LeaseID]*Lease{}
 	r.cordonedBy = ""
 }
 
-// update takes over a report of the current incarnation.
+// update copies the properties from a report of the current incarnation.
 func (r *Runner) update(report *ReportRunner) {
 	r.Capacity = report.Capacity
 	r.Labels = report.Labels
@@ -103,8 +104,8 @@
 	r.Incarnation = incarnation
 }
 
-// recordOutcome counts the end of an attempt. Recent ends weigh more, since both
-// counts are halved whenever their sum grows past maxOutcomes.
+// recordOutcome counts the outcome of an attempt. Recent outcomes weigh more, since both
+// counts are halved whenever their sum exceeds maxOutcomes.
 func (r *Runner) recordOutcome(success bool) {
 	if success {
 		r.Successes++
--- a/internal/state/runner_index.go
+++ b/internal/state/runner_index.go
@@ -6,12 +6,12 @@
 	"orchidward/internal/api/identifier"
 )
 
-// runnerIndex holds what is derived from the runners.
+// runnerIndex holds the indexes derived from the runners.
 type runnerIndex struct {
 	// names is in ascending order.
 	names []identifier.Runner
-	// changed has the runners whose leases or cordon changed since the leader last
-	// took them.
+	// changed holds the runners whose leases or cordon have changed since the last call
+	// of TakeChangedRunners.
 	changed map[identifier.Runner]bool
 }
 
@@ -27,12 +27,12 @@
 
 func (x *runnerIndex) markChanged(name identifier.Runner) { x.changed[name] = true }
 
-// RunnerNames lists the runners in ascending order. The caller must not change the
-// list.
+// RunnerNames returns the names of the runners in ascending order. The caller must not
+// modify the slice.
 func (s *Store) RunnerNames() []identifier.Runner { return s.runnerIndex.names }
 
-// TakeChangedRunners visits, in no order, the runners whose leases or cordon
-// changed since the last call, and forgets them.
+// TakeChangedRunners visits, in no particular order, the runners whose leases or cordon
+// have changed since the last call, and clears the set.
 func (s *Store) TakeChangedRunners(visit func(name identifier.Runner)) {
 	for name := range s.runnerIndex.changed {
 		visit(name)
--- a/internal/state/runner_lifecycle.go
+++ b/internal/state/runner_lifecycle.go
@@ -6,8 +6,8 @@
 	"orchidward/internal/api/identifier"
 )
 
-// reportRunner takes what a runner says of itself. A new incarnation ends all
-// leases of the one before as lost; an earlier incarnation is rejected.
+// reportRunner applies a runner's report. A new incarnation ends all leases of the
+// previous one as lost; a report of a previous incarnation is rejected.
 func (s *Store) reportRunner(command *ReportRunner) Result {
 	runner := s.Runners[command.Runner]
 	switch {
@@ -37,7 +37,7 @@
 	return runner
 }
 
-// loseRunner counts a runner as lost, unless another incarnation has reported.
+// loseRunner counts a runner as lost, unless another incarnation of it has reported.
 func (s *Store) loseRunner(command *LoseRunner) {
 	runner := s.Runners[command.Runner]
 	if runner == nil || runner.Incarnation != command.Incarnation {
@@ -56,8 +56,8 @@
 	}
 }
 
-// releaseAwaiting makes the tasks wait for a placement that waited for the runner:
-// its new incarnation has reported, and runs none of them.
+// releaseAwaiting returns the tasks that waited for the runner to the Waiting state: its
+// new incarnation has reported and runs none of them.
 func (s *Store) releaseAwaiting(name identifier.Runner) {
 	s.eachUnfinishedTask(func(j *Job, ref identifier.TaskRef, task *Task) {
 		if task.State == AwaitingRunner && task.LastRunner == name {
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -9,17 +9,17 @@
 	"github.com/go-faster/errors"
 )
 
-// snapshotMagic begins a snapshot of the second version: then follow the length of
-// the JSON document in four bytes, the document, and the packed records of the
-// dedup cache. A snapshot of the first version is the document alone, with the
-// records inside.
+// snapshotMagic is the prefix of a version 2 snapshot. It is followed by the length of
+// the JSON document in four bytes, the document, and the packed records of the dedup
+// cache. A version 1 snapshot consists of the document alone, which then contains the
+// records.
 const snapshotMagic = "OWVIEW2\n"
 
-// snapshotLengthSize is the size of the document's length, in bytes.
+// snapshotLengthSize is the size of the length field in bytes.
 const snapshotLengthSize = 4
 
-// ErrTruncatedSnapshot is returned by Decode for a snapshot that is shorter than
-// its own header says.
+// ErrTruncatedSnapshot is returned by Decode for a snapshot that is shorter than its
+// header says.
 var ErrTruncatedSnapshot = errors.New("snapshot is truncated")
 
 // Encode returns a snapshot of the state.
@@ -56,8 +56,8 @@
 	return s, nil
 }
 
-// splitSnapshot returns the document and the packed dedup records; the records
-// are nil for a snapshot of the first version.
+// splitSnapshot returns the document and the packed dedup records; the records are nil
+// for a version 1 snapshot.
 func splitSnapshot(snapshot []byte) (document, records []byte, err error) {
 	rest, ok := bytes.CutPrefix(snapshot, []byte(snapshotMagic))
 	if !ok {
--- a/internal/state/store.go
+++ b/internal/state/store.go
@@ -24,17 +24,17 @@
 	NextDrain  uint64                     `json:"nextClosing"`
 	Limits     *limits.Table              `json:"table"`
 	Jobs       map[identifier.JobKey]*Job `json:"jobs"`
-	// EndedJobs lists the ended jobs whose details are still kept, in the order in
-	// which they ended.
+	// EndedJobs lists the ended jobs whose details are still kept, in the order in which
+	// they ended.
 	EndedJobs []identifier.JobKey           `json:"over"`
 	Leases    map[identifier.LeaseID]*Lease `json:"grants"`
 	Runners   map[identifier.Runner]*Runner `json:"runners"`
 	Drains    map[string]*Drain             `json:"closings"`
-	// Dedup remembers the jobs whose details were dropped. Encode writes it behind
-	// the document; only snapshots of the first version have it inside.
+	// Dedup remembers the jobs whose details were dropped. Encode writes it after the
+	// document; only version 1 snapshots contain it in the document.
 	Dedup *DedupCache `json:"known,omitempty"`
-	// PreviousLeaseSpan is the lease duration that was in force until
-	// LeaseSpanChangedAt, set when the duration is lowered.
+	// PreviousLeaseSpan is the lease duration that was in force until LeaseSpanChangedAt.
+	// It is set when the duration is lowered.
 	PreviousLeaseSpan  clock.Millis      `json:"oldGrantMs,omitempty"`
 	LeaseSpanChangedAt clock.ClusterTime `json:"oldGrantAt,omitempty"`
 	// Level is the level of commands and rules in use, see SupportedLevel.
@@ -42,27 +42,27 @@
 	// Checksum is the running checksum, see foldChecksum.
 	Checksum uint64           `json:"sum,omitempty"`
 	Catalog  *catalog.Catalog `json:"catalog,omitempty"`
-	// Tombstones are in the order in which they expire.
+	// Tombstones are ordered by expiry.
 	Tombstones []Tombstone `json:"idHolds,omitempty"`
 
 	rules       *admission.Rules
 	jobIndex    *jobIndex
 	runnerIndex *runnerIndex
-	// inUse is the demand of the open leases of each row.
+	// inUse is the total demand of the open leases of each row.
 	inUse map[identifier.Row]job.Demand
-	// tenantUse is the demand of the open leases of each tenant's jobs.
+	// tenantUse is the total demand of the open leases of each tenant's jobs.
 	tenantUse map[string]job.Demand
-	// tenantRates is how fast tenants hand jobs in. Like the time of jobs it is not part of
-	// snapshots.
+	// tenantRates tracks how fast tenants submit jobs. Like the timing of jobs, it is not
+	// part of snapshots.
 	tenantRates map[string]*tenantRate
 }
 
 const (
-	// MaxJobIDs bounds the jobs and the remembered ids together.
+	// MaxJobIDs bounds the total number of jobs and remembered ids.
 	MaxJobIDs = 1_500_000
-	// MaxRunners bounds the runners.
+	// MaxRunners bounds the number of runners.
 	MaxRunners = 2048
-	// maxDrains is the number of drains above which those that are over are dropped.
+	// maxDrains is the number of drains above which finished ones are dropped.
 	maxDrains = 64
 )
 
@@ -110,21 +110,21 @@
 	s.updateCordons()
 }
 
-// InUse is the demand of the row's open leases, revoked ones included.
+// InUse returns the total demand of the row's open leases, including revoked ones.
 func (s *Store) InUse(row identifier.Row) job.Demand { return s.inUse[row] }
 
-// Cordoned tells whether the runner is known and cordoned by a drain.
+// Cordoned reports whether the runner is known and cordoned by a drain.
 func (s *Store) Cordoned(name identifier.Runner) bool {
 	runner := s.Runners[name]
 	return runner != nil && runner.cordonedBy != ""
 }
 
-// previousSpanFactor is for how many times its length a lease duration still counts
-// after it was lowered.
+// previousSpanFactor is the multiple of a lowered lease duration for which the previous
+// value remains in effect.
 const previousSpanFactor = 3
 
-// LeaseSpan is how long a runner may go on working after its last contact, in
-// milliseconds. After the duration was lowered, the longer one counts until no
+// LeaseSpan returns how long a runner may keep working after its last contact, in
+// milliseconds. After the duration was lowered, the previous value is returned until no
 // runner can still be using it.
 func (s *Store) LeaseSpan() clock.Millis {
 	span := s.Limits.SiteMillis(limits.SiteLeaseSpan)
@@ -134,7 +134,7 @@
 	return span
 }
 
-// TotalCapacity is the capacity of all runners that are not lost.
+// TotalCapacity returns the capacity of all runners that are not lost.
 func (s *Store) TotalCapacity() job.Demand {
 	var total job.Demand
 	for _, runner := range s.Runners {
@@ -145,7 +145,7 @@
 	return total
 }
 
-// DrainIDs lists the drains by the time they began, then by id.
+// DrainIDs returns the ids of the drains, ordered by start time and then by id.
 func (s *Store) DrainIDs() []string {
 	return slices.SortedFunc(maps.Keys(s.Drains), func(a, b string) int {
 		first, second := s.Drains[a], s.Drains[b]
--- a/internal/state/submit.go
+++ b/internal/state/submit.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/clock"
 )
 
-// SubmitAck is the answer to an accepted job; a resend gets the very same one.
+// SubmitAck is the response to an accepted job; a resend gets an identical one.
 type SubmitAck struct {
 	Job      identifier.JobKey `json:"job"`
 	Checksum string            `json:"sum"`
@@ -23,10 +23,10 @@
 // timeLayout is RFC 3339 with milliseconds.
 const timeLayout = "2006-01-02T15:04:05.000Z07:00"
 
-// FormatTime writes a cluster time as RFC 3339 in UTC, with milliseconds.
+// FormatTime formats a cluster time as RFC 3339 in UTC, with milliseconds.
 func FormatTime(at clock.ClusterTime) string { return at.Time().Format(timeLayout) }
 
-// submitJob accepts a job, or answers a resend as the first time.
+// submitJob accepts a job. A resend gets the same response as the first submission.
 func (s *Store) submitJob(command *SubmitJob) Result {
 	checksum := command.Spec.Checksum()
 	if j := s.Jobs[command.Key]; j != nil {
@@ -50,7 +50,7 @@
 	return s.submitToRow(command, checksum)
 }
 
-// submitToRow takes a job for a row of the limits table.
+// submitToRow accepts a job for a row of the limits table.
 func (s *Store) submitToRow(command *SubmitJob, checksum string) Result {
 	var faults jsondoc.FieldErrors
 	row := command.Spec.Row
@@ -87,7 +87,7 @@
 	return j
 }
 
-// startTime is the earliest time of the job's first placement, 0 for at once.
+// startTime returns the earliest time of the job's first placement, 0 for immediately.
 func (s *Store) startTime(spec *job.Spec) clock.ClusterTime {
 	if spec.Delay > 0 {
 		return s.Now.Add(spec.Delay)
--- a/internal/state/task.go
+++ b/internal/state/task.go
@@ -9,30 +9,30 @@
 // Task is one unit of work of a step.
 type Task struct {
 	State TaskState `json:"state"`
-	// Defects counts the reported defects, in a gang of a queue's job those of all
-	// members with the first.
+	// Defects counts the reported defects. For a gang of a queue's job, the first member
+	// holds the count of all members.
 	Defects int64 `json:"defects,omitempty"`
-	// Lease is the open lease of a placed task, 0 for none.
+	// Lease is the open lease of a placed task, or 0.
 	Lease identifier.LeaseID `json:"grant,omitempty"`
-	// AvoidRunner is the runner that placement avoids, because of the last defect
-	// there.
+	// AvoidRunner is a runner that placement avoids, because the last defective, stalled
+	// or slow attempt ran there.
 	AvoidRunner identifier.Runner `json:"shun,omitempty"`
-	// DisplacedBy is the drain that displaced the task, empty for none.
+	// DisplacedBy is the id of the drain that displaced the task, or empty.
 	DisplacedBy string `json:"closing,omitempty"`
 	// LostLeases are the leases that were counted lost, newest last, so that a late
-	// report of one of them is recognised.
+	// report of their end is recognised.
 	LostLeases []identifier.LeaseID `json:"past,omitempty"`
 	// LastRunner is the runner of the last lease.
 	LastRunner identifier.Runner `json:"on,omitempty"`
-	// Reason tells people why the task is in its state.
+	// Reason explains to users why the task is in its state.
 	Reason string `json:"why,omitempty"`
-	// Attempt is the number of the last attempt, LostAttempts are those of
-	// LostLeases, and LastDefectiveAttempt is the last that counted as a defect.
-	// They are used by the jobs of queues only.
+	// Attempt is the number of the last attempt, LostAttempts are the attempt numbers of
+	// LostLeases, and LastDefectiveAttempt is the last attempt counted as a defect. Only
+	// jobs of queues use them.
 	Attempt              uint64   `json:"no,omitempty"`
 	LostAttempts         []uint64 `json:"pastNo,omitempty"`
 	LastDefectiveAttempt uint64   `json:"bad,omitempty"`
-	// Checkpoint is what the next attempt goes on from.
+	// Checkpoint is the checkpoint from which the next attempt resumes.
 	Checkpoint string `json:"saved,omitempty"`
 }
 
@@ -47,7 +47,7 @@
 	t.LostAttempts = keepLast(append(t.LostAttempts, lease.Attempt), maxLostLeases)
 }
 
-// forgetLostLease removes a lease from the lost ones and tells whether it was among
+// forgetLostLease removes a lease from the lost ones and reports whether it was among
 // them.
 func (t *Task) forgetLostLease(id identifier.LeaseID) bool {
 	index := slices.Index(t.LostLeases, id)
--- a/internal/state/task_state.go
+++ b/internal/state/task_state.go
@@ -8,11 +8,11 @@
 	Waiting TaskState = "waiting"
 	// Placed tasks have an open lease on a runner.
 	Placed TaskState = "placed"
-	// AwaitingRunner tasks lost their runner and wait for it to answer again, as their
-	// row's onLoss cell says.
+	// AwaitingRunner tasks lost their runner and wait for it to answer again, as
+	// configured by their row's onLoss cell.
 	AwaitingRunner TaskState = "held"
-	// Suspended tasks wait until the drain that displaced them is over, as their
-	// row's onOutage cell says.
+	// Suspended tasks wait until the drain that displaced them is over, as configured by
+	// their row's onOutage cell.
 	Suspended TaskState = "riding"
 	// Succeeded tasks have ended with success.
 	Succeeded TaskState = "well"
@@ -22,8 +22,9 @@
 	Cancelled TaskState = "cancelled"
 )
 
-// Ended tells whether the state is final.
+// Ended reports whether the state is final.
 func (s TaskState) Ended() bool { return s == Succeeded || s == Failed || s == Cancelled }
 
-// Unplaced tells whether a task in this state counts as waiting in its row's limit.
+// Unplaced reports whether a task in this state counts as waiting against its row's
+// limit.
 func (s TaskState) Unplaced() bool { return s == Waiting || s == AwaitingRunner || s == Suspended }
--- a/internal/state/tenant_rate.go
+++ b/internal/state/tenant_rate.go
@@ -3,22 +3,24 @@
 import "orchidward/internal/clock"
 
 const (
-	// jobCredit is what a job takes of its tenant's credit, which grows by the tenant's
-	// weight each millisecond.
+	// jobCredit is the credit that a job costs its tenant. The credit grows by the
+	// tenant's weight each millisecond.
 	jobCredit = 1_000_000
-	// creditSpan is how long credit is collected while a tenant hands nothing in, or until
-	// it is enough for one job; maxCreditSpan bounds that.
+	// creditSpan is the time for which an idle tenant accumulates credit; a tenant whose
+	// weight is too low to earn the credit of one job in that time accumulates until it
+	// has enough for one. maxCreditSpan bounds the time counted at once.
 	creditSpan    clock.Millis = 5000
 	maxCreditSpan clock.Millis = 24 * 60 * 60 * 1000
 )
 
-// tenantRate is how fast a tenant hands jobs in, as a token bucket that its weight fills.
+// tenantRate is a token bucket, filled according to the weight of a tenant, that limits
+// how fast the tenant may submit jobs within its share.
 type tenantRate struct {
 	credit     int64
 	refilledAt clock.ClusterTime
 }
 
-// take takes a job's credit and tells whether there was enough.
+// take deducts the credit of one job and reports whether there was enough.
 func (r *tenantRate) take(weight int64, now clock.ClusterTime) bool {
 	limit := max(jobCredit, weight*int64(creditSpan))
 	gained := weight * int64(min(now.Since(r.refilledAt), maxCreditSpan))
@@ -31,8 +33,8 @@
 	return true
 }
 
-// exceedsShare counts a job that is handed in, and tells whether its tenant hands in more
-// than its weight.
+// exceedsShare counts a submitted job and reports whether its tenant submits jobs faster
+// than its weight allows.
 func (s *Store) exceedsShare(j *Job) bool {
 	name := j.Spec.Tenant
 	if name == "" {
@@ -50,7 +52,7 @@
 	return !rate.take(tenant.Weight, s.Now)
 }
 
-// dropTenantRates forgets the rates of tenants that the catalogue no longer has.
+// dropTenantRates drops the rates of tenants that are no longer in the catalogue.
 func (s *Store) dropTenantRates() {
 	for name := range s.tenantRates {
 		if s.Catalog.Tenant(name) == nil {
--- a/internal/state/tenants.go
+++ b/internal/state/tenants.go
@@ -5,12 +5,13 @@
 	"orchidward/internal/api/job"
 )
 
-// TenantUse is the demand of the open leases of a tenant's jobs, revoked ones included: a
-// task counts until its end is reported or its runner is surely dead.
+// TenantUse returns the total demand of the open leases of a tenant's jobs, including
+// revoked ones: a task counts until its end is reported or its runner is certain to be
+// dead.
 func (s *Store) TenantUse(tenant string) job.Demand { return s.tenantUse[tenant] }
 
-// TenantQuota is what a tenant may have in use, without bounds for one that the catalogue
-// doesn't have.
+// TenantQuota returns the quota of a tenant, which is unlimited for a tenant that is not
+// in the catalogue.
 func (s *Store) TenantQuota(tenant string) catalog.Quota {
 	if s.Catalog == nil || tenant == "" {
 		return catalog.Quota{}
@@ -22,10 +23,10 @@
 	return found.Quota
 }
 
-// TenantOf is the tenant that a lease counts for, empty for none.
+// TenantOf returns the tenant that a lease is charged to, or an empty string.
 func (s *Store) TenantOf(lease *Lease) string { return s.Jobs[lease.Task.Job].Spec.Tenant }
 
-// countTenantUse sets the use of a lease's tenant.
+// countTenantUse sets the total use of the tenant that a lease is charged to.
 func (s *Store) countTenantUse(lease *Lease, use job.Demand) {
 	tenant := s.TenantOf(lease)
 	switch {
@@ -37,19 +38,19 @@
 	}
 }
 
-// withinQuota tells whether tasks may be placed by the quota of their job's tenant.
+// withinQuota reports whether the quota of the job's tenant allows placing the tasks.
 func (s *Store) withinQuota(j *Job, task job.Demand, tasks int) bool {
 	tenant := j.Spec.Tenant
 	return tenant == "" || s.TenantQuota(tenant).Admits(s.TenantUse(tenant), task, tasks)
 }
 
-// OverQuota tells whether a tenant has more in use than its quota, as that was lowered or as
-// its last task passed it.
+// OverQuota reports whether a tenant uses more than its quota, because the quota was
+// lowered or because the last task placed exceeded it.
 func (s *Store) OverQuota(tenant string) bool {
 	return tenant != "" && !s.TenantQuota(tenant).Holds(s.TenantUse(tenant))
 }
 
-// AnyOverQuota tells whether some tenant has more in use than its quota.
+// AnyOverQuota reports whether any tenant uses more than its quota.
 func (s *Store) AnyOverQuota() bool {
 	if s.Catalog == nil || len(s.tenantUse) == 0 {
 		return false
@@ -63,7 +64,7 @@
 	return false
 }
 
-// EachTenantLease visits the open leases of a tenant's jobs, in no order.
+// EachTenantLease visits the open leases of a tenant's jobs, in no particular order.
 func (s *Store) EachTenantLease(tenant string, visit func(lease *Lease)) {
 	for _, lease := range s.Leases {
 		if s.TenantOf(lease) == tenant {
--- a/internal/state/tombstones.go
+++ b/internal/state/tombstones.go
@@ -8,18 +8,18 @@
 	"orchidward/internal/clock"
 )
 
-// Tombstone is left by a cancel that finds no job: until it expires, no job of that
-// id is accepted. A cancel can overtake the submission that it is meant for, which
-// would then run a job that its sender has long given up. The tombstone outlives
-// every request that can still be under way, and no more, since the id may be used
-// in earnest afterwards.
+// Tombstone is left by a cancel that finds no job: until it expires, no job of that id is
+// accepted. Without it, a cancel that overtakes the submission it refers to would let the
+// job run although its sender has given up on it. A tombstone outlives every request that
+// may still be in flight, but not longer, since the id may legitimately be used again
+// afterwards.
 type Tombstone struct {
 	Job   identifier.JobKey `json:"job"`
 	Until clock.ClusterTime `json:"until"`
 }
 
 const (
-	// tombstoneLifetime is the longest time that a request may be under way, and a
+	// tombstoneLifetime is the maximum time that a request may be in flight, plus one
 	// second.
 	tombstoneLifetime clock.Millis = 31_000
 	// maxTombstones bounds the tombstones kept at once.
@@ -28,13 +28,13 @@
 	maxTombstonesExpired = 64
 )
 
-// findTombstone returns the position of the job's tombstone, expired or not, or -1.
+// findTombstone returns the index of the job's tombstone, expired or not, or -1.
 func (s *Store) findTombstone(key identifier.JobKey) int {
 	return slices.IndexFunc(s.Tombstones, func(t Tombstone) bool { return t.Job == key })
 }
 
-// tombstoneRemaining is how long jobs of the id are still rejected, 0 when they are
-// not.
+// tombstoneRemaining returns for how long jobs of the id are still rejected, 0 if they
+// are not.
 func (s *Store) tombstoneRemaining(key identifier.JobKey) clock.Millis {
 	i := s.findTombstone(key)
 	if i < 0 {
@@ -43,7 +43,7 @@
 	return max(0, clock.Millis(s.Tombstones[i].Until-s.Now))
 }
 
-// rejectUnknownCancel answers a cancel that found no job.
+// rejectUnknownCancel responds to a cancel that found no job.
 func (s *Store) rejectUnknownCancel(key identifier.JobKey) Result {
 	if s.Level >= ResendLevel && !s.addTombstone(key) {
 		return retryLater(http.StatusServiceUnavailable, codeBusy, "too many ids are held back after cancels", retryAfterShortly)
@@ -51,7 +51,8 @@
 	return rejected(http.StatusNotFound, codeNoJob, "no such job")
 }
 
-// addTombstone adds or renews the job's tombstone; it fails when there are too many.
+// addTombstone adds or renews the job's tombstone; it returns false if there are too
+// many.
 func (s *Store) addTombstone(key identifier.JobKey) bool {
 	s.expireTombstones()
 	if i := s.findTombstone(key); i >= 0 {
@@ -66,7 +67,7 @@
 	return true
 }
 
-// expireTombstones drops expired tombstones, a few with every command.
+// expireTombstones drops expired tombstones, at most maxTombstonesExpired per call.
 func (s *Store) expireTombstones() {
 	expired := 0
 	limit := min(len(s.Tombstones), maxTombstonesExpired)
--- a/internal/state/transitions.go
+++ b/internal/state/transitions.go
@@ -2,8 +2,8 @@
 
 import "orchidward/internal/api/identifier"
 
-// setTaskState changes the state of a task. Every change of a task's state passes
-// through here, so that the counts and the checksum follow it.
+// setTaskState changes the state of a task. Every state change goes through it, so that
+// the counts and the checksum stay consistent.
 func (s *Store) setTaskState(j *Job, ref identifier.TaskRef, taskState TaskState) {
 	task := j.Task(ref)
 	s.jobIndex.countTasks(j, ref.Step, task.State, -1)
@@ -26,7 +26,7 @@
 	s.attachLease(lease)
 }
 
-// attachLease counts an open lease at its runner, its row, its tenant and its job.
+// attachLease adds an open lease to the totals of its runner, row, tenant and job.
 func (s *Store) attachLease(lease *Lease) {
 	runner := s.Runners[lease.Runner]
 	runner.leases[lease.ID] = lease
@@ -36,7 +36,7 @@
 	s.Jobs[lease.Task.Job].openLeases++
 }
 
-// closeLease removes a lease and returns its resources.
+// closeLease removes a lease and releases its resources.
 func (s *Store) closeLease(lease *Lease) {
 	runner := s.Runners[lease.Runner]
 	s.runnerIndex.markChanged(lease.Runner)
