--- a/internal/invariants/checker.go
+++ b/internal/invariants/checker.go
@@ -7,11 +7,11 @@
 	"orchidward/internal/api/job"
 )
 
-// ViolationLog begins the line that is logged for a violation.
+// ViolationLog is the prefix of the line that is logged for a violation.
 const ViolationLog = "BREACH"
 
-// RunnerView is a runner as it stands at this moment. Live is false for one that
-// is dead or frozen: nothing runs there.
+// RunnerView is the current state of a runner. Live is false if the runner is dead or
+// suspended, so that no task runs there.
 type RunnerView struct {
 	Domain      string
 	Incarnation int
@@ -20,30 +20,31 @@
 	Capacity    job.Demand
 }
 
-// Cluster is what a checker reads of the cluster that it checks.
+// Cluster gives a checker access to the cluster under test.
 type Cluster interface {
-	// Time is the present, in milliseconds.
+	// Time returns the current time in milliseconds.
 	Time() int64
-	// Runner describes a runner by name; it is empty for an unknown one.
+	// Runner returns the state of a runner by name, the zero value for an unknown one.
 	Runner(runner string) RunnerView
-	// Quiet tells whether nothing has been wrong for a while.
+	// Quiet reports whether the cluster has been free of faults for a while.
 	Quiet() bool
-	// Undisturbed tells whether nothing is meant to go wrong at all.
+	// Undisturbed reports whether the run injects no faults at all.
 	Undisturbed() bool
-	// Logf logs what the checker sees; a violation begins with ViolationLog.
+	// Logf logs an observation of the checker; a violation begins with ViolationLog.
 	Logf(text string, args ...any)
 }
 
-// Checker checks the invariants of a cluster from outside. It is not safe for
-// concurrent use.
+// Checker checks the invariants of a cluster from outside. It is not safe for concurrent
+// use.
 type Checker struct {
 	// Jobs are the jobs that clients submitted, kept up to date by the clients.
 	Jobs map[identifier.JobKey]*Job
-	// Violations has a line for the first violation of each invariant.
+	// Violations holds one line for the first violation of each invariant.
 	Violations []string
-	// Counts are events by kind, the violations of each invariant among them.
+	// Counts holds the number of events by kind, including the violations of each
+	// invariant.
 	Counts map[string]int
-	// Spans are measured durations in milliseconds by name.
+	// Spans holds measured durations in milliseconds by name.
 	Spans map[string][]int64
 
 	cluster         Cluster
@@ -51,11 +52,11 @@
 	runners         map[string]*runnerHistory
 	drainedSince    map[string]int64
 	incompleteGangs map[gangKey]int64
-	// eventsLost says that the event log of a runner was lost.
+	// eventsLost is set once the event log of a runner was lost.
 	eventsLost bool
 }
 
-// New returns a checker that has seen nothing yet.
+// New returns a checker without any observations.
 func New(cluster Cluster) *Checker {
 	return &Checker{
 		Jobs:            map[identifier.JobKey]*Job{},
@@ -69,8 +70,8 @@
 	}
 }
 
-// Violate records that an invariant is violated. All violations are counted; only
-// the first of each invariant is written down, so that the list stays readable.
+// Violate records a violation of an invariant. All violations are counted; only the first
+// of each invariant is added to Violations, to keep the list readable.
 func (c *Checker) Violate(invariant, text string, args ...any) {
 	count := ViolationCount(invariant)
 	c.Counts[count]++
@@ -87,8 +88,9 @@
 	c.Spans[name] = append(c.Spans[name], ms)
 }
 
-// Sweep checks what lasts: cancelled tasks that run on, incomplete gangs, and
-// tasks that run twice at once. It must be called several times a second.
+// Sweep checks conditions that persist over time: cancelled tasks that keep running,
+// incomplete gangs, and tasks that run more than once at the same time. It must be called
+// several times a second.
 func (c *Checker) Sweep() {
 	for key, j := range c.Jobs {
 		sinceCancel := c.cluster.Time() - j.CancelledAt
--- a/internal/invariants/gangs.go
+++ b/internal/invariants/gangs.go
@@ -5,13 +5,13 @@
 	"orchidward/internal/api/job"
 )
 
-// gangKey names a step whose tasks are a gang.
+// gangKey identifies a step whose tasks form a gang.
 type gangKey struct {
 	job  identifier.JobKey
 	step int
 }
 
-// checkGangs finds gangs of a job that have run incomplete for too long.
+// checkGangs reports gangs of a job that have run incomplete for too long.
 func (c *Checker) checkGangs(key identifier.JobKey, j *Job) {
 	for i, step := range j.Spec.Steps {
 		if step.Gang {
@@ -44,8 +44,8 @@
 	}
 }
 
-// countMembers counts the members of a gang that run, and those that neither run
-// nor have succeeded.
+// countMembers counts the members of a gang that are running, and those that are neither
+// running nor succeeded.
 func (c *Checker) countMembers(key gangKey, step job.Step) (running, missing int) {
 	for _, ref := range taskRefs(key.job, key.step, step) {
 		t := c.tasks[ref]
--- a/internal/invariants/jobs.go
+++ b/internal/invariants/jobs.go
@@ -9,39 +9,39 @@
 	"orchidward/internal/api/job"
 )
 
-// States in which a job has ended, as clients read them.
+// Final states of a job, as reported to clients.
 const (
 	JobSucceeded = "well"
 	JobFailed    = "failed"
 	JobCancelled = "cancelled"
 )
 
-// JobEnded tells whether a job in a state that was read has ended.
+// JobEnded reports whether a job state is final.
 func JobEnded(state string) bool {
 	return state == JobSucceeded || state == JobFailed || state == JobCancelled
 }
 
-// Job is what clients know of a job. Times are in milliseconds, 0 for never.
+// Job is what the clients know about a job. Times are in milliseconds, 0 for never.
 type Job struct {
 	Spec job.Spec
-	// SubmittedAt is when the job was first sent.
+	// SubmittedAt is when the job was first submitted.
 	SubmittedAt int64
 	// AckedAt is when the job was first known to be accepted.
 	AckedAt int64
-	// CancelSent tells that a cancel was sent, acknowledged or not.
+	// CancelSent is set once a cancel was sent, whether acknowledged or not.
 	CancelSent bool
 	// CancelledAt is when a cancel was first acknowledged.
 	CancelledAt int64
 	// StartAt is the true time before which the job must not start.
 	StartAt int64
-	// EndState is the state in which the job is known to have ended.
+	// EndState is the final state of the job, empty while it is not known to have ended.
 	EndState string
 
 	started bool
 }
 
-// JobStateReported records that a client read the state of an accepted job. state
-// is empty if the response's status is not 200.
+// JobStateReported records the state of an accepted job that a client read. state is
+// empty unless the status of the response is 200.
 func (c *Checker) JobStateReported(key identifier.JobKey, status int, state string) {
 	j := c.Jobs[key]
 	if status == http.StatusNotFound {
@@ -66,7 +66,8 @@
 	}
 }
 
-// checkFailureCause requires that a task used up its allowed defects.
+// checkFailureCause checks that some task of a failed job has used up its allowed
+// defects.
 func (c *Checker) checkFailureCause(key identifier.JobKey, j *Job) {
 	for i, step := range j.Spec.Steps {
 		for _, ref := range taskRefs(key, i, step) {
@@ -86,7 +87,7 @@
 	c.Violate(JobStateIsTrue, "job %s failed without a task using up its defects", key)
 }
 
-// runnerOf names a live runner on which a task of a job runs, "" if there is none.
+// runnerOf returns a live runner on which a task of a job runs, or "" if there is none.
 func (c *Checker) runnerOf(key identifier.JobKey, j *Job) string {
 	for i, step := range j.Spec.Steps {
 		for _, ref := range taskRefs(key, i, step) {
@@ -98,7 +99,7 @@
 	return ""
 }
 
-// checkCancelled finds tasks that run on after the cancel of their job.
+// checkCancelled reports tasks that keep running after the cancel of their job.
 func (c *Checker) checkCancelled(key identifier.JobKey, j *Job) {
 	if j.CancelledAt == 0 {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// Done tells whether every submitted job was accepted and is known to have ended.
+// Done reports whether every submitted job was accepted and is known to have ended.
 func (c *Checker) Done() bool {
 	for _, j := range c.Jobs {
 		if j.AckedAt == 0 || j.EndState == "" {
@@ -123,8 +124,8 @@
 	return true
 }
 
-// Finish checks what must have come about by the end, and returns the accepted
-// jobs that have not ended.
+// Finish checks the invariants that must hold at the end of a run, and returns the
+// accepted jobs that have not ended.
 func (c *Checker) Finish() []identifier.JobKey {
 	var stuck []identifier.JobKey
 	unaccepted := 0
--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -1,74 +1,81 @@
 package invariants
 
-// Invariants, by the names of the rows of docs/promises.md.
+// Invariants, named after the rows of docs/promises.md.
 const (
-	// NoStartOnLeavingRunner: no task starts on a runner that is known to leave.
+	// NoStartOnLeavingRunner: no task starts on a runner that has announced its
+	// departure.
 	NoStartOnLeavingRunner = "P1"
 	// NoStartInDrainedDomain: no task starts in a failure domain once its drain is
 	// acknowledged.
 	NoStartInDrainedDomain = "P2"
-	// RunsOnce: no task runs twice at once, or again after it succeeded.
+	// RunsOnce: no task runs more than once at the same time, or again after it
+	// succeeded.
 	RunsOnce = "P3"
 	// StartsInOrder: no task starts before the steps it depends on have succeeded,
 	// or before its start time.
 	StartsInOrder = "P4"
 	// DefectsBounded: no task starts once its allowed defects are used up.
 	DefectsBounded = "P5"
-	// CancelStopsWork: no task of a cancelled job starts, or runs on.
+	// CancelStopsWork: no task of a cancelled job starts or keeps running.
 	CancelStopsWork = "P6"
-	// PlacementFits: no task runs on a runner that lacks a label or the capacity.
+	// PlacementFits: no task runs on a runner that lacks a label or has too little
+	// capacity.
 	PlacementFits = "P7"
 	// GangRunsTogether: the members of a gang run together or not at all.
 	GangRunsTogether = "P8"
-	// JobStateIsTrue: an accepted job is known, and its reported state is true.
+	// JobStateIsTrue: an accepted job is known, and its reported state is accurate.
 	JobStateIsTrue = "P9"
 	// LimitsTableNeverGoesBack: an acknowledged change of the limits table stays in
-	// effect, a rejected one never takes effect.
+	// effect, and a rejected one never takes effect.
 	LimitsTableNeverGoesBack = "P10"
-	// ServiceAvailable: whenever a majority of servers can serve, the cluster does.
+	// ServiceAvailable: the cluster serves requests whenever a majority of its servers
+	// can.
 	ServiceAvailable = "P11"
-	// AnswersComplete: no answer breaks off half-way.
+	// AnswersComplete: no response is truncated.
 	AnswersComplete = "P12"
 
-	// knownJob: no task of a job starts that no client submitted.
+	// knownJob: no task starts that belongs to a job no client submitted.
 	knownJob = "unknown"
-	// everyJobEnds: an accepted job ends.
+	// everyJobEnds: every accepted job ends.
 	everyJobEnds = "stuck"
-	// everyJobAccepted: a submitted job is accepted in the end.
+	// everyJobAccepted: every submitted job is eventually accepted.
 	everyJobAccepted = "silent"
 )
 
-// Limits in milliseconds: what may still happen, and for how long.
+// Tolerances in milliseconds: how long a condition that cannot be ruled out at once may
+// last.
 const (
-	// MaxCancelledRun is how long a cancelled task may run on whatever else fails: a
-	// runner out of reach ends it by its own clock when its lease of 10 s lapses, at 2%
-	// of drift and within the time between two sweeps.
+	// MaxCancelledRun is how long a cancelled task may keep running under any faults: an
+	// unreachable runner stops it by its own clock when its lease of 10 s lapses, with 2%
+	// of clock drift, plus the time between two sweeps.
 	MaxCancelledRun = 10300
-	// MaxIncompleteGang is how long a gang may run incomplete whatever else fails:
-	// seven tenths of a lease since a member last heard that the others run, a poll
-	// and a half by which that may have been late, and the time between two sweeps.
+	// MaxIncompleteGang is how long a gang may run incomplete under any faults: seven
+	// tenths of a lease after a member last received confirmation that the others run,
+	// plus one and a half poll intervals by which that confirmation may have been late,
+	// plus the time between two sweeps.
 	MaxIncompleteGang = 8700
 
-	// startInFlight is how long a start that was ordered before may still arrive.
+	// startInFlight is how long a start ordered earlier may still be in flight.
 	startInFlight = 1600
-	// startTimeTolerance is how far the servers' clocks may agree to be wrong.
+	// startTimeTolerance is the error that the servers' clocks may have in common.
 	startTimeTolerance = 1000
-	// runnerReachableFor is how long after its last answered poll a runner is in
-	// touch: its lease cannot have lapsed.
+	// runnerReachableFor is how long a runner counts as reachable after its last answered
+	// poll: its lease cannot have lapsed within that time.
 	runnerReachableFor = 10000
 
 	maxStartAfterCancel  = 3000
 	maxStartAfterLeaving = 2000
 	maxStartAfterDrain   = 5000
 
-	// While all has been well a cancelled task must have stopped after
-	// quietCancelledRun. A task cancelled longer ago than quietCancelledRunEnd may
-	// have been cancelled when all was not well.
+	// While the cluster is quiet, a cancelled task must have stopped after
+	// quietCancelledRun. A task cancelled more than quietCancelledRunEnd ago may have
+	// been cancelled before the cluster was quiet.
 	quietCancelledRun    = 1000
 	quietCancelledRunEnd = 1500
 	// maxIncompleteGangUndisturbed is MaxIncompleteGang in a run without faults.
 	maxIncompleteGangUndisturbed = 4500
-	// endedJobSweepPeriod is how long after its cancel an ended job is still swept.
+	// endedJobSweepPeriod is how long after its cancel an ended job is still checked by
+	// Sweep.
 	endedJobSweepPeriod = 2000
 )
 
@@ -78,14 +85,14 @@
 	CountAcked = "acked"
 	// CountDrained counts drains that were acknowledged.
 	CountDrained = "closed"
-	// CountLeaving counts runners that were known to leave.
+	// CountLeaving counts runners that announced their departure.
 	CountLeaving = "leaving"
 	// CountStuck counts accepted jobs that did not end.
 	CountStuck = "stuck"
-	// CountUndecidedRerun counts reruns that no scheduler can avoid: of tasks that
-	// succeeded on a runner which was lost before it could report it.
+	// CountUndecidedRerun counts reruns that no scheduler can avoid: those of tasks that
+	// succeeded on a runner which was lost before it could report the success.
 	CountUndecidedRerun = "undecided rerun"
-	// CountUnseenEnds counts what could not be judged, since the event log of a
+	// CountUnseenEnds counts the checks that were skipped because the event log of a
 	// runner was lost.
 	CountUnseenEnds = "unseen ends"
 
@@ -94,26 +101,27 @@
 	violationPrefix = "breach "
 )
 
-// EventCount is the key in Checker.Counts of a kind of runner event.
+// EventCount returns the key in Checker.Counts for a kind of runner event.
 func EventCount(kind string) string { return eventPrefix + kind }
 
-// EndedCount is the key in Checker.Counts of the jobs that ended in a state.
+// EndedCount returns the key in Checker.Counts for the jobs that ended in a state.
 func EndedCount(state string) string { return endedPrefix + state }
 
-// ViolationCount is the key in Checker.Counts of the violations of an invariant.
+// ViolationCount returns the key in Checker.Counts for the violations of an invariant.
 func ViolationCount(invariant string) string { return violationPrefix + invariant }
 
 // Keys of Checker.Spans.
 const (
-	// SpanAdmissionToStart is from the acceptance of a job to its first start.
+	// SpanAdmissionToStart is the time from the acceptance of a job to its first start.
 	SpanAdmissionToStart = "admission to start"
-	// SpanCancelToStop is from the acknowledgement of a cancel to the stop of a task,
-	// while all has been well.
+	// SpanCancelToStop is the time from the acknowledgement of a cancel to the stop of a
+	// task, while the cluster is quiet.
 	SpanCancelToStop = "cancel to gone"
 	// SpanIncompleteGang is how long a gang ran incomplete.
 	SpanIncompleteGang = "gang in part"
-	// SpanStartAfterCancel, SpanStartAfterLeaving and SpanStartAfterDrain are from the
-	// acknowledgement of each to a start that came nevertheless.
+	// SpanStartAfterCancel, SpanStartAfterLeaving and SpanStartAfterDrain are the times
+	// from the acknowledgement of a cancel, departure or drain to a start that happened
+	// nevertheless.
 	SpanStartAfterCancel  = "start after cancel"
 	SpanStartAfterLeaving = "start after leaving"
 	SpanStartAfterDrain   = "start after closing"
--- a/internal/invariants/runners.go
+++ b/internal/invariants/runners.go
@@ -7,17 +7,17 @@
 	"orchidward/internal/runner"
 )
 
-// runnerHistory is what was seen of a runner.
+// runnerHistory is what was observed of a runner.
 type runnerHistory struct {
 	leaving      bool
 	leavingSince int64
-	// unacked are the ends of attempts that the control plane has not acknowledged.
+	// unacked holds the attempt ends that the control plane has not acknowledged.
 	unacked        map[identifier.LeaseID]runner.Event
 	used           job.Demand
 	pollAnsweredAt int64
 }
 
-// runner returns the history of a runner, a new one if it was not seen yet.
+// runner returns the history of a runner, creating it if needed.
 func (c *Checker) runner(name string) *runnerHistory {
 	r := c.runners[name]
 	if r == nil {
@@ -28,7 +28,7 @@
 }
 
 // RunnerLeaving records that the control plane answered a poll in which a runner
-// said that it leaves.
+// announced its departure.
 func (c *Checker) RunnerLeaving(name string) {
 	r := c.runner(name)
 	if r.leaving {
@@ -39,7 +39,7 @@
 	r.leavingSince = c.cluster.Time()
 }
 
-// RunnerStaying records that a runner no longer means to leave.
+// RunnerStaying records that a runner has withdrawn its departure.
 func (c *Checker) RunnerStaying(name string) { c.runner(name).leaving = false }
 
 // PollAnswered records that a poll of a runner was answered.
@@ -47,7 +47,7 @@
 	c.runner(name).pollAnsweredAt = c.cluster.Time()
 }
 
-// RunnerDead records that a runner died, and all that ran on it.
+// RunnerDead records that a runner died, and with it all attempts on it.
 func (c *Checker) RunnerDead(name string) {
 	for _, t := range c.tasks {
 		delete(t.runningOn, name)
@@ -58,14 +58,14 @@
 	clear(r.unacked)
 }
 
-// RunnerLogLost records that a runner died with the last of its event log unread:
-// from then on an end that was never seen is counted, and is no violation.
+// RunnerLogLost records that a runner died before the last part of its event log was
+// read: from then on, a missing end is counted instead of being a violation.
 func (c *Checker) RunnerLogLost(name string) {
 	c.eventsLost = true
 	c.RunnerDead(name)
 }
 
-// RunnerEvent records what happened to an attempt on a runner.
+// RunnerEvent records an event of an attempt on a runner.
 func (c *Checker) RunnerEvent(name string, e runner.Event) {
 	c.Counts[EventCount(e.Kind)]++
 	c.cluster.Logf("%s %s lease %d %s", name, e.Kind, e.Lease, e.Task)
@@ -98,7 +98,7 @@
 	}
 }
 
-// attemptStopped measures how long an attempt of a cancelled job ran on.
+// attemptStopped measures how long an attempt of a cancelled job kept running.
 func (c *Checker) attemptStopped(e runner.Event) {
 	j := c.Jobs[e.Task.Job]
 	if j == nil || j.CancelledAt == 0 {
--- a/internal/invariants/starts.go
+++ b/internal/invariants/starts.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/runner"
 )
 
-// attemptStarted checks every rule that a start can violate.
+// attemptStarted checks every invariant that a start can violate.
 func (c *Checker) attemptStarted(name string, e runner.Event) {
 	j := c.Jobs[e.Task.Job]
 	if j == nil {
@@ -28,7 +28,7 @@
 	t.runningOn[name] = true
 }
 
-// checkStartsOnce finds a start of a task that still runs, or has succeeded.
+// checkStartsOnce reports a start of a task that is still running or has succeeded.
 func (c *Checker) checkStartsOnce(t *taskHistory, name string, e runner.Event) {
 	now := c.cluster.Time()
 	for _, other := range c.liveRunners(t) {
@@ -40,8 +40,8 @@
 	if !t.succeeded() || t.successAckedAt > 0 {
 		return
 	}
-	// Nobody was told of the success: only a runner that is still in touch could
-	// have told of it.
+	// The success was not acknowledged: the control plane can know of it only if the
+	// runner is still reachable and has not restarted.
 	reachable := now < c.runner(t.succeededOn).pollAnsweredAt+runnerReachableFor
 	if reachable && c.cluster.Runner(t.succeededOn).Incarnation == t.succeededIncarnation {
 		c.Violate(RunsOnce, "%s started again %d ms after it succeeded on %s, which is in touch", e.Task, now-t.succeededAt, t.succeededOn)
@@ -49,8 +49,8 @@
 	c.Counts[CountUndecidedRerun]++
 }
 
-// checkStartsInOrder finds a start before the steps it depends on have succeeded,
-// or before the start time of its job.
+// checkStartsInOrder reports a start before the steps it depends on have succeeded, or
+// before the start time of its job.
 func (c *Checker) checkStartsInOrder(j *Job, e runner.Event) {
 	for _, dependency := range j.Spec.Steps[e.Task.Step].After {
 		for i, step := range j.Spec.Steps {
@@ -76,7 +76,7 @@
 	}
 }
 
-// checkDefects finds a start of a task that has used up its allowed defects.
+// checkDefects reports a start of a task that has used up its allowed defects.
 func (c *Checker) checkDefects(j *Job, t *taskHistory, e runner.Event) {
 	allowed := int(j.Spec.Steps[e.Task.Step].MaxDefects)
 	if t.ackedDefects >= allowed && c.cluster.Time() > t.lastDefectAckedAt+startInFlight {
@@ -84,8 +84,8 @@
 	}
 }
 
-// checkStartAllowed finds a start after its job was cancelled, its runner known to
-// leave, or its domain drained.
+// checkStartAllowed reports a start after its job was cancelled, after its runner
+// announced its departure, or after its domain was drained.
 func (c *Checker) checkStartAllowed(j *Job, name string, e runner.Event) {
 	now := c.cluster.Time()
 	if j.CancelledAt > 0 {
@@ -111,8 +111,8 @@
 	}
 }
 
-// checkPlacement finds a start on a runner without the labels or the capacity, and
-// books its demand.
+// checkPlacement reports a start on a runner without the required labels or capacity, and
+// adds its demand to the runner.
 func (c *Checker) checkPlacement(step job.Step, name string, e runner.Event) {
 	view := c.cluster.Runner(name)
 	if !hasLabels(view.Labels, step.Labels) {
@@ -125,7 +125,8 @@
 	}
 }
 
-// hasLabels is deliberately not the scheduler's own comparison of labels.
+// hasLabels reports whether all required labels are present. It deliberately does not use
+// the scheduler's own comparison of labels.
 func hasLabels(have, required []identifier.Label) bool {
 	for _, label := range required {
 		if !slices.Contains(have, label) {
--- a/internal/invariants/tasks.go
+++ b/internal/invariants/tasks.go
@@ -8,11 +8,11 @@
 	"orchidward/internal/api/job"
 )
 
-// taskHistory is what was seen of a task on runners.
+// taskHistory is what was observed of a task on all runners.
 type taskHistory struct {
-	// runningOn names the runners with an attempt that has not ended.
+	// runningOn is the set of runners with an attempt that has not ended.
 	runningOn map[string]bool
-	// defects counts the attempts that ended by a defect, acknowledged or not.
+	// defects counts the attempts that ended with a defect, acknowledged or not.
 	defects int
 
 	succeededAt          int64
@@ -26,7 +26,7 @@
 
 func (t *taskHistory) succeeded() bool { return t != nil && t.succeededAt > 0 }
 
-// task returns the history of a task, a new one if nothing was seen of it yet.
+// task returns the history of a task, creating it if needed.
 func (c *Checker) task(ref identifier.TaskRef) *taskHistory {
 	t := c.tasks[ref]
 	if t == nil {
@@ -36,7 +36,7 @@
 	return t
 }
 
-// taskRefs lists the tasks of a step.
+// taskRefs returns the tasks of a step.
 func taskRefs(key identifier.JobKey, step int, spec job.Step) []identifier.TaskRef {
 	refs := make([]identifier.TaskRef, spec.Tasks)
 	for i := range refs {
@@ -45,7 +45,7 @@
 	return refs
 }
 
-// liveRunners lists the live runners with an attempt of a task, in order.
+// liveRunners returns the live runners with an attempt of a task, in order of name.
 func (c *Checker) liveRunners(t *taskHistory) []string {
 	if t == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return live
 }
 
-// checkConcurrentRuns finds tasks that run on two runners at once.
+// checkConcurrentRuns reports tasks that run on more than one runner at the same time.
 func (c *Checker) checkConcurrentRuns() {
 	for ref, t := range c.tasks {
 		if len(t.runningOn) < 2 {
