--- a/internal/invariants/fixture_test.go
+++ b/internal/invariants/fixture_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/runner"
 )
 
-// fakeCluster is a cluster whose time and runners a test sets.
+// fakeCluster is a Cluster whose time and runners are set by the test.
 type fakeCluster struct {
 	now         int64
 	quiet       bool
@@ -23,7 +23,7 @@
 func (c *fakeCluster) Undisturbed() bool             { return c.undisturbed }
 func (c *fakeCluster) Logf(string, ...any)           {}
 
-// checkerFixture is a checker with one job that has started nowhere, on a cluster of two
+// checkerFixture is a checker with one job that has not started, on a cluster of two
 // runners.
 type checkerFixture struct {
 	*Checker
@@ -34,7 +34,7 @@
 
 const fixtureStart = 100_000
 
-// newCheckerFixture makes a checker with a job of one step.
+// newCheckerFixture returns a fixture whose job has the given step.
 func newCheckerFixture(step job.Step) *checkerFixture {
 	view := RunnerView{Domain: "north", Incarnation: 1, Live: true, Capacity: job.Demand{Cores: 8, Mem: 8}}
 	cluster := &fakeCluster{now: fixtureStart, runners: map[string]RunnerView{"r1": view, "r2": view}}
@@ -46,7 +46,7 @@
 	return o
 }
 
-// event records that something happened to an attempt at a task of the job.
+// event records an event of an attempt at a task of the job.
 func (o *checkerFixture) event(runnerName, kind string, task int, lease identifier.LeaseID) {
 	o.RunnerEvent(runnerName, runner.Event{
 		Kind:   kind,
@@ -60,7 +60,7 @@
 	o.event(runnerName, runner.EventStart, task, lease)
 }
 
-// reportSuccess ends an attempt with success, which is acknowledged if acked is set.
+// reportSuccess ends an attempt with success, and acknowledges the end if acked is set.
 func (o *checkerFixture) reportSuccess(runnerName string, task int, lease identifier.LeaseID, acked bool) {
 	o.event(runnerName, runnerapi.OutcomeSuccess, task, lease)
 	if acked {
@@ -68,7 +68,7 @@
 	}
 }
 
-// violated lists the names of the invariants that were violated.
+// violated returns the concatenated names of the violated invariants.
 func (o *checkerFixture) violated() string {
 	text := ""
 	for _, line := range o.Violations {
--- a/internal/invariants/leniency_test.go
+++ b/internal/invariants/leniency_test.go
@@ -8,16 +8,16 @@
 	"orchidward/internal/runner"
 )
 
-// Each leniency of docs/promises.md at its edge: what comes just within it is no
-// violation, and one millisecond later it is. The edges are written down here once more,
-// so that a constant that grows fails its row.
+// leniencies has a row for each leniency of docs/promises.md. An action at the edge is no
+// violation, and one millisecond later it is. The edges are repeated here as literals, so
+// that increasing one of the constants fails its row.
 var leniencies = []struct {
 	name string
-	// edge is the last moment, in ms after the cause, that is no violation.
+	// edge is the last moment, in ms after the cause, that is not a violation.
 	edge int64
 	want string
 	step job.Step
-	// prepare brings the cause about; act is called so many ms later.
+	// prepare establishes the cause; act is called at the edge and 1 ms later.
 	prepare func(o *checkerFixture)
 	act     func(o *checkerFixture)
 }{
@@ -39,7 +39,7 @@
 		act: func(o *checkerFixture) { o.start("r2", 0, 2) },
 	},
 	{
-		name: "cancelled task runs on while something was wrong", edge: 10300, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
+		name: "cancelled task keeps running in a disturbed cluster", edge: 10300, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
 		prepare: func(o *checkerFixture) {
 			o.start("r1", 0, 1)
 			o.job.CancelledAt = o.cluster.now
@@ -47,7 +47,7 @@
 		act: func(o *checkerFixture) { o.Sweep() },
 	},
 	{
-		name: "cancelled task runs on while all is well", edge: 1000, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
+		name: "cancelled task keeps running in a quiet cluster", edge: 1000, want: CancelStopsWork, step: job.Step{Tasks: 1, MaxDefects: 1},
 		prepare: func(o *checkerFixture) {
 			o.cluster.quiet = true
 			o.start("r1", 0, 1)
@@ -71,7 +71,7 @@
 		act:     func(o *checkerFixture) { o.start("r1", 0, 1) },
 	},
 	{
-		name: "gang runs in part", edge: 8700, want: GangRunsTogether, step: job.Step{Tasks: 2, Gang: true, MaxDefects: 1},
+		name: "gang runs incomplete", edge: 8700, want: GangRunsTogether, step: job.Step{Tasks: 2, Gang: true, MaxDefects: 1},
 		prepare: func(o *checkerFixture) {
 			o.start("r1", 0, 1)
 			o.Sweep()
@@ -79,7 +79,7 @@
 		act: func(o *checkerFixture) { o.Sweep() },
 	},
 	{
-		name: "gang runs in part with nothing wrong", edge: 4500, want: GangRunsTogether, step: job.Step{Tasks: 2, Gang: true, MaxDefects: 1},
+		name: "gang runs incomplete without faults", edge: 4500, want: GangRunsTogether, step: job.Step{Tasks: 2, Gang: true, MaxDefects: 1},
 		prepare: func(o *checkerFixture) {
 			o.cluster.undisturbed = true
 			o.start("r1", 0, 1)
@@ -89,7 +89,7 @@
 	},
 }
 
-// TestLeniencyEdges acts at the edge of each leniency, and one millisecond past it.
+// TestLeniencyEdges acts at the edge of each leniency, and one millisecond later.
 func TestLeniencyEdges(t *testing.T) {
 	for _, tc := range leniencies {
 		t.Run(tc.name, func(t *testing.T) {
@@ -106,8 +106,8 @@
 	}
 }
 
-// TestEarlyStartEdge starts a task as early as servers' clocks may agree to be wrong, and
-// one millisecond earlier.
+// TestEarlyStartEdge starts a task as early as the tolerated clock error of the servers
+// allows, and one millisecond earlier.
 func TestEarlyStartEdge(t *testing.T) {
 	const edge = 1000
 	for past, want := range []string{"", StartsInOrder} {
@@ -120,20 +120,20 @@
 	}
 }
 
-// TestUnreportedSuccessEdge starts a task again whose success was never acknowledged. It
-// is a violation while the runner that ended it is in touch and lives on, and no longer:
-// then nobody can have been told of it.
+// TestUnreportedSuccessEdge starts a task again whose success was never acknowledged.
+// This is a violation as long as the runner that completed it is reachable and has not
+// restarted. After that the control plane cannot learn of the success.
 func TestUnreportedSuccessEdge(t *testing.T) {
-	const inTouch = 10000
+	const reachableFor = 10000
 	for _, tc := range []struct {
 		name   string
 		after  int64
 		change func(o *checkerFixture)
 		want   string
 	}{
-		{"in touch", inTouch - 1, func(*checkerFixture) {}, RunsOnce},
-		{"out of touch for a lease", inTouch, func(*checkerFixture) {}, ""},
-		{"in touch, another incarnation", 10, func(o *checkerFixture) {
+		{"reachable", reachableFor - 1, func(*checkerFixture) {}, RunsOnce},
+		{"unreachable for a lease", reachableFor, func(*checkerFixture) {}, ""},
+		{"reachable, another incarnation", 10, func(o *checkerFixture) {
 			view := o.cluster.runners["r1"]
 			view.Incarnation++
 			o.cluster.runners["r1"] = view
@@ -154,9 +154,10 @@
 	}
 }
 
-// TestQuietCancelWindow: while all is well a cancelled task is a violation from 1 s on,
-// and one that was cancelled long ago, when all may not have been well, only by the long
-// limit. Nothing escapes both: a sweep comes several times a second.
+// TestQuietCancelWindow checks that in a quiet cluster a cancelled task that keeps
+// running is a violation from 1 s on. A task cancelled earlier, when the cluster may not
+// have been quiet, is subject to the long limit only. No violation can slip between the
+// two limits, since Sweep runs several times a second.
 func TestQuietCancelWindow(t *testing.T) {
 	const sweepInterval = 200
 	o := newCheckerFixture(job.Step{Tasks: 1, MaxDefects: 1})
@@ -168,12 +169,12 @@
 		o.Sweep()
 	}
 	if got := o.violated(); got != CancelStopsWork {
-		t.Errorf("a cancelled task that runs on for 2 s violated %q", got)
+		t.Errorf("a cancelled task that kept running for 2 s violated %q", got)
 	}
 }
 
-// TestUnreadEnds: ends that were lost with a runner's event log are counted and are no
-// violation; with the log read they are one.
+// TestUnreadEnds checks that a missing end is counted, and is no violation, if the event
+// log of a runner was lost, and that it is a violation if the log was read.
 func TestUnreadEnds(t *testing.T) {
 	for logLost, want := range []string{JobStateIsTrue, ""} {
 		o := newCheckerFixture(job.Step{Tasks: 1, MaxDefects: 1})
@@ -188,7 +189,7 @@
 			t.Errorf("log lost %d: violated %q, want %q", logLost, got, want)
 		}
 		if unseen := o.Counts[CountUnseenEnds]; unseen != logLost {
-			t.Errorf("log lost %d: %d unseen ends are counted", logLost, unseen)
+			t.Errorf("log lost %d: counted %d unseen ends", logLost, unseen)
 		}
 	}
 }
--- a/internal/state/attempts_test.go
+++ b/internal/state/attempts_test.go
@@ -8,7 +8,8 @@
 	"orchidward/internal/api/job"
 )
 
-// TestOnlyDefectsCount: only reported defects count against the task's allowance.
+// TestOnlyDefectsCount checks that only reported defects count against the task's allowed
+// defects.
 func TestOnlyDefectsCount(t *testing.T) {
 	f := newFixture(t, `{"x.weight":1}`)
 	step := singleTaskStep(1)
@@ -31,9 +32,9 @@
 	}
 }
 
-// TestQueueAttempts: a task is placed until as many of its attempts have failed as its
-// queue allows. Other ends cost nothing, and a failed attempt of a gang counts once,
-// whichever members report it.
+// TestQueueAttempts checks that a task is placed until as many of its attempts have
+// failed as its queue allows. Other ends do not count, and a failed attempt of a gang
+// counts once, whichever members report it.
 func TestQueueAttempts(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/j", job.Spec{Steps: []job.Step{{Tasks: 1}}})
@@ -54,7 +55,7 @@
 	f.wantState("q/j", "failed")
 	f.place("q/j", 0, []int{0}, "r5")
 	if f.openLeases("q/j") > 0 {
-		t.Error("placed after its last attempt")
+		t.Error("the task was placed after its last attempt")
 	}
 
 	f.submitToQueue("q/g", job.Spec{Steps: []job.Step{{Tasks: 2, Gang: true}}})
@@ -74,8 +75,8 @@
 	f.wantState("q/g", "failed")
 }
 
-// TestServiceRestarts: a service is placed again however it ends, until its job is
-// cancelled.
+// TestServiceRestarts checks that a service is placed again however it ends, until its
+// job is cancelled.
 func TestServiceRestarts(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/l", job.Spec{Steps: []job.Step{{Tasks: 1, Service: true}}})
@@ -83,15 +84,16 @@
 		f.place("q/l", 0, []int{0}, "r5")
 		f.reportEnd("r5", "a", f.firstTask("q/l").Lease, identifier.TaskRef{Job: "q/l"}, outcome)
 		if state := f.firstTask("q/l").State; state != Waiting {
-			t.Fatalf("after %s it is %s", outcome, state)
+			t.Fatalf("after %s the task is %s", outcome, state)
 		}
 	}
 	f.apply(http.StatusOK, &Command{CancelJob: &CancelJob{Key: "q/l"}})
 	f.wantState("q/l", "cancelled")
 }
 
-// TestCheckpoints: a checkpoint reported at an end, or the last one of a lost runner, is
-// given to the next attempt of the same task or gang, and to no other task.
+// TestCheckpoints checks that a checkpoint reported with an end, or the last one of a
+// lost runner, is passed to the next attempt of the same task or gang, and to no other
+// task.
 func TestCheckpoints(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/s", job.Spec{Steps: []job.Step{
@@ -119,6 +121,6 @@
 	f.place("q/s", 2, []int{0}, "r7")
 	stopAt("r7", identifier.TaskRef{Job: "q/s", Step: 2}, "odd")
 	if j.Steps[2][0].Checkpoint != "" {
-		t.Error("a checkpoint is kept for a step that has none")
+		t.Error("a checkpoint is kept for a step without checkpoints")
 	}
 }
--- a/internal/state/catalog_resend_test.go
+++ b/internal/state/catalog_resend_test.go
@@ -9,18 +9,18 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// changesPerDay is how many changes of the catalogue a day brings at the size that
-// the system is designed for.
+// changesPerDay is the number of catalogue changes per day at the size that the system is
+// designed for.
 const changesPerDay = 1200
 
 const (
-	// minRememberedChanges is how many accepted changes are remembered at least.
+	// minRememberedChanges is the minimum number of accepted changes that are remembered.
 	minRememberedChanges = 4096
-	// maxMemoryBytes is how much of a snapshot that memory may take.
+	// maxMemoryBytes bounds the size of the remembered changes in a snapshot.
 	maxMemoryBytes = 128 << 10
 )
 
-// newChange is an operator's change from one version to another.
+// newChange returns an operator's change from one version to another.
 func newChange(t *testing.T, base, version uint64) *catalog.Change {
 	t.Helper()
 	var faults jsondoc.FieldErrors
@@ -32,7 +32,7 @@
 	return change
 }
 
-// acceptChanges takes the catalogue from version first to version last.
+// acceptChanges advances the catalogue from version first to version last.
 func (f *fixture) acceptChanges(first, last uint64) {
 	f.Helper()
 	for version := first + 1; version <= last; version++ {
@@ -45,9 +45,9 @@
 	return f.store.Apply(&Command{ChangeCatalog: newChange(f.T, version-1, version)})
 }
 
-// TestCatalogResendAfterOneDay: a change whose answer was lost is acknowledged when
-// it is sent again, however many others came in the day since, also after a
-// snapshot was loaded.
+// TestCatalogResendAfterOneDay checks that a change whose response was lost is
+// acknowledged when it is sent again, even after a day of other changes and after the
+// store was read from a snapshot.
 func TestCatalogResendAfterOneDay(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	f.acceptChanges(0, changesPerDay+1)
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestForgottenCatalogChange: a change that is older than the memory gets no
-// definite answer, and no other change does: one that certainly was not accepted is
-// rejected.
+// TestForgottenCatalogChange checks that a change older than the remembered ones gets an
+// indefinite response, and that no other change does: a change that certainly was not
+// accepted is rejected.
 func TestForgottenCatalogChange(t *testing.T) {
 	const last = minRememberedChanges + 500
 	f := newFixtureAtLevel(t, ResendLevel)
@@ -90,11 +90,11 @@
 		base, version uint64
 		want          int
 	}{
-		{"a remembered number on another base", horizon, horizon + 2, http.StatusPreconditionFailed},
-		{"a number never used", horizon, last + 1, http.StatusPreconditionFailed},
-		{"a number not above its own base", 5, 5, http.StatusPreconditionFailed},
-		{"a number below its own base", 9, 5, http.StatusPreconditionFailed},
-		{"an old number on the present base", last, 5, http.StatusUnprocessableEntity},
+		{"a remembered version on another base", horizon, horizon + 2, http.StatusPreconditionFailed},
+		{"a version never used", horizon, last + 1, http.StatusPreconditionFailed},
+		{"a version not above its own base", 5, 5, http.StatusPreconditionFailed},
+		{"a version below its own base", 9, 5, http.StatusPreconditionFailed},
+		{"an old version on the current base", last, 5, http.StatusUnprocessableEntity},
 	} {
 		if r := f.store.Apply(&Command{ChangeCatalog: newChange(t, rejected.base, rejected.version)}); r.Status != rejected.want {
 			t.Errorf("%s: %d %s, want %d", rejected.name, r.Status, r.Code, rejected.want)
@@ -102,15 +102,15 @@
 	}
 }
 
-// TestRaiseToResendLevel: below the level 64 changes are remembered, as by earlier
-// programs. Raising the level takes over what was remembered, and changes that were
-// not are known to be unknown.
+// TestRaiseToResendLevel checks that below the level 64 changes are remembered, as in
+// earlier versions, and that raising the level keeps the remembered changes. The outcome
+// of older changes is then reported as unknown.
 func TestRaiseToResendLevel(t *testing.T) {
 	const last, rememberedBefore = 100, 64
 	f := newFixtureAtLevel(t, CatalogLevel)
 	f.acceptChanges(0, last)
 	if r := f.resend(last - rememberedBefore); r.Status != http.StatusPreconditionFailed {
-		t.Errorf("below its level a forgotten change got %d, want 412 as before", r.Status)
+		t.Errorf("below the level a forgotten change got %d, want 412 as in earlier versions", r.Status)
 	}
 	f.apply(0, &Command{RaiseLevel: &RaiseLevel{Level: ResendLevel}})
 	for range 2 {
@@ -138,8 +138,8 @@
 	fewer.apply(http.StatusPreconditionFailed, &Command{ChangeCatalog: newChange(t, 1, 3)})
 }
 
-// TestSameTextOtherMethod: a text that can be read as a complete catalogue and as a
-// patch is two changes; only one of them is acknowledged.
+// TestSameTextOtherMethod checks that a text that parses both as a complete catalogue and
+// as a patch is treated as two different changes, of which only one is acknowledged.
 func TestSameTextOtherMethod(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	f.acceptChanges(0, 3)
@@ -149,14 +149,15 @@
 	patch := catalog.ReadPatch(text, &faults)
 	f.apply(http.StatusOK, &Command{ChangeCatalog: patch})
 	if r := f.store.Apply(&Command{ChangeCatalog: replace}); r.Status == http.StatusOK {
-		t.Error("two operators were confirmed under one number: a patch, and a whole catalogue of the same text")
+		t.Error("two changes were acknowledged under one version: a patch, and a whole catalogue of the same text")
 	}
 	f.apply(http.StatusOK, &Command{ChangeCatalog: patch})
 }
 
-// TestChangeAheadOfItsBase: a change based on a version that is not in force yet is
-// rejected, and a copy that arrives once it is in force is accepted. The store
-// can't tell that copy from a resend: it must be dropped on its way.
+// TestChangeAheadOfItsBase checks that a change based on a version that is not in force
+// yet is rejected, and that a copy arriving once that version is in force is accepted.
+// The store cannot distinguish that copy from a resend, so the copy must be dropped
+// before it reaches the store.
 func TestChangeAheadOfItsBase(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	f.acceptChanges(0, 3)
--- a/internal/state/catalog_test.go
+++ b/internal/state/catalog_test.go
@@ -7,9 +7,9 @@
 	"orchidward/internal/api/catalog"
 )
 
-// TestConcurrentCatalogChanges: of two changes based on one version only one is accepted.
-// A resend of an accepted one is recognised, whatever came after it, and an invalid one
-// changes nothing.
+// TestConcurrentCatalogChanges checks that only one of two changes based on the same
+// version is accepted, that a resend of an accepted change is recognised after later
+// changes, and that an invalid change has no effect.
 func TestConcurrentCatalogChanges(t *testing.T) {
 	f := newQueueFixture(t)
 	change := func(base, version uint64, name string) *catalog.Change {
--- a/internal/state/compatibility_test.go
+++ b/internal/state/compatibility_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestEarlierLevels: a snapshot and log entries that the last program of an earlier level
-// wrote are read, and have the same effect as they had there: after each entry the
-// status and the checksum are the same. testdata/level-N.txt is that program's output.
+// TestEarlierLevels checks that a snapshot and log entries written by the last program of
+// an earlier level can be read and have the same effect as in that program: status and
+// checksum match after each entry. testdata/level-N.txt is the output of that program.
 func TestEarlierLevels(t *testing.T) {
 	for _, recorded := range []struct {
 		level   uint16
--- a/internal/state/dedup_test.go
+++ b/internal/state/dedup_test.go
@@ -7,8 +7,8 @@
 	"orchidward/internal/api/job"
 )
 
-// TestDedupRetention: a resend gets the same answer as long as the id is remembered,
-// even when the job's details were dropped, and never runs the job again.
+// TestDedupRetention checks that a resend gets the same response as long as the id is
+// remembered, even after the job's details were dropped, and never runs the job again.
 func TestDedupRetention(t *testing.T) {
 	f := newFixture(t, `{"site.retainMs":1000,"site.knownMs":60000}`)
 	spec := job.Spec{Row: "default", Steps: []job.Step{singleTaskStep(1)}}
@@ -18,7 +18,7 @@
 	f.wantState("a/x", "cancelled")
 	f.store.Apply(&Command{At: 4000})
 	if f.store.Jobs["a/x"] != nil || f.store.Dedup.Len() != 1 {
-		t.Fatal("details kept past the retention")
+		t.Fatal("the details were kept past the retention")
 	}
 	again := f.store.Apply(submit)
 	if again.Status != http.StatusOK || again.Body != first.Body {
@@ -30,6 +30,6 @@
 	f.apply(http.StatusOK, &Command{CancelJob: &CancelJob{Key: "a/x"}})
 	f.store.Apply(&Command{At: 70000})
 	if f.store.Dedup.Len() != 0 {
-		t.Fatal("ids are kept for ever")
+		t.Fatal("the id was kept past the retention")
 	}
 }
--- a/internal/state/drain_test.go
+++ b/internal/state/drain_test.go
@@ -8,8 +8,9 @@
 	"orchidward/internal/api/identifier"
 )
 
-// TestSuspendedUntilDrainEnds: displaced tasks of a row that suspends them wait for the
-// end of the drain when they fit nowhere else, and are waiting again once it is reopened.
+// TestSuspendedUntilDrainEnds checks that displaced tasks of a row configured to suspend
+// them wait for the end of the drain if they fit nowhere else, and return to the Waiting
+// state once it is reopened.
 func TestSuspendedUntilDrainEnds(t *testing.T) {
 	f := newFixture(t, `{"ride.onOutage":"ride"}`)
 	for i := 1; i <= 4; i++ {
@@ -35,7 +36,7 @@
 	f.apply(http.StatusOK, &Command{EndDrain: &EndDrain{Name: "north"}})
 	f.advanceDrain("m1", Cordon)
 	if drain.Stage != Preopen {
-		t.Fatal("a step from a stage long past moved the drain")
+		t.Fatal("a command for an earlier stage moved the drain")
 	}
 	if !f.store.Cordoned("r2") {
 		t.Fatalf("not cordoned in stage %s", drain.Stage)
@@ -46,24 +47,26 @@
 	}
 }
 
-// TestRackDrainBelowLevel: what logs of former programs did, and must go on doing when they
-// are replayed: when more than half of a rack leaves, the rack is the scope.
+// TestRackDrainBelowLevel checks the behaviour below RackScopeLevel, which must not
+// change, since logs of earlier versions are replayed: once more than half of a rack
+// leaves, the scope is the whole rack.
 func TestRackDrainBelowLevel(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	for _, i := range []int{6, 2, 4} {
 		f.apply(http.StatusOK, &Command{ReportRunner: f.runnerReport(i, "a", i != 6, 90000)})
 	}
 	if !f.store.Cordoned("r2") || !f.store.Cordoned("r4") || !f.store.Cordoned("r6") || f.store.Cordoned("r1") {
-		t.Fatal("two leaving runners of three must cordon the rack")
+		t.Fatal("two leaving runners of three did not cordon exactly the rack")
 	}
 	drain := f.store.Drains["c-1"]
 	if f.store.StopDue(drain, "r6", 1000) || !f.store.StopDue(drain, "r6", 87001) {
-		t.Fatal("the runner that stays is stopped before the first departure")
+		t.Fatal("the runner that stays must be stopped at the margin before the first departure")
 	}
 }
 
-// TestRackDrain: a runner that announces its departure is cordoned at once, and no other
-// of its rack, however many leave. All reopens when they stay after all.
+// TestRackDrain checks that a runner that announces its departure is cordoned
+// immediately, and that no other runner of its rack is, however many leave. The rack
+// reopens once all of them have withdrawn their departure.
 func TestRackDrain(t *testing.T) {
 	f := newFixtureAtLevel(t, RackScopeLevel)
 	stays := func(i int) {
@@ -77,15 +80,15 @@
 	stays(6)
 	leaves(2)
 	if !f.store.Cordoned("r2") || f.store.Cordoned("r4") || f.store.Cordoned("r1") {
-		t.Fatal("one leaving runner of three must cordon just itself")
+		t.Fatal("one leaving runner of three must be the only one cordoned")
 	}
 	leaves(4)
 	if !f.store.Cordoned("r2") || !f.store.Cordoned("r4") || f.store.Cordoned("r6") || f.store.Cordoned("r1") {
-		t.Fatal("two leaving runners of three must cordon just themselves")
+		t.Fatal("two leaving runners of three must be the only ones cordoned")
 	}
 	drain := f.store.Drains["c-1"]
 	if f.store.StopDue(drain, "r4", 1000) || !f.store.StopDue(drain, "r4", 87001) {
-		t.Fatal("tasks may run on until the margin before the departure, and no longer")
+		t.Fatal("tasks must be stopped at the margin before the departure, not earlier")
 	}
 	f.apply(http.StatusConflict, &Command{EndDrain: &EndDrain{Name: "c-1"}})
 	stays(2)
--- a/internal/state/fixture_test.go
+++ b/internal/state/fixture_test.go
@@ -13,8 +13,8 @@
 	"orchidward/internal/clock"
 )
 
-// fixture is a store with four runners, r1 to r4: those with even numbers are in the
-// domain north and the rack k0, the others in the domain east and the rack k1.
+// fixture is a store with four runners, r1 to r4: even numbers are in domain north and
+// rack k0, odd numbers in domain east and rack k1.
 type fixture struct {
 	*testing.T
 	store *Store
@@ -38,8 +38,8 @@
 	return f
 }
 
-// newQueueFixture returns a fixture with a queue q for the pool x, four more runners
-// of that pool, r5 to r8, and one of the pool y, r9.
+// newQueueFixture returns a fixture with a queue q of the pool x, four more runners of
+// that pool, r5 to r8, and one of the pool y, r9.
 func newQueueFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := newFixtureAtLevel(t, CatalogLevel)
@@ -71,7 +71,7 @@
 	return f
 }
 
-// limitsPatch is a change of single cells, based on the given epoch.
+// limitsPatch returns a change of single cells, based on the given epoch.
 func (f *fixture) limitsPatch(base int, cells string) *limits.Change {
 	f.Helper()
 	var faults jsondoc.FieldErrors
@@ -97,7 +97,7 @@
 	}
 }
 
-// apply applies a command and fails the test when its result has another status.
+// apply applies a command and fails the test if its result has another status.
 func (f *fixture) apply(status int, command *Command) {
 	f.Helper()
 	if r := f.store.Apply(command); r.Status != status {
@@ -105,7 +105,7 @@
 	}
 }
 
-// submit hands a job in for a row. Steps allow one defect unless they say otherwise.
+// submit submits a job for a row. Steps allow one defect unless they specify a number.
 func (f *fixture) submit(key identifier.JobKey, row identifier.Row, steps ...job.Step) {
 	f.Helper()
 	for i := range steps {
@@ -117,7 +117,7 @@
 	f.apply(http.StatusCreated, &Command{SubmitJob: &SubmitJob{Key: key, Spec: spec}})
 }
 
-// submitToQueue hands a job in for the queue q. Its steps are named s0, s1 and so on.
+// submitToQueue submits a job for the queue q. Its steps are named s0, s1 and so on.
 func (f *fixture) submitToQueue(key identifier.JobKey, spec job.Spec) {
 	f.Helper()
 	spec.Queue = "q"
@@ -135,7 +135,7 @@
 	f.apply(http.StatusCreated, &Command{SubmitJob: &SubmitJob{Key: key, Spec: spec}})
 }
 
-// place proposes a placement, which the store may skip.
+// place proposes a placement, which the store skips if it is invalid.
 func (f *fixture) place(key identifier.JobKey, step int, nums []int, runners ...identifier.Runner) {
 	placement := Placement{Job: key, Step: step, Tasks: nums, Runners: runners}
 	f.store.Apply(&Command{PlaceTasks: &PlaceTasks{Placements: []Placement{placement}}})
@@ -158,7 +158,7 @@
 	}
 }
 
-// reload replaces the store by one that is read back from its snapshot.
+// reload replaces the store by one decoded from its snapshot.
 func (f *fixture) reload() {
 	f.Helper()
 	loaded, err := Decode(f.store.Encode())
@@ -175,10 +175,10 @@
 	}
 }
 
-// firstTask is task 0 of step 0.
+// firstTask returns task 0 of step 0.
 func (f *fixture) firstTask(key identifier.JobKey) *Task { return f.store.Jobs[key].Steps[0][0] }
 
-// openLeases is the number of open leases of one job.
+// openLeases returns the number of open leases of a job.
 func (f *fixture) openLeases(key identifier.JobKey) int {
 	count := 0
 	for _, lease := range f.store.Leases {
--- a/internal/state/job_timing_test.go
+++ b/internal/state/job_timing_test.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/clock"
 )
 
-// endAt reports the end of a task's open lease at a time.
+// endAt reports the end of a task's open lease at the given time.
 func (f *fixture) endAt(at clock.ClusterTime, key identifier.JobKey, step, num int, outcome Outcome) {
 	f.Helper()
 	ref := identifier.TaskRef{Job: key, Step: step, Num: num}
@@ -17,15 +17,16 @@
 	f.apply(0, &Command{At: at, ReportEnds: &ReportEnds{Runner: lease.Runner, Incarnation: lease.Incarnation, Ends: []End{end}}})
 }
 
-// placeAt places tasks at a time.
+// placeAt places tasks at the given time.
 func (f *fixture) placeAt(at clock.ClusterTime, key identifier.JobKey, step int, nums []int, runners ...identifier.Runner) {
 	f.Helper()
 	placement := Placement{Job: key, Step: step, Tasks: nums, Runners: runners}
 	f.apply(0, &Command{At: at, PlaceTasks: &PlaceTasks{Placements: []Placement{placement}}})
 }
 
-// TestJobTiming: the time of a job is that of the tasks it had to wait for: of each step the
-// one that ended last, split into waiting, running, and attempts in vain by their cause.
+// TestJobTiming checks that the time of a job is that of the tasks it had to wait for:
+// the task of each step that ended last, split into waiting, running, and lost attempts
+// by cause.
 func TestJobTiming(t *testing.T) {
 	f := newQueueFixture(t)
 	start := f.store.Now
@@ -46,7 +47,7 @@
 
 	steps, chain, ok := f.store.Jobs["q/j"].Timing()
 	if !ok {
-		t.Fatal("the timing is not known")
+		t.Fatal("the timing is unknown")
 	}
 	want := Timing{Waiting: 100 + 50 + 200, Running: 550 + 500, Attempts: 4, Distant: 2}
 	want.Lost[LostDefect] = 300
@@ -64,12 +65,12 @@
 	f.store.TakeEndedJobs(func(j *Job) { ended = append(ended, j.Key) })
 	f.store.TakeEndedJobs(func(j *Job) { ended = append(ended, j.Key) })
 	if len(ended) != 1 || ended[0] != "q/j" {
-		t.Errorf("taken as ended: %v", ended)
+		t.Errorf("TakeEndedJobs visited %v, want q/j once", ended)
 	}
 }
 
-// TestTimingAfterReload: a process that has read the job from a snapshot says that it does
-// not know its timing, and goes on as the others do.
+// TestTimingAfterReload checks that a process that read a job from a snapshot reports its
+// timing as unknown, and otherwise behaves like the other processes.
 func TestTimingAfterReload(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/j", job.Spec{Steps: []job.Step{{Tasks: 1}}})
@@ -78,11 +79,12 @@
 	f.endAt(f.store.Now.Add(10), "q/j", 0, 0, OutcomeSuccess)
 	f.wantState("q/j", string(Succeeded))
 	if _, _, ok := f.store.Jobs["q/j"].Timing(); ok {
-		t.Error("a timing is made up for a job read from a snapshot")
+		t.Error("a timing is reported for a job read from a snapshot")
 	}
 }
 
-// TestLossCauses: each way in which an attempt can come to nothing has its cause.
+// TestLossCauses checks the loss cause of each way in which an attempt can fail to
+// succeed.
 func TestLossCauses(t *testing.T) {
 	for _, c := range []struct {
 		reason  string
--- a/internal/state/lease_lifecycle_test.go
+++ b/internal/state/lease_lifecycle_test.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/api/job"
 )
 
-// TestLateEndOfLostLease: a success that is reported after its lease was counted lost
-// ends the task and revokes the attempt that replaced it. A lease that the task never
-// had changes nothing.
+// TestLateEndOfLostLease checks that a success reported after its lease was counted lost
+// completes the task and revokes the attempt that replaced it. An end of a lease that the
+// task never had has no effect.
 func TestLateEndOfLostLease(t *testing.T) {
 	f := newFixture(t, `{"keep.onLoss":"hold"}`)
 	ref := identifier.TaskRef{Job: "a/x"}
@@ -40,13 +40,14 @@
 	}
 	f.apply(http.StatusOK, &Command{ReportRunner: f.runnerReport(1, "b", false, 0)})
 	if state := f.firstTask("a/h").State; state != Waiting {
-		t.Fatalf("a new incarnation reported, and the task that awaited the runner is %s", state)
+		t.Fatalf("after a new incarnation reported, the task that awaited the runner is %s", state)
 	}
 	f.apply(http.StatusConflict, &Command{ReportRunner: f.runnerReport(1, "a", false, 0)})
 }
 
-// TestLateEndOfQueuedAttempt: an attempt that was counted lost succeeds while another of
-// the same task is open: that one is revoked, and the task has succeeded.
+// TestLateEndOfQueuedAttempt checks that a success reported for an attempt that was
+// counted lost completes the task and revokes the open attempt that replaced it, for a
+// job of a queue.
 func TestLateEndOfQueuedAttempt(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/w", job.Spec{Steps: []job.Step{{Tasks: 1}}})
@@ -64,15 +65,16 @@
 	second := f.firstTask("q/w").Lease
 	f.reportEnd("r5", "a", first, ref, OutcomeSuccess)
 	if lease := f.store.Leases[second]; lease == nil || lease.RevokeReason != RevokeDoneElsewhere {
-		t.Errorf("the other attempt: %+v", lease)
+		t.Errorf("the lease of the replacement attempt is %+v", lease)
 	}
 	f.wantState("q/w", "running")
 	f.reportEnd("r6", "a", second, ref, OutcomeStopped)
 	f.wantState("q/w", "well")
 }
 
-// TestGangIsRevokedAndPlacedTogether: when one member is revoked or ends, for whatever
-// cause, all are revoked, and none is placed before all are waiting.
+// TestGangIsRevokedAndPlacedTogether checks that when one member is revoked or ends, for
+// whatever reason, all members are revoked, and that none is placed before all are
+// waiting.
 func TestGangIsRevokedAndPlacedTogether(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeStopped, OutcomeDefect, OutcomeLeaseLapsed} {
 		f := newFixture(t, `{"x.weight":1}`)
@@ -83,7 +85,7 @@
 		f.apply(0, &Command{RevokeLeases: &RevokeLeases{Leases: []identifier.LeaseID{1}, Reason: RevokeStartUnconfirmed}})
 		for id := identifier.LeaseID(1); id <= 3; id++ {
 			if f.store.Leases[id].RevokeReason == "" {
-				t.Fatalf("%s: member %d goes on alone", outcome, id)
+				t.Fatalf("%s: member %d was not revoked", outcome, id)
 			}
 		}
 		f.reportEnd("r1", "a", 1, identifier.TaskRef{Job: "a/g"}, outcome)
@@ -101,8 +103,9 @@
 	}
 }
 
-// TestGangSucceedsTogether: the first member of a queue's gang to succeed ends the step
-// for all; the job ends once all members have reported their ends.
+// TestGangSucceedsTogether checks that the first member of a queue's gang to succeed
+// completes the step for all members, and that the job ends once all members have
+// reported their ends.
 func TestGangSucceedsTogether(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/g", job.Spec{Steps: []job.Step{
@@ -129,8 +132,8 @@
 	f.wantState("q/g", "well")
 }
 
-// TestPreemptedMayPreempt: a task that was preempted for displaced work may preempt
-// cheaper work in its turn, as long as the drain lasts.
+// TestPreemptedMayPreempt checks that a task that was preempted by displaced work may in
+// turn preempt cheaper work, as long as the drain lasts.
 func TestPreemptedMayPreempt(t *testing.T) {
 	f := newFixture(t, `{"a.onOutage":"push","a.weight":1}`)
 	f.store.Level = CatalogLevel
--- a/internal/state/placement_test.go
+++ b/internal/state/placement_test.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/api/job"
 )
 
-// TestPlacementIsRechecked: whatever the leader planned, the store applies no placement
-// that is not valid at the moment when it is applied.
+// TestPlacementIsRechecked checks that the store never applies a placement that is
+// invalid at the time it is applied, whatever the leader planned.
 func TestPlacementIsRechecked(t *testing.T) {
 	f := newFixture(t, `{"low.maxCores":4}`)
 	labelled := singleTaskStep(1)
@@ -45,14 +45,14 @@
 	} {
 		f.place(invalid.job, invalid.step, invalid.tasks, invalid.runners...)
 		if n := len(f.store.Leases); n != 0 {
-			t.Fatalf("%s: %d unsound placements were taken", invalid.name, n)
+			t.Fatalf("%s: %d invalid placements were applied", invalid.name, n)
 		}
 	}
 
 	f.apply(http.StatusOK, &Command{StartDrain: &StartDrain{Domain: "north"}})
 	f.place("a/two", 0, []int{0}, "r2")
 	if len(f.store.Leases) != 0 {
-		t.Fatal("placed on a cordoned runner")
+		t.Fatal("a task was placed on a cordoned runner")
 	}
 	f.place("a/two", 0, []int{0}, "r1")
 	f.place("a/two", 0, []int{0}, "r3")
@@ -62,12 +62,12 @@
 	f.store.Apply(&Command{At: 5000})
 	f.place("a/delayed", 0, []int{0}, "r1")
 	if len(f.store.Leases) != 2 {
-		t.Fatal("not placed once its start time had come")
+		t.Fatal("the job was not placed once its start time was reached")
 	}
 }
 
-// TestQueuePlacement: a queue's job runs only on runners of the queue's pool, and only so
-// many tasks of a step on one of them, whatever the leader planned.
+// TestQueuePlacement checks that a queue's job runs only on runners of the queue's pool,
+// with at most MaxPerRunner tasks of a step on one runner, whatever the leader planned.
 func TestQueuePlacement(t *testing.T) {
 	f := newQueueFixture(t)
 	f.submitToQueue("q/j", job.Spec{Steps: []job.Step{{Tasks: 6, MaxPerRunner: 2}}})
@@ -79,12 +79,12 @@
 	}
 	f.place("q/j", 0, []int{0, 1, 2}, "r5", "r5", "r5")
 	if n := f.openLeases("q/j"); n != 0 {
-		t.Errorf("%d placed, three of them on one runner", n)
+		t.Errorf("%d placed on one runner in a placement that exceeds MaxPerRunner", n)
 	}
 	f.place("q/j", 0, []int{0, 1}, "r5", "r5")
 	f.place("q/j", 0, []int{2}, "r5")
 	if n := f.openLeases("q/j"); n != 2 {
-		t.Errorf("%d on a runner that may have two", n)
+		t.Errorf("%d tasks on a runner with MaxPerRunner 2", n)
 	}
 	f.submit("a/j", "a", singleTaskStep(1))
 	f.place("a/j", 0, []int{0}, "r5")
--- a/internal/state/rack_scope_test.go
+++ b/internal/state/rack_scope_test.go
@@ -12,22 +12,23 @@
 	"orchidward/internal/clock"
 )
 
-// rackModel is what should hold of the three runners of one rack: which of them are there,
-// and which have announced that they leave.
+// rackModel is the expected state of the runners of one rack: which of them are present,
+// and which have announced their departure.
 type rackModel struct {
 	t     *testing.T
 	store *Store
 	path  []string
-	// present and leaving are by runner, incarnations counts each runner's.
+	// present and leaving are indexed by runner; incarnations counts the incarnations of
+	// each.
 	present      [rackSize]bool
 	leaving      [rackSize]bool
 	incarnations [rackSize]int
 }
 
 const (
-	// rackSize is how many runners the modelled rack has, pathLength how many events are
-	// enumerated in every order, and longPaths how many orders of longPathLength events
-	// are drawn.
+	// rackSize is the number of runners in the modelled rack, pathLength the number of
+	// events enumerated in every order, and longPaths the number of random sequences of
+	// longPathLength events.
 	rackSize       = 3
 	pathLength     = 3
 	longPaths      = 300
@@ -62,7 +63,7 @@
 	m.store.Apply(command)
 }
 
-// report lets the current incarnation of a runner report.
+// report applies a report of the current incarnation of a runner.
 func (m *rackModel) report(i int, leaving bool) {
 	m.present[i] = true
 	m.leaving[i] = leaving
@@ -76,7 +77,7 @@
 	}})
 }
 
-// rackEvents are the events of one runner that are enumerated.
+// rackEvents are the possible events of one runner.
 var rackEvents = []struct {
 	name string
 	do   func(m *rackModel, i int)
@@ -94,8 +95,8 @@
 	}},
 }
 
-// check holds the store against the model, before and after all drains have gone as far
-// as they can.
+// check compares the store with the model, before and after all drains have advanced as
+// far as they can.
 func (m *rackModel) check() {
 	m.checkCordons()
 	settled := m.clone()
@@ -104,12 +105,12 @@
 	settled.checkCordons()
 	for _, drain := range settled.store.Drains {
 		if drain.Stage.Cordons() && !slices.ContainsFunc(drain.Scope, func(name identifier.Runner) bool { return settled.isLeaving(name) }) {
-			m.t.Errorf("%v: the drain of %v stays in %s though nobody of it leaves", m.path, drain.Scope, drain.Stage)
+			m.t.Errorf("%v: the drain of %v stays in %s although none of its runners leaves", m.path, drain.Scope, drain.Stage)
 		}
 	}
 	for i := range rackSize {
 		if m.present[i] && !m.leaving[i] && settled.store.Cordoned(rackRunner(i)) {
-			m.t.Errorf("%v: %s stays, and is cordoned for good", m.path, rackRunner(i))
+			m.t.Errorf("%v: %s stays but is cordoned for good", m.path, rackRunner(i))
 		}
 	}
 }
@@ -123,13 +124,13 @@
 	return false
 }
 
-// checkCordons checks that whoever has announced that it leaves is cordoned by the very
-// entry, and that no drain holds a runner that never did.
+// checkCordons checks that every runner that has announced its departure is cordoned by
+// the same log entry, and that no drain includes a runner that has not.
 func (m *rackModel) checkCordons() {
 	for i := range rackSize {
 		name := rackRunner(i)
 		if m.present[i] && m.leaving[i] && !m.store.Cordoned(name) {
-			m.t.Errorf("%v: %s leaves and is not cordoned", m.path, name)
+			m.t.Errorf("%v: %s leaves but is not cordoned", m.path, name)
 		}
 	}
 	for _, drain := range m.store.Drains {
@@ -138,14 +139,15 @@
 				continue
 			}
 			if !m.isLeaving(name) {
-				m.t.Errorf("%v: the drain in %s concerns %s, which does not leave", m.path, drain.Stage, name)
+				m.t.Errorf("%v: the drain in %s includes %s, which does not leave", m.path, drain.Stage, name)
 			}
 		}
 	}
 }
 
-// after is the model after one more event, with a new leader: a store read back from its
-// snapshot. With advance set, each drain's stage is carried out as well.
+// after returns the model after one more event, with a store decoded from its snapshot,
+// as a new leader would have. If advance is set, the current stage of each drain is
+// executed as well.
 func (m *rackModel) after(i, event int, advance bool) *rackModel {
 	next := m.clone()
 	next.path = append(next.path, fmt.Sprint(rackRunner(i), " ", rackEvents[event].name))
@@ -157,9 +159,10 @@
 	return next
 }
 
-// TestRackScope enumerates the orders in which the runners of a rack leave, stay, are lost
-// and are replaced under their name, with a new leader after each event and a stage of each
-// drain carried out after every other one; longer orders are drawn.
+// TestRackScope enumerates the orders in which the runners of a rack announce and
+// withdraw their departure, are lost and are replaced under the same name. A new leader
+// follows each event, and a stage of each drain is executed after every second one.
+// Longer sequences are drawn at random.
 func TestRackScope(t *testing.T) {
 	t.Parallel()
 	var visit func(m *rackModel, depth int)
@@ -183,8 +186,8 @@
 	}
 }
 
-// advanceOnce carries out the stage that each drain is in, and reports whether that has
-// moved one of them on.
+// advanceOnce executes the current stage of each drain, and reports whether any drain
+// changed its stage.
 func (m *rackModel) advanceOnce() bool {
 	moved := false
 	for _, id := range m.store.DrainIDs() {
@@ -195,8 +198,8 @@
 	return moved
 }
 
-// TestRackScopeOnRaise checks that the entry which raises the level lets go of runners that
-// an earlier program cordoned because most of their rack left.
+// TestRackScopeOnRaise checks that the entry which raises the level lifts the cordon of
+// runners that an earlier version cordoned because most of their rack was leaving.
 func TestRackScopeOnRaise(t *testing.T) {
 	m := newRackModel(t, ResendLevel)
 	for i := range 2 {
@@ -205,18 +208,18 @@
 		m.present[i] = false
 	}
 	if !m.store.Cordoned(rackRunner(2)) {
-		t.Fatal("below the level, the rest of the rack is cordoned")
+		t.Fatal("below the level, the rest of the rack must be cordoned")
 	}
 	before := m.store.Encode()
 	m.apply(&Command{RaiseLevel: &RaiseLevel{Level: RackScopeLevel}})
 	m.check()
 	if bytes.Equal(before, m.store.Encode()) {
-		t.Error("nothing has changed")
+		t.Error("raising the level did not change the state")
 	}
 }
 
-// TestRackDrainReleasesRemainingRunner plays the departures that were seen on a day of many: most of a rack
-// leaves and ends, and the one that stays takes work again.
+// TestRackDrainReleasesRemainingRunner replays an observed sequence of departures: most
+// runners of a rack leave and are lost, and the remaining one must accept work again.
 func TestRackDrainReleasesRemainingRunner(t *testing.T) {
 	f := newFixtureAtLevel(t, RackScopeLevel)
 	leave := func(i int) {
--- a/internal/state/reordering_test.go
+++ b/internal/state/reordering_test.go
@@ -11,11 +11,11 @@
 	"orchidward/internal/api/job"
 )
 
-// These tests are of requests without a version of their own: starting and ending the
-// drain of a domain, submitting and cancelling a job. Copies of them arrive in every
-// order, and each test states what comes of it.
+// These tests cover requests that carry no version: starting and ending the drain of a
+// domain, and submitting and cancelling a job. Copies of these requests arrive in every
+// order, and each test states the expected outcome.
 
-// permutations lists the different orders in which the copies can arrive.
+// permutations returns the distinct orders in which the copies can arrive.
 func permutations(copies []string) [][]string {
 	var list [][]string
 	if len(copies) == 0 {
@@ -47,8 +47,8 @@
 	}
 }
 
-// domainDrained tells whether a drain of the domain north is in force that is not
-// being undone.
+// domainDrained reports whether a drain of the domain north is in force and is not being
+// undone.
 func (f *fixture) domainDrained() bool {
 	for _, drain := range f.store.Drains {
 		if drain.Domain == "north" && !drain.Stage.Reopening() {
@@ -58,10 +58,10 @@
 	return false
 }
 
-// TestDrainRequestOrders: the last request to arrive decides. So copies do no harm
-// unless one arrives after a later request did: such copies must be dropped on
-// their way. A drain with an id of its own is not started again by a copy; only
-// overtaking can do harm there.
+// TestDrainRequestOrders checks that the last request to arrive decides. Copies are
+// therefore harmless unless one arrives after a later request; such copies must be
+// dropped before they reach the store. A drain with an id of its own is not started again
+// by a copy, so that only a reordering of start and end can have a wrong result there.
 func TestDrainRequestOrders(t *testing.T) {
 	for _, id := range []string{"", "own"} {
 		for _, arrival := range permutations([]string{http.MethodPost, http.MethodPost, http.MethodDelete, http.MethodDelete}) {
@@ -74,14 +74,14 @@
 				want = !slices.Contains(arrival[slices.Index(arrival, http.MethodPost):], http.MethodDelete)
 			}
 			if f.domainDrained() != want {
-				t.Errorf("id %q, %s: closed is %v, want %v", id, strings.Join(arrival, " "), f.domainDrained(), want)
+				t.Errorf("id %q, %s: drained is %v, want %v", id, strings.Join(arrival, " "), f.domainDrained(), want)
 			}
 		}
 	}
 }
 
-// TestDrainRequestsInOrder: when copies of a superseded request are dropped, every
-// arrival ends as the last request says.
+// TestDrainRequestsInOrder checks that the result matches the last request if copies of
+// superseded requests are dropped.
 func TestDrainRequestsInOrder(t *testing.T) {
 	for _, given := range [][]string{
 		{http.MethodPost, http.MethodDelete},
@@ -95,23 +95,23 @@
 			f.sendDrainRequest(method, "")
 		}
 		if want := given[len(given)-1] == http.MethodPost; f.domainDrained() != want {
-			t.Errorf("%s: closed is %v, want %v", strings.Join(given, " "), f.domainDrained(), want)
+			t.Errorf("%s: drained is %v, want %v", strings.Join(given, " "), f.domainDrained(), want)
 		}
 	}
 }
 
-// TestEndDrainWithinOneMillisecond: however many drains of a domain started within
-// one millisecond, reopening the domain reopens the one in force.
+// TestEndDrainWithinOneMillisecond checks that reopening a domain reopens the drain in
+// force, however many drains of the domain started within the same millisecond.
 func TestEndDrainWithinOneMillisecond(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	for turn := 1; turn <= 30; turn++ {
 		f.sendDrainRequest(http.MethodPost, "")
 		if !f.domainDrained() {
-			t.Fatalf("turn %d: closed, and it is open", turn)
+			t.Fatalf("turn %d: the drain was acknowledged, but the domain is not drained", turn)
 		}
 		f.sendDrainRequest(http.MethodDelete, "")
 		if f.domainDrained() {
-			t.Fatalf("turn %d: the reopening was acknowledged, and the domain stays closed", turn)
+			t.Fatalf("turn %d: the reopening was acknowledged, but the domain stays drained", turn)
 		}
 	}
 }
@@ -132,15 +132,16 @@
 	return f.store.Apply(&Command{CancelJob: &CancelJob{Key: key}}).Status
 }
 
-// canBePlaced tells whether the job has a task that can be placed.
+// canBePlaced tries to place a task of the job and reports whether the job has an open
+// lease afterwards.
 func (f *fixture) canBePlaced(key identifier.JobKey) bool {
 	f.place(key, 0, []int{0}, "r1")
 	return f.openLeases(key) > 0
 }
 
-// TestCancelOrders: once a cancel has arrived, no copy of the submission makes the
-// job run, whichever came first, also when the store is read from a snapshot in
-// between, and no cancel is rejected.
+// TestCancelOrders checks that once a cancel has arrived no copy of the submission makes
+// the job run, whichever arrived first, even if the store is read from a snapshot in
+// between, and that no cancel is rejected.
 func TestCancelOrders(t *testing.T) {
 	for _, arrival := range permutations([]string{http.MethodPut, http.MethodPut, http.MethodDelete, http.MethodDelete}) {
 		f := newFixtureAtLevel(t, ResendLevel)
@@ -161,8 +162,8 @@
 	}
 }
 
-// wantStatus is the status that the i-th request to arrive must get: a job is accepted
-// only when a submission was the first to arrive.
+// wantStatus returns the expected status of the i-th request to arrive: a job is accepted
+// only if a submission arrived first.
 func wantStatus(arrival []string, i int) int {
 	submittedFirst := arrival[0] == http.MethodPut
 	switch {
@@ -176,9 +177,9 @@
 	return http.StatusNotFound
 }
 
-// TestTombstones: a cancel that finds no job rejects submissions of its id for as
-// long as one can still be under way, and no longer. Tombstones are bounded, and
-// below ResendLevel there are none.
+// TestTombstones checks that a cancel that finds no job rejects submissions of its id for
+// as long as one can still be in flight, and no longer. The number of tombstones is
+// bounded, and below ResendLevel there are none.
 func TestTombstones(t *testing.T) {
 	const lifetimeMs, limit = 31_000, 4096
 	f := newFixtureAtLevel(t, ResendLevel)
@@ -208,7 +209,7 @@
 		f.apply(0, &Command{})
 	}
 	if n := len(f.store.Tombstones); n != 1 {
-		t.Errorf("%d tombstones are left after their time", n)
+		t.Errorf("%d tombstones are left after they expired, want 1", n)
 	}
 
 	earlier := newFixtureAtLevel(t, CatalogLevel)
@@ -216,9 +217,9 @@
 	earlier.apply(http.StatusCreated, submission("a/x"))
 }
 
-// TestDrainIDRetention: the id of a drain is known as long as the drain is kept,
-// which is for 64 others. A copy of the request that arrives later starts the drain
-// again; it must be dropped on its way.
+// TestDrainIDRetention checks that the id of a drain is known as long as the drain is
+// kept, which is until 64 later ones. A copy of the request that arrives afterwards
+// starts the drain again, so it must be dropped before it reaches the store.
 func TestDrainIDRetention(t *testing.T) {
 	f := newFixtureAtLevel(t, ResendLevel)
 	drainAndReopen := func(domain identifier.Domain, id string) {
--- a/internal/state/repeat_test.go
+++ b/internal/state/repeat_test.go
@@ -11,9 +11,9 @@
 	"orchidward/internal/clock"
 )
 
-// TestRepeatedJob: a repeated job costs one record until an occurrence is due.
-// Occurrences may overlap, none starts early, the job ends with its last one, and
-// cancelling it ends them all and starts no more.
+// TestRepeatedJob checks that a repeated job is a single record until an occurrence is
+// due, that occurrences may overlap and none starts early, that the job ends with its
+// last occurrence, and that cancelling it ends the open occurrences and starts no more.
 func TestRepeatedJob(t *testing.T) {
 	f := newQueueFixture(t)
 	steps := []job.Step{{Tasks: 1}}
@@ -46,7 +46,7 @@
 	f.store.Apply(&Command{At: 60000})
 	f.wantState("q/c", "cancelled")
 	if f.store.Jobs["q/c.2"] != nil {
-		t.Error("an occurrence started after the cancel")
+		t.Error("an occurrence was started after the cancel")
 	}
 	for number := range 3 {
 		key := identifier.JobKey(fmt.Sprintf("q/r.%d", number))
@@ -62,8 +62,9 @@
 	f.apply(http.StatusUnprocessableEntity, &Command{SubmitJob: &SubmitJob{Key: "q/z.1", Spec: likeOccurrence}})
 }
 
-// TestOtherJobsEndWhileRepeatedJobsWait: jobs that are not repeated end, by success or by
-// a cancel and in any order, while repeated ones of the same queue have occurrences to come.
+// TestOtherJobsEndWhileRepeatedJobsWait checks that jobs that are not repeated can end,
+// by success or by a cancel and in any order, while repeated jobs of the same queue have
+// occurrences to come.
 func TestOtherJobsEndWhileRepeatedJobsWait(t *testing.T) {
 	for seed := range int64(100) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/state/snapshot_bench_test.go
+++ b/internal/state/snapshot_bench_test.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/api/job"
 )
 
-// storeAfterOneDay is a store after a day at the usual rate: ids are remembered for a
-// day, details for ten minutes.
+// storeAfterOneDay returns a store after a day at the usual rate: ids are remembered for
+// a day, details for ten minutes.
 func storeAfterOneDay(remembered, detailed int) *Store {
 	store := New()
 	for i := range remembered {
@@ -25,7 +25,8 @@
 	return store
 }
 
-// BenchmarkSnapshot measures how long a server is busy with a snapshot, and its size.
+// BenchmarkSnapshot measures the time that a server spends on a snapshot, and the size of
+// the snapshot.
 func BenchmarkSnapshot(bench *testing.B) {
 	for _, size := range []struct{ ids, kept int }{{0, 1000}, {0, 7000}, {100_000, 7000}, {1_000_000, 7000}} {
 		store := storeAfterOneDay(size.ids, size.kept)
--- a/internal/state/snapshot_test.go
+++ b/internal/state/snapshot_test.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/api/identifier"
 )
 
-// TestSnapshotRoundTrip: a store read from a snapshot does the same with the next
-// commands as the one that made the snapshot.
+// TestSnapshotRoundTrip checks that a store decoded from a snapshot and the store that
+// produced the snapshot stay identical under further commands.
 func TestSnapshotRoundTrip(t *testing.T) {
 	f := newFixture(t, `{"ride.onOutage":"ride"}`)
 	f.submit("a/g", "ride", gangStep(2, 4))
@@ -31,7 +31,7 @@
 		f.store.Apply(command)
 		loaded.Apply(command)
 		if a, b := f.store.Encode(), loaded.Encode(); !bytes.Equal(a, b) {
-			t.Fatalf("they differ:\n%s\n%s", a, b)
+			t.Fatalf("the stores differ:\n%s\n%s", a, b)
 		}
 	}
 }
--- a/internal/state/tenant_quota_test.go
+++ b/internal/state/tenant_quota_test.go
@@ -11,14 +11,14 @@
 	"orchidward/internal/api/job"
 )
 
-// tenantModel drives a store by random commands, and counts by itself what tenants have
-// running.
+// tenantModel drives a store with random commands and independently counts the use of
+// each tenant.
 type tenantModel struct {
 	*fixture
 	random *rand.Rand
 	quotas map[string]catalog.Quota
 	jobs   int
-	// incarnations numbers the incarnations of each runner.
+	// incarnations holds the current incarnation number of each runner.
 	incarnations [10]int
 }
 
@@ -35,7 +35,7 @@
 	return m
 }
 
-// changeQuotas gives every tenant another quota; sometimes one is dropped.
+// changeQuotas gives every tenant a new random quota, or occasionally drops it.
 func (m *tenantModel) changeQuotas() {
 	current := m.store.currentCatalog()
 	change := &catalog.Change{Base: current.Version, Version: current.Version + 1, Checksum: fmt.Sprint(m.random.Int()), Authenticated: true}
@@ -66,7 +66,8 @@
 	return identifier.Runner(fmt.Sprintf("r%d", number)), identifier.Incarnation(fmt.Sprint("a", m.incarnations[number]))
 }
 
-// place places one unit of a job with no regard for quotas, and checks what came of it.
+// place places tasks of a random job, or its whole gang, regardless of quotas, and checks
+// that the result respects the quota.
 func (m *tenantModel) place() {
 	key := identifier.JobKey(fmt.Sprintf("q/j%d", 1+m.random.Intn(m.jobs)))
 	j := m.store.Jobs[key]
@@ -95,12 +96,12 @@
 		{before.Mem, after.Mem, largest.Mem, quota.Mem},
 	} {
 		if c.bound > 0 && c.after > c.bound && (c.before*2 > c.bound || c.after-c.task > c.bound) {
-			m.Fatalf("placing %+v of %s lifts it from %d to %d, its bound is %d", placement, tenant, c.before, c.after, c.bound)
+			m.Fatalf("placing %+v of %s raises its use from %d to %d, its quota is %d", placement, tenant, c.before, c.after, c.bound)
 		}
 	}
 }
 
-// recount adds up the open leases of each tenant's jobs.
+// recount returns the total demand of the open leases of each tenant's jobs.
 func (m *tenantModel) recount() map[string]job.Demand {
 	use := map[string]job.Demand{}
 	for _, lease := range m.store.Leases {
@@ -110,7 +111,7 @@
 	return use
 }
 
-// endOrRevokeLease reports how one open lease ended, or revokes it.
+// endOrRevokeLease reports a random end of one open lease, or revokes the lease.
 func (m *tenantModel) endOrRevokeLease() {
 	for id := identifier.LeaseID(1 + m.random.Int63n(int64(m.store.NextLease))); id < m.store.NextLease; id++ {
 		lease := m.store.Leases[id]
@@ -128,7 +129,7 @@
 	}
 }
 
-// loseOrRestartRunner counts a runner as lost, or has it come back as a new incarnation.
+// loseOrRestartRunner counts a runner as lost, or makes it report a new incarnation.
 func (m *tenantModel) loseOrRestartRunner() {
 	number := 5 + m.random.Intn(4)
 	name, incarnation := m.runner(number)
@@ -139,7 +140,7 @@
 	m.restart(number)
 }
 
-// restart has a runner come back as a new incarnation.
+// restart makes a runner report a new incarnation.
 func (m *tenantModel) restart(number int) {
 	m.incarnations[number]++
 	_, incarnation := m.runner(number)
@@ -148,7 +149,8 @@
 	m.apply(http.StatusOK, &Command{ReportRunner: report})
 }
 
-// checkUse compares the store's own count with the open leases, also after a snapshot.
+// checkUse compares the store's own totals with the open leases, also for a store decoded
+// from its snapshot.
 func (m *tenantModel) checkUse() {
 	m.Helper()
 	restored, err := Decode(m.store.Encode())
@@ -163,7 +165,8 @@
 	}
 }
 
-// TestTenantNeverAboveQuota: whatever the order of placements, ends, lost runners, cancels and changes of quotas, no placement lifts a tenant above its quota.
+// TestTenantNeverAboveQuota checks that no placement raises the use of a tenant above its
+// quota, whatever the order of placements, ends, lost runners, cancels and quota changes.
 func TestTenantNeverAboveQuota(t *testing.T) {
 	for seed := range int64(40) {
 		m := newTenantModel(t, seed)
@@ -194,7 +197,8 @@
 	}
 }
 
-// TestJobWithoutTenantRefused: a queue that asks for keys takes no job of nobody, and a job stays that of the tenant that handed it in first.
+// TestJobWithoutTenantRefused checks that a queue that requires API keys rejects a job
+// without a tenant, and that a job keeps the tenant that submitted it first.
 func TestJobWithoutTenantRefused(t *testing.T) {
 	m := newTenantModel(t, 1)
 	spec := job.Spec{Queue: "q", Steps: []job.Step{{Name: "s", Tasks: 1, ExpectedRun: 1}}}
@@ -208,6 +212,6 @@
 	submit(http.StatusOK, "t")
 	submit(http.StatusOK, "u")
 	if tenant := m.store.Jobs["q/a"].Spec.Tenant; tenant != "t" {
-		t.Errorf("the job has become that of %s", tenant)
+		t.Errorf("the tenant of the job changed to %s", tenant)
 	}
 }
--- a/internal/state/tenant_rate_test.go
+++ b/internal/state/tenant_rate_test.go
@@ -6,7 +6,8 @@
 	"orchidward/internal/clock"
 )
 
-// TestSlowTenantKeepsItsShare: a tenant of a low weight that hands in just as much is never beyond it.
+// TestSlowTenantKeepsItsShare checks that a tenant with a low weight that submits jobs
+// exactly at the rate allowed by its weight never exceeds its share.
 func TestSlowTenantKeepsItsShare(t *testing.T) {
 	for _, weight := range []int64{50, 100, 150, 199, 200, 1000} {
 		rate := &tenantRate{}
@@ -18,7 +19,7 @@
 			}
 		}
 		if excess > 0 {
-			t.Errorf("weight %d, a job each %d ms: %d of 100 are beyond the share", weight, every, excess)
+			t.Errorf("weight %d, one job every %d ms: %d of 100 exceed the share", weight, every, excess)
 		}
 	}
 }
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -26,7 +26,7 @@
 		original:    "runner.Draining && (!runner.Gone || s.Level < RackScopeLevel)",
 		replacement: "runner.Draining",
 		tests:       test("./internal/state", "TestRackScope"),
-		want:        "though nobody of it leaves",
+		want:        "although none of its runners leaves",
 	},
 	{
 		name:        "raise keeps the cordons of former programs",
@@ -102,7 +102,7 @@
 		original:    "return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs",
 		replacement: "return true",
 		tests:       packages("./internal/state", "./internal/scheduler"),
-		want:        "unsound placements",
+		want:        "invalid placements were applied",
 	},
 	{
 		name:        "gang partners are not revoked",
@@ -110,7 +110,7 @@
 		original:    `if partner.RevokeReason == "" {`,
 		replacement: `if partner.RevokeReason == "never" {`,
 		tests:       test("./internal/state", "TestGangIsRevokedAndPlacedTogether"),
-		want:        "goes on alone",
+		want:        "was not revoked",
 	},
 	{
 		name:        "job ends with open leases",
@@ -126,7 +126,7 @@
 		original:    "if drain == nil || drain.Stage != command.From {",
 		replacement: "if drain == nil {",
 		tests:       test("./internal/state", "TestSuspendedUntilDrainEnds"),
-		want:        "a step from a stage long past",
+		want:        "a command for an earlier stage",
 	},
 	{
 		name:        "a gang's failure counts by member",
@@ -198,7 +198,7 @@
 		original:    "if s.Level >= ResendLevel && found != nil && !found.Stage.Reopening() && candidate.Stage.Reopening() {",
 		replacement: "if false {",
 		tests:       test("./internal/state", "TestEndDrainWithinOneMillisecond"),
-		want:        "stays closed",
+		want:        "stays drained",
 	},
 	{
 		name:        "resend starts a drain of the same id again",
@@ -206,6 +206,6 @@
 		original:    `if command.ID != "" && s.Drains[command.ID] != nil {`,
 		replacement: `if command.ID != "" && s.Drains[command.ID] != nil && !s.Drains[command.ID].Stage.Reopening() {`,
 		tests:       test("./internal/state", "TestDrainRequestOrders"),
-		want:        "closed is true, want false",
+		want:        "drained is true, want false",
 	},
 }
--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -42,7 +42,7 @@
 		original:    "return change.Base < change.Version && change.Version <= d.Horizon",
 		replacement: "return change.Version <= d.Horizon",
 		tests:       test("./internal/state", "TestForgottenCatalogChange"),
-		want:        "a number not above its own base: 504",
+		want:        "a version not above its own base: 504",
 	},
 	{
 		name:        "a patch passes for a whole catalogue",
@@ -50,7 +50,7 @@
 		original:    "\treturn kindPatch\n",
 		replacement: "\treturn kindReplace\n",
 		tests:       test("./internal/state", "TestSameTextOtherMethod"),
-		want:        "two operators were confirmed under one number",
+		want:        "two changes were acknowledged under one version",
 	},
 	{
 		name:        "accepted changes are forgotten by the raise",
