--- a/internal/invariants/rules.go
+++ b/internal/invariants/rules.go
@@ -2,8 +2,8 @@
 
 // Invariants, named after the rows of docs/promises.md.
 const (
-	// NoStartOnLeavingRunner: no task starts on a runner that has announced its
-	// departure.
+	// NoStartOnLeavingRunner: no task starts on a runner whose announced departure the
+	// control plane knows of.
 	NoStartOnLeavingRunner = "P1"
 	// NoStartInDrainedDomain: no task starts in a failure domain once its drain is
 	// acknowledged.
@@ -42,8 +42,8 @@
 	everyJobAccepted = "silent"
 )
 
-// Tolerances in milliseconds: how long a condition that cannot be ruled out at once may
-// last.
+// Tolerances in milliseconds: how long a state that an invariant rules out may last
+// before it counts as a violation.
 const (
 	// MaxCancelledRun is how long a cancelled task may keep running under any faults: an
 	// unreachable runner stops it by its own clock when its lease of 10 s lapses, with 2%
@@ -85,7 +85,8 @@
 	CountAcked = "acked"
 	// CountDrained counts drains that were acknowledged.
 	CountDrained = "closed"
-	// CountLeaving counts runners that announced their departure.
+	// CountLeaving counts runners whose announced departure became known to the control
+	// plane.
 	CountLeaving = "leaving"
 	// CountStuck counts accepted jobs that did not end.
 	CountStuck = "stuck"
--- a/internal/invariants/starts.go
+++ b/internal/invariants/starts.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// checkStartAllowed reports a start after its job was cancelled, after its runner
-// announced its departure, or after its domain was drained.
+// checkStartAllowed reports a start after its job was cancelled, after its runner was
+// known to leave, or after its domain was drained.
 func (c *Checker) checkStartAllowed(j *Job, name string, e runner.Event) {
 	now := c.cluster.Time()
 	if j.CancelledAt > 0 {
--- a/internal/state/drain.go
+++ b/internal/state/drain.go
@@ -62,7 +62,7 @@
 	At    clock.ClusterTime `json:"at"`
 }
 
-// The kinds of drain.
+// Kinds of drain.
 const (
 	// KindDomain is a drain of a failure domain, requested by an operator.
 	KindDomain = "domain"
--- a/internal/state/drain_stages.go
+++ b/internal/state/drain_stages.go
@@ -138,10 +138,10 @@
 	verdictOverThreshold   = "unconfirmed stops over threshold, operator to look"
 )
 
-// checkPostdrain returns the post-disable check of the paper cited at [Stage]. It waits
-// until every stop is confirmed or the time for confirming has run out, and then compares
-// the number of unconfirmed stops with the tolerated share of the displaced tasks. A
-// lease that is not revoked yet returns the drain to the Cordon stage.
+// checkPostdrain implements the post-disable check of the paper cited at [Stage]. It
+// waits until every stop is confirmed or the time for confirming has run out, and then
+// compares the number of unconfirmed stops with the tolerated share of the displaced
+// tasks. A lease that is not revoked yet returns the drain to the Cordon stage.
 func (s *Store) checkPostdrain(drain *Drain, timedOut bool) {
 	running, unconfirmed := s.OpenLeases(drain)
 	if len(running) > 0 {
--- a/internal/state/tenant_rate.go
+++ b/internal/state/tenant_rate.go
@@ -8,13 +8,13 @@
 	jobCredit = 1_000_000
 	// creditSpan is the time for which an idle tenant accumulates credit; a tenant whose
 	// weight is too low to earn the credit of one job in that time accumulates until it
-	// has enough for one. maxCreditSpan bounds the time counted at once.
+	// has enough for one. maxCreditSpan bounds the idle time that is credited.
 	creditSpan    clock.Millis = 5000
 	maxCreditSpan clock.Millis = 24 * 60 * 60 * 1000
 )
 
-// tenantRate is a token bucket, filled according to the weight of a tenant, that limits
-// how fast the tenant may submit jobs within its share.
+// tenantRate is a token bucket, filled according to the weight of a tenant, that detects
+// when the tenant submits jobs faster than its weight allows.
 type tenantRate struct {
 	credit     int64
 	refilledAt clock.ClusterTime
