--- a/internal/state/catalog_resend_test.go
+++ b/internal/state/catalog_resend_test.go
@@ -73,7 +73,7 @@
 	sizeBefore := len(f.store.Encode())
 	f.acceptChanges(0, last)
 	if size := len(f.store.Encode()) - sizeBefore; size > maxMemoryBytes {
-		t.Errorf("the memory of changes takes %d bytes of a snapshot, want at most %d", size, maxMemoryBytes)
+		t.Errorf("the remembered changes take %d bytes of a snapshot, want at most %d", size, maxMemoryBytes)
 	}
 	horizon := uint64(last - minRememberedChanges)
 	for version := uint64(1); version <= last; version++ {
