--- a/internal/controlplane/run_progress.go
+++ b/internal/controlplane/run_progress.go
@@ -95,7 +95,7 @@
 			evidence = append(evidence, contact.agent.rateEvidence)
 		}
 	}
-	s.leader.commonRate = prediction.Common(evidence)
+	s.leader.commonRate = prediction.CommonLogRate(evidence)
 }
 
 // predictedRun is how long an attempt was to run on a runner of the nominal rate, away from
--- a/internal/gateway/authentication.go
+++ b/internal/gateway/authentication.go
@@ -35,7 +35,7 @@
 		return true
 	}
 	switch {
-	case r.mayBeTaken():
+	case r.mayBeApplied():
 		g.replyUnknown(r.ID)
 	case g.routing.behindSince > 0:
 		g.Counts.KeysBehind++
--- a/internal/gateway/authentication_test.go
+++ b/internal/gateway/authentication_test.go
@@ -96,7 +96,7 @@
 	mustForward(t, leader.gateway.TakeOutput())
 	leader.run(clock.Monotonic(attemptTimeout) / 2)
 	leader.now = leader.now.Add(attemptTimeout)
-	leader.gateway.sync.leaderHeardAt = leader.now
+	leader.gateway.sync.lastContactAt = leader.now
 	leader.gateway.Tick(leader.now)
 	again := mustForward(t, leader.gateway.TakeOutput())
 	respond(leader.gateway, again, wire.Response{Status: http.StatusUnauthorized}, leader.now)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -62,7 +62,7 @@
 	case r.Idempotent():
 		return defaultBudget
 	}
-	return defaultOrderBudget
+	return defaultNonIdempotentBudget
 }
 
 // Response is the one answer to a request. RetryAfter, when above 0, is after how many
@@ -107,13 +107,13 @@
 	syncTimeout  clock.Millis = 400
 	// announceInterval lies between two announcements of this gateway to the servers,
 	// announceIntervalOutOfTouch while it is out of touch.
-	announceInterval           clock.Millis = 1000
-	announceIntervalOutOfTouch clock.Millis = 200
+	announceInterval          clock.Millis = 1000
+	announceIntervalNoContact clock.Millis = 200
 	// defaultBudget is for idempotent requests, defaultOrderBudget for others. With the
 	// longest stall that goes unnoticed the latter makes a second, after which callers
 	// send their orders again.
-	defaultBudget      clock.Millis = 5000
-	defaultOrderBudget              = 1000 - stalldetector.Limit
+	defaultBudget              clock.Millis = 5000
+	defaultNonIdempotentBudget              = 1000 - stalldetector.Limit
 	// maxInFlight and maxInFlightBytes bound the requests in flight and their bodies.
 	maxInFlight      int = 4096
 	maxInFlightBytes int = 64 << 20
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -58,7 +58,7 @@
 		servers:     serverSet{failedAt: map[wire.Peer]clock.Monotonic{}},
 		sync: leaderSync{
 			// Long enough ago that the gateway is not ready.
-			leaderHeardAt: now.Add(-10 * LeaderContactTimeout),
+			lastContactAt: now.Add(-10 * LeaderContactTimeout),
 			lastAnnounce:  now.Add(-announceInterval),
 		},
 		requests: requestTable{byID: map[uint64]*request{}, byAttempt: map[uint64]uint64{}},
@@ -68,7 +68,7 @@
 // Ready reports whether the gateway has been in touch with the leader lately and has a table
 // to decide by.
 func (g *Gateway) Ready(now clock.Monotonic) bool {
-	return g.routing.rules != nil && now.Since(g.sync.leaderHeardAt) < LeaderContactTimeout
+	return g.routing.rules != nil && now.Since(g.sync.lastContactAt) < LeaderContactTimeout
 }
 
 // CatalogVersion is the version of the catalogue, 0 while this gateway knows of none.
@@ -114,7 +114,7 @@
 	g.announce()
 	g.syncIfDue()
 	if !g.Ready(g.now) {
-		g.logOutOfTouch()
+		g.logContactLost()
 		g.failAll()
 		return
 	}
@@ -132,7 +132,7 @@
 // failAll answers every request in flight, as the leader is out of touch.
 func (g *Gateway) failAll() {
 	for _, id := range g.requests.ids() {
-		g.fail(id, codeOutOfTouch, messageOutOfTouch)
+		g.fail(id, codeContactLost, messageContactLost)
 	}
 }
 
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -18,13 +18,13 @@
 	// request is the sync under way, nil while there is none.
 	request  *syncRequest
 	lastSync clock.Monotonic
-	// leaderHeardAt is when the last sync was sent that the leader has answered.
-	leaderHeardAt clock.Monotonic
+	// lastContactAt is when the last sync was sent that the leader has answered.
+	lastContactAt clock.Monotonic
 	lastAnnounce  clock.Monotonic
-	// inTouch says that the log's last word is that the leader was in touch, and
+	// contactLogged says that the log's last word is that the leader was in touch, and
 	// unanswered counts the syncs without a response since it last was.
-	inTouch    bool
-	unanswered int
+	contactLogged bool
+	unanswered    int
 }
 
 // syncRequest is a sync under way; after is the name after which its page begins.
@@ -46,7 +46,7 @@
 	outOfTouch := !g.Ready(g.now)
 	interval := announceInterval
 	if outOfTouch {
-		interval = announceIntervalOutOfTouch
+		interval = announceIntervalNoContact
 	}
 	if g.now.Since(g.sync.lastAnnounce) < interval {
 		return
@@ -78,7 +78,7 @@
 	if sync.request != nil && g.now.Since(sync.request.sentAt) > syncTimeout {
 		g.Counts.SyncsUnanswered++
 		sync.unanswered++
-		g.servers.failed(sync.request.to, g.now)
+		g.servers.markFailed(sync.request.to, g.now)
 		sync.request = nil
 	}
 	if sync.request != nil || g.now.Since(sync.lastSync) < syncInterval {
@@ -90,7 +90,7 @@
 	}
 	sync.lastSync = g.now
 	since, after := g.routing.replica.NextRequest()
-	sync.request = &syncRequest{id: g.takeAttempt(), sentAt: g.now, to: target, after: after}
+	sync.request = &syncRequest{id: g.nextAttempt(), sentAt: g.now, to: target, after: after}
 	query := url.Values{
 		routing.SyncGatewayParam: {g.config.HTTP},
 		routing.SyncSinceParam:   {strconv.FormatUint(uint64(since), 10)},
@@ -169,7 +169,7 @@
 	sync := g.sync.request
 	g.sync.request = nil
 	if r.NotLeader || r.Status != http.StatusOK {
-		g.servers.failed(sync.to, g.now)
+		g.servers.markFailed(sync.to, g.now)
 		return
 	}
 	var response routing.SyncResponse
@@ -185,11 +185,11 @@
 	}
 	g.routing.recordLeaderEpoch(response.Epoch, g.now)
 	wasReady := g.Ready(g.now)
-	g.sync.leaderHeardAt = max(g.sync.leaderHeardAt, sync.sentAt)
+	g.sync.lastContactAt = max(g.sync.lastContactAt, sync.sentAt)
 	g.updateServers(&response)
 	g.sync.unanswered = 0
 	if !wasReady && g.Ready(g.now) {
-		g.sync.inTouch = true
+		g.sync.contactLogged = true
 		g.logEvent("in-touch", "via", sync.to, "leader", response.Leader, "epoch", g.Epoch())
 	}
 	if best := g.servers.choose(g.now); best != sync.to {
@@ -210,13 +210,13 @@
 	}
 }
 
-// logOutOfTouch logs, once, that contact with the leader was lost: how long ago the last
+// logContactLost logs, once, that contact with the leader was lost: how long ago the last
 // sync that it answered was sent, how many got no response since, and who was asked last.
-func (g *Gateway) logOutOfTouch() {
-	if !g.sync.inTouch {
+func (g *Gateway) logContactLost() {
+	if !g.sync.contactLogged {
 		return
 	}
-	g.sync.inTouch = false
-	g.logEvent("out-of-touch", "silentMs", g.now.Since(g.sync.leaderHeardAt),
+	g.sync.contactLogged = false
+	g.logEvent("out-of-touch", "silentMs", g.now.Since(g.sync.lastContactAt),
 		"unanswered", g.sync.unanswered, "target", g.servers.target, "leader", g.servers.leaderID.String())
 }
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -43,9 +43,9 @@
 	return r.idempotent && r.attempt != 0 && now.Since(r.sentAt) > attemptTimeout
 }
 
-// mayBeTaken reports whether an earlier attempt of an order may have been carried out, so
+// mayBeApplied reports whether an earlier attempt of an order may have been carried out, so
 // that a refusal now says nothing of it.
-func (r *request) mayBeTaken() bool { return r.outcomeUnknown && r.Method != http.MethodGet }
+func (r *request) mayBeApplied() bool { return r.outcomeUnknown && r.Method != http.MethodGet }
 
 // requestTable holds the requests in flight, and finds them by the attempts under way.
 type requestTable struct {
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -18,16 +18,16 @@
 
 // Codes of the gateway's own error responses; docs/api.md lists them.
 const (
-	codeOutOfTouch = "out-of-touch"
-	codeStalled    = "woken"
-	codeBusy       = "busy"
-	codeNoAnswer   = "no-answer"
+	codeContactLost = "out-of-touch"
+	codeStalled     = "woken"
+	codeBusy        = "busy"
+	codeNoAnswer    = "no-answer"
 
 	codeUnauthenticated = "unauthenticated"
 	codeKeysBehind      = "keys-behind"
 )
 
-const messageOutOfTouch = "this gateway has lost contact with the control plane"
+const messageContactLost = "this gateway has lost contact with the control plane"
 
 // How long a caller should wait after an error response.
 const (
@@ -46,7 +46,7 @@
 	case in.TimeLeft() <= 0:
 		g.replyError(r.ID, http.StatusServiceUnavailable, codeBusy, "the request waited here for longer than its caller does", retryAfterFailure)
 	case !g.Ready(g.now):
-		g.replyError(r.ID, http.StatusServiceUnavailable, codeOutOfTouch, messageOutOfTouch, retryAfterFailure)
+		g.replyError(r.ID, http.StatusServiceUnavailable, codeContactLost, messageContactLost, retryAfterFailure)
 	case r.Method != http.MethodGet && g.stalls.Draining(g.now):
 		g.replyError(r.ID, http.StatusServiceUnavailable, codeStalled,
 			"this gateway stood still and can't tell how old the request is", retryAfterStall)
@@ -69,7 +69,7 @@
 // given up here.
 func (g *Gateway) withdraw(r *request) {
 	if r.attempt != 0 && endpoint.Withdrawable(r.Method, r.Path) {
-		g.send(r.to, wire.Message{Request: wire.NewWithdrawal(g.takeAttempt(), r.attempt)})
+		g.send(r.to, wire.Message{Request: wire.NewWithdrawal(g.nextAttempt(), r.attempt)})
 	}
 }
 
@@ -97,7 +97,7 @@
 		limits.ReadPatch(r.Body, &faults)
 	}
 	switch {
-	case faults.Any() && r.mayBeTaken():
+	case faults.Any() && r.mayBeApplied():
 		g.replyUnknown(r.ID)
 		return false
 	case faults.Any():
@@ -123,8 +123,8 @@
 	}
 }
 
-// takeAttempt is the number of the next message that awaits a response.
-func (g *Gateway) takeAttempt() uint64 {
+// nextAttempt is the number of the next message that awaits a response.
+func (g *Gateway) nextAttempt() uint64 {
 	g.lastAttempt++
 	return g.lastAttempt
 }
@@ -146,11 +146,11 @@
 		to = g.servers.choose(g.now)
 	}
 	if r.attempt != 0 && to == r.to && g.now.Since(r.sentAt) > attemptTimeout {
-		g.servers.failed(to, g.now)
+		g.servers.markFailed(to, g.now)
 		to = g.servers.choose(g.now)
 	}
 	r.outcomeUnknown = r.outcomeUnknown || r.attempt != 0
-	g.requests.beginAttempt(r, g.takeAttempt(), to, g.now)
+	g.requests.beginAttempt(r, g.nextAttempt(), to, g.now)
 	g.send(to, wire.Message{Request: &wire.Request{
 		ID:            r.attempt,
 		Method:        r.Method,
@@ -192,7 +192,7 @@
 		g.requests.endAttempt(r)
 		r.outcomeUnknown = true
 		r.retryAt = g.now.Add(retryInterval)
-	case r.mayBeTaken() && response.IsRefusal():
+	case r.mayBeApplied() && response.IsRefusal():
 		g.replyUnknown(r.ID)
 	default:
 		g.reply(Response{ID: r.ID, Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter})
@@ -206,7 +206,7 @@
 	g.requests.endAttempt(r)
 	r.retryAt = g.now.Add(retryInterval)
 	if g.servers.target == r.to {
-		g.servers.failed(r.to, g.now)
+		g.servers.markFailed(r.to, g.now)
 	}
 }
 
@@ -217,7 +217,7 @@
 	r.staleReturns++
 	g.requests.endAttempt(r)
 	before := g.Epoch()
-	g.takeStaleTable(response.Body)
+	g.applyStaleTable(response.Body)
 	if g.Epoch() == before && before <= r.epoch && len(response.Body) == 0 {
 		g.routing.recordLeaderEpoch(before+1, g.now)
 		r.retryAt = g.now.Add(staleRetryInterval)
@@ -229,9 +229,9 @@
 	}
 }
 
-// takeStaleTable takes the table, or what changed in it, that came with the return of a
+// applyStaleTable takes the table, or what changed in it, that came with the return of a
 // stale request.
-func (g *Gateway) takeStaleTable(body []byte) {
+func (g *Gateway) applyStaleTable(body []byte) {
 	var stale routing.StaleResponse
 	if err := json.Unmarshal(body, &stale); err != nil {
 		return
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -21,8 +21,8 @@
 // neverFailed lies before every time at which a server can have failed.
 const neverFailed clock.Monotonic = -1 << 40
 
-// failed passes over a server for a while.
-func (s *serverSet) failed(server wire.Peer, now clock.Monotonic) {
+// markFailed passes over a server for a while.
+func (s *serverSet) markFailed(server wire.Peer, now clock.Monotonic) {
 	s.failedAt[server] = now
 	s.target = ""
 }
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -33,14 +33,14 @@
 	deadline   clock.Monotonic
 	dispatched bool
 	retryAt    clock.Monotonic
-	// maybeDone says that an earlier dispatch may have been carried out.
-	maybeDone bool
+	// mayHaveExecuted says that an earlier dispatch may have been carried out.
+	mayHaveExecuted bool
 	// expired counts the dispatches that were refused as expired.
 	expired int
 }
 
 // mayHaveChanged reports whether an earlier dispatch may have changed something.
-func (r *request) mayHaveChanged() bool { return r.maybeDone && r.Method != http.MethodGet }
+func (r *request) mayHaveChanged() bool { return r.mayHaveExecuted && r.Method != http.MethodGet }
 
 // Dispatch is a request on its way to the server's state machine.
 type Dispatch struct {
@@ -140,7 +140,7 @@
 		q.expired++
 		r.dispatch(q, now)
 	case reply.Status == http.StatusGatewayTimeout && inTime && q.Idempotent():
-		q.maybeDone = true
+		q.mayHaveExecuted = true
 		q.dispatched = false
 		q.retryAt = now
 	case q.mayHaveChanged() && reply.IsRefusal():
--- a/internal/prediction/durations.go
+++ b/internal/prediction/durations.go
@@ -73,19 +73,19 @@
 		queue = &queueRuns{ratio: moments{count: priorWeight, variance: priorVariance}}
 		d.queues[run.Queue] = queue
 	}
-	nominal := logarithm(run.Duration) + math.Log(float64(max(run.RunnerRate, 1))/NominalRate)
+	nominal := logMillis(run.Duration) + math.Log(float64(max(run.RunnerRate, 1))/NominalRate)
 	if run.Distant {
 		if queue.level.count >= minObserved {
 			predicted, _ := queue.predict(run.Estimate)
-			d.distant.add(bounded(nominal-predicted, d.distant.mean), window)
+			d.distant.add(clampNear(nominal-predicted, d.distant.mean), window)
 		}
 		return
 	}
 	if queue.level.count >= minObserved {
-		nominal = bounded(nominal, queue.level.mean)
+		nominal = clampNear(nominal, queue.level.mean)
 	}
 	queue.level.add(nominal, window)
-	queue.ratio.add(bounded(nominal-logarithm(run.Estimate), queue.ratio.mean), window)
+	queue.ratio.add(clampNear(nominal-logMillis(run.Estimate), queue.ratio.mean), window)
 }
 
 // Predict is how long a task of the queue will run near its data on a runner of the nominal
@@ -101,7 +101,7 @@
 
 // predict weighs both predictors by the inverse of their variances.
 func (q *queueRuns) predict(estimate clock.Millis) (logRun, variance float64) {
-	byEstimate := logarithm(estimate) + q.ratio.mean
+	byEstimate := logMillis(estimate) + q.ratio.mean
 	ratioVariance := max(q.ratio.variance, minVariance)
 	if q.level.count < minObserved {
 		return byEstimate, ratioVariance
@@ -114,8 +114,8 @@
 // DistantFactor is how many times as long a task runs away from its data, 1 at least.
 func (d *Durations) DistantFactor() float64 { return max(1, math.Exp(d.distant.mean)) }
 
-func logarithm(span clock.Millis) float64 { return math.Log(float64(max(span, 1))) }
+func logMillis(span clock.Millis) float64 { return math.Log(float64(max(span, 1))) }
 
-func bounded(value, mean float64) float64 {
+func clampNear(value, mean float64) float64 {
 	return min(max(value, mean-maxDeviation), mean+maxDeviation)
 }
--- a/internal/prediction/prediction_test.go
+++ b/internal/prediction/prediction_test.go
@@ -100,7 +100,7 @@
 		all = append(all, evidence(20, 0.8, 0.5))
 	}
 	usual := all[5]
-	common := Common(all)
+	common := CommonLogRate(all)
 	if rate := usual.Rate(common); !near(float64(rate), NominalRate) {
 		t.Errorf("a runner like all others has the rate %d", rate)
 	}
@@ -113,7 +113,7 @@
 	if nothing := (Evidence{}); nothing.Rate(common) != NominalRate {
 		t.Error("a runner without runs is not taken for a nominal one")
 	}
-	if alone := Common([]Evidence{slow}); slow.Rate(alone) > 400 {
+	if alone := CommonLogRate([]Evidence{slow}); slow.Rate(alone) > 400 {
 		t.Errorf("a slow runner that is alone in running anything has the rate %d", slow.Rate(alone))
 	}
 }
--- a/internal/prediction/rate.go
+++ b/internal/prediction/rate.go
@@ -45,10 +45,10 @@
 	return e.sum / e.runs
 }
 
-// Common is the logarithm of the rate that the runners have in common: the median of theirs.
+// CommonLogRate is the logarithm of the rate that the runners have in common: the median of theirs.
 // Long runs are seen more often than short ones, which makes all look slow. A few runners
 // have little in common: it is shrunk towards nothing then. It reorders the list.
-func Common(runners []Evidence) float64 {
+func CommonLogRate(runners []Evidence) float64 {
 	runners = slices.DeleteFunc(runners, func(e Evidence) bool { return !e.Any() })
 	if len(runners) == 0 {
 		return 0
--- a/internal/routing/replica.go
+++ b/internal/routing/replica.go
@@ -63,8 +63,8 @@
 
 // applyTo is what the update makes of some items, which stay as they are. One that lists
 // everything replaces them.
-func (u itemUpdate[T]) applyTo(items map[string]T, everything bool) map[string]T {
-	if everything {
+func (u itemUpdate[T]) applyTo(items map[string]T, full bool) map[string]T {
+	if full {
 		return u.put
 	}
 	updated := make(map[string]T, len(items)+len(u.put))
@@ -190,9 +190,9 @@
 	}
 	r.epoch = u.first.Epoch
 	r.version = u.first.Version
-	everything := u.first.Since == 0
-	r.routes = u.routes.applyTo(r.routes, everything)
-	r.tenants = u.tenants.applyTo(r.tenants, everything)
+	full := u.first.Since == 0
+	r.routes = u.routes.applyTo(r.routes, full)
+	r.tenants = u.tenants.applyTo(r.tenants, full)
 	r.keySalt = u.first.KeySalt
 	if u.first.Rows != nil {
 		r.rows = u.first.Rows
--- a/internal/scheduler/deferral.go
+++ b/internal/scheduler/deferral.go
@@ -28,8 +28,8 @@
 	maxDeferral clock.Millis = 1500
 )
 
-// futureRoom is what will become free on a node as its runs end.
-type futureRoom struct {
+// expectedReleases is what will become free on a node as its runs end.
+type expectedReleases struct {
 	// ends are the expected ends of the runs there, the earliest first.
 	ends []expectedEnd
 	// claimed is the demand of tasks that wait for the node.
@@ -38,43 +38,43 @@
 
 // expectedEnd is the expected end of a run, counted from now.
 type expectedEnd struct {
-	in     clock.Millis
-	demand job.Demand
+	remaining clock.Millis
+	demand    job.Demand
 }
 
-// futureOf returns the future room of a node, which is looked up once in a cycle.
-func (c *cycle) futureOf(n *node) *futureRoom {
-	if n.future != nil {
-		return n.future
+// releasesOn returns the future room of a node, which is looked up once in a cycle.
+func (c *cycle) releasesOn(n *node) *expectedReleases {
+	if n.releases != nil {
+		return n.releases
 	}
-	n.future = &futureRoom{}
+	n.releases = &expectedReleases{}
 	n.runner.EachLease(func(lease *state.Lease) {
-		if in, ok := c.view.Remaining(lease); ok {
-			n.future.ends = append(n.future.ends, expectedEnd{in, lease.Demand})
+		if remaining, ok := c.view.Remaining(lease); ok {
+			n.releases.ends = append(n.releases.ends, expectedEnd{remaining, lease.Demand})
 		}
 	})
-	slices.SortFunc(n.future.ends, func(a, b expectedEnd) int {
+	slices.SortFunc(n.releases.ends, func(a, b expectedEnd) int {
 		return cmp.Or(
-			cmp.Compare(a.in, b.in),
+			cmp.Compare(a.remaining, b.remaining),
 			cmp.Compare(a.demand.CPU(), b.demand.CPU()),
 			cmp.Compare(a.demand.Mem, b.demand.Mem),
 		)
 	})
-	return n.future
+	return n.releases
 }
 
-// freeIn is when the node is expected to have resources for one more task; it is not ok when
+// timeUntilFree is when the node is expected to have resources for one more task; it is not ok when
 // its runs that end do not free enough.
-func (c *cycle) freeIn(n *node, demand job.Demand) (in clock.Millis, ok bool) {
-	future := c.futureOf(n)
-	free := n.unreserved().Minus(future.claimed)
+func (c *cycle) timeUntilFree(n *node, demand job.Demand) (wait clock.Millis, ok bool) {
+	releases := c.releasesOn(n)
+	free := n.unreserved().Minus(releases.claimed)
 	if demand.Fits(free) {
 		return 0, true
 	}
-	for _, end := range future.ends {
+	for _, end := range releases.ends {
 		free = free.Plus(end.demand)
 		if demand.Fits(free) {
-			return end.in, true
+			return end.remaining, true
 		}
 	}
 	return 0, false
@@ -85,46 +85,46 @@
 	node *node
 	// gain is how much longer the task would run where it could be placed now.
 	gain clock.Millis
-	in   clock.Millis
+	wait clock.Millis
 }
 
 // shouldDefer reports whether a task had better wait than be placed on the node, and claims
 // room on the node that it waits for.
-func (c *cycle) shouldDefer(u unit, now *node) bool {
+func (c *cycle) shouldDefer(u unit, available *node) bool {
 	step := u.spec()
 	if step.Service || step.Gang || step.MaxPerRunner > 0 || len(c.plan.Deferred) >= maxDeferrals {
 		return false
 	}
 	run := c.view.Predict(u.job.Terms.Queue, step.ExpectedRun).Run
-	here := c.expectedRun(step, now)
+	availableRun := c.expectedRun(step, available)
 	var best *deferral
 	for _, n := range c.pools[u.job.Terms.Pool] {
-		there := c.expectedRun(step, n)
-		if there >= here || !n.eligible(step) {
+		candidateRun := c.expectedRun(step, n)
+		if candidateRun >= availableRun || !n.eligible(step) {
 			continue
 		}
-		gain := run * clock.Millis(here-there) / onePart
+		gain := run * clock.Millis(availableRun-candidateRun) / oneInThousandths
 		if gain <= minDeferralGain {
 			continue
 		}
-		in, ok := c.freeIn(n, step.Demand)
-		if ok && in+minDeferralGain < gain && in < maxDeferral && (best == nil || in-gain < best.in-best.gain) {
-			best = &deferral{n, gain, in}
+		wait, ok := c.timeUntilFree(n, step.Demand)
+		if ok && wait+minDeferralGain < gain && wait < maxDeferral && (best == nil || wait-gain < best.wait-best.gain) {
+			best = &deferral{n, gain, wait}
 		}
 	}
 	ref := u.firstTask()
 	if best == nil || c.view.DeferredFor(ref) >= min(best.gain, maxDeferral) {
 		return false
 	}
-	future := c.futureOf(best.node)
-	future.claimed = future.claimed.Plus(step.Demand)
+	releases := c.releasesOn(best.node)
+	releases.claimed = releases.claimed.Plus(step.Demand)
 	c.plan.Deferred = append(c.plan.Deferred, ref)
 	return true
 }
 
-// deferralMemory is for how long a task that is no longer deferred is remembered as one: a
+// deferralRetention is for how long a task that is no longer deferred is remembered as one: a
 // cycle need not come to every task.
-const deferralMemory clock.Millis = 1000
+const deferralRetention clock.Millis = 1000
 
 // DeferredTasks tells how long tasks have been deferred. Its owner keeps it from cycle to
 // cycle. It holds those of the last cycles only, each of which is bounded.
@@ -157,7 +157,7 @@
 // Update takes what a cycle deferred, and forgets what was not for a while.
 func (d *DeferredTasks) Update(refs []identifier.TaskRef, now clock.Monotonic) {
 	for ref, span := range d.spans {
-		if now.Since(span.last) > deferralMemory {
+		if now.Since(span.last) > deferralRetention {
 			delete(d.spans, ref)
 		}
 	}
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -17,11 +17,11 @@
 // used.
 
 const (
-	// usageMemory is the time in which a peak of usage fades to a third.
-	usageMemory clock.Millis = 10000
-	// headroomFrom is the share of a pool, in millionths, that must be in use before room is
+	// usageDecayTime is the time in which a peak of usage fades to a third.
+	usageDecayTime clock.Millis = 10000
+	// headroomThreshold is the share of a pool, in millionths, that must be in use before room is
 	// left free. Runners that get no work for the moment belong to the pool as well.
-	headroomFrom = 600_000
+	headroomThreshold = 600_000
 	// maxPriorities bounds the priorities that usage is kept for; lower ones count as the
 	// last.
 	maxPriorities = 8
@@ -29,7 +29,7 @@
 	// shortestRun; room is kept for those that are muchShorter classes shorter.
 	lengthClasses              = 12
 	shortestRun   clock.Millis = 100
-	muchShorter                = 2
+	minClassGap                = 2
 )
 
 // usage is the demand in use by priority and length of run: of each priority and all above
@@ -71,9 +71,9 @@
 // UsageHistory is what each pool lately had in use, by priority: a peak that fades. Its owner
 // keeps it from cycle to cycle. It holds the pools of the catalogue, which are bounded.
 type UsageHistory struct {
-	current map[string]*usage
-	peaks   map[string]*usage
-	at      clock.Monotonic
+	current   map[string]*usage
+	peaks     map[string]*usage
+	updatedAt clock.Monotonic
 }
 
 // NewUsageHistory returns one that knows nothing.
@@ -81,11 +81,11 @@
 
 // Update takes what is in use now, by runs as they are predicted.
 func (h *UsageHistory) Update(store *state.Store, predict RunPredictor, now clock.Monotonic) {
-	fade := math.Exp(-float64(now.Since(h.at)) / float64(usageMemory))
-	h.at = now
+	fade := math.Exp(-float64(now.Since(h.updatedAt)) / float64(usageDecayTime))
+	h.updatedAt = now
 	h.current = usageByPool(store, predict)
 	for pool, peak := range h.peaks {
-		peak.each(func(demand *job.Demand, _, _ int) { *demand = scaled(*demand, fade) })
+		peak.each(func(demand *job.Demand, _, _ int) { *demand = scaleDemand(*demand, fade) })
 		if h.current[pool] == nil && peak[maxPriorities-1][lengthClasses-1].CPU() == 0 {
 			delete(h.peaks, pool)
 		}
@@ -96,7 +96,7 @@
 			peak = &usage{}
 			h.peaks[pool] = peak
 		}
-		peak.each(func(demand *job.Demand, p, l int) { *demand = larger(*demand, use[p][l]) })
+		peak.each(func(demand *job.Demand, p, l int) { *demand = maxDemand(*demand, use[p][l]) })
 	}
 }
 
@@ -132,7 +132,7 @@
 	return pools
 }
 
-func scaled(demand job.Demand, factor float64) job.Demand {
+func scaleDemand(demand job.Demand, factor float64) job.Demand {
 	return job.Demand{
 		MilliCores: int64(float64(demand.CPU()) * factor),
 		Mem:        int64(float64(demand.Mem) * factor),
@@ -140,7 +140,7 @@
 	}
 }
 
-func larger(a, b job.Demand) job.Demand {
+func maxDemand(a, b job.Demand) job.Demand {
 	return job.Demand{
 		MilliCores: max(a.CPU(), b.CPU()),
 		Mem:        max(a.Mem, b.Mem),
@@ -148,9 +148,9 @@
 	}
 }
 
-// poolRoom is what a cycle knows of a pool's resources in all: the capacity of its runners
+// poolResources is what a cycle knows of a pool's resources in all: the capacity of its runners
 // that are not lost, what is free on those that may be given work, and what is in use.
-type poolRoom struct {
+type poolResources struct {
 	capacity job.Demand
 	free     job.Demand
 	use      usage
@@ -158,26 +158,26 @@
 }
 
 // inUse is all that is in use.
-func (r *poolRoom) inUse() job.Demand { return r.use[maxPriorities-1][lengthClasses-1] }
+func (r *poolResources) inUse() job.Demand { return r.use[maxPriorities-1][lengthClasses-1] }
 
-// newPoolRooms adds up the nodes of each pool.
-func newPoolRooms(store *state.Store, pools map[string][]*node, history *UsageHistory) map[string]*poolRoom {
-	rooms := map[string]*poolRoom{}
+// newPoolResources adds up the nodes of each pool.
+func newPoolResources(store *state.Store, pools map[string][]*node, history *UsageHistory) map[string]*poolResources {
+	byPool := map[string]*poolResources{}
 	capacity := capacityByPool(store)
 	for pool, nodes := range pools {
-		room := &poolRoom{capacity: capacity[pool]}
+		resources := &poolResources{capacity: capacity[pool]}
 		for _, n := range nodes {
-			room.free = room.free.Plus(n.free)
+			resources.free = resources.free.Plus(n.free)
 		}
 		if use := history.current[pool]; use != nil {
-			room.use = *use
+			resources.use = *use
 		}
 		if peak := history.peaks[pool]; peak != nil {
-			room.peak = *peak
+			resources.peak = *peak
 		}
-		rooms[pool] = room
+		byPool[pool] = resources
 	}
-	return rooms
+	return byPool
 }
 
 func capacityByPool(store *state.Store) map[string]job.Demand {
@@ -194,22 +194,22 @@
 // what more urgent and much shorter work has lately had in use beyond what it has now. In a
 // pool with much free room everything does. Services are held back for nobody: they are to
 // run whenever there is room for them.
-func (r *poolRoom) leavesHeadroom(u unit, run clock.Millis) bool {
+func (r *poolResources) leavesHeadroom(u unit, run clock.Millis) bool {
 	priority := priorityClass(u.job.Terms.Priority) - 1
-	length := lengthClass(run) - muchShorter
-	if priority < 0 || length < 0 || u.spec().Service || r.inUse().Share(r.capacity) < headroomFrom {
+	length := lengthClass(run) - minClassGap
+	if priority < 0 || length < 0 || u.spec().Service || r.inUse().Share(r.capacity) < headroomThreshold {
 		return true
 	}
-	kept := larger(r.peak[priority][length].Minus(r.use[priority][length]), job.Demand{})
+	headroom := maxDemand(r.peak[priority][length].Minus(r.use[priority][length]), job.Demand{})
 	free := r.free
 	for range u.taskNumbers {
 		free = free.Minus(u.spec().Demand)
 	}
-	return kept.Fits(free)
+	return headroom.Fits(free)
 }
 
 // take notes the placement of a unit.
-func (r *poolRoom) take(u unit, run clock.Millis) {
+func (r *poolResources) take(u unit, run clock.Millis) {
 	for range u.taskNumbers {
 		demand := u.spec().Demand
 		r.free = r.free.Minus(demand)
--- a/internal/scheduler/job_order.go
+++ b/internal/scheduler/job_order.go
@@ -87,8 +87,8 @@
 	c.store.EachQueueJob(func(j *state.Job) bool {
 		visited++
 		tenant := j.Spec.Tenant
-		crowded := tenant != "" && byTenant[tenant] >= maxTenantJobs
-		if !crowded && !c.heldByQuota(j) {
+		atTenantLimit := tenant != "" && byTenant[tenant] >= maxTenantJobs
+		if !atTenantLimit && !c.blockedByQuota(j) {
 			byTenant[tenant]++
 			ranked = append(ranked, c.rankJob(j))
 		}
@@ -135,13 +135,13 @@
 // predictStep is how long the longest of a step's tasks is predicted to run.
 func (c *cycle) predictStep(queue string, step *job.Step) clock.Millis {
 	run := c.view.Predict(queue, step.ExpectedRun)
-	return clock.Millis(float64(run.Run) * math.Exp(run.Deviation*longestOf(step.Tasks)))
+	return clock.Millis(float64(run.Run) * math.Exp(run.Deviation*expectedMaxDeviation(step.Tasks)))
 }
 
-// longestOf is by how many deviations the longest of many runs exceeds the usual one, in
+// expectedMaxDeviation is by how many deviations the longest of many runs exceeds the usual one, in
 // logarithms (Cramer, Mathematical Methods of Statistics, 28.6: the mean of the extreme of a
 // normal sample, to first order).
-func longestOf(count int64) float64 {
+func expectedMaxDeviation(count int64) float64 {
 	if count < 2 {
 		return 0
 	}
--- a/internal/scheduler/job_order_test.go
+++ b/internal/scheduler/job_order_test.go
@@ -35,15 +35,15 @@
 	}
 }
 
-// TestLongestOf: the longest of many runs is longer the more there are, and that of one is
+// TestExpectedMaxDeviation: the longest of many runs is longer the more there are, and that of one is
 // the usual one.
-func TestLongestOf(t *testing.T) {
-	if longest := longestOf(1); longest != 0 {
+func TestExpectedMaxDeviation(t *testing.T) {
+	if longest := expectedMaxDeviation(1); longest != 0 {
 		t.Errorf("of one: %f", longest)
 	}
 	// The means of the largest of 10 and 100 normal values are 1.54 and 2.51.
 	for count, want := range map[int64]float64{10: 1.54, 100: 2.51} {
-		if have := longestOf(count); math.Abs(have-want) > 0.25 {
+		if have := expectedMaxDeviation(count); math.Abs(have-want) > 0.25 {
 			t.Errorf("of %d: %f, want about %f", count, have, want)
 		}
 	}
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -21,8 +21,8 @@
 	rackLeaving bool
 	// workRate is how fast tasks run there, in thousandths of the nominal rate. It is known for the nodes of pools only.
 	workRate int64
-	// future is what will become free, nil until it is looked up.
-	future *futureRoom
+	// releases is what will become free, nil until it is looked up.
+	releases *expectedReleases
 }
 
 // unreserved is what units without a reservation may use.
@@ -150,8 +150,8 @@
 	runQuantum = 250
 	// minWorkRate bounds what a slow node can cost.
 	minWorkRate = 50
-	// onePart is a whole in thousandths.
-	onePart = 1000
+	// oneInThousandths is a whole in thousandths.
+	oneInThousandths = 1000
 )
 
 // score is lower for the better node: the tightest fit, few defects, and a rack that
@@ -174,9 +174,9 @@
 // expectedRun is how long a task of the step runs on the node, in thousandths of its run near
 // its data on a node of the nominal rate.
 func (c *cycle) expectedRun(step *job.Step, n *node) int64 {
-	run := int64(onePart*prediction.NominalRate) / max(n.workRate, minWorkRate)
+	run := int64(oneInThousandths*prediction.NominalRate) / max(n.workRate, minWorkRate)
 	if step.PreferredRack != "" && step.PreferredRack != n.runner.Rack {
-		run = run * c.view.DistantFactor / onePart
+		run = run * c.view.DistantFactor / oneInThousandths
 	}
 	return (run + runQuantum/2) / runQuantum * runQuantum
 }
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -23,9 +23,9 @@
 		c.plan.Reasons.add(u, reason)
 		return placementResult{}
 	}
-	room := c.rooms[u.job.Terms.Pool]
+	resources := c.resourcesByPool[u.job.Terms.Pool]
 	run := c.view.Predict(u.job.Terms.Queue, u.spec().ExpectedRun).Run
-	if room != nil && !room.leavesHeadroom(u, run) {
+	if resources != nil && !resources.leavesHeadroom(u, run) {
 		c.unplaceable[shape] = reasonHeadroom
 		c.plan.Reasons.add(u, reasonHeadroom)
 		return placementResult{newShape: true}
@@ -44,7 +44,7 @@
 	for _, n := range nodes {
 		n.free = n.free.Minus(u.spec().Demand)
 	}
-	room.take(u, run)
+	resources.take(u, run)
 	budget.take(u)
 	c.place(u, nodes)
 	return placementResult{placed: true, newShape: true}
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -84,8 +84,8 @@
 	pools map[string][]*node
 	// queues are those of the catalogue that were looked up.
 	queues map[string]*catalog.Queue
-	// rooms has the resources of each pool in all.
-	rooms map[string]*poolRoom
+	// resourcesByPool has the resources of each pool in all.
+	resourcesByPool map[string]*poolResources
 	// rowUse is the demand of each row's open leases and placements so far.
 	rowUse map[identifier.Row]job.Demand
 	// tenants has the quota and the use of each tenant that was looked up.
@@ -126,20 +126,20 @@
 		}
 	}
 	c := &cycle{
-		store:        store,
-		view:         view,
-		capacity:     store.TotalCapacity(),
-		nodes:        nodes,
-		pools:        pools,
-		queues:       map[string]*catalog.Queue{},
-		rooms:        newPoolRooms(store, pools, view.Usage),
-		rowUse:       map[identifier.Row]job.Demand{},
-		tenants:      map[string]*tenantBudget{},
-		poolReserved: map[string]bool{},
-		placed:       map[identifier.TaskRef]bool{},
-		unplaceable:  map[unitShape]string{},
-		policies:     policies,
-		plan:         newPlan(),
+		store:           store,
+		view:            view,
+		capacity:        store.TotalCapacity(),
+		nodes:           nodes,
+		pools:           pools,
+		queues:          map[string]*catalog.Queue{},
+		resourcesByPool: newPoolResources(store, pools, view.Usage),
+		rowUse:          map[identifier.Row]job.Demand{},
+		tenants:         map[string]*tenantBudget{},
+		poolReserved:    map[string]bool{},
+		placed:          map[identifier.TaskRef]bool{},
+		unplaceable:     map[unitShape]string{},
+		policies:        policies,
+		plan:            newPlan(),
 	}
 	for _, row := range store.Limits.RowNames() {
 		c.rowUse[row] = store.InUse(row)
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -32,9 +32,9 @@
 	return b == nil || b.quota.Admits(b.used, u.spec().Demand, len(u.taskNumbers))
 }
 
-// heldByQuota tells whether a job has nothing to place that its tenant's quota admits, and
+// blockedByQuota tells whether a job has nothing to place that its tenant's quota admits, and
 // says so of its steps.
-func (c *cycle) heldByQuota(j *state.Job) bool {
+func (c *cycle) blockedByQuota(j *state.Job) bool {
 	budget := c.tenantBudget(j)
 	if budget == nil || budget.quota.IsZero() {
 		return false
--- a/tests/ablation/edits.go
+++ b/tests/ablation/edits.go
@@ -46,7 +46,7 @@
 	}},
 	"no-near-data": {{
 		File:        "internal/scheduler/node.go",
-		Original:    "		run = run * c.view.DistantFactor / onePart\n",
+		Original:    "		run = run * c.view.DistantFactor / oneInThousandths\n",
 		Replacement: "		run += 0 * c.view.DistantFactor\n",
 	}},
 	"no-defect-rate": {{
@@ -71,8 +71,8 @@
 	}},
 	"no-headroom": {{
 		File:        "internal/scheduler/headroom.go",
-		Original:    "return kept.Fits(free)",
-		Replacement: "return kept.Fits(free) || length >= 0",
+		Original:    "return headroom.Fits(free)",
+		Replacement: "return headroom.Fits(free) || length >= 0",
 	}},
 	"no-trial-growth": {{
 		File:        "internal/scheduler/node.go",
--- a/tests/mutation/placement.go
+++ b/tests/mutation/placement.go
@@ -37,8 +37,8 @@
 	{
 		name:        "all wait for the same room",
 		file:        "internal/scheduler/deferral.go",
-		original:    "future.claimed = future.claimed.Plus(step.Demand)",
-		replacement: "future.claimed = future.claimed.Minus(step.Demand)",
+		original:    "releases.claimed = releases.claimed.Plus(step.Demand)",
+		replacement: "releases.claimed = releases.claimed.Minus(step.Demand)",
 		tests:       test("./internal/scheduler", "TestWaitForNearRunner"),
 		want:        "more tasks than room",
 	},
@@ -53,7 +53,7 @@
 	{
 		name:        "deferred tasks are never forgotten",
 		file:        "internal/scheduler/deferral.go",
-		original:    "if now.Since(span.last) > deferralMemory {",
+		original:    "if now.Since(span.last) > deferralRetention {",
 		replacement: "if now.Since(span.last) < 0 {",
 		tests:       test("./internal/scheduler", "TestDeferredTasks"),
 		want:        "still deferred",
@@ -61,8 +61,8 @@
 	{
 		name:        "low priorities take all room",
 		file:        "internal/scheduler/headroom.go",
-		original:    "return kept.Fits(free)",
-		replacement: "return kept.Fits(free) || length >= 0",
+		original:    "return headroom.Fits(free)",
+		replacement: "return headroom.Fits(free) || length >= 0",
 		tests:       test("./internal/scheduler", "TestHeadroomForUrgentWork"),
 		want:        "with 4 left free",
 	},
@@ -93,8 +93,8 @@
 	{
 		name:        "room is left free in an empty pool",
 		file:        "internal/scheduler/headroom.go",
-		original:    "headroomFrom = 600_000",
-		replacement: "headroomFrom = 0",
+		original:    "headroomThreshold = 600_000",
+		replacement: "headroomThreshold = 0",
 		tests:       test("./internal/scheduler", "TestHeadroomNeedsPressure"),
 		want:        "in an empty pool",
 	},
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -7,7 +7,7 @@
 	{
 		name:        "resumed gateway decides",
 		file:        "internal/gateway/gateway.go",
-		original:    "return g.routing.rules != nil && now.Since(g.sync.leaderHeardAt) < LeaderContactTimeout",
+		original:    "return g.routing.rules != nil && now.Since(g.sync.lastContactAt) < LeaderContactTimeout",
 		replacement: "return g.routing.rules != nil",
 		also: []sourceedit.Edit{
 			{
@@ -54,8 +54,8 @@
 	{
 		name:        "abandoned requests are held back",
 		file:        "internal/gateway/gateway.go",
-		original:    "for _, id := range g.requests.ids() {\n\t\tg.fail(id, codeOutOfTouch",
-		replacement: "for _, id := range g.requests.ids()[:0] {\n\t\tg.fail(id, codeOutOfTouch",
+		original:    "for _, id := range g.requests.ids() {\n\t\tg.fail(id, codeContactLost",
+		replacement: "for _, id := range g.requests.ids()[:0] {\n\t\tg.fail(id, codeContactLost",
 		tests:       packages("./internal/gateway"),
 		want:        "of budget left",
 	},
