--- a/internal/scheduler/deferral.go
+++ b/internal/scheduler/deferral.go
@@ -65,7 +65,7 @@
 
 // timeUntilFree is when the node is expected to have resources for one more task; it is not ok when
 // its runs that end do not free enough.
-func (c *cycle) timeUntilFree(n *node, demand job.Demand) (wait clock.Millis, ok bool) {
+func (c *cycle) timeUntilFree(n *node, demand job.Demand) (remaining clock.Millis, ok bool) {
 	releases := c.releasesOn(n)
 	free := n.unreserved().Minus(releases.claimed)
 	if demand.Fits(free) {
