--- a/internal/scheduler/deferral.go
+++ b/internal/scheduler/deferral.go
@@ -10,39 +10,41 @@
 	"orchidward/internal/state"
 )
 
-// A task that can only be placed where it runs long - away from its data, or on a slow
-// runner - may be done sooner by waiting until a better node has free resources (delay
-// scheduling: Zaharia et al., EuroSys 2010). How long that takes is read from the runs on
-// that node, and not from a constant. A task waits no longer in all than the detour would
-// have cost, so that a wrong prediction at most doubles that (the ski-rental bound).
-
-// maxDeferrals bounds the tasks that one cycle defers; past it tasks are placed where they
-// can be.
+// A task for which only a bad node is free (away from its data, or on a slow runner) may
+// finish sooner if it waits for a better node to have free resources (delay scheduling:
+// Zaharia et al., EuroSys 2010). The expected wait is derived from the runs on that node
+// rather than being a constant. The total wait of a task is bounded by the time that the
+// worse placement would have cost, so that a wrong prediction at most doubles that cost
+// (the ski-rental bound).
+
+// maxDeferrals bounds the tasks that one cycle defers; further tasks are placed without
+// deferral.
 const maxDeferrals = 200
 
 const (
-	// minDeferralGain is what waiting must gain at least, as placing takes a moment too.
+	// minDeferralGain is the minimum net gain that justifies waiting, as placing a task
+	// takes time too.
 	minDeferralGain clock.Millis = 50
-	// maxDeferral is how long a task waits for a better node at most, whatever it would gain:
-	// a job must not stand still for seconds while there is room for it.
+	// maxDeferral bounds the time that a task waits for a better node, whatever the gain:
+	// a job must not be idle for seconds while resources for it are free.
 	maxDeferral clock.Millis = 1500
 )
 
-// expectedReleases is what will become free on a node as its runs end.
+// expectedReleases holds the resources that a node is expected to release as its runs end.
 type expectedReleases struct {
-	// ends are the expected ends of the runs there, the earliest first.
+	// ends are the expected ends of the node's runs, the earliest first.
 	ends []expectedEnd
-	// claimed is the demand of tasks that wait for the node.
+	// claimed is the demand of the deferred tasks that wait for the node.
 	claimed job.Demand
 }
 
-// expectedEnd is the expected end of a run, counted from now.
+// expectedEnd is the expected remaining time of a run and the demand that it then releases.
 type expectedEnd struct {
 	remaining clock.Millis
 	demand    job.Demand
 }
 
-// releasesOn returns the future room of a node, which is looked up once in a cycle.
+// releasesOn returns the expected releases of a node, computed once per cycle.
 func (c *cycle) releasesOn(n *node) *expectedReleases {
 	if n.releases != nil {
 		return n.releases
@@ -63,8 +65,8 @@
 	return n.releases
 }
 
-// timeUntilFree is when the node is expected to have resources for one more task; it is not ok when
-// its runs that end do not free enough.
+// timeUntilFree returns how long it takes until the node is expected to have resources for
+// one more task; ok is false if its ending runs do not release enough.
 func (c *cycle) timeUntilFree(n *node, demand job.Demand) (remaining clock.Millis, ok bool) {
 	releases := c.releasesOn(n)
 	free := n.unreserved().Minus(releases.claimed)
@@ -83,13 +85,13 @@
 // deferral is a better node that a task may wait for.
 type deferral struct {
 	node *node
-	// gain is how much longer the task would run where it could be placed now.
+	// gain is how much shorter the task runs on the node than where it could be placed now.
 	gain clock.Millis
 	wait clock.Millis
 }
 
-// shouldDefer reports whether a task had better wait than be placed on the node, and claims
-// room on the node that it waits for.
+// shouldDefer reports whether waiting for a better node is preferable to placing the task
+// on the available one. If so, it claims resources on the better node.
 func (c *cycle) shouldDefer(u unit, available *node) bool {
 	step := u.spec()
 	if step.Service || step.Gang || step.MaxPerRunner > 0 || len(c.plan.Deferred) >= maxDeferrals {
@@ -122,28 +124,29 @@
 	return true
 }
 
-// deferralRetention is for how long a task that is no longer deferred is remembered as one: a
-// cycle need not come to every task.
+// deferralRetention is how long a deferred task is remembered after it was last deferred: a
+// cycle does not necessarily consider every task.
 const deferralRetention clock.Millis = 1000
 
-// DeferredTasks tells how long tasks have been deferred. Its owner keeps it from cycle to
-// cycle. It holds those of the last cycles only, each of which is bounded.
+// DeferredTasks tracks how long tasks have been deferred. The caller keeps it from cycle to
+// cycle. Its size is bounded: it holds only tasks of recent cycles, and each cycle defers at
+// most maxDeferrals.
 type DeferredTasks struct {
 	spans map[identifier.TaskRef]deferredSpan
 }
 
-// deferredSpan is when a task was deferred first and last.
+// deferredSpan holds when a task was first and last deferred.
 type deferredSpan struct {
 	first clock.Monotonic
 	last  clock.Monotonic
 }
 
-// NewDeferredTasks returns one without tasks.
+// NewDeferredTasks returns an empty set.
 func NewDeferredTasks() *DeferredTasks {
 	return &DeferredTasks{spans: map[identifier.TaskRef]deferredSpan{}}
 }
 
-// For is how long a task has been deferred.
+// For returns how long a task has been deferred, 0 if it is not.
 func (d *DeferredTasks) For(ref identifier.TaskRef, now clock.Monotonic) clock.Millis {
 	if span, ok := d.spans[ref]; ok {
 		return now.Since(span.first)
@@ -151,10 +154,11 @@
 	return 0
 }
 
-// Any reports whether any task was deferred lately.
+// Any reports whether any task was deferred recently.
 func (d *DeferredTasks) Any() bool { return len(d.spans) > 0 }
 
-// Update takes what a cycle deferred, and forgets what was not for a while.
+// Update records the tasks that a cycle deferred, and drops those not deferred for longer
+// than deferralRetention.
 func (d *DeferredTasks) Update(refs []identifier.TaskRef, now clock.Monotonic) {
 	for ref, span := range d.spans {
 		if now.Since(span.last) > deferralRetention {
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -1,21 +1,23 @@
 // Package scheduler decides where tasks run. One scheduling cycle ([Schedule]) reads the
-// state and what the leader knows of the runners, and returns a plan: placements, leases
-// to preempt, and the reasons why the rest waits. It changes nothing; the state machine
-// checks every placement again.
+// state and the leader's view of the runners, and returns a plan: placements, leases to
+// preempt, and the reasons why the remaining work is pending. It changes nothing; the
+// state machine checks every placement again.
 //
-// What holds at all times:
+// Invariants:
 //
-//   - A task goes only to a runner with free resources and all its labels, in the right
-//     pool, that no drain cordons.
+//   - A task is placed only on a runner of its pool that has enough free resources and
+//     all the labels the task requires, and that no drain has cordoned.
 //   - A gang is placed completely or not at all.
-//   - Rows get resources by their weights; displaced work comes before other work.
-//   - Resources are reserved for the first unit of work that only lacks free ones, so
-//     that smaller work which keeps coming can't starve it.
-//   - Only displaced work of a row that preempts, whose drain found too few resources,
-//     preempts, and only strictly cheaper work.
+//   - Rows share resources in proportion to their weights; displaced work is placed
+//     before other work.
+//   - Resources are reserved for the first unit of work that fits the runners' capacity
+//     but not their free resources, so that a stream of smaller work can't starve it.
+//   - Work may preempt only if it was displaced by a drain whose preflight check found
+//     too few resources and its row is configured to preempt, and it preempts only
+//     strictly cheaper work.
 //
-// Begin with schedule.go. rows.go places the jobs of rows, queues.go those of the
-// catalogue's queues, node.go is a runner as one cycle sees it, and preemption.go chooses
-// what has to make way. Package feasibility packs units of work onto nodes, package
+// Start reading at schedule.go. rows.go places the jobs of rows, queues.go those of the
+// catalogue's queues, node.go models a runner within one cycle, and preemption.go chooses
+// the leases to preempt. Package feasibility packs units of work onto nodes, and package
 // policy evaluates the placement policies of rows.
 package scheduler
--- a/internal/scheduler/feasibility/pack.go
+++ b/internal/scheduler/feasibility/pack.go
@@ -1,8 +1,8 @@
-// Package feasibility answers one question: do these units of work, gangs complete, fit
-// on these nodes? The preflight check of a drain asks it for what the drain displaces.
-// The input is units and nodes with their free resources; the output is whether all fit,
-// and the demand of those that don't. It is first fit by falling size, which may find no
-// place where a cleverer packing would, and never says yes wrongly.
+// Package feasibility checks whether a set of units of work, with gangs kept whole, fits on
+// a set of nodes. The preflight check of a drain uses it for the work that the drain
+// displaces. The input is units, and nodes with their free resources; the output is whether
+// all units fit, and the demand of those that don't. The algorithm is first-fit decreasing:
+// it may fail to find a packing that exists, but never reports one that doesn't.
 package feasibility
 
 import (
@@ -20,15 +20,16 @@
 	Labels []identifier.Label
 }
 
-// Unit is one task, or a gang of Count like tasks that are placed together or not at all.
+// Unit is a single task, or a gang of Count identical tasks that are placed together or not
+// at all.
 type Unit struct {
-	// Demand is that of each task.
+	// Demand is the demand of each task.
 	Demand job.Demand
 	Labels []identifier.Label
 	Count  int
 }
 
-// HasLabels tells whether have, in any order, has all of need.
+// HasLabels reports whether have contains every label of need, in any order.
 func HasLabels(have, need []identifier.Label) bool {
 	for _, label := range need {
 		if !slices.Contains(have, label) {
@@ -38,7 +39,8 @@
 	return true
 }
 
-// Pack tells whether all units fit on the nodes, and the demand of those that don't.
+// Pack reports whether all units fit on the nodes, and the total demand of those that
+// don't.
 func Pack(units []Unit, nodes []Node) (ok bool, shortage job.Demand) {
 	left := slices.Clone(nodes)
 	ordered := slices.Clone(units)
@@ -58,7 +60,7 @@
 	return shortage == job.Demand{}, shortage
 }
 
-// compareSize puts the larger unit first.
+// compareSize orders larger units first.
 func compareSize(a, b Unit) int {
 	return cmp.Or(
 		cmp.Compare(b.Demand.Cores, a.Demand.Cores),
@@ -66,8 +68,8 @@
 	)
 }
 
-// Assign returns the position of a node for each task of one unit. When fits is false
-// there are fewer of them than tasks.
+// Assign returns the index of a node for each task of one unit. If fits is false, only
+// some of the tasks have a node.
 func Assign(unit Unit, nodes []Node) (assigned []int, fits bool) {
 	for i := range nodes {
 		if !HasLabels(nodes[i].Labels, unit.Labels) {
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -9,31 +9,33 @@
 	"orchidward/internal/state"
 )
 
-// Work of a lower priority that runs long would otherwise take every free resource in a
-// burst, and more urgent short work that comes a moment later would wait for it to end, as
-// nothing that runs is preempted for a job of a queue. So it leaves free what more urgent and
-// much shorter work has lately had in use beyond what that has in use now. For urgent work
-// that runs as long as the other nothing is kept: room is as soon free again as it would be
-// used.
+// Without headroom, a burst of long-running, low-priority work would take every free
+// resource, and shorter, more urgent work arriving a moment later would wait for it to end,
+// because running tasks are never preempted for a job of a queue. Low-priority work therefore
+// leaves free the difference between the recent peak usage and the current usage of more
+// urgent and much shorter work. No headroom is kept for urgent work that runs about as long:
+// resources then become free as fast as that work would use them.
 
 const (
-	// usageDecayTime is the time in which a peak of usage fades to a third.
+	// usageDecayTime is the time constant of the exponential decay of a usage peak, which
+	// falls to about a third within it.
 	usageDecayTime clock.Millis = 10000
-	// headroomThreshold is the share of a pool, in millionths, that must be in use before room is
-	// left free. Runners that get no work for the moment belong to the pool as well.
+	// headroomThreshold is the share of a pool, in millionths, that must be in use before
+	// headroom is kept. Runners that currently get no work still count towards the pool.
 	headroomThreshold = 600_000
-	// maxPriorities bounds the priorities that usage is kept for; lower ones count as the
-	// last.
+	// maxPriorities bounds the number of priorities that usage is tracked for; lower
+	// priorities count as the last of them.
 	maxPriorities = 8
-	// Runs are in classes of length, each twice as long as the one before, the first up to
-	// shortestRun; room is kept for those that are muchShorter classes shorter.
+	// Runs are grouped into length classes: the first holds runs shorter than shortestRun,
+	// and each further class covers runs twice as long as the one before. Headroom is kept
+	// for work that is at least minClassGap classes shorter.
 	lengthClasses              = 12
 	shortestRun   clock.Millis = 100
 	minClassGap                = 2
 )
 
-// usage is the demand in use by priority and length of run: of each priority and all above
-// it, that of each length and all below it.
+// usage is the demand in use, cumulated by priority and length class: each entry includes
+// all higher priorities and all shorter classes.
 type usage [maxPriorities][lengthClasses]job.Demand
 
 func priorityClass(priority int64) int { return int(min(max(priority, 0), maxPriorities-1)) }
@@ -43,7 +45,7 @@
 	return min(class, lengthClasses-1)
 }
 
-// accumulate turns the demand of single classes into that of all classes up to each.
+// accumulate turns the demand of individual classes into cumulative sums.
 func (u *usage) accumulate() {
 	for priority := range u {
 		for length := range u[priority] {
@@ -59,7 +61,7 @@
 	}
 }
 
-// add adds demand of one class to all that include it.
+// add adds the demand of one class to every entry that includes the class.
 func (u *usage) add(priority, length int, demand job.Demand) {
 	for p := priority; p < maxPriorities; p++ {
 		for l := length; l < lengthClasses; l++ {
@@ -68,18 +70,19 @@
 	}
 }
 
-// UsageHistory is what each pool lately had in use, by priority: a peak that fades. Its owner
-// keeps it from cycle to cycle. It holds the pools of the catalogue, which are bounded.
+// UsageHistory tracks the current usage and a decaying usage peak of each pool. The caller
+// keeps it from cycle to cycle. Its size is bounded by the number of pools in the
+// catalogue.
 type UsageHistory struct {
 	current   map[string]*usage
 	peaks     map[string]*usage
 	updatedAt clock.Monotonic
 }
 
-// NewUsageHistory returns one that knows nothing.
+// NewUsageHistory returns an empty history.
 func NewUsageHistory() *UsageHistory { return &UsageHistory{peaks: map[string]*usage{}} }
 
-// Update takes what is in use now, by runs as they are predicted.
+// Update records the current usage, classified by predicted run time, and decays the peaks.
 func (h *UsageHistory) Update(store *state.Store, predict RunPredictor, now clock.Monotonic) {
 	fade := math.Exp(-float64(now.Since(h.updatedAt)) / float64(usageDecayTime))
 	h.updatedAt = now
@@ -100,7 +103,7 @@
 	}
 }
 
-// each visits the demand of all classes.
+// each calls visit for every entry.
 func (u *usage) each(visit func(demand *job.Demand, priority, length int)) {
 	for priority := range u {
 		for length := range u[priority] {
@@ -109,7 +112,7 @@
 	}
 }
 
-// usageByPool adds up the open leases of queues' jobs.
+// usageByPool returns the usage of each pool by the open leases of queue jobs.
 func usageByPool(store *state.Store, predict RunPredictor) map[string]*usage {
 	pools := map[string]*usage{}
 	for _, lease := range store.Leases {
@@ -148,8 +151,9 @@
 	}
 }
 
-// poolResources is what a cycle knows of a pool's resources in all: the capacity of its runners
-// that are not lost, what is free on those that may be given work, and what is in use.
+// poolResources holds the aggregate resources of a pool: the capacity of its runners that
+// are not lost, the free resources of its schedulable runners, and the current and recent
+// peak usage.
 type poolResources struct {
 	capacity job.Demand
 	free     job.Demand
@@ -157,10 +161,10 @@
 	peak     usage
 }
 
-// inUse is all that is in use.
+// inUse returns the total demand in use.
 func (r *poolResources) inUse() job.Demand { return r.use[maxPriorities-1][lengthClasses-1] }
 
-// newPoolResources adds up the nodes of each pool.
+// newPoolResources aggregates the nodes of each pool.
 func newPoolResources(store *state.Store, pools map[string][]*node, history *UsageHistory) map[string]*poolResources {
 	byPool := map[string]*poolResources{}
 	capacity := capacityByPool(store)
@@ -190,10 +194,9 @@
 	return capacity
 }
 
-// leavesHeadroom reports whether a unit, whose tasks are predicted to run so long, leaves free
-// what more urgent and much shorter work has lately had in use beyond what it has now. In a
-// pool with much free room everything does. Services are held back for nobody: they are to
-// run whenever there is room for them.
+// leavesHeadroom reports whether placing a unit with the given predicted run time leaves
+// enough headroom for more urgent and much shorter work. In a pool below headroomThreshold
+// every unit does. Services are exempt: they run whenever there are resources for them.
 func (r *poolResources) leavesHeadroom(u unit, run clock.Millis) bool {
 	priority := priorityClass(u.job.Terms.Priority) - 1
 	length := lengthClass(run) - minClassGap
@@ -208,7 +211,7 @@
 	return headroom.Fits(free)
 }
 
-// take notes the placement of a unit.
+// take accounts for the placement of a unit.
 func (r *poolResources) take(u unit, run clock.Millis) {
 	for range u.taskNumbers {
 		demand := u.spec().Demand
--- a/internal/scheduler/job_order.go
+++ b/internal/scheduler/job_order.go
@@ -11,41 +11,41 @@
 	"orchidward/internal/state"
 )
 
-// timeliness tells what a queue's job is still worth if it goes on now.
+// timeliness classifies a queue's job by the value that it still has if it continues now.
 type timeliness int
 
 const (
-	// onTime jobs can still be done by when they are due.
+	// onTime jobs can still end by their due time.
 	onTime timeliness = iota
-	// late jobs are worth less.
+	// late jobs have a reduced value.
 	late
-	// excess jobs are beyond the share of their tenant.
+	// excess jobs exceed their tenant's share.
 	excess
-	// tooLate jobs are worth nothing any more.
+	// tooLate jobs no longer have any value.
 	tooLate
 )
 
 const (
-	// lateFactor is how many times its target a job may take and still be worth something.
+	// lateFactor is the multiple of its latency target beyond which a job has no value.
 	lateFactor = 3
-	// latencyFactorUnit is the latency factor of 1: factors are in thousandths.
+	// latencyFactorUnit represents a latency factor of 1; factors are in thousandths.
 	latencyFactorUnit = 1000
-	// maxOrderedJobs bounds the jobs that one cycle puts in order, maxTenantJobs those of
-	// one tenant among them, and maxVisitedJobs those that it looks at for this.
+	// maxOrderedJobs bounds the jobs that one cycle sorts, maxTenantJobs those of one
+	// tenant among them, and maxVisitedJobs the jobs examined to collect them.
 	maxOrderedJobs = 2000
 	maxTenantJobs  = 600
 	maxVisitedJobs = 20_000
 )
 
-// rankedJob is a queue's job with what its place in the order depends on.
+// rankedJob is a queue's job with its sort keys.
 type rankedJob struct {
 	job        *state.Job
 	timeliness timeliness
 	dueAt      clock.ClusterTime
 }
 
-// compareRanked puts jobs on time first, then the late ones, then those beyond their tenant's
-// share, then those that are too late; of each by priority, and then by when they are due.
+// compareRanked orders jobs by timeliness (on time, late, beyond the tenant's share, too
+// late), then by priority, and then by due time.
 func compareRanked(a, b rankedJob) int {
 	return cmp.Or(
 		cmp.Compare(a.timeliness, b.timeliness),
@@ -55,7 +55,7 @@
 	)
 }
 
-// scheduleQueues places the jobs of queues in their order.
+// scheduleQueues places the jobs of queues in rank order.
 func (c *cycle) scheduleQueues() {
 	misses := map[timeliness]int{}
 	seen := map[timeliness]int{}
@@ -77,9 +77,9 @@
 	}
 }
 
-// rankJobs lists the jobs of queues that have something to place, in their order. A tenant's
-// backlog hides nobody else's work: what waits for the tenant's own quota is left out, and so
-// is what is beyond its part of the list.
+// rankJobs returns the queue jobs that have tasks to place, in rank order. One tenant's
+// backlog must not crowd out the jobs of other tenants, so jobs blocked by their tenant's
+// quota and jobs beyond maxTenantJobs are left out.
 func (c *cycle) rankJobs() []rankedJob {
 	var ranked []rankedJob
 	visited := 0
@@ -98,8 +98,8 @@
 	return ranked
 }
 
-// rankJob tells when a job is due and whether it will be on time, by how long its steps are
-// predicted to run rather than by their estimates.
+// rankJob computes a job's due time and timeliness from the predicted run times of its
+// steps rather than from the client's estimates.
 func (c *cycle) rankJob(j *state.Job) rankedJob {
 	target := j.Terms.Target
 	remaining := j.RemainingCriticalPath()
@@ -122,7 +122,8 @@
 	return ranked
 }
 
-// queue looks a queue of the catalogue up, once in a cycle; nil for one that is no more.
+// queue returns a queue of the catalogue, or nil if it no longer exists. Each queue is
+// looked up once per cycle.
 func (c *cycle) queue(name string) *catalog.Queue {
 	queue, known := c.queues[name]
 	if !known {
@@ -132,14 +133,15 @@
 	return queue
 }
 
-// predictStep is how long the longest of a step's tasks is predicted to run.
+// predictStep returns the predicted run time of the longest-running task of a step.
 func (c *cycle) predictStep(queue string, step *job.Step) clock.Millis {
 	run := c.view.Predict(queue, step.ExpectedRun)
 	return clock.Millis(float64(run.Run) * math.Exp(run.Deviation*expectedMaxDeviation(step.Tasks)))
 }
 
-// expectedMaxDeviation is by how many deviations the longest of many runs exceeds the usual one, in
-// logarithms (Cramer, Mathematical Methods of Statistics, 28.6: the mean of the extreme of a
+// expectedMaxDeviation returns the expected maximum of count standard normal values, that
+// is, by how many standard deviations the logarithm of the longest of count runs exceeds
+// the mean (Cramer, Mathematical Methods of Statistics, 28.6: the mean of the extreme of a
 // normal sample, to first order).
 func expectedMaxDeviation(count int64) float64 {
 	if count < 2 {
--- a/internal/scheduler/node.go
+++ b/internal/scheduler/node.go
@@ -8,27 +8,29 @@
 	"orchidward/internal/state"
 )
 
-// node is a runner as one cycle sees it.
+// node models a runner within one cycle.
 type node struct {
 	runner *state.Runner
-	// free is what is neither leased nor placed in this cycle.
+	// free is the capacity that is neither leased nor placed in this cycle.
 	free job.Demand
-	// reserved is what of free is reserved for a unit that waits.
+	// reserved is the part of free that is reserved for a pending unit.
 	reserved job.Demand
-	// onTrial says that the runner has so many defects that it gets few tasks at a time.
+	// onTrial is set if the runner has so many defects that its concurrent tasks are
+	// limited.
 	onTrial bool
-	// rackLeaving says that another runner of its rack has announced its departure.
+	// rackLeaving is set if a runner of the same rack has announced its departure.
 	rackLeaving bool
-	// workRate is how fast tasks run there, in thousandths of the nominal rate. It is known for the nodes of pools only.
+	// workRate is how fast tasks run on the runner, in thousandths of the nominal rate. It
+	// is set only for nodes that belong to a pool.
 	workRate int64
-	// releases is what will become free, nil until it is looked up.
+	// releases holds the resources that will be released, nil until first computed.
 	releases *expectedReleases
 }
 
-// unreserved is what units without a reservation may use.
+// unreserved returns the free resources that units without a reservation may use.
 func (n *node) unreserved() job.Demand { return n.free.Minus(n.reserved) }
 
-// usableNodes lists, in order of name, the runners that may be given tasks.
+// usableNodes returns the runners that may be given tasks, sorted by name.
 func usableNodes(store *state.Store, view RunnerView) []*node {
 	leavingRacks := map[identifier.Rack]bool{}
 	for _, name := range store.RunnerNames() {
@@ -37,7 +39,7 @@
 		}
 	}
 	mean := meanDefectRate(store)
-	// A cycle goes through its nodes again and again, so they lie side by side.
+	// A cycle iterates over its nodes many times, so they are allocated contiguously.
 	list := make([]node, 0, len(store.RunnerNames()))
 	nodes := make([]*node, 0, len(store.RunnerNames()))
 	for _, name := range store.RunnerNames() {
@@ -60,7 +62,7 @@
 	return nodes
 }
 
-// splitByPool returns the nodes that belong to no pool and those of each pool.
+// splitByPool separates the nodes that belong to no pool from those of each pool.
 func splitByPool(all []*node) (nodes []*node, pools map[string][]*node) {
 	pools = map[string][]*node{}
 	for _, n := range all {
@@ -74,25 +76,25 @@
 	return nodes, pools
 }
 
-// Rates of defects are in thousandths of all ends.
+// Defect rates are in thousandths of all ended runs.
 const (
-	// priorDefects and priorEnds are added to what is known of a runner, so that one
-	// of which little is known is neither trusted nor blamed.
+	// priorDefects and priorEnds are added to a runner's counts, so that a runner with
+	// few ended runs is rated neither reliable nor defective.
 	priorDefects = 20
 	priorEnds    = 2
-	// A runner is on trial with at least minTrialDefects, at a rate above
-	// trialRateFactor times the mean and trialRateMargin.
+	// A runner is on trial if it has at least minTrialDefects defects and its rate exceeds
+	// trialRateFactor times the mean rate plus trialRateMargin.
 	minTrialDefects = 3
 	trialRateFactor = 3
 	trialRateMargin = 50
 )
 
-// defectRate is the runner's recent rate of defects.
+// defectRate returns the runner's recent defect rate.
 func defectRate(r *state.Runner) int64 {
 	return (r.Defects*1000 + priorDefects) / (r.Successes + r.Defects + priorEnds)
 }
 
-// meanDefectRate is the recent rate of defects of all runners.
+// meanDefectRate returns the recent defect rate over all runners.
 func meanDefectRate(store *state.Store) int64 {
 	var successes, defects int64
 	for _, runner := range store.Runners {
@@ -106,19 +108,20 @@
 	return r.Defects >= minTrialDefects && defectRate(r) > trialRateFactor*mean+trialRateMargin
 }
 
-// successesPerDoubling is how many successes in a row double the tasks that a runner on
-// trial may have.
+// successesPerDoubling is how many consecutive successes double the task limit of a runner
+// on trial.
 const successesPerDoubling = 2
 
-// trialTasks is how many tasks a runner on trial may have: one, and more as it succeeds, so
-// that one that has recovered is soon in use again (the slow start of TCP: RFC 5681, 3.1).
+// trialTasks returns how many concurrent tasks a runner on trial may have. The limit starts
+// at one and grows exponentially with consecutive successes, so that a recovered runner is
+// soon fully used again (like TCP slow start: RFC 5681, section 3.1).
 func trialTasks(streak int) int { return 1 << min(streak/successesPerDoubling, maxTrialDoublings) }
 
-// maxTrialDoublings bounds the tasks of a runner on trial.
+// maxTrialDoublings bounds the task limit of a runner on trial.
 const maxTrialDoublings = 8
 
-// eligible tells whether the node may get a task of the step, were there free
-// resources. A node on trial gets one in a cycle.
+// eligible reports whether the node may be given a task of the step, free resources aside.
+// A node on trial is given at most one task per cycle.
 func (n *node) eligible(step *job.Step) bool {
 	if !feasibility.HasLabels(n.runner.Labels, step.Labels) {
 		return false
@@ -126,13 +129,13 @@
 	return !n.onTrial || n.free == n.runner.Free()
 }
 
-// fits tells whether a task of the step can be placed on the node now.
+// fits reports whether a task of the step can be placed on the node now.
 func (n *node) fits(step *job.Step) bool {
 	return step.Demand.Fits(n.unreserved()) && n.eligible(step)
 }
 
-// What is added to a node's score. The score of the tightest fit is from 0 to 1000, divided
-// by a number that depends on who asks.
+// Penalties added to a node's score. The tight-fit part of the score ranges from 0 to 1000
+// and is divided by one of the divisors below.
 const (
 	rackLeavingPenalty = 2_000
 	trialPenalty       = 10_000
@@ -140,22 +143,24 @@
 )
 
 const (
-	// rowTightFitDivisor leaves the tightest fit its weight for jobs of rows;
-	// queueTightFitDivisor makes it decide among nodes on which a task of a queue runs
-	// about as long.
+	// rowTightFitDivisor gives the tight fit its full weight for jobs of rows.
+	// queueTightFitDivisor reduces it to a tie-breaker between nodes on which a task of a
+	// queue is expected to run about equally long.
 	rowTightFitDivisor   = 1
 	queueTightFitDivisor = 10
-	// runQuantum is the difference of expected runs, in thousandths, below which nodes count
-	// as alike: rates are not known more exactly.
+	// runQuantum is the granularity of expected run times, in thousandths; smaller
+	// differences between nodes are ignored because work rates are not known more
+	// precisely.
 	runQuantum = 250
-	// minWorkRate bounds what a slow node can cost.
+	// minWorkRate bounds the penalty of a slow node.
 	minWorkRate = 50
-	// oneInThousandths is a whole in thousandths.
+	// oneInThousandths is the fixed-point representation of 1.
 	oneInThousandths = 1000
 )
 
-// score is lower for the better node: the tightest fit, few defects, and a rack that
-// nobody leaves. The runner that the task avoids comes last.
+// score rates the node for a task; lower is better. It prefers a tight fit, a low defect
+// rate, and a rack from which no runner is departing. The runner that the task avoids is
+// ranked last.
 func (n *node) score(demand job.Demand, avoid identifier.Runner, tightFitDivisor int64) int64 {
 	left := n.free.Minus(demand)
 	score := left.Share(n.runner.Capacity)/1000/tightFitDivisor + 2*defectRate(n.runner)
@@ -171,8 +176,8 @@
 	return score
 }
 
-// expectedRun is how long a task of the step runs on the node, in thousandths of its run near
-// its data on a node of the nominal rate.
+// expectedRun returns the expected run time of a task of the step on the node, in
+// thousandths of its run time near its data on a node of the nominal rate.
 func (c *cycle) expectedRun(step *job.Step, n *node) int64 {
 	run := int64(oneInThousandths*prediction.NominalRate) / max(n.workRate, minWorkRate)
 	if step.PreferredRack != "" && step.PreferredRack != n.runner.Rack {
@@ -181,7 +186,7 @@
 	return (run + runQuantum/2) / runQuantum * runQuantum
 }
 
-// bestNode finds the node with the best score for one task, nil when none fits.
+// bestNode returns the node with the best score for one task, or nil if none fits.
 func bestNode(nodes []*node, step *job.Step, avoid identifier.Runner) *node {
 	var best *node
 	var bestScore int64
--- a/internal/scheduler/policy/check.go
+++ b/internal/scheduler/policy/check.go
@@ -5,19 +5,20 @@
 	"go.starlark.net/syntax"
 )
 
-// functions are what an expression may call; predicates are those that take one string.
+// functions are those that an expression may call; predicates are the ones among them that
+// take one string.
 var (
 	functions  = map[string]bool{"min": true, "max": true, "abs": true, "label": true, "zone": true, "rack": true}
 	predicates = map[string]bool{"label": true, "zone": true, "rack": true}
 )
 
-// fields are what an expression may read, by object.
+// fields are those that an expression may read, by object.
 var fields = map[string]map[string]bool{
 	"runner": {"freeCores": true, "freeMemMb": true, "cores": true, "memMb": true, "running": true, "good": true, "bad": true},
 	"task":   {"cores": true, "memMb": true, "urgency": true, "defects": true, "members": true},
 }
 
-// operators are those that can't build values without bound.
+// operators are the permitted ones: none of them can build values of unbounded size.
 var operators = map[syntax.Token]bool{
 	syntax.PLUS:       true,
 	syntax.MINUS:      true,
@@ -34,20 +35,21 @@
 	syntax.OR:         true,
 }
 
-// checkExpr rejects whatever could grow without bound or knows more than Inputs. It
-// returns the first error.
+// checkExpr rejects expressions that could build values of unbounded size or read anything
+// besides Inputs. It returns the first error.
 func checkExpr(expr syntax.Expr) error {
 	c := &checker{}
 	syntax.Walk(expr, c.visit)
 	return c.err
 }
 
-// checker walks an expression.
+// checker walks an expression and records the first error.
 type checker struct {
 	err error
 }
 
-// reject keeps the first error. It returns false, which ends the walk of the node.
+// reject records an error unless there is one already. It returns false, so that the walk
+// skips the node's children.
 func (c *checker) reject(n syntax.Node, reason string) bool {
 	if c.err == nil {
 		start, _ := n.Span()
@@ -58,7 +60,7 @@
 
 const reasonString = "text is only for label(), zone() and rack()"
 
-// visit checks one node and tells whether the walk goes on with its children.
+// visit checks one node and reports whether the walk continues with its children.
 func (c *checker) visit(n syntax.Node) bool {
 	switch n := n.(type) {
 	case nil, *syntax.ParenExpr, *syntax.UnaryExpr, *syntax.CondExpr:
@@ -90,8 +92,8 @@
 	return c.reject(n, "not for policies: want one expression of runner's and task's fields")
 }
 
-// visitCall checks a call and walks its arguments itself: the name of the function, and the
-// word that a predicate takes, would not pass as values.
+// visitCall checks a call and walks its arguments itself, because visit would reject the
+// function's name and the string argument of a predicate as values.
 func (c *checker) visitCall(call *syntax.CallExpr) bool {
 	function, ok := call.Fn.(*syntax.Ident)
 	if !ok || !functions[function.Name] {
--- a/internal/scheduler/policy/doc.go
+++ b/internal/scheduler/policy/doc.go
@@ -1,12 +1,12 @@
-// Package policy compiles and evaluates the placement policies that operators keep in the
-// policy column of the limits table. A policy is one expression that scores one runner
-// for one task; the input is its source and the facts of both ([Inputs]), the output a
-// number, where higher is better.
+// Package policy compiles and evaluates the placement policies that operators store in the
+// policy column of the limits table. A policy is a single expression that scores a runner
+// for a task. Its inputs are attributes of both ([Inputs]); its result is a number, where
+// higher is better.
 //
-// An expression sees plain numbers and may ask for labels, the zone and the rack, and
-// nothing else: there are no loops, no names of its own, no strings to build, no I/O, no
-// time and no randomness. Starlark parses and evaluates it, under a bound on steps, so
-// that no policy can keep a leader busy.
+// An expression can read numeric fields and test for labels, the zone and the rack, and
+// nothing else: there are no loops, variables, string operations, I/O, clock or randomness.
+// Starlark parses and evaluates it with a bound on the number of steps, so that no policy
+// can stall a leader.
 //
-// Begin with policy.go; check.go is what an expression may be made of.
+// Start reading at policy.go; check.go defines the syntax that an expression may use.
 package policy
--- a/internal/scheduler/policy/policy.go
+++ b/internal/scheduler/policy/policy.go
@@ -12,30 +12,30 @@
 const (
 	// MaxSourceBytes bounds the source of a policy, in bytes.
 	MaxSourceBytes = 1024
-	// MaxSteps bounds the steps of the interpreter for scoring one runner.
+	// MaxSteps bounds the interpreter steps for scoring one runner.
 	MaxSteps = 2000
-	// maxScore bounds the size of a score.
+	// maxScore bounds the absolute value of a score.
 	maxScore = 1e300
 )
 
-// Inputs is what a policy may know of a runner and of the task that it is scored for.
+// Inputs holds the attributes of a runner and of a task that a policy can read.
 type Inputs struct {
-	// FreeCores and FreeMem are the runner's free resources, Cores and Mem all of them,
-	// memory in mebibytes.
+	// FreeCores and FreeMem are the runner's free resources, Cores and Mem its capacity.
+	// Memory is in mebibytes.
 	FreeCores int64
 	FreeMem   int64
 	Cores     int64
 	Mem       int64
 	// Running is the number of open leases.
 	Running int64
-	// RunnerSuccesses and RunnerDefects count recent ends.
+	// RunnerSuccesses and RunnerDefects count the recent runs that ended that way.
 	RunnerSuccesses int64
 	RunnerDefects   int64
 	Labels          map[string]bool
 	Zone            string
 	Rack            string
 
-	// NeedCores and NeedMem are the demand of the task, Members the size of its gang.
+	// NeedCores and NeedMem are the demand of the task; Members is the size of its gang.
 	NeedCores int64
 	NeedMem   int64
 	Urgency   int64
@@ -50,8 +50,8 @@
 
 var dialect = &syntax.FileOptions{}
 
-// Compile checks a source and compiles it. The error has the line and the column of what
-// is wrong.
+// Compile checks and compiles a policy's source. The error gives the line and column of
+// the fault.
 func Compile(source string) (*Policy, error) {
 	if len(source) > MaxSourceBytes {
 		return nil, errors.Errorf("longer than %d bytes", MaxSourceBytes)
@@ -75,8 +75,8 @@
 	return &Policy{score: score}, nil
 }
 
-// Score evaluates the policy: higher is better. An expression that fails, takes more than
-// MaxSteps or gives no number is an error.
+// Score evaluates the policy; a higher score is better. It returns an error if the
+// evaluation fails, takes more than MaxSteps, or does not yield a number.
 func (p *Policy) Score(in Inputs) (float64, error) {
 	thread := &starlark.Thread{Name: "policy"}
 	thread.SetMaxExecutionSteps(MaxSteps)
@@ -99,7 +99,7 @@
 	return 0, errors.Errorf("the score is %s, want a number", value.Type())
 }
 
-// arguments are those of the lambda that Compile makes.
+// arguments returns the arguments of the lambda that Compile wraps around the expression.
 func (in *Inputs) arguments() starlark.Tuple {
 	runner := numbers(map[string]int64{
 		"freeCores": in.FreeCores,
@@ -126,8 +126,8 @@
 	}
 }
 
-// numbers is a struct of numbers. They are floats, so that no expression builds large
-// integers.
+// numbers returns a struct with numeric fields. They are floats, so that no expression can
+// build large integers.
 func numbers(values map[string]int64) *starlarkstruct.Struct {
 	fields := starlark.StringDict{}
 	for name, value := range values {
@@ -136,7 +136,7 @@
 	return starlarkstruct.FromStringDict(starlarkstruct.Default, fields)
 }
 
-// predicate is a function of one string.
+// predicate returns a built-in function that takes one string and returns a boolean.
 func predicate(name string, holds func(argument string) bool) *starlark.Builtin {
 	call := func(_ *starlark.Thread, _ *starlark.Builtin, args starlark.Tuple, _ []starlark.Tuple) (starlark.Value, error) {
 		if len(args) != 1 {
--- a/internal/scheduler/policy_scoring.go
+++ b/internal/scheduler/policy_scoring.go
@@ -9,30 +9,30 @@
 	"orchidward/internal/state"
 )
 
-// maxPolicyScores bounds the scores that policies compute in one cycle; past it the
-// built-in choice is used, so that no policy keeps the leader from its other work.
+// maxPolicyScores bounds the scores that policies compute in one cycle; beyond it the
+// built-in scoring is used, so that policies cannot delay the leader's other work.
 const maxPolicyScores = 5000
 
-// Why a policy did not choose a node, besides its own errors.
+// Errors that prevent a policy from choosing a node, besides those of its evaluation.
 var (
 	errPolicyNotCompiled   = errors.New("the policy does not compile")
 	errTooManyPolicyScores = errors.New("too many scorings in one round")
 )
 
-// PolicyResult tells how a row's policy did in one cycle.
+// PolicyResult counts the decisions of a row's policy in one cycle.
 type PolicyResult struct {
-	// Used is the number of choices that the policy made, Failed that of those that
-	// fell back to the built-in choice.
+	// Used counts the decisions made by the policy, Failed those that fell back to the
+	// built-in scoring.
 	Used, Failed int
-	// LastFailure is the reason of the last failed one, empty for none.
+	// LastFailure is the error of the last failed decision, empty if none failed.
 	LastFailure string
 }
 
-// PolicyResults maps rows to how their policies did.
+// PolicyResults holds the policy result of each row.
 type PolicyResults map[identifier.Row]PolicyResult
 
-// pickNode finds the node for one task of a row's job, by the row's policy if it has one;
-// nil is returned when the task fits on none. A policy only chooses among the nodes that
+// pickNode returns the node for one task of a row's job, chosen by the row's policy if it
+// has one, or nil if the task fits on no node. A policy chooses only among the nodes that
 // fit.
 func (c *cycle) pickNode(u unit, task *state.Task) *node {
 	row := u.job.Spec.Row
@@ -53,8 +53,8 @@
 	return picked
 }
 
-// scoredNode is a node with its scores: the policy's, where higher is better, and the
-// built-in one, where lower is better.
+// scoredNode is a node with its policy score, where higher is better, and its built-in
+// score, where lower is better.
 type scoredNode struct {
 	node    *node
 	score   float64
@@ -62,8 +62,8 @@
 	avoided bool
 }
 
-// betterThan compares by the policy's score and then by the built-in one; the runner that
-// the task avoids comes last.
+// betterThan compares by policy score and then by built-in score; the runner that the task
+// avoids is ranked last.
 func (a *scoredNode) betterThan(b *scoredNode) bool {
 	switch {
 	case a.avoided != b.avoided:
@@ -74,7 +74,7 @@
 	return a.score == b.score && a.builtin < b.builtin
 }
 
-// pickByPolicy finds the fitting node that the policy scores highest.
+// pickByPolicy returns the fitting node with the highest policy score, or nil if none fits.
 func (c *cycle) pickByPolicy(p *policy.Policy, u unit, task *state.Task) (*node, error) {
 	if p == nil {
 		return nil, errPolicyNotCompiled
--- a/internal/scheduler/preemption.go
+++ b/internal/scheduler/preemption.go
@@ -11,18 +11,19 @@
 	"orchidward/internal/state"
 )
 
-// priceUnit makes the row's weight count before any urgency, which is at most 1000.
+// priceUnit exceeds the maximum urgency of 1000, so that the row's weight always outranks
+// the urgency.
 const priceUnit = 1001
 
-// price orders the jobs of rows for preemption: by their row's weight, then by urgency.
-// A job may preempt strictly cheaper ones.
+// price orders the jobs of rows for preemption, by their row's weight and then by urgency.
+// A job may preempt only strictly cheaper jobs.
 func (c *cycle) price(j *state.Job) int64 {
 	return c.store.Limits.Int(j.Spec.Row, limits.ColumnWeight)*priceUnit + j.Spec.Urgency
 }
 
-// preemptFor plans preemptions that make a unit fit: the cheapest that do, and none when
-// it would still not fit. A cycle plans them for one unit only, and not before the last
-// ones have ended.
+// preemptFor plans the cheapest preemptions that make a unit fit, or none if the unit would
+// still not fit. A cycle plans preemptions for at most one unit, and for none while leases
+// preempted earlier are still open.
 func (c *cycle) preemptFor(u unit) {
 	if len(c.plan.Preemptions) > 0 || !c.mayPreempt(u) || c.preemptionPending() {
 		return
@@ -36,8 +37,8 @@
 	c.plan.Preemptions = p.leases
 }
 
-// mayPreempt tells whether the unit was displaced by a drain that found too few resources
-// elsewhere, and its row preempts.
+// mayPreempt reports whether the unit's row is configured to preempt and the unit was
+// displaced by a drain whose preflight check found too few resources elsewhere.
 func (c *cycle) mayPreempt(u unit) bool {
 	if c.store.Limits.Cell(u.job.Spec.Row, limits.ColumnOnOutage) != limits.OnOutagePreempt {
 		return false
@@ -51,7 +52,7 @@
 	return false
 }
 
-// preemptionPending tells whether a preempted lease is still open.
+// preemptionPending reports whether a preempted lease is still open.
 func (c *cycle) preemptionPending() bool {
 	for _, lease := range c.store.Leases {
 		if lease.RevokeReason == state.RevokePreempted {
@@ -61,12 +62,13 @@
 	return false
 }
 
-// preemption adds up the leases to preempt for one unit.
+// preemption collects the leases to preempt for one unit.
 type preemption struct {
 	cycle *cycle
 	step  *job.Step
 	price int64
-	// free is what each runner would have free.
+	// free is what each runner would have free after the chosen preemptions and with the
+	// unit's tasks considered so far placed.
 	free   map[identifier.Runner]job.Demand
 	chosen map[identifier.LeaseID]bool
 	leases []identifier.LeaseID
@@ -86,8 +88,8 @@
 	return p
 }
 
-// addTask chooses the node on which one more task of the unit costs least, and tells
-// whether there is one.
+// addTask adds the preemptions for one more task of the unit, on the node where they cost
+// least. It reports whether there is such a node.
 func (p *preemption) addTask() bool {
 	var best *node
 	var bestVictims []victim
@@ -125,13 +127,14 @@
 	}
 }
 
-// victim is what is preempted at once: one lease, or all of a gang's.
+// victim is a set of leases that are preempted together: a single lease, or all leases of
+// a gang.
 type victim struct {
 	leases []identifier.LeaseID
 	price  int64
-	// gain is what becomes free on the node in question.
+	// gain is what the preemption frees on the node under consideration.
 	gain job.Demand
-	// cost is the share of all capacity that the leases have.
+	// cost is the share of the cluster's capacity that the leases hold.
 	cost int64
 }
 
@@ -143,8 +146,8 @@
 	return cost
 }
 
-// cheapestVictims finds the cheapest victims on a node that make a task fit, and then
-// leaves out each one that turns out not to be needed.
+// cheapestVictims adds victims on a node in ascending order of price until a task fits,
+// and then drops each one that turns out not to be needed.
 func (p *preemption) cheapestVictims(n *node) (victims []victim, ok bool) {
 	free := p.free[n.runner.Name]
 	demand := p.step.Demand
@@ -172,7 +175,7 @@
 	return needed, true
 }
 
-// possibleVictims lists what may be preempted on a node, the cheapest first.
+// possibleVictims lists the victims on a node in ascending order of price and cost.
 func (p *preemption) possibleVictims(n *node) []victim {
 	var victims []victim
 	seen := map[identifier.LeaseID]bool{}
@@ -196,7 +199,7 @@
 	return victims
 }
 
-// newVictim returns the lease, with those of its gang if it has one, as a victim.
+// newVictim returns a victim made of the lease and, for a gang, of all leases of the gang.
 func (p *preemption) newVictim(lease *state.Lease) victim {
 	j := p.cycle.store.Jobs[lease.Task.Job]
 	gang := j.Spec.Steps[lease.Task.Step].Gang
--- a/internal/scheduler/queues.go
+++ b/internal/scheduler/queues.go
@@ -66,8 +66,8 @@
 	return shape
 }
 
-// findQueueNodes finds a node for every task of the unit, or none at all; nil is returned
-// when the unit does not fit. It takes no resources yet.
+// findQueueNodes returns a node for every task of the unit, or nil if the unit does not
+// fit. It does not allocate the resources.
 func (c *cycle) findQueueNodes(u unit) []*node {
 	pool := c.pools[u.job.Terms.Pool]
 	step := u.spec()
@@ -81,16 +81,16 @@
 	return c.assignNodes(u, pool)
 }
 
-// rackNodes are the nodes of one rack.
+// rackNodes holds the nodes of one rack.
 type rackNodes struct {
 	nodes   []*node
 	freeCPU int64
-	// preferred says that the rack is near the data of the task.
+	// preferred is set if the rack is near the task's data.
 	preferred bool
 }
 
-// nodesByRack groups the nodes by rack: the preferred one first, then those with the
-// least free CPU.
+// nodesByRack groups the nodes by rack: the preferred rack first, then the others in
+// ascending order of free CPU.
 func nodesByRack(nodes []*node, preferred identifier.Rack) [][]*node {
 	var racks []*rackNodes
 	byName := map[identifier.Rack]*rackNodes{}
@@ -123,14 +123,15 @@
 	return cmp.Compare(a.freeCPU, b.freeCPU)
 }
 
-// assignment adds up the tasks of one unit on nodes that they are not yet placed on.
+// assignment tracks the tasks of one unit that are tentatively assigned to nodes, before
+// the unit is placed.
 type assignment struct {
 	used  map[*node]job.Demand
 	tasks map[*node]int64
 }
 
-// assignNodes gives each task of the unit the node with the best score at that moment; nil
-// is returned when a task fits on none.
+// assignNodes greedily assigns each task of the unit to the candidate with the best score.
+// It returns nil if some task fits on no candidate.
 func (c *cycle) assignNodes(u unit, candidates []*node) []*node {
 	var assigned []*node
 	pending := assignment{used: map[*node]job.Demand{}, tasks: map[*node]int64{}}
@@ -166,8 +167,8 @@
 	return best
 }
 
-// tasksOn is the number of tasks of the unit's step on a node: those with an open lease,
-// and those placed in this cycle.
+// tasksOn returns the number of tasks of the unit's step on a node, counting open leases
+// and the placements of this cycle.
 func (c *cycle) tasksOn(u unit, n *node) int64 {
 	count := c.store.StepTasksOn(u.job, u.step, n.runner)
 	for _, placement := range c.plan.Placements {
@@ -183,8 +184,9 @@
 	return count
 }
 
-// reserveForQueue returns the reason why a unit that does not fit waits. For the first one
-// of its pool that only lacks free resources it reserves them.
+// reserveForQueue returns the reason why a unit that does not fit is pending. If the unit
+// would fit once resources become free, and no other unit of its pool has a reservation, it
+// reserves resources for the unit.
 func (c *cycle) reserveForQueue(u unit) string {
 	step := u.spec()
 	pool := u.job.Terms.Pool
--- a/internal/scheduler/reasons.go
+++ b/internal/scheduler/reasons.go
@@ -6,13 +6,13 @@
 	"orchidward/internal/api/identifier"
 )
 
-// Reasons tells people, by job and step, why tasks still wait.
+// Reasons holds, by job and step, user-facing explanations of why tasks are pending.
 type Reasons map[identifier.JobKey]map[int]string
 
-// maxReasons bounds the jobs that a plan gives reasons for.
+// maxReasons bounds the number of jobs for which a plan holds reasons.
 const maxReasons = 500
 
-// The reasons why a unit of work waits.
+// The reasons why a unit of work is pending.
 const (
 	reasonNoEligibleRunner = "no runner in reach has what it needs"
 	reasonTooLarge         = "larger than the runners in reach could hold"
@@ -31,7 +31,7 @@
 	return "row " + string(row) + " is at its limit of room in use"
 }
 
-// add records why a step waits, unless there are too many reasons already.
+// add records why a step is pending, unless there are already too many reasons.
 func (r Reasons) add(u unit, reason string) {
 	if len(r) >= maxReasons {
 		return
--- a/internal/scheduler/reservation.go
+++ b/internal/scheduler/reservation.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// reservableNodes lists the nodes that the unit would be placed on if they were empty:
-// one for each of its tasks, with at most perNode tasks on one (0 for any number). The
-// first of the nodes are taken first; nil is returned when they are not enough.
+// reservableNodes returns the nodes on which the unit would be placed if they were empty,
+// one entry per task, with at most perNode tasks on a node (0 for no limit). It fills the
+// nodes in the given order, and returns nil if the unit does not fit even then.
 func reservableNodes(u unit, nodes []*node, perNode int64) []*node {
 	var chosen []*node
 	demand := u.spec().Demand
@@ -26,14 +26,14 @@
 	return chosen
 }
 
-// reserve reserves the unit's demand on the nodes: other units may use only what is left.
+// reserve reserves the unit's demand on the nodes; other units may use only the rest.
 func reserve(u unit, nodes []*node) {
 	for _, n := range nodes {
 		n.reserved = n.reserved.Plus(u.spec().Demand)
 	}
 }
 
-// sortBySize puts the nodes with the largest size first.
+// sortBySize sorts the nodes by descending size.
 func sortBySize(nodes []*node, size func(n *node) int64) {
 	slices.SortStableFunc(nodes, func(a, b *node) int { return cmp.Compare(size(b), size(a)) })
 }
--- a/internal/scheduler/rows.go
+++ b/internal/scheduler/rows.go
@@ -10,8 +10,8 @@
 	"orchidward/internal/state"
 )
 
-// scheduleDisplaced places displaced jobs of rows, the highest price first: resources
-// reserved for cheap work must not keep work of a higher price out.
+// scheduleDisplaced places displaced jobs of rows in descending order of price, so that
+// resources reserved for cheap work don't block more expensive work.
 func (c *cycle) scheduleDisplaced() {
 	jobs := c.store.DisplacedJobs()
 	slices.SortStableFunc(jobs, func(a, b *state.Job) int { return cmp.Compare(c.price(b), c.price(a)) })
@@ -22,7 +22,7 @@
 	}
 }
 
-// rowCursor goes through the pending jobs of one row.
+// rowCursor iterates over the pending jobs of one row.
 type rowCursor struct {
 	row    identifier.Row
 	jobs   *state.PendingIterator
@@ -30,8 +30,9 @@
 	misses int
 }
 
-// scheduleRows places the jobs of rows: again and again the next job of the row whose
-// share in use is the least for its weight, until nothing more fits.
+// scheduleRows places the jobs of rows by weighted fair sharing: it repeatedly takes the
+// next job of the row with the lowest usage relative to its weight, until nothing more
+// fits.
 func (c *cycle) scheduleRows() {
 	var cursors []*rowCursor
 	for _, row := range c.store.Limits.RowNames() {
@@ -54,8 +55,7 @@
 	}
 }
 
-// leastServed returns the position of the row whose share in use is the least for its
-// weight.
+// leastServed returns the index of the row with the lowest usage relative to its weight.
 func (c *cycle) leastServed(cursors []*rowCursor) int {
 	least := 0
 	var leastShare int64
@@ -70,8 +70,8 @@
 	return least
 }
 
-// tryRowUnit tries to place a unit of a row's job. For displaced work that does not fit
-// it may plan preemptions.
+// tryRowUnit tries to place a unit of a row's job. If the unit is displaced work and does
+// not fit, tryRowUnit may plan preemptions for it.
 func (c *cycle) tryRowUnit(u unit) placementResult {
 	if c.placed[u.firstTask()] {
 		return placementResult{placed: true, newShape: true}
@@ -110,8 +110,8 @@
 	return shape
 }
 
-// takeNodes takes resources of a node for every task of the unit, or of none; nil is
-// returned when the unit does not fit.
+// takeNodes allocates resources on a node for every task of the unit. If the unit does not
+// fit, it allocates nothing and returns nil.
 func (c *cycle) takeNodes(u unit) []*node {
 	var taken []*node
 	step := u.spec()
@@ -129,8 +129,9 @@
 	return taken
 }
 
-// reserveForRow returns the reason why a unit that does not fit waits. For the first one
-// that only lacks free resources it reserves them.
+// reserveForRow returns the reason why a unit that does not fit is pending. If the unit
+// would fit once resources become free, and no other unit of a row has a reservation, it
+// reserves resources for the unit.
 func (c *cycle) reserveForRow(u unit) string {
 	var eligible []*node
 	for _, n := range c.nodes {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -9,14 +9,15 @@
 	"orchidward/internal/state"
 )
 
-// Bounds of one cycle, so that it does not keep the leader from its other work.
+// Bounds on the work of one cycle, so that a cycle does not delay the leader's other work.
 const (
 	// maxPlacedTasks is the number of placed tasks after which a cycle ends.
 	maxPlacedTasks = 128
-	// maxMisses is the number of jobs of one row, or of all queues, that were found
-	// not to fit after which the cycle turns to the next.
+	// maxMisses is how many jobs of one row, or of one timeliness class of queue jobs,
+	// may fail to fit before the cycle skips the rest of that row or class.
 	maxMisses = 64
-	// maxJobsSeen is the number of jobs after which it does so in any case.
+	// maxJobsSeen is how many jobs of one row or class a cycle tries, whether or not
+	// they fit.
 	maxJobsSeen = 600
 )
 
@@ -25,13 +26,13 @@
 	Placements []state.Placement
 	// Preemptions are the leases to revoke in favour of displaced work.
 	Preemptions []identifier.LeaseID
-	// Reasons tells why the steps that the cycle looked at still wait.
+	// Reasons holds why the steps that the cycle considered are still pending.
 	Reasons Reasons
-	// Deferred are the tasks that could be placed, and wait for a better node.
+	// Deferred are the tasks that could be placed now but wait for a better node.
 	Deferred []identifier.TaskRef
-	// Policies tells how the placement policies of the rows did.
+	// Policies holds the results of the rows' placement policies.
 	Policies PolicyResults
-	// AtQuota are the tenants of which work waits for their quota.
+	// AtQuota are the tenants whose work is held back by their quota.
 	AtQuota map[string]bool
 }
 
@@ -39,63 +40,67 @@
 	return Plan{Reasons: Reasons{}, Policies: PolicyResults{}, AtQuota: map[string]bool{}}
 }
 
-// PredictedRun is how long a task is expected to run, and by which deviation, in logarithms,
-// that is usually wrong.
+// PredictedRun is the predicted run time of a task, with the standard deviation of its
+// logarithm.
 type PredictedRun struct {
 	Run       clock.Millis
 	Deviation float64
 }
 
-// RunPredictor predicts how long a task of a queue runs near its data on a runner of the
-// nominal rate, by its estimate in milliseconds.
+// RunPredictor predicts, from the client's estimate, how long a task of a queue runs near
+// its data on a runner of the nominal rate.
 type RunPredictor func(queue string, estimate clock.Millis) PredictedRun
 
-// RunnerView is what a leader knows of runners beyond the state.
+// RunnerView is the leader's knowledge of the runners that is not part of the replicated
+// state.
 type RunnerView struct {
-	// Schedulable tells whether the runner may be given tasks now.
+	// Schedulable reports whether the runner may be given tasks now.
 	Schedulable func(r identifier.Runner) bool
-	// WorkRate is how fast tasks run there, in thousandths of the nominal rate.
+	// WorkRate returns how fast tasks run on the runner, in thousandths of the nominal
+	// rate.
 	WorkRate func(r identifier.Runner) int64
-	// SuccessStreak is how many attempts there have succeeded since the last defect.
+	// SuccessStreak returns how many attempts on the runner have succeeded since its last
+	// defect.
 	SuccessStreak func(r identifier.Runner) int
-	// DistantFactor is how many times as long tasks run away from their data, in
-	// thousandths.
+	// DistantFactor is the ratio of a task's run time away from its data to that near its
+	// data, in thousandths.
 	DistantFactor int64
-	// Predict is how long a task of a queue runs near its data on a runner of the nominal
-	// rate, by its estimate.
+	// Predict predicts the run time of a task near its data on a runner of the nominal
+	// rate.
 	Predict RunPredictor
-	// Remaining is how long the run of a lease is expected to go on; it is not ok where
-	// that is not known.
+	// Remaining returns how much longer the run of a lease is expected to take; ok is
+	// false if that is unknown.
 	Remaining func(lease *state.Lease) (remaining clock.Millis, ok bool)
-	// DeferredFor is how long a task has been deferred.
+	// DeferredFor returns how long a task has been deferred.
 	DeferredFor func(ref identifier.TaskRef) clock.Millis
-	// Usage is what each pool lately had in use.
+	// Usage holds the recent usage of each pool.
 	Usage *UsageHistory
 }
 
-// cycle is one scheduling cycle.
+// cycle holds the working state of one scheduling cycle.
 type cycle struct {
 	store    *state.Store
 	view     RunnerView
 	capacity job.Demand
-	// nodes are the runners that belong to no pool, pools those of each pool of the
-	// catalogue.
+	// nodes are the runners that belong to no pool; pools holds the runners of each pool
+	// of the catalogue.
 	nodes []*node
 	pools map[string][]*node
-	// queues are those of the catalogue that were looked up.
+	// queues caches the catalogue's queues that this cycle has looked up.
 	queues map[string]*catalog.Queue
-	// resourcesByPool has the resources of each pool in all.
+	// resourcesByPool has the aggregate resources of each pool.
 	resourcesByPool map[string]*poolResources
-	// rowUse is the demand of each row's open leases and placements so far.
+	// rowUse is the demand of each row's open leases and of its placements in this cycle.
 	rowUse map[identifier.Row]job.Demand
-	// tenants has the quota and the use of each tenant that was looked up.
+	// tenants caches the quota and usage of the tenants that this cycle has looked up.
 	tenants map[string]*tenantBudget
-	// rowReserved and poolReserved tell where resources are reserved already.
+	// rowReserved and poolReserved record whether resources are already reserved for a
+	// unit of a row or, by pool, for a unit of a queue.
 	rowReserved  bool
 	poolReserved map[string]bool
-	// placed has the first task of each unit of a row's job that was placed.
+	// placed holds the first task of each placed unit of a row's job.
 	placed map[identifier.TaskRef]bool
-	// unplaceable has the shapes that were found not to fit, with the reason.
+	// unplaceable maps the shapes that do not fit to the reason.
 	unplaceable map[unitShape]string
 	placedTasks int
 
@@ -105,8 +110,8 @@
 	plan Plan
 }
 
-// Schedule plans placements and preemptions from the state as it is and does not change
-// it. The plan is a proposal: the state machine checks every placement again.
+// Schedule plans placements and preemptions from the current state, which it does not
+// modify. The plan is a proposal: the state machine checks every placement again.
 func Schedule(store *state.Store, view RunnerView, policies *policy.Cache) Plan {
 	if !store.HasPending() {
 		return newPlan()
--- a/internal/scheduler/tenants.go
+++ b/internal/scheduler/tenants.go
@@ -6,14 +6,13 @@
 	"orchidward/internal/state"
 )
 
-// tenantBudget is what a tenant may have in use, and what it has, placements of this cycle
-// included.
+// tenantBudget is a tenant's quota and its usage, including the placements of this cycle.
 type tenantBudget struct {
 	quota catalog.Quota
 	used  job.Demand
 }
 
-// tenantBudget looks up the budget of a job's tenant, nil for the job of no tenant.
+// tenantBudget returns the budget of a job's tenant, or nil if the job has no tenant.
 func (c *cycle) tenantBudget(j *state.Job) *tenantBudget {
 	tenant := j.Spec.Tenant
 	if tenant == "" {
@@ -27,13 +26,13 @@
 	return budget
 }
 
-// withinQuota tells whether the tenant's quota admits the unit.
+// withinQuota reports whether the tenant's quota admits the unit.
 func (b *tenantBudget) withinQuota(u unit) bool {
 	return b == nil || b.quota.Admits(b.used, u.spec().Demand, len(u.taskNumbers))
 }
 
-// blockedByQuota tells whether a job has nothing to place that its tenant's quota admits, and
-// says so of its steps.
+// blockedByQuota reports whether the quota of the job's tenant admits none of the job's
+// ready steps. It records the quota as the reason for each step that it rejects.
 func (c *cycle) blockedByQuota(j *state.Job) bool {
 	budget := c.tenantBudget(j)
 	if budget == nil || budget.quota.IsZero() {
@@ -57,7 +56,7 @@
 	return true
 }
 
-// take counts a unit that is placed.
+// take adds a placed unit to the tenant's usage.
 func (b *tenantBudget) take(u unit) {
 	if b != nil {
 		b.used = b.used.Plus(u.demand())
--- a/internal/scheduler/unit.go
+++ b/internal/scheduler/unit.go
@@ -6,11 +6,11 @@
 	"orchidward/internal/state"
 )
 
-// unit is what is placed at once: a gang, or one task.
+// unit is the smallest piece of work that is placed atomically: a gang, or a single task.
 type unit struct {
 	job  *state.Job
 	step int
-	// taskNumbers are the numbers of its tasks in the step.
+	// taskNumbers are the indexes of the unit's tasks in the step.
 	taskNumbers []int
 }
 
@@ -18,7 +18,7 @@
 
 func (u unit) task(num int) *state.Task { return u.job.Steps[u.step][num] }
 
-// demand is that of all its tasks.
+// demand returns the total demand of the unit's tasks.
 func (u unit) demand() job.Demand {
 	var total job.Demand
 	for range u.taskNumbers {
@@ -27,28 +27,29 @@
 	return total
 }
 
-// firstTask names the unit by its first task.
+// firstTask returns the unit's first task, which identifies the unit.
 func (u unit) firstTask() identifier.TaskRef {
 	return identifier.TaskRef{Job: u.job.Key, Step: u.step, Num: u.taskNumbers[0]}
 }
 
-// unitShape is what makes units alike: when one does not fit, none of that shape does.
+// unitShape is the part of a unit that decides whether it fits: if one unit does not fit,
+// no other unit of the same shape does.
 type unitShape struct {
 	demand job.Demand
-	// constraints is the text of all that the unit asks for besides resources.
+	// constraints encodes all placement constraints of the unit besides resources.
 	constraints string
 	count       int
 }
 
-// placementResult is what came of trying to place units.
+// placementResult is the outcome of trying to place one or more units.
 type placementResult struct {
 	placed bool
-	// newShape is false when every unit that was not placed has a shape that was
-	// already known not to fit.
+	// newShape is false if every unit that was not placed has a shape that was already
+	// known not to fit.
 	newShape bool
-	// deferred says that a unit fits, and waits for a better node.
+	// deferred is set if a unit fits but waits for a better node.
 	deferred bool
-	// overQuota says that a unit waits for its tenant to use less.
+	// overQuota is set if a unit is held back by its tenant's quota.
 	overQuota bool
 }
 
@@ -85,7 +86,7 @@
 	return total
 }
 
-// place adds the placement of a unit, its i-th task on the i-th node, to the plan.
+// place adds the placement of a unit to the plan, with its i-th task on the i-th node.
 func (c *cycle) place(u unit, nodes []*node) {
 	placement := state.Placement{Job: u.job.Key, Step: u.step, Tasks: u.taskNumbers}
 	for _, n := range nodes {
