--- a/internal/gateway/authentication.go
+++ b/internal/gateway/authentication.go
@@ -14,9 +14,10 @@
 	messageKeysBehind      = "this gateway has yet to learn the newest keys"
 )
 
-// authenticate checks that a request for a queue bears the API key of a tenant, where the
-// queue asks for one. The leader checks once more, by the digest of the key that it is sent:
-// this table may be older than its own. A request without a valid key is answered here.
+// authenticate checks that a request for a protected queue carries the API key of a tenant.
+// The leader repeats the check with the digest of the key that the gateway forwards, because
+// the gateway's table may be older than the leader's. A request without a valid key is
+// answered here, and authenticate returns false.
 func (g *Gateway) authenticate(r *request) bool {
 	if strings.Contains(r.Query, endpoint.CredentialParam) {
 		r.Query = withCredential(r.Query, "")
@@ -47,7 +48,7 @@
 	return false
 }
 
-// countUnauthenticated counts a request that is refused for its key, or for the lack of one.
+// countUnauthenticated counts a request that is refused for a missing or unknown key.
 func (g *Gateway) countUnauthenticated(r *request) {
 	if r.Credential == "" {
 		g.Counts.WithoutKey++
@@ -56,7 +57,8 @@
 	g.Counts.UnknownKey++
 }
 
-// withCredential is what can be read of a query, with the digest of the request's key in place of any other.
+// withCredential returns the query with its credential parameter replaced by the digest, or
+// removed if the digest is empty. Parameters that don't parse are dropped.
 func withCredential(query string, digest catalog.KeyDigest) string {
 	values, _ := url.ParseQuery(query)
 	values.Del(endpoint.CredentialParam)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -12,22 +12,23 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Config is what a gateway is started with. Addr is where it listens for other
-// processes of the cluster, HTTP where it serves clients, and Seeds are addresses of
-// control-plane servers to begin with.
+// Config is the configuration of a gateway. Addr is the address at which it listens for
+// other processes of the cluster, HTTP the address at which it serves clients, and Seeds are
+// the addresses of control-plane servers to contact first.
 type Config struct {
 	Addr   string
 	HTTP   string
 	Domain identifier.Domain
 	Seeds  []string
-	// Seed is where the numbers of attempts begin. It is random, so that no response to
-	// an earlier incarnation's attempt is taken for one of this.
+	// Seed is the number after which attempts are numbered. It is random, so that a
+	// response to an attempt of an earlier incarnation does not match one of this
+	// incarnation.
 	Seed int64
 }
 
-// Request is one that came in over HTTP. Budget is how long its caller waits from its
-// arrival on, in milliseconds; 0 is the default. Waited is how much of that has passed in
-// this process before the request is handed in.
+// Request is a client request received over HTTP. Budget is how long the caller waits after
+// the request's arrival, in milliseconds; 0 selects the default. Waited is how much of that
+// time has passed in this process before the request reaches the gateway's state machine.
 type Request struct {
 	ID     uint64
 	Method string
@@ -36,23 +37,23 @@
 	Body   []byte
 	Budget clock.Millis
 	Waited clock.Millis
-	// Queue is the queue of the catalogue that the request is for, where its path does not
-	// say so; a job names its queue itself. Credential is the tenant's API key that came
-	// with the request.
+	// Queue is the queue of the catalogue that the request addresses, if its path does not
+	// name it; a submitted job names its queue in the body. Credential is the tenant's API
+	// key sent with the request.
 	Queue      string
 	Credential catalog.APIKey
 }
 
-// Idempotent reports whether the request may be sent to a leader again when it is not
-// known what became of an earlier attempt: reads change nothing, jobs are known by their
-// id, and changes of the catalogue by their version and digest. Orders to drain a zone,
-// or to end a drain, have no number: their sender decides.
+// Idempotent reports whether the request may be sent to a leader again after an attempt with
+// an unknown outcome: reads change nothing, jobs are identified by their id, and changes of
+// the catalogue by their version and digest. Orders to start or end the drain of a zone have
+// no such identifier, so retrying them is left to their sender.
 func (r Request) Idempotent() bool {
 	return r.Method == http.MethodGet || endpoint.IsJobPath(r.Path) || r.Path == endpoint.CatalogPath
 }
 
-// TimeLeft is how much longer the caller waits, 0 or less when it waits no more. Where the
-// caller doesn't say how long it waits, it is the default.
+// TimeLeft returns how much longer the caller waits, 0 or less once its budget is used up.
+// If the caller gives no budget, the default applies.
 func (r Request) TimeLeft() clock.Millis { return r.budget() - r.Waited }
 
 func (r Request) budget() clock.Millis {
@@ -65,8 +66,8 @@
 	return defaultNonIdempotentBudget
 }
 
-// Response is the one answer to a request. RetryAfter, when above 0, is after how many
-// milliseconds to come back.
+// Response is the response to a request. RetryAfter, if above 0, is the number of
+// milliseconds after which the caller should retry.
 type Response struct {
 	ID         uint64
 	Status     int
@@ -74,21 +75,21 @@
 	RetryAfter clock.Millis
 }
 
-// ErrorResponse is a response with an error body, to no request yet: its ID is 0. retryAfter
-// is 0 where coming back is of no use.
+// ErrorResponse returns a response with an error body. Its ID is 0; the caller sets it to
+// that of the request. retryAfter is 0 if a retry is of no use.
 func ErrorResponse(status int, code, message string, retryAfter clock.Millis) Response {
 	body := jsondoc.ErrorBody{Code: code, Message: message, RetryAfter: retryAfter}
 	return Response{Status: status, RetryAfter: retryAfter, Body: body.JSON()}
 }
 
-// Event is one line for the log: a name and alternating keys and values.
+// Event is a log event: a name and alternating keys and values.
 type Event struct {
 	Name   string
 	Fields []any
 }
 
-// Output is what the inputs so far ask the owner to do: messages to send, requests to
-// answer and events to log.
+// Output holds the effects that the caller must carry out: messages to send, responses to
+// deliver and events to log.
 type Output struct {
 	Messages  []wire.Envelope
 	Responses []Response
@@ -96,41 +97,43 @@
 }
 
 const (
-	// LeaderContactTimeout is how long a gateway may have been out of touch with the
-	// leader and still decide.
+	// LeaderContactTimeout is how long after its last contact with the leader a gateway
+	// may still decide on requests.
 	LeaderContactTimeout clock.Millis = 1000
 	// TickInterval is how often Tick should be called.
 	TickInterval clock.Millis = 50
-	// syncInterval lies between two syncs with the leader, and syncTimeout is how long
-	// the response to one is awaited.
+	// syncInterval is the interval between syncs with the leader, and syncTimeout how long
+	// the gateway waits for the response to one.
 	syncInterval clock.Millis = 200
 	syncTimeout  clock.Millis = 400
-	// announceInterval lies between two announcements of this gateway to the servers,
-	// announceIntervalOutOfTouch while it is out of touch.
+	// announceInterval is the interval between announcements of this gateway to the servers,
+	// announceIntervalNoContact that while it has no contact with the leader.
 	announceInterval          clock.Millis = 1000
 	announceIntervalNoContact clock.Millis = 200
-	// defaultBudget is for idempotent requests, defaultOrderBudget for others. With the
-	// longest stall that goes unnoticed the latter makes a second, after which callers
-	// send their orders again.
+	// defaultBudget applies to idempotent requests, defaultNonIdempotentBudget to others.
+	// Together with the longest undetected stall, the latter makes one second, after which
+	// callers repeat their orders.
 	defaultBudget              clock.Millis = 5000
 	defaultNonIdempotentBudget              = 1000 - stalldetector.Limit
 	// maxInFlight and maxInFlightBytes bound the requests in flight and their bodies.
 	maxInFlight      int = 4096
 	maxInFlightBytes int = 64 << 20
-	// maxStaleReturns is how often a request is checked again by a newer table, and
-	// maxExpiredReturns how often one is sent again that the leader found too old.
+	// maxStaleReturns is how often a request is checked again against a newer table, and
+	// maxExpiredReturns how often a request that the leader rejected as expired is sent
+	// again.
 	maxStaleReturns   int = 3
 	maxExpiredReturns int = 4
-	// attemptTimeout is how long an attempt goes without a response before another
-	// server is asked, and failedServerBackoff how long a server that failed is passed
-	// over.
+	// attemptTimeout is how long an attempt may be without a response before the request
+	// is sent to another server, and failedServerBackoff how long a server is avoided
+	// after a failure.
 	attemptTimeout      clock.Millis = 1000
 	failedServerBackoff clock.Millis = 3000
-	// retryInterval lies between two attempts of a request that met no leader.
+	// retryInterval is the delay before a request that reached no leader is sent again.
 	retryInterval clock.Millis = 100
-	// staleRetryInterval is when a request is tried again whose table is being updated.
+	// staleRetryInterval is the delay before a request is sent again while the routing
+	// table is being updated.
 	staleRetryInterval clock.Millis = 50
-	// maxBehind is how long an update of the routing table may take before what is not
-	// in the table may be in the next.
+	// maxBehind is how long an update of the routing table may take before the gateway
+	// must assume that an entry missing from its table exists in the newer one.
 	maxBehind clock.Millis = 1000
 )
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -17,8 +17,8 @@
 	config Config
 	now    clock.Monotonic
 	output Output
-	// stalls notices that this process stood still, so that the age of what it reads
-	// is not known.
+	// stalls detects that this process was paused, after which the age of the requests it
+	// reads is unknown.
 	stalls stalldetector.Detector
 
 	routing  routingCopy
@@ -26,16 +26,16 @@
 	sync     leaderSync
 	requests requestTable
 
-	// lastAttempt is the number of the last message that awaits a response.
+	// lastAttempt is the number of the last message that expects a response.
 	lastAttempt uint64
-	// latestLeaderTime is the latest reading of the leader's clock that came here.
+	// latestLeaderTime is the latest reading of the leader's clock received here.
 	latestLeaderTime wire.LeaderTime
 }
 
-// Counts are numbers for the metrics page, since the start: requests that came in, were
-// answered, and were answered with an error of the gateway's own; responses of servers
-// that said that the table is stale, or that they do not lead; syncs without a response; and,
-// by cause, requests that were refused for their API key.
+// Counts are the counters of the metrics page since the start of the process: requests
+// received, answered, and answered with an error of the gateway's own; responses in which a
+// server reported a stale table, or that it is not the leader; syncs without a response;
+// and, by cause, requests refused for their API key.
 type Counts struct {
 	Received        uint64
 	Answered        uint64
@@ -48,8 +48,8 @@
 	KeysBehind      uint64
 }
 
-// New makes a gateway that knows no table and no leader yet; it is not ready until it has
-// synced with a leader.
+// New returns a gateway without a routing table or a known leader. It is not ready until it
+// has synced with a leader.
 func New(config Config, now clock.Monotonic) *Gateway {
 	return &Gateway{
 		config:      config,
@@ -65,17 +65,17 @@
 	}
 }
 
-// Ready reports whether the gateway has been in touch with the leader lately and has a table
-// to decide by.
+// Ready reports whether the gateway has a routing table and has had contact with the leader
+// within LeaderContactTimeout.
 func (g *Gateway) Ready(now clock.Monotonic) bool {
 	return g.routing.rules != nil && now.Since(g.sync.lastContactAt) < LeaderContactTimeout
 }
 
-// CatalogVersion is the version of the catalogue, 0 while this gateway knows of none.
+// CatalogVersion returns the version of the catalogue, 0 while the gateway has none.
 func (g *Gateway) CatalogVersion() uint64 { return g.routing.catalogVersion() }
 
-// Queue finds the queue that a request sent to this host and path is for; rest is what
-// follows the queue's prefix.
+// Queue returns the queue that requests to this host and path address; rest is the part of
+// the path after the queue's prefix.
 func (g *Gateway) Queue(host, path string) (name, rest string, ok bool) {
 	if g.routing.routeMap == nil {
 		return "", "", false
@@ -83,31 +83,31 @@
 	return g.routing.routeMap.Find(host, path)
 }
 
-// Epoch is the version of the routing table in use, 0 while there is none.
+// Epoch returns the epoch of the routing table in use, 0 while there is none.
 func (g *Gateway) Epoch() identifier.Epoch { return g.routing.epoch() }
 
-// Behind reports whether the leader has had a newer table for so long that this gateway
-// can't say any more what there is not.
+// Behind reports whether the leader has had a newer table for so long that an entry missing
+// from this gateway's table can no longer be reported as absent.
 func (g *Gateway) Behind() bool { return g.routing.behind(g.now) }
 
-// InFlight is the number of requests without a response.
+// InFlight returns the number of requests without a response.
 func (g *Gateway) InFlight() int { return len(g.requests.byID) }
 
-// Members lists the control-plane servers as the leader last gave them.
+// Members returns the control-plane servers as last reported by the leader.
 func (g *Gateway) Members() []raft.Member { return g.servers.members }
 
-// Gateways lists the client addresses of the gateways as the leader last gave them.
+// Gateways returns the client addresses of the gateways as last reported by the leader.
 func (g *Gateway) Gateways() []string { return g.servers.gateways }
 
-// TakeOutput returns the output so far and clears it.
+// TakeOutput returns the accumulated output and clears it.
 func (g *Gateway) TakeOutput() Output {
 	out := g.output
 	g.output = Output{}
 	return out
 }
 
-// Tick passes in the time: it announces the gateway and syncs when due, retries requests
-// that may be sent again, and fails those whose budget is used up. It should come every
+// Tick advances the time: it announces the gateway and syncs when due, retries requests that
+// may be sent again, and fails those whose budget is used up. It should be called every
 // TickInterval.
 func (g *Gateway) Tick(now clock.Monotonic) {
 	g.observe(now)
@@ -129,15 +129,15 @@
 	}
 }
 
-// failAll answers every request in flight, as the leader is out of touch.
+// failAll fails every request in flight because contact with the leader is lost.
 func (g *Gateway) failAll() {
 	for _, id := range g.requests.ids() {
 		g.fail(id, codeContactLost, messageContactLost)
 	}
 }
 
-// HandleMessage passes in a message from another process. A response counts only when it
-// comes from the server that was asked last.
+// HandleMessage processes a message from another process. A response is accepted only from
+// the server to which the request was last sent.
 func (g *Gateway) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	g.observe(now)
 	switch {
@@ -153,13 +153,13 @@
 	}
 }
 
-// observe takes the time of an input.
+// observe advances the time to that of an input and checks for a stall.
 func (g *Gateway) observe(now clock.Monotonic) {
 	g.now = max(g.now, now)
 	g.stalls.Observe(g.now)
 }
 
-// observeLeaderTime takes a reading of the leader's clock that came with a message.
+// observeLeaderTime records a reading of the leader's clock received with a message.
 func (g *Gateway) observeLeaderTime(reading wire.LeaderTime) {
 	if reading.Later(g.latestLeaderTime) {
 		g.latestLeaderTime = reading
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -13,21 +13,22 @@
 	"orchidward/internal/transport/wire"
 )
 
-// leaderSync is how a gateway keeps in touch with the leader.
+// leaderSync is the state of a gateway's contact with the leader.
 type leaderSync struct {
-	// request is the sync under way, nil while there is none.
+	// request is the sync in flight, nil while there is none.
 	request  *syncRequest
 	lastSync clock.Monotonic
-	// lastContactAt is when the last sync was sent that the leader has answered.
+	// lastContactAt is when the last sync that the leader answered was sent.
 	lastContactAt clock.Monotonic
 	lastAnnounce  clock.Monotonic
-	// contactLogged says that the log's last word is that the leader was in touch, and
-	// unanswered counts the syncs without a response since it last was.
+	// contactLogged is set if the last event logged about the contact with the leader is
+	// that it was established. unanswered counts the syncs without a response since the
+	// last contact.
 	contactLogged bool
 	unanswered    int
 }
 
-// syncRequest is a sync under way; after is the name after which its page begins.
+// syncRequest is a sync in flight; after is the name after which the requested page begins.
 type syncRequest struct {
 	id     uint64
 	sentAt clock.Monotonic
@@ -35,13 +36,13 @@
 	after  string
 }
 
-// awaits reports whether a response is the one to the sync under way.
+// awaits reports whether a response is the one to the sync in flight.
 func (s *leaderSync) awaits(from wire.Peer, id uint64) bool {
 	return s.request != nil && id == s.request.id && from == s.request.to
 }
 
-// announce tells the servers of this gateway, and asks the seeds while it has no one
-// better to ask.
+// announce announces this gateway to the servers when due. While the gateway has no contact
+// with the leader, it also asks the seeds for the members of the cluster.
 func (g *Gateway) announce() {
 	outOfTouch := !g.Ready(g.now)
 	interval := announceInterval
@@ -66,13 +67,13 @@
 	}
 }
 
-// announcement is what this gateway tells of itself.
+// announcement returns this gateway's description of itself.
 func (g *Gateway) announcement() *wire.Announcement {
 	return &wire.Announcement{Role: wire.RoleGateway, Addr: g.config.Addr, Domain: g.config.Domain, HTTP: g.config.HTTP}
 }
 
-// syncIfDue syncs with the leader when it is time to, and turns to another server when
-// this one is silent.
+// syncIfDue sends a sync to the leader when due. If the previous sync timed out, it is sent
+// to another server.
 func (g *Gateway) syncIfDue() {
 	sync := &g.sync
 	if sync.request != nil && g.now.Since(sync.request.sentAt) > syncTimeout {
@@ -108,14 +109,16 @@
 	}})
 }
 
-// syncNow syncs without waiting for the next time.
+// syncNow syncs without waiting for syncInterval to pass. It does nothing while a sync is
+// in flight.
 func (g *Gateway) syncNow() {
 	g.sync.lastSync = g.now.Add(-syncInterval)
 	g.syncIfDue()
 }
 
-// handleAnnouncement answers who asks for the cluster, turns to a new leader, and learns
-// of servers while it is out of touch.
+// handleAnnouncement replies to processes that ask for the members of the cluster, switches
+// to a new leader, and, while the gateway has no contact with the leader, records the
+// announced servers.
 func (g *Gateway) handleAnnouncement(from wire.Peer, announcement *wire.Announcement) {
 	if announcement.WantReply {
 		reply := g.announcement()
@@ -140,8 +143,8 @@
 	}
 }
 
-// followLeader turns to a new leader by its own word: what waits on another server is
-// passed to it at once, if it may be sent again.
+// followLeader switches to a leader that has announced itself. Requests in flight at another
+// server are immediately sent to the new leader, if they may be sent again.
 func (g *Gateway) followLeader(announcement *wire.Announcement) {
 	leader := wire.Peer(announcement.Addr)
 	g.servers.members = announcement.Members
@@ -164,7 +167,7 @@
 	}
 }
 
-// handleSyncResponse takes what the leader says has changed.
+// handleSyncResponse applies the changes that the leader sent in response to a sync.
 func (g *Gateway) handleSyncResponse(r *wire.Response) {
 	sync := g.sync.request
 	g.sync.request = nil
@@ -200,7 +203,7 @@
 	}
 }
 
-// updateServers takes the servers that the leader names.
+// updateServers records the servers, gateways and leader that the leader reported.
 func (g *Gateway) updateServers(response *routing.SyncResponse) {
 	g.servers.members = response.Members
 	g.servers.gateways = response.Gateways
@@ -210,8 +213,9 @@
 	}
 }
 
-// logContactLost logs, once, that contact with the leader was lost: how long ago the last
-// sync that it answered was sent, how many got no response since, and who was asked last.
+// logContactLost logs once that contact with the leader was lost: how long ago the last
+// answered sync was sent, how many syncs have had no response since, and which server is the
+// current target.
 func (g *Gateway) logContactLost() {
 	if !g.sync.contactLogged {
 		return
--- a/internal/gateway/request_table.go
+++ b/internal/gateway/request_table.go
@@ -13,29 +13,29 @@
 // request is a request in flight: it was accepted and has no response yet.
 type request struct {
 	Request
-	// deadline is when its caller's budget is used up.
+	// deadline is when the caller's budget is used up.
 	deadline clock.Monotonic
 	// idempotent requests may be sent again after an unknown outcome.
 	idempotent bool
-	// attempt is the number of the attempt under way, 0 while there is none, to is the
+	// attempt is the number of the current attempt, 0 while there is none; to is the
 	// server that it was sent to.
 	attempt uint64
 	sentAt  clock.Monotonic
 	to      wire.Peer
-	// epoch is that of the table by which the request was last checked.
+	// epoch is the epoch of the table against which the request was last checked.
 	epoch identifier.Epoch
-	// retryAt is when to send it again, 0 while that is not planned.
+	// retryAt is when to send the request again, 0 if no retry is scheduled.
 	retryAt clock.Monotonic
-	// staleReturns and expiredReturns count the attempts that were returned because the
-	// table was stale or the order too old.
+	// staleReturns and expiredReturns count the attempts that a server returned because
+	// the table was stale or the request expired.
 	staleReturns   int
 	expiredReturns int
-	// outcomeUnknown says that some server may have taken the request, and its answer is
-	// not known.
+	// outcomeUnknown is set if a server may have accepted the request and its response
+	// was not received.
 	outcomeUnknown bool
 }
 
-// retryDue reports whether the request is to be sent again now.
+// retryDue reports whether the request should be sent again now.
 func (r *request) retryDue(now clock.Monotonic) bool {
 	if r.retryAt > 0 && now >= r.retryAt {
 		return true
@@ -43,11 +43,11 @@
 	return r.idempotent && r.attempt != 0 && now.Since(r.sentAt) > attemptTimeout
 }
 
-// mayBeApplied reports whether an earlier attempt of an order may have been carried out, so
-// that a refusal now says nothing of it.
+// mayBeApplied reports whether an earlier attempt of a write may have been applied, so that
+// a refusal of the current attempt does not tell the outcome.
 func (r *request) mayBeApplied() bool { return r.outcomeUnknown && r.Method != http.MethodGet }
 
-// requestTable holds the requests in flight, and finds them by the attempts under way.
+// requestTable holds the requests in flight, indexed by id and by current attempt.
 type requestTable struct {
 	byID      map[uint64]*request
 	byAttempt map[uint64]uint64
@@ -71,11 +71,11 @@
 	return len(t.byID) > maxInFlight || t.bytes > maxInFlightBytes
 }
 
-// ids lists the requests in the order in which they came.
+// ids returns the ids of the requests in the order of arrival.
 func (t *requestTable) ids() []uint64 { return slices.Sorted(maps.Keys(t.byID)) }
 
-// awaiting finds the request whose attempt a response answers: only the server that was
-// asked may answer it.
+// awaiting returns the request whose current attempt has this number and was sent to this
+// server, or nil if there is none.
 func (t *requestTable) awaiting(from wire.Peer, attempt uint64) *request {
 	id, ok := t.byAttempt[attempt]
 	if !ok || t.byID[id].to != from {
@@ -84,13 +84,13 @@
 	return t.byID[id]
 }
 
-// endAttempt forgets the attempt under way: its response counts no more.
+// endAttempt drops the current attempt: its response will be ignored.
 func (t *requestTable) endAttempt(r *request) {
 	delete(t.byAttempt, r.attempt)
 	r.attempt = 0
 }
 
-// beginAttempt notes an attempt in place of the one before.
+// beginAttempt records a new attempt, which supersedes the previous one.
 func (t *requestTable) beginAttempt(r *request, attempt uint64, to wire.Peer, now clock.Monotonic) {
 	delete(t.byAttempt, r.attempt)
 	t.byAttempt[attempt] = r.ID
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -29,14 +29,15 @@
 
 const messageContactLost = "this gateway has lost contact with the control plane"
 
-// How long a caller should wait after an error response.
+// How long a caller should wait before it retries after an error response.
 const (
 	retryAfterFailure clock.Millis = 1000
 	retryAfterStall   clock.Millis = 500
 	retryAfterUnknown clock.Millis = 500
 )
 
-// HandleRequest takes a request in. It is answered at once when it can't be forwarded.
+// HandleRequest accepts a request. It responds immediately if the request can't be
+// forwarded.
 func (g *Gateway) HandleRequest(in Request, now clock.Monotonic) {
 	g.observe(now)
 	g.Counts.Received++
@@ -57,7 +58,8 @@
 	}
 }
 
-// Forget drops a request whose caller has hung up. An order without a number is withdrawn.
+// Forget drops a request whose caller has disconnected. An order to start or end a drain is
+// withdrawn.
 func (g *Gateway) Forget(id uint64) {
 	if r := g.requests.byID[id]; r != nil {
 		g.withdraw(r)
@@ -65,20 +67,20 @@
 	}
 }
 
-// withdraw takes an order without a number back from the server that was asked, as it is
-// given up here.
+// withdraw asks the server to which an abandoned request was sent to withdraw it, if it is an
+// order whose copies can't be told from a new order.
 func (g *Gateway) withdraw(r *request) {
 	if r.attempt != 0 && endpoint.Withdrawable(r.Method, r.Path) {
 		g.send(r.to, wire.Message{Request: wire.NewWithdrawal(g.nextAttempt(), r.attempt)})
 	}
 }
 
-// validate checks what can be judged here: the form of the request, the limits of its row,
-// and its API key. A request with faults is answered here.
+// validate checks the form of the request, the limits of its row, and its API key. If a
+// check fails, it answers the request and returns false.
 func (g *Gateway) validate(r *request) bool {
 	var faults jsondoc.FieldErrors
 	r.epoch = g.Epoch()
-	// A path or method that the API lacks is refused by the leader.
+	// The leader refuses paths and methods that the API does not have.
 	target, err := endpoint.Parse(r.Method, r.Path)
 	if err != nil {
 		return true
@@ -123,14 +125,14 @@
 	}
 }
 
-// nextAttempt is the number of the next message that awaits a response.
+// nextAttempt returns the number for the next message that expects a response.
 func (g *Gateway) nextAttempt() uint64 {
 	g.lastAttempt++
 	return g.lastAttempt
 }
 
-// forwardAgain sends a request once more, after checking it by the table in use if that is
-// another one than it was checked by.
+// forwardAgain sends a request again, after validating it again if the routing table has
+// changed since its last validation.
 func (g *Gateway) forwardAgain(r *request) {
 	r.outcomeUnknown = r.outcomeUnknown || r.attempt != 0
 	if r.epoch == g.Epoch() || g.validate(r) {
@@ -138,8 +140,8 @@
 	}
 }
 
-// forward sends a request to the leader, or to whichever server may know it. From the
-// second attempt on its outcome is unknown until a server answers.
+// forward sends a request to the leader, or to another server that may know the leader. If
+// an attempt is still open, its outcome becomes unknown.
 func (g *Gateway) forward(r *request) {
 	to := g.servers.target
 	if to == "" {
@@ -164,8 +166,9 @@
 	}})
 }
 
-// checkedEpoch is the epoch of the table by which the leader is told that the request was
-// checked. After several stale returns it is 0: then the leader decides by its own.
+// checkedEpoch returns the epoch of the table against which the request was checked, as
+// reported to the leader. After maxStaleReturns stale returns it is 0, and the leader checks
+// the request against its own table.
 func (r *request) checkedEpoch() identifier.Epoch {
 	if r.staleReturns >= maxStaleReturns {
 		return 0
@@ -173,7 +176,7 @@
 	return r.epoch
 }
 
-// handleResponse takes the response to an attempt.
+// handleResponse processes the response to an attempt.
 func (g *Gateway) handleResponse(from wire.Peer, response *wire.Response) {
 	r := g.requests.awaiting(from, response.ID)
 	if r == nil {
@@ -199,8 +202,8 @@
 	}
 }
 
-// handleNotLeader plans another attempt, as the server that was asked does not lead and
-// knows of no leader.
+// handleNotLeader schedules another attempt after a server responded that it is not the
+// leader and knows of none.
 func (g *Gateway) handleNotLeader(r *request) {
 	g.Counts.Redirected++
 	g.requests.endAttempt(r)
@@ -210,8 +213,9 @@
 	}
 }
 
-// handleStale takes the return of a request that was checked by an older table: with it
-// comes what changed, or the gateway asks for that once for all its requests.
+// handleStale processes the return of a request that was checked against an older table. The
+// response carries the changes, or else the gateway fetches them with a single sync for all
+// its requests.
 func (g *Gateway) handleStale(r *request, response *wire.Response) {
 	g.Counts.Stale++
 	r.staleReturns++
@@ -229,8 +233,7 @@
 	}
 }
 
-// applyStaleTable takes the table, or what changed in it, that came with the return of a
-// stale request.
+// applyStaleTable applies the table, or the changes to it, that came with a stale response.
 func (g *Gateway) applyStaleTable(body []byte) {
 	var stale routing.StaleResponse
 	if err := json.Unmarshal(body, &stale); err != nil {
@@ -244,8 +247,8 @@
 	}
 }
 
-// fail gives a request up and answers it at once: with 503 if it is certain that no server
-// took it, and otherwise with 504.
+// fail abandons a request and answers it: with 503 if it is certain that no server accepted
+// it, and otherwise with 504.
 func (g *Gateway) fail(id uint64, code, message string) {
 	r := g.requests.byID[id]
 	g.withdraw(r)
@@ -256,8 +259,8 @@
 	g.replyError(id, http.StatusServiceUnavailable, code, message, retryAfterFailure)
 }
 
-// replyUnknown answers an order that is refused now, of which an earlier try may have been
-// taken.
+// replyUnknown answers a request that is refused now but of which an earlier attempt may
+// have been accepted.
 func (g *Gateway) replyUnknown(id uint64) {
 	g.replyError(id, http.StatusGatewayTimeout, codeNoAnswer,
 		"an earlier try may have been taken; the outcome is not known", retryAfterUnknown)
--- a/internal/gateway/routing_copy.go
+++ b/internal/gateway/routing_copy.go
@@ -12,14 +12,14 @@
 // routingCopy is a gateway's copy of the leader's routing table.
 type routingCopy struct {
 	replica routing.Replica
-	// rules are the limits by row, compiled, nil while there is no table.
+	// rules are the compiled limits of the rows, nil while there is no table.
 	rules *admission.Rules
-	// routeMap finds the queues of the catalogue, nil while there is none.
+	// routeMap maps hosts and paths to queues of the catalogue, nil while there is none.
 	routeMap *catalog.RouteMap
-	// keys finds tenants by their API keys.
+	// keys maps digests of API keys to tenants.
 	keys *catalog.KeyTable
-	// behindSince is since when the leader is known to have a newer table, 0 when this
-	// one is the newest that is known.
+	// behindSince is when the gateway learned that the leader has a newer table, 0 while
+	// this copy is the newest known.
 	behindSince clock.Monotonic
 }
 
@@ -37,7 +37,7 @@
 	return c.routeMap.Version
 }
 
-// recordLeaderEpoch notes whether the leader has a newer table than this one.
+// recordLeaderEpoch records whether the leader has a newer table than this copy.
 func (c *routingCopy) recordLeaderEpoch(leader identifier.Epoch, now clock.Monotonic) {
 	switch {
 	case leader <= c.epoch():
@@ -51,7 +51,7 @@
 	return c.behindSince > 0 && now.Since(c.behindSince) > maxBehind
 }
 
-// compile makes the rules and routes of the table that the replica has come to.
+// compile rebuilds the rules, keys and routes from the replica's current table.
 func (c *routingCopy) compile() {
 	c.rules = admission.Compile(&limits.Table{Epoch: c.replica.Epoch(), Rows: c.replica.Rows()})
 	c.keys = catalog.NewKeyTable(c.replica.KeySalt(), c.replica.Tenants())
@@ -61,12 +61,12 @@
 	}
 }
 
-// replaceTable takes a newer table in place of this one; an older one never replaces it.
+// replaceTable replaces the routing table by a newer one. Older tables are ignored.
 func (g *Gateway) replaceTable(table *routing.FullTable) {
 	g.useTable(g.routing.replica.Replace(table.Table()))
 }
 
-// useTable puts the table into use that the replica has come to, if it changed.
+// useTable puts the replica's current table into use if it has changed.
 func (g *Gateway) useTable(changed bool) {
 	if !changed {
 		return
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -7,27 +7,30 @@
 	"orchidward/internal/transport/wire"
 )
 
-// serverSet is what a gateway knows of the control-plane servers.
+// serverSet holds a gateway's knowledge of the control-plane servers.
 type serverSet struct {
 	members  []raft.Member
 	gateways []string
 	leaderID identifier.Node
-	// target is the server that requests go to now, empty when one is to be chosen.
+	// target is the server that requests are currently sent to, empty if one has yet to be
+	// chosen.
 	target wire.Peer
-	// failedAt is when each server last failed to answer.
+	// failedAt is when each server last failed.
 	failedAt map[wire.Peer]clock.Monotonic
 }
 
-// neverFailed lies before every time at which a server can have failed.
+// neverFailed is earlier than any time at which a server can have failed.
 const neverFailed clock.Monotonic = -1 << 40
 
-// markFailed passes over a server for a while.
+// markFailed records the failure of a server, so that it is avoided for a while, and clears
+// the target.
 func (s *serverSet) markFailed(server wire.Peer, now clock.Monotonic) {
 	s.failedAt[server] = now
 	s.target = ""
 }
 
-// choose prefers the leader, then whichever member has not failed for longest.
+// choose returns the leader unless it has failed recently, and otherwise the member whose
+// last failure is the longest ago. It returns an empty peer if there are no members.
 func (s *serverSet) choose(now clock.Monotonic) wire.Peer {
 	var best wire.Peer
 	var bestFailedAt clock.Monotonic
@@ -48,7 +51,7 @@
 	return best
 }
 
-// ensureTarget chooses a server where none is chosen.
+// ensureTarget returns the target, choosing one if there is none.
 func (s *serverSet) ensureTarget(now clock.Monotonic) wire.Peer {
 	if s.target == "" {
 		s.target = s.choose(now)
--- a/internal/inflight/doc.go
+++ b/internal/inflight/doc.go
@@ -1,15 +1,16 @@
-// Package inflight keeps the requests that were made at one server of the control
-// plane until they have a response. It is a pure state machine: requests, the server's
-// replies and the time go in; dispatches and responses come out.
+// Package inflight tracks the requests received by one control-plane server until they are
+// answered. It is a pure state machine: its inputs are requests, the server's replies and
+// the time; its outputs are dispatches and responses.
 //
 // Each request is dispatched to the server's own state machine as if it came from a
-// peer of its own ([wire.LocalPeer]). One that met no leader is dispatched again a
-// little later. When the server knows no leader, whatever waits is answered at once, so
-// that the caller can go on to another server.
+// separate peer ([wire.LocalPeer]). A request that reached no leader is dispatched again
+// after a short delay. If the server knows no leader, undispatched requests are answered
+// immediately, so that their callers can try another server.
 //
-// Invariants: an admitted request is answered exactly once, by the end of
-// its budget, unless its caller leaves; and one that a leader may have carried out is
-// never answered as if it had not been.
+// Invariants: an admitted request is answered exactly once, by the end of its budget, unless
+// its caller disconnects; and a request that a leader may have executed is never answered as
+// if it had not been.
 //
-// Begin with requests.go; responses.go holds the responses that no leader gave.
+// Start reading at requests.go; responses.go defines the responses that the server gives
+// without a leader.
 package inflight
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// defaultBudget is that of a request whose caller gives none.
+	// defaultBudget is the budget of a request whose caller gives none.
 	defaultBudget clock.Millis = 2000
-	// retryInterval is when a request that met no leader is dispatched again.
+	// retryInterval is the delay before a request that reached no leader is dispatched
+	// again.
 	retryInterval clock.Millis = 100
-	// maxRequests and maxBodyBytes bound the requests that wait at a time.
+	// maxRequests and maxBodyBytes bound the pending requests and the size of their bodies.
 	maxRequests  = 4096
 	maxBodyBytes = 64 << 20
-	// maxExpired is how often a request that was refused as expired is dispatched
-	// again.
+	// maxExpired is how often a request that was refused as expired is dispatched again.
 	maxExpired = 4
 )
 
-// request is one that waits for its response. While dispatched is set the server has
-// it; else it is to be dispatched at retryAt.
+// request is a pending request. While dispatched is set, the server's state machine is
+// processing it; otherwise it is due to be dispatched at retryAt.
 type request struct {
 	gateway.Request
 	respond    func(response gateway.Response)
 	deadline   clock.Monotonic
 	dispatched bool
 	retryAt    clock.Monotonic
-	// mayHaveExecuted says that an earlier dispatch may have been carried out.
+	// mayHaveExecuted is set if an earlier dispatch may have been executed.
 	mayHaveExecuted bool
 	// expired counts the dispatches that were refused as expired.
 	expired int
@@ -48,8 +48,8 @@
 	Request *wire.Request
 }
 
-// Requests are those that wait at one server. They are bounded by number and by the
-// bytes of their bodies. It is not safe for concurrent use.
+// Requests is the set of pending requests of one server, bounded by number and by the bytes
+// of their bodies. It is not safe for concurrent use.
 type Requests struct {
 	pending    map[uint64]*request
 	bodyBytes  int
@@ -57,26 +57,26 @@
 	stalls     stalldetector.Detector
 }
 
-// New makes an empty set of requests.
+// New returns an empty set of requests.
 func New() *Requests { return &Requests{pending: map[uint64]*request{}} }
 
-// Len is how many requests wait.
+// Len returns the number of pending requests.
 func (r *Requests) Len() int { return len(r.pending) }
 
-// TakeDispatches hands over what is to be passed to the server's state machine.
+// TakeDispatches returns the dispatches for the server's state machine and clears them.
 func (r *Requests) TakeDispatches() []Dispatch {
 	dispatches := r.dispatches
 	r.dispatches = nil
 	return dispatches
 }
 
-// Observe notes that the process runs. It must be called at every input of the
-// process, before the input is acted on.
+// Observe records that the process is running, to detect stalls. It must be called for
+// every input of the process before the input is processed.
 func (r *Requests) Observe(now clock.Monotonic) { r.stalls.Observe(now) }
 
-// Admit takes a request. respond is called once with its response, at once when it
-// can't be dispatched: connected reports whether the server knows a leader, or did a
-// moment ago. A budget of 0 is 2 s.
+// Admit accepts a request. respond is called once with the response; if the request can't be
+// dispatched, it is called before Admit returns. connected reports whether the server knows
+// a leader, or did until recently. A budget of 0 selects the default of 2 s.
 func (r *Requests) Admit(admitted gateway.Request, respond func(response gateway.Response), now clock.Monotonic, connected bool) {
 	r.Observe(now)
 	if admitted.Budget <= 0 {
@@ -93,7 +93,7 @@
 	r.dispatch(pending, now)
 }
 
-// refuse reports whether and how a request is refused at once.
+// refuse reports whether a request is refused immediately, and with which response.
 func (r *Requests) refuse(q gateway.Request, now clock.Monotonic, connected bool) (refusal gateway.Response, refused bool) {
 	switch {
 	case len(r.pending) >= maxRequests || r.bodyBytes+len(q.Body) > maxBodyBytes:
@@ -123,9 +123,9 @@
 	})
 }
 
-// Complete takes the reply to a dispatch, which may be dispatched again or be the
-// request's response. A reply to another peer, or to a request that is not dispatched,
-// changes nothing.
+// Complete processes the reply to a dispatch: depending on the reply, the request is
+// dispatched again or answered. A reply to another peer, or to a request that is not
+// dispatched, is ignored.
 func (r *Requests) Complete(to wire.Peer, reply *wire.Response, now clock.Monotonic) {
 	q := r.pending[reply.ID]
 	if q == nil || to != wire.LocalPeer(reply.ID) || !q.dispatched {
@@ -150,8 +150,8 @@
 	}
 }
 
-// Tick answers what is out of time or has no leader to go to, and dispatches again what
-// is due.
+// Tick answers requests whose budget is used up, and undispatched ones if no leader is
+// known. It dispatches requests whose retry is due.
 func (r *Requests) Tick(now clock.Monotonic, connected bool) {
 	r.Observe(now)
 	for _, id := range slices.Sorted(maps.Keys(r.pending)) {
@@ -168,7 +168,8 @@
 	}
 }
 
-// respondNoLeader answers a request that no leader has at this moment.
+// respondNoLeader answers a request that is not currently dispatched because no leader was
+// reached.
 func (r *Requests) respondNoLeader(q *request) {
 	if q.mayHaveChanged() {
 		r.respond(q, outcomeUnknown())
@@ -183,7 +184,8 @@
 	q.respond(response)
 }
 
-// Forget drops a request whose caller has gone. An order without a number is withdrawn.
+// Forget drops a request whose caller has disconnected. An order to start or end a drain is
+// withdrawn.
 func (r *Requests) Forget(id uint64) {
 	if q := r.pending[id]; q != nil {
 		r.withdraw(q)
@@ -191,8 +193,8 @@
 	}
 }
 
-// withdraw takes an order without a number back from the server's state machine, as it is
-// given up here.
+// withdraw asks the server's state machine to withdraw an abandoned request, if it is an
+// order whose copies can't be told from a new order.
 func (r *Requests) withdraw(q *request) {
 	if q.dispatched && endpoint.Withdrawable(q.Method, q.Path) {
 		r.dispatches = append(r.dispatches, Dispatch{Peer: wire.LocalPeer(q.ID), Request: wire.NewWithdrawal(q.ID, q.ID)})
--- a/internal/inflight/responses.go
+++ b/internal/inflight/responses.go
@@ -7,7 +7,7 @@
 	"orchidward/internal/gateway"
 )
 
-// The codes of responses that no leader gave.
+// Error codes of the responses that the server gives without a leader.
 const (
 	codeOverloaded     = "busy"
 	codeStalled        = "woken"
@@ -15,14 +15,14 @@
 	codeOutcomeUnknown = "no-answer"
 )
 
-// After how many milliseconds a caller should try again.
+// How long a caller should wait before it retries.
 const (
 	overloadedRetryAfter     clock.Millis = 1000
 	noLeaderRetryAfter       clock.Millis = 500
 	outcomeUnknownRetryAfter clock.Millis = 500
 )
 
-// Overloaded is the response of a server that can take no more requests.
+// Overloaded returns the response of a server that can't accept more requests.
 func Overloaded() gateway.Response {
 	return gateway.ErrorResponse(http.StatusServiceUnavailable, codeOverloaded, "this server is full", overloadedRetryAfter)
 }
--- a/internal/prediction/doc.go
+++ b/internal/prediction/doc.go
@@ -1,15 +1,15 @@
-// Package prediction learns from tasks that have ended how long others will run.
+// Package prediction predicts the run time of tasks from that of completed tasks.
 //
-// Clients give a rough estimate of each task's run, and it can be wrong by a factor of ten.
-// [Durations] compares, queue by queue, two predictors in the logarithm of the run: the
-// estimate times the queue's usual error, and the queue's usual run whatever the estimate.
-// It weighs them by how far off each has been lately, as Bayes' rule does for a normal prior
-// (the queue's runs) and a measurement with a normal error (the estimate). Where estimates are
-// good it follows them, where they are not it follows the queue.
+// Clients give a rough estimate of each task's run time, which can be wrong by a factor of
+// ten. For each queue, [Durations] combines two predictors of the logarithm of the run time:
+// the estimate corrected by the queue's mean error, and the queue's mean regardless of the
+// estimate. It weights them by their recent errors, as Bayes' rule does for a normal prior
+// (the queue's runs) and a measurement with a normal error (the estimate). Good estimates
+// thus dominate the prediction, and poor ones give way to the queue's mean.
 //
-// [Rate] does the same for how fast a runner works: few runs say little, so that their mean is
-// shrunk towards the nominal rate.
+// [Evidence] does the same for the work rate of a runner: a few runs are weak evidence, so
+// their mean is shrunk towards the nominal rate.
 //
-// Nothing here is replicated: it is a leader's evidence, gathered anew by the next one. All
-// of it is a function of its inputs in their order.
+// Nothing here is replicated: each leader collects its own evidence from scratch. All
+// results are deterministic functions of the inputs and their order.
 package prediction
--- a/internal/prediction/durations.go
+++ b/internal/prediction/durations.go
@@ -7,43 +7,46 @@
 )
 
 const (
-	// maxQueues bounds the queues that runs are remembered for; the tasks of others are
-	// predicted by their estimates.
+	// maxQueues bounds the number of queues for which runs are recorded; for other queues
+	// the client's estimate is the prediction.
 	maxQueues = 512
-	// window is how many ends count, minObserved how many it takes until a queue's usual
-	// run is believed at all.
+	// window is the number of recent runs that the moments cover; minObserved is the number
+	// of runs from which on a queue's mean is used as a predictor.
 	window      = 200
 	minObserved = 8
-	// priorWeight is the number of ends that the trust in estimates is worth at first;
-	// they are then taken to be wrong by a variance of priorVariance.
+	// priorWeight is the number of runs that the prior on the error of estimates counts
+	// for; priorVariance is the variance of that prior.
 	priorWeight   = 8
 	priorVariance = 0.25
-	// minVariance keeps a predictor that has been right by chance from being taken for
+	// minVariance prevents a predictor that was accurate by chance from being treated as
 	// certain.
 	minVariance = 0.01
-	// maxDeviation bounds how far one end can pull a mean, in logarithms.
+	// maxDeviation bounds the influence of a single run on a mean, in logarithms.
 	maxDeviation = 2.5
-	// A task away from its data is first expected to run priorDistantFactor times as long.
+	// priorDistantFactor is the initial estimate of how much longer a task runs away from
+	// its data.
 	priorDistantFactor = 1.5
-	// maxRun bounds what is predicted.
+	// maxRun bounds the predicted run time.
 	maxRun clock.Millis = 24 * 3600 * 1000
 )
 
-// Durations predicts how long tasks run.
+// Durations predicts the run time of tasks.
 type Durations struct {
 	queues map[string]*queueRuns
-	// distant is the logarithm of how much longer tasks run away from their data.
+	// distant holds the logarithm of the factor by which tasks run longer away from their
+	// data.
 	distant moments
 }
 
-// queueRuns is what the ended tasks of a queue say.
+// queueRuns holds the statistics of a queue's completed tasks.
 type queueRuns struct {
-	// level is the logarithm of the run, ratio that of the run over the estimate.
+	// level holds the logarithm of the run time, ratio that of the run time divided by the
+	// estimate.
 	level moments
 	ratio moments
 }
 
-// NewDurations returns a model that believes the estimates.
+// NewDurations returns a model without observations, which predicts the estimates.
 func NewDurations() *Durations {
 	return &Durations{
 		queues:  map[string]*queueRuns{},
@@ -51,19 +54,20 @@
 	}
 }
 
-// Run is a task that has ended well.
+// Run describes a successful run of a task.
 type Run struct {
 	Queue string
-	// Estimate is the client's, Duration what the task took, in milliseconds.
+	// Estimate is the client's estimate of the run time, Duration the actual run time, in
+	// milliseconds.
 	Estimate clock.Millis
 	Duration clock.Millis
-	// Distant says that it ran away from its data, and RunnerRate how fast its runner
-	// works, in thousandths of the nominal rate.
+	// Distant is set if the task ran away from its data. RunnerRate is the work rate of its
+	// runner, in thousandths of the nominal rate.
 	Distant    bool
 	RunnerRate int64
 }
 
-// Observe takes the end of a task.
+// Observe records a run.
 func (d *Durations) Observe(run Run) {
 	queue := d.queues[run.Queue]
 	if queue == nil {
@@ -88,8 +92,8 @@
 	queue.ratio.add(clampNear(nominal-logMillis(run.Estimate), queue.ratio.mean), window)
 }
 
-// Predict is how long a task of the queue will run near its data on a runner of the nominal
-// rate, and by which deviation, in logarithms, that is usually wrong.
+// Predict returns the predicted run time of a task of the queue near its data on a runner of
+// the nominal rate, and the standard deviation of its logarithm.
 func (d *Durations) Predict(queue string, estimate clock.Millis) (run clock.Millis, deviation float64) {
 	runs := d.queues[queue]
 	if runs == nil {
@@ -99,7 +103,7 @@
 	return min(clock.Millis(math.Exp(predicted))+1, maxRun), math.Sqrt(variance)
 }
 
-// predict weighs both predictors by the inverse of their variances.
+// predict combines both predictors, weighted by the inverse of their variances.
 func (q *queueRuns) predict(estimate clock.Millis) (logRun, variance float64) {
 	byEstimate := logMillis(estimate) + q.ratio.mean
 	ratioVariance := max(q.ratio.variance, minVariance)
@@ -111,7 +115,8 @@
 	return variance * (byEstimate/ratioVariance + q.level.mean/levelVariance), variance
 }
 
-// DistantFactor is how many times as long a task runs away from its data, 1 at least.
+// DistantFactor returns the factor by which tasks run longer away from their data, at least
+// 1.
 func (d *Durations) DistantFactor() float64 { return max(1, math.Exp(d.distant.mean)) }
 
 func logMillis(span clock.Millis) float64 { return math.Log(float64(max(span, 1))) }
--- a/internal/prediction/moments.go
+++ b/internal/prediction/moments.go
@@ -1,13 +1,13 @@
 package prediction
 
-// moments are a mean and a variance in which recent values weigh more.
+// moments is an exponentially weighted mean and variance.
 type moments struct {
 	count    float64
 	mean     float64
 	variance float64
 }
 
-// add takes a value. Until window values have come, all weigh alike.
+// add adds a value. The first window values are weighted equally.
 func (m *moments) add(value, window float64) {
 	m.count = min(m.count+1, window)
 	weight := 1 / m.count
--- a/internal/prediction/rate.go
+++ b/internal/prediction/rate.go
@@ -6,28 +6,28 @@
 	"slices"
 )
 
-// NominalRate is the rate of a runner on which tasks take as long as predicted.
+// NominalRate is the work rate of a runner on which tasks take as long as predicted.
 const NominalRate = 1000
 
-// runnerVariance is how much the logarithms of runners' rates are taken to vary: most are
-// between half and twice the nominal rate, and some far below.
+// runnerVariance is the assumed variance of the logarithms of the runners' rates: most rates
+// are between half and twice the nominal rate, and some are far below.
 const runnerVariance = 0.3
 
-// commonPrior is the number of runners whose evidence weighs as much as the assumption that
-// predictions are right.
+// commonPrior is the number of runners whose evidence weighs as much as the prior that the
+// predictions are unbiased.
 const commonPrior = 4
 
-// Evidence is what runs say of the rate of a runner.
+// Evidence accumulates the observed work rate of a runner.
 type Evidence struct {
-	// runs is their number, sum that of the logarithms of their rates over the predicted
-	// ones, and variance the sum of the variances of the predictions.
+	// runs is the number of runs, sum the sum of the logarithms of observed over predicted
+	// rate, and variance the sum of the variances of the predictions.
 	runs     float64
 	sum      float64
 	variance float64
 }
 
-// Add takes a run: its rate, the predicted one in the same unit, and the deviation of that
-// prediction.
+// Add records a run: its observed rate, the predicted rate in the same unit, and the standard
+// deviation of the prediction's logarithm.
 func (e *Evidence) Add(rate, predicted, deviation float64) {
 	e.runs++
 	e.sum += math.Log(rate / predicted)
@@ -37,7 +37,7 @@
 // Any reports whether there is any evidence.
 func (e *Evidence) Any() bool { return e.runs > 0 }
 
-// mean is the mean of the logarithms, 0 without evidence.
+// mean returns the mean of the logarithms, 0 without evidence.
 func (e *Evidence) mean() float64 {
 	if e.runs == 0 {
 		return 0
@@ -45,9 +45,10 @@
 	return e.sum / e.runs
 }
 
-// CommonLogRate is the logarithm of the rate that the runners have in common: the median of theirs.
-// Long runs are seen more often than short ones, which makes all look slow. A few runners
-// have little in common: it is shrunk towards nothing then. It reorders the list.
+// CommonLogRate returns the logarithm of the rate that the runners have in common, which is
+// the median of their means. It corrects for a bias shared by all runners: long runs are
+// observed more often than short ones, which makes every runner look slow. With few runners
+// the result is shrunk towards 0. CommonLogRate reorders the slice.
 func CommonLogRate(runners []Evidence) float64 {
 	runners = slices.DeleteFunc(runners, func(e Evidence) bool { return !e.Any() })
 	if len(runners) == 0 {
@@ -58,8 +59,9 @@
 	return runners[len(runners)/2].mean() * count / (count + commonPrior)
 }
 
-// Rate is the rate of a runner in thousandths of the nominal one, beside what the runners
-// have in common. Few runs, or ones badly predicted, leave it near the nominal rate.
+// Rate returns the work rate of a runner in thousandths of the nominal rate, relative to the
+// rate common to all runners. With few runs, or poorly predicted ones, it stays near the
+// nominal rate.
 func (e *Evidence) Rate(common float64) int64 {
 	if e.runs == 0 {
 		return NominalRate
--- a/internal/routing/documents.go
+++ b/internal/routing/documents.go
@@ -8,16 +8,16 @@
 
 // Parameters of a gateway's sync request: the address at which the gateway serves
 // clients, the epoch of its routing table, and the name after which the next page begins.
-// A gateway of an earlier version sends neither epoch nor name and is sent full tables.
+// A gateway of an earlier version sends neither epoch nor name and receives full tables.
 const (
 	SyncGatewayParam = "gate"
 	SyncSinceParam   = "since"
 	SyncAfterParam   = "after"
 )
 
-// SyncResponse is what a gateway hears from the leader: a page of what changed in the
-// routing table, the members, and the other gateways. Table is the full table, for
-// gateways of an earlier version. Leader is the leader's id.
+// SyncResponse is the leader's response to a gateway's sync: a page of changes to the
+// routing table, the members of the control plane, and the gateways. Table is the full
+// table, for gateways of an earlier version. Leader is the leader's id.
 type SyncResponse struct {
 	Epoch    identifier.Epoch `json:"epoch"`
 	Table    *FullTable       `json:"table,omitempty"`
@@ -27,16 +27,17 @@
 	Gateways []string         `json:"gates"`
 }
 
-// StaleResponse is the body of the response to a request that was checked by an older
-// routing table. Page is what changed since, where that is little; without it, and
-// without a full table, the gateway asks for it.
+// StaleResponse is the body of the response to a request that was checked against an older
+// routing table. Page holds the changes since that table if they are small. If it holds
+// neither a page nor a full table, the gateway requests the changes with a sync.
 type StaleResponse struct {
 	FullTable
 	Page *Page `json:"page,omitempty"`
 }
 
-// FullTable is a Table as a document: the limits by row, the routes of the catalogue's
-// queues, and the digests of its tenants' keys. Version is the catalogue's, 0 while there is none.
+// FullTable is the JSON form of a Table: the limits by row, the routes of the catalogue's
+// queues, and the digests of its tenants' keys. Version is that of the catalogue, 0 while
+// there is none.
 type FullTable struct {
 	Epoch   identifier.Epoch                     `json:"epoch"`
 	Rows    map[identifier.Row]map[string]string `json:"rows"`
@@ -46,7 +47,7 @@
 	KeySalt []byte                               `json:"keySalt,omitempty"`
 }
 
-// Table is the table that the document stands for.
+// Table converts the document to a Table.
 func (t *FullTable) Table() Table {
 	return Table{
 		Epoch: t.Epoch, Version: t.Version, Rows: t.Rows,
--- a/internal/routing/history.go
+++ b/internal/routing/history.go
@@ -9,19 +9,19 @@
 )
 
 const (
-	// maxDroppedItems bounds the dropped items that are remembered.
+	// maxDroppedItems bounds the number of dropped items that a history retains.
 	maxDroppedItems = 4096
-	// maxInsertions is how many new names are inserted one by one; with more of them
-	// all names are sorted anew.
+	// maxInsertions is how many new names are inserted one by one; with more, all names
+	// are sorted again.
 	maxInsertions = 16
 )
 
-// tenantPrefix begins the names of items that are tenants. It comes before all names of
+// tenantPrefix is the prefix of the item names of tenants. It sorts before the names of all
 // routes.
 const tenantPrefix = "\x00"
 
-// item is a route or a tenant's keys, and the epoch of its last change. A dropped one has
-// neither.
+// item is a route or a tenant's keys, with the epoch of its last change. A dropped item has
+// neither a route nor keys.
 type item struct {
 	route     catalog.Route
 	keys      catalog.TenantKeys
@@ -29,12 +29,12 @@
 	dropped   bool
 }
 
-// same reports whether two items that are not dropped say the same.
+// same reports whether two items that are not dropped have the same content.
 func (i item) same(other item) bool {
 	return i.route == other.route && slices.Equal(i.keys.Digests, other.keys.Digests)
 }
 
-// items lists the items of a table by their names.
+// items returns the items of a table by name.
 func (t *Table) items() map[string]item {
 	items := make(map[string]item, len(t.Routes)+len(t.Tenants))
 	for _, route := range t.Routes {
@@ -46,32 +46,32 @@
 	return items
 }
 
-// History lists what changed since any epoch from its horizon on. Every replica of the
-// state keeps one as it applies entries, so that a new leader can list changes since
-// before its own start.
+// History lists the changes of the routing table since any epoch from its horizon on. Every
+// replica of the state maintains one as it applies entries, so that a new leader can list
+// changes that precede its term.
 type History struct {
 	table Table
-	// horizon is the epoch before which the history does not reach back.
+	// horizon is the earliest epoch since which the history can list changes.
 	horizon       identifier.Epoch
 	rowsChangedAt identifier.Epoch
-	// items holds each route and each tenant by its name, dropped ones included, and
-	// names the keys of items in order.
+	// items holds each route and each tenant by name, including dropped ones; names holds
+	// the keys of items in sorted order.
 	items   map[string]item
 	names   []string
 	dropped int
 }
 
-// NewHistory begins with a table and knows of no change before it.
+// NewHistory returns a history that begins with the given table and has no earlier changes.
 func NewHistory(t Table) *History {
 	h := &History{horizon: t.Epoch, rowsChangedAt: t.Epoch, items: map[string]item{}}
 	h.CatalogChanged(t)
 	return h
 }
 
-// Epoch is that of the newest table.
+// Epoch returns the epoch of the newest table.
 func (h *History) Epoch() identifier.Epoch { return h.table.Epoch }
 
-// RowsChanged takes a newer table of which only the rows changed.
+// RowsChanged records a newer table in which only the rows changed.
 func (h *History) RowsChanged(t Table) {
 	t.Routes = h.table.Routes
 	t.Tenants = h.table.Tenants
@@ -81,7 +81,7 @@
 	h.rowsChangedAt = t.Epoch
 }
 
-// CatalogChanged takes a newer table of which only the routes and tenants changed.
+// CatalogChanged records a newer table in which only the routes and tenants changed.
 func (h *History) CatalogChanged(t Table) {
 	h.table = t
 	present := t.items()
@@ -98,8 +98,8 @@
 	}
 }
 
-// recordPresent records the items of a table that are new or changed, and returns the
-// names that were not known, in order.
+// recordPresent records the new and changed items of a table, and returns the names that
+// are new to the history, sorted.
 func (h *History) recordPresent(present map[string]item) []string {
 	var added []string
 	for name, current := range present {
@@ -119,7 +119,7 @@
 	return added
 }
 
-// recordDropped records the items that a table no longer has.
+// recordDropped marks the items that a table no longer has as dropped.
 func (h *History) recordDropped(present map[string]item) {
 	for _, name := range h.names {
 		_, stays := present[name]
@@ -130,7 +130,7 @@
 	}
 }
 
-// insertNames inserts a few new names where they belong in the order.
+// insertNames inserts a few new names at their sorted positions.
 func (h *History) insertNames(added []string) {
 	for _, name := range added {
 		position, _ := slices.BinarySearch(h.names, name)
@@ -140,8 +140,7 @@
 
 func (h *History) sortNames() { h.names = slices.Sorted(maps.Keys(h.items)) }
 
-// compact forgets the older half of the dropped items, and moves the horizon past
-// them.
+// compact discards the older half of the dropped items, and advances the horizon past them.
 func (h *History) compact() {
 	var epochs []identifier.Epoch
 	for _, i := range h.items {
@@ -159,8 +158,8 @@
 	}
 }
 
-// Page is the part that begins after a name of what changed since an epoch. Since an
-// epoch that the history does not reach back to, that is the full table.
+// Page returns the page of the changes since an epoch that begins after a name. If the
+// history does not reach back to that epoch, it returns a page of the full table.
 func (h *History) Page(since identifier.Epoch, after string) Page {
 	if since < h.horizon || since > h.table.Epoch {
 		since = 0
--- a/internal/routing/page.go
+++ b/internal/routing/page.go
@@ -8,47 +8,46 @@
 )
 
 const (
-	// pageBytes is the size of the items from which on a page takes no more.
+	// pageBytes is the total size of items above which no more items are added to a page.
 	pageBytes = 24 << 10
-	// itemOverheadBytes is about what an item takes besides its texts.
+	// itemOverheadBytes is the approximate encoded size of an item without its strings.
 	itemOverheadBytes = 40
-	// digestBytes is what the digest of a key takes.
+	// digestBytes is the encoded size of a key's digest.
 	digestBytes = 67
 )
 
-// Table is a routing table as the state has it.
+// Table is a routing table as derived from the replicated state.
 type Table struct {
-	// Epoch counts all changes, Version those of the routes.
+	// Epoch counts all changes of the table, Version those of the routes.
 	Epoch   identifier.Epoch
 	Version uint64
-	// Rows are the limits by row, Routes the routes to queues, in any order.
+	// Rows holds the limits by row, Routes the routes to queues in any order.
 	Rows   map[identifier.Row]map[string]string
 	Routes []catalog.Route
-	// Tenants are the digests of all tenants' API keys, made by KeySalt.
+	// Tenants holds the digests of all tenants' API keys, computed with KeySalt.
 	Tenants []catalog.TenantKeys
 	KeySalt []byte
 }
 
-// Page is a part of what changed after an epoch: tenants and then routes, each in the order
-// of names.
+// Page is a part of the changes after an epoch: tenants and then routes, each sorted by
+// name.
 type Page struct {
-	// Since is the epoch after which all changes are listed; 0 is the full table.
+	// Since is the epoch after which changes are listed; 0 stands for the full table.
 	Since identifier.Epoch `json:"since"`
-	// Epoch is that of the table from which this page was taken.
+	// Epoch is the epoch of the table from which this page was taken.
 	Epoch   identifier.Epoch `json:"epoch"`
 	Version uint64           `json:"version,omitempty"`
-	// Rows are all rows; none where they did not change, and on later pages.
+	// Rows holds all rows. It is empty if no row changed, and on all pages but the first.
 	Rows map[identifier.Row]map[string]string `json:"rows,omitempty"`
-	// Routes are those that were added or changed, Dropped the names of those that
-	// are gone.
+	// Routes are the added and changed routes, Dropped the queue names of removed routes.
 	Routes  []catalog.Route `json:"places,omitempty"`
 	Dropped []string        `json:"dropped,omitempty"`
-	// Tenants and DroppedTenants are the same for tenants' keys, whose digests are made by
-	// KeySalt.
+	// Tenants and DroppedTenants are the same for tenants' keys, whose digests are computed
+	// with KeySalt.
 	Tenants        []catalog.TenantKeys `json:"tenants,omitempty"`
 	DroppedTenants []string             `json:"droppedTenants,omitempty"`
 	KeySalt        []byte               `json:"keySalt,omitempty"`
-	// NextAfter is the name after which the next page begins, empty on the last.
+	// NextAfter is the name after which the next page begins, empty on the last page.
 	NextAfter string `json:"next,omitempty"`
 }
 
@@ -66,7 +65,7 @@
 	}
 }
 
-// bytes is about what the item takes in a page.
+// bytes returns the approximate encoded size of the item.
 func (i item) bytes(name string) int {
 	return itemOverheadBytes + len(name) + len(i.route.Host) + len(i.route.Prefix) + digestBytes*len(i.keys.Digests)
 }
--- a/internal/routing/replica.go
+++ b/internal/routing/replica.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-// Replica is a gateway's copy of the routing table, and the update under way.
+// Replica is a gateway's copy of the routing table, together with the update in progress.
 type Replica struct {
 	epoch   identifier.Epoch
 	version uint64
@@ -17,13 +17,13 @@
 	tenants map[string]catalog.TenantKeys
 	keySalt []byte
 	update  *update
-	// needsFullTable says that the leader's history does not reach back to epoch.
+	// needsFullTable is set if the leader's history does not reach back to epoch.
 	needsFullTable bool
 }
 
-// update gathers the pages of one update. Pages after the first may be of a newer
-// table: the update then counts as being of the first page's epoch, and what it has of
-// newer ones will only come again.
+// update collects the pages of one update. Pages after the first may come from a newer
+// table. The update is then still recorded with the epoch of the first page, so that the
+// next update repeats the newer changes.
 type update struct {
 	first     Page
 	routes    itemUpdate[catalog.Route]
@@ -44,7 +44,7 @@
 
 func tenantOf(keys catalog.TenantKeys) string { return keys.Tenant }
 
-// itemUpdate is what an update says of the items of one kind, by their names.
+// itemUpdate holds the changes to items of one kind, by name.
 type itemUpdate[T any] struct {
 	put     map[string]T
 	dropped map[string]bool
@@ -61,8 +61,8 @@
 	}
 }
 
-// applyTo is what the update makes of some items, which stay as they are. One that lists
-// everything replaces them.
+// applyTo returns the items with the update applied; it does not modify its argument. If
+// full is set, the update lists all items and replaces the previous ones.
 func (u itemUpdate[T]) applyTo(items map[string]T, full bool) map[string]T {
 	if full {
 		return u.put
@@ -85,7 +85,7 @@
 	return items
 }
 
-// sortedByName lists items in the order of their names.
+// sortedByName returns the items sorted by name.
 func sortedByName[T any](items map[string]T) []T {
 	var list []T
 	for _, name := range slices.Sorted(maps.Keys(items)) {
@@ -94,29 +94,29 @@
 	return list
 }
 
-// Epoch is that of the table in use, 0 while there is none.
+// Epoch returns the epoch of the table in use, 0 while there is none.
 func (r *Replica) Epoch() identifier.Epoch { return r.epoch }
 
-// Version is that of the routes in use.
+// Version returns the version of the routes in use.
 func (r *Replica) Version() uint64 { return r.version }
 
-// Rows are the limits by row. They must not be changed.
+// Rows returns the limits by row. Callers must not modify them.
 func (r *Replica) Rows() map[identifier.Row]map[string]string { return r.rows }
 
-// Routes lists the routes in use, in the order of names.
+// Routes returns the routes in use, sorted by queue name.
 func (r *Replica) Routes() []catalog.Route { return sortedByName(r.routes) }
 
-// Tenants lists the digests of tenants' keys in use, in the order of the tenants' names.
+// Tenants returns the digests of the tenants' keys in use, sorted by tenant name.
 func (r *Replica) Tenants() []catalog.TenantKeys { return sortedByName(r.tenants) }
 
-// KeySalt is what the digests are made by, nil while there are no tenants.
+// KeySalt returns the salt of the digests, nil while there are no tenants.
 func (r *Replica) KeySalt() []byte { return r.keySalt }
 
-// Updating reports whether more pages of an update are to come.
+// Updating reports whether an update is in progress and more of its pages are expected.
 func (r *Replica) Updating() bool { return r.update != nil }
 
-// NextRequest is what to ask the leader for next: the page that begins after a name of
-// what changed since an epoch.
+// NextRequest returns the parameters of the next request to the leader: the epoch since
+// which to list changes, and the name after which the page begins.
 func (r *Replica) NextRequest() (since identifier.Epoch, after string) {
 	if r.update != nil {
 		return r.update.first.Since, r.update.nextAfter
@@ -127,8 +127,8 @@
 	return r.epoch, ""
 }
 
-// Replace takes a full table at once, unless the one in use is as new, and tells
-// whether it did.
+// Replace replaces the table in use by a full table if that is newer, and reports whether it
+// did.
 func (r *Replica) Replace(t Table) bool {
 	if t.Epoch <= r.epoch {
 		return false
@@ -144,9 +144,9 @@
 	return true
 }
 
-// Patch takes an update of a single page, whichever way it came, and reports whether it
-// did. It changes nothing unless the page reaches back to the table in use and is
-// newer.
+// Patch applies an update that consists of a single page, requested or not, and reports
+// whether it did. It changes nothing unless the page lists the changes since the table in
+// use, or since an earlier one, and is newer.
 func (r *Replica) Patch(p Page) bool {
 	if p.NextAfter != "" {
 		return false
@@ -156,9 +156,8 @@
 	return r.apply(u)
 }
 
-// AddPage adds a page that was asked for and reports whether the table in use has
-// changed. A page that does not go on from the ones before ends the update, which then
-// begins anew.
+// AddPage adds a requested page and reports whether the table in use has changed. A page
+// that does not continue the previous ones aborts the update, which then starts over.
 func (r *Replica) AddPage(p Page, after string) bool {
 	since, wanted := r.NextRequest()
 	switch {
@@ -182,8 +181,8 @@
 	return r.apply(complete)
 }
 
-// apply takes a complete update, and reports whether it reaches back to the table in use
-// and is newer.
+// apply applies a complete update if it covers all changes since the table in use and is
+// newer, and reports whether it did.
 func (r *Replica) apply(u *update) bool {
 	if u.first.Epoch <= r.epoch || u.first.Since > r.epoch {
 		return false
