--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestOutOfTouchAnswersAtOnce checks that a request which can't be passed on, or whose
+// TestContactLossAnswersImmediately checks that a request which can't be passed on, or whose
 // response is no longer expected, is answered at once and not when its budget is used up.
-func TestOutOfTouchAnswersAtOnce(t *testing.T) {
+func TestContactLossAnswersImmediately(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodGet, Path: "/v1/table", Budget: 30000}, 1100)
 	mustForward(t, g.TakeOutput())
@@ -165,10 +165,10 @@
 	}
 }
 
-// TestGivenUpOrderIsWithdrawn checks that an order without a number is withdrawn from the
+// TestAbandonedOrderIsWithdrawn checks that an order without a number is withdrawn from the
 // server that has it, once its caller has hung up or its time is over, and that requests
 // whose copies are known again are not.
-func TestGivenUpOrderIsWithdrawn(t *testing.T) {
+func TestAbandonedOrderIsWithdrawn(t *testing.T) {
 	const budget = 700
 	for _, test := range []struct {
 		name   string
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -272,9 +272,9 @@
 	}
 }
 
-// TestGivenUpOrderIsWithdrawn: an order without a number is withdrawn from the server's
+// TestAbandonedOrderIsWithdrawn: an order without a number is withdrawn from the server's
 // state machine once its caller has left or its time is over, and only then.
-func TestGivenUpOrderIsWithdrawn(t *testing.T) {
+func TestAbandonedOrderIsWithdrawn(t *testing.T) {
 	for name, giveUp := range map[string]func(s *single){
 		"its caller left":  func(s *single) { s.Forget(testID) },
 		"its time is over": func(s *single) { s.Tick(1900, true) },
--- a/internal/scheduler/rows_test.go
+++ b/internal/scheduler/rows_test.go
@@ -58,8 +58,8 @@
 	t.Errorf("the gang still waits: %v", scheduleOnce(store).Reasons["x/big"])
 }
 
-// TestImpossibleWorkBlocksNobody: a task that fits on no runner waits with its reason.
-func TestImpossibleWorkBlocksNobody(t *testing.T) {
+// TestUnplaceableWorkDoesNotBlockOthers: a task that fits on no runner waits with its reason.
+func TestUnplaceableWorkDoesNotBlockOthers(t *testing.T) {
 	store := newRowStore(t, 2, `{"x.weight":1}`)
 	submitToRow(t, store, "x/huge", "default", 9, job.Step{Tasks: 1, Demand: cores(99)})
 	submitToRow(t, store, "x/gpu", "default", 9, job.Step{Tasks: 1, Demand: cores(1), Labels: []identifier.Label{"gpu"}})
--- a/internal/scheduler/tenant_backlog_test.go
+++ b/internal/scheduler/tenant_backlog_test.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/state"
 )
 
-// TestBacklogOverQuotaStarvesNobody: a tenant whose jobs wait for its quota, however many they are, keeps no other tenant's job from free runners.
-func TestBacklogOverQuotaStarvesNobody(t *testing.T) {
+// TestOverQuotaBacklogDoesNotStarveOthers: a tenant whose jobs wait for its quota, however many they are, keeps no other tenant's job from free runners.
+func TestOverQuotaBacklogDoesNotStarveOthers(t *testing.T) {
 	store := newTenantStore(t, 8,
 		catalog.Tenant{Name: "hot", Weight: 1000, Quota: catalog.Quota{MilliCores: 1000}},
 		catalog.Tenant{Name: "usual", Weight: 1000})
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestExcessBacklogHidesNobody: jobs beyond a tenant's weight, however many they are, keep no job within another's weight from being placed first.
-func TestExcessBacklogHidesNobody(t *testing.T) {
+// TestExcessBacklogDoesNotHideOthers: jobs beyond a tenant's weight, however many they are, keep no job within another's weight from being placed first.
+func TestExcessBacklogDoesNotHideOthers(t *testing.T) {
 	store := newTenantStore(t, 1,
 		catalog.Tenant{Name: "hot", Weight: 1000},
 		catalog.Tenant{Name: "usual", Weight: 1000})
