--- a/internal/gateway/checked_again_test.go
+++ b/internal/gateway/checked_again_test.go
@@ -59,13 +59,13 @@
 func TestTakenJobNotRefusedForItsKey(t *testing.T) {
 	leader := newTenantLeader(t)
 	body := []byte(`{"queue":"q00000","steps":[{"name":"s"}]}`)
-	leader.gateway.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: body, Budget: 4000, Credential: heldKey}, leader.now)
+	leader.gateway.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: body, Budget: 4000, Credential: tenantKey}, leader.now)
 	first := mustForward(t, leader.gateway.TakeOutput())
 	respond(leader.gateway, first, wire.Response{Status: http.StatusGatewayTimeout}, leader.now)
 	leader.now = leader.now.Add(retryInterval)
 	leader.gateway.Tick(leader.now)
 	second := mustForward(t, leader.gateway.TakeOutput())
-	leader.setKeys(foreignKey)
+	leader.setKeys(unknownKey)
 	leader.respondStale(second, leader.stalePage(second))
 	if output := leader.gateway.TakeOutput(); !answeredOnly(output, http.StatusGatewayTimeout) {
 		t.Errorf("%+v", output.Responses)
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -171,11 +171,11 @@
 func TestAbandonedOrderIsWithdrawn(t *testing.T) {
 	const budget = 700
 	for _, test := range []struct {
-		name   string
-		method string
-		path   string
-		giveUp func(g *Gateway)
-		want   bool
+		name    string
+		method  string
+		path    string
+		abandon func(g *Gateway)
+		want    bool
 	}{
 		{"drain, hung up", http.MethodPut, "/v1/closings/east", func(g *Gateway) { g.Forget(1) }, true},
 		{"drain, out of time", http.MethodPut, "/v1/closings/east", func(g *Gateway) { g.Tick(1100 + budget) }, true},
@@ -187,7 +187,7 @@
 			g := newReadyGateway(t)
 			g.HandleRequest(Request{ID: 1, Method: test.method, Path: test.path, Body: []byte(jobBody), Budget: budget}, 1100)
 			order := mustForward(t, g.TakeOutput())
-			test.giveUp(g)
+			test.abandon(g)
 			withdrawn := false
 			for _, envelope := range g.TakeOutput().Messages {
 				if request := envelope.Message.Request; request != nil {
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -19,22 +19,22 @@
 // repeatable is a request that may be dispatched again when its outcome is not known.
 var repeatable = gateway.Request{ID: testID, Method: "PUT", Path: "/v1/catalog", Budget: 3000}
 
-// single is a set with one request in it, dispatched at 1000 ms.
-type single struct {
+// singleRequest is a set with one request in it, dispatched at 1000 ms.
+type singleRequest struct {
 	*Requests
 	t         *testing.T
 	responses chan gateway.Response
 }
 
 // admit admits a request that may not be repeated.
-func admit(t *testing.T, budget clock.Millis) *single {
+func admit(t *testing.T, budget clock.Millis) *singleRequest {
 	t.Helper()
 	return admitRequest(t, gateway.Request{ID: testID, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: budget})
 }
 
-func admitRequest(t *testing.T, q gateway.Request) *single {
+func admitRequest(t *testing.T, q gateway.Request) *singleRequest {
 	t.Helper()
-	s := &single{Requests: New(), t: t, responses: make(chan gateway.Response, 1)}
+	s := &singleRequest{Requests: New(), t: t, responses: make(chan gateway.Response, 1)}
 	s.Admit(q, s.respond, 1000, true)
 	dispatched := s.wantDispatch()
 	if dispatched.Peer != testPeer || dispatched.Request.Method != q.Method || !dispatched.Peer.Local() {
@@ -43,16 +43,16 @@
 	return s
 }
 
-func (s *single) respond(response gateway.Response) { s.responses <- response }
+func (s *singleRequest) respond(response gateway.Response) { s.responses <- response }
 
 // reply passes in the server's reply to the dispatch.
-func (s *single) reply(reply wire.Response, now clock.Monotonic) {
+func (s *singleRequest) reply(reply wire.Response, now clock.Monotonic) {
 	reply.ID = testID
 	s.Complete(testPeer, &reply, now)
 }
 
 // wantDispatch wants the request to be dispatched once.
-func (s *single) wantDispatch() Dispatch {
+func (s *singleRequest) wantDispatch() Dispatch {
 	s.t.Helper()
 	dispatches := s.TakeDispatches()
 	if len(dispatches) != 1 {
@@ -61,14 +61,14 @@
 	return dispatches[0]
 }
 
-func (s *single) wantNoDispatch() {
+func (s *singleRequest) wantNoDispatch() {
 	s.t.Helper()
 	if dispatches := s.TakeDispatches(); len(dispatches) != 0 {
 		s.t.Fatalf("dispatched %+v, want none", dispatches)
 	}
 }
 
-func (s *single) wantResponse(status int) {
+func (s *singleRequest) wantResponse(status int) {
 	s.t.Helper()
 	select {
 	case response := <-s.responses:
@@ -81,7 +81,7 @@
 	s.wantEmpty()
 }
 
-func (s *single) wantNoResponse() {
+func (s *singleRequest) wantNoResponse() {
 	s.t.Helper()
 	select {
 	case response := <-s.responses:
@@ -90,7 +90,7 @@
 	}
 }
 
-func (s *single) wantEmpty() {
+func (s *singleRequest) wantEmpty() {
 	s.t.Helper()
 	if s.Len() > 0 || s.bodyBytes != 0 {
 		s.t.Errorf("%d requests of %d bytes are still waiting", s.Len(), s.bodyBytes)
@@ -275,16 +275,16 @@
 // TestAbandonedOrderIsWithdrawn: an order without a number is withdrawn from the server's
 // state machine once its caller has left or its time is over, and only then.
 func TestAbandonedOrderIsWithdrawn(t *testing.T) {
-	for name, giveUp := range map[string]func(s *single){
-		"its caller left":  func(s *single) { s.Forget(testID) },
-		"its time is over": func(s *single) { s.Tick(1900, true) },
+	for name, abandon := range map[string]func(s *singleRequest){
+		"its caller left":  func(s *singleRequest) { s.Forget(testID) },
+		"its time is over": func(s *singleRequest) { s.Tick(1900, true) },
 	} {
 		s := admit(t, 900)
 		s.Tick(1800, true)
 		if early := s.TakeDispatches(); len(early) > 0 {
 			t.Errorf("%s: dispatched %+v before", name, early)
 		}
-		giveUp(s)
+		abandon(s)
 		withdrawal := s.wantDispatch()
 		if id, ok := withdrawal.Request.Withdraws(); !ok || id != testID || withdrawal.Peer != testPeer {
 			t.Errorf("%s: dispatched %+v", name, withdrawal)
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -83,8 +83,8 @@
 	h.history.CatalogChanged(h.table)
 }
 
-// everHad reports whether some table from an epoch on had a route.
-func (h *tableHistory) everHad(route catalog.Route, from identifier.Epoch) bool {
+// hadRouteSince reports whether some table from an epoch on had a route.
+func (h *tableHistory) hadRouteSince(route catalog.Route, from identifier.Epoch) bool {
 	for epoch := from; epoch <= h.table.Epoch; epoch++ {
 		if h.pastRoutes[epoch][route.Queue] == route {
 			return true
@@ -151,7 +151,7 @@
 			}
 			epoch = r.Epoch()
 			for _, route := range r.Routes() {
-				if !h.everHad(route, epoch) {
+				if !h.hadRouteSince(route, epoch) {
 					t.Fatalf("seed %d: at epoch %d it has %+v, which no table had since", seed, epoch, route)
 				}
 			}
--- a/internal/scheduler/deferral_test.go
+++ b/internal/scheduler/deferral_test.go
@@ -10,18 +10,18 @@
 	"orchidward/internal/state"
 )
 
-// deferralView is a view in which all runners are alike, runs go on for remaining and tasks
-// have been deferred for deferredFor.
+// deferralView returns a view in which all runners are alike, every run takes remaining
+// longer, and every task has been deferred for deferredFor.
 func deferralView(remaining, deferredFor clock.Millis) RunnerView {
-	view := newSoundView()
+	view := newHealthyView()
 	view.Remaining = func(*state.Lease) (clock.Millis, bool) { return remaining, true }
 	view.DeferredFor = func(identifier.TaskRef) clock.Millis { return deferredFor }
 	return view
 }
 
-// TestWaitForNearRunner: a task whose preferred rack is full waits for it as long as that is
-// expected to be sooner than running elsewhere, but never longer than the detour costs; no
-// more tasks wait than will find room there.
+// TestWaitForNearRunner checks that a task whose preferred rack is full waits for it while
+// that is expected to finish earlier than running elsewhere, but never longer than the worse
+// placement costs, and that no more tasks wait than the rack will have resources for.
 func TestWaitForNearRunner(t *testing.T) {
 	for _, c := range []struct {
 		name                        string
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestServicesAreNotDeferred: tasks that go on until they are cancelled, and gangs, are
-// placed where they can be.
+// TestServicesAreNotDeferred checks that services, which run until they are cancelled, and
+// gangs are placed without deferral.
 func TestServicesAreNotDeferred(t *testing.T) {
 	for _, step := range []job.Step{
 		{Tasks: 1, Service: true},
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestDeferredTasks: a task counts as deferred since the first of the cycles that did so
-// without a long break, and is forgotten after one.
+// TestDeferredTasks checks that a task counts as deferred from the first of a series of
+// cycles that deferred it, and that a gap longer than deferralRetention ends the series.
 func TestDeferredTasks(t *testing.T) {
 	deferred := NewDeferredTasks()
 	ref := identifier.TaskRef{Job: "q/j"}
@@ -85,6 +85,6 @@
 	}
 	deferred.Update(nil, 3000)
 	if deferred.Any() || deferred.For(ref, 3000) != 0 {
-		t.Error("still deferred, 1.1 s after the last cycle that did so")
+		t.Error("still deferred 1.1 s after the last cycle that deferred it")
 	}
 }
--- a/internal/scheduler/fixture_test.go
+++ b/internal/scheduler/fixture_test.go
@@ -15,9 +15,9 @@
 	"orchidward/internal/state"
 )
 
-// newRowStore returns a store with runners r01, r02 and so on, of 8 cores each: those with
-// even numbers in the domain north, the others in the domain east. The limits table has
-// the given cells.
+// newRowStore returns a store with runners r01, r02 and so on, with 8 cores each: those with
+// even numbers are in domain north, the others in domain east. The limits table has the
+// given cells.
 func newRowStore(t testing.TB, runners int, cells string) *state.Store {
 	t.Helper()
 	store := state.New()
@@ -41,8 +41,9 @@
 	return store
 }
 
-// newQueueStore returns a store with the queues q0, q1 and q2, by falling priority, for
-// one pool with runners r00, r01 and so on, of 8 cores each, three in a rack.
+// newQueueStore returns a store with the queues q0, q1 and q2, in descending order of
+// priority. They share one pool with runners r00, r01 and so on, with 8 cores each, three
+// per rack.
 func newQueueStore(t testing.TB, runners int) *state.Store {
 	t.Helper()
 	store := state.New()
@@ -75,7 +76,7 @@
 	return store
 }
 
-// apply applies a command and fails the test when it is rejected.
+// apply applies a command and fails the test if it is rejected.
 func apply(t testing.TB, store *state.Store, command *state.Command) {
 	t.Helper()
 	if result := store.Apply(command); !result.OK() {
@@ -83,7 +84,7 @@
 	}
 }
 
-// submitToRow hands a job of one step in for a row.
+// submitToRow submits a single-step job to a row.
 func submitToRow(t testing.TB, store *state.Store, key identifier.JobKey, row identifier.Row, urgency int64, step job.Step) {
 	t.Helper()
 	step.Name = "s"
@@ -94,7 +95,7 @@
 	apply(t, store, &state.Command{SubmitJob: &state.SubmitJob{Key: key, Spec: spec}})
 }
 
-// submitToQueue hands a job of one step in for a queue, at the given time.
+// submitToQueue submits a single-step job to a queue at the given time.
 func submitToQueue(t testing.TB, store *state.Store, id, queue string, at clock.ClusterTime, step job.Step) {
 	t.Helper()
 	step.Name = "s"
@@ -109,26 +110,29 @@
 
 func cores(count int64) job.Demand { return job.Demand{Cores: count} }
 
-// scheduleOnce runs a cycle in which every runner may be given tasks.
-func scheduleOnce(store *state.Store) Plan { return Schedule(store, newSoundView(), policy.NewCache()) }
+// scheduleOnce runs a cycle in which every runner is schedulable.
+func scheduleOnce(store *state.Store) Plan {
+	return Schedule(store, newHealthyView(), policy.NewCache())
+}
 
-// scheduleOn runs a cycle in which all runners work at the nominal rate.
-func scheduleOn(store *state.Store, fresh func(r identifier.Runner) bool) Plan {
-	return Schedule(store, newView(fresh, nominalRate), policy.NewCache())
+// scheduleOn runs a cycle in which the runners work at the nominal rate and schedulable
+// selects those that may be given tasks.
+func scheduleOn(store *state.Store, schedulable func(r identifier.Runner) bool) Plan {
+	return Schedule(store, newView(schedulable, nominalRate), policy.NewCache())
 }
 
 func nominalRate(identifier.Runner) int64 { return prediction.NominalRate }
 
-// newSoundView is a view in which every runner may be given tasks and works at the nominal
+// newHealthyView returns a view in which every runner is schedulable and works at the nominal
 // rate.
-func newSoundView() RunnerView {
+func newHealthyView() RunnerView {
 	return newView(func(identifier.Runner) bool { return true }, nominalRate)
 }
 
-// newView is a view in which nothing is known of when runs end.
-func newView(fresh func(r identifier.Runner) bool, workRate func(r identifier.Runner) int64) RunnerView {
+// newView returns a view in which the remaining times of runs are unknown.
+func newView(schedulable func(r identifier.Runner) bool, workRate func(r identifier.Runner) int64) RunnerView {
 	return RunnerView{
-		Schedulable:   fresh,
+		Schedulable:   schedulable,
 		WorkRate:      workRate,
 		SuccessStreak: func(identifier.Runner) int { return 0 },
 		DistantFactor: 2000,
@@ -152,7 +156,8 @@
 	apply(t, store, &state.Command{PlaceTasks: &state.PlaceTasks{Placements: placements}})
 }
 
-// endLeases reports the end of every open lease for which keep is false, by age.
+// endLeases reports the end of every open lease for which keep returns false, the oldest
+// first.
 func endLeases(t testing.TB, store *state.Store, outcome state.Outcome, keep func(lease *state.Lease) bool) {
 	t.Helper()
 	for id := identifier.LeaseID(1); id < store.NextLease; id++ {
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -9,12 +9,13 @@
 	"orchidward/internal/state"
 )
 
-// TestHeadroomForUrgentWork: in a pool that is mostly in use, work of a lower priority leaves
-// free what urgent work lately had in use, until that has faded; urgent work takes it.
+// TestHeadroomForUrgentWork checks that in a mostly used pool, low-priority work leaves free
+// what urgent work has recently used, until that peak has decayed, and that urgent work may
+// use the headroom.
 func TestHeadroomForUrgentWork(t *testing.T) {
 	store := newQueueStore(t, 5)
 	history := NewUsageHistory()
-	view := newSoundView()
+	view := newHealthyView()
 	view.Usage = history
 	step := func(tasks int64) job.Step {
 		return job.Step{Tasks: tasks, Demand: job.Demand{MilliCores: 2000, Mem: 1}}
@@ -45,12 +46,12 @@
 	}
 }
 
-// TestHeadroomNeedsPressure: in a pool with much free room nothing is held back, however much
-// urgent work there lately was: a job that could run must not wait.
+// TestHeadroomNeedsPressure checks that in a mostly free pool nothing is held back, however
+// much urgent work has run recently: a job that fits must not wait.
 func TestHeadroomNeedsPressure(t *testing.T) {
 	store := newQueueStore(t, 5)
 	history := NewUsageHistory()
-	view := newSoundView()
+	view := newHealthyView()
 	view.Usage = history
 	submitToQueue(t, store, "urgent", "q0", 10, job.Step{Tasks: 5, Demand: job.Demand{MilliCores: 8000, Mem: 1}})
 	scheduleAndPlace(t, store)
@@ -64,19 +65,19 @@
 	}
 }
 
-// TestHeadroomForShortWorkOnly: nothing is kept free for urgent work that runs about as long,
-// and services are not held back for any.
+// TestHeadroomForShortWorkOnly checks that no headroom is kept for urgent work that runs about
+// as long as the low-priority work, and that services are never held back.
 func TestHeadroomForShortWorkOnly(t *testing.T) {
 	testNothingHeldBack(t, 5000, job.Step{ExpectedRun: 8000})
 	testNothingHeldBack(t, 500, job.Step{ExpectedRun: 8000, Service: true})
 }
 
-// testNothingHeldBack has urgent work of the given run end, and wants all room to be given to
-// the other step at once.
+// testNothingHeldBack runs urgent work of the given run time to its end, and then checks that
+// tasks of the wide step are placed on all resources immediately.
 func testNothingHeldBack(t *testing.T, urgentRun clock.Millis, wide job.Step) {
 	t.Helper()
 	store := newQueueStore(t, 5)
-	view := newSoundView()
+	view := newHealthyView()
 	urgent := job.Step{Tasks: 4, Demand: job.Demand{MilliCores: 2000, Mem: 1}, ExpectedRun: urgentRun}
 	submitToQueue(t, store, "urgent", "q0", 10, urgent)
 	scheduleAndPlace(t, store)
@@ -91,11 +92,11 @@
 	}
 }
 
-// TestServiceBesideHeldBackWork: that other work of the same queue and size is held back does
-// not hold a service back.
+// TestServiceBesideHeldBackWork checks that a service is placed although other work of the
+// same queue and size is held back.
 func TestServiceBesideHeldBackWork(t *testing.T) {
 	store := newQueueStore(t, 5)
-	view := newSoundView()
+	view := newHealthyView()
 	demand := job.Demand{MilliCores: 2000, Mem: 1}
 	submitToQueue(t, store, "urgent", "q0", 10, job.Step{Tasks: 4, Demand: demand})
 	scheduleAndPlace(t, store)
@@ -109,5 +110,5 @@
 			return
 		}
 	}
-	t.Error("the service is not placed, though there is room that is kept from others")
+	t.Error("the service is not placed, although it may use the headroom")
 }
--- a/internal/scheduler/job_order_test.go
+++ b/internal/scheduler/job_order_test.go
@@ -10,12 +10,12 @@
 	"orchidward/internal/scheduler/policy"
 )
 
-// TestOrderByPredictedRuns: a job whose estimate is far too low is not taken for too late:
-// when it is due, and whether it can be done by then, is reckoned from the predicted run.
+// TestOrderByPredictedRuns checks that a job with a far too low estimate is not classified as
+// too late: its due time and its timeliness are computed from the predicted run time.
 func TestOrderByPredictedRuns(t *testing.T) {
 	store := newQueueStore(t, 1)
-	view := newSoundView()
-	// Whatever is estimated, tasks run for a second.
+	view := newHealthyView()
+	// Tasks are predicted to run for one second, whatever the estimate.
 	view.Predict = func(string, clock.Millis) PredictedRun { return PredictedRun{Run: 1000} }
 	step := job.Step{Tasks: 1, Demand: job.Demand{MilliCores: 8000, Mem: 1}}
 	low, high := step, step
@@ -23,7 +23,7 @@
 	high.ExpectedRun = 20_000
 	submitToQueue(t, store, "low", "q0", 1000, low)
 	submitToQueue(t, store, "high", "q0", 1100, high)
-	// By the estimates, low is due 1002 ms after it came, and high 41 s after.
+	// By the estimates, low is due 1002 ms after its submission, and high after 41 s.
 	submitToQueue(t, store, "newest", "q0", 2800, step)
 	for _, want := range []identifier.JobKey{"q/low", "q/high", "q/newest"} {
 		plan := Schedule(store, view, policy.NewCache())
@@ -35,16 +35,16 @@
 	}
 }
 
-// TestExpectedMaxDeviation: the longest of many runs is longer the more there are, and that of one is
-// the usual one.
+// TestExpectedMaxDeviation checks that the expected maximum grows with the number of runs, and
+// is 0 for a single run.
 func TestExpectedMaxDeviation(t *testing.T) {
 	if longest := expectedMaxDeviation(1); longest != 0 {
-		t.Errorf("of one: %f", longest)
+		t.Errorf("of 1 run: %f, want 0", longest)
 	}
 	// The means of the largest of 10 and 100 normal values are 1.54 and 2.51.
 	for count, want := range map[int64]float64{10: 1.54, 100: 2.51} {
 		if have := expectedMaxDeviation(count); math.Abs(have-want) > 0.25 {
-			t.Errorf("of %d: %f, want about %f", count, have, want)
+			t.Errorf("of %d runs: %f, want about %f", count, have, want)
 		}
 	}
 }
--- a/internal/scheduler/policy/policy_test.go
+++ b/internal/scheduler/policy/policy_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// TestScore: an expression of the fields and functions that policies have gives its number.
+// TestScore checks the scores of expressions that use the fields and functions available to
+// policies.
 func TestScore(t *testing.T) {
 	inputs := Inputs{
 		FreeCores:     6,
@@ -35,8 +36,8 @@
 	}
 }
 
-// TestCompileRejects: whatever could grow, loop, read more than its inputs or call itself
-// is rejected, with its line and column in the source.
+// TestCompileRejects checks that expressions that could build unbounded values, loop, recurse
+// or read anything besides their inputs are rejected, with the line and column in the source.
 func TestCompileRejects(t *testing.T) {
 	for source, want := range map[string]string{
 		"runner.freeCores +":               "policy:1:19",
@@ -62,7 +63,7 @@
 	}
 }
 
-// TestScoreFails: a policy that compiles and fails when it is evaluated returns an error.
+// TestScoreFails checks that a policy that compiles but fails in evaluation returns an error.
 func TestScoreFails(t *testing.T) {
 	for _, source := range []string{
 		"1 // (runner.running - runner.running)",
@@ -76,7 +77,7 @@
 			continue
 		}
 		if score, err := policy.Score(Inputs{FreeCores: 1 << 30}); err == nil {
-			t.Errorf("%s gives %v", source, score)
+			t.Errorf("%s: score %v, want an error", source, score)
 		}
 	}
 }
--- a/internal/scheduler/preemption_test.go
+++ b/internal/scheduler/preemption_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/state"
 )
 
-// drainNorth drains the domain north past its cordon stage and confirms the stops.
+// drainNorth drains domain north past its cordon stage and confirms the stops.
 func drainNorth(t *testing.T, store *state.Store) *state.Drain {
 	t.Helper()
 	apply(t, store, &state.Command{StartDrain: &state.StartDrain{Domain: "north", ID: "m"}})
@@ -20,8 +20,9 @@
 	return store.Drains["m"]
 }
 
-// TestPreemption: when the preflight check of a drain finds too few resources, displaced
-// work preempts what it needs of strictly cheaper work, by its row's choice.
+// TestPreemption checks that if the preflight check of a drain finds too few resources,
+// displaced work preempts as much strictly cheaper work as it needs, provided that its row is
+// configured to preempt.
 func TestPreemption(t *testing.T) {
 	for _, c := range []struct {
 		name         string
@@ -51,7 +52,7 @@
 				place(t, store, state.Placement{Job: "x/others", Tasks: []int{0, 1, 2, 3}, Runners: []identifier.Runner{"r01", "r01", "r01", "r01"}})
 			}
 			if drain := drainNorth(t, store); drain.Fits {
-				t.Fatalf("preflight says that all fits: %+v", drain)
+				t.Fatalf("preflight reports that everything fits: %+v", drain)
 			}
 			plan := scheduleOnce(store)
 			if len(plan.Preemptions) != c.preempted {
@@ -62,7 +63,7 @@
 			}
 			apply(t, store, &state.Command{RevokeLeases: &state.RevokeLeases{Leases: plan.Preemptions, Reason: state.RevokePreempted}})
 			if again := scheduleOnce(store); len(again.Preemptions) != 0 {
-				t.Fatalf("preempts %v more while stops are not confirmed", again.Preemptions)
+				t.Fatalf("preempts %v more before the stops are confirmed", again.Preemptions)
 			}
 			confirmStops(t, store)
 			scheduleAndPlace(t, store)
--- a/internal/scheduler/queues_test.go
+++ b/internal/scheduler/queues_test.go
@@ -12,9 +12,9 @@
 	"orchidward/internal/state"
 )
 
-// TestTimelyJobsFirst: when there are resources for one job, those that can still be on
-// time go before the late ones, whatever their priority; then priority decides, then
-// the earlier due time.
+// TestTimelyJobsFirst checks that with resources for a single job, jobs that can still end on
+// time are placed before late ones, whatever their priority; the order among them is by
+// priority and then by due time.
 func TestTimelyJobsFirst(t *testing.T) {
 	store := newQueueStore(t, 1)
 	step := job.Step{Tasks: 1, Demand: job.Demand{MilliCores: 8000, Mem: 1}}
@@ -30,8 +30,9 @@
 	}
 }
 
-// TestRackPreferences: a gang that wants one rack gets one that has resources for all of
-// it. A task goes to its preferred rack while there are resources, and else elsewhere.
+// TestRackPreferences checks that a gang that requires one rack is placed in a rack with
+// resources for the whole gang, and that tasks are placed in their preferred rack while it
+// has resources and elsewhere otherwise.
 func TestRackPreferences(t *testing.T) {
 	store := newQueueStore(t, 6)
 	demand := job.Demand{MilliCores: 4000, Mem: 1}
@@ -60,8 +61,8 @@
 	}
 }
 
-// TestSlowRunnerComesLast: a runner on which tasks run slowly comes last, and one that may
-// not be given tasks gets none.
+// TestSlowRunnerComesLast checks that a slow runner is chosen last, and that a runner that is
+// not schedulable is given no tasks.
 func TestSlowRunnerComesLast(t *testing.T) {
 	store := newQueueStore(t, 3)
 	submitToQueue(t, store, "j", "q0", 10, job.Step{Tasks: 3, Demand: job.Demand{MilliCores: 4000, Mem: 1}})
@@ -83,7 +84,7 @@
 	}
 }
 
-// random is a linear congruential generator, so that a failing history can be repeated.
+// random is a linear congruential generator, which makes failing histories reproducible.
 type random uint32
 
 // below returns a number from 0 to limit-1.
@@ -92,8 +93,8 @@
 	return int64(uint32(*r) >> 8 % limit)
 }
 
-// TestQueuePlacementsAreValid: with random jobs that use every option of a step, the store
-// takes every placement that a cycle plans.
+// TestQueuePlacementsAreValid checks that the store accepts every placement planned for random
+// jobs that use all options of a step.
 func TestQueuePlacementsAreValid(t *testing.T) {
 	for seed := range 20 {
 		store := newQueueStore(t, 7)
--- a/internal/scheduler/rows_test.go
+++ b/internal/scheduler/rows_test.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/state"
 )
 
-// TestSharesFollowWeights: rows that all want more get resources by their weights, and even
-// the one with the least weight is not starved.
+// TestSharesFollowWeights checks that rows with excess demand share resources in proportion
+// to their weights, and that the row with the lowest weight is not starved.
 func TestSharesFollowWeights(t *testing.T) {
 	store := newRowStore(t, 10, `{"a.weight":1,"b.weight":2,"c.weight":5}`)
 	for i := range 200 {
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestGangIsNotStarved: small work that keeps coming must not keep a gang out for ever, and
-// goes on meanwhile on runners that the gang does not need.
+// TestGangIsNotStarved checks that a stream of small tasks does not delay a gang forever, and
+// that meanwhile the small tasks continue to run on runners that the gang does not need.
 func TestGangIsNotStarved(t *testing.T) {
 	store := newRowStore(t, 4, `{"big.weight":1,"small.weight":1}`)
 	submitted := 0
@@ -48,17 +48,18 @@
 		scheduleAndPlace(t, store)
 		if store.Jobs["x/big"].State() == "running" {
 			if store.InUse("small").Cores == 0 {
-				t.Error("small work stood still though a runner was free for it")
+				t.Error("no small task is running although a runner is free")
 			}
 			return
 		}
-		// Half of what runs ends at each turn, as small work comes and goes.
+		// In each turn half of the running tasks end.
 		endLeases(t, store, state.OutcomeSuccess, func(lease *state.Lease) bool { return (int(lease.ID)+turn)%2 == 0 })
 	}
-	t.Errorf("the gang still waits: %v", scheduleOnce(store).Reasons["x/big"])
+	t.Errorf("the gang is still pending: %v", scheduleOnce(store).Reasons["x/big"])
 }
 
-// TestUnplaceableWorkDoesNotBlockOthers: a task that fits on no runner waits with its reason.
+// TestUnplaceableWorkDoesNotBlockOthers checks that tasks that fit on no runner stay pending
+// with a reason, while other work of the same row is placed.
 func TestUnplaceableWorkDoesNotBlockOthers(t *testing.T) {
 	store := newRowStore(t, 2, `{"x.weight":1}`)
 	submitToRow(t, store, "x/huge", "default", 9, job.Step{Tasks: 1, Demand: cores(99)})
@@ -70,7 +71,8 @@
 	}
 }
 
-// TestOldWorkIsNotStarved: within a row, old work gets its turn in a stream of urgent work.
+// TestOldWorkIsNotStarved checks that old work of a row is placed despite a backlog of more
+// urgent work in the same row.
 func TestOldWorkIsNotStarved(t *testing.T) {
 	store := newRowStore(t, 1, `{"x.weight":1}`)
 	submitToRow(t, store, "x/old", "default", 0, job.Step{Tasks: 1, Demand: cores(1)})
@@ -85,8 +87,8 @@
 	}
 }
 
-// TestDefectiveRunnerIsOnTrial: a runner that fails its tasks while calling itself healthy
-// gets at most one task on trial, and a retry goes elsewhere.
+// TestDefectiveRunnerIsOnTrial checks that a runner that fails its tasks while it reports
+// itself healthy is given no task that fits elsewhere, and at most one task on trial.
 func TestDefectiveRunnerIsOnTrial(t *testing.T) {
 	store := newRowStore(t, 4, `{"x.weight":1}`)
 	store.Runners["r01"].Successes = 1
@@ -106,41 +108,41 @@
 	}
 }
 
-// TestNothingPending: a cycle looks at the runners exactly when something could be placed
-// if there were resources, and its plan is complete without.
+// TestNothingPending checks that a cycle examines the runners only if some task is ready to be
+// placed, and that it returns a complete plan otherwise.
 func TestNothingPending(t *testing.T) {
 	store := newRowStore(t, 4, `{"a.weight":1}`)
-	asked := 0
+	checked := 0
 	cycle := func() Plan {
-		asked = 0
+		checked = 0
 		return scheduleOn(store, func(identifier.Runner) bool {
-			asked++
+			checked++
 			return true
 		})
 	}
 	plan := cycle()
-	if asked > 0 || plan.Reasons == nil || plan.Policies == nil {
-		t.Errorf("with no job at all: %d asked, %+v", asked, plan)
+	if checked > 0 || plan.Reasons == nil || plan.Policies == nil {
+		t.Errorf("without jobs: %d runners checked, %+v", checked, plan)
 	}
 	if len(plan.Placements)+len(plan.Preemptions)+len(plan.Reasons)+len(plan.Policies) > 0 {
-		t.Errorf("with no job at all: %+v", plan)
+		t.Errorf("without jobs: %+v", plan)
 	}
 	submitToRow(t, store, "x/1", "a", 0, job.Step{Tasks: 40, Demand: cores(1)})
-	if plan := cycle(); asked != 4 || len(plan.Placements) != 32 {
-		t.Errorf("40 wait: %d asked, %d placed", asked, len(plan.Placements))
+	if plan := cycle(); checked != 4 || len(plan.Placements) != 32 {
+		t.Errorf("40 pending: %d runners checked, %d placed", checked, len(plan.Placements))
 	}
 	scheduleAndPlace(t, store)
-	if plan := cycle(); asked != 4 || plan.Reasons["x/1"][0] == "" {
-		t.Errorf("8 wait for resources: %d asked, %+v", asked, plan)
+	if plan := cycle(); checked != 4 || plan.Reasons["x/1"][0] == "" {
+		t.Errorf("8 pending for lack of resources: %d runners checked, %+v", checked, plan)
 	}
 	endLeases(t, store, state.OutcomeSuccess, func(lease *state.Lease) bool { return lease.ID > 8 })
 	scheduleAndPlace(t, store)
-	if plan := cycle(); asked > 0 || len(plan.Reasons) > 0 {
-		t.Errorf("all placed: %d asked, %+v", asked, plan)
+	if plan := cycle(); checked > 0 || len(plan.Reasons) > 0 {
+		t.Errorf("all placed: %d runners checked, %+v", checked, plan)
 	}
 	endLeases(t, store, state.OutcomeSuccess, keepNone)
-	if plan := cycle(); asked > 0 || len(plan.Reasons) > 0 {
-		t.Errorf("all ended: %d asked, %+v", asked, plan)
+	if plan := cycle(); checked > 0 || len(plan.Reasons) > 0 {
+		t.Errorf("all ended: %d runners checked, %+v", checked, plan)
 	}
 	for _, j := range store.Jobs {
 		if j.EndState != state.Succeeded {
@@ -149,7 +151,7 @@
 	}
 }
 
-// BenchmarkSchedule measures a cycle by the number of runners and of pending jobs.
+// BenchmarkSchedule measures a cycle for various numbers of runners and pending jobs.
 func BenchmarkSchedule(bench *testing.B) {
 	rows := []identifier.Row{"a", "b", "c"}
 	for _, size := range []struct{ runners, backlog int }{{11, 100}, {11, 10000}, {100, 1000}, {100, 10000}, {500, 10000}} {
--- a/internal/scheduler/tenant_backlog_test.go
+++ b/internal/scheduler/tenant_backlog_test.go
@@ -9,7 +9,8 @@
 	"orchidward/internal/state"
 )
 
-// TestOverQuotaBacklogDoesNotStarveOthers: a tenant whose jobs wait for its quota, however many they are, keeps no other tenant's job from free runners.
+// TestOverQuotaBacklogDoesNotStarveOthers checks that a tenant's backlog of jobs blocked by its
+// quota, however long, does not keep other tenants' jobs from free runners.
 func TestOverQuotaBacklogDoesNotStarveOthers(t *testing.T) {
 	store := newTenantStore(t, 8,
 		catalog.Tenant{Name: "hot", Weight: 1000, Quota: catalog.Quota{MilliCores: 1000}},
@@ -20,11 +21,12 @@
 	submitAs(t, store, "usual", "usual", 10_001, job.Step{Tasks: 1, Demand: job.Demand{MilliCores: 1000}})
 	scheduleAndPlace(t, store)
 	if used := store.TenantUse("usual").CPU(); used != 1000 {
-		t.Errorf("with all other runners free the other tenant uses %d", used)
+		t.Errorf("with free runners the other tenant uses %d", used)
 	}
 }
 
-// TestIdleTenantStartsGang: a gang that is wider than its tenant's quota by less than a task starts once the tenant has nothing running.
+// TestIdleTenantStartsGang checks that a gang that exceeds its tenant's quota by less than one
+// task starts once the tenant has nothing running.
 func TestIdleTenantStartsGang(t *testing.T) {
 	store := newTenantStore(t, 8, catalog.Tenant{Name: "small", Weight: 1000, Quota: catalog.Quota{MilliCores: 5000}})
 	submitAs(t, store, "small", "gang", 10, job.Step{Tasks: 3, Gang: true, Demand: job.Demand{MilliCores: 2000}})
@@ -34,7 +36,9 @@
 	}
 }
 
-// TestGangStartsBelowHalfOfQuota: a gang of more than half of a quota starts while its tenant uses less than half, where that exceeds the quota by less than a task.
+// TestGangStartsBelowHalfOfQuota checks that a gang of more than half of a quota starts while
+// its tenant uses less than half of it, if together they exceed the quota by less than one
+// task.
 func TestGangStartsBelowHalfOfQuota(t *testing.T) {
 	store := newTenantStore(t, 8, catalog.Tenant{Name: "small", Weight: 1000, Quota: catalog.Quota{MilliCores: 5000}})
 	submitAs(t, store, "small", "steady", 10, job.Step{Tasks: 1, Demand: job.Demand{MilliCores: 2000}})
@@ -46,7 +50,8 @@
 	}
 }
 
-// TestExcessBacklogDoesNotHideOthers: jobs beyond a tenant's weight, however many they are, keep no job within another's weight from being placed first.
+// TestExcessBacklogDoesNotHideOthers checks that a tenant's backlog beyond its weight, however
+// long, does not delay a job within the weight of another tenant.
 func TestExcessBacklogDoesNotHideOthers(t *testing.T) {
 	store := newTenantStore(t, 1,
 		catalog.Tenant{Name: "hot", Weight: 1000},
@@ -62,7 +67,7 @@
 			return
 		}
 		if turn == 11 {
-			t.Errorf("after %d turns the job within its tenant's weight still waits", turn+1)
+			t.Errorf("after %d turns the job within its tenant's weight is still pending", turn+1)
 		}
 		endLeases(t, store, state.OutcomeSuccess, keepNone)
 	}
--- a/internal/scheduler/tenants_test.go
+++ b/internal/scheduler/tenants_test.go
@@ -11,7 +11,7 @@
 	"orchidward/internal/state"
 )
 
-// newTenantStore is a store with queues as of newQueueStore, and tenants.
+// newTenantStore returns a store with the queues of newQueueStore and the given tenants.
 func newTenantStore(t *testing.T, runners int, tenants ...catalog.Tenant) *state.Store {
 	t.Helper()
 	store := newQueueStore(t, runners)
@@ -22,7 +22,7 @@
 	return store
 }
 
-// submitAs hands in a job of one step for the queue q1 in the name of a tenant.
+// submitAs submits a single-step job of a tenant to queue q1.
 func submitAs(t *testing.T, store *state.Store, tenant, id string, at clock.ClusterTime, step job.Step) {
 	t.Helper()
 	step.Name = "s"
@@ -32,7 +32,8 @@
 	apply(t, store, &state.Command{At: at, SubmitJob: &state.SubmitJob{Key: identifier.JobKey("q/" + id), Spec: spec}})
 }
 
-// TestPlansKeepQuotas: a plan places no more of a tenant than its quota admits, a gang as one, and the work of others behind it goes on.
+// TestPlansKeepQuotas checks that a plan places no more work of a tenant than its quota admits,
+// counting a gang as a whole, and still places work of other tenants submitted later.
 func TestPlansKeepQuotas(t *testing.T) {
 	store := newTenantStore(t, 8,
 		catalog.Tenant{Name: "small", Weight: 1 << 30, Quota: catalog.Quota{MilliCores: 5000}},
@@ -50,16 +51,17 @@
 		t.Errorf("the tenant without one uses %d", used)
 	}
 	if reason := plan.Reasons["q/gang"][0]; reason != reasonQuota {
-		t.Errorf("the gang waits because %q", reason)
+		t.Errorf("the gang is pending because %q", reason)
 	}
 	endLeases(t, store, state.OutcomeSuccess, keepNone)
 	scheduleAndPlace(t, store)
 	if used := store.TenantUse("small").CPU(); used != 4000 {
-		t.Errorf("after the first ends it uses %d", used)
+		t.Errorf("after the first tasks end it uses %d", used)
 	}
 }
 
-// TestExcessWorkWaits: while runners are full, what a tenant hands in beyond its weight waits behind the work of others.
+// TestExcessWorkWaits checks that while the runners are full, work that a tenant submits beyond
+// its weight is placed after the work of other tenants.
 func TestExcessWorkWaits(t *testing.T) {
 	store := newTenantStore(t, 1,
 		catalog.Tenant{Name: "hot", Weight: 1000},
--- a/internal/scheduler/trial_test.go
+++ b/internal/scheduler/trial_test.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/scheduler/policy"
 )
 
-// TestTrialEndsWithSuccesses: a runner on trial gets one task at a time, and more at once the
-// more have succeeded there in a row.
+// TestTrialEndsWithSuccesses checks that a runner on trial is given one task at a time at
+// first, and that its task limit grows with consecutive successes.
 func TestTrialEndsWithSuccesses(t *testing.T) {
 	for _, c := range []struct{ streak, want int }{{0, 1}, {1, 1}, {4, 4}, {100, 8}} {
 		store := newQueueStore(t, 9)
