--- a/internal/gateway/authentication_test.go
+++ b/internal/gateway/authentication_test.go
@@ -16,7 +16,7 @@
 	unknownKey catalog.APIKey = "foreign-key"
 )
 
-// newTenantLeader is a leader with a queue that asks for keys, q00000, and one that doesn't.
+// newTenantLeader returns a leader with a protected queue, q00000, and an unprotected one.
 func newTenantLeader(t *testing.T) *fakeLeader {
 	t.Helper()
 	leader := newFakeLeader(t, 2)
@@ -26,7 +26,7 @@
 	return leader
 }
 
-// setKeys gives the only tenant these keys and no others.
+// setKeys replaces the keys of the only tenant.
 func (l *fakeLeader) setKeys(keys ...catalog.APIKey) {
 	l.table.Epoch++
 	l.table.Version++
@@ -39,7 +39,8 @@
 	l.history.CatalogChanged(l.table)
 }
 
-// sendForQueue sends the gateway a request for a queue with a key.
+// sendForQueue sends the gateway a request for a queue with an API key, and with a forged
+// digest in its query.
 func (l *fakeLeader) sendForQueue(id uint64, queue string, key catalog.APIKey) Output {
 	l.gateway.HandleRequest(Request{
 		ID: id, Method: http.MethodGet, Path: "/v1/states/a/b", Budget: 3000, Queue: queue, Credential: key,
@@ -48,7 +49,8 @@
 	return l.gateway.TakeOutput()
 }
 
-// TestOnlyHeldKeysAreForwarded guards against requests that pass with a key that nobody holds, or pass on the key itself.
+// TestOnlyHeldKeysAreForwarded checks that a request for a protected queue is forwarded only
+// with the key of a tenant, and that the key itself is not forwarded.
 func TestOnlyHeldKeysAreForwarded(t *testing.T) {
 	leader := newTenantLeader(t)
 	for _, key := range []catalog.APIKey{"", unknownKey, "forged"} {
@@ -57,17 +59,18 @@
 		}
 		attempt := mustForward(t, leader.sendForQueue(2, "q00001", key))
 		if strings.Contains(attempt.Query, endpoint.CredentialParam) {
-			t.Errorf("keyless queue: passed on with %s", attempt.Query)
+			t.Errorf("keyless queue: forwarded with query %s", attempt.Query)
 		}
 	}
 	attempt := mustForward(t, leader.sendForQueue(3, "q00000", tenantKey))
 	digest := string(tenantKey.Digest(leader.table.KeySalt))
 	if attempt.Query != endpoint.CredentialParam+"="+digest {
-		t.Errorf("passed on with %s", attempt.Query)
+		t.Errorf("forwarded with query %s", attempt.Query)
 	}
 }
 
-// TestStaleKeysAreCheckedAgain guards against a key that is served although it was taken away meanwhile.
+// TestStaleKeysAreCheckedAgain checks that a request is refused if its key was revoked while
+// the request was in flight.
 func TestStaleKeysAreCheckedAgain(t *testing.T) {
 	leader := newTenantLeader(t)
 	attempt := mustForward(t, leader.sendForQueue(1, "q00000", tenantKey))
@@ -79,7 +82,8 @@
 	mustForward(t, leader.sendForQueue(2, "q00000", unknownKey))
 }
 
-// TestUnknownKeyWhileBehind guards against a key that is refused for good by a gateway that has yet to learn of it.
+// TestUnknownKeyWhileBehind checks that a gateway whose table is behind refuses an unknown key
+// only temporarily, because the newer table may contain it.
 func TestUnknownKeyWhileBehind(t *testing.T) {
 	leader := newTenantLeader(t)
 	leader.gateway.routing.recordLeaderEpoch(leader.gateway.Epoch()+1, leader.now)
@@ -88,7 +92,8 @@
 	}
 }
 
-// TestUnauthorizedAfterUnknownOutcome guards against a refusal of a job that an earlier try may have handed in.
+// TestUnauthorizedAfterUnknownOutcome checks that a job is not answered with 401 if an earlier
+// attempt may have submitted it.
 func TestUnauthorizedAfterUnknownOutcome(t *testing.T) {
 	leader := newTenantLeader(t)
 	body := []byte(`{"queue":"q00000","steps":[{"name":"s"}]}`)
@@ -105,7 +110,8 @@
 	}
 }
 
-// TestRefusalsCountedByCause guards against refused keys that no metric shows, or shows under another cause.
+// TestRefusalsCountedByCause checks that requests refused for their key are counted under the
+// right cause.
 func TestRefusalsCountedByCause(t *testing.T) {
 	leader := newTenantLeader(t)
 	leader.sendForQueue(1, "q00000", "")
@@ -120,11 +126,12 @@
 	}
 }
 
-// TestForgedDigestIsDropped guards against a digest that a client sends itself with a request for no queue.
+// TestForgedDigestIsDropped checks that a digest sent by a client is removed from a request
+// that is for no queue.
 func TestForgedDigestIsDropped(t *testing.T) {
 	leader := newTenantLeader(t)
 	attempt := mustForward(t, leader.sendForQueue(1, "", ""))
 	if attempt.Query != "" {
-		t.Errorf("passed on with %s", attempt.Query)
+		t.Errorf("forwarded with query %s", attempt.Query)
 	}
 }
--- a/internal/gateway/checked_again_test.go
+++ b/internal/gateway/checked_again_test.go
@@ -9,7 +9,8 @@
 
 const threeTasks = `{"pending":"default","steps":[{"name":"s","tasks":3}]}`
 
-// secondAttempt is the second attempt of a job of which the first may have been taken.
+// secondAttempt returns the second attempt of a job submission whose first attempt may have
+// been accepted.
 func secondAttempt(t *testing.T, g *Gateway) *wire.Request {
 	t.Helper()
 	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: []byte(threeTasks), Budget: 3000}, 1100)
@@ -19,7 +20,8 @@
 	return mustForward(t, g.TakeOutput())
 }
 
-// TestTakenJobNotRefusedByNewerTable guards against a refusal by a newer table of a job that may have been taken.
+// TestTakenJobNotRefusedByNewerTable checks that a job that may have been accepted is not
+// refused because a newer table forbids it.
 func TestTakenJobNotRefusedByNewerTable(t *testing.T) {
 	g := newReadyGateway(t)
 	second := secondAttempt(t, g)
@@ -29,7 +31,8 @@
 	}
 }
 
-// TestTakenJobNotUnauthenticated guards against a 401 for a job that may have been taken while its key was known.
+// TestTakenJobNotUnauthenticated checks that a job that may have been accepted while its key
+// was valid is not answered with 401.
 func TestTakenJobNotUnauthenticated(t *testing.T) {
 	g := newReadyGateway(t)
 	respond(g, secondAttempt(t, g), wire.Response{Status: http.StatusUnauthorized}, 1240)
@@ -38,7 +41,8 @@
 	}
 }
 
-// TestRetryNotStampedWithUncheckedTable guards against a retry that passes for checked by a table that forbids it.
+// TestRetryNotStampedWithUncheckedTable checks that a retry does not carry the epoch of a newer
+// table against which the request was not checked, and which forbids it.
 func TestRetryNotStampedWithUncheckedTable(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: []byte(threeTasks), Budget: 3000}, 1100)
@@ -51,11 +55,12 @@
 	g.Tick(1220)
 	output := g.TakeOutput()
 	if retry := forwarded(output); retry != nil && retry.Epoch == 6 {
-		t.Errorf("passed on as checked by epoch %d, which forbids it", retry.Epoch)
+		t.Errorf("forwarded as checked against epoch %d, which forbids it", retry.Epoch)
 	}
 }
 
-// TestTakenJobNotRefusedForItsKey guards against a 401 by the gateway's newer table for a job that may have been taken.
+// TestTakenJobNotRefusedForItsKey checks that a job that may have been accepted is not answered
+// with 401 because the gateway's newer table lacks its key.
 func TestTakenJobNotRefusedForItsKey(t *testing.T) {
 	leader := newTenantLeader(t)
 	body := []byte(`{"queue":"q00000","steps":[{"name":"s"}]}`)
--- a/internal/gateway/fake_leader_test.go
+++ b/internal/gateway/fake_leader_test.go
@@ -22,13 +22,13 @@
 	table   routing.Table
 	history *routing.History
 	now     clock.Monotonic
-	// syncs counts the syncs answered, and largestBody is the size of the largest answer.
+	// syncs counts the answered syncs; largestBody is the size of the largest response.
 	syncs       int
 	largestBody int
 }
 
-// newFakeLeader is a leader whose table has routes of so many queues, and a gateway that
-// has yet to sync with it.
+// newFakeLeader returns a leader whose table has routes to the given number of queues, and a
+// gateway that has not yet synced that table.
 func newFakeLeader(t *testing.T, queues int) *fakeLeader {
 	t.Helper()
 	l := &fakeLeader{t: t, gateway: newReadyGateway(t), now: readyAt}
@@ -41,7 +41,7 @@
 	return l
 }
 
-// moveQueue gives one queue another prefix.
+// moveQueue changes the prefix of one queue.
 func (l *fakeLeader) moveQueue(name, prefix string) {
 	l.table.Epoch++
 	l.table.Version++
@@ -77,7 +77,7 @@
 	}
 	number, err := strconv.ParseUint(query.Get(routing.SyncSinceParam), 10, 64)
 	if err != nil {
-		l.t.Fatalf("synced with %s", request.Query)
+		l.t.Fatalf("sync with malformed query %s", request.Query)
 	}
 	since := identifier.Epoch(number)
 	after := query.Get(routing.SyncAfterParam)
@@ -91,7 +91,7 @@
 	respond(l.gateway, request, wire.Response{Status: http.StatusOK, Body: body}, l.now)
 }
 
-// run lets time pass, with the gateway's syncs answered.
+// run advances the time by span and answers the gateway's syncs.
 func (l *fakeLeader) run(span clock.Monotonic) {
 	l.t.Helper()
 	for end := l.now + span; l.now < end; l.now += clock.Monotonic(TickInterval) {
@@ -107,12 +107,13 @@
 	return mustForward(l.t, l.gateway.TakeOutput())
 }
 
-// respondStale returns an attempt as checked by a stale table.
+// respondStale responds to an attempt that it was checked against a stale table.
 func (l *fakeLeader) respondStale(attempt *wire.Request, body []byte) {
 	respond(l.gateway, attempt, wire.Response{Status: http.StatusConflict, Stale: true, Body: body}, l.now)
 }
 
-// stalePage is the body of a stale response with what changed since an attempt.
+// stalePage returns the body of a stale response with the changes since the epoch of an
+// attempt.
 func (l *fakeLeader) stalePage(attempt *wire.Request) []byte {
 	l.t.Helper()
 	page := l.history.Page(attempt.Epoch, "")
--- a/internal/gateway/gateway_fixture_test.go
+++ b/internal/gateway/gateway_fixture_test.go
@@ -17,13 +17,14 @@
 const (
 	leaderNode identifier.Node = 7
 	leaderAddr                 = "k"
-	// readyAt is when a gateway of newReadyGateway last heard the leader.
+	// readyAt is when a gateway of newReadyGateway last had contact with the leader.
 	readyAt clock.Monotonic = 1000
 	jobPath                 = "/v1/jobs/a/b"
 	jobBody                 = `{"pending":"default","steps":[{"name":"s"}]}`
 )
 
-// newReadyGateway is a gateway in touch with a leader, whose routing table has epoch 1.
+// newReadyGateway returns a gateway that has synced with a leader and has a routing table of
+// epoch 1.
 func newReadyGateway(t *testing.T) *Gateway {
 	t.Helper()
 	g := New(Config{Addr: "g", HTTP: "g", Domain: "north", Seeds: []string{leaderAddr}}, 0)
@@ -48,7 +49,7 @@
 	}
 	g.TakeOutput()
 	if !g.Ready(readyAt) {
-		t.Fatal("the gateway is not in touch with the leader")
+		t.Fatal("the gateway has no contact with the leader")
 	}
 	return g
 }
@@ -62,7 +63,7 @@
 	return text
 }
 
-// respond answers an attempt as the leader.
+// respond passes in the leader's response to an attempt.
 func respond(g *Gateway, attempt *wire.Request, response wire.Response, now clock.Monotonic) {
 	response.ID = attempt.ID
 	g.HandleMessage(leaderAddr, wire.Message{Response: &response}, now)
@@ -73,7 +74,7 @@
 	return request != nil && request.Method == endpoint.MethodSync
 }
 
-// forwarded is the last request that a gateway passed on, nil if there is none.
+// forwarded returns the last request that a gateway forwarded, or nil if there is none.
 func forwarded(output Output) *wire.Request {
 	var last *wire.Request
 	for _, envelope := range output.Messages {
@@ -84,23 +85,23 @@
 	return last
 }
 
-// mustForward is forwarded where there must be a request.
+// mustForward returns the last forwarded request and fails the test if there is none.
 func mustForward(t *testing.T, output Output) *wire.Request {
 	t.Helper()
 	request := forwarded(output)
 	if request == nil {
-		t.Fatal("not passed on")
+		t.Fatal("no request was forwarded")
 	}
 	return request
 }
 
-// answeredOnly reports whether an output answers one request, with this status.
+// answeredOnly reports whether an output holds exactly one response, with this status.
 func answeredOnly(output Output, status int) bool {
 	return len(output.Responses) == 1 && output.Responses[0].Status == status
 }
 
-// answeredWithRetry reports whether an output answers one request, with this status and a
-// time to come back.
+// answeredWithRetry reports whether an output holds exactly one response, with this status
+// and a retry delay.
 func answeredWithRetry(output Output, status int) bool {
 	return answeredOnly(output, status) && output.Responses[0].RetryAfter != 0
 }
--- a/internal/gateway/requests_test.go
+++ b/internal/gateway/requests_test.go
@@ -8,36 +8,37 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestContactLossAnswersImmediately checks that a request which can't be passed on, or whose
-// response is no longer expected, is answered at once and not when its budget is used up.
+// TestContactLossAnswersImmediately checks that a request that can't be forwarded, or whose
+// response is no longer expected, is answered immediately and not when its budget is used
+// up.
 func TestContactLossAnswersImmediately(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodGet, Path: "/v1/table", Budget: 30000}, 1100)
 	mustForward(t, g.TakeOutput())
 	g.Tick(2000)
 	if output := g.TakeOutput(); !answeredWithRetry(output, http.StatusServiceUnavailable) {
-		t.Errorf("out of touch, with 29 s of budget left: %+v", output.Responses)
+		t.Errorf("contact lost, with 29 s of budget left: %+v", output.Responses)
 	}
 	g.HandleRequest(Request{ID: 2, Method: http.MethodGet, Path: "/v1/table", Budget: 30000}, 2100)
 	if output := g.TakeOutput(); !answeredOnly(output, http.StatusServiceUnavailable) {
-		t.Errorf("asked while out of touch: %+v", output.Responses)
+		t.Errorf("requested without contact: %+v", output.Responses)
 	}
 }
 
-// TestUnknownOutcomeIsTimeout checks that a request which a server may have taken fails
-// with 504: 503 says that nothing was taken.
+// TestUnknownOutcomeIsTimeout checks that a request that a server may have accepted fails with
+// 504, because 503 states that it was not accepted.
 func TestUnknownOutcomeIsTimeout(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: []byte(jobBody), Budget: 30000}, 1100)
 	mustForward(t, g.TakeOutput())
 	g.Tick(2000)
 	if output := g.TakeOutput(); !answeredWithRetry(output, http.StatusGatewayTimeout) {
-		t.Errorf("passed on, then out of touch: %+v", output.Responses)
+		t.Errorf("forwarded, then contact lost: %+v", output.Responses)
 	}
 }
 
-// TestRefusedAttemptsAreUnavailable checks that a request which no server took fails with
-// 503, also when its first attempt went to a server that does not lead.
+// TestRefusedAttemptsAreUnavailable checks that a request that no server accepted fails with
+// 503, even if its first attempt was sent to a server that is not the leader.
 func TestRefusedAttemptsAreUnavailable(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: []byte(jobBody), Budget: 30000}, 1100)
@@ -59,16 +60,16 @@
 	g.TakeOutput()
 	g.Tick(1390)
 	if output := g.TakeOutput(); len(output.Responses) > 0 {
-		t.Errorf("before its time: %+v", output.Responses)
+		t.Errorf("before the deadline: %+v", output.Responses)
 	}
 	g.Tick(1400)
 	if output := g.TakeOutput(); !answeredOnly(output, http.StatusGatewayTimeout) {
-		t.Errorf("after its time: %+v", output.Responses)
+		t.Errorf("after the deadline: %+v", output.Responses)
 	}
 }
 
-// TestInFlightBytesBounded checks that the bodies of requests in flight are bounded by
-// their bytes, and are no longer counted once the requests are gone.
+// TestInFlightBytesBounded checks that the total size of the bodies of requests in flight is
+// bounded, and that bodies are no longer counted once their requests are forgotten.
 func TestInFlightBytesBounded(t *testing.T) {
 	const requests = 80
 	g := newReadyGateway(t)
@@ -89,19 +90,19 @@
 		g.Forget(id)
 	}
 	if g.requests.bytes != 0 || g.InFlight() != 0 {
-		t.Errorf("all requests are gone, and %d bytes are counted", g.requests.bytes)
+		t.Errorf("all requests are forgotten, but %d bytes are counted", g.requests.bytes)
 	}
 }
 
-// TestResponseFromOtherServer checks that a response counts only from the server that was
-// asked, and only for the last attempt.
+// TestResponseFromOtherServer checks that a response is accepted only from the server to which
+// the request was sent, and only for the last attempt.
 func TestResponseFromOtherServer(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodGet, Path: "/v1/table", Budget: 3000}, 1100)
 	first := mustForward(t, g.TakeOutput())
 	g.HandleMessage("k2", wire.Message{Response: &wire.Response{ID: first.ID, Status: http.StatusOK}}, 1110)
 	if output := g.TakeOutput(); len(output.Responses) != 0 {
-		t.Errorf("took the reply of one that was not asked: %+v", output.Responses)
+		t.Errorf("accepted the response of another server: %+v", output.Responses)
 	}
 
 	respond(g, first, wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}, 1120)
@@ -112,7 +113,7 @@
 	}
 	respond(g, first, wire.Response{Status: http.StatusOK, Body: []byte("first")}, 1260)
 	if output := g.TakeOutput(); len(output.Responses) != 0 {
-		t.Errorf("took the response to an attempt that has ended: %+v", output.Responses)
+		t.Errorf("accepted the response to an ended attempt: %+v", output.Responses)
 	}
 	respond(g, second, wire.Response{Status: http.StatusOK, Body: []byte("second")}, 1270)
 	if output := g.TakeOutput(); len(output.Responses) != 1 || string(output.Responses[0].Body) != "second" {
@@ -120,8 +121,9 @@
 	}
 }
 
-// TestExpiredOrderSentAgain checks that an order whose age the leader could not tell is
-// sent again at once, with the reading that came back, but not after its budget.
+// TestExpiredOrderSentAgain checks that an order that the leader rejected as expired, because
+// it could not tell the order's age, is sent again immediately with the leader time from the
+// response, but not after its budget is used up.
 func TestExpiredOrderSentAgain(t *testing.T) {
 	g := newReadyGateway(t)
 	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: "/v1/closings/east", Budget: 900}, 1100)
@@ -140,13 +142,13 @@
 	respond(g, second, wire.Response{Status: http.StatusServiceUnavailable, Expired: true, RetryAfter: 200}, 2000)
 	output := g.TakeOutput()
 	if forwarded(output) != nil || !answeredWithRetry(output, http.StatusServiceUnavailable) {
-		t.Errorf("past its budget: %+v, %+v", forwarded(output), output.Responses)
+		t.Errorf("after its budget: %+v, %+v", forwarded(output), output.Responses)
 	}
 }
 
-// TestDeposedLeaderRetriedIfIdempotent checks that a request whose outcome a deposed
-// leader does not know is sent to the next leader if it is idempotent, and answered as
-// unknown otherwise.
+// TestDeposedLeaderRetriedIfIdempotent checks that a request whose outcome a deposed leader
+// does not know is sent to the next leader if it is idempotent, and answered with 504
+// otherwise.
 func TestDeposedLeaderRetriedIfIdempotent(t *testing.T) {
 	for path, idempotent := range map[string]bool{jobPath: true, "/v1/closings/east": false} {
 		g := newReadyGateway(t)
@@ -165,9 +167,9 @@
 	}
 }
 
-// TestAbandonedOrderIsWithdrawn checks that an order without a number is withdrawn from the
-// server that has it, once its caller has hung up or its time is over, and that requests
-// whose copies are known again are not.
+// TestAbandonedOrderIsWithdrawn checks that an order to start or end a drain is withdrawn from
+// the server it was sent to once its caller has disconnected or its budget is used up, and
+// that requests whose copies can be recognized are not withdrawn.
 func TestAbandonedOrderIsWithdrawn(t *testing.T) {
 	const budget = 700
 	for _, test := range []struct {
@@ -177,11 +179,11 @@
 		abandon func(g *Gateway)
 		want    bool
 	}{
-		{"drain, hung up", http.MethodPut, "/v1/closings/east", func(g *Gateway) { g.Forget(1) }, true},
-		{"drain, out of time", http.MethodPut, "/v1/closings/east", func(g *Gateway) { g.Tick(1100 + budget) }, true},
-		{"reopening, hung up", http.MethodDelete, "/v1/closings/east", func(g *Gateway) { g.Forget(1) }, true},
-		{"job, hung up", http.MethodPut, jobPath, func(g *Gateway) { g.Forget(1) }, false},
-		{"read, hung up", http.MethodGet, "/v1/closings", func(g *Gateway) { g.Forget(1) }, false},
+		{"drain, caller disconnected", http.MethodPut, "/v1/closings/east", func(g *Gateway) { g.Forget(1) }, true},
+		{"drain, budget used up", http.MethodPut, "/v1/closings/east", func(g *Gateway) { g.Tick(1100 + budget) }, true},
+		{"reopening, caller disconnected", http.MethodDelete, "/v1/closings/east", func(g *Gateway) { g.Forget(1) }, true},
+		{"job, caller disconnected", http.MethodPut, jobPath, func(g *Gateway) { g.Forget(1) }, false},
+		{"read, caller disconnected", http.MethodGet, "/v1/closings", func(g *Gateway) { g.Forget(1) }, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			g := newReadyGateway(t)
@@ -202,14 +204,14 @@
 	}
 }
 
-// TestTimeWaitedCounts checks that what a request has waited before it came in is taken
-// from its caller's time, and that one whose caller waits no more is refused.
+// TestTimeWaitedCounts checks that the time that a request waited in the process is subtracted
+// from its budget, and that a request without time left is refused.
 func TestTimeWaitedCounts(t *testing.T) {
 	g := newReadyGateway(t)
 	order := Request{ID: 1, Method: http.MethodPut, Path: "/v1/closings/east", Budget: 700, Waited: 500}
 	g.HandleRequest(order, 1100)
 	if request := mustForward(t, g.TakeOutput()); request.Budget != 200 {
-		t.Errorf("passed on with %d ms, want 200", request.Budget)
+		t.Errorf("forwarded with a budget of %d ms, want 200", request.Budget)
 	}
 	order.ID, order.Waited = 2, 700
 	g.HandleRequest(order, 1100)
--- a/internal/gateway/stale_requests_test.go
+++ b/internal/gateway/stale_requests_test.go
@@ -11,8 +11,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// staleTable is the body of a stale response with a whole table, in which a job may have
-// so many tasks.
+// staleTable returns the body of a stale response with a full table, in which maxTasks limits
+// the tasks of a job.
 func staleTable(t *testing.T, epoch identifier.Epoch, maxTasks string) []byte {
 	t.Helper()
 	table := limits.Default()
@@ -20,8 +20,8 @@
 	return encode(t, routing.FullTable{Epoch: epoch, Rows: table.Rows})
 }
 
-// TestStaleRequestCheckedAgain checks that a request that met a newer table is checked by
-// that table and sent again, and that an older table which comes late never replaces it.
+// TestStaleRequestCheckedAgain checks that a request returned as stale is checked against the
+// newer table and sent again, and that an older table arriving late never replaces it.
 func TestStaleRequestCheckedAgain(t *testing.T) {
 	g := newReadyGateway(t)
 	respondStale := func(attempt *wire.Request, body []byte, now clock.Monotonic) {
@@ -31,7 +31,7 @@
 	g.HandleRequest(Request{ID: 1, Method: http.MethodPut, Path: jobPath, Body: body, Budget: 3000}, 1100)
 	attempt := mustForward(t, g.TakeOutput())
 	if attempt.Epoch != 1 {
-		t.Fatalf("passed on as %+v", attempt)
+		t.Fatalf("forwarded as %+v", attempt)
 	}
 
 	respondStale(attempt, staleTable(t, 5, "10"), 1150)
@@ -43,18 +43,18 @@
 
 	respondStale(attempt, staleTable(t, 4, "1"), 1160)
 	if g.Epoch() != 5 {
-		t.Errorf("the table slid back to %d", g.Epoch())
+		t.Errorf("the table went back to epoch %d", g.Epoch())
 	}
 	attempt = mustForward(t, g.TakeOutput())
 
 	respondStale(attempt, staleTable(t, 6, "2"), 1170)
 	if output := g.TakeOutput(); !answeredOnly(output, http.StatusUnprocessableEntity) {
-		t.Errorf("by a table that forbids it: %+v", output.Responses)
+		t.Errorf("under a table that forbids it: %+v", output.Responses)
 	}
 }
 
-// TestStaleRequestsShareOneSync checks that requests that met a newer table, whose changes
-// don't fit into the responses, wait while the gateway syncs once for all of them.
+// TestStaleRequestsShareOneSync checks that if many requests are returned as stale without the
+// changes to the table, they wait while the gateway syncs once for all of them.
 func TestStaleRequestsShareOneSync(t *testing.T) {
 	const requests = 50
 	leader := newFakeLeader(t, 3)
@@ -75,7 +75,7 @@
 				continue
 			}
 			if request.Epoch != leader.table.Epoch {
-				t.Errorf("sent again by the old table: %+v", request)
+				t.Errorf("sent again with the epoch of the old table: %+v", request)
 			}
 			sentAgain++
 		}
@@ -84,14 +84,14 @@
 		leader.respondStale(attempt, nil)
 		countSentAgain(g.TakeOutput())
 		if i == 0 && sentAgain > 0 {
-			t.Error("the first was sent again before there was a newer table")
+			t.Error("the first request was sent again before the gateway had the newer table")
 		}
 	}
 	if n := leader.syncs - syncsBefore; n < 1 || n > 3 {
 		t.Errorf("%d syncs for %d stale requests", n, requests)
 	}
 	if g.Epoch() != leader.table.Epoch {
-		t.Errorf("came to epoch %d of %d", g.Epoch(), leader.table.Epoch)
+		t.Errorf("at epoch %d, want %d", g.Epoch(), leader.table.Epoch)
 	}
 	leader.now += 100
 	g.Tick(leader.now)
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestStaleResponseWithPage checks that a small change that comes with the response itself
-// is taken from there.
+// TestStaleResponseWithPage checks that a small change contained in the stale response itself
+// is applied.
 func TestStaleResponseWithPage(t *testing.T) {
 	leader := newFakeLeader(t, 3)
 	leader.run(400)
@@ -111,12 +111,12 @@
 	leader.respondStale(first, leader.stalePage(first))
 	second := mustForward(t, leader.gateway.TakeOutput())
 	if second.Epoch != leader.table.Epoch {
-		t.Errorf("after the page it was sent as %+v", second)
+		t.Errorf("after the page was applied, sent as %+v", second)
 	}
 }
 
 // TestSecondResponseToStaleAttempt checks that a second response to an attempt that was
-// returned as stale counts for nothing, both during the next attempt and after it.
+// returned as stale is ignored, both during the next attempt and after it.
 func TestSecondResponseToStaleAttempt(t *testing.T) {
 	leader := newFakeLeader(t, 3)
 	g := leader.gateway
@@ -128,7 +128,7 @@
 
 	respond(g, first, wire.Response{Status: http.StatusOK, Body: []byte("first")}, leader.now)
 	if output := g.TakeOutput(); len(output.Responses) != 0 {
-		t.Errorf("the response to an attempt that is over was taken: %+v", output.Responses)
+		t.Errorf("the response to an ended attempt was accepted: %+v", output.Responses)
 	}
 	respond(g, second, wire.Response{Status: http.StatusOK, Body: []byte("second")}, leader.now)
 	if output := g.TakeOutput(); len(output.Responses) != 1 || string(output.Responses[0].Body) != "second" {
@@ -136,6 +136,6 @@
 	}
 	respond(g, first, wire.Response{Status: http.StatusOK, Body: []byte("first")}, leader.now)
 	if output := g.TakeOutput(); len(output.Responses) != 0 || len(g.requests.byAttempt) != 0 {
-		t.Errorf("after the answer: %+v, %d attempts are kept", output.Responses, len(g.requests.byAttempt))
+		t.Errorf("after the response: %+v, %d attempts are still recorded", output.Responses, len(g.requests.byAttempt))
 	}
 }
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -9,17 +9,17 @@
 	"orchidward/internal/transport/wire"
 )
 
-// testID is the number of the request in these tests, testPeer whom it is dispatched
-// for.
+// testID is the id of the request in these tests, testPeer the peer in whose name it is
+// dispatched.
 const (
 	testID             = 7
 	testPeer wire.Peer = "@7"
 )
 
-// repeatable is a request that may be dispatched again when its outcome is not known.
+// repeatable is a request that may be dispatched again if its outcome is unknown.
 var repeatable = gateway.Request{ID: testID, Method: "PUT", Path: "/v1/catalog", Budget: 3000}
 
-// singleRequest is a set with one request in it, dispatched at 1000 ms.
+// singleRequest is a set with a single request, dispatched at 1000 ms.
 type singleRequest struct {
 	*Requests
 	t         *testing.T
@@ -51,7 +51,7 @@
 	s.Complete(testPeer, &reply, now)
 }
 
-// wantDispatch wants the request to be dispatched once.
+// wantDispatch returns the only new dispatch and fails the test if there is not exactly one.
 func (s *singleRequest) wantDispatch() Dispatch {
 	s.t.Helper()
 	dispatches := s.TakeDispatches()
@@ -73,10 +73,10 @@
 	select {
 	case response := <-s.responses:
 		if response.ID != testID || response.Status != status {
-			s.t.Errorf("answered %+v, want %d", response, status)
+			s.t.Errorf("response %+v, want status %d", response, status)
 		}
 	default:
-		s.t.Errorf("no answer, want %d", status)
+		s.t.Errorf("no response, want %d", status)
 	}
 	s.wantEmpty()
 }
@@ -85,7 +85,7 @@
 	s.t.Helper()
 	select {
 	case response := <-s.responses:
-		s.t.Fatalf("answered %+v before its time", response)
+		s.t.Fatalf("unexpected response %+v", response)
 	default:
 	}
 }
@@ -93,12 +93,12 @@
 func (s *singleRequest) wantEmpty() {
 	s.t.Helper()
 	if s.Len() > 0 || s.bodyBytes != 0 {
-		s.t.Errorf("%d requests of %d bytes are still waiting", s.Len(), s.bodyBytes)
+		s.t.Errorf("%d requests of %d bytes are still pending", s.Len(), s.bodyBytes)
 	}
 }
 
-// TestReplyIsResponse: the reply to the request's own peer is its response, and no
-// other.
+// TestReplyIsResponse checks that only the reply to the request's own peer becomes its
+// response.
 func TestReplyIsResponse(t *testing.T) {
 	s := admit(t, 0)
 	s.Complete("@8", &wire.Response{ID: testID, Status: http.StatusInternalServerError}, 1010)
@@ -110,8 +110,9 @@
 	s.wantNoResponse()
 }
 
-// TestNotLeaderRetried: a dispatch that met no leader is made again after 100 ms with
-// what is left of the budget; when all of them did, the caller is told to come back.
+// TestNotLeaderRetried checks that a request that reached no leader is dispatched again after
+// 100 ms with the rest of its budget, and is answered with 503 if no dispatch reaches a
+// leader.
 func TestNotLeaderRetried(t *testing.T) {
 	notLeader := wire.Response{Status: http.StatusServiceUnavailable, NotLeader: true}
 	s := admit(t, 0)
@@ -132,8 +133,8 @@
 	s.wantResponse(http.StatusServiceUnavailable)
 }
 
-// TestNoReplyOutcomeUnknown: a dispatch that a leader was given and nothing came back
-// from leaves the outcome unknown, also when dispatches before it met none.
+// TestNoReplyOutcomeUnknown checks that a dispatch without a reply leaves the outcome unknown,
+// even if earlier dispatches reached no leader.
 func TestNoReplyOutcomeUnknown(t *testing.T) {
 	s := admit(t, 300)
 	s.Tick(1299, true)
@@ -148,7 +149,7 @@
 	s.wantResponse(http.StatusGatewayTimeout)
 }
 
-// TestForget: a request whose caller left is forgotten.
+// TestForget checks that a request whose caller has disconnected is dropped.
 func TestForget(t *testing.T) {
 	s := admit(t, 0)
 	s.Forget(testID)
@@ -157,7 +158,8 @@
 	s.wantEmpty()
 }
 
-// TestBounds: the set is bounded by requests and by the bytes of their bodies.
+// TestBounds checks that the set is bounded by the number of requests and by the bytes of their
+// bodies.
 func TestBounds(t *testing.T) {
 	tests := []struct {
 		name     string
@@ -185,9 +187,9 @@
 	}
 }
 
-// TestNoLeader: a request that finds no leader is answered at once, when it comes and
-// while it waits, and told when to come back; one that a leader may have carried out is
-// told that its outcome is not known.
+// TestNoLeader checks that a request is answered immediately with 503 and a retry delay if no
+// leader is known, on admission as well as while it is pending, and that a request that a
+// leader may have executed is answered with 504.
 func TestNoLeader(t *testing.T) {
 	var refusal gateway.Response
 	New().Admit(gateway.Request{ID: testID, Method: "GET", Path: "/v1/table", Budget: 3000}, func(response gateway.Response) { refusal = response }, 1000, false)
@@ -211,8 +213,8 @@
 	s.wantResponse(http.StatusGatewayTimeout)
 }
 
-// TestExpired: an order that a leader could not tell the age of is dispatched again at
-// once, a few times at most and only within its budget.
+// TestExpired checks that an order rejected as expired, because the leader could not tell its
+// age, is dispatched again immediately, at most maxExpired times and only within its budget.
 func TestExpired(t *testing.T) {
 	expired := wire.Response{Status: http.StatusServiceUnavailable, Expired: true, RetryAfter: 200}
 	s := admit(t, 3000)
@@ -231,8 +233,9 @@
 	s.wantResponse(http.StatusServiceUnavailable)
 }
 
-// TestOutcomeUnknownRepeated: what a leader does not know the outcome of is dispatched
-// again if it may be; what may have been carried out is never refused as not taken.
+// TestOutcomeUnknownRepeated checks that a request with an unknown outcome is dispatched again
+// if it is idempotent, and that a request that may have been executed is never answered with
+// a refusal.
 func TestOutcomeUnknownRepeated(t *testing.T) {
 	s := admitRequest(t, repeatable)
 	s.reply(wire.Response{Status: http.StatusGatewayTimeout}, 1010)
@@ -247,8 +250,9 @@
 	s.wantResponse(http.StatusGatewayTimeout)
 }
 
-// TestOrdersRefusedAfterStall: what is read right after this process stood still may be
-// as old as the pause was long, so that no order is taken then; reads are.
+// TestOrdersRefusedAfterStall checks that orders are refused right after a pause of the
+// process, because a request read then may be as old as the pause was long. Reads are still
+// accepted.
 func TestOrdersRefusedAfterStall(t *testing.T) {
 	requests := New()
 	for now := clock.Monotonic(0); now <= 1000; now += 20 {
@@ -268,21 +272,22 @@
 		requests.Tick(now, true)
 	}
 	if response := admitAt(3, "PUT", 9600); response.Status != 0 || requests.Len() != 2 {
-		t.Errorf("an order 600 ms after: %+v", response)
+		t.Errorf("an order 600 ms after the pause: %+v", response)
 	}
 }
 
-// TestAbandonedOrderIsWithdrawn: an order without a number is withdrawn from the server's
-// state machine once its caller has left or its time is over, and only then.
+// TestAbandonedOrderIsWithdrawn checks that an order to start or end a drain is withdrawn from
+// the server's state machine once its caller has disconnected or its budget is used up, and
+// only then.
 func TestAbandonedOrderIsWithdrawn(t *testing.T) {
 	for name, abandon := range map[string]func(s *singleRequest){
-		"its caller left":  func(s *singleRequest) { s.Forget(testID) },
-		"its time is over": func(s *singleRequest) { s.Tick(1900, true) },
+		"caller disconnected": func(s *singleRequest) { s.Forget(testID) },
+		"budget used up":      func(s *singleRequest) { s.Tick(1900, true) },
 	} {
 		s := admit(t, 900)
 		s.Tick(1800, true)
 		if early := s.TakeDispatches(); len(early) > 0 {
-			t.Errorf("%s: dispatched %+v before", name, early)
+			t.Errorf("%s: dispatched %+v too early", name, early)
 		}
 		abandon(s)
 		withdrawal := s.wantDispatch()
@@ -293,7 +298,7 @@
 	s := admitRequest(t, repeatable)
 	s.Forget(testID)
 	if list := s.TakeDispatches(); len(list) > 0 {
-		t.Errorf("a change with a number is withdrawn: %+v", list)
+		t.Errorf("a change that can be recognized when repeated is withdrawn: %+v", list)
 	}
 	s = admit(t, 900)
 	s.reply(wire.Response{Status: http.StatusOK}, 1010)
@@ -303,14 +308,14 @@
 	}
 }
 
-// TestTimeWaitedCounts: what a request has waited in the process before it was admitted is
-// taken from its caller's time.
+// TestTimeWaitedCounts checks that the time that a request waited in the process before its
+// admission is subtracted from its budget.
 func TestTimeWaitedCounts(t *testing.T) {
 	order := gateway.Request{ID: testID, Method: "PUT", Path: "/v1/closings/a", Budget: 700, Waited: 500}
 	requests := New()
 	requests.Admit(order, func(gateway.Response) {}, 1000, true)
 	if list := requests.TakeDispatches(); len(list) != 1 || list[0].Request.Budget != 200 {
-		t.Errorf("dispatched %+v, want it with 200 ms", list)
+		t.Errorf("dispatched %+v, want a budget of 200 ms", list)
 	}
 	order.Waited = 700
 	refused := 0
--- a/internal/prediction/prediction_test.go
+++ b/internal/prediction/prediction_test.go
@@ -8,11 +8,11 @@
 	"orchidward/internal/clock"
 )
 
-// near reports whether a value lies within a tenth of what is wanted.
+// near reports whether a value is within 10 % of the wanted one.
 func near(have, want float64) bool { return math.Abs(have-want) <= want/10 }
 
-// observeRuns observes runs of a queue that take about usual, each with an estimate that is
-// the run times a factor.
+// observeRuns records runs of a queue with log-normal run times around usual; each estimate is
+// the run time multiplied by a factor.
 func observeRuns(d *Durations, random *rand.Rand, count int, usual, spread float64, factor func() float64) {
 	for range count {
 		run := usual * math.Exp(spread*random.NormFloat64())
@@ -25,14 +25,14 @@
 	}
 }
 
-// TestPredictFollowsTheBetterPredictor: good estimates are followed, with their usual error
-// taken out; those that say nothing give way to the queue's usual run; before anything was
-// seen the estimate counts.
+// TestPredictFollowsTheBetterPredictor checks that good estimates are followed after correction
+// of their mean error, that uninformative estimates give way to the queue's mean run time,
+// and that without observations the estimate is the prediction.
 func TestPredictFollowsTheBetterPredictor(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
 	good := NewDurations()
 	if run, _ := good.Predict("q", 700); run != 700 {
-		t.Errorf("with nothing seen 700 ms are predicted as %d", run)
+		t.Errorf("without observations, an estimate of 700 ms is predicted as %d", run)
 	}
 	observeRuns(good, random, 300, 2000, 1, func() float64 { return 0.5 })
 	for _, estimate := range []clock.Millis{200, 1000, 5000} {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestDistantFactorIsObserved: how much longer tasks run away from their data is taken from
-// those that did, whatever is assumed at first.
+// TestDistantFactorIsObserved checks that the factor by which tasks run longer away from their
+// data is learned from such runs, whatever the initial estimate.
 func TestDistantFactorIsObserved(t *testing.T) {
 	random := rand.New(rand.NewSource(2))
 	for _, factor := range []float64{1, 3} {
@@ -69,7 +69,8 @@
 	}
 }
 
-// TestBoundedQueues: queues beyond the bound are predicted by their estimates.
+// TestBoundedQueues checks that the number of queues is bounded, and that tasks of further
+// queues are predicted by their estimates.
 func TestBoundedQueues(t *testing.T) {
 	d := NewDurations()
 	for i := range 2 * maxQueues {
@@ -83,8 +84,8 @@
 	}
 }
 
-// TestRate: a runner is slow if its runs are slower than those of the others; one run that
-// is badly predicted says little.
+// TestRate checks that a runner is rated slow if its runs are slower than those of the other
+// runners, and that a single poorly predicted run has little effect.
 func TestRate(t *testing.T) {
 	evidence := func(runs int, rate, deviation float64) Evidence {
 		var e Evidence
@@ -111,9 +112,9 @@
 		t.Errorf("one run that is badly predicted makes the rate %d", rate)
 	}
 	if nothing := (Evidence{}); nothing.Rate(common) != NominalRate {
-		t.Error("a runner without runs is not taken for a nominal one")
+		t.Error("a runner without runs does not have the nominal rate")
 	}
 	if alone := CommonLogRate([]Evidence{slow}); slow.Rate(alone) > 400 {
-		t.Errorf("a slow runner that is alone in running anything has the rate %d", slow.Rate(alone))
+		t.Errorf("the only runner with runs, a slow one, has the rate %d", slow.Rate(alone))
 	}
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -12,8 +12,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-// tableHistory is a table that changes, its history, and the routes of every table
-// that it was.
+// tableHistory is a changing table with its history and the routes of all its past versions.
 type tableHistory struct {
 	random     *rand.Rand
 	routes     map[string]catalog.Route
@@ -43,19 +42,19 @@
 
 func queueName(i int) string { return fmt.Sprintf("queue-%04d", i) }
 
-// setRoute adds a route to a queue, or changes it.
+// setRoute adds or changes the route of a queue.
 func (h *tableHistory) setRoute(name string) {
 	prefix := fmt.Sprintf("/%s/%d/", name, h.random.Intn(1000))
 	h.routes[name] = catalog.Route{Queue: name, Host: "host.example", Prefix: prefix}
 }
 
-// listRoutes puts the routes into the table and remembers them.
+// listRoutes updates the table's routes and records them for the table's epoch.
 func (h *tableHistory) listRoutes() {
 	h.table.Routes = slices.Collect(maps.Values(h.routes))
 	h.pastRoutes[h.table.Epoch] = maps.Clone(h.routes)
 }
 
-// changeOne makes one change of one route.
+// changeOne changes one route.
 func (h *tableHistory) changeOne(name string) {
 	h.table.Epoch++
 	h.setRoute(name)
@@ -63,7 +62,7 @@
 	h.history.CatalogChanged(h.table)
 }
 
-// changeRandomly makes one change of some routes, or of the rows.
+// changeRandomly makes a single change that affects either some routes or the rows.
 func (h *tableHistory) changeRandomly() {
 	h.table.Epoch++
 	if h.random.Intn(6) == 0 {
@@ -83,7 +82,7 @@
 	h.history.CatalogChanged(h.table)
 }
 
-// hadRouteSince reports whether some table from an epoch on had a route.
+// hadRouteSince reports whether some table at the given epoch or later had the route.
 func (h *tableHistory) hadRouteSince(route catalog.Route, from identifier.Epoch) bool {
 	for epoch := from; epoch <= h.table.Epoch; epoch++ {
 		if h.pastRoutes[epoch][route.Queue] == route {
@@ -93,7 +92,8 @@
 	return false
 }
 
-// fetchPage answers a replica's next request, with the page encoded as it travels.
+// fetchPage answers a replica's next request with a page that is encoded and decoded as on
+// the wire.
 func fetchPage(t *testing.T, h *History, r *Replica) (page Page, changed bool) {
 	t.Helper()
 	since, after := r.NextRequest()
@@ -126,10 +126,10 @@
 	return len(routes) == len(want)
 }
 
-// TestReplicaConverges: while the table goes on changing, a replica that asks for one
-// page after another, now and then of a new leader whose history is short, never goes
-// back, has only routes of tables between its own epoch and the newest, and has the
-// very table once the changes end.
+// TestReplicaConverges checks a replica that requests one page after another while the table
+// keeps changing, at times from a new leader with a short history: its epoch never
+// decreases, it holds only routes of tables between its own epoch and the newest one, and it
+// holds the exact table once the changes end.
 func TestReplicaConverges(t *testing.T) {
 	for seed := int64(1); seed <= 20; seed++ {
 		h := newTableHistory(seed, 400)
@@ -147,12 +147,12 @@
 				changes++
 			}
 			if r.Epoch() < epoch {
-				t.Fatalf("seed %d: went back from %d to %d", seed, epoch, r.Epoch())
+				t.Fatalf("seed %d: the epoch went back from %d to %d", seed, epoch, r.Epoch())
 			}
 			epoch = r.Epoch()
 			for _, route := range r.Routes() {
 				if !h.hadRouteSince(route, epoch) {
-					t.Fatalf("seed %d: at epoch %d it has %+v, which no table had since", seed, epoch, route)
+					t.Fatalf("seed %d: at epoch %d the replica has %+v, which no table has had since", seed, epoch, route)
 				}
 			}
 		}
@@ -160,24 +160,24 @@
 			fetchPage(t, h.history, r)
 		}
 		if r.Epoch() != h.table.Epoch || r.Version() != h.table.Version {
-			t.Fatalf("seed %d: came to epoch %d of %d, version %d of %d",
+			t.Fatalf("seed %d: at epoch %d, want %d; at version %d, want %d",
 				seed, r.Epoch(), h.table.Epoch, r.Version(), h.table.Version)
 		}
 		if !hasRoutes(r, h.routes) {
-			t.Fatalf("seed %d: %d routes, which are not the %d of the table", seed, len(r.Routes()), len(h.routes))
+			t.Fatalf("seed %d: the %d routes differ from the %d of the table", seed, len(r.Routes()), len(h.routes))
 		}
 		if got, want := r.Rows()["a"]["weight"], h.table.Rows["a"]["weight"]; got != want {
 			t.Fatalf("seed %d: weight %q in row a, want %q", seed, got, want)
 		}
 		if changes < 20 {
-			t.Errorf("seed %d: too little evidence: %d changes taken", seed, changes)
+			t.Errorf("seed %d: too few updates to be conclusive: %d", seed, changes)
 		}
 	}
 }
 
-// TestPatchSizeIndependentOfTable: what a gateway is sent for a change does not grow
-// with the table, many changes at once are sent as one, and a full table comes in
-// pages.
+// TestPatchSizeIndependentOfTable checks that the size of an update for one change does not
+// grow with the table, that many changes of one route are sent as one, and that a full table
+// is sent in pages.
 func TestPatchSizeIndependentOfTable(t *testing.T) {
 	for _, routes := range []int{3, 400, 1400, 10000} {
 		h := newTableHistory(7, routes)
@@ -210,8 +210,9 @@
 	}
 }
 
-// TestDroppedItemsBounded: however many routes come and go, what is remembered of them
-// is bounded; a replica from before the horizon gets the full table.
+// TestDroppedItemsBounded checks that the number of retained dropped items is bounded however
+// many routes are added and removed, and that a replica from before the horizon gets the full
+// table.
 func TestDroppedItemsBounded(t *testing.T) {
 	h := newTableHistory(3, 10)
 	r := &Replica{}
@@ -224,42 +225,42 @@
 		h.history.CatalogChanged(h.table)
 	}
 	if kept := len(h.history.items); kept > maxDroppedItems+20 {
-		t.Errorf("%d items are kept", kept)
+		t.Errorf("%d items are retained", kept)
 	}
 	if page, _ := fetchPage(t, h.history, r); page.Since != 0 || !hasRoutes(r, h.routes) {
 		t.Errorf("from before the horizon: since %d, %d routes", page.Since, len(r.Routes()))
 	}
 }
 
-// TestStalePagesIgnored: pages that come late, twice, or of another update change
-// nothing.
+// TestStalePagesIgnored checks that pages that arrive late or twice, or that belong to another
+// update, change nothing.
 func TestStalePagesIgnored(t *testing.T) {
 	h := newTableHistory(5, 1400)
 	r := &Replica{}
 	first := h.history.Page(0, "")
 	if r.AddPage(first, "") || !r.Updating() {
-		t.Fatal("a first page of several was the full table")
+		t.Fatal("the first of several pages was applied as the full table")
 	}
 	if r.AddPage(first, "") || r.AddPage(h.history.Page(0, queueName(1300)), queueName(1300)) {
-		t.Error("a page that was not asked for was taken")
+		t.Error("a page that was not requested was accepted")
 	}
 	for r.Updating() {
 		fetchPage(t, h.history, r)
 	}
 	if !hasRoutes(r, h.routes) {
-		t.Error("not the full table")
+		t.Error("the replica does not have the full table")
 	}
 	old := h.history.Page(1, "")
 	h.changeRandomly()
 	fetchPage(t, h.history, r)
 	epoch := r.Epoch()
 	if r.Patch(old) || r.Patch(Page{Since: epoch + 1, Epoch: epoch + 2}) || r.Epoch() != epoch {
-		t.Error("took an older page, or one from a later epoch")
+		t.Error("applied an older page, or one since a later epoch")
 	}
 }
 
-// TestTenantKeysConverge: whichever tenants and routes come, change and go, a replica that
-// catches up now and then has the keys and the routes of the newest table.
+// TestTenantKeysConverge checks that a replica that catches up occasionally has the keys and
+// routes of the newest table, whichever tenants and routes are added, changed and removed.
 func TestTenantKeysConverge(t *testing.T) {
 	h := newTableHistory(11, 30)
 	r := &Replica{}
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -49,7 +49,7 @@
 		original:    "if t.Epoch <= r.epoch {",
 		replacement: "if t.Epoch == 0 {",
 		tests:       packages("./internal/gateway"),
-		want:        "the table slid back",
+		want:        "the table went back",
 	},
 	{
 		name:        "abandoned requests are held back",
@@ -65,7 +65,7 @@
 		original:    "r.Method != http.MethodGet && (r.outcomeUnknown || r.attempt != 0)",
 		replacement: `r.Method == ""`,
 		tests:       test("./internal/gateway", "TestUnknownOutcomeIsTimeout"),
-		want:        "passed on, then out of touch",
+		want:        "forwarded, then contact lost",
 	},
 	{
 		name:        "stopped gateway drops connections",
@@ -105,7 +105,7 @@
 		original:    "if !ok || t.byID[id].to != from {",
 		replacement: "if !ok {",
 		tests:       test("./internal/gateway", "TestResponseFromOtherServer"),
-		want:        "took the reply of",
+		want:        "accepted the response of another server",
 	},
 	{
 		name:        "a leader that does not answer is waited for",
@@ -129,7 +129,7 @@
 		original:    "case after != wanted:",
 		replacement: "case after == wanted && false:",
 		tests:       test("./internal/routing", "TestStalePagesIgnored"),
-		want:        "that was not asked for",
+		want:        "that was not requested",
 	},
 	{
 		name:        "a page of a newer table ends the update at its epoch",
@@ -145,7 +145,7 @@
 		original:    "\tr.staleReturns++\n\tg.requests.endAttempt(r)\n",
 		replacement: "\tr.staleReturns++\n\tr.attempt = 0\n",
 		tests:       test("./internal/gateway", "TestSecondResponseToStaleAttempt"),
-		want:        "is over was taken",
+		want:        "an ended attempt was accepted",
 	},
 	{
 		name:        "every stale request asks",
@@ -293,6 +293,6 @@
 		original:    "case now >= q.deadline, !q.dispatched && !connected:",
 		replacement: "case now >= q.deadline:",
 		tests:       test("./internal/inflight", "TestNoLeader"),
-		want:        "no answer, want 503",
+		want:        "no response, want 503",
 	},
 }
--- a/tests/mutation/tenants.go
+++ b/tests/mutation/tenants.go
@@ -24,7 +24,7 @@
 		original:    "r.Query = withCredential(r.Query, digest)",
 		replacement: "r.Query = withCredential(r.Query, catalog.KeyDigest(r.Credential))",
 		tests:       test("./internal/gateway", "TestOnlyHeldKeysAreForwarded"),
-		want:        "passed on with",
+		want:        "forwarded with",
 	},
 	{
 		name:        "clients may send digests",
@@ -32,7 +32,7 @@
 		original:    "	r.Query = withCredential(r.Query, \"\")\n",
 		replacement: "",
 		tests:       test("./internal/gateway", "TestOnlyHeldKeysAreForwarded"),
-		want:        "keyless queue: passed on with",
+		want:        "keyless queue: forwarded with",
 	},
 	{
 		name:        "new key is refused for good by a gateway that is behind",
