--- a/internal/gateway/authentication_test.go
+++ b/internal/gateway/authentication_test.go
@@ -77,7 +77,7 @@
 	leader.setKeys(unknownKey)
 	leader.respondStale(attempt, leader.stalePage(attempt))
 	if output := leader.gateway.TakeOutput(); !answeredOnly(output, http.StatusUnauthorized) {
-		t.Errorf("a key that was taken away: %+v", output)
+		t.Errorf("a revoked key: %+v", output)
 	}
 	mustForward(t, leader.sendForQueue(2, "q00000", unknownKey))
 }
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -72,8 +72,8 @@
 	return &wire.Announcement{Role: wire.RoleGateway, Addr: g.config.Addr, Domain: g.config.Domain, HTTP: g.config.HTTP}
 }
 
-// syncIfDue sends a sync to the leader when due. If the previous sync timed out, it is sent
-// to another server.
+// syncIfDue syncs with the leader when due. If a sync times out, its server is marked as
+// failed and the next sync is sent to another server.
 func (g *Gateway) syncIfDue() {
 	sync := &g.sync
 	if sync.request != nil && g.now.Since(sync.request.sentAt) > syncTimeout {
--- a/internal/inflight/inflight_test.go
+++ b/internal/inflight/inflight_test.go
@@ -26,7 +26,7 @@
 	responses chan gateway.Response
 }
 
-// admit admits a request that may not be repeated.
+// admit admits a request that may not be dispatched again if its outcome is unknown.
 func admit(t *testing.T, budget clock.Millis) *singleRequest {
 	t.Helper()
 	return admitRequest(t, gateway.Request{ID: testID, Method: "PUT", Path: "/v1/closings/a", Body: []byte("{}"), Budget: budget})
--- a/internal/prediction/prediction_test.go
+++ b/internal/prediction/prediction_test.go
@@ -77,7 +77,7 @@
 		d.Observe(Run{Queue: string(rune('a' + i)), Estimate: 10, Duration: 20, RunnerRate: NominalRate})
 	}
 	if len(d.queues) > maxQueues {
-		t.Errorf("%d queues are remembered", len(d.queues))
+		t.Errorf("%d queues are recorded", len(d.queues))
 	}
 	if run, _ := d.Predict("another", 50); run != 50 {
 		t.Errorf("50 ms of an unknown queue are predicted as %d", run)
--- a/internal/scheduler/deferral_test.go
+++ b/internal/scheduler/deferral_test.go
@@ -33,7 +33,7 @@
 		{"room too late", 1000, 1200, 0, 1, 1},
 		{"waited too long", 1000, 300, 1000, 1, 1},
 		{"more tasks than room", 1000, 300, 0, 5, 2},
-		{"room at once elsewhere is as good", 1000, 970, 0, 1, 1},
+		{"immediate placement elsewhere is as good", 1000, 970, 0, 1, 1},
 		{"a long run waits for room soon", 20_000, 300, 0, 1, 0},
 		{"a long run does not wait for seconds", 20_000, 1600, 0, 1, 1},
 		{"a long run has waited for seconds", 20_000, 300, 1500, 1, 1},
--- a/internal/scheduler/headroom_test.go
+++ b/internal/scheduler/headroom_test.go
@@ -38,7 +38,7 @@
 	history.Update(store, view.Predict, 1002)
 	plan = Schedule(store, view, policy.NewCache())
 	if len(plan.Placements) != 4 || plan.Placements[0].Job != "q/urgent2" {
-		t.Fatalf("urgent work is not placed at once: %+v", plan.Placements)
+		t.Fatalf("urgent work is not placed immediately: %+v", plan.Placements)
 	}
 	history.Update(store, view.Predict, 60_000)
 	if plan = Schedule(store, view, policy.NewCache()); len(plan.Placements) != 4 {
--- a/internal/scheduler/schedule.go
+++ b/internal/scheduler/schedule.go
@@ -88,7 +88,7 @@
 	pools map[string][]*node
 	// queues caches the catalogue's queues that this cycle has looked up.
 	queues map[string]*catalog.Queue
-	// resourcesByPool has the aggregate resources of each pool.
+	// resourcesByPool holds the aggregate resources of each pool.
 	resourcesByPool map[string]*poolResources
 	// rowUse is the demand of each row's open leases and of its placements in this cycle.
 	rowUse map[identifier.Row]job.Demand
--- a/internal/scheduler/tenants_test.go
+++ b/internal/scheduler/tenants_test.go
@@ -75,7 +75,7 @@
 	for range 21 {
 		plan := scheduleAndPlace(t, store)
 		if len(plan.Placements) != 1 {
-			t.Fatalf("%d placed at once", len(plan.Placements))
+			t.Fatalf("%d placements in one cycle, want 1", len(plan.Placements))
 		}
 		order = append(order, plan.Placements[0].Job)
 		endLeases(t, store, state.OutcomeSuccess, keepNone)
--- a/tests/mutation/tenants.go
+++ b/tests/mutation/tenants.go
@@ -48,7 +48,7 @@
 		original:    "	if g.validate(r) {\n		g.forward(r)\n	}\n}\n\n// applyStaleTable",
 		replacement: "	g.forward(r)\n}\n\n// applyStaleTable",
 		tests:       test("./internal/gateway", "TestStaleKeysAreCheckedAgain"),
-		want:        "a key that was taken away",
+		want:        "a revoked key",
 	},
 	{
 		name:        "job that may be taken is refused for its key",
