--- a/internal/controlplane/run_progress.go
+++ b/internal/controlplane/run_progress.go
@@ -100,7 +100,7 @@
 			evidence = append(evidence, contact.agent.rateEvidence)
 		}
 	}
-	s.leader.commonRate = prediction.Common(evidence)
+	s.leader.commonRate = prediction.CommonLogRate(evidence)
 }
 
 // predictedRun returns how long an attempt was expected to run on a runner of the nominal
--- a/internal/scheduler/headroom.go
+++ b/internal/scheduler/headroom.go
@@ -9,31 +9,33 @@
 	"orchidward/internal/state"
 )
 
-// Work of a lower priority that runs long would otherwise take every free resource in a
-// burst, and more urgent short work that comes a moment later would wait for it to end, as
-// nothing that runs is preempted for a job of a queue. So it leaves free what more urgent and
-// much shorter work has lately had in use beyond what that has in use now. For urgent work
-// that runs as long as the other nothing is kept: room is as soon free again as it would be
-// used.
+// Without headroom, a burst of long-running, low-priority work would take every free
+// resource, and shorter, more urgent work arriving a moment later would wait for it to end,
+// because running tasks are never preempted for a job of a queue. Low-priority work therefore
+// leaves free the difference between the recent peak usage and the current usage of more
+// urgent and much shorter work. No headroom is kept for urgent work that runs about as long:
+// resources then become free as fast as that work would use them.
 
 const (
-	// usageMemory is the time in which a peak of usage fades to a third.
-	usageMemory clock.Millis = 10000
-	// headroomFrom is the share of a pool, in millionths, that must be in use before room is
-	// left free. Runners that get no work for the moment belong to the pool as well.
-	headroomFrom = 600_000
-	// maxPriorities bounds the priorities that usage is kept for; lower ones count as the
-	// last.
+	// usageDecayTime is the time constant of the exponential decay of a usage peak, which
+	// falls to about a third within it.
+	usageDecayTime clock.Millis = 10000
+	// headroomThreshold is the share of a pool, in millionths, that must be in use before
+	// headroom is kept. Runners that currently get no work still count towards the pool.
+	headroomThreshold = 600_000
+	// maxPriorities bounds the number of priorities that usage is tracked for; lower
+	// priorities count as the last of them.
 	maxPriorities = 8
-	// Runs are in classes of length, each twice as long as the one before, the first up to
-	// shortestRun; room is kept for those that are muchShorter classes shorter.
+	// Runs are grouped into length classes: the first holds runs shorter than shortestRun,
+	// and each further class covers runs twice as long as the one before. Headroom is kept
+	// for work that is at least minClassGap classes shorter.
 	lengthClasses              = 12
 	shortestRun   clock.Millis = 100
-	muchShorter                = 2
+	minClassGap                = 2
 )
 
-// usage is the demand in use by priority and length of run: of each priority and all above
-// it, that of each length and all below it.
+// usage is the demand in use, cumulated by priority and length class: each entry includes
+// all higher priorities and all shorter classes.
 type usage [maxPriorities][lengthClasses]job.Demand
 
 func priorityClass(priority int64) int { return int(min(max(priority, 0), maxPriorities-1)) }
@@ -43,7 +45,7 @@
 	return min(class, lengthClasses-1)
 }
 
-// accumulate turns the demand of single classes into that of all classes up to each.
+// accumulate turns the demand of individual classes into cumulative sums.
 func (u *usage) accumulate() {
 	for priority := range u {
 		for length := range u[priority] {
@@ -59,7 +61,7 @@
 	}
 }
 
-// add adds demand of one class to all that include it.
+// add adds the demand of one class to every entry that includes the class.
 func (u *usage) add(priority, length int, demand job.Demand) {
 	for p := priority; p < maxPriorities; p++ {
 		for l := length; l < lengthClasses; l++ {
@@ -68,24 +70,25 @@
 	}
 }
 
-// UsageHistory is what each pool lately had in use, by priority: a peak that fades. Its owner
-// keeps it from cycle to cycle. It holds the pools of the catalogue, which are bounded.
+// UsageHistory tracks the current usage and a decaying usage peak of each pool. The caller
+// keeps it from cycle to cycle. Its size is bounded by the number of pools in the
+// catalogue.
 type UsageHistory struct {
-	current map[string]*usage
-	peaks   map[string]*usage
-	at      clock.Monotonic
+	current   map[string]*usage
+	peaks     map[string]*usage
+	updatedAt clock.Monotonic
 }
 
-// NewUsageHistory returns one that knows nothing.
+// NewUsageHistory returns an empty history.
 func NewUsageHistory() *UsageHistory { return &UsageHistory{peaks: map[string]*usage{}} }
 
-// Update takes what is in use now, by runs as they are predicted.
+// Update records the current usage, classified by predicted run time, and decays the peaks.
 func (h *UsageHistory) Update(store *state.Store, predict RunPredictor, now clock.Monotonic) {
-	fade := math.Exp(-float64(now.Since(h.at)) / float64(usageMemory))
-	h.at = now
+	fade := math.Exp(-float64(now.Since(h.updatedAt)) / float64(usageDecayTime))
+	h.updatedAt = now
 	h.current = usageByPool(store, predict)
 	for pool, peak := range h.peaks {
-		peak.each(func(demand *job.Demand, _, _ int) { *demand = scaled(*demand, fade) })
+		peak.each(func(demand *job.Demand, _, _ int) { *demand = scaleDemand(*demand, fade) })
 		if h.current[pool] == nil && peak[maxPriorities-1][lengthClasses-1].CPU() == 0 {
 			delete(h.peaks, pool)
 		}
@@ -96,11 +99,11 @@
 			peak = &usage{}
 			h.peaks[pool] = peak
 		}
-		peak.each(func(demand *job.Demand, p, l int) { *demand = larger(*demand, use[p][l]) })
+		peak.each(func(demand *job.Demand, p, l int) { *demand = maxDemand(*demand, use[p][l]) })
 	}
 }
 
-// each visits the demand of all classes.
+// each calls visit for every entry.
 func (u *usage) each(visit func(demand *job.Demand, priority, length int)) {
 	for priority := range u {
 		for length := range u[priority] {
@@ -109,7 +112,7 @@
 	}
 }
 
-// usageByPool adds up the open leases of queues' jobs.
+// usageByPool returns the usage of each pool by the open leases of queue jobs.
 func usageByPool(store *state.Store, predict RunPredictor) map[string]*usage {
 	pools := map[string]*usage{}
 	for _, lease := range store.Leases {
@@ -132,7 +135,7 @@
 	return pools
 }
 
-func scaled(demand job.Demand, factor float64) job.Demand {
+func scaleDemand(demand job.Demand, factor float64) job.Demand {
 	return job.Demand{
 		MilliCores: int64(float64(demand.CPU()) * factor),
 		Mem:        int64(float64(demand.Mem) * factor),
@@ -140,7 +143,7 @@
 	}
 }
 
-func larger(a, b job.Demand) job.Demand {
+func maxDemand(a, b job.Demand) job.Demand {
 	return job.Demand{
 		MilliCores: max(a.CPU(), b.CPU()),
 		Mem:        max(a.Mem, b.Mem),
@@ -148,36 +151,37 @@
 	}
 }
 
-// poolRoom is what a cycle knows of a pool's resources in all: the capacity of its runners
-// that are not lost, what is free on those that may be given work, and what is in use.
-type poolRoom struct {
+// poolResources holds the aggregate resources of a pool: the capacity of its runners that
+// are not lost, the free resources of its schedulable runners, and the current and recent
+// peak usage.
+type poolResources struct {
 	capacity job.Demand
 	free     job.Demand
 	use      usage
 	peak     usage
 }
 
-// inUse is all that is in use.
-func (r *poolRoom) inUse() job.Demand { return r.use[maxPriorities-1][lengthClasses-1] }
+// inUse returns the total demand in use.
+func (r *poolResources) inUse() job.Demand { return r.use[maxPriorities-1][lengthClasses-1] }
 
-// newPoolRooms adds up the nodes of each pool.
-func newPoolRooms(store *state.Store, pools map[string][]*node, history *UsageHistory) map[string]*poolRoom {
-	rooms := map[string]*poolRoom{}
+// newPoolResources aggregates the nodes of each pool.
+func newPoolResources(store *state.Store, pools map[string][]*node, history *UsageHistory) map[string]*poolResources {
+	byPool := map[string]*poolResources{}
 	capacity := capacityByPool(store)
 	for pool, nodes := range pools {
-		room := &poolRoom{capacity: capacity[pool]}
+		resources := &poolResources{capacity: capacity[pool]}
 		for _, n := range nodes {
-			room.free = room.free.Plus(n.free)
+			resources.free = resources.free.Plus(n.free)
 		}
 		if use := history.current[pool]; use != nil {
-			room.use = *use
+			resources.use = *use
 		}
 		if peak := history.peaks[pool]; peak != nil {
-			room.peak = *peak
+			resources.peak = *peak
 		}
-		rooms[pool] = room
+		byPool[pool] = resources
 	}
-	return rooms
+	return byPool
 }
 
 func capacityByPool(store *state.Store) map[string]job.Demand {
@@ -190,26 +194,25 @@
 	return capacity
 }
 
-// leavesHeadroom reports whether a unit, whose tasks are predicted to run so long, leaves free
-// what more urgent and much shorter work has lately had in use beyond what it has now. In a
-// pool with much free room everything does. Services are held back for nobody: they are to
-// run whenever there is room for them.
-func (r *poolRoom) leavesHeadroom(u unit, run clock.Millis) bool {
+// leavesHeadroom reports whether placing a unit with the given predicted run time leaves
+// enough headroom for more urgent and much shorter work. In a pool below headroomThreshold
+// every unit does. Services are exempt: they run whenever there are resources for them.
+func (r *poolResources) leavesHeadroom(u unit, run clock.Millis) bool {
 	priority := priorityClass(u.job.Terms.Priority) - 1
-	length := lengthClass(run) - muchShorter
-	if priority < 0 || length < 0 || u.spec().Service || r.inUse().Share(r.capacity) < headroomFrom {
+	length := lengthClass(run) - minClassGap
+	if priority < 0 || length < 0 || u.spec().Service || r.inUse().Share(r.capacity) < headroomThreshold {
 		return true
 	}
-	kept := larger(r.peak[priority][length].Minus(r.use[priority][length]), job.Demand{})
+	headroom := maxDemand(r.peak[priority][length].Minus(r.use[priority][length]), job.Demand{})
 	free := r.free
 	for range u.taskNumbers {
 		free = free.Minus(u.spec().Demand)
 	}
-	return kept.Fits(free)
+	return headroom.Fits(free)
 }
 
-// take notes the placement of a unit.
-func (r *poolRoom) take(u unit, run clock.Millis) {
+// take accounts for the placement of a unit.
+func (r *poolResources) take(u unit, run clock.Millis) {
 	for range u.taskNumbers {
 		demand := u.spec().Demand
 		r.free = r.free.Minus(demand)
