--- a/internal/consensus/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// chaosMs is how long a group is exposed to faults, calmMs how long it then has
+	// chaosMs is how long a group is exposed to faults, recoveryMs how long it then has
 	// to recover.
-	chaosMs = 20000
-	calmMs  = 12000
+	chaosMs    = 20000
+	recoveryMs = 12000
 	// maxLagMs is how far behind a member may be after that, in ms of proposals.
 	maxLagMs = 8000
 )
 
 // evidence sums up what the runs of a test went through.
-type evidence struct {
+type runTotals struct {
 	lock     sync.Mutex
 	terms    int
 	counters counters
 }
 
-func (e *evidence) add(g *group) {
+func (e *runTotals) add(g *group) {
 	e.lock.Lock()
 	defer e.lock.Unlock()
 	e.terms += len(g.leaders)
@@ -38,9 +38,9 @@
 
 // runSeeds runs a simulation for each seed from 1 on, at the same time, reports
 // their failures and sums up what they went through.
-func runSeeds(t *testing.T, name string, seeds int, simulate func(seed int64) *group) *evidence {
+func runSeeds(t *testing.T, name string, seeds int, simulate func(seed int64) *group) *runTotals {
 	t.Helper()
-	sum := &evidence{}
+	sum := &runTotals{}
 	t.Run(name, func(t *testing.T) {
 		for seed := int64(1); seed <= int64(seeds); seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -113,7 +113,7 @@
 		g.startIfDown(h)
 	}
 	before := g.lastCommitted
-	g.advance(calmMs)
+	g.advance(recoveryMs)
 	leader := g.leader()
 	if leader == nil || g.lastCommitted < before+20 {
 		g.failf("without faults, the group does not go on: %d committed, then %d", before, g.lastCommitted)
--- a/internal/consensus/raft/large_entries_test.go
+++ b/internal/consensus/raft/large_entries_test.go
@@ -140,36 +140,36 @@
 			t.Parallel()
 			g := newLargeEntryGroup(t, int64(missed), 3<<20)
 			g.advance(4000)
-			late := g.firstFollower()
+			lagging := g.firstFollower()
 
-			late.crash()
+			lagging.crash()
 			for before := g.proposals; g.proposals < before+missed; {
 				g.advance(200)
 			}
-			g.start(late)
-			plainMs := g.catchUp(late, 12000)
+			g.start(lagging)
+			catchUpMs := g.catchUp(lagging, 12000)
 
-			late.crash()
+			lagging.crash()
 			g.advance(8000)
-			g.start(late)
+			g.start(lagging)
 			g.advance(1200)
 			g.restart(g.leader())
-			leaderGoneMs := g.catchUp(late, 20000)
+			leaderRestartMs := g.catchUp(lagging, 20000)
 
-			late.crash()
+			lagging.crash()
 			g.advance(8000)
-			g.start(late)
+			g.start(lagging)
 			g.advance(700)
-			late.crash()
+			lagging.crash()
 			g.advance(300)
-			g.start(late)
-			restartedMs := g.catchUp(late, 12000)
+			g.start(lagging)
+			restartedMs := g.catchUp(lagging, 12000)
 
 			for g.proposals < 2000 && missed > 1000 {
 				g.advance(1000)
 			}
 			t.Logf("away for %d entries: caught up in %d ms; with the leader gone midway %d ms; restarted midway %d ms",
-				missed, plainMs, leaderGoneMs, restartedMs)
+				missed, catchUpMs, leaderRestartMs, restartedMs)
 			t.Logf("%d entries, at most %d bytes kept", g.proposals, g.maxRetainedBytes)
 		})
 	}
@@ -186,14 +186,14 @@
 	for seed := int64(1); seed <= 6; seed++ {
 		g := newLargeEntryGroup(t, seed, 6<<20)
 		g.advance(4000)
-		late := g.firstFollower()
-		late.crash()
+		lagging := g.firstFollower()
+		lagging.crash()
 		g.advance(9000)
-		g.start(late)
+		g.start(lagging)
 		g.advance(300)
 		clear(g.transfers)
 		before := g.leader().raft.SnapshotIndex()
-		longestMs = max(longestMs, g.catchUp(late, 15000))
+		longestMs = max(longestMs, g.catchUp(lagging, 15000))
 		restarts += len(g.transfers) - 1
 		if g.leader().raft.SnapshotIndex() != before {
 			superseded++
--- a/internal/consensus/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -78,31 +78,31 @@
 // truncateFrom drops the entries from an index on.
 func (l *log) truncateFrom(index identifier.Index) { l.entries = l.entries[:index-l.base-1] }
 
-// retainFrom is the index up to which entries may be dropped, so that the tail
+// compactionIndex is the index up to which entries may be dropped, so that the tail
 // behind it is within the limit. oldestTransfer is the index of the oldest
 // snapshot that is being sent, or that of the newest snapshot when none is.
-func (l *log) retainFrom(limit tailLimit, oldestTransfer identifier.Index) identifier.Index {
-	var keep identifier.Index
+func (l *log) compactionIndex(limit tailLimit, oldestTransfer identifier.Index) identifier.Index {
+	var index identifier.Index
 	bytes := 0
-	for keep = l.snapshot.Index; keep > l.base; keep-- {
-		bytes += l.entries[keep-l.base-1].size()
-		inTail := l.snapshot.Index-keep < limit.entries && bytes <= limit.bytes
-		transferring := keep > oldestTransfer && bytes <= limit.transferBytes
+	for index = l.snapshot.Index; index > l.base; index-- {
+		bytes += l.entries[index-l.base-1].size()
+		inTail := l.snapshot.Index-index < limit.entries && bytes <= limit.bytes
+		transferring := index > oldestTransfer && bytes <= limit.transferBytes
 		if !inTail && !transferring {
 			break
 		}
 	}
-	return keep
+	return index
 }
 
-// dropTo drops the entries up to and with keep, which must not be past the
+// compactTo drops the entries up to and with index, which must not be past the
 // snapshot.
-func (l *log) dropTo(keep identifier.Index) {
-	term, ok := l.term(keep)
-	if !ok || keep <= l.base {
+func (l *log) compactTo(index identifier.Index) {
+	term, ok := l.term(index)
+	if !ok || index <= l.base {
 		return
 	}
-	l.entries = append([]Entry(nil), l.entries[keep-l.base:]...)
-	l.base = keep
+	l.entries = append([]Entry(nil), l.entries[index-l.base:]...)
+	l.base = index
 	l.baseTerm = term
 }
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -163,9 +163,9 @@
 // beside its own.
 func (r *Raft) ClusterTimeTerm() identifier.Term { return r.leadership.previousLogTerm }
 
-// CarryClusterTime sets the cluster time that this member would continue from,
+// SetClusterTime sets the cluster time that this member would continue from,
 // and the term of the entry that it has it from.
-func (r *Raft) CarryClusterTime(clusterTime clock.ClusterTime, term identifier.Term) {
+func (r *Raft) SetClusterTime(clusterTime clock.ClusterTime, term identifier.Term) {
 	r.evidence.clusterTime = clusterTime
 	r.evidence.clusterTimeTerm = term
 }
--- a/internal/consensus/raft/recovery_test.go
+++ b/internal/consensus/raft/recovery_test.go
@@ -76,15 +76,15 @@
 	for end := g.now + 4000; g.now < end; {
 		g.step(false)
 	}
-	away := g.randomVoters(2)
-	for _, h := range away {
+	down := g.randomVoters(2)
+	for _, h := range down {
 		h.crash()
 	}
 	for _, h := range stale {
 		g.start(h)
 	}
 	g.after(maxRecoveryMs+100, func() {
-		for _, h := range away {
+		for _, h := range down {
 			g.startIfDown(h)
 		}
 	})
--- a/internal/consensus/raft/rejoin_test.go
+++ b/internal/consensus/raft/rejoin_test.go
@@ -7,8 +7,8 @@
 	"orchidward/internal/clock"
 )
 
-// settle syncs the leader's writes and has member 2 acknowledge all of its log.
-func settle(r *Raft, now clock.Monotonic) {
+// syncAndAcknowledge syncs the leader's writes and has member 2 acknowledge all of its log.
+func syncAndAcknowledge(r *Raft, now clock.Monotonic) {
 	syncAll(r)
 	deliver(r, Message{Kind: AppendReply, From: 2, To: 1, Term: r.Term(), Index: r.LastIndex(), SentAt: now}, now)
 }
@@ -20,17 +20,17 @@
 	learner := Member{ID: 9}
 	r := newMember(1, 3)
 	now := elect(t, r)
-	settle(r, now)
+	syncAndAcknowledge(r, now)
 	if !r.ProposeMembers(append(threeVoters(), learner)) {
 		t.Fatal("the learner is not taken in")
 	}
-	settle(r, now)
+	syncAndAcknowledge(r, now)
 	if !r.ProposeMembers(threeVoters()) {
 		t.Fatal("the learner is not removed")
 	}
 	for end := now + awayFor; now < end; now += 100 {
 		r.Tick(now, 0)
-		settle(r, now)
+		syncAndAcknowledge(r, now)
 	}
 	if !r.ProposeMembers(append(threeVoters(), learner)) {
 		t.Fatal("the learner is not taken in again")
--- a/internal/consensus/raft/simulation_test.go
+++ b/internal/consensus/raft/simulation_test.go
@@ -18,8 +18,8 @@
 	maxLatencyMs = 30
 	// tickMs is how often a member is ticked.
 	tickMs = 20
-	// readyGap is how many entries a learner may be behind to be made a voter.
-	readyGap = 64
+	// maxLearnerLag is how many entries a learner may be behind to be made a voter.
+	maxLearnerLag = 64
 )
 
 // link is the way from one member to another.
@@ -120,20 +120,20 @@
 // takeArrived removes the messages that arrive now. Those to a paused process
 // wait for it.
 func (g *group) takeArrived() []Message {
-	travelling := g.network[:0]
+	inFlight := g.network[:0]
 	arrived := []Message{}
 	for _, t := range g.network {
 		if t.arrivesAt > g.now {
-			travelling = append(travelling, t)
+			inFlight = append(inFlight, t)
 			continue
 		}
 		if h := g.host(t.message.To); h.up && g.now < h.pausedUntil {
-			travelling = append(travelling, inTransit{h.pausedUntil, t.message})
+			inFlight = append(inFlight, inTransit{h.pausedUntil, t.message})
 			continue
 		}
 		arrived = append(arrived, t.message)
 	}
-	g.network = travelling
+	g.network = inFlight
 	return arrived
 }
 
@@ -234,5 +234,5 @@
 // caughtUp reports whether the leader knows a member to be close behind.
 func caughtUp(leader *host, id identifier.Node) bool {
 	p := leader.raft.peers[id]
-	return p != nil && p.match >= leader.raft.TermStart() && p.match+readyGap >= leader.raft.CommitIndex()
+	return p != nil && p.match >= leader.raft.TermStart() && p.match+maxLearnerLag >= leader.raft.CommitIndex()
 }
--- a/internal/consensus/raft/snapshot.go
+++ b/internal/consensus/raft/snapshot.go
@@ -162,6 +162,6 @@
 	snapshot := &Snapshot{Index: index, Term: term, Members: r.membersAt(index), Data: data}
 	r.log.snapshot = snapshot
 	r.outbox.output.LocalSnapshot = snapshot
-	r.log.dropTo(r.log.retainFrom(r.tail, r.oldestTransfer()))
+	r.log.compactTo(r.log.compactionIndex(r.tail, r.oldestTransfer()))
 	r.compactConfigurations(index)
 }
--- a/internal/consensus/wal/batch.go
+++ b/internal/consensus/wal/batch.go
@@ -52,12 +52,12 @@
 	rest := body[batchHeaderBytes:]
 	var entries []raft.Entry
 	for i := 0; i < count; i++ {
-		e, behind, ok := decodeEntry(rest)
+		e, remaining, ok := decodeEntry(rest)
 		if !ok {
 			return hardState, nil, errMalformedBatch
 		}
 		entries = append(entries, e)
-		rest = behind
+		rest = remaining
 	}
 	if len(rest) > 0 {
 		return hardState, nil, errMalformedBatch
--- a/internal/consensus/wal/memory_disk_test.go
+++ b/internal/consensus/wal/memory_disk_test.go
@@ -54,12 +54,12 @@
 const testMember identifier.Node = 5
 
 // testSnapshot is a snapshot at an index, of term 1, with so many bytes of state.
-func testSnapshot(index identifier.Index, bytesOfState int) *raft.Snapshot {
+func testSnapshot(index identifier.Index, stateBytes int) *raft.Snapshot {
 	return &raft.Snapshot{
 		Index:   index,
 		Term:    1,
 		Members: []raft.Member{{ID: testMember, Voter: true}},
-		Data:    bytes.Repeat([]byte("v"), bytesOfState),
+		Data:    bytes.Repeat([]byte("v"), stateBytes),
 	}
 }
 
--- a/internal/consensus/wal/unsynced_folder_test.go
+++ b/internal/consensus/wal/unsynced_folder_test.go
@@ -106,27 +106,27 @@
 func (f *unsyncedFile) Close() error    { return nil }
 
 // fate is what may become of a write that was not synced.
-type fate int
+type persistedPart int
 
 const (
-	fateLost fate = iota
-	fateComplete
-	fateFirstHalf
-	fateSecondHalf
-	fateOddSectors
-	fateCount
+	persistedNone persistedPart = iota
+	persistedAll
+	persistedFirstHalf
+	persistedSecondHalf
+	persistedOddSectors
+	persistedPartCount
 )
 
 // survives reports whether a sector of a write of so many is on the disk.
-func (f fate) survives(sector, sectors int) bool {
-	switch f {
-	case fateComplete:
+func (p persistedPart) persists(sector, sectors int) bool {
+	switch p {
+	case persistedAll:
 		return true
-	case fateFirstHalf:
+	case persistedFirstHalf:
 		return sector < sectors/2
-	case fateSecondHalf:
+	case persistedSecondHalf:
 		return sector >= sectors/2
-	case fateOddSectors:
+	case persistedOddSectors:
 		return sector%2 == 1
 	}
 	return false
@@ -134,27 +134,27 @@
 
 // current is the content of a file without a power loss.
 func (n *inode) current() []byte {
-	return n.content(func(int) fate { return fateComplete })
+	return n.content(func(int) persistedPart { return persistedAll })
 }
 
 // content is the content of a file when each of its pending writes has met a fate.
-func (n *inode) content(fateOf func(write int) fate) []byte {
+func (n *inode) content(partOf func(write int) persistedPart) []byte {
 	data := bytes.Clone(n.synced)
 	for i, w := range n.pending {
-		f := fateOf(i)
-		if w.data == nil && f != fateLost {
+		part := partOf(i)
+		if w.data == nil && part != persistedNone {
 			data = data[:0]
 		}
-		data = w.apply(data, f)
+		data = w.apply(data, part)
 	}
 	return data
 }
 
 // apply writes the sectors that survive.
-func (w pendingWrite) apply(data []byte, f fate) []byte {
+func (w pendingWrite) apply(data []byte, part persistedPart) []byte {
 	sectors := (len(w.data) + sectorBytes - 1) / sectorBytes
 	for sector := 0; sector < sectors; sector++ {
-		if !f.survives(sector, sectors) {
+		if !part.persists(sector, sectors) {
 			continue
 		}
 		start := sector * sectorBytes
@@ -170,30 +170,30 @@
 // forEachOutcome calls do with every folder that a power loss may leave now: every
 // choice of pending names, with every fate of pending writes.
 func (f *unsyncedFolder) forEachOutcome(do func(left *unsyncedFolder)) {
-	// Each combination of fates is a number whose digits, to the base fateCount, are
+	// Each combination of fates is a number whose digits, to the base persistedPartCount, are
 	// the fates of the pending writes. place is the first digit of each file.
-	place := map[*inode]int{}
+	placeValue := map[*inode]int{}
 	combinations := 1
 	for _, node := range f.inodes() {
-		if _, seen := place[node]; seen {
+		if _, seen := placeValue[node]; seen {
 			continue
 		}
-		place[node] = combinations
+		placeValue[node] = combinations
 		for range node.pending {
-			combinations *= int(fateCount)
+			combinations *= int(persistedPartCount)
 		}
 	}
 	for names := 0; names < 1<<len(f.pendingNames); names++ {
 		for combination := 0; combination < combinations; combination++ {
-			do(f.outcome(names, func(node *inode, write int) fate {
-				digit, ok := place[node]
+			do(f.outcome(names, func(node *inode, write int) persistedPart {
+				digit, ok := placeValue[node]
 				if !ok {
-					return fateComplete
+					return persistedAll
 				}
 				for ; write > 0; write-- {
-					digit *= int(fateCount)
+					digit *= int(persistedPartCount)
 				}
-				return fate(combination / digit % int(fateCount))
+				return persistedPart(combination / digit % int(persistedPartCount))
 			}))
 		}
 	}
@@ -214,7 +214,7 @@
 
 // outcome is the folder that is left when the pending names in a set of bits survive
 // and each pending write has met a fate.
-func (f *unsyncedFolder) outcome(names int, fateOf func(node *inode, write int) fate) *unsyncedFolder {
+func (f *unsyncedFolder) outcome(names int, partOf func(node *inode, write int) persistedPart) *unsyncedFolder {
 	files := maps.Clone(f.syncedFiles)
 	for i, n := range f.pendingNames {
 		if names>>i&1 == 0 {
@@ -227,7 +227,7 @@
 	}
 	left := newUnsyncedFolder()
 	for name, node := range files {
-		synced := &inode{synced: node.content(func(write int) fate { return fateOf(node, write) })}
+		synced := &inode{synced: node.content(func(write int) persistedPart { return partOf(node, write) })}
 		left.files[name] = synced
 		left.syncedFiles[name] = synced
 	}
--- a/internal/controlplane/server.go
+++ b/internal/controlplane/server.go
@@ -291,6 +291,6 @@
 	s.now = max(s.now, now)
 	s.wall = wall
 	if s.raft != nil && s.clusterTime.clock.base > 0 {
-		s.raft.CarryClusterTime(s.clusterTime.clock.timeAt(s.now), s.clusterTime.term)
+		s.raft.SetClusterTime(s.clusterTime.clock.timeAt(s.now), s.clusterTime.term)
 	}
 }
--- a/internal/stalldetector/detector.go
+++ b/internal/stalldetector/detector.go
@@ -12,9 +12,9 @@
 	// Limit is the longest gap between two observations, in milliseconds, that does not
 	// count as a stall.
 	Limit clock.Millis = 250
-	// Drain is how long after a stall, in milliseconds, requests may still be read that
+	// DrainPeriod is how long after a stall, in milliseconds, requests may still be read that
 	// had arrived during it.
-	Drain clock.Millis = 500
+	DrainPeriod clock.Millis = 500
 )
 
 // Detector finds stalls from the moments at which its process is seen to run. The zero
@@ -30,7 +30,7 @@
 // before the input is acted on, and at least every Limit.
 func (d *Detector) Observe(now clock.Monotonic) {
 	if d.seen && now.Since(d.lastSeen) > Limit {
-		d.drainUntil = now.Add(Drain)
+		d.drainUntil = now.Add(DrainPeriod)
 	}
 	d.seen = true
 	d.lastSeen = max(d.lastSeen, now)
--- a/internal/stalldetector/detector_test.go
+++ b/internal/stalldetector/detector_test.go
@@ -26,9 +26,9 @@
 		want  bool
 	}{
 		{0, true},
-		{Drain - 1, true},
-		{Drain, false},
-		{10 * Drain, false},
+		{DrainPeriod - 1, true},
+		{DrainPeriod, false},
+		{10 * DrainPeriod, false},
 	}
 	for _, test := range tests {
 		if got := d.Draining(resumed.Add(test.after)); got != test.want {
