--- a/internal/clock/doc.go
+++ b/internal/clock/doc.go
@@ -1,11 +1,10 @@
-// Package clock has the types for times and lengths of time, and the clock of a
-// process.
+// Package clock defines the types for times and durations, and the clock of a process.
 //
-// There are three kinds of time, each of its own type, so that the compiler refuses
-// to mix them. [Monotonic] is one process's monotonic clock and measures every
-// span. [ClusterTime] is the time of day that the control plane agreed on through
-// its log; appointed starts are held against it. [WallTime] is what one machine's
-// clock shows, and is only ever evidence for the cluster time.
+// There are three kinds of time, each with its own type, so that the compiler rejects
+// mixing them. [Monotonic] is a time on one process's monotonic clock, on which every
+// duration is measured. [ClusterTime] is the time of day that the control plane agrees on
+// through its log; scheduled start times are compared with it. [WallTime] is the time of
+// day on one machine's clock, and serves only as input to the agreement on cluster time.
 //
-// All are whole milliseconds. A length of time is [Millis].
+// All are in whole milliseconds. A duration is [Millis].
 package clock
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -6,19 +6,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// System reads the time of this process and of the machine.
+// System reads the monotonic clock of this process and the wall clock of the machine.
 type System struct{ start Monotonic }
 
-// source is the kernel's clock that runs on through a suspend. Go's own monotonic
-// clock does not: by that one a runner waking from an hour's sleep would find its
-// lease fresh.
+// source is the kernel clock that keeps running while the machine is suspended. Go's
+// monotonic clock stops: by that clock, a runner resumed after an hour of suspend would
+// consider its lease still valid.
 const source = unix.CLOCK_BOOTTIME
 
-// NewSystem makes a clock whose Now counts from this moment. It panics when the
-// kernel has no clock that runs on through a suspend.
+// NewSystem returns a clock whose Now starts at 0. It panics if the kernel has no clock
+// that keeps running during suspend.
 func NewSystem() *System { return &System{read()} }
 
-// read panics where the kernel lacks the clock: no promise could be kept.
+// read returns the time of source. It panics if the kernel lacks that clock, since leases
+// could not be enforced without it.
 func read() Monotonic {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(source, &ts); err != nil {
@@ -27,8 +28,9 @@
 	return Monotonic(ts.Nano() / int64(time.Millisecond))
 }
 
-// Now is the time since NewSystem, that of a suspended machine included.
+// Now returns the time since NewSystem, including time during which the machine was
+// suspended.
 func (c *System) Now() Monotonic { return read() - c.start }
 
-// Wall is the machine's time of day.
+// Wall returns the machine's time of day.
 func (c *System) Wall() WallTime { return WallTime(time.Now().UnixMilli()) }
--- a/internal/consensus/raft/backlog.go
+++ b/internal/consensus/raft/backlog.go
@@ -1,31 +1,31 @@
 package raft
 
-// maxBatchBytes is the size from which on a batch takes no further writes.
+// maxBatchBytes is the size at which no further writes are merged into a batch.
 const maxBatchBytes = 1 << 20
 
-// Backlog queues the writes that a disk has yet to do, in order, and merges
-// those that wait, so that a slow disk falls behind by one write and no further,
-// however many come meanwhile. Its zero value is empty and ready to use.
+// Backlog is a FIFO queue of writes to a disk. It merges queued writes into batches, so
+// that a slow disk catches up in one write with the many that arrived during the previous
+// one. The zero value is an empty backlog ready to use.
 type Backlog struct {
 	writes []*Write
 	bytes  int
 }
 
-// Add queues a write behind all others.
+// Add appends a write to the queue.
 func (b *Backlog) Add(w *Write) {
 	b.writes = append(b.writes, w)
 	b.bytes += w.size()
 }
 
-// Len is the number of queued writes.
+// Len returns the number of queued writes.
 func (b *Backlog) Len() int { return len(b.writes) }
 
-// Bytes is the size of the queued entries and snapshots together.
+// Bytes returns the total size of the queued entries and snapshots.
 func (b *Backlog) Bytes() int { return b.bytes }
 
-// Next removes the oldest write, merged with as many of those behind it as fit
-// in a batch; nil when none waits. A snapshot is never merged with other writes,
-// as those before it must be on disk first.
+// Next removes and returns the oldest write, merged with as many of the following ones as
+// fit in a batch, or nil if the queue is empty. A snapshot is never merged with other
+// writes, since the writes before it must be on disk first.
 func (b *Backlog) Next() *Write {
 	if len(b.writes) == 0 {
 		return nil
@@ -43,8 +43,8 @@
 	return &batch
 }
 
-// merge adds a later write to this one. Its entries replace those from the first
-// one's index on.
+// merge merges a later write into this one. The later entries replace all earlier ones
+// from the index of the first later entry on.
 func (w *Write) merge(next *Write) {
 	w.Seq = next.Seq
 	if next.HardState != nil {
--- a/internal/consensus/raft/election.go
+++ b/internal/consensus/raft/election.go
@@ -2,9 +2,9 @@
 
 import "orchidward/internal/api/identifier"
 
-// campaign starts a pre-vote or an election, as kind is RequestPreVote or
-// RequestVote (Ongaro's thesis, sections 3.4 and 9.6). leaderTransfer says that
-// the leader itself asked for the election.
+// campaign starts a pre-vote if kind is RequestPreVote, or an election if it is
+// RequestVote (Ongaro's thesis, sections 3.4 and 9.6). leaderTransfer is set if the
+// leader itself requested the election.
 func (r *Raft) campaign(kind MessageKind, leaderTransfer bool) {
 	r.timer.restart(r.now)
 	r.leader = noLeader
@@ -28,8 +28,8 @@
 	r.outbox.deferOwnVote(term)
 }
 
-// requestVote asks one member for a vote, or for a promise of one. A vote is asked
-// for only once the new term is on disk.
+// requestVote requests a vote or a pre-vote from one member. A vote request is sent only
+// once the new term is on disk.
 func (r *Raft) requestVote(kind MessageKind, to identifier.Node, term identifier.Term, leaderTransfer bool) {
 	request := Message{
 		Kind:           kind,
@@ -46,8 +46,8 @@
 	r.sendAfterSync(request)
 }
 
-// countVote counts a vote, or a promise of one in a pre-vote, and goes on once a
-// quorum of voters has given theirs.
+// countVote counts a vote or a pre-vote. Once a quorum of voters has granted theirs, a
+// pre-candidate starts the election and a candidate becomes leader.
 func (r *Raft) countVote(from identifier.Node) {
 	r.votes[from] = true
 	granted := 0
@@ -66,8 +66,8 @@
 	r.becomeLeader()
 }
 
-// becomeLeader opens the term with a blank entry, by which all entries before it can
-// be committed.
+// becomeLeader starts the term with a blank entry. Committing it also commits all
+// entries before it.
 func (r *Raft) becomeLeader() {
 	r.role = Leader
 	r.leader = r.id
@@ -85,8 +85,8 @@
 	}
 }
 
-// becomeFollower follows a leader in a term that is not older than the current one;
-// the leader may be unknown.
+// becomeFollower makes this member a follower in a term that is not older than the
+// current one. leader is noLeader if the leader is unknown.
 func (r *Raft) becomeFollower(term identifier.Term, leader identifier.Node) {
 	if term > r.hardState.Term {
 		r.setHardState(HardState{Term: term})
--- a/internal/consensus/raft/follower.go
+++ b/internal/consensus/raft/follower.go
@@ -6,7 +6,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-// followLeader notes that the sender leads the current term and is alive.
+// followLeader records that the sender is the live leader of the current term.
 func (r *Raft) followLeader(m Message) {
 	if r.role != Follower || r.leader != m.From {
 		r.becomeFollower(m.Term, m.From)
@@ -16,8 +16,8 @@
 	r.leaderHeardAt = r.now
 }
 
-// handleAppend takes entries from the leader. They are refused unless the entry
-// before them is in this log too (Ongaro's thesis, section 3.5).
+// handleAppend appends entries from the leader. It rejects them unless the log contains
+// the entry that precedes them (Ongaro's thesis, section 3.5).
 func (r *Raft) handleAppend(m Message) {
 	if m.Index < r.log.base {
 		skip := r.log.base - m.Index
@@ -39,14 +39,15 @@
 	r.acknowledge(m, match)
 }
 
-// rejectAppend refuses entries and says up to which index both logs may be equal.
+// rejectAppend rejects entries and returns, as a hint, the highest index up to which both
+// logs may match.
 func (r *Raft) rejectAppend(m Message) {
 	hint := max(r.commit, min(r.log.last(), m.Index-1))
 	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, Index: m.Index, NextHint: hint, SentAt: m.SentAt})
 }
 
-// mergeEntries skips the entries that the log has already and appends the rest,
-// in place of any that contradict them.
+// mergeEntries skips the entries that the log already contains and appends the others,
+// after truncating any conflicting entries.
 func (r *Raft) mergeEntries(entries []Entry) {
 	for i, e := range entries {
 		term, ok := r.log.term(e.Index)
@@ -63,7 +64,7 @@
 	}
 }
 
-// truncate drops a tail that another leader's log contradicts.
+// truncate removes the entries from an index on, which conflict with the leader's log.
 func (r *Raft) truncate(from identifier.Index) {
 	if from <= r.commit {
 		panic(fmt.Sprintf("raft: entry %d contradicts the log, which is committed up to %d", from, r.commit))
@@ -76,8 +77,8 @@
 	r.truncateConfigurations(from)
 }
 
-// acknowledge acknowledges at once what is on disk already, so that a slow disk
-// never looks like a lost connection, and the rest when it is synced.
+// acknowledge immediately acknowledges the entries that are already on disk, so that a
+// slow disk does not look like a lost connection, and the others once they are synced.
 func (r *Raft) acknowledge(m Message, match identifier.Index) {
 	synced := min(match, r.outbox.syncedIndex)
 	reply := Message{Kind: AppendReply, To: m.From, Index: synced, SentAt: m.SentAt}
--- a/internal/consensus/raft/log.go
+++ b/internal/consensus/raft/log.go
@@ -2,13 +2,13 @@
 
 import "orchidward/internal/api/identifier"
 
-// entryOverhead is what an entry takes besides its data, in bytes, estimated.
+// entryOverhead is the estimated size of an entry without its data, in bytes.
 const entryOverhead = 32
 
-// tailLimit bounds the entries kept in memory behind the snapshot, so that a
-// follower a little behind is served from the log. A follower that is being sent
-// an older snapshot needs all entries after that one: for its sake the tail may
-// grow up to transferBytes, whatever the number of entries.
+// tailLimit bounds the entries that are kept in memory although the newest snapshot
+// covers them, so that a slightly lagging follower can catch up from the log. A follower
+// that is receiving an older snapshot needs all entries after that snapshot: while such a
+// transfer is in progress the tail may grow to transferBytes, with any number of entries.
 type tailLimit struct {
 	entries       identifier.Index
 	bytes         int
@@ -17,8 +17,8 @@
 
 var defaultTail = tailLimit{entries: 4096, bytes: 8 << 20, transferBytes: 16 << 20}
 
-// log is the replicated log in memory: the entries after base, and the newest
-// snapshot, which covers base and perhaps some of the entries.
+// log is the in-memory replicated log: the entries after base, and the newest snapshot,
+// which covers base and possibly some of the entries.
 type log struct {
 	base     identifier.Index
 	baseTerm identifier.Term
@@ -26,13 +26,13 @@
 	snapshot *Snapshot
 }
 
-// size is about what an entry takes in memory, in a message and on disk, in bytes.
+// size is the approximate size of an entry in memory, in a message and on disk, in bytes.
 func (e Entry) size() int { return len(e.Data) + entryOverhead }
 
 func (l *log) last() identifier.Index { return l.base + identifier.Index(len(l.entries)) }
 
-// term is the term of the entry at an index; ok is false when the log does not
-// have it.
+// term returns the term of the entry at an index; ok is false if the log does not
+// contain that entry.
 func (l *log) term(index identifier.Index) (term identifier.Term, ok bool) {
 	switch {
 	case index == l.base:
@@ -48,8 +48,8 @@
 	return term
 }
 
-// entriesFrom returns the entries from an index on, up to maxBytes in all but at
-// least one.
+// entriesFrom returns the entries from index first on, at most maxBytes in total but at
+// least one entry.
 func (l *log) entriesFrom(first identifier.Index, maxBytes int) []Entry {
 	var entries []Entry
 	if first <= l.base || first > l.last() {
@@ -65,8 +65,8 @@
 	return entries
 }
 
-// entryBytes is the size of the entries between two indexes, both included, as
-// far as the log holds them.
+// entryBytes returns the total size of the entries from one index to another, both
+// inclusive, that the log contains.
 func (l *log) entryBytes(from, to identifier.Index) int {
 	var bytes int
 	for i := max(from, l.base+1); i <= min(to, l.last()); i++ {
@@ -75,12 +75,12 @@
 	return bytes
 }
 
-// truncateFrom drops the entries from an index on.
+// truncateFrom removes the entries from an index on.
 func (l *log) truncateFrom(index identifier.Index) { l.entries = l.entries[:index-l.base-1] }
 
-// compactionIndex is the index up to which entries may be dropped, so that the tail
-// behind it is within the limit. oldestTransfer is the index of the oldest
-// snapshot that is being sent, or that of the newest snapshot when none is.
+// compactionIndex returns the index up to which entries may be discarded so that the
+// remaining tail is within the limit. oldestTransfer is the index of the oldest snapshot
+// that is being sent, or that of the newest snapshot if none is.
 func (l *log) compactionIndex(limit tailLimit, oldestTransfer identifier.Index) identifier.Index {
 	var index identifier.Index
 	bytes := 0
@@ -95,8 +95,8 @@
 	return index
 }
 
-// compactTo drops the entries up to and with index, which must not be past the
-// snapshot.
+// compactTo discards the entries up to and including index, which must not be after the
+// snapshot's index.
 func (l *log) compactTo(index identifier.Index) {
 	term, ok := l.term(index)
 	if !ok || index <= l.base {
--- a/internal/consensus/raft/membership.go
+++ b/internal/consensus/raft/membership.go
@@ -6,14 +6,14 @@
 	"orchidward/internal/api/identifier"
 )
 
-// configuration is a member list and the index of the entry that carries it.
+// configuration is a member list and the index of the entry that contains it.
 type configuration struct {
 	index   identifier.Index
 	members []Member
 }
 
-// recordConfiguration puts the member list that an entry carries, if any, in
-// force.
+// recordConfiguration puts the member list of an EntryConfig entry into effect. It
+// ignores entries of other kinds.
 func (r *Raft) recordConfiguration(e Entry) {
 	if e.Kind != EntryConfig {
 		return
@@ -21,7 +21,7 @@
 	r.configurations = append(r.configurations, configuration{e.Index, e.Members()})
 }
 
-// Members is the member list that an entry of kind EntryConfig carries.
+// Members returns the member list in an entry of kind EntryConfig.
 func (e Entry) Members() []Member {
 	var members []Member
 	if err := json.Unmarshal(e.Data, &members); err != nil {
@@ -30,23 +30,23 @@
 	return members
 }
 
-// truncateConfigurations goes back to the list before an index, as the entries
-// from there on are dropped.
+// truncateConfigurations reverts to the member list in effect before an index, when the
+// entries from that index on are removed.
 func (r *Raft) truncateConfigurations(from identifier.Index) {
 	for len(r.configurations) > 1 && r.lastConfiguration().index >= from {
 		r.configurations = r.configurations[:len(r.configurations)-1]
 	}
 }
 
-// compactConfigurations drops the lists that no truncation can bring back: all
-// before the one in force at an index that a snapshot covers.
+// compactConfigurations discards the member lists that no truncation can restore: all
+// before the one in effect at an index that a snapshot covers.
 func (r *Raft) compactConfigurations(index identifier.Index) {
 	for len(r.configurations) > 1 && r.configurations[1].index <= index {
 		r.configurations = r.configurations[1:]
 	}
 }
 
-// membersAt is the member list in force at an index of the log.
+// membersAt returns the member list in effect at an index of the log.
 func (r *Raft) membersAt(index identifier.Index) []Member {
 	var members []Member
 	for _, c := range r.configurations {
@@ -59,10 +59,10 @@
 
 func (r *Raft) lastConfiguration() configuration { return r.configurations[len(r.configurations)-1] }
 
-// Members is the member list in force: the last one in the log, committed or not.
+// Members returns the member list in effect: the latest in the log, committed or not.
 func (r *Raft) Members() []Member { return r.lastConfiguration().members }
 
-// Member finds a member, voter or learner, in the member list in force.
+// Member returns the member with an ID, voter or learner, from the member list in effect.
 func (r *Raft) Member(id identifier.Node) (member Member, ok bool) {
 	for _, m := range r.Members() {
 		if m.ID == id {
@@ -87,17 +87,16 @@
 	return count
 }
 
-// ProposeMembers appends a new member list to the log, which must differ by one
-// member from the last (Ongaro's thesis, section 4.1). It returns false unless
-// this member leads, an entry of its own term is committed and no earlier change
-// is under way.
+// ProposeMembers appends a new member list to the log, which must differ from the latest
+// by one member (Ongaro's thesis, section 4.1). It returns false unless this member is
+// the leader, an entry of its own term is committed and no earlier change is pending.
 func (r *Raft) ProposeMembers(members []Member) bool {
 	if r.role != Leader || r.commit < r.leadership.termStart || r.lastConfiguration().index > r.commit {
 		return false
 	}
 	data, err := json.Marshal(members)
 	if err != nil {
-		panic("raft: a member list cannot be encoded: " + err.Error())
+		panic("raft: cannot encode member list: " + err.Error())
 	}
 	r.append(EntryConfig, data)
 	r.matchPeers()
--- a/internal/consensus/raft/message.go
+++ b/internal/consensus/raft/message.go
@@ -5,37 +5,38 @@
 	"orchidward/internal/clock"
 )
 
-// MessageKind says what a message is and which of the fields of Message it uses.
+// MessageKind is the type of a message. It determines which fields of Message are used.
 type MessageKind uint8
 
 const (
-	// AppendEntries carries entries after Index and LogTerm, or none as a heartbeat.
+	// AppendEntries carries the entries that follow the one at Index with term LogTerm, or
+	// no entries as a heartbeat.
 	AppendEntries MessageKind = iota + 1
-	// AppendReply answers AppendEntries: either Index is synced to disk, or Reject is
-	// set and NextHint is where the leader should try next. It also acknowledges a
-	// complete snapshot. Its LogTerm is the term of the entry that the sender's
-	// ClusterTime comes from.
+	// AppendReply answers AppendEntries: either all entries up to Index are synced to
+	// disk, or Reject is set and NextHint is the index that the leader should probe next.
+	// It also acknowledges a complete snapshot. LogTerm is the term of the entry that the
+	// sender's ClusterTime is derived from.
 	AppendReply
-	// RequestVote requests a vote. LeaderTransfer skips the check for a live leader,
-	// for a candidate that the leader itself chose.
+	// RequestVote requests a vote. With LeaderTransfer set, the receiver skips the check
+	// for a live leader, because the leader itself chose the candidate.
 	RequestVote
-	// VoteReply answers RequestVote; Reject is set when the vote is refused.
+	// VoteReply answers RequestVote. Reject is set if the vote is denied.
 	VoteReply
 	// RequestPreVote asks whether a RequestVote for Term would be granted.
 	RequestPreVote
-	// PreVoteReply answers RequestPreVote; a refusal carries the answering member's term.
+	// PreVoteReply answers RequestPreVote. A rejection carries the sender's term.
 	PreVoteReply
-	// TimeoutNow tells the receiver to start an election at once, as the leader steps
-	// down in its favour.
+	// TimeoutNow tells the receiver to start an election immediately, since the leader
+	// transfers leadership to it.
 	TimeoutNow
-	// InstallSnapshot carries one chunk of a snapshot: Offset is where it begins and
-	// Total the size of the complete data, in bytes.
+	// InstallSnapshot carries one chunk of a snapshot. Offset is the position of the chunk
+	// and Total the size of the complete data, both in bytes.
 	InstallSnapshot
-	// SnapshotReply acknowledges a chunk; Offset is the number of bytes received so far.
+	// SnapshotReply acknowledges a chunk. Offset is the number of bytes received so far.
 	SnapshotReply
 )
 
-// Message is what members send one another.
+// Message is a message from one member to another.
 type Message struct {
 	Kind     MessageKind
 	From     identifier.Node
@@ -47,21 +48,21 @@
 	Entries  []Entry
 	Reject   bool
 	NextHint identifier.Index
-	// LeaderTransfer marks an election that the leader itself asked for.
+	// LeaderTransfer marks an election that the leader requested by TimeoutNow.
 	LeaderTransfer bool
-	// SentAt is the monotonic time at which a request was sent. A reply hands it back
-	// unchanged, so that a lease is measured on one clock only.
+	// SentAt is the monotonic time at which a request was sent. A reply echoes it
+	// unchanged, so that the lease is measured on the leader's clock only.
 	SentAt clock.Monotonic
 
-	// Wall, FirstKnownTerm and ClusterTime are evidence for cluster time: the sender's
-	// wall clock, the first term in which its process knew a leader, and the cluster
-	// time that it would continue from.
+	// Wall, FirstKnownTerm and ClusterTime serve the agreement on the cluster time: the
+	// sender's wall clock, the first term in which its process knew a leader, and the
+	// cluster time that it would continue from as leader.
 	Wall           clock.WallTime
 	FirstKnownTerm identifier.Term
 	ClusterTime    clock.ClusterTime
-	// Level is the highest level of commands that the sender knows.
+	// Level is the highest command level that the sender supports.
 	Level uint16
-	// Leaving says that the sender stops soon.
+	// Leaving is set if the sender is about to stop.
 	Leaving bool
 
 	Snapshot *Snapshot
--- a/internal/consensus/raft/outbox.go
+++ b/internal/consensus/raft/outbox.go
@@ -5,46 +5,45 @@
 	"orchidward/internal/clock"
 )
 
-// outbox collects what a member's inputs led to until TakeOutput hands it over,
-// and tracks which writes are on disk. Messages that depend on a write wait in
-// pending until it is synced.
+// outbox collects the results of a member's inputs until TakeOutput returns them, and
+// tracks which writes are on disk. Messages that depend on a write are held in pending
+// until that write is synced.
 type outbox struct {
 	output Output
-	// write gathers what the next write will carry.
+	// write accumulates the contents of the next write.
 	write Write
-	// lastSeq is the number of the last write handed out, syncedSeq that of the
-	// last one on disk, and hardStateSeq that of the last one that carries a hard
-	// state.
+	// lastSeq is the sequence number of the last write issued, syncedSeq that of the last
+	// write on disk, and hardStateSeq that of the last write that contains a hard state.
 	lastSeq      uint64
 	syncedSeq    uint64
 	hardStateSeq uint64
-	// syncedIndex is the last entry on disk.
+	// syncedIndex is the index of the last entry on disk.
 	syncedIndex identifier.Index
-	// inFlight are the writes handed out and not yet synced, oldest first.
+	// inFlight holds the writes issued but not yet synced, oldest first.
 	inFlight []inFlightWrite
 	pending  []pendingMessage
 }
 
-// inFlightWrite is a write handed out and not yet synced. lastIndex is the last
-// entry of the log that is on disk once it is.
+// inFlightWrite is a write that was issued but is not yet synced. Once it is synced, the
+// log is on disk up to lastIndex.
 type inFlightWrite struct {
 	seq       uint64
 	lastIndex identifier.Index
 	issuedAt  clock.Monotonic
 }
 
-// pendingMessage is a message that may leave once the write seq is synced. With
-// ownVote set it is not sent: it is the candidate's vote for itself in the
-// message's term, which counts only once it is on disk.
+// pendingMessage is a message that may be sent once write seq is synced. If ownVote is
+// set, it is not sent: it stands for the candidate's vote for itself in the message's
+// term, which counts only once it is on disk.
 type pendingMessage struct {
 	seq     uint64
 	message Message
 	ownVote bool
 }
 
-// mergeAcknowledgement replaces a pending acknowledgement by a later one to the
-// same leader that waits for the same write, so that acknowledgements of
-// heartbeats do not pile up while the disk stands still. It reports whether it did.
+// mergeAcknowledgement replaces a pending acknowledgement by a later one to the same
+// leader that waits for the same write, so that heartbeat acknowledgements do not
+// accumulate while the disk is stalled. It reports whether the two were merged.
 func (p *pendingMessage) mergeAcknowledgement(seq uint64, m Message) bool {
 	earlier := p.message
 	if p.ownVote || !isAcknowledgement(earlier) || !isAcknowledgement(m) {
@@ -71,7 +70,7 @@
 
 func (o *outbox) addEntry(e Entry) { o.write.Entries = append(o.write.Entries, e) }
 
-// truncate drops the entries from an index on, which are no longer in the log.
+// truncate discards the entries from an index on, which are no longer in the log.
 func (o *outbox) truncate(from identifier.Index) {
 	kept := o.write.Entries[:0]
 	for _, e := range o.write.Entries {
@@ -86,7 +85,7 @@
 	}
 }
 
-// installSnapshot replaces the log, also what is yet to be written of it, by a
+// installSnapshot replaces the log, including entries that are not yet written, by a
 // leader's snapshot.
 func (o *outbox) installSnapshot(s *Snapshot) {
 	o.syncedIndex = 0
@@ -99,7 +98,7 @@
 	o.output.InstalledSnapshot = s
 }
 
-// deferUntilSynced keeps a message back until everything written so far is on disk.
+// deferUntilSynced holds a message until all writes so far are on disk.
 func (o *outbox) deferUntilSynced(m Message) {
 	seq := o.lastSeq
 	if !o.write.empty() {
@@ -111,8 +110,8 @@
 	}
 }
 
-// deferOwnVote keeps a candidate's vote for itself back until the next write,
-// which carries it, is on disk.
+// deferOwnVote holds a candidate's vote for itself until the next write, which contains
+// it, is on disk.
 func (o *outbox) deferOwnVote(term identifier.Term) {
 	vote := pendingMessage{seq: o.lastSeq + 1, ownVote: true, message: Message{Term: term}}
 	o.pending = append(o.pending, vote)
@@ -133,8 +132,8 @@
 	return ready
 }
 
-// takeWrite moves what gathered into the output as one write. lastIndex is the
-// last entry of the log.
+// takeWrite issues the accumulated write by moving it into the output. lastIndex is the
+// index of the last entry in the log.
 func (o *outbox) takeWrite(lastIndex identifier.Index, now clock.Monotonic) {
 	if o.write.empty() {
 		return
@@ -147,8 +146,8 @@
 	o.inFlight = append(o.inFlight, inFlightWrite{write.Seq, lastIndex, now})
 }
 
-// markSynced notes that all writes up to seq are on disk. lastIndex is the last
-// entry of the log.
+// markSynced records that all writes up to seq are on disk. lastIndex is the index of
+// the last entry in the log.
 func (o *outbox) markSynced(seq uint64, lastIndex identifier.Index) {
 	o.syncedSeq = max(o.syncedSeq, seq)
 	for len(o.inFlight) > 0 && o.inFlight[0].seq <= seq {
@@ -158,7 +157,8 @@
 	}
 }
 
-// oldestWrite is when the oldest write that is not yet synced was handed out.
+// oldestWrite returns when the oldest write that is not yet synced was issued; ok is
+// false if there is none.
 func (o *outbox) oldestWrite() (issuedAt clock.Monotonic, ok bool) {
 	if len(o.inFlight) == 0 {
 		return 0, false
--- a/internal/consensus/raft/output.go
+++ b/internal/consensus/raft/output.go
@@ -1,15 +1,15 @@
 package raft
 
-// send sends a message at once.
+// send sends a message without waiting for pending writes.
 func (r *Raft) send(m Message) { r.emit(r.address(m)) }
 
-// sendAfterSync sends a message once everything written so far is on disk.
+// sendAfterSync sends a message once all writes so far are on disk.
 func (r *Raft) sendAfterSync(m Message) {
 	r.outbox.deferUntilSynced(r.address(m))
 	r.releasePending()
 }
 
-// address fills in the sender, its term and its time where they are not set.
+// address fills in the sender, and its term and send time unless they are set.
 func (r *Raft) address(m Message) Message {
 	m.From = r.id
 	if m.Term == 0 {
@@ -21,8 +21,8 @@
 	return m
 }
 
-// emit puts a message into the output, with this member's evidence for cluster
-// time as it is at this moment.
+// emit adds a message to the output, together with this member's current status: its
+// clock evidence, command level and whether it is leaving.
 func (r *Raft) emit(m Message) {
 	m.Wall = r.wall
 	m.FirstKnownTerm = r.evidence.firstKnownTerm
@@ -35,8 +35,8 @@
 	r.outbox.output.Messages = append(r.outbox.output.Messages, m)
 }
 
-// releasePending sends the messages whose writes are on disk, except those of an
-// older term, and counts this candidate's own vote if it is among them.
+// releasePending sends the pending messages whose writes are on disk, drops those of an
+// older term, and counts a candidate's vote for itself once that vote is on disk.
 func (r *Raft) releasePending() {
 	ownVote := false
 	for _, p := range r.outbox.takeReady() {
@@ -53,7 +53,7 @@
 	}
 }
 
-// TakeOutput hands over what the inputs since the last call led to.
+// TakeOutput returns and clears the results of the inputs since the last call.
 func (r *Raft) TakeOutput() Output {
 	r.outbox.takeWrite(r.log.last(), r.now)
 	r.releasePending()
@@ -65,7 +65,7 @@
 	return r.outbox.takeOutput()
 }
 
-// Synced passes in that all writes up to seq are on disk.
+// Synced reports that all writes up to seq are on disk.
 func (r *Raft) Synced(seq uint64) {
 	r.outbox.markSynced(seq, r.log.last())
 	r.releasePending()
--- a/internal/consensus/raft/peer.go
+++ b/internal/consensus/raft/peer.go
@@ -5,38 +5,40 @@
 	"orchidward/internal/clock"
 )
 
-// peer is a leader's knowledge of one other member.
+// peer is the leader's view of another member, like Progress in etcd's raft.
 type peer struct {
-	// match is the last entry known to be on the peer's disk, next the first one
-	// to send it.
+	// match is the index of the last entry known to be on the peer's disk, next that of
+	// the next entry to send.
 	match identifier.Index
 	next  identifier.Index
-	// probing is set while match is not known to be a prefix of this log. Only
-	// one append is then in flight, and only its refusal counts: to answer every
-	// refusal of a pipeline with a new pipeline would never end.
+	// probing is set until the peer confirms that its log contains the entry at
+	// lastPrevIndex. Meanwhile only one append is in flight, and only a rejection of that
+	// append is handled: answering every rejection of pipelined appends with a new pipeline
+	// would never terminate.
 	probing        bool
 	appendInFlight bool
-	// lastPrevIndex is the index before the entries of the last append.
+	// lastPrevIndex is the index of the entry that precedes the last append.
 	lastPrevIndex identifier.Index
 	transfer      snapshotTransfer
 
-	// ackedSentAt is the latest time at which this leader sent a message that the
-	// peer has answered; lastHeardAt is when the peer last answered any.
+	// ackedSentAt is the send time of the latest message that the peer has replied to;
+	// lastHeardAt is when the last reply arrived.
 	ackedSentAt clock.Monotonic
 	lastHeardAt clock.Monotonic
-	// wallTime is the peer's clock, as read at wallTimeReadAt of this one's.
+	// wallTime is the peer's wall clock, as received at wallTimeReadAt on this member's
+	// monotonic clock.
 	wallTime       clock.WallTime
 	wallTimeReadAt clock.Monotonic
 	evidence       clockEvidence
 	level          uint16
-	// leaving says that the peer has announced that it stops soon.
+	// leaving is set if the peer has announced that it is about to stop.
 	leaving bool
 }
 
-// snapshotTransfer is a snapshot on its way to a peer, or none while snapshot is
-// nil. offset is the number of bytes that the peer has acknowledged, chunkSentAt
-// when the chunk behind them was sent, 0 if it was not, and advancedAt when the
-// transfer began or offset last changed.
+// snapshotTransfer is the transfer of a snapshot to a peer; snapshot is nil while there
+// is none. offset is the number of bytes that the peer has acknowledged, chunkSentAt is
+// when the next chunk was sent, 0 if it has not been, and advancedAt is when the transfer
+// began or offset last changed.
 type snapshotTransfer struct {
 	snapshot    *Snapshot
 	offset      int64
@@ -44,9 +46,9 @@
 	advancedAt  clock.Monotonic
 }
 
-// recordReply records what any reply says of its sender. Only a reply to a message
-// sent in this leadership renews the lease: an earlier send time may come from
-// before a restart of this process, whose clock was another.
+// recordReply records the sender's status, which every reply contains. Only a reply to a
+// message sent during the current leadership renews the lease: an earlier send time may
+// stem from before a restart of this process, and thus from a different clock.
 func (p *peer) recordReply(m Message, electedAt, now clock.Monotonic) {
 	if m.SentAt >= electedAt && m.SentAt <= now {
 		p.ackedSentAt = max(p.ackedSentAt, m.SentAt)
--- a/internal/consensus/raft/raft.go
+++ b/internal/consensus/raft/raft.go
@@ -5,38 +5,38 @@
 	"orchidward/internal/clock"
 )
 
-// Role is the part that a member plays in its current term.
+// Role is the role of a member in its current term.
 type Role uint8
 
 const (
 	// Follower accepts entries from the leader of its term, if there is one.
 	Follower Role = iota
-	// PreCandidate asks whether it would win an election, without raising its
-	// term.
+	// PreCandidate asks the voters whether it could win an election, without
+	// incrementing its term.
 	PreCandidate
-	// Candidate has raised its term, voted for itself and asks the others for
-	// votes.
+	// Candidate has incremented its term, voted for itself and requests votes from the
+	// other voters.
 	Candidate
-	// Leader won the votes of a quorum and is the only one that appends entries.
+	// Leader has received votes from a quorum. Only the leader appends new entries.
 	Leader
 )
 
-// noLeader stands for an unknown leader.
+// noLeader means that the leader is unknown.
 const noLeader identifier.Node = 0
 
-// never is a time before all others.
+// never precedes every time that a clock returns.
 const never clock.Monotonic = -1 << 40
 
-// Raft is one member of the group as a pure state machine. It does no input or
-// output and reads no clock: the caller passes in the time, messages and
-// finished writes, and collects the results with TakeOutput. It is not safe for
+// Raft is one member of the group, implemented as a deterministic state machine. It
+// performs no I/O and reads no clock: the caller passes in the time, messages and
+// completed writes, and collects the results with TakeOutput. It is not safe for
 // concurrent use.
 type Raft struct {
 	id     identifier.Node
 	timing Timing
 
-	// startedAt is when this process started; now and wall are the times of the
-	// input being handled.
+	// startedAt is when this process started; now and wall are the monotonic and the
+	// wall time of the input being handled.
 	startedAt clock.Monotonic
 	now       clock.Monotonic
 	wall      clock.WallTime
@@ -44,59 +44,58 @@
 	hardState HardState
 	role      Role
 	leader    identifier.Node
-	// leaderHeardAt is when a leader of any term was last heard.
+	// leaderHeardAt is when a message from a leader of any term last arrived.
 	leaderHeardAt clock.Monotonic
 	timer         electionTimer
 	votes         map[identifier.Node]bool
 
 	leadership leadership
-	// peers holds the other members while this one leads; nil otherwise.
+	// peers tracks the other members while this member leads; nil otherwise.
 	peers map[identifier.Node]*peer
 
 	log  log
 	tail tailLimit
-	// truncatedFrom is the lowest index replaced since TakeTruncatedFrom, 0 for
-	// none.
+	// truncatedFrom is the lowest index replaced since the last TakeTruncatedFrom, 0 if
+	// none was.
 	truncatedFrom  identifier.Index
 	configurations []configuration
 	commit         identifier.Index
-	// delivered is the last index handed out in Output.Committed.
+	// delivered is the last index returned in Output.Committed.
 	delivered identifier.Index
 	incoming  incomingSnapshot
 
 	evidence clockEvidence
-	// level is the highest level of commands that this member knows.
+	// level is the highest command level that this member supports.
 	level uint16
-	// leaving says that this member is about to stop for good or for a while.
+	// leaving is set once this member is about to stop, permanently or temporarily.
 	leaving bool
 
 	outbox outbox
 }
 
-// leadership is what a member knows of the term in which it leads, or in which
-// it last led.
+// leadership describes the term in which a member leads, or in which it last led.
 type leadership struct {
 	electedAt       clock.Monotonic
 	heartbeatSentAt clock.Monotonic
-	// termStart is the index of the blank entry that opened the term.
+	// termStart is the index of the blank entry at the start of the term.
 	termStart identifier.Index
 	// previousLogTerm is the term of the last entry before termStart.
 	previousLogTerm identifier.Term
 }
 
-// clockEvidence is what a member contributes to the group's cluster time.
+// clockEvidence holds what a member reports for the agreement on the cluster time.
 type clockEvidence struct {
-	// firstKnownTerm is the first term in which the process knew a leader, 0
-	// before that.
+	// firstKnownTerm is the first term in which the process knew a leader, 0 if it has
+	// not known one yet.
 	firstKnownTerm identifier.Term
 	clusterTime    clock.ClusterTime
-	// clusterTimeTerm is the term of the entry that clusterTime comes from.
+	// clusterTimeTerm is the term of the entry that clusterTime is derived from.
 	clusterTimeTerm identifier.Term
 }
 
-// New makes a member from what its disk holds: the hard state, the newest
-// snapshot, and the entries after it. A new group starts from a snapshot that
-// carries its first members and no data. The seed randomizes election timeouts.
+// New returns a member restored from its disk: the hard state, the newest snapshot and
+// the entries after it. A new group starts from a snapshot that contains its initial
+// members and no data. The seed randomizes election timeouts.
 func New(
 	id identifier.Node, timing Timing, seed int64, now clock.Monotonic,
 	hardState HardState, snapshot *Snapshot, entries []Entry,
@@ -122,67 +121,65 @@
 	return r
 }
 
-// Role is the part this member plays in its current term.
+// Role returns the role of this member in its current term.
 func (r *Raft) Role() Role { return r.role }
 
-// Leader is the leader of the current term as far as this member knows, 0 for
-// none.
+// Leader returns the leader of the current term, 0 if this member knows none.
 func (r *Raft) Leader() identifier.Node { return r.leader }
 
-// Term is the current term. It may not have been synced to disk yet.
+// Term returns the current term, which may not have been synced to disk yet.
 func (r *Raft) Term() identifier.Term { return r.hardState.Term }
 
-// CommitIndex is the highest index known to be committed.
+// CommitIndex returns the highest index known to be committed.
 func (r *Raft) CommitIndex() identifier.Index { return r.commit }
 
-// LastIndex is the index of the last entry in the log, committed or not.
+// LastIndex returns the index of the last entry in the log, committed or not.
 func (r *Raft) LastIndex() identifier.Index { return r.log.last() }
 
-// SnapshotIndex is the index that the newest snapshot covers.
+// SnapshotIndex returns the index of the last entry that the newest snapshot covers.
 func (r *Raft) SnapshotIndex() identifier.Index { return r.log.snapshot.Index }
 
-// TermStart is the index of the blank entry with which this leader opened its
-// term. Once that is applied, the leader's state holds all that was ever
-// acknowledged.
+// TermStart returns the index of the blank entry that this leader appended at the start
+// of its term. Once that entry is applied, the leader's state contains every entry
+// committed in earlier terms.
 func (r *Raft) TermStart() identifier.Index { return r.leadership.termStart }
 
-// SetLevel sets the highest level of commands that this member knows, which it
-// sends along with each message.
+// SetLevel sets the highest command level that this member supports. The member
+// announces it in every message.
 func (r *Raft) SetLevel(level uint16) { r.level = level }
 
-// TakeTruncatedFrom returns the lowest index whose entry was replaced by another
-// leader's since the last call, 0 for none.
+// TakeTruncatedFrom returns the lowest index at which another leader's entry replaced
+// one of this log since the last call, 0 if there is none.
 func (r *Raft) TakeTruncatedFrom() identifier.Index {
 	index := r.truncatedFrom
 	r.truncatedFrom = 0
 	return index
 }
 
-// ClusterTimeTerm is the term of the last entry that this leader found in its
-// log when it was elected. Only a cluster time carried on from that term counts
-// beside its own.
+// ClusterTimeTerm returns the term of the last entry in this leader's log when it was
+// elected. Besides its own, the leader accepts only the cluster times of members whose
+// cluster time is derived from an entry of at least that term.
 func (r *Raft) ClusterTimeTerm() identifier.Term { return r.leadership.previousLogTerm }
 
-// SetClusterTime sets the cluster time that this member would continue from,
-// and the term of the entry that it has it from.
+// SetClusterTime sets the cluster time that this member would continue from as leader,
+// and the term of the entry that this time is derived from.
 func (r *Raft) SetClusterTime(clusterTime clock.ClusterTime, term identifier.Term) {
 	r.evidence.clusterTime = clusterTime
 	r.evidence.clusterTimeTerm = term
 }
 
-// FirstKnownTerm is the first term in which this process knew a leader, 0 before
-// that.
+// FirstKnownTerm returns the first term in which this process knew a leader, 0 if it
+// has not known one yet.
 func (r *Raft) FirstKnownTerm() identifier.Term { return r.evidence.firstKnownTerm }
 
-// recordFirstKnownTerm sets the first known term unless it is set already.
+// recordFirstKnownTerm sets the first known term unless it is already set.
 func (r *Raft) recordFirstKnownTerm() {
 	if r.evidence.firstKnownTerm == 0 {
 		r.evidence.firstKnownTerm = r.hardState.Term
 	}
 }
 
-// setHardState changes the term or the vote; both go to disk with the next
-// write.
+// setHardState changes the term or the vote; both are part of the next write.
 func (r *Raft) setHardState(h HardState) {
 	r.hardState = h
 	r.outbox.setHardState(h)
--- a/internal/consensus/raft/replication.go
+++ b/internal/consensus/raft/replication.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxAppendBytes bounds the entries of one message.
+	// maxAppendBytes bounds the size of the entries in one message.
 	maxAppendBytes = 256 << 10
-	// maxInFlightEntries and maxInFlightBytes bound what is sent to a peer beyond
-	// what it has acknowledged.
+	// maxInFlightEntries and maxInFlightBytes bound the entries sent to a peer that it has
+	// not yet acknowledged.
 	maxInFlightEntries = 2048
 	maxInFlightBytes   = 8 << 20
 )
 
-// Propose appends a command to the log. It is committed once TakeOutput hands it
-// out again, which may never happen. It returns false unless this member leads.
+// Propose appends a command to the log. The command is committed once TakeOutput returns
+// it in Output.Committed, which may never happen. It returns false unless this member is
+// the leader.
 func (r *Raft) Propose(data []byte) (index identifier.Index, ok bool) {
 	if r.role != Leader {
 		return 0, false
@@ -25,21 +26,21 @@
 	return r.append(EntryCommand, data), true
 }
 
-// append adds an entry of the current term to the log.
+// append appends a new entry of the current term to the log.
 func (r *Raft) append(kind EntryKind, data []byte) identifier.Index {
 	e := Entry{Index: r.log.last() + 1, Term: r.hardState.Term, Kind: kind, Data: data}
 	r.appendEntry(e)
 	return e.Index
 }
 
-// appendEntry adds an entry to the log and to the next write.
+// appendEntry appends an entry to the log and to the next write.
 func (r *Raft) appendEntry(e Entry) {
 	r.log.entries = append(r.log.entries, e)
 	r.outbox.addEntry(e)
 	r.recordConfiguration(e)
 }
 
-// Flush sends what has been appended since, without waiting for a heartbeat.
+// Flush sends newly appended entries without waiting for the next heartbeat.
 func (r *Raft) Flush() {
 	if r.role != Leader {
 		return
@@ -51,8 +52,8 @@
 	}
 }
 
-// replicateTo sends a peer the entries or the part of a snapshot that it needs
-// next. With heartbeat set a message is sent even if it carries nothing.
+// replicateTo sends a peer the entries or the snapshot chunk that it needs next. If
+// heartbeat is set, it sends a message even if there is nothing to replicate.
 func (r *Raft) replicateTo(to identifier.Node, heartbeat bool) {
 	p := r.peers[to]
 	if p == nil {
@@ -83,9 +84,10 @@
 	r.send(m)
 }
 
-// repeatProbe asks once more whether a peer has the entry before those in flight. They are
-// not sent again: on a thin link they may be on their way for long, and repeats would fill
-// it. If they were lost, what is sent after the peer's answer is rejected, and they follow.
+// repeatProbe probes again for the entry that precedes those in flight, without resending
+// the latter: on a low-bandwidth link they may be in transit for a long time, and resending
+// them would saturate the link. If they were lost, the peer rejects the entries sent after
+// its reply, and the lost entries are sent again then.
 func (r *Raft) repeatProbe(to identifier.Node, p *peer) {
 	prevTerm, ok := r.log.term(p.lastPrevIndex)
 	if !ok {
@@ -96,13 +98,14 @@
 	r.send(Message{Kind: AppendEntries, To: to, Index: p.lastPrevIndex, LogTerm: prevTerm, Commit: r.commit})
 }
 
-// mayPipeline reports whether more entries may be sent to a peer before it has
-// acknowledged the ones in flight.
+// mayPipeline reports whether more entries may be sent to a peer before it acknowledges
+// those in flight.
 func (r *Raft) mayPipeline(p *peer) bool {
 	return p.next-p.match < maxInFlightEntries && r.log.entryBytes(p.match+1, p.next-1) < maxInFlightBytes
 }
 
-// handleAppendReply notes what a peer has on disk and sends what it needs next.
+// handleAppendReply records which entries a peer has on disk and sends those it needs
+// next.
 func (r *Raft) handleAppendReply(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil {
@@ -130,7 +133,8 @@
 	}
 }
 
-// handleAppendReject probes where the peer's log and this one may still be equal.
+// handleAppendReject probes at the highest index at which the peer's log may still match
+// this one.
 func (r *Raft) handleAppendReject(m Message, p *peer) {
 	if p.probing && m.Index != p.lastPrevIndex || m.Index < p.match {
 		return
@@ -141,9 +145,9 @@
 	r.replicateTo(m.From, false)
 }
 
-// advanceCommit commits the entries that a quorum of voters has on disk. Only an
-// entry of the leader's own term is committed by being counted, and with it all
-// before it (Ongaro's thesis, section 3.6.2).
+// advanceCommit commits the entries that a quorum of voters has on disk. Only entries of
+// the leader's own term are committed by counting replicas; all entries before them are
+// committed indirectly (Ongaro's thesis, section 3.6.2).
 func (r *Raft) advanceCommit() {
 	matches := voterValues(r, r.outbox.syncedIndex, func(p *peer) identifier.Index { return p.match })
 	quorumMatch := matches[r.voterCount()/2]
@@ -152,9 +156,9 @@
 	}
 }
 
-// voterValues lists one value for each voter, the largest first: own for this
-// member, ofPeer for the others. The value at voterCount()/2 is one that a quorum
-// has reached.
+// voterValues returns one value for each voter in descending order: own for this member
+// and the result of ofPeer for the others. The value at voterCount()/2 is the highest one
+// that a quorum has reached.
 func voterValues[T cmp.Ordered](r *Raft, own T, ofPeer func(p *peer) T) []T {
 	var values []T
 	for _, m := range r.Members() {
@@ -170,8 +174,8 @@
 	return values
 }
 
-// matchPeers makes sure that every other member has a peer, and nobody else: of a member
-// that was removed and joins again, nothing from before counts.
+// matchPeers keeps exactly one peer for every other member. Peers of removed members are
+// deleted, so that a member that joins again starts from a fresh state.
 func (r *Raft) matchPeers() {
 	for id := range r.peers {
 		if _, ok := r.Member(id); !ok {
--- a/internal/consensus/raft/snapshot.go
+++ b/internal/consensus/raft/snapshot.go
@@ -8,20 +8,20 @@
 const (
 	// snapshotChunkBytes is the size of one chunk of a snapshot on the wire.
 	snapshotChunkBytes = 256 << 10
-	// unresponsiveTimeouts is after how many election timeouts of silence the
-	// transfer of a snapshot to a peer may as well start anew.
+	// unresponsiveTimeouts is the number of election timeouts without a reply after which
+	// the transfer of a superseded snapshot to a peer is restarted with the newest one.
 	unresponsiveTimeouts = 2
 )
 
-// incomingSnapshot gathers the chunks of a snapshot from one leader; snapshot is
-// nil while there is none.
+// incomingSnapshot assembles the chunks of a snapshot from one leader; snapshot is nil
+// while no transfer is in progress.
 type incomingSnapshot struct {
 	snapshot *Snapshot
 	from     identifier.Node
 }
 
-// add appends a chunk that goes on from those before. A chunk of another
-// snapshot, or from another leader, starts anew.
+// add appends a chunk if it continues the data received so far, and otherwise ignores
+// its data. A chunk of another snapshot, or from another leader, starts a new transfer.
 func (s *incomingSnapshot) add(m Message) {
 	chunk := m.Snapshot
 	if s.snapshot == nil || s.snapshot.Index != chunk.Index || s.from != m.From {
@@ -35,9 +35,9 @@
 
 func (s *incomingSnapshot) size() int64 { return int64(len(s.snapshot.Data)) }
 
-// handleSnapshot takes one chunk of a snapshot (Ongaro's thesis, figure 5.3). A
-// snapshot whose last entry is in the log already only shows that this entry is
-// committed: entries behind it may have been acknowledged, and must stay.
+// handleSnapshot handles one chunk of a snapshot (Ongaro's thesis, figure 5.3). If the
+// log already contains the snapshot's last entry, the snapshot only shows that this entry
+// is committed: later entries may have been acknowledged and must be retained.
 func (r *Raft) handleSnapshot(m Message) {
 	chunk := m.Snapshot
 	if chunk == nil {
@@ -63,8 +63,8 @@
 	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Index: complete.Index, SentAt: m.SentAt})
 }
 
-// replaceLog continues from a leader's snapshot: the log is either covered by it
-// or contradicts it.
+// replaceLog replaces the log by a leader's snapshot, which either covers the whole log
+// or conflicts with it.
 func (r *Raft) replaceLog(snapshot *Snapshot) {
 	r.log = log{base: snapshot.Index, baseTerm: snapshot.Term, snapshot: snapshot}
 	r.configurations = []configuration{{snapshot.Index, snapshot.Members}}
@@ -73,7 +73,7 @@
 	r.outbox.installSnapshot(snapshot)
 }
 
-// handleSnapshotReply sends the chunk after those that the peer has.
+// handleSnapshotReply sends the chunk that follows the data acknowledged by the peer.
 func (r *Raft) handleSnapshotReply(m Message) {
 	p := r.peers[m.From]
 	if r.role != Leader || p == nil {
@@ -89,9 +89,9 @@
 	}
 }
 
-// sendSnapshot sends a peer the next chunk of the snapshot that it is being sent,
-// or of the newest one. A chunk is repeated when it has no answer within an
-// election timeout; a heartbeat in between carries no data.
+// sendSnapshot sends a peer the next chunk of the snapshot being transferred to it, or
+// starts a transfer of the newest snapshot. A chunk that is not acknowledged within an
+// election timeout is resent; heartbeats sent meanwhile carry no data.
 func (r *Raft) sendSnapshot(to identifier.Node, p *peer, heartbeat bool) {
 	superseded := p.transfer.snapshot != r.log.snapshot
 	if p.transfer.snapshot == nil || superseded && r.unresponsive(p) {
@@ -116,13 +116,13 @@
 	})
 }
 
-// awaitingReply reports whether a chunk is on its way that may still be answered.
+// awaitingReply reports whether a chunk is in flight and its reply has not timed out.
 func (t *snapshotTransfer) awaitingReply(now clock.Monotonic, timeout clock.Millis) bool {
 	return t.chunkSentAt != 0 && now.Since(t.chunkSentAt) < timeout
 }
 
-// nextChunk is the snapshot with only the data behind what the peer has
-// acknowledged, up to maxBytes of it.
+// nextChunk returns the snapshot with only the data that follows what the peer has
+// acknowledged, at most maxBytes of it.
 func (t *snapshotTransfer) nextChunk(maxBytes int64) *Snapshot {
 	end := min(t.offset+maxBytes, int64(len(t.snapshot.Data)))
 	return &Snapshot{
@@ -133,8 +133,8 @@
 	}
 }
 
-// oldestTransfer is the index of the oldest snapshot that a live follower is
-// being sent, or that of the newest snapshot when none is.
+// oldestTransfer returns the index of the oldest snapshot being sent to a responsive
+// peer, or that of the newest snapshot if none is being sent.
 func (r *Raft) oldestTransfer() identifier.Index {
 	oldest := r.log.snapshot.Index
 	for _, p := range r.peers {
@@ -145,15 +145,15 @@
 	return oldest
 }
 
-// unresponsive reports whether a peer has been silent for so long that the
-// transfer of a snapshot to it may as well start anew.
+// unresponsive reports whether a peer has not replied for so long that the transfer of a
+// superseded snapshot to it need not be continued.
 func (r *Raft) unresponsive(p *peer) bool {
 	return r.now.Since(p.lastHeardAt) > unresponsiveTimeouts*r.timing.ElectionTimeout
 }
 
-// Compact makes data, the encoded state at an applied index, this member's newest
-// snapshot, and drops the entries before it that no follower needs. It does
-// nothing when the index is not in the log or is covered by a snapshot already.
+// Compact makes data, the encoded state at an applied index, the newest snapshot of this
+// member, and discards the entries before it that no follower needs. It does nothing if
+// the index is not in the log or is already covered by a snapshot.
 func (r *Raft) Compact(index identifier.Index, data []byte) {
 	term, ok := r.log.term(index)
 	if !ok || index <= r.log.snapshot.Index {
--- a/internal/consensus/raft/status.go
+++ b/internal/consensus/raft/status.go
@@ -5,45 +5,46 @@
 	"orchidward/internal/clock"
 )
 
-// MemberStatus is what the leader knows of one other member.
+// MemberStatus is the leader's view of another member.
 type MemberStatus struct {
 	Member
-	// Match is the last entry known to be on the member's disk.
+	// Match is the index of the last entry known to be on the member's disk.
 	Match identifier.Index
-	// SilentFor is how long ago the member last answered.
+	// SilentFor is the time since the member's last reply.
 	SilentFor clock.Millis
-	// WallTime is the member's wall clock, read at WallTimeReadAt of the leader's
+	// WallTime is the member's wall clock, as received at WallTimeReadAt on the leader's
 	// monotonic clock.
 	WallTime       clock.WallTime
 	WallTimeReadAt clock.Monotonic
 	// FirstKnownTerm is the first term in which the member's process knew a
 	// leader.
 	FirstKnownTerm identifier.Term
-	// ClusterTime is the cluster time that the member would continue from, and
-	// ClusterTimeTerm the term of the entry that it has it from.
+	// ClusterTime is the cluster time that the member would continue from as leader, and
+	// ClusterTimeTerm the term of the entry that this time is derived from.
 	ClusterTime     clock.ClusterTime
 	ClusterTimeTerm identifier.Term
-	// Level is the highest level of commands that the member knows.
+	// Level is the highest command level that the member supports.
 	Level uint16
-	// Leaving says that the member has announced that it stops soon.
+	// Leaving is set if the member has announced that it is about to stop.
 	Leaving bool
-	// Transfer is the snapshot on its way to the member; its Index is 0 for none.
+	// Transfer is the snapshot transfer to the member; its Index is 0 if there is none.
 	Transfer TransferStatus
 }
 
-// TransferStatus is how far the transfer of a snapshot has come.
+// TransferStatus is the progress of a snapshot transfer.
 type TransferStatus struct {
-	// Index is the last entry that the snapshot covers.
+	// Index is the index of the last entry that the snapshot covers.
 	Index identifier.Index
-	// Acknowledged of Total bytes are known to have arrived.
+	// Acknowledged is the number of bytes, of Total, that the member has acknowledged.
 	Acknowledged int64
 	Total        int64
-	// UnchangedFor is how long ago the transfer began or Acknowledged last changed.
+	// UnchangedFor is the time since the transfer began or Acknowledged last changed.
 	UnchangedFor clock.Millis
 }
 
-// IncomingSnapshot is the snapshot that this member is being sent: the last entry it
-// covers and how many of its bytes have arrived. It is not ok while there is none.
+// IncomingSnapshot returns the progress of the snapshot that this member is receiving:
+// the index of the last entry it covers and the number of bytes received so far. ok is
+// false if no transfer is in progress.
 func (r *Raft) IncomingSnapshot() (index identifier.Index, received int64, ok bool) {
 	if r.incoming.snapshot == nil {
 		return 0, 0, false
@@ -51,7 +52,7 @@
 	return r.incoming.snapshot.Index, r.incoming.size(), true
 }
 
-// MemberStatuses lists the other members as the leader sees them, none on any
+// MemberStatuses returns the status of all other members on the leader, and nil on any
 // other member.
 func (r *Raft) MemberStatuses() []MemberStatus {
 	var statuses []MemberStatus
--- a/internal/consensus/raft/step.go
+++ b/internal/consensus/raft/step.go
@@ -4,10 +4,11 @@
 	"orchidward/internal/clock"
 )
 
-// Step passes in one message from another member. Messages to another member or
-// of an older term change nothing; a stale leader is told of the newer term. A
-// message of a newer term makes this member a follower in it, except that a vote
-// request is ignored while a leader may still hold its lease.
+// Step handles one message from another member. It ignores messages that are addressed
+// to another member. Messages of an older term change nothing, but a stale leader is
+// informed of the newer term. On a message of a newer term this member becomes a
+// follower in that term, except that it ignores vote requests while a leader may still
+// hold its lease.
 func (r *Raft) Step(m Message, now clock.Monotonic, wall clock.WallTime) {
 	r.now = now
 	r.wall = wall
@@ -36,8 +37,8 @@
 	r.handleCurrentTerm(m)
 }
 
-// rejectStaleLeader informs the leader of an older term of the current one. Its
-// reply acknowledges no send time, so that it renews no lease.
+// rejectStaleLeader informs the leader of an older term of the current term. The reply
+// echoes no send time, so that it does not renew the lease.
 func (r *Raft) rejectStaleLeader(m Message) {
 	if fromLeader(m) {
 		r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, NextHint: r.log.last(), SentAt: never})
@@ -56,8 +57,8 @@
 // term sends.
 func fromLeader(m Message) bool { return m.Kind == AppendEntries || m.Kind == InstallSnapshot }
 
-// handleCurrentTerm handles a message of the current term. Messages of kinds
-// that this version does not know are ignored.
+// handleCurrentTerm handles a message of the current term. It ignores messages of
+// kinds that this version does not know.
 func (r *Raft) handleCurrentTerm(m Message) {
 	switch m.Kind {
 	case AppendEntries:
--- a/internal/consensus/raft/tick.go
+++ b/internal/consensus/raft/tick.go
@@ -2,14 +2,14 @@
 
 import "orchidward/internal/clock"
 
-// quorumLossTimeouts is after how many election timeouts without an answer from
-// a quorum a leader steps down (Ongaro's thesis, section 6.2).
+// quorumLossTimeouts is the number of election timeouts without replies from a quorum
+// after which a leader steps down (Ongaro's thesis, section 6.2).
 const quorumLossTimeouts = 2
 
-// Tick passes in the time. A leader sends heartbeats that are due, and steps
-// down when no quorum has answered it for two election timeouts. Once its election timeout
-// has passed without a leader, any other voter starts a pre-vote, and a member without
-// a vote knows no leader any more.
+// Tick advances the clock. A leader sends the heartbeats that are due, and steps down if
+// it has had no replies from a quorum for two election timeouts. On any other member,
+// when the election timeout expires, a voter starts a pre-vote and a learner no longer
+// considers its last leader as known. A member that is leaving does neither.
 func (r *Raft) Tick(now clock.Monotonic, wall clock.WallTime) {
 	r.now = now
 	r.wall = wall
@@ -25,8 +25,8 @@
 	}
 }
 
-// tickLeader steps down without a quorum, hands leadership over when its own disk
-// stands still, and otherwise sends the heartbeats that are due.
+// tickLeader steps down if the quorum is lost, transfers leadership if this leader's
+// disk stalls, and otherwise sends the heartbeats that are due.
 func (r *Raft) tickLeader() {
 	lastQuorum := max(r.leadership.electedAt, r.quorumAck(r.now))
 	if r.now.Since(lastQuorum) >= quorumLossTimeouts*r.timing.ElectionTimeout {
--- a/internal/consensus/raft/timer.go
+++ b/internal/consensus/raft/timer.go
@@ -6,9 +6,9 @@
 	"orchidward/internal/clock"
 )
 
-// electionTimer decides when a follower or candidate is to start the next election.
-// Its timeout is drawn anew from [base, 2*base) at each restart, so that members
-// seldom stand against each other (Ongaro's thesis, section 3.4).
+// electionTimer determines when a follower or candidate starts the next election. Each
+// restart draws a new random timeout from [base, 2*base), so that split votes are rare
+// (Ongaro's thesis, section 3.4).
 type electionTimer struct {
 	random  *rand.Rand
 	base    clock.Millis
@@ -22,13 +22,13 @@
 	return t
 }
 
-// restart begins to wait for a newly drawn timeout.
+// restart resets the timer and draws a new timeout.
 func (t *electionTimer) restart(now clock.Monotonic) {
 	t.resetAt = now
 	t.timeout = t.base + clock.Millis(t.random.Int63n(int64(t.base)))
 }
 
-// postpone begins to wait anew for the same timeout.
+// postpone resets the timer and keeps the current timeout.
 func (t *electionTimer) postpone(now clock.Monotonic) { t.resetAt = now }
 
 func (t *electionTimer) expired(now clock.Monotonic) bool { return now.Since(t.resetAt) >= t.timeout }
--- a/internal/consensus/raft/transfer.go
+++ b/internal/consensus/raft/transfer.go
@@ -1,8 +1,9 @@
 package raft
 
-// TransferLeadership hands leadership to the voter that has most of the log
-// (Ongaro's thesis, section 3.10) and reports whether there was one. The leader
-// steps down at once: it must not act on a lease that it has let another break.
+// TransferLeadership transfers leadership to the most up-to-date responsive voter
+// (Ongaro's thesis, section 3.10) and reports whether there is one. The leader steps down
+// immediately: it must not rely on its lease once another member may be elected in spite
+// of it.
 func (r *Raft) TransferLeadership() bool {
 	best := noLeader
 	for _, m := range r.Members() {
@@ -22,12 +23,12 @@
 	return true
 }
 
-// PrepareToLeave marks this member as one that stops soon: it starts no election,
-// refuses leadership that is handed to it, and informs the leader.
+// PrepareToLeave marks this member as about to stop: it starts no elections, ignores
+// TimeoutNow, and informs the leader in its messages.
 func (r *Raft) PrepareToLeave() { r.leaving = true }
 
-// Replicated reports whether every other voter that this leader hears has the
-// complete log on its disk.
+// Replicated reports whether every other voter that has recently replied to this leader
+// has the complete log on its disk.
 func (r *Raft) Replicated() bool {
 	for _, m := range r.Members() {
 		p := r.peers[m.ID]
@@ -41,14 +42,14 @@
 	return true
 }
 
-// recentlyHeard reports whether a peer has answered within the election timeout.
+// recentlyHeard reports whether a peer has replied within the last election timeout.
 func (r *Raft) recentlyHeard(p *peer) bool {
 	return r.now.Since(p.lastHeardAt) <= r.timing.ElectionTimeout
 }
 
-// diskStalled reports whether this leader's own disk delays the group: its oldest
-// write has been under way for an election timeout, while enough of the other
-// voters to form a quorum with it have synced past it.
+// diskStalled reports whether this leader's disk delays the group: its oldest write has
+// been in flight for an election timeout, while enough other voters to form a quorum with
+// this leader have synced more of the log.
 func (r *Raft) diskStalled() bool {
 	issuedAt, ok := r.outbox.oldestWrite()
 	if !ok || r.now.Since(issuedAt) < r.timing.ElectionTimeout {
--- a/internal/consensus/raft/types.go
+++ b/internal/consensus/raft/types.go
@@ -2,8 +2,8 @@
 
 import "orchidward/internal/api/identifier"
 
-// Member is one server of the group. One that is not a voter is a learner: it
-// receives the log and does not count towards any quorum.
+// Member is one server of the group. A member that is not a voter is a learner: it
+// receives the log but does not count towards any quorum.
 type Member struct {
 	ID     identifier.Node   `json:"id"`
 	Addr   string            `json:"addr"`
@@ -11,21 +11,21 @@
 	Voter  bool              `json:"voter"`
 }
 
-// EntryKind says what an entry of the log carries.
+// EntryKind is the kind of data that a log entry carries.
 type EntryKind uint8
 
 const (
-	// EntryBlank is the empty entry with which a leader opens its term.
+	// EntryBlank is the empty entry that a new leader appends at the start of its term.
 	EntryBlank EntryKind = iota
 	// EntryCommand carries a command for the replicated state machine.
 	EntryCommand
-	// EntryConfig carries the complete member list as JSON; it is in force as soon as
-	// it is in a member's log.
+	// EntryConfig carries the complete member list as JSON. It takes effect on a member
+	// as soon as it is appended to that member's log.
 	EntryConfig
 )
 
-// Entry is one position of the replicated log. Index and Term together identify
-// it: two logs that share them are equal up to and including that entry.
+// Entry is one entry of the replicated log. Index and Term identify it: two logs that
+// both contain an entry with this index and term are identical up to and including it.
 type Entry struct {
 	Index identifier.Index
 	Term  identifier.Term
@@ -33,30 +33,30 @@
 	Data  []byte
 }
 
-// Snapshot is the state after the entry at Index, which replaces that entry and
-// all before it.
+// Snapshot is the state after applying the entry at Index. It replaces that entry and
+// all entries before it.
 type Snapshot struct {
 	Index identifier.Index
 	Term  identifier.Term
-	// Members is the member list in force at Index.
+	// Members is the member list in effect at Index.
 	Members []Member
 	// Data is the encoded state.
 	Data []byte
 }
 
-// noVote stands for no vote in a term.
+// noVote is the value of HardState.Vote while a member has not voted in its term.
 const noVote identifier.Node = 0
 
-// HardState is what must be on disk before a member acts on it. A Vote of 0 is
-// none.
+// HardState is the state that must be on disk before a member sends messages that
+// depend on it. Vote is 0 if the member has not voted in Term.
 type HardState struct {
 	Term identifier.Term
 	Vote identifier.Node
 }
 
-// Write goes to the disk as one batch; fields that are nil or empty stay as they
-// are on disk. Entries replace all that the disk has from the first one's index
-// on. Seq is to be passed to Synced.
+// Write is a batch that is written to disk as a unit. Nil or empty fields leave the
+// stored values unchanged. Entries replace all stored entries from the index of the
+// first one onwards. Seq is passed to Synced once the batch is on disk.
 type Write struct {
 	Seq       uint64
 	HardState *HardState
@@ -66,18 +66,18 @@
 
 func (w *Write) empty() bool { return w.HardState == nil && len(w.Entries) == 0 && w.Snapshot == nil }
 
-// Output is what the inputs since the last TakeOutput led to.
+// Output holds the results of the inputs since the last TakeOutput.
 type Output struct {
-	// Messages may be sent at once.
+	// Messages may be sent immediately.
 	Messages []Message
-	// Write is to go to disk, after the ones before it; nil for none.
+	// Write must be written to disk after all earlier writes; nil if there is none.
 	Write *Write
-	// InstalledSnapshot, unless nil, is a leader's snapshot that replaces the state.
-	// It comes before the entries in Committed.
+	// InstalledSnapshot, unless nil, is a leader's snapshot that replaces the state. It
+	// must be restored before Committed is applied.
 	InstalledSnapshot *Snapshot
-	// Committed lists entries to apply, in order.
+	// Committed lists the entries to apply, in order.
 	Committed []Entry
-	// LocalSnapshot is a snapshot that this member took itself. Nothing waits for it:
-	// it may be written whenever the disk has time.
+	// LocalSnapshot is a snapshot that this member took, nil if there is none. Nothing
+	// depends on it, so it may be written whenever the disk is idle.
 	LocalSnapshot *Snapshot
 }
--- a/internal/consensus/wal/batch.go
+++ b/internal/consensus/wal/batch.go
@@ -9,9 +9,9 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// The body of a record is a batch, in little endian: the hard state's term (8 bytes)
-// and vote (8), the number of entries (4), and for each entry its index (8), term
-// (8), kind (1), length (4) and data.
+// The body of a record is a batch in little-endian byte order: the hard state's term
+// (8 bytes) and vote (8), the number of entries (4), and for each entry its index (8),
+// term (8), kind (1), data length (4) and data.
 const (
 	batchVoteOffset  = 8
 	batchCountOffset = 16
@@ -23,7 +23,7 @@
 	entryHeaderBytes  = 21
 )
 
-var errMalformedBatch = errors.Wrap(ErrDamaged, "record body does not parse")
+var errMalformedBatch = errors.Wrap(ErrDamaged, "malformed record body")
 
 func encodeBatch(h raft.HardState, entries []raft.Entry) []byte {
 	var body []byte
@@ -65,8 +65,8 @@
 	return hardState, entries, nil
 }
 
-// decodeEntry reads the entry at the beginning of data and returns what lies behind
-// it.
+// decodeEntry decodes the entry at the beginning of data and returns the data that follows
+// it; ok is false if the entry is truncated.
 func decodeEntry(data []byte) (e raft.Entry, rest []byte, ok bool) {
 	if len(data) < entryHeaderBytes {
 		return raft.Entry{}, nil, false
--- a/internal/consensus/wal/disk.go
+++ b/internal/consensus/wal/disk.go
@@ -1,21 +1,20 @@
 package wal
 
-// Disk is the set of file operations that the log needs. Each one that writes
-// returns only when its effect would survive a power loss. Offsets and sizes are in
-// bytes.
+// Disk is the set of file operations that the log needs. Operations that write return
+// only once their effect is durable. Offsets and sizes are in bytes.
 type Disk interface {
-	// Read returns the content of a file, or nil when there is none.
+	// Read returns the content of a file, or nil if the file does not exist.
 	Read(name string) ([]byte, error)
-	// Create creates a file of zero bytes with the given size.
+	// Create creates a zero-filled file of the given size.
 	Create(name string, size int) error
 	// Write overwrites part of a file.
 	Write(name string, offset int, data []byte) error
-	// Replace replaces a file as a whole: after a power loss either the old content is
-	// there or all of the new.
+	// Replace replaces a file atomically: after a power loss it has either its complete old
+	// or its complete new content.
 	Replace(name string, data []byte) error
-	// AppendReplacement writes a part of a replacement for a file, which itself does
-	// not change. A part at offset 0 starts the replacement anew.
+	// AppendReplacement writes a part of a replacement for a file, without changing the
+	// file itself. A part at offset 0 discards the parts written before.
 	AppendReplacement(name string, offset int, data []byte) error
-	// CommitReplacement replaces a file by what AppendReplacement wrote.
+	// CommitReplacement atomically replaces a file by the parts that AppendReplacement wrote.
 	CommitReplacement(name string) error
 }
--- a/internal/consensus/wal/filesystem.go
+++ b/internal/consensus/wal/filesystem.go
@@ -14,7 +14,8 @@
 	folderMode = 0o755
 )
 
-// file is an open file. Sync syncs all of it; syncData may leave its times unsynced.
+// file is an open file. Sync syncs its data and metadata; syncData may leave its timestamps
+// unsynced.
 type file interface {
 	WriteAt(data []byte, off int64) (int, error)
 	Sync() error
@@ -22,9 +23,9 @@
 	Close() error
 }
 
-// fileSystem is one folder, as far as Folder needs it. A test replaces it by one that
-// loses what was not synced. Files that are created or renamed keep their names over
-// a power loss once the folder is synced.
+// fileSystem is the set of operations on one folder that Folder needs. A test replaces it
+// by one that loses unsynced writes. The name of a created or renamed file is durable once
+// the folder is synced.
 type fileSystem interface {
 	open(name string, flags int) (file, error)
 	read(name string) ([]byte, error)
@@ -32,7 +33,7 @@
 	syncFolder() error
 }
 
-// osFolder is a folder of the operating system, by its path.
+// osFolder is the path of a folder of the operating system.
 type osFolder string
 
 type osFile struct{ *os.File }
@@ -55,7 +56,7 @@
 
 func (p osFolder) syncFolder() error { return syncPath(string(p)) }
 
-// syncPath is a variable so that a test can see which folders are synced.
+// syncPath syncs a folder. It is a variable so that a test can record the synced folders.
 var syncPath = func(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return f.Sync()
 }
 
-// createFolder creates a folder, with those above it, and syncs the one above: a
-// folder whose name is lost with the power takes all that is in it along.
+// createFolder creates a folder and its missing parents, and syncs each parent: if a power
+// loss removed the folder's name, everything in the folder would be lost too.
 func createFolder(path string) error {
 	path, err := filepath.Abs(path)
 	if err != nil {
@@ -90,9 +91,9 @@
 	return err
 }
 
-// mayRefuseSync reports whether an error is one with which the sync of a folder that
-// existed before may fail: it is not ours to read, or its file system cannot sync
-// folders.
+// mayRefuseSync reports whether syncing the parent of a folder that already existed may
+// fail with an error: this process may not read the parent, or its file system does not
+// support syncing folders.
 func mayRefuseSync(err error) bool {
 	return errors.Is(err, fs.ErrPermission) || errors.Is(err, syscall.EINVAL) || errors.Is(err, syscall.EROFS)
 }
--- a/internal/consensus/wal/folder.go
+++ b/internal/consensus/wal/folder.go
@@ -10,21 +10,21 @@
 
 const (
 	lockFileName = "lock"
-	// newSuffix marks a replacement that is written at once, partSuffix one that is
-	// written in parts.
+	// newSuffix marks a replacement written in one operation, partSuffix one written in
+	// parts.
 	newSuffix  = ".new"
 	partSuffix = ".part"
 )
 
-// Folder is the real Disk: one data folder, locked while it is open.
+// Folder implements Disk on a data folder, which is locked while it is open.
 type Folder struct {
 	files     fileSystem
 	lock      *os.File
 	openFiles map[string]file
 }
 
-// OpenFolder creates the data folder if need be and locks it. It returns ErrInUse
-// when another process holds the lock.
+// OpenFolder creates the data folder if it does not exist and locks it. It returns
+// ErrInUse if another process holds the lock.
 func OpenFolder(path string) (*Folder, error) {
 	if err := createFolder(path); err != nil {
 		return nil, errors.Wrap(err, "data folder")
@@ -57,7 +57,7 @@
 	f.lock.Close()
 }
 
-// Read returns the content of a file, or nil when there is none.
+// Read returns the content of a file, or nil if the file does not exist.
 func (f *Folder) Read(name string) ([]byte, error) {
 	data, err := f.files.read(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -66,12 +66,12 @@
 	return data, err
 }
 
-// Create creates a file of zero bytes, or replaces the one of that name.
+// Create creates a zero-filled file, or replaces the existing file of that name.
 func (f *Folder) Create(name string, size int) error {
 	return f.Replace(name, make([]byte, size))
 }
 
-// Write overwrites part of a file. The file stays open for the next write.
+// Write overwrites part of a file and syncs its data. The file stays open for later writes.
 func (f *Folder) Write(name string, offset int, data []byte) error {
 	open, err := f.openFile(name)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return opened, nil
 }
 
-// Replace replaces a file as a whole.
+// Replace replaces a file atomically.
 func (f *Folder) Replace(name string, data []byte) error {
 	if err := f.writeReplacement(name+newSuffix, 0, data); err != nil {
 		return err
@@ -103,17 +103,17 @@
 	return f.rename(name+newSuffix, name)
 }
 
-// AppendReplacement writes a part of a replacement file. A part at offset 0 starts it
-// anew.
+// AppendReplacement writes a part of a replacement file. A part at offset 0 discards the
+// parts written before.
 func (f *Folder) AppendReplacement(name string, offset int, data []byte) error {
 	return f.writeReplacement(name+partSuffix, offset, data)
 }
 
-// CommitReplacement replaces a file by what AppendReplacement wrote.
+// CommitReplacement atomically replaces a file by the parts that AppendReplacement wrote.
 func (f *Folder) CommitReplacement(name string) error { return f.rename(name+partSuffix, name) }
 
-// writeReplacement writes a part of a file that may not exist yet, and syncs the
-// file. A part at offset 0 empties it first.
+// writeReplacement writes a part of a file, which it creates if needed, and syncs the
+// file. A part at offset 0 truncates the file first.
 func (f *Folder) writeReplacement(name string, offset int, data []byte) error {
 	flags := os.O_CREATE | os.O_WRONLY
 	if offset == 0 {
@@ -130,7 +130,7 @@
 	return replacement.Sync()
 }
 
-// rename gives a synced file the name of another, and syncs the folder.
+// rename renames a synced file, replacing any file with the new name, and syncs the folder.
 func (f *Folder) rename(from, to string) error {
 	f.closeFile(to)
 	if err := f.files.rename(from, to); err != nil {
@@ -139,7 +139,7 @@
 	return f.files.syncFolder()
 }
 
-// closeFile closes a file whose name is about to be given to another.
+// closeFile closes a file that is about to be replaced.
 func (f *Folder) closeFile(name string) {
 	if open := f.openFiles[name]; open != nil {
 		open.Close()
--- a/internal/consensus/wal/identity.go
+++ b/internal/consensus/wal/identity.go
@@ -10,7 +10,7 @@
 
 const (
 	identityFileName = "identity"
-	// minFiles and minFileBytes bound the layout that an identity file may hold.
+	// minFiles and minFileBytes are the lower bounds of a valid layout in an identity file.
 	minFiles     = 2
 	minFileBytes = 4096
 )
@@ -22,16 +22,16 @@
 	Bytes int
 }
 
-// identityFile holds the member that a data folder belongs to and the layout of its
-// log. It is the first file to be written into a folder.
+// identityFile is the content of the identity file: the member that owns the data folder
+// and the layout of its log. It is the first file written to a folder.
 type identityFile struct {
 	Node  string `json:"who"`
 	Files int    `json:"files"`
 	Bytes int    `json:"bytes"`
 }
 
-// Identity reads which member a data folder belongs to and the layout of its log.
-// A folder without an identity is given the ones passed in.
+// Identity returns the member that owns a data folder and the layout of its log. If the
+// folder has no identity yet, Identity writes the given one and returns it.
 func Identity(d Disk, offered identifier.Node, layout Layout) (identifier.Node, Layout, error) {
 	data, err := d.Read(identityFileName)
 	if err != nil {
@@ -57,7 +57,7 @@
 func encodeIdentity(node identifier.Node, layout Layout) []byte {
 	data, err := json.Marshal(identityFile{node.String(), layout.Files, layout.Bytes})
 	if err != nil {
-		panic("wal: an identity cannot be encoded: " + err.Error())
+		panic("wal: cannot encode identity: " + err.Error())
 	}
 	return data
 }
--- a/internal/consensus/wal/log.go
+++ b/internal/consensus/wal/log.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// maxRecordFraction of a file is about the most that one record takes.
+	// maxRecordFraction limits a record of several entries to about 1/maxRecordFraction of
+	// a file.
 	maxRecordFraction = 4
-	// entryOverheadBytes is more than what an entry takes in a record besides its
+	// entryOverheadBytes is an upper bound on the size of an entry in a record without its
 	// data.
 	entryOverheadBytes = 32
 )
 
-// Log is the write-ahead log of one member on disk. It is not safe for concurrent
-// use, and after an error from its disk it must be opened anew.
+// Log is the write-ahead log of one member on disk. It is not safe for concurrent use,
+// and after a disk error it must be reopened.
 type Log struct {
 	disk   Disk
 	layout Layout
-	// The next record gets the number nextSeq and goes to offset in file.
+	// The next record has sequence number nextSeq and is written at offset in file.
 	nextSeq uint64
 	file    int
 	offset  int
-	// lastIndexes is the highest entry in each file, 0 for none.
+	// lastIndexes is the highest entry index in each file, 0 if the file has none.
 	lastIndexes   []identifier.Index
 	hardState     raft.HardState
 	snapshotIndex identifier.Index
 }
 
-// logFileName is the name of a log file on disk.
+// logFileName returns the name of a log file on disk.
 func logFileName(file int) string { return fmt.Sprintf("ring-%02d", file) }
 
-// Create lays out a new log that starts from a snapshot.
+// Create creates the files of a new log that starts from a snapshot.
 func Create(d Disk, layout Layout, snapshot *raft.Snapshot) (*Log, error) {
 	l := &Log{disk: d, layout: layout, lastIndexes: make([]identifier.Index, layout.Files), nextSeq: 1}
 	for file := 0; file < layout.Files; file++ {
@@ -46,8 +47,8 @@
 	return l, l.saveSnapshot(snapshot)
 }
 
-// PercentUsed is the share of the files, in percent, that hold entries which the
-// snapshot does not cover. A new snapshot must be taken before it reaches 100.
+// PercentUsed returns the percentage of the files that contain entries not covered by the
+// snapshot. A new snapshot must be written before it reaches 100.
 func (l *Log) PercentUsed() int {
 	used := 0
 	for _, index := range l.lastIndexes {
@@ -58,8 +59,8 @@
 	return used * 100 / l.layout.Files
 }
 
-// Save writes one batch and syncs it. The snapshot goes first, since entries may
-// continue from it. It returns ErrFull when the batch does not fit.
+// Save writes one batch and syncs it. The snapshot is written first, since the entries may
+// follow it in the log. Save returns ErrFull if the batch does not fit.
 func (l *Log) Save(w *raft.Write) error {
 	if w.Snapshot != nil {
 		if err := l.saveSnapshot(w.Snapshot); err != nil {
@@ -82,7 +83,8 @@
 	}
 }
 
-// recordEntries is how many of the entries go into the next record.
+// recordEntries returns how many of the entries the next record contains. The first entry
+// is always included.
 func (l *Log) recordEntries(entries []raft.Entry) int {
 	bytes := 0
 	for i, e := range entries {
@@ -94,7 +96,7 @@
 	return len(entries)
 }
 
-// appendRecord writes the hard state and some entries as one record, and syncs it.
+// appendRecord writes the hard state and some entries as one record and syncs it.
 func (l *Log) appendRecord(entries []raft.Entry) error {
 	body := encodeBatch(l.hardState, entries)
 	size := align(recordHeaderBytes + len(body))
@@ -119,12 +121,12 @@
 	return nil
 }
 
-// rotate goes on at the beginning of the next file, unless the snapshot does not
-// cover what stands there.
+// rotate moves to the beginning of the next file. It returns ErrFull if that file contains
+// entries not covered by the snapshot.
 func (l *Log) rotate() error {
 	next := (l.file + 1) % l.layout.Files
 	if l.lastIndexes[next] > l.snapshotIndex {
-		return errors.Wrapf(ErrFull, "%s holds entry %d, the snapshot is at %d", logFileName(next), l.lastIndexes[next], l.snapshotIndex)
+		return errors.Wrapf(ErrFull, "%s contains entry %d, the snapshot covers entries up to %d", logFileName(next), l.lastIndexes[next], l.snapshotIndex)
 	}
 	l.file = next
 	l.offset = 0
--- a/internal/consensus/wal/record.go
+++ b/internal/consensus/wal/record.go
@@ -5,9 +5,9 @@
 	"hash/crc32"
 )
 
-// A record is a header and a body. The header, in little endian, is the magic number
-// (4 bytes), the length of the body (4), the record's sequence number (8), a CRC-32C
-// (4) of all of the record but itself, and four zero bytes.
+// A record consists of a header and a body. The header, in little-endian byte order, is
+// the magic number (4 bytes), the length of the body (4), the record's sequence number
+// (8), the CRC-32C (4) of the record without the checksum itself, and four zero bytes.
 const (
 	recordMagic       = 0x4f524b31
 	recordHeaderBytes = 24
@@ -15,7 +15,7 @@
 	seqOffset         = 8
 	checksumOffset    = 16
 	checksumEnd       = 20
-	// recordAlignment is what the offset of each record is a multiple of.
+	// recordAlignment is the alignment of record offsets within a file.
 	recordAlignment = 8
 )
 
@@ -31,14 +31,15 @@
 	return record
 }
 
-// recordChecksum covers the header, but for the checksum itself, and the body.
+// recordChecksum returns the checksum of the header, without the checksum itself, and the
+// body.
 func recordChecksum(record []byte) uint32 {
 	checksum := crc32.Update(0, castagnoli, record[:checksumOffset])
 	return crc32.Update(checksum, castagnoli, record[checksumEnd:])
 }
 
-// decodeRecord reads the record at the beginning of data; ok is false when there is
-// no valid one.
+// decodeRecord decodes the record at the beginning of data; ok is false if there is no
+// valid record.
 func decodeRecord(data []byte) (seq uint64, body []byte, ok bool) {
 	if seq, ok = decodeRecordSeq(data); !ok {
 		return 0, nil, false
@@ -54,8 +55,8 @@
 	return seq, record[recordHeaderBytes:], true
 }
 
-// decodeRecordSeq reads the number of the record at the beginning of data, whether or
-// not the rest of it is valid; ok is false when no record begins there.
+// decodeRecordSeq decodes the sequence number of the record at the beginning of data,
+// whether or not the rest of the record is valid; ok is false if no record begins there.
 func decodeRecordSeq(data []byte) (seq uint64, ok bool) {
 	if len(data) < recordHeaderBytes || binary.LittleEndian.Uint32(data) != recordMagic {
 		return 0, false
@@ -63,5 +64,5 @@
 	return binary.LittleEndian.Uint64(data[seqOffset:]), true
 }
 
-// align rounds a size up to what a record takes in a file.
+// align rounds the size of a record up to the record alignment.
 func align(bytes int) int { return (bytes + recordAlignment - 1) &^ (recordAlignment - 1) }
--- a/internal/consensus/wal/recovery.go
+++ b/internal/consensus/wal/recovery.go
@@ -10,18 +10,18 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// Recovered is what the disk held.
+// Recovered is the state read back from the disk.
 type Recovered struct {
 	HardState raft.HardState
 	Snapshot  *raft.Snapshot
-	// Entries are those after the snapshot, without a gap.
+	// Entries are the entries after the snapshot, without gaps.
 	Entries []raft.Entry
-	// TornTail says that a torn last record was dropped.
+	// TornTail is set if a torn last record was dropped.
 	TornTail bool
 }
 
-// Open reads a log back. Both results are nil when the disk holds none. It returns
-// ErrDamaged when something other than a torn last record is wrong.
+// Open opens an existing log and reads it back. Both results are nil if the disk contains
+// no log. Open returns ErrDamaged on any corruption other than a torn last record.
 func Open(d Disk, layout Layout) (*Log, *Recovered, error) {
 	data, err := d.Read(snapshotFileName)
 	if err != nil {
@@ -67,7 +67,7 @@
 	return files, nil
 }
 
-// locatedRecord is a valid record and where it stands.
+// locatedRecord is a valid record and its position.
 type locatedRecord struct {
 	file   int
 	offset int
@@ -75,7 +75,7 @@
 	body   []byte
 }
 
-// end is the offset behind the record.
+// end returns the offset of the end of the record, including padding.
 func (r locatedRecord) end() int { return r.offset + align(recordHeaderBytes+len(r.body)) }
 
 func (r locatedRecord) decode() (raft.HardState, []raft.Entry, error) {
@@ -86,8 +86,8 @@
 	return hardState, entries, nil
 }
 
-// recover replays the records in the order of their numbers, beginning after the
-// last sound gap. Whatever valid lies behind any other gap proves damage, not a torn
+// recover replays the records in order of their sequence numbers, starting after the last
+// legitimate gap. A valid record after any other gap proves corruption rather than a torn
 // tail.
 func (l *Log) recover(files [][]byte, recovered *Recovered) error {
 	records, err := l.dropOverwritten(findRecords(files))
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// findRecords lists the valid records of all files in the order of their numbers.
+// findRecords returns the valid records of all files in order of their sequence numbers.
 func findRecords(files [][]byte) []locatedRecord {
 	var records []locatedRecord
 	for file, data := range files {
@@ -135,7 +135,8 @@
 	return records
 }
 
-// dropOverwritten returns the records after the last gap in the numbers.
+// dropOverwritten returns the records after the last gap in the sequence numbers. It
+// returns an error if a gap or a duplicate shows corruption.
 func (l *Log) dropOverwritten(records []locatedRecord) ([]locatedRecord, error) {
 	start := 0
 	for i := 1; i < len(records); i++ {
@@ -153,9 +154,9 @@
 	return records[start:], nil
 }
 
-// checkGap reports whether a gap between records is sound. A file is overwritten from
-// its beginning, so that the records at its end may be left from an earlier
-// rotation: then the snapshot covers all that stands before the gap.
+// checkGap returns an error unless a gap between records is legitimate. A file is
+// overwritten from its beginning, so records at its end may remain from an earlier
+// rotation. In that case the snapshot covers all entries before the gap.
 func (l *Log) checkGap(before []locatedRecord, next locatedRecord) error {
 	for _, r := range before {
 		_, entries, err := r.decode()
@@ -171,9 +172,9 @@
 	return nil
 }
 
-// hasTornRecord reports whether the next record was begun: its number stands in its
-// place, but the record is not valid. What an earlier rotation left there has an
-// older number.
+// hasTornRecord reports whether the next record was partly written: its sequence number is
+// in place, but the record is not valid. A record from an earlier rotation in that place
+// has a lower sequence number.
 func (l *Log) hasTornRecord(file []byte) bool {
 	if l.offset+recordHeaderBytes > len(file) {
 		return false
@@ -182,9 +183,9 @@
 	return ok && seq == l.nextSeq
 }
 
-// add puts an entry in its place; a later record replaces a tail. Terms never fall
-// along a log: an entry of an older term than the snapshot's belongs to a tail that
-// a leader's snapshot has replaced.
+// add adds an entry at its index and removes any entries from that index on, which it
+// replaces. Terms never decrease along a log, so an entry whose term is older than the
+// snapshot's belongs to a tail that a leader's snapshot has replaced, and is ignored.
 func (r *Recovered) add(e raft.Entry) error {
 	base := r.Snapshot.Index
 	if e.Index <= base {
--- a/internal/consensus/wal/snapshot_file.go
+++ b/internal/consensus/wal/snapshot_file.go
@@ -10,9 +10,9 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// The snapshot file is one record, numbered by the snapshot's index. Its body, in
-// little endian, is the index (8 bytes), the term (8), the length of the member list
-// (4), the member list as JSON, and the state.
+// The snapshot file is one record whose sequence number is the snapshot's index. Its body,
+// in little-endian byte order, is the index (8 bytes), the term (8), the length of the
+// member list (4), the member list as JSON, and the state.
 const (
 	snapshotFileName      = "view"
 	snapshotTermOffset    = 8
@@ -31,7 +31,7 @@
 func encodeSnapshot(s *raft.Snapshot) []byte {
 	members, err := json.Marshal(s.Members)
 	if err != nil {
-		panic("wal: a member list cannot be encoded: " + err.Error())
+		panic("wal: cannot encode member list: " + err.Error())
 	}
 	body := binary.LittleEndian.AppendUint64(nil, uint64(s.Index))
 	body = binary.LittleEndian.AppendUint64(body, uint64(s.Term))
--- a/internal/consensus/wal/snapshot_writer.go
+++ b/internal/consensus/wal/snapshot_writer.go
@@ -6,26 +6,26 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// chunkBytes is how much of a snapshot is written between two batches.
+// chunkBytes is the amount of snapshot data written between two batches.
 const chunkBytes = 512 << 10
 
-// SnapshotWriter is a snapshot that is written in the background, a chunk at a time,
-// so that entries can be written and acknowledged in between. The snapshot before it
-// counts until the last chunk is on disk and the file has replaced the earlier one.
+// SnapshotWriter tracks a snapshot that is written in the background, one chunk at a time,
+// so that entries can be written and acknowledged in between. The previous snapshot
+// remains valid until the last chunk is on disk and the new file has replaced it.
 type SnapshotWriter struct {
 	snapshot *raft.Snapshot
-	// encoded is the content of the file, nil until the first chunk, and written is
-	// how many bytes of it are on disk.
+	// encoded is the content of the file, nil before the first chunk, and written is the
+	// number of its bytes on disk.
 	encoded []byte
 	written int
 }
 
-// NewSnapshotWriter begins with nothing written. The snapshot must not be changed
-// while the writer is in use.
+// NewSnapshotWriter returns a writer for a snapshot, of which nothing is written yet. The
+// snapshot must not be modified while the writer is in use.
 func NewSnapshotWriter(s *raft.Snapshot) *SnapshotWriter { return &SnapshotWriter{snapshot: s} }
 
-// WriteChunk writes the next chunk of a snapshot and reports whether that was the last.
-// A snapshot that a newer one has superseded is done at once.
+// WriteChunk writes the next chunk of a snapshot and reports whether the snapshot is done.
+// A snapshot that is superseded by a newer one is done without being written further.
 func (l *Log) WriteChunk(w *SnapshotWriter) (done bool, err error) {
 	if w.snapshot.Index <= l.snapshotIndex {
 		return true, nil
--- a/internal/consensus/wal/write_queue.go
+++ b/internal/consensus/wal/write_queue.go
@@ -2,27 +2,27 @@
 
 import "orchidward/internal/consensus/raft"
 
-// snapshotFirstPercent is how full the log may be before a snapshot that is being
-// written takes precedence over all other writes: only it frees the log.
+// snapshotFirstPercent is the log usage from which on the snapshot being written takes
+// precedence over all other writes, since only a snapshot frees space in the log.
 const snapshotFirstPercent = 50
 
-// Operation is one piece of work for the disk: exactly one of the pointers is set.
+// Operation is one disk operation. Exactly one of Create, Write and Snapshot is set.
 type Operation struct {
-	// Create lays out a new log that starts from this snapshot.
+	// Create creates a new log that starts from this snapshot.
 	Create *raft.Snapshot
-	// Write saves a batch.
+	// Write writes this batch to the log.
 	Write *raft.Write
-	// Snapshot writes the next chunk of a snapshot.
+	// Snapshot writes the next chunk of this snapshot.
 	Snapshot *SnapshotWriter
 
-	// snapshotDone says that the chunk was the last one.
+	// snapshotDone is set if the chunk completed the snapshot.
 	snapshotDone bool
-	// percentUsed is how full the log was afterwards.
+	// percentUsed is the log usage after the operation.
 	percentUsed int
 }
 
-// Do carries the operation out on a disk. log is nil for Create, which returns the
-// new one; any other operation returns the log it was given.
+// Do executes the operation on a disk. log is nil for Create, which returns the new log;
+// any other operation returns the log it was given.
 func (o *Operation) Do(d Disk, layout Layout, log *Log) (*Log, error) {
 	log, err := o.run(d, layout, log)
 	if log != nil {
@@ -43,26 +43,26 @@
 	return log, err
 }
 
-// WriteQueue schedules the work of one disk, at most one operation at a time: first
-// the creation of the log, then batches, all that wait merged into one, and after
-// each of them a chunk of a snapshot. A newer snapshot waits until the one that is
-// being written is done. The zero value has nothing to do.
+// WriteQueue schedules the operations of one disk, at most one at a time: first the
+// creation of the log, then batches, into which queued writes are merged, each followed
+// by a chunk of the snapshot being written. A newer snapshot waits until that one is
+// done. The zero value is an empty queue ready to use.
 type WriteQueue struct {
 	create  *raft.Snapshot
 	backlog raft.Backlog
-	// writing is the snapshot being written, nextSnapshot the newest one after it.
+	// writing is the snapshot being written, nextSnapshot the newest one that waits for it.
 	writing      *SnapshotWriter
 	nextSnapshot *raft.Snapshot
-	// busy says that an operation is under way.
+	// busy is set while an operation is in progress.
 	busy bool
-	// lastWasWrite says that the last operation was not a chunk of a snapshot.
+	// lastWasWrite is set if the last operation was not a chunk of a snapshot.
 	lastWasWrite bool
-	// percentUsed is how full the log was after the last operation.
+	// percentUsed is the log usage after the last operation.
 	percentUsed int
 }
 
-// Add queues what a member asks for: the creation of its log, batches, and a
-// snapshot of its own. Each may be nil.
+// Add queues the operations that a member requests: the creation of its log, writes, and a
+// local snapshot. Each may be nil.
 func (q *WriteQueue) Add(create *raft.Snapshot, writes []*raft.Write, snapshot *raft.Snapshot) {
 	if create != nil {
 		q.create = create
@@ -75,12 +75,11 @@
 	}
 }
 
-// Bytes is the size of the batches that wait to be written, snapshots in the
-// background not included.
+// Bytes returns the size of the queued writes, not including background snapshots.
 func (q *WriteQueue) Bytes() int { return q.backlog.Bytes() }
 
-// Next is the operation to carry out now, or nil while one is under way or nothing
-// waits. The caller passes it to Done afterwards.
+// Next returns the operation to execute now, or nil if one is in progress or nothing is
+// queued. The caller passes the operation to Done after executing it.
 func (q *WriteQueue) Next() *Operation {
 	if q.writing == nil && q.nextSnapshot != nil {
 		q.writing = NewSnapshotWriter(q.nextSnapshot)
@@ -111,7 +110,7 @@
 	return nil
 }
 
-// Done notes that the operation under way has been carried out.
+// Done records that the operation in progress has been executed.
 func (q *WriteQueue) Done(o *Operation) {
 	q.busy = false
 	q.percentUsed = o.percentUsed
