--- a/internal/consensus/raft/backlog_test.go
+++ b/internal/consensus/raft/backlog_test.go
@@ -6,8 +6,8 @@
 	"orchidward/internal/api/identifier"
 )
 
-// TestBacklogMergesWrites: writes that wait for a slow disk are merged, later
-// entries over earlier ones, but never with a snapshot.
+// TestBacklogMergesWrites checks that queued writes are merged, with later entries replacing
+// earlier ones of the same index, but never with a snapshot.
 func TestBacklogMergesWrites(t *testing.T) {
 	var b Backlog
 	entries := func(indexes ...identifier.Index) []Entry {
@@ -26,12 +26,12 @@
 	snapshot := b.Next()
 	last := b.Next()
 	if merged.Seq != 3 || merged.HardState.Term != 2 || len(merged.Entries) != 4 {
-		t.Fatalf("first %+v", merged)
+		t.Fatalf("first write: %+v", merged)
 	}
 	if merged.Entries[2].Term != 2 || merged.Entries[1].Term != 1 {
 		t.Errorf("merged entries %+v, want term 1 and then term 2", merged.Entries)
 	}
 	if snapshot.Seq != 4 || snapshot.Snapshot == nil || last.Seq != 5 || b.Next() != nil || b.Bytes() != 0 {
-		t.Errorf("then %+v, %+v, %d bytes left", snapshot, last, b.Bytes())
+		t.Errorf("following writes: %+v, %+v, %d bytes left", snapshot, last, b.Bytes())
 	}
 }
--- a/internal/consensus/raft/chaos_test.go
+++ b/internal/consensus/raft/chaos_test.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// chaosMs is how long a group is exposed to faults, recoveryMs how long it then has
+	// chaosMs is how long faults are injected into a group, recoveryMs how long it then has
 	// to recover.
 	chaosMs    = 20000
 	recoveryMs = 12000
-	// maxLagMs is how far behind a member may be after that, in ms of proposals.
+	// maxLagMs is how far a member may lag after that, in ms of proposals.
 	maxLagMs = 8000
 )
 
-// evidence sums up what the runs of a test went through.
+// runTotals sums the counters of all runs of a test.
 type runTotals struct {
 	lock     sync.Mutex
 	terms    int
@@ -36,8 +36,8 @@
 	e.counters.snapshotsInstalled += g.snapshotsInstalled
 }
 
-// runSeeds runs a simulation for each seed from 1 on, at the same time, reports
-// their failures and sums up what they went through.
+// runSeeds runs a simulation for each seed from 1 to seeds in parallel, reports failures
+// and returns the totals of all runs.
 func runSeeds(t *testing.T, name string, seeds int, simulate func(seed int64) *group) *runTotals {
 	t.Helper()
 	sum := &runTotals{}
@@ -56,11 +56,11 @@
 	return sum
 }
 
-// TestChaos runs members through crashes that lose what was not synced, links
-// blocked in one direction and both, lost, duplicated and late messages,
-// snapshots, leadership transfers and membership changes. After every step: one
-// leader a term, one lease at a time, nothing committed is lost or differs, and
-// what is handed out has no gap. Once the faults end, all agree and go on.
+// TestChaos exposes groups to crashes that lose unsynced writes, links blocked in one or both
+// directions, lost, duplicated and delayed messages, snapshots, leadership transfers and
+// membership changes. After every step, each term has at most one leader, at most one lease
+// is valid, no committed entry is lost or differs between members, and committed entries are
+// returned without gaps. After the faults end, the group commits and its members catch up.
 func TestChaos(t *testing.T) {
 	sum := runSeeds(t, "seeds", 150, func(seed int64) *group {
 		g := newGroup(seed)
@@ -77,9 +77,9 @@
 	t.Logf("%d terms had a leader, %d membership changes", sum.terms, changes)
 }
 
-// TestChaosFiveVoters is the same with five voters of six members and of eight: two
-// are lost at the same moment, also during a membership change, and some of them
-// for good, so that an empty host replaces them.
+// TestChaosFiveVoters is TestChaos with five voters among six or eight members. Two voters
+// fail at the same time, also during membership changes, and some of them permanently, so
+// that an empty host replaces them.
 func TestChaosFiveVoters(t *testing.T) {
 	for _, maxMembers := range []int{6, 8} {
 		sum := runSeeds(t, fmt.Sprint(maxMembers), 80, func(seed int64) *group {
@@ -93,16 +93,16 @@
 		})
 		seen := sum.counters
 		if sum.terms < 200 || seen.membershipChanges < 200 || seen.pairsLost < 150 || seen.hostsLost < 30 {
-			t.Errorf("of %d: too little evidence: %d terms, %d membership changes, %d pairs lost, %d hosts for good",
+			t.Errorf("%d members: too little evidence: %d terms, %d membership changes, %d pairs failed, %d hosts lost permanently",
 				maxMembers, sum.terms, seen.membershipChanges, seen.pairsLost, seen.hostsLost)
 		}
-		t.Logf("of %d: %d terms had a leader, %d membership changes, %d pairs lost at once, %d hosts for good",
+		t.Logf("%d members: %d terms had a leader, %d membership changes, %d pairs failed at once, %d hosts lost permanently",
 			maxMembers, sum.terms, seen.membershipChanges, seen.pairsLost, seen.hostsLost)
 	}
 }
 
-// run exposes a group of so many voters to faults, ends them all, and checks that
-// the group goes on and its members catch up.
+// run injects faults into a group with the given number of voters, removes all faults, and
+// checks that the group commits again and its members catch up.
 func (g *group) run(voters int) {
 	g.bootstrap(voters)
 	for g.now < chaosMs && g.failure == "" {
@@ -116,13 +116,13 @@
 	g.advance(recoveryMs)
 	leader := g.leader()
 	if leader == nil || g.lastCommitted < before+20 {
-		g.failf("without faults, the group does not go on: %d committed, then %d", before, g.lastCommitted)
+		g.failf("after the faults ended, the group makes no progress: committed up to %d, then up to %d", before, g.lastCommitted)
 		return
 	}
 	maxLag := identifier.Index(maxLagMs / g.meanProposalMs)
 	for _, m := range leader.raft.Members() {
 		if h := g.host(m.ID); !h.lost && h.applied+maxLag < g.lastCommitted {
-			g.failf("member %d is at %d, the group at %d", m.ID, h.applied, g.lastCommitted)
+			g.failf("member %d has applied up to %d, the group has committed up to %d", m.ID, h.applied, g.lastCommitted)
 		}
 	}
 }
--- a/internal/consensus/raft/faults_test.go
+++ b/internal/consensus/raft/faults_test.go
@@ -6,7 +6,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-// restart crashes a host and starts it again, sooner or later.
+// restart crashes a host and restarts it after a random delay.
 func (g *group) restart(h *host) {
 	if !h.up {
 		return
@@ -25,7 +25,7 @@
 	}
 }
 
-// maybeRestartVoter sometimes restarts a host whose vote is about to be written.
+// maybeRestartVoter randomly restarts a host whose vote is about to be written.
 func (g *group) maybeRestartVoter(h *host, w *Write) {
 	voted := w.HardState != nil && w.HardState.Vote != 0
 	if voted && g.faultsEnabled && g.random.Intn(6) == 0 {
@@ -33,22 +33,22 @@
 	}
 }
 
-// maybeRestartLeader sometimes restarts a leader that has just been elected.
+// maybeRestartLeader randomly restarts a leader that has just been elected.
 func (g *group) maybeRestartLeader(h *host) {
 	if g.faultsEnabled && g.random.Intn(3) == 0 {
 		g.after(g.random.Int63n(80), func() { g.restart(h) })
 	}
 }
 
-// lose takes a host away for good, its disk with it.
+// lose removes a host permanently, including its disk.
 func (g *group) lose(h *host) {
 	h.crash()
 	h.lost = true
 	g.hostsLost++
 }
 
-// restartTwoVoters restarts two voters at once; now and then one of them is lost
-// for good.
+// restartTwoVoters restarts two voters at the same time, or at random loses one of them
+// permanently and restarts the other.
 func (g *group) restartTwoVoters() {
 	leader := g.leader()
 	if !g.losePairs || leader == nil {
@@ -73,8 +73,8 @@
 	g.restart(voters[1])
 }
 
-// quorumSurvives reports whether, with one more host lost for good, the last two
-// member lists that any host goes by or has on its disk keep a majority of voters.
+// quorumSurvives reports whether the last two member lists of every host, in memory or on
+// disk, retain a majority of their voters if one more host is lost permanently.
 func (g *group) quorumSurvives(lost *host) bool {
 	for _, h := range g.hosts {
 		if h.lost {
@@ -90,8 +90,8 @@
 	return true
 }
 
-// memberLists lists the member lists that a host has on its disk and the one that
-// it goes by, in the order of the log.
+// memberLists returns the member lists on a host's disk and the one in effect, in log
+// order.
 func (h *host) memberLists() [][]Member {
 	lists := [][]Member{h.disk.snapshot.Members}
 	for _, e := range h.disk.entries {
@@ -120,7 +120,7 @@
 	return left > voters/2
 }
 
-// isolate blocks all links of a host, both ways.
+// isolate blocks all links of a host in both directions.
 func (g *group) isolate(isolated *host) {
 	for _, h := range g.hosts {
 		if h != isolated {
@@ -130,7 +130,7 @@
 	}
 }
 
-// injectFault does one harmful thing, or nothing, at random.
+// injectFault injects one random fault, or none.
 func (g *group) injectFault() {
 	h := g.hosts[g.random.Intn(len(g.hosts))]
 	other := g.hosts[g.random.Intn(len(g.hosts))]
@@ -182,8 +182,8 @@
 	}
 }
 
-// changeMembership makes the next change as the control plane does: a learner is
-// added, made a voter when it has caught up, and then some other voter removed.
+// changeMembership makes the next membership change as the control plane does: it adds a
+// learner, promotes it to voter once it has caught up, and then removes another voter.
 func (g *group) changeMembership() {
 	leader := g.leader()
 	if leader == nil {
@@ -199,7 +199,7 @@
 	}
 }
 
-// nextMembers is the member list after the next change; ok is false when none is
+// nextMembers returns the member list after the next change; ok is false if no change is
 // due.
 func (g *group) nextMembers(leader *host) (members []Member, ok bool) {
 	members = append(members, leader.raft.Members()...)
@@ -226,8 +226,8 @@
 	return members, true
 }
 
-// withoutOneVoter removes a member at random, or rather a voter that is lost, if
-// it is a voter other than the leader.
+// withoutOneVoter picks a lost voter if there is one, or else a random member, and removes
+// it. It returns false if the picked member is the leader or not a voter.
 func (g *group) withoutOneVoter(members []Member, leader *host) ([]Member, bool) {
 	removed := members[g.random.Intn(len(members))]
 	for _, m := range members {
@@ -251,7 +251,7 @@
 	return kept
 }
 
-// withLearner starts an empty host and adds it as a learner.
+// withLearner starts an empty host and returns the member list with it as a learner.
 func (g *group) withLearner(members []Member) []Member {
 	added := g.addHost(append([]Member(nil), members...), 0)
 	g.start(added)
--- a/internal/consensus/raft/group_test.go
+++ b/internal/consensus/raft/group_test.go
@@ -7,45 +7,43 @@
 	"orchidward/internal/api/identifier"
 )
 
-// options says what a simulated group is like and what it has to bear.
+// options configures a simulated group and the faults injected into it.
 type options struct {
 	timing Timing
-	// wantVoters is how many members are to vote, maxMembers how many there may be
-	// at a time, and maxHosts how many hosts in all.
+	// wantVoters is the target number of voters, maxMembers the maximum number of members
+	// at a time, and maxHosts the maximum number of hosts ever started.
 	wantVoters int
 	maxMembers int
 	maxHosts   int
 
-	// meanWriteMs is how long a write to disk takes on average.
+	// meanWriteMs is the mean duration of a disk write.
 	meanWriteMs int
-	// meanProposalMs is how long it is between proposals on average, and entryBytes
-	// how large each is.
+	// meanProposalMs is the mean time between proposals, and entryBytes the size of each.
 	meanProposalMs int
 	entryBytes     int
-	// tailLimit, unless nil, overrides how much of the log is kept behind a
-	// snapshot.
+	// tailLimit, unless nil, overrides the limit on entries kept after compaction.
 	tailLimit *tailLimit
-	// compactOften has members take snapshots every few entries.
+	// compactOften makes members take snapshots every few entries.
 	compactOften bool
 
-	// reliableNetwork loses nothing and takes a millisecond. Members are then
+	// reliableNetwork delivers every message after one millisecond. Members are then
 	// ticked every millisecond.
 	reliableNetwork bool
-	// maxDelayMs is how late a duplicated message may be.
+	// maxDelayMs is the maximum delay of a duplicated message.
 	maxDelayMs int64
-	// maxDrift is by how much a clock may be off, in 1/10000.
+	// maxDrift is the maximum clock drift, in units of 1/10000.
 	maxDrift int
 
-	// meanFaultMs is how long it is between calls of injectFault on average.
+	// meanFaultMs is the mean time between calls of injectFault.
 	meanFaultMs int
-	// losePairs says that now and then two hosts are lost at once, and that a host
-	// may be lost for good, its disk with it, and an empty one come.
+	// losePairs enables faults in which two voters fail at once, and in which a host is
+	// lost permanently with its disk and replaced by an empty one.
 	losePairs bool
-	// pauseProcesses has processes stand still now and then.
+	// pauseProcesses enables faults that pause a process.
 	pauseProcesses bool
 }
 
-// counters is the evidence that a simulation put its group to the test.
+// counters counts events of a simulation, to check that it exercised the group.
 type counters struct {
 	proposals          int
 	losses             int
@@ -56,7 +54,7 @@
 	snapshotsInstalled int
 }
 
-// group is a simulated group of hosts on one true clock, in ms.
+// group is a simulated group of hosts. Its time is in ms, without drift.
 type group struct {
 	options
 	counters
@@ -68,14 +66,14 @@
 
 	network      []inTransit
 	blockedLinks map[link]bool
-	// scheduled holds what is to happen at a time.
+	// scheduled holds the functions to call at each time.
 	scheduled     map[int64][]func()
 	faultsEnabled bool
-	// failure is the first thing that must not have happened, empty for none.
+	// failure describes the first failure, empty if there is none.
 	failure string
 }
 
-// newGroup makes a group without hosts, whose options vary with the seed.
+// newGroup returns a group without hosts, whose options vary with the seed.
 func newGroup(seed int64) *group {
 	return &group{
 		options: options{
@@ -94,8 +92,8 @@
 	}
 }
 
-// bootstrap starts a group of so many voters, and where pairs are lost also the
-// learners that there is place for.
+// bootstrap starts a group with the given number of voters and, if losePairs is set, with
+// as many learners as maxMembers allows.
 func (g *group) bootstrap(voters int) {
 	members := []Member{}
 	for i := 1; i <= voters; i++ {
@@ -114,7 +112,7 @@
 	}
 }
 
-// addHost adds a host that is down, whose disk holds a snapshot at an index.
+// addHost adds a stopped host whose disk contains a snapshot at an index.
 func (g *group) addHost(members []Member, index identifier.Index) *host {
 	h := &host{
 		id:    identifier.Node(len(g.hosts) + 1),
--- a/internal/consensus/raft/host_test.go
+++ b/internal/consensus/raft/host_test.go
@@ -6,33 +6,32 @@
 	"orchidward/internal/api/identifier"
 )
 
-// host is one simulated member with its disk: what was synced outlives a crash,
-// what was not is gone.
+// host is one simulated member with its disk. A crash loses everything that was not synced.
 type host struct {
 	id identifier.Node
 
-	// raft is nil while the host is down. startedAt is when its clock began at 0;
-	// drift is by how much that clock is fast, as a fraction.
+	// raft is nil while the host is down. startedAt is when its clock started at 0; drift
+	// is the fraction by which that clock runs fast.
 	raft      *Raft
 	up        bool
 	startedAt int64
 	drift     float64
-	// pausedUntil is until when its process stands still.
+	// pausedUntil is the time until which its process is paused.
 	pausedUntil int64
-	// lost says that the host is gone for good, and its disk with it.
+	// lost is set once the host and its disk are lost permanently.
 	lost bool
 
 	disk disk
-	// backlog and localSnapshot wait to be written.
+	// backlog and localSnapshot are not yet written to disk.
 	backlog       Backlog
 	localSnapshot *Snapshot
 
-	// applied is the last index applied, checksum one over all that was applied up
-	// to it; snapshots carry it.
+	// applied is the last applied index, and checksum covers all entries applied up to it.
+	// The checksum is the state stored in snapshots.
 	applied  identifier.Index
 	checksum uint64
 
-	// ackedIndex is the last index it acknowledged in ackedTerm.
+	// ackedIndex is the highest index that the host acknowledged in ackedTerm.
 	ackedIndex identifier.Index
 	ackedTerm  identifier.Term
 }
@@ -42,7 +41,7 @@
 	h.raft = nil
 }
 
-// encodeState is what a snapshot of the host's state holds.
+// encodeState returns the host's state as stored in a snapshot.
 func (h *host) encodeState() []byte { return binary.BigEndian.AppendUint64(nil, h.checksum) }
 
 func (h *host) restore(s *Snapshot) {
@@ -53,8 +52,7 @@
 	}
 }
 
-// writeLocalSnapshot finishes the snapshot that waits to be written, unless the
-// disk has a newer one.
+// writeLocalSnapshot writes the pending local snapshot, unless the disk has a newer one.
 func (h *host) writeLocalSnapshot() {
 	if h.localSnapshot.Index > h.disk.snapshot.Index {
 		h.disk.write(&Write{Snapshot: h.localSnapshot})
@@ -62,7 +60,7 @@
 	h.localSnapshot = nil
 }
 
-// disk is what a host has synced.
+// disk holds what a host has synced.
 type disk struct {
 	hardState HardState
 	snapshot  *Snapshot
@@ -80,14 +78,14 @@
 		kept := d.entriesWhere(func(index identifier.Index) bool { return index < w.Entries[0].Index })
 		d.entries = append(kept, w.Entries...)
 	}
-	// A local snapshot may be on disk before entries that it covers: as in the
-	// write-ahead log, those do not count.
+	// A local snapshot may reach the disk before entries that it covers. As in the
+	// write-ahead log, such entries are ignored.
 	for len(d.entries) > 0 && d.entries[0].Index <= d.snapshot.Index {
 		d.entries = d.entries[1:]
 	}
 }
 
-// writeSnapshot replaces the snapshot and keeps the entries that go on from it.
+// writeSnapshot replaces the snapshot and keeps the entries that directly follow it.
 func (d *disk) writeSnapshot(s *Snapshot) {
 	d.snapshot = s
 	d.entries = d.entriesWhere(func(index identifier.Index) bool { return index > s.Index })
--- a/internal/consensus/raft/isolation_test.go
+++ b/internal/consensus/raft/isolation_test.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/clock"
 )
 
-// isolation is a way in which a leader is cut off from its group.
+// isolation is a way to isolate a leader from its group.
 type isolation int
 
 const (
@@ -19,7 +19,7 @@
 	isolationKinds
 )
 
-// membershipChange is a change that may be under way when that happens.
+// membershipChange is the change that is pending when the leader is isolated.
 type membershipChange int
 
 const (
@@ -29,27 +29,27 @@
 	changeKinds
 )
 
-// neverMs is a timeout that does not pass in a test.
+// neverMs is a timeout that never expires in a test.
 const neverMs = 1 << 30
 
-// isolationCase is a leader whose clock runs 2% slow or fast, against members
-// whose clocks run the other way, that is isolated some ms after a heartbeat,
-// while a membership change has reached some of the others.
+// isolationCase describes a leader that is isolated offsetMs after a heartbeat, while a
+// membership change has reached only some of the other members. The leader's clock runs 2%
+// slow or fast, and the other members' clocks run 2% off in the opposite direction.
 type isolationCase struct {
 	electionTimeout clock.Millis
 	voters          int
 	leaderSlow      bool
 	isolation       isolation
 	change          membershipChange
-	// reachedMembers is how many of the other members the change has reached.
+	// reachedMembers is the number of other members that the change has reached.
 	reachedMembers int
 	offsetMs       int64
-	// loseOneEarly has one voter lose the leader's messages well before the others.
+	// loseOneEarly blocks the leader's messages to one voter well before the isolation.
 	loseOneEarly bool
 }
 
-// eagerGroup is a group whose members ask for votes as early as they may, and
-// again and again. Its first member leads first.
+// eagerGroup is a group whose members request votes as early as allowed, and repeatedly.
+// Its first member is the first leader.
 type eagerGroup struct {
 	*group
 }
@@ -77,8 +77,8 @@
 	return &eagerGroup{group: g}
 }
 
-// advance lets time pass. The first member alone stands for election until it
-// leads, the others as soon as they may after that.
+// advance advances the time. Only the first member campaigns until it is the leader;
+// afterwards the others campaign as soon as they may.
 func (g *eagerGroup) advance(ms int64) {
 	for end := g.now + ms; g.now < end && g.failure == ""; {
 		for _, h := range g.hosts {
@@ -101,8 +101,8 @@
 	}
 }
 
-// run returns how long after the end of the first leader's lease another leader
-// committed, and a failure unless one did.
+// run returns the time from the end of the first leader's lease until another leader
+// committed, or a failure if none did.
 func (c isolationCase) run() (marginMs int64, failure string) {
 	g := newEagerGroup(c)
 	for g.leaders[1] != 1 && g.now < 10*int64(c.electionTimeout) {
@@ -130,10 +130,10 @@
 		}
 		g.advance(1)
 	}
-	return 0, g.failure + " no other leader"
+	return 0, g.failure + " no other leader committed"
 }
 
-// startMembershipChange proposes a change that reaches some members only.
+// startMembershipChange proposes a change that reaches only some members.
 func (g *eagerGroup) startMembershipChange(c isolationCase, leader *host) {
 	members := append([]Member(nil), leader.raft.Members()...)
 	switch c.change {
@@ -150,7 +150,7 @@
 		}
 	}
 	if !g.proposeMembers(leader, members) {
-		g.failf("the change was refused")
+		g.failf("the membership change was rejected")
 	}
 	g.advance(3)
 }
@@ -169,10 +169,10 @@
 	}
 }
 
-// TestLeaseEndsBeforeNextCommit enumerates isolated leaders, with clocks 2% off
-// against one another in either direction, members that ask for votes at the first
-// moment they may, and membership changes under way: whoever follows commits only
-// after the lease has ended. The least time between the two is the margin.
+// TestLeaseEndsBeforeNextCommit checks that after a leader is isolated, another leader commits
+// only after the first leader's lease has expired. It enumerates kinds of isolation, clocks
+// that are 2% off in either direction, and pending membership changes, with members that
+// request votes as early as allowed. It logs the smallest margin between the two events.
 func TestLeaseEndsBeforeNextCommit(t *testing.T) {
 	for _, electionTimeout := range []clock.Millis{250, 1000} {
 		for _, voters := range []int{3, 5} {
@@ -197,11 +197,11 @@
 		}
 		least = min(least, marginMs*1000/int64(c.electionTimeout))
 	}
-	t.Logf("%d cases, the lease ended %d thousandths of an election timeout before another leader committed, at least", len(cases), least)
+	t.Logf("%d cases: the lease ended at least %d thousandths of an election timeout before another leader committed", len(cases), least)
 }
 
-// isolationCases lists the cases of one timeout and size. Removing one of three
-// voters is left out, since the control plane never does it.
+// isolationCases returns the cases for one election timeout and number of voters. Removing
+// one of three voters is left out, since the control plane never does that.
 func isolationCases(electionTimeout clock.Millis, voters int) []isolationCase {
 	var cases []isolationCase
 	offsetsMs := []int64{0, 10, 20, 30, 40, 50}
--- a/internal/consensus/raft/large_entries_test.go
+++ b/internal/consensus/raft/large_entries_test.go
@@ -9,28 +9,27 @@
 )
 
 const (
-	// largeEntryBytes is the size of a large configuration.
+	// largeEntryBytes is the size of an entry that contains a large configuration.
 	largeEntryBytes = 300 << 10
-	// snapshotEveryBytes is how many bytes of entries a server logs between
-	// snapshots.
+	// snapshotEveryBytes is the size of the entries that a server logs between snapshots.
 	snapshotEveryBytes = 8 << 20
 )
 
-// largeEntryGroup is a group of three that logs large entries and takes snapshots
-// of a large state as servers do.
+// largeEntryGroup is a group of three members that logs large entries and, like the
+// servers, takes snapshots of a large state.
 type largeEntryGroup struct {
 	*group
 	t     *testing.T
 	state []byte
-	// transfers are the indexes of the snapshots that were seen on their way.
+	// transfers holds the indexes of all snapshots that were being transferred.
 	transfers map[identifier.Index]bool
-	// maxRetainedBytes is the most that a log kept of committed entries, and
-	// checkedExtents what each log was like when it was last checked.
+	// maxRetainedBytes is the largest size of committed entries kept by a log, and
+	// checkedExtents the extent of each log when it was last checked.
 	maxRetainedBytes int
 	checkedExtents   map[identifier.Node]logExtent
 }
 
-// logExtent reports whether a log has changed.
+// logExtent is the extent of a log, to detect whether the log has changed.
 type logExtent struct{ base, commit, last identifier.Index }
 
 func newLargeEntryGroup(t *testing.T, seed int64, stateBytes int) *largeEntryGroup {
@@ -51,7 +50,7 @@
 	}
 }
 
-// advance lets some milliseconds pass and checks the memory after each of them.
+// advance advances the time and checks the memory after every millisecond.
 func (g *largeEntryGroup) advance(ms int64) {
 	g.t.Helper()
 	for end := g.now + ms; g.now < end && g.failure == ""; {
@@ -68,7 +67,7 @@
 	}
 }
 
-// takeSnapshot takes one once enough was applied since the last.
+// takeSnapshot takes a snapshot if enough entries were applied since the last one.
 func (g *largeEntryGroup) takeSnapshot(h *host) {
 	appliedBytes := int(h.applied-h.raft.SnapshotIndex()) * largeEntryBytes
 	if appliedBytes < snapshotEveryBytes {
@@ -78,8 +77,8 @@
 	g.processOutput(h)
 }
 
-// checkMemory checks the bytes of committed entries that a member keeps in memory:
-// the tail behind its snapshot, and what came since.
+// checkMemory checks the size of the committed entries that a member keeps in memory:
+// those retained although a snapshot covers them, and those after the snapshot.
 func (g *largeEntryGroup) checkMemory(h *host) {
 	for _, p := range h.raft.peers {
 		if p.transfer.snapshot != nil {
@@ -100,13 +99,13 @@
 	g.maxRetainedBytes = max(g.maxRetainedBytes, committedBytes)
 	limit := defaultTail.transferBytes + snapshotEveryBytes + 8*largeEntryBytes
 	if committedBytes > limit {
-		g.t.Fatalf("at %d host %d keeps %d bytes of committed entries in %d, limit %d",
+		g.t.Fatalf("at %d host %d keeps %d bytes of committed entries in a log of %d entries, limit %d bytes",
 			g.now, h.id, committedBytes, len(h.raft.log.entries), limit)
 	}
 }
 
-// catchUp wants a host within some entries of the group in so many ms, while
-// entries go on coming, and returns how many ms that took.
+// catchUp waits until a host is within 5 entries of the group, while new entries are
+// proposed, and returns the time that took. It fails the test after ms milliseconds.
 func (g *largeEntryGroup) catchUp(h *host, ms int64) int64 {
 	g.t.Helper()
 	start := g.now
@@ -116,7 +115,7 @@
 			return g.now - start
 		}
 	}
-	g.t.Fatalf("host %d is at %d after %d ms, the group at %d", h.id, h.applied, ms, g.lastCommitted)
+	g.t.Fatalf("host %d has applied up to %d after %d ms, the group has committed up to %d", h.id, h.applied, ms, g.lastCommitted)
 	return 0
 }
 
@@ -130,10 +129,10 @@
 	return nil
 }
 
-// TestCatchUpWithLargeEntries: a member is away for some to all of 2,000 entries of
-// 300 KB and catches up, by the log or by a snapshot, while entries go on coming,
-// also when meanwhile the leader changes, when it restarts itself, and when the
-// snapshot it is sent is superseded. What is kept in memory stays bounded.
+// TestCatchUpWithLargeEntries checks that a member that was down for up to 1,900 entries of
+// 300 KB catches up from the log or from a snapshot while new entries are proposed, also if
+// the leader changes meanwhile, if the member itself restarts, and if the snapshot being
+// sent to it is superseded. The size of the entries kept in memory must stay bounded.
 func TestCatchUpWithLargeEntries(t *testing.T) {
 	for _, missed := range []int{1, 40, 400, 1900} {
 		t.Run(fmt.Sprint(missed), func(t *testing.T) {
@@ -168,17 +167,17 @@
 			for g.proposals < 2000 && missed > 1000 {
 				g.advance(1000)
 			}
-			t.Logf("away for %d entries: caught up in %d ms; with the leader gone midway %d ms; restarted midway %d ms",
+			t.Logf("down for %d entries: caught up in %d ms; in %d ms when the leader restarted midway; in %d ms when it restarted itself midway",
 				missed, catchUpMs, leaderRestartMs, restartedMs)
-			t.Logf("%d entries, at most %d bytes kept", g.proposals, g.maxRetainedBytes)
+			t.Logf("%d entries, at most %d bytes of entries kept in memory", g.proposals, g.maxRetainedBytes)
 		})
 	}
 }
 
-// TestSnapshotTransferOutlastsCompaction: a state so large that sending it takes
-// longer than the leader needs from one snapshot to the next. The follower must
-// find the entries after the snapshot it was sent: the transfer starts anew seldom,
-// and never for ever.
+// TestSnapshotTransferOutlastsCompaction uses a state so large that transferring it takes
+// longer than the interval between the leader's snapshots. The leader must retain the entries
+// after the snapshot being sent: otherwise the follower would need the next snapshot, and the
+// transfer could restart forever.
 func TestSnapshotTransferOutlastsCompaction(t *testing.T) {
 	restarts := 0
 	superseded := 0
@@ -203,14 +202,14 @@
 		t.Errorf("too little evidence: of 6 transfers %d were superseded by a newer snapshot", superseded)
 	}
 	if restarts > 6 {
-		t.Errorf("6 transfers started anew %d times", restarts)
+		t.Errorf("6 transfers were restarted %d times", restarts)
 	}
-	t.Logf("6 transfers, %d superseded, %d started anew; caught up in %d ms at the longest", superseded, restarts, longestMs)
+	t.Logf("6 transfers: %d superseded, %d restarted; caught up within %d ms", superseded, restarts, longestMs)
 }
 
-// TestChaosShortTail is TestChaos with next to no log kept behind a snapshot, so
-// that snapshots are sent all the time: late, duplicated, superseded, to members
-// that restart, by leaders that change.
+// TestChaosShortTail is TestChaos with almost no entries retained after compaction, so that
+// snapshots are sent constantly: delayed, duplicated or superseded, to members that restart,
+// and across leader changes.
 func TestChaosShortTail(t *testing.T) {
 	sum := runSeeds(t, "seeds", 30, func(seed int64) *group {
 		g := newGroup(seed)
--- a/internal/consensus/raft/lease_test.go
+++ b/internal/consensus/raft/lease_test.go
@@ -6,9 +6,9 @@
 	"orchidward/internal/clock"
 )
 
-// TestNewerTermDoesNotReleaseVoter: a member that acknowledged a leader's message
-// helps to elect nobody for an election timeout, also when it hears of a newer
-// term meanwhile: the leader's lease rests on that.
+// TestNewerTermDoesNotReleaseVoter checks that a member that acknowledged a leader's message
+// grants no vote for an election timeout, even if it learns of a newer term meanwhile. The
+// leader's lease relies on that.
 func TestNewerTermDoesNotReleaseVoter(t *testing.T) {
 	r := newMember(1, 3)
 	r.Step(Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, SentAt: 77}, 5000, 0)
@@ -16,16 +16,16 @@
 	r.Step(Message{Kind: PreVoteReply, From: 3, To: 1, Term: 6, Reject: true}, 5010, 0)
 	r.TakeOutput()
 	if grantsVote(r, 7, 5100) {
-		t.Error("100 ms after it acknowledged a leader it helped to elect another")
+		t.Error("100 ms after it acknowledged a leader, the member helped to elect another")
 	}
 	if !grantsVote(r, 7, 6100) {
-		t.Error("1100 ms after it acknowledged a leader it still votes for nobody")
+		t.Error("1100 ms after it acknowledged a leader, the member still grants no vote")
 	}
 }
 
-// TestMessageBeforeRestartRenewsNoLease: a message that a leader's process sent
-// before it was restarted reaches a follower late. The reply must not renew the
-// lease, since the send time in it is of the clock before the restart.
+// TestMessageBeforeRestartRenewsNoLease delivers a message to a follower that the leader's
+// process sent before it restarted. The reply must not renew the lease, since its send time
+// was read from the clock before the restart.
 func TestMessageBeforeRestartRenewsNoLease(t *testing.T) {
 	leader := newMember(1, 3)
 	now := elect(t, leader)
@@ -41,10 +41,10 @@
 	}
 }
 
-// TestLeaseUnderDrift: under clocks that drift by 2% against true time, either
-// way, processes that pause, messages that are late by seconds, blocked links and
-// membership changes, at no moment do two leaders have a lease, and none has one
-// once a leader of a later term has committed.
+// TestLeaseUnderDrift checks that two leaders never hold a lease at the same time, and that no
+// leader holds one once a leader of a later term has committed. Clocks drift by up to 2% in
+// either direction, processes pause, messages are delayed by seconds, links are blocked and
+// the membership changes.
 func TestLeaseUnderDrift(t *testing.T) {
 	sum := runSeeds(t, "seeds", 24, func(seed int64) *group {
 		g := newGroup(seed)
--- a/internal/consensus/raft/member_test.go
+++ b/internal/consensus/raft/member_test.go
@@ -15,22 +15,21 @@
 	return members
 }
 
-// newMember is one of three voters, just started at time 0 in a term, with
-// entries after a snapshot at index 1.
+// newMember returns one of three voters, started at time 0 in the given term, whose log
+// has the given entries after a snapshot at index 1.
 func newMember(id identifier.Node, term identifier.Term, entries ...Entry) *Raft {
 	snapshot := &Snapshot{Index: 1, Term: 1, Members: threeVoters()}
 	return New(id, DefaultTiming(), 1, 0, HardState{Term: term}, snapshot, entries)
 }
 
-// deliver passes in a message, syncs every write that it leads to, and returns
-// the messages that were sent.
+// deliver passes a message to a member, syncs every resulting write, and returns the
+// messages that the member sent.
 func deliver(r *Raft, m Message, now clock.Monotonic) []Message {
 	r.Step(m, now, 0)
 	return syncAll(r)
 }
 
-// syncAll syncs every write until none is left, and returns the messages that were
-// sent.
+// syncAll syncs writes until none is left, and returns the messages that the member sent.
 func syncAll(r *Raft) []Message {
 	var sent []Message
 	for o := r.TakeOutput(); o.Write != nil || len(o.Messages) > 0; o = r.TakeOutput() {
@@ -42,8 +41,8 @@
 	return sent
 }
 
-// elect has member 1 win the election of term 4 with the vote of member 2, and
-// returns the time at which it did.
+// elect makes member 1 win the election of term 4 with the vote of member 2, and returns the
+// time of the election.
 func elect(t *testing.T, r *Raft) clock.Monotonic {
 	t.Helper()
 	now := clock.Monotonic(0)
@@ -54,13 +53,13 @@
 	deliver(r, Message{Kind: PreVoteReply, From: 2, To: 1, Term: 4}, now)
 	deliver(r, Message{Kind: VoteReply, From: 2, To: 1, Term: 4}, now)
 	if r.Role() != Leader {
-		t.Fatalf("role %d", r.Role())
+		t.Fatalf("role is %d, want leader", r.Role())
 	}
 	return now
 }
 
-// grantsVote reports whether member 1 votes for member 2 at this moment, once all
-// that was written is on disk.
+// grantsVote reports whether member 1 grants member 2 a vote at time now, once all writes
+// are synced.
 func grantsVote(r *Raft, term identifier.Term, now clock.Monotonic) bool {
 	granted := false
 	request := Message{Kind: RequestVote, From: 2, To: 1, Term: term, Index: 9, LogTerm: 9}
--- a/internal/consensus/raft/recovery_test.go
+++ b/internal/consensus/raft/recovery_test.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// maxRecoveryMs is how soon a group must commit again after a loss that it has
-	// to bear; repairMs is how long it then has to be complete again.
+	// maxRecoveryMs is the maximum time until a group commits again after a loss that it
+	// must tolerate; repairMs is the additional time until it must be complete again.
 	maxRecoveryMs = 8000
 	repairMs      = 6000
-	// fiveVoters is how many voters a complete group has.
+	// fiveVoters is the number of voters in a complete group.
 	fiveVoters = 5
 )
 
@@ -26,7 +26,7 @@
 	lossKinds
 )
 
-// injectLoss has the group bear one loss and checks that it commits again in time.
+// injectLoss injects one loss and checks that the group commits again in time.
 func (g *group) injectLoss(kind lossKind) {
 	g.losses++
 	before := g.lastCommitted
@@ -45,7 +45,7 @@
 		g.step(false)
 	}
 	if g.lastCommitted < before+5 {
-		g.failf("loss %d: %d ms later %d entries are committed, %d before", kind, maxRecoveryMs, g.lastCommitted, before)
+		g.failf("loss of kind %d: after %d ms entries are committed up to %d, before up to %d", kind, maxRecoveryMs, g.lastCommitted, before)
 	}
 	g.runRepairs()
 }
@@ -56,8 +56,8 @@
 	}
 }
 
-// transferAndStop stops a leader in order: it transfers leadership and exits, and
-// comes back later.
+// transferAndStop stops a leader gracefully: it transfers leadership, exits, and restarts
+// later.
 func (g *group) transferAndStop() {
 	leader := g.leader()
 	leader.raft.TransferLeadership()
@@ -66,8 +66,8 @@
 	g.after(1500, func() { g.start(leader) })
 }
 
-// returnStaleMembers has two members be away for long; in the moment they are back,
-// two of those that know more are lost. It returns what was committed then.
+// returnStaleMembers stops two members for 4 s and restarts them at the moment at which two
+// members with newer logs crash. It returns the last committed index at that moment.
 func (g *group) returnStaleMembers() identifier.Index {
 	stale := g.randomVoters(2)
 	for _, h := range stale {
@@ -91,8 +91,8 @@
 	return g.lastCommitted
 }
 
-// randomVoters picks voters of the leader's list that are up, the leader among them
-// or not.
+// randomVoters picks running voters from the leader's member list at random, possibly
+// including the leader.
 func (g *group) randomVoters(count int) []*host {
 	leader := g.leader()
 	if leader == nil {
@@ -108,7 +108,7 @@
 	return voters
 }
 
-// runRepairs gives the group time, with empty hosts that replace the lost ones.
+// runRepairs advances the time while empty hosts replace the lost ones.
 func (g *group) runRepairs() {
 	for end := g.now + maxRecoveryMs + repairMs; g.now < end && g.failure == ""; {
 		g.step(false)
@@ -118,8 +118,8 @@
 	}
 }
 
-// membership is the leader's member list with what the simulation knows of those on
-// it. A Node of 0 is none.
+// membership is the leader's member list together with the actual state of its members. A
+// Node of 0 means that there is none.
 type membership struct {
 	members      []Member
 	voters       int
@@ -150,8 +150,8 @@
 	return s
 }
 
-// repair makes one change as the control plane does: a learner that has caught up
-// replaces a voter that is lost for good, which is then removed.
+// repair makes one membership change as the control plane does: a learner that has caught up
+// is promoted to replace a permanently lost voter, which is then removed.
 func (g *group) repair() {
 	leader := g.leader()
 	if leader == nil {
@@ -183,7 +183,7 @@
 	g.proposeMembers(leader, g.withLearner(members))
 }
 
-// complete reports whether five vote, all of them up and close behind.
+// complete reports whether the group has five voters, all of them up and nearly caught up.
 func (g *group) complete() bool {
 	leader := g.leader()
 	if leader == nil {
@@ -202,11 +202,11 @@
 	return voters == fiveVoters
 }
 
-// TestFiveVotersProgress: losses one after another, each of two of five at most, by
-// an orderly stop of the leader, lost disks, a replacement during a membership
-// change, and members long away that return in the moment others are lost. The
-// group commits again in time after each, its members have the same state at the
-// same index, and none that lacks a committed entry ever leads.
+// TestFiveVotersProgress injects a series of losses, each of at most two of five voters: a
+// graceful stop of the leader, lost disks, a voter lost during a membership change, and
+// stale members that return at the moment at which others crash. After each loss the group
+// must commit again in time, all members must have the same state at the same index, and no
+// member that lacks a committed entry may become leader.
 func TestFiveVotersProgress(t *testing.T) {
 	const (
 		seeds  = 10
@@ -226,7 +226,7 @@
 		g.runRepairs()
 		for i := 0; i < losses && g.failure == ""; i++ {
 			if !g.complete() {
-				g.failf("loss %d: not complete after %d ms", i, maxRecoveryMs+repairMs)
+				g.failf("loss %d: the group is not complete after %d ms", i, maxRecoveryMs+repairMs)
 				break
 			}
 			g.injectLoss(lossKind(int(seed-1)+i) % lossKinds)
@@ -237,5 +237,5 @@
 	if seen.losses < losses*seeds || seen.hostsLost < 3*seeds {
 		t.Errorf("too little evidence: %d losses, %d disks lost", seen.losses, seen.hostsLost)
 	}
-	t.Logf("%d losses, %d disks lost for good", seen.losses, seen.hostsLost)
+	t.Logf("%d losses, %d disks lost permanently", seen.losses, seen.hostsLost)
 }
--- a/internal/consensus/raft/rejoin_test.go
+++ b/internal/consensus/raft/rejoin_test.go
@@ -7,13 +7,13 @@
 	"orchidward/internal/clock"
 )
 
-// syncAndAcknowledge syncs the leader's writes and has member 2 acknowledge all of its log.
+// syncAndAcknowledge syncs the leader's writes and makes member 2 acknowledge the whole log.
 func syncAndAcknowledge(r *Raft, now clock.Monotonic) {
 	syncAll(r)
 	deliver(r, Message{Kind: AppendReply, From: 2, To: 1, Term: r.Term(), Index: r.LastIndex(), SentAt: now}, now)
 }
 
-// TestRejoinedMemberNotSilent guards against a member that joins again counting as silent
+// TestRejoinedMemberNotSilent guards against a member that rejoins being considered silent
 // since before its removal.
 func TestRejoinedMemberNotSilent(t *testing.T) {
 	const awayFor = 20_000
@@ -22,28 +22,28 @@
 	now := elect(t, r)
 	syncAndAcknowledge(r, now)
 	if !r.ProposeMembers(append(threeVoters(), learner)) {
-		t.Fatal("the learner is not taken in")
+		t.Fatal("the leader rejected adding the learner")
 	}
 	syncAndAcknowledge(r, now)
 	if !r.ProposeMembers(threeVoters()) {
-		t.Fatal("the learner is not removed")
+		t.Fatal("the leader rejected removing the learner")
 	}
 	for end := now + awayFor; now < end; now += 100 {
 		r.Tick(now, 0)
 		syncAndAcknowledge(r, now)
 	}
 	if !r.ProposeMembers(append(threeVoters(), learner)) {
-		t.Fatal("the learner is not taken in again")
+		t.Fatal("the leader rejected adding the learner again")
 	}
 	for _, status := range r.MemberStatuses() {
 		if status.ID == learner.ID && status.SilentFor != 0 {
-			t.Errorf("just taken in again, and silent for %d ms", status.SilentFor)
+			t.Errorf("the learner has just rejoined, but counts as silent for %d ms", status.SilentFor)
 		}
 	}
 }
 
 // TestLearnerForgetsSilentLeader guards against a removed learner that follows its last
-// leader for ever.
+// leader forever.
 func TestLearnerForgetsSilentLeader(t *testing.T) {
 	const self, leader identifier.Node = 9, 2
 	members := append(threeVoters(), Member{ID: self})
@@ -51,14 +51,14 @@
 	now := clock.Monotonic(100)
 	deliver(r, Message{Kind: AppendEntries, From: leader, To: self, Term: 3, Index: 1, LogTerm: 1}, now)
 	if r.Leader() != leader {
-		t.Fatalf("leader %d", r.Leader())
+		t.Fatalf("after a heartbeat the leader is %d", r.Leader())
 	}
 	r.Tick(now.Add(2*DefaultTiming().ElectionTimeout), 0)
 	if r.Leader() != noLeader {
-		t.Errorf("the leader has been silent for two election timeouts, and is still known as %d", r.Leader())
+		t.Errorf("the leader has been silent for two election timeouts, but is still known as %d", r.Leader())
 	}
 	deliver(r, Message{Kind: AppendEntries, From: leader, To: self, Term: 3, Index: 1, LogTerm: 1}, now.Add(2*DefaultTiming().ElectionTimeout))
 	if r.Leader() != leader {
-		t.Errorf("the leader is back, and known as %d", r.Leader())
+		t.Errorf("the leader sent another heartbeat, but is known as %d", r.Leader())
 	}
 }
--- a/internal/consensus/raft/replication_test.go
+++ b/internal/consensus/raft/replication_test.go
@@ -7,8 +7,8 @@
 	"orchidward/internal/clock"
 )
 
-// TestOlderTermNotCommittedByCount: an entry of an older term is not committed by
-// being on a majority's disks; only an entry of the leader's own term commits it.
+// TestOlderTermNotCommittedByCount checks that an entry of an older term is not committed by
+// being on the disks of a majority, but only by committing an entry of the leader's own term.
 func TestOlderTermNotCommittedByCount(t *testing.T) {
 	r := newMember(1, 3, Entry{Index: 2, Term: 2, Kind: EntryCommand, Data: []byte("x")})
 	now := elect(t, r)
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestLateSnapshotKeepsEntries: a snapshot that arrives late, after the entries
-// that it covers and more were acknowledged, must not take any of them away.
+// TestLateSnapshotKeepsEntries checks that a delayed snapshot removes no entries if it arrives
+// after the member acknowledged entries beyond the snapshot.
 func TestLateSnapshotKeepsEntries(t *testing.T) {
 	r := newMember(1, 3)
 	m := Message{Kind: AppendEntries, From: 2, To: 1, Term: 3, Index: 1, LogTerm: 1, Commit: 1}
@@ -37,22 +37,22 @@
 	o := r.TakeOutput()
 	r.Synced(o.Write.Seq)
 	if o = r.TakeOutput(); len(o.Messages) != 1 || o.Messages[0].Index != 100 {
-		t.Fatalf("acknowledged: %+v", o.Messages)
+		t.Fatalf("messages after the sync: %+v", o.Messages)
 	}
 	late := &Snapshot{Index: 80, Term: 3, Members: threeVoters(), Data: []byte("late")}
 	r.Step(Message{Kind: InstallSnapshot, From: 2, To: 1, Term: 3, Snapshot: late, Total: 4, Commit: 80}, 20, 0)
 	o = r.TakeOutput()
 	if r.LastIndex() != 100 {
-		t.Errorf("entries to 100 were acknowledged; after a late snapshot at 80 the log ends at %d", r.LastIndex())
+		t.Errorf("entries up to 100 were acknowledged; after a delayed snapshot at 80 the log ends at %d", r.LastIndex())
 	}
 	if r.CommitIndex() < 80 || len(o.Committed) != int(r.CommitIndex()-1) {
-		t.Errorf("commit %d, %d entries handed out", r.CommitIndex(), len(o.Committed))
+		t.Errorf("commit index %d, %d entries returned as committed", r.CommitIndex(), len(o.Committed))
 	}
 }
 
-// TestStalledDiskQueueBounded: a follower whose disk stands still is sent
-// heartbeats for an hour; the acknowledgements that wait for its disk must not
-// pile up, and the one given in the end is for the newest heartbeat.
+// TestStalledDiskQueueBounded sends heartbeats to a follower with a stalled disk for an hour.
+// The acknowledgements that wait for the disk must not accumulate, and the one sent after the
+// sync must acknowledge the newest heartbeat.
 func TestStalledDiskQueueBounded(t *testing.T) {
 	r := newMember(1, 3)
 	entry := Entry{Index: 2, Term: 3, Kind: EntryCommand, Data: []byte("x")}
@@ -75,20 +75,20 @@
 		}
 	}
 	if best.Index != 2 || best.SentAt != last {
-		t.Errorf("after the sync entry %d is acknowledged, for the message of %d, want 2 for that of %d", best.Index, best.SentAt, last)
+		t.Errorf("after the sync, entry %d is acknowledged with send time %d, want entry 2 with send time %d", best.Index, best.SentAt, last)
 	}
 }
 
-// TestMessageForAnotherMemberIgnored: a member that is found at the address of
-// another takes none of its messages, whatever their kind: it neither answers nor
-// changes.
+// TestMessageForAnotherMemberIgnored checks that a member that is reached at another member's
+// address ignores messages of all kinds to that member: it neither replies nor changes its
+// term.
 func TestMessageForAnotherMemberIgnored(t *testing.T) {
 	for kind := range MessageKind(32) {
 		r := newMember(2, 4)
 		r.TakeOutput()
 		r.Step(Message{Kind: kind, From: 1, To: 3, Term: 9, Index: 1, LogTerm: 1, Commit: 1, LeaderTransfer: true}, 5000, 0)
 		if o := r.TakeOutput(); len(o.Messages) > 0 || o.Write != nil || r.Term() != 4 {
-			t.Errorf("member 2 took a message for 3 of kind %d: term %d, %+v", kind, r.Term(), o.Messages)
+			t.Errorf("member 2 took a message for member 3 of kind %d: term %d, sent %+v", kind, r.Term(), o.Messages)
 		}
 	}
 }
--- a/internal/consensus/raft/simulation_test.go
+++ b/internal/consensus/raft/simulation_test.go
@@ -9,32 +9,32 @@
 )
 
 const (
-	// lossPercent is how many messages of a hundred are lost, and one message of
-	// duplicateEvery is delivered twice.
+	// lossPercent is the percentage of messages that are lost, and one in duplicateEvery
+	// messages is delivered twice.
 	lossPercent    = 2
 	duplicateEvery = 50
-	// maxLatencyMs is how long a message is on its way at most, beyond the first
-	// millisecond, unless it is a late duplicate.
+	// maxLatencyMs is the maximum latency of a message beyond the first millisecond, except
+	// for duplicates.
 	maxLatencyMs = 30
-	// tickMs is how often a member is ticked.
+	// tickMs is the interval between ticks of a member.
 	tickMs = 20
-	// maxLearnerLag is how many entries a learner may be behind to be made a voter.
+	// maxLearnerLag is the number of entries that a learner may lag to be made a voter.
 	maxLearnerLag = 64
 )
 
-// link is the way from one member to another.
+// link is the one-way network link from one member to another.
 type link struct{ from, to identifier.Node }
 
-// inTransit is a message on its way.
+// inTransit is a message in transit.
 type inTransit struct {
 	arrivesAt int64
 	message   Message
 }
 
-// host finds a host by the member that it is.
+// host returns the host of a member.
 func (g *group) host(id identifier.Node) *host { return g.hosts[id-1] }
 
-// start starts a host from what its disk holds.
+// start starts a host with the contents of its disk.
 func (g *group) start(h *host) {
 	h.up = true
 	h.startedAt = g.now
@@ -49,12 +49,12 @@
 	}
 }
 
-// monotonic is the time on a host's own clock.
+// monotonic returns the time on a host's monotonic clock.
 func (g *group) monotonic(h *host) clock.Monotonic {
 	return clock.Monotonic(float64(g.now-h.startedAt) * (1 + h.drift))
 }
 
-// leader is the host that leads the newest term, nil for none.
+// leader returns the running leader with the newest term, nil if there is none.
 func (g *group) leader() *host {
 	var leader *host
 	for _, h := range g.hosts {
@@ -65,7 +65,7 @@
 	return leader
 }
 
-// after schedules what is to happen some ms after the next one.
+// after schedules a function to run ms milliseconds after the next step.
 func (g *group) after(ms int64, do func()) {
 	at := g.now + 1 + ms
 	g.scheduled[at] = append(g.scheduled[at], do)
@@ -78,14 +78,15 @@
 	}
 }
 
-// advance lets some ms pass without faults, or until a failure.
+// advance advances the time without injecting faults, and stops at a failure.
 func (g *group) advance(ms int64) {
 	for end := g.now + ms; g.now < end && g.failure == ""; {
 		g.step(false)
 	}
 }
 
-// step lets one ms pass: messages arrive, disks finish, clocks tick.
+// step advances the time by one ms: it delivers messages, completes disk writes and ticks
+// members.
 func (g *group) step(faults bool) {
 	g.now++
 	g.faultsEnabled = faults
@@ -117,8 +118,8 @@
 	}
 }
 
-// takeArrived removes the messages that arrive now. Those to a paused process
-// wait for it.
+// takeArrived removes and returns the messages that arrive now. Messages to a paused
+// process are delayed until it resumes.
 func (g *group) takeArrived() []Message {
 	inFlight := g.network[:0]
 	arrived := []Message{}
@@ -137,7 +138,7 @@
 	return arrived
 }
 
-// runHost lets a host's disk and clock go on.
+// runHost randomly completes disk writes and takes snapshots of a host, and ticks its member.
 func (g *group) runHost(h *host) {
 	if h.localSnapshot != nil && g.random.Intn(4*g.meanWriteMs) == 0 {
 		h.writeLocalSnapshot()
@@ -165,7 +166,7 @@
 	g.processOutput(leader)
 }
 
-// payload is an entry's data of so many bytes, told from others by its end.
+// payload returns entry data of at least size bytes, which ends in a unique number.
 func payload(number, size int) []byte {
 	text := fmt.Sprintf("%0*d", min(size, 64), number)
 	data := make([]byte, max(size, len(text)))
@@ -173,7 +174,7 @@
 	return data
 }
 
-// proposeMembers proposes a member list and reports whether the leader took it.
+// proposeMembers proposes a member list and reports whether the leader accepted it.
 func (g *group) proposeMembers(leader *host, members []Member) bool {
 	if !leader.raft.ProposeMembers(members) {
 		return false
@@ -183,7 +184,7 @@
 	return true
 }
 
-// processOutput carries out what a host's last input led to, and checks it.
+// processOutput processes a host's output and checks the invariants.
 func (g *group) processOutput(h *host) {
 	o := h.raft.TakeOutput()
 	if o.InstalledSnapshot != nil {
@@ -231,7 +232,7 @@
 	return members
 }
 
-// caughtUp reports whether the leader knows a member to be close behind.
+// caughtUp reports whether the leader considers a member caught up.
 func caughtUp(leader *host, id identifier.Node) bool {
 	p := leader.raft.peers[id]
 	return p != nil && p.match >= leader.raft.TermStart() && p.match+maxLearnerLag >= leader.raft.CommitIndex()
--- a/internal/consensus/raft/voting_test.go
+++ b/internal/consensus/raft/voting_test.go
@@ -2,20 +2,21 @@
 
 import "testing"
 
-// TestNoVoteSoonAfterStart: a process just started may have heard a leader a
-// moment before it stopped, whose lease may still be active.
+// TestNoVoteSoonAfterStart checks that a process that has just started grants no vote: it may
+// have replied to a leader just before it stopped, and that leader's lease may still be
+// active.
 func TestNoVoteSoonAfterStart(t *testing.T) {
 	r := newMember(1, 3)
 	if grantsVote(r, 4, 700) {
-		t.Error("700 ms after its start it helped to elect another")
+		t.Error("700 ms after its start, the member helped to elect another leader")
 	}
 	if !grantsVote(r, 4, 1100) {
-		t.Error("1100 ms after its start it still votes for nobody")
+		t.Error("1100 ms after its start, the member still grants no vote")
 	}
 }
 
-// TestVoteSyncedBeforeSent: a vote is sent only once it is synced; one sent before
-// and lost with the power could be given twice.
+// TestVoteSyncedBeforeSent checks that a vote is sent only once it is synced: a member that
+// lost an unsynced vote in a power loss could vote twice in the same term.
 func TestVoteSyncedBeforeSent(t *testing.T) {
 	r := newMember(1, 3)
 	r.Step(Message{Kind: RequestVote, From: 2, To: 1, Term: 4, Index: 9, LogTerm: 9}, 1100, 0)
--- a/internal/consensus/wal/compatibility_test.go
+++ b/internal/consensus/wal/compatibility_test.go
@@ -13,12 +13,12 @@
 	"orchidward/internal/state"
 )
 
-// readFirstVersionFolder reads a data folder as the first version left it.
+// readFirstVersionFolder reads a data folder that the first version wrote.
 func readFirstVersionFolder(t *testing.T) memoryDisk {
 	t.Helper()
 	paths, err := filepath.Glob("testdata/folder-1/*.gz")
 	if err != nil || len(paths) != 5 {
-		t.Fatalf("files of the first version: %v %v", paths, err)
+		t.Fatalf("files of the first version: %v, error %v", paths, err)
 	}
 	disk := memoryDisk{}
 	for _, path := range paths {
@@ -45,14 +45,13 @@
 	return data
 }
 
-// TestFirstVersionFolder opens a folder of the first version, applies the commands
-// which that version logged, and goes on in it: what this version adds must be read
-// by the same rules.
+// TestFirstVersionFolder opens a folder written by the first version, applies the commands
+// in its log, and appends to the log: entries of both versions must be read back.
 func TestFirstVersionFolder(t *testing.T) {
 	disk := readFirstVersionFolder(t)
 	log, recovered := reopen(t, disk)
 	if recovered.HardState != (raft.HardState{Term: 4, Vote: 5}) || recovered.Snapshot.Index != 3 || len(recovered.Entries) != 2 {
-		t.Fatalf("hard state %v, snapshot at %d, %d entries", recovered.HardState, recovered.Snapshot.Index, len(recovered.Entries))
+		t.Fatalf("recovered hard state %v, snapshot at %d, %d entries", recovered.HardState, recovered.Snapshot.Index, len(recovered.Entries))
 	}
 	b, err := state.Decode(recovered.Snapshot.Data)
 	if err != nil {
@@ -68,10 +67,10 @@
 		}
 	}
 	if j := b.Jobs["gilde/old"]; j == nil || len(j.Steps) != 2 || b.Limits.Int("stock", "weight") != 3 || b.Drains["m1"] == nil {
-		t.Fatalf("the first version's state reads as %s", b.Encode())
+		t.Fatalf("the first version's state is decoded as %s", b.Encode())
 	}
 	save(t, log, raft.Write{Entries: []raft.Entry{entry(6, 4)}})
 	if _, recovered = reopen(t, disk); len(recovered.Entries) != 3 || !bytes.Equal(recovered.Entries[2].Data, entry(6, 4).Data) {
-		t.Fatalf("after going on: %d entries", len(recovered.Entries))
+		t.Fatalf("after appending an entry, %d entries are read back", len(recovered.Entries))
 	}
 }
--- a/internal/consensus/wal/folder_test.go
+++ b/internal/consensus/wal/folder_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestFolderIsSynced: a data folder that is created is synced in the folder above it,
-// and so are those above that are created with it.
+// TestFolderIsSynced checks that a new data folder and all parents created with it are
+// durable: the parent of each created folder is synced.
 func TestFolderIsSynced(t *testing.T) {
 	top := t.TempDir()
 	var synced []string
@@ -26,13 +26,12 @@
 	defer folder.Close()
 	for _, want := range []string{top, filepath.Join(top, "one"), path} {
 		if !slices.Contains(synced, want) {
-			t.Errorf("%s is not synced, only %v", want, synced)
+			t.Errorf("%s is not synced; synced: %v", want, synced)
 		}
 	}
 }
 
-// TestFolderInUse: a folder that is open cannot be opened a second time, until it is
-// closed.
+// TestFolderInUse checks that an open folder cannot be opened again until it is closed.
 func TestFolderInUse(t *testing.T) {
 	path := t.TempDir()
 	folder, err := OpenFolder(path)
@@ -40,7 +39,7 @@
 		t.Fatal(err)
 	}
 	if _, err = OpenFolder(path); !errors.Is(err, ErrInUse) {
-		t.Errorf("a folder that is open: %v", err)
+		t.Errorf("opening a folder that is already open: error %v, want ErrInUse", err)
 	}
 	folder.Close()
 	again, err := OpenFolder(path)
--- a/internal/consensus/wal/log_test.go
+++ b/internal/consensus/wal/log_test.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// TestRotation writes many rotations, with snapshots that free files, and opens the
-// log again after every batch.
+// TestRotation writes batches for many rotations, with snapshots that free files, and reopens
+// the log after every batch.
 func TestRotation(t *testing.T) {
 	disk, log := newLog(t)
 	hardState := raft.HardState{Term: 3, Vote: 5}
@@ -28,19 +28,19 @@
 		save(t, log, w)
 		_, recovered := reopen(t, disk)
 		if recovered.HardState != hardState || lastIndex(recovered) != identifier.Index(last) || recovered.TornTail {
-			t.Fatalf("batch %d: hard state %v, last entry %d of %d, torn %v",
+			t.Fatalf("batch %d: recovered hard state %v, last entry %d, want %d, torn tail %v",
 				batch, recovered.HardState, lastIndex(recovered), last, recovered.TornTail)
 		}
 		for i, e := range recovered.Entries {
 			if want := entry(int(recovered.Snapshot.Index)+1+i, 3); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
-				t.Fatalf("batch %d: entry %d reads %q", batch, e.Index, e.Data)
+				t.Fatalf("batch %d: entry %d has data %q", batch, e.Index, e.Data)
 			}
 		}
 	}
 }
 
-// TestTornTail cuts the last record at every length: what was synced before stays,
-// and nothing of the torn one is taken.
+// TestTornTail truncates the last record at every offset: entries synced before it are
+// recovered, and no entry of the torn record is.
 func TestTornTail(t *testing.T) {
 	disk, log := newLog(t)
 	save(t, log, raft.Write{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(2, 2), entry(3, 2)}})
@@ -56,18 +56,18 @@
 		}
 		begun := cut >= start+checksumOffset
 		if recovered.HardState.Term != 2 || begun && !complete && !recovered.TornTail {
-			t.Fatalf("cut at %d: hard state %v, torn %v", cut, recovered.HardState, recovered.TornTail)
+			t.Fatalf("cut at %d: hard state %v, torn tail %v", cut, recovered.HardState, recovered.TornTail)
 		}
 		save(t, again, raft.Write{Entries: []raft.Entry{entry(4, 3)}})
 		_, recovered = reopen(t, torn)
 		if len(recovered.Entries) != 3 || recovered.Entries[2].Term != 3 && !complete {
-			t.Fatalf("cut at %d: the log does not go on", cut)
+			t.Fatalf("cut at %d: an entry appended after recovery is not read back", cut)
 		}
 	}
 }
 
-// TestDamageRefused flips each byte of a record that others follow: the log must
-// refuse to open, never go on without it.
+// TestDamageRefused corrupts each byte of a record that is followed by another: opening the
+// log must fail rather than skip the record.
 func TestDamageRefused(t *testing.T) {
 	disk, log := newLog(t)
 	save(t, log, raft.Write{Entries: []raft.Entry{entry(2, 1)}})
@@ -79,29 +79,30 @@
 	for i := start; i < end && i < start+size; i++ {
 		disk[logFileName(0)][i] ^= 0x41
 		if _, recovered, err := Open(disk, testLayout); err == nil {
-			t.Fatalf("byte %d damaged, and it opens with %d entries", i, len(recovered.Entries))
+			t.Fatalf("byte %d is damaged, but the log opens with %d entries", i, len(recovered.Entries))
 		} else if !errors.Is(err, ErrDamaged) {
-			t.Fatalf("byte %d damaged: %v", i, err)
+			t.Fatalf("byte %d is damaged: error %v, want ErrDamaged", i, err)
 		}
 		disk[logFileName(0)][i] ^= 0x41
 	}
 	disk[snapshotFileName][30] ^= 1
 	if _, _, err := Open(disk, testLayout); !errors.Is(err, ErrDamaged) {
-		t.Fatalf("a damaged snapshot: %v", err)
+		t.Fatalf("the snapshot is damaged: error %v, want ErrDamaged", err)
 	}
 }
 
-// TestRewriteReplacesTail: a later leader's entries replace a tail.
+// TestRewriteReplacesTail checks that a later leader's entries replace a conflicting tail.
 func TestRewriteReplacesTail(t *testing.T) {
 	disk, log := newLog(t)
 	save(t, log, raft.Write{Entries: []raft.Entry{entry(2, 1), entry(3, 1), entry(4, 1)}})
 	save(t, log, raft.Write{HardState: &raft.HardState{Term: 2}, Entries: []raft.Entry{entry(3, 2)}})
 	if _, recovered := reopen(t, disk); len(recovered.Entries) != 2 || recovered.Entries[1].Term != 2 {
-		t.Fatalf("after a rewrite: %+v", recovered.Entries)
+		t.Fatalf("after the rewrite the entries are %+v", recovered.Entries)
 	}
 }
 
-// TestFullLogRefusesWrites: entries that no snapshot covers are never overwritten.
+// TestFullLogRefusesWrites checks that entries not covered by a snapshot are never
+// overwritten.
 func TestFullLogRefusesWrites(t *testing.T) {
 	_, log := newLog(t)
 	for index := 2; index <= 10000; index++ {
@@ -110,21 +111,21 @@
 			continue
 		}
 		if !errors.Is(err, ErrFull) || log.PercentUsed() < 100 {
-			t.Fatalf("refused at %d%%: %v", log.PercentUsed(), err)
+			t.Fatalf("write failed at %d%% used: error %v, want ErrFull at 100%%", log.PercentUsed(), err)
 		}
 		return
 	}
 	t.Fatal("entries that the snapshot does not cover were overwritten")
 }
 
-// FuzzRecord: whatever stands on disk, decoding does not panic, and what it decodes
-// encodes to the same bytes.
+// FuzzRecord checks that decoding arbitrary data does not panic, and that a decoded batch is
+// encoded to the same bytes.
 func FuzzRecord(f *testing.F) {
 	f.Add(encodeRecord(7, encodeBatch(raft.HardState{Term: 1}, []raft.Entry{entry(2, 1)})))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if seq, body, ok := decodeRecord(data); ok {
 			if hardState, entries, err := decodeBatch(body); err == nil && !bytes.Equal(encodeBatch(hardState, entries), body) {
-				t.Errorf("record %d does not encode as it was", seq)
+				t.Errorf("the batch of record %d is encoded to different bytes", seq)
 			}
 		}
 		_, _, _ = decodeBatch(data)
--- a/internal/consensus/wal/memory_disk_test.go
+++ b/internal/consensus/wal/memory_disk_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// memoryDisk is a disk that can be read and damaged at will.
+// memoryDisk is an in-memory Disk whose files a test can read and corrupt.
 type memoryDisk map[string][]byte
 
 func (m memoryDisk) Read(name string) ([]byte, error) { return bytes.Clone(m[name]), nil }
@@ -53,7 +53,7 @@
 // testMember is the only member of the groups in these tests.
 const testMember identifier.Node = 5
 
-// testSnapshot is a snapshot at an index, of term 1, with so many bytes of state.
+// testSnapshot returns a snapshot at an index, of term 1, with stateBytes bytes of state.
 func testSnapshot(index identifier.Index, stateBytes int) *raft.Snapshot {
 	return &raft.Snapshot{
 		Index:   index,
@@ -63,7 +63,7 @@
 	}
 }
 
-// newLog is an empty log that starts from a snapshot at index 1.
+// newLog returns an empty log that starts from a snapshot at index 1, and its disk.
 func newLog(t *testing.T) (memoryDisk, *Log) {
 	t.Helper()
 	disk := memoryDisk{}
@@ -95,7 +95,7 @@
 	return log, recovered
 }
 
-// lastIndex is the index of the last entry that was recovered.
+// lastIndex returns the index of the last recovered entry.
 func lastIndex(r *Recovered) identifier.Index {
 	return r.Snapshot.Index + identifier.Index(len(r.Entries))
 }
--- a/internal/consensus/wal/powerloss_test.go
+++ b/internal/consensus/wal/powerloss_test.go
@@ -10,30 +10,31 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// smallLayout is the layout of the folder that loses power.
+// smallLayout is the layout of the log in the power loss test.
 var smallLayout = Layout{Files: 4, Bytes: 4096}
 
-// folderOwner is the member whose folder it is.
+// folderOwner is the member that owns the folder.
 const folderOwner identifier.Node = 77
 
-// powerLossTest writes to a folder, and after every operation on it opens whatever a
-// power loss may leave at that moment.
+// powerLossTest writes to a folder. After every file operation it opens each state in which
+// a power loss at that moment may leave the folder.
 type powerLossTest struct {
 	t      *testing.T
 	disk   *unsyncedFolder
 	folder *Folder
 	log    *Log
-	// operation is what is being done.
+	// operation describes the operation in progress.
 	operation string
 
-	// identified and created report whether the identity and the log were acknowledged.
+	// identified and created are set once the writes of the identity and of the log have
+	// returned.
 	identified bool
 	created    bool
-	// hardStates are those that may be read back: the last one acknowledged, and the
-	// one being written.
+	// hardStates holds the hard states that may be read back: the last one acknowledged and
+	// the one being written.
 	hardStates []raft.HardState
-	// acknowledged and requested are the last entries whose write has returned or
-	// begun, snapshotIndex is the newest snapshot whose write has returned.
+	// acknowledged and requested are the last entries whose write has returned and has
+	// begun, and snapshotIndex is the newest snapshot whose write has returned.
 	acknowledged  identifier.Index
 	requested     identifier.Index
 	snapshotIndex identifier.Index
@@ -58,8 +59,8 @@
 	p.t.Fatalf("%s: %s", p.operation, fmt.Sprintf(format, args...))
 }
 
-// checkOutcome opens what a power loss left. All that was acknowledged must be there,
-// and nothing that was not requested.
+// checkOutcome opens a folder as left by a power loss. It must contain everything that was
+// acknowledged and nothing that was not requested.
 func (p *powerLossTest) checkOutcome(left *unsyncedFolder) {
 	p.powerLosses++
 	folder := openUnsynced(left)
@@ -76,7 +77,7 @@
 	}
 	if recovered == nil {
 		if p.created {
-			p.fatalf("a folder with a log opens as empty")
+			p.fatalf("a folder with a log is opened as empty")
 		}
 		return
 	}
@@ -87,7 +88,7 @@
 func (p *powerLossTest) checkRecovered(recovered *Recovered) {
 	last := lastIndex(recovered)
 	if recovered.Snapshot.Index < p.snapshotIndex || last < p.acknowledged || last > p.requested {
-		p.fatalf("snapshot %d of %d, entries to %d, acknowledged %d, requested %d",
+		p.fatalf("recovered snapshot %d, want at least %d, and entries up to %d; acknowledged %d, requested %d",
 			recovered.Snapshot.Index, p.snapshotIndex, last, p.acknowledged, p.requested)
 	}
 	if !slices.Contains(p.hardStates, recovered.HardState) {
@@ -95,26 +96,26 @@
 	}
 	for i, e := range recovered.Entries {
 		if want := entry(int(recovered.Snapshot.Index)+1+i, 1); e.Index != want.Index || !bytes.Equal(e.Data, want.Data) {
-			p.fatalf("entry %d reads as %d %q", want.Index, e.Index, e.Data)
+			p.fatalf("entry %d is read as entry %d with data %q", want.Index, e.Index, e.Data)
 		}
 	}
 }
 
-// checkContinues writes on in what a power loss left, and reads it back.
+// checkContinues appends to the log that a power loss left, and reads it back.
 func (p *powerLossTest) checkContinues(folder *Folder, log *Log, layout Layout, last identifier.Index) {
 	if log.PercentUsed() >= 75 {
 		return
 	}
 	hardState := raft.HardState{Term: 999, Vote: 3}
 	if err := log.Save(&raft.Write{HardState: &hardState, Entries: []raft.Entry{entry(int(last)+1, 1)}}); err != nil {
-		p.fatalf("going on: %v", err)
+		p.fatalf("append after the power loss: %v", err)
 	}
 	_, recovered, err := Open(folder, layout)
 	if err != nil {
-		p.fatalf("after going on: %v", err)
+		p.fatalf("reopen after the append: %v", err)
 	}
 	if lastIndex(recovered) != last+1 || recovered.HardState != hardState {
-		p.fatalf("went on to %d, reads to %d, hard state %v", last+1, lastIndex(recovered), recovered.HardState)
+		p.fatalf("appended up to entry %d, recovered up to %d, hard state %v", last+1, lastIndex(recovered), recovered.HardState)
 	}
 }
 
@@ -127,7 +128,7 @@
 	}
 }
 
-// create gives the folder its identity and an empty log.
+// create writes the folder's identity and creates an empty log.
 func (p *powerLossTest) create() {
 	p.do("identity", func() error {
 		_, _, err := Identity(p.folder, folderOwner, smallLayout)
@@ -145,7 +146,7 @@
 	p.snapshotIndex = 1
 }
 
-// save writes some entries, with a new term and a snapshot where these are not 0.
+// save writes some entries, with a new term and a snapshot unless these are 0.
 func (p *powerLossTest) save(entries int, term identifier.Term, snapshotIndex identifier.Index) {
 	p.t.Helper()
 	w := raft.Write{}
@@ -160,14 +161,14 @@
 		p.requested++
 		w.Entries = append(w.Entries, entry(int(p.requested), 1))
 	}
-	operation := fmt.Sprintf("save of %d entries to %d, term %d, snapshot %d", entries, p.requested, term, snapshotIndex)
+	operation := fmt.Sprintf("save of %d entries up to %d, term %d, snapshot %d", entries, p.requested, term, snapshotIndex)
 	p.do(operation, func() error { return p.log.Save(&w) })
 	p.acknowledged = p.requested
 	p.snapshotIndex = max(p.snapshotIndex, snapshotIndex)
 	p.hardStates = p.hardStates[len(p.hardStates)-1:]
 }
 
-// installAhead goes on from a leader's snapshot that is ahead of the entries here.
+// installAhead saves a leader's snapshot that is ahead of the log, and entries after it.
 func (p *powerLossTest) installAhead() {
 	p.t.Helper()
 	p.requested += 50
@@ -191,10 +192,10 @@
 	p.snapshotIndex = index
 }
 
-// TestPowerLossAnywhere cuts the power after every operation on the folder, from its
-// identity and the creation of the log over snapshots to several rotations, and opens
-// what may be left: every choice of names that were not synced, every write that was
-// not synced lost, complete or torn in three ways.
+// TestPowerLossAnywhere simulates a power loss after every file operation, from writing the
+// identity and creating the log through snapshots and several rotations. It opens every
+// state that may be left: any subset of the unsynced name changes, with each unsynced write
+// lost, complete or torn in one of three ways.
 func TestPowerLossAnywhere(t *testing.T) {
 	p := newPowerLossTest(t)
 	p.create()
@@ -217,5 +218,5 @@
 	if records < 239 || p.powerLosses < 2000 {
 		t.Errorf("too little evidence: %d records, %d power losses", records, p.powerLosses)
 	}
-	t.Logf("%d power losses over %d records, entries to %d", p.powerLosses, records, p.acknowledged)
+	t.Logf("%d power losses over %d records, entries up to %d", p.powerLosses, records, p.acknowledged)
 }
--- a/internal/consensus/wal/snapshot_writer_test.go
+++ b/internal/consensus/wal/snapshot_writer_test.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// TestSnapshotWriter: a snapshot is written in chunks with entries saved between
-// them. Until the last one the snapshot before it counts, also after a crash; one
-// that a leader's snapshot has superseded changes nothing.
+// TestSnapshotWriter writes a snapshot in chunks and saves entries between them. Until the
+// last chunk is written, the previous snapshot must be recovered, also after a crash. A
+// snapshot superseded by a leader's snapshot must not be written further.
 func TestSnapshotWriter(t *testing.T) {
 	disk, log := newLog(t)
 	for i := 2; i <= 20; i++ {
@@ -36,7 +36,7 @@
 		}
 	}
 	if chunks != 4 {
-		t.Errorf("%d chunks", chunks)
+		t.Errorf("the snapshot was written in %d chunks, want 4", chunks)
 	}
 	superseded := NewSnapshotWriter(&raft.Snapshot{Index: 18, Term: 1, Data: bytes.Repeat([]byte("o"), 2*chunkBytes)})
 	if done, err := log.WriteChunk(superseded); done || err != nil {
@@ -44,9 +44,9 @@
 	}
 	save(t, log, raft.Write{Snapshot: &raft.Snapshot{Index: 30, Term: 2, Data: []byte("new")}})
 	if done, err := log.WriteChunk(superseded); !done || err != nil {
-		t.Fatalf("a superseded snapshot is written on: done %v, %v", done, err)
+		t.Fatalf("a superseded snapshot is still being written: done %v, error %v", done, err)
 	}
 	if _, recovered := reopen(t, disk); recovered.Snapshot.Index != 30 || string(recovered.Snapshot.Data) != "new" {
-		t.Errorf("a superseded snapshot replaced that at 30: %d", recovered.Snapshot.Index)
+		t.Errorf("a superseded snapshot replaced the one at 30: recovered %d", recovered.Snapshot.Index)
 	}
 }
--- a/internal/consensus/wal/unsynced_folder_test.go
+++ b/internal/consensus/wal/unsynced_folder_test.go
@@ -7,31 +7,31 @@
 	"slices"
 )
 
-// sectorBytes is the least that a simulated disk writes at once.
+// sectorBytes is the size of the unit that a simulated disk writes atomically.
 const sectorBytes = 64
 
-// inode is the content of a file: what is synced, and the writes that are not.
+// inode is the content of a file: its synced data and the pending writes.
 type inode struct {
 	synced  []byte
 	pending []pendingWrite
 }
 
-// pendingWrite is a write that is not synced; one with no data empties the file.
+// pendingWrite is a write that is not synced. Without data it truncates the file.
 type pendingWrite struct {
 	offset int
 	data   []byte
 }
 
-// pendingName is a change of the folder that is not synced: a name for a new file,
-// or one taken from another name.
+// pendingName is a name change that is not synced: the name of a new file, or a rename if
+// from is not empty.
 type pendingName struct {
 	name string
 	from string
 	file *inode
 }
 
-// unsyncedFolder is a folder that loses, at a power loss, any of what was not
-// synced: each name and each write by itself.
+// unsyncedFolder is a folder that may lose each unsynced name change and each unsynced
+// write independently in a power loss.
 type unsyncedFolder struct {
 	files        map[string]*inode
 	syncedFiles  map[string]*inode
@@ -105,7 +105,7 @@
 func (f *unsyncedFile) syncData() error { return f.Sync() }
 func (f *unsyncedFile) Close() error    { return nil }
 
-// fate is what may become of a write that was not synced.
+// persistedPart is the part of an unsynced write that is on disk after a power loss.
 type persistedPart int
 
 const (
@@ -117,7 +117,7 @@
 	persistedPartCount
 )
 
-// survives reports whether a sector of a write of so many is on the disk.
+// persists reports whether one sector of a write of several sectors is on disk.
 func (p persistedPart) persists(sector, sectors int) bool {
 	switch p {
 	case persistedAll:
@@ -132,12 +132,13 @@
 	return false
 }
 
-// current is the content of a file without a power loss.
+// current returns the content of a file without a power loss.
 func (n *inode) current() []byte {
 	return n.content(func(int) persistedPart { return persistedAll })
 }
 
-// content is the content of a file when each of its pending writes has met a fate.
+// content returns the content of a file after a power loss, where partOf returns which part
+// of each pending write is persisted.
 func (n *inode) content(partOf func(write int) persistedPart) []byte {
 	data := bytes.Clone(n.synced)
 	for i, w := range n.pending {
@@ -150,7 +151,7 @@
 	return data
 }
 
-// apply writes the sectors that survive.
+// apply writes the sectors that are persisted.
 func (w pendingWrite) apply(data []byte, part persistedPart) []byte {
 	sectors := (len(w.data) + sectorBytes - 1) / sectorBytes
 	for sector := 0; sector < sectors; sector++ {
@@ -167,11 +168,11 @@
 	return data
 }
 
-// forEachOutcome calls do with every folder that a power loss may leave now: every
-// choice of pending names, with every fate of pending writes.
+// forEachOutcome calls do with every state in which a power loss may leave the folder now:
+// every subset of the pending names, with every persisted part of each pending write.
 func (f *unsyncedFolder) forEachOutcome(do func(left *unsyncedFolder)) {
-	// Each combination of fates is a number whose digits, to the base persistedPartCount, are
-	// the fates of the pending writes. place is the first digit of each file.
+	// A combination is a number in base persistedPartCount with one digit for each pending
+	// write, its persistedPart. placeValue is the place value of each file's first digit.
 	placeValue := map[*inode]int{}
 	combinations := 1
 	for _, node := range f.inodes() {
@@ -199,8 +200,8 @@
 	}
 }
 
-// inodes lists the files of pending names and those that have a name, which may be
-// the same.
+// inodes returns the inodes of all pending names and of all current names. It may contain
+// duplicates.
 func (f *unsyncedFolder) inodes() []*inode {
 	var nodes []*inode
 	for _, n := range f.pendingNames {
@@ -212,8 +213,8 @@
 	return nodes
 }
 
-// outcome is the folder that is left when the pending names in a set of bits survive
-// and each pending write has met a fate.
+// outcome returns the folder as left by a power loss. names is the bit set of the pending
+// names that are persisted, and partOf returns which part of each pending write is.
 func (f *unsyncedFolder) outcome(names int, partOf func(node *inode, write int) persistedPart) *unsyncedFolder {
 	files := maps.Clone(f.syncedFiles)
 	for i, n := range f.pendingNames {
--- a/internal/consensus/wal/write_queue_test.go
+++ b/internal/consensus/wal/write_queue_test.go
@@ -9,9 +9,9 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// TestWriteQueueOrder: one operation at a time, batches that wait are merged, and
-// chunks of a snapshot take turns with them; a newer snapshot waits for the one being
-// written, so that many snapshots never keep each other from the disk.
+// TestWriteQueueOrder checks that one operation is executed at a time, that queued writes are
+// merged, that batches alternate with snapshot chunks, and that a newer snapshot waits for
+// the one being written, so that frequent snapshots never prevent each other's completion.
 func TestWriteQueueOrder(t *testing.T) {
 	disk, log := newLog(t)
 	var queue WriteQueue
@@ -25,7 +25,7 @@
 	for i := 4; i < 14; i++ {
 		operation := queue.Next()
 		if operation == nil || queue.Next() != nil {
-			t.Fatal("not one operation at a time")
+			t.Fatal("the queue does not return exactly one operation at a time")
 		}
 		queue.Add(nil, write(i), snapshot(i-1))
 		if _, err := operation.Do(disk, testLayout, log); err != nil {
@@ -39,17 +39,16 @@
 		}
 	}
 	if order != "w3 v2 w5 v2 w7 v2 w9 v8 w11 v8 " {
-		t.Errorf("done in the order %s", order)
+		t.Errorf("operations were executed in the order %s", order)
 	}
 	if queue.Bytes() == 0 {
-		t.Error("the last writes are counted nowhere")
+		t.Error("the queue is not empty, but its size is 0 bytes")
 	}
 }
 
-// TestLogNeverFillsDuringSnapshot: large entries come as fast as the disk takes them,
-// while snapshots of a large state are written in chunks between them. The log must
-// not fill up before the snapshot that frees it is written: a server whose log is
-// full stops.
+// TestLogNeverFillsDuringSnapshot queues large entries as fast as the disk writes them, while
+// snapshots of a large state are written in chunks between them. The log must not become full
+// before the snapshot that frees it is complete, since a server with a full log stops.
 func TestLogNeverFillsDuringSnapshot(t *testing.T) {
 	for _, stateMB := range []int{4, 12} {
 		t.Run(fmt.Sprintf("%d MB", stateMB), func(t *testing.T) {
@@ -63,8 +62,8 @@
 	}
 }
 
-// writeLargeEntries writes entries up to an index, with a snapshot of so many bytes for
-// every few of them, and returns how many snapshots were completed.
+// writeLargeEntries writes entries up to an index, with a snapshot of stateBytes bytes after
+// every snapshotEveryBytes of entries, and returns the number of completed snapshots.
 func writeLargeEntries(t *testing.T, lastEntry identifier.Index, stateBytes int) (snapshots int) {
 	t.Helper()
 	const (
@@ -96,7 +95,7 @@
 		}
 		operation := queue.Next()
 		if _, err := operation.Do(disk, layout, log); err != nil {
-			t.Fatalf("entry %d, %d%% full: %v", last, log.PercentUsed(), err)
+			t.Fatalf("at entry %d, %d%% used: %v", last, log.PercentUsed(), err)
 		}
 		if operation.snapshotDone {
 			snapshots++
--- a/internal/stalldetector/detector_test.go
+++ b/internal/stalldetector/detector_test.go
@@ -6,17 +6,17 @@
 	"orchidward/internal/clock"
 )
 
-// TestDetector: gaps up to the limit are no stall; after a longer one, requests are
-// suspect for as long as those that waited may still be read.
+// TestDetector checks that intervals up to Limit are not a stall, and that after a longer one
+// the detector reports draining for DrainPeriod.
 func TestDetector(t *testing.T) {
 	var d Detector
 	if d.Draining(0) {
-		t.Error("draining before anything was seen")
+		t.Error("draining before the first observation")
 	}
 	for now := clock.Monotonic(5000); now <= 10000; now = now.Add(Limit) {
 		d.Observe(now)
 		if d.Draining(now) {
-			t.Fatalf("at %d draining without a stall", now)
+			t.Fatalf("draining at %d without a stall", now)
 		}
 	}
 	resumed := clock.Monotonic(10000).Add(Limit + 1)
--- a/tests/mutation/membership.go
+++ b/tests/mutation/membership.go
@@ -201,7 +201,7 @@
 		original:    "if _, ok := r.Member(id); !ok {",
 		replacement: "if false {",
 		tests:       test("./internal/consensus/raft", "TestRejoinedMemberNotSilent"),
-		want:        "just taken in again, and silent for",
+		want:        "but counts as silent for",
 	},
 	{
 		name:        "removed learner follows its last leader for ever",
--- a/tests/mutation/storage.go
+++ b/tests/mutation/storage.go
@@ -8,7 +8,7 @@
 		original:    "if w.snapshot.Index <= l.snapshotIndex {",
 		replacement: "if w.snapshot.Index == 0 {",
 		tests:       packages("./internal/consensus/wal"),
-		want:        "superseded snapshot is written on",
+		want:        "superseded snapshot is still being written",
 	},
 	{
 		name:        "torn records taken",
@@ -16,7 +16,7 @@
 		original:    "if binary.LittleEndian.Uint32(record[checksumOffset:]) != recordChecksum(record) {",
 		replacement: "if false {",
 		tests:       packages("./internal/consensus/wal"),
-		want:        "damaged, and it opens with",
+		want:        "is damaged, but the log opens with",
 	},
 	{
 		name:        "a new file is renamed before it is synced",
