--- a/internal/consensus/raft/follower.go
+++ b/internal/consensus/raft/follower.go
@@ -39,8 +39,8 @@
 	r.acknowledge(m, match)
 }
 
-// rejectAppend rejects entries and returns, as a hint, the highest index up to which both
-// logs may match.
+// rejectAppend rejects entries and sends the leader a hint: the highest index up to which
+// both logs may match.
 func (r *Raft) rejectAppend(m Message) {
 	hint := max(r.commit, min(r.log.last(), m.Index-1))
 	r.sendAfterSync(Message{Kind: AppendReply, To: m.From, Reject: true, Index: m.Index, NextHint: hint, SentAt: m.SentAt})
--- a/internal/consensus/raft/tick.go
+++ b/internal/consensus/raft/tick.go
@@ -7,9 +7,9 @@
 const quorumLossTimeouts = 2
 
 // Tick advances the clock. A leader sends the heartbeats that are due, and steps down if
-// it has had no replies from a quorum for two election timeouts. On any other member,
-// when the election timeout expires, a voter starts a pre-vote and a learner no longer
-// considers its last leader as known. A member that is leaving does neither.
+// it has had no replies from a quorum for two election timeouts. When the election timeout
+// expires on any other member, a voter starts a pre-vote and a learner treats its leader as
+// unknown. A member that is leaving does neither.
 func (r *Raft) Tick(now clock.Monotonic, wall clock.WallTime) {
 	r.now = now
 	r.wall = wall
