--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,24 +29,24 @@
 // controlPlaneContact is when the control plane last heard this agent, and for how long
 // that holds.
 type controlPlaneContact struct {
-	// at is when the last poll was sent that was answered.
-	at    clock.Monotonic
-	ever  bool
-	lease clock.Millis
+	// sentAt is when the last poll was sent that was answered.
+	sentAt      clock.Monotonic
+	established bool
+	lease       clock.Millis
 }
 
 // leaseLeft is what is left of the control plane's lease, 0 or less when it is over.
 func (c *controlPlaneContact) leaseLeft(now clock.Monotonic) clock.Millis {
-	if !c.ever {
+	if !c.established {
 		return 0
 	}
-	return c.lease - now.Since(c.at)
+	return c.lease - now.Since(c.sentAt)
 }
 
-// answered notes that a poll sent at that time was answered.
-func (c *controlPlaneContact) answered(sentAt clock.Monotonic) {
-	c.at = max(c.at, sentAt)
-	c.ever = true
+// recordAnswer notes that a poll sent at that time was recordAnswer.
+func (c *controlPlaneContact) recordAnswer(sentAt clock.Monotonic) {
+	c.sentAt = max(c.sentAt, sentAt)
+	c.established = true
 }
 
 // New makes an agent that has heard neither its runner nor the control plane. It assumes
@@ -56,8 +56,8 @@
 		config: config,
 		now:    now,
 		runner: runnerState{
-			leaseEnd: now.Add(config.MaxLease.WithDrift()),
-			past:     map[identifier.Incarnation]bool{},
+			leaseEnd:   now.Add(config.MaxLease.WithDrift()),
+			superseded: map[identifier.Incarnation]bool{},
 		},
 		polls: newPollState(config),
 	}
@@ -97,7 +97,7 @@
 	}
 	if a.polls.open != nil && a.now.Since(a.polls.open.sentAt) > a.pollTimeout() {
 		a.polls.open = nil
-		a.polls.failed(a.now)
+		a.polls.recordFailure(a.now)
 	}
 	a.pollIfDue()
 }
@@ -106,7 +106,7 @@
 func (a *Agent) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	a.now = max(a.now, now)
 	if announcement := msg.Announcement; announcement != nil && announcement.NamesSenderLeader() {
-		a.followLeader(announcement)
+		a.switchToLeader(announcement)
 		return
 	}
 	if msg.Response == nil {
--- a/internal/agent/farewell_test.go
+++ b/internal/agent/departure_test.go
@@ -28,11 +28,11 @@
 	return poll
 }
 
-// TestUnannouncedFarewell checks what becomes of a runner that says farewell without having
+// TestUnannouncedDeparture checks what becomes of a runner that says farewell without having
 // announced its departure, whether it sends heartbeats on or not, and whether the farewell
 // comes once, twice, or from an earlier incarnation too: it is draining at once, gets no
 // start, and is never said to have left while its lease may be in force.
-func TestUnannouncedFarewell(t *testing.T) {
+func TestUnannouncedDeparture(t *testing.T) {
 	const notice, farewellAt = 2000, 1200
 	for _, test := range []struct {
 		name       string
@@ -57,7 +57,7 @@
 			a.RunnerLeft("i-1", farewellAt)
 			said := lastPoll(t, a)
 			if said == nil || said.Mode != runnerapi.ModeDraining || said.DepartsIn != notice || said.LeftInOrder {
-				t.Fatalf("reported at the farewell: %+v", said)
+				t.Fatalf("reported at the departure: %+v", said)
 			}
 			leaseEnd := a.runner.leaseEnd
 			for now := clock.Monotonic(farewellAt + 100); now < farewellAt+3000; now += 100 {
@@ -70,7 +70,7 @@
 					a.RunnerLeft("i-1", now)
 				}
 				a.Tick(now)
-				if a.runner.left(now) {
+				if a.runner.hasLeft(now) {
 					t.Fatalf("at %d it counts as gone", now)
 				}
 				if left := a.runner.departsIn(now, notice); left > notice-clock.Millis(now-farewellAt) && left > 0 {
@@ -87,27 +87,27 @@
 	}
 }
 
-// TestAnnouncedFarewell checks that a runner which had announced its departure counts as
+// TestAnnouncedDeparture checks that a runner which had announced its departure counts as
 // gone a moment after its farewell, unless it is heard again.
-func TestAnnouncedFarewell(t *testing.T) {
+func TestAnnouncedDeparture(t *testing.T) {
 	a := newTestAgent()
 	draining := heartbeat(1)
 	draining.Draining = true
 	a.HandleHeartbeat(draining, 1000)
 	a.RunnerLeft("i-1", 1200)
-	if a.runner.left(1200) || !a.runner.left(1200+clock.Monotonic(farewellDelay)+1) {
+	if a.runner.hasLeft(1200) || !a.runner.hasLeft(1200+clock.Monotonic(leaveDelay)+1) {
 		t.Error("it does not count as gone just after the delay")
 	}
 	draining.Seq = 2
 	a.HandleHeartbeat(draining, 1300)
-	if a.runner.left(3000) {
+	if a.runner.hasLeft(3000) {
 		t.Error("it counts as gone though it was heard again")
 	}
 }
 
-// TestFarewellOfFormerIncarnation checks that another incarnation of the runner is not taken
+// TestDepartureOfEarlierIncarnation checks that another incarnation of the runner is not taken
 // for leaving.
-func TestFarewellOfFormerIncarnation(t *testing.T) {
+func TestDepartureOfEarlierIncarnation(t *testing.T) {
 	a := newTestAgent()
 	a.HandleHeartbeat(heartbeat(1), 1000)
 	a.RunnerLeft("i-1", 1100)
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -10,11 +10,11 @@
 	// been over for deadSlack.
 	deadSilence clock.Millis = 1000
 	deadSlack   clock.Millis = 100
-	// farewellDelay is how long after its farewell a runner counts as gone that had
+	// leaveDelay is how long after its farewell a runner counts as gone that had
 	// announced its departure, unless it is heard again.
-	farewellDelay clock.Millis = 300
-	// maxPastIncarnations bounds the incarnations that are remembered.
-	maxPastIncarnations = 16
+	leaveDelay clock.Millis = 300
+	// maxSuperseded bounds the incarnations that are remembered.
+	maxSuperseded = 16
 )
 
 // runnerState is what the agent knows of its runner.
@@ -33,8 +33,8 @@
 	// when it has not: it goes on for a while, and what it runs does too.
 	leftAt        clock.Monotonic
 	unannouncedAt clock.Monotonic
-	// past are the incarnations that another has replaced.
-	past map[identifier.Incarnation]bool
+	// superseded are the incarnations that another has replaced.
+	superseded map[identifier.Incarnation]bool
 }
 
 // presumedDead reports whether the runner is silent and whatever it ran is over.
@@ -45,17 +45,17 @@
 	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
 }
 
-// left reports whether the runner has ended in order.
-func (r *runnerState) left(now clock.Monotonic) bool {
-	return r.leftAt > 0 && now.Since(r.leftAt) > farewellDelay
+// hasLeft reports whether the runner has ended in order.
+func (r *runnerState) hasLeft(now clock.Monotonic) bool {
+	return r.leftAt > 0 && now.Since(r.leftAt) > leaveDelay
 }
 
 // draining reports whether the runner is about to leave: by its last heartbeat, or since it
 // has said farewell.
-func (r *runnerState) draining() bool { return r.leavesBy(r.heartbeat) }
+func (r *runnerState) draining() bool { return r.drainingAsOf(r.heartbeat) }
 
-// leavesBy reports the same by a given heartbeat.
-func (r *runnerState) leavesBy(heartbeat *Heartbeat) bool {
+// drainingAsOf reports the same by a given heartbeat.
+func (r *runnerState) drainingAsOf(heartbeat *Heartbeat) bool {
 	return heartbeat.Draining || r.unannouncedAt > 0
 }
 
@@ -79,7 +79,7 @@
 	a.now = max(a.now, now)
 	orders := Orders{NextHeartbeat: a.config.HeartbeatInterval}
 	switch {
-	case a.runner.past[heartbeat.Runner]:
+	case a.runner.superseded[heartbeat.Runner]:
 		return orders
 	case !a.runner.isIncarnation(heartbeat.Runner):
 		a.beginIncarnation(heartbeat.Runner)
@@ -118,7 +118,7 @@
 	case a.runner.unannouncedAt == 0:
 		a.runner.unannouncedAt = a.now
 		a.unreported = true
-		a.orders.dropStarts()
+		a.orders.dropUnsentStarts()
 		a.logEvent("runner-leaves-unannounced", "runner", incarnation)
 		a.pollIfDue()
 	}
@@ -137,10 +137,10 @@
 func (a *Agent) beginIncarnation(incarnation identifier.Incarnation) {
 	if a.runner.heartbeat != nil {
 		previous := a.runner.heartbeat.Runner
-		if len(a.runner.past) >= maxPastIncarnations {
-			clear(a.runner.past)
+		if len(a.runner.superseded) >= maxSuperseded {
+			clear(a.runner.superseded)
 		}
-		a.runner.past[previous] = true
+		a.runner.superseded[previous] = true
 		a.logEvent("runner-restarted", "was", previous, "is", incarnation)
 	}
 	a.forgetRuns()
@@ -162,7 +162,7 @@
 	if differs(a.runner.heartbeat, heartbeat, present) {
 		a.unreported = true
 	}
-	if a.orders.dropFetched(present, a.runner.leavesBy(heartbeat), a.now) {
+	if a.orders.pruneStarts(present, a.runner.drainingAsOf(heartbeat), a.now) {
 		a.unreported = true
 	}
 	for _, stopped := range a.orders.recordCleared(present) {
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -29,8 +29,8 @@
 // answer to a heartbeat carried it.
 type startOrder struct {
 	runnerapi.Start
-	expires   clock.Monotonic
-	handedOut bool
+	expires clock.Monotonic
+	sent    bool
 }
 
 // pendingOrders are the orders of the control plane for one incarnation of the runner.
@@ -52,17 +52,17 @@
 // whether they arrived.
 func (p *pendingOrders) takeStarts(now clock.Monotonic) []runnerapi.Start {
 	var list []runnerapi.Start
-	for _, order := range p.inOrder() {
-		if !order.handedOut && now <= order.expires {
-			order.handedOut = true
+	for _, order := range p.sortedStarts() {
+		if !order.sent && now <= order.expires {
+			order.sent = true
 			list = append(list, order.Start)
 		}
 	}
 	return list
 }
 
-// inOrder lists the starts in the order of their leases.
-func (p *pendingOrders) inOrder() []*startOrder {
+// sortedStarts lists the starts in the order of their leases.
+func (p *pendingOrders) sortedStarts() []*startOrder {
 	var list []*startOrder
 	for _, order := range p.starts {
 		list = append(list, order)
@@ -105,21 +105,21 @@
 	return dropped
 }
 
-// dropStarts drops the starts that were not handed out: the runner is to get none of them.
-func (p *pendingOrders) dropStarts() {
+// dropUnsentStarts drops the starts that were not handed out: the runner is to get none of them.
+func (p *pendingOrders) dropUnsentStarts() {
 	for name, order := range p.starts {
-		if !order.handedOut {
+		if !order.sent {
 			delete(p.starts, name)
 		}
 	}
 }
 
-// dropFetched drops, at a heartbeat, starts that the runner has or was handed, that have
+// pruneStarts drops, at a heartbeat, starts that the runner has or was handed, that have
 // expired, or that a draining runner must not get. It reports whether there were any.
-func (p *pendingOrders) dropFetched(present map[attempt]bool, draining bool, now clock.Monotonic) bool {
+func (p *pendingOrders) pruneStarts(present map[attempt]bool, draining bool, now clock.Monotonic) bool {
 	dropped := false
 	for name, order := range p.starts {
-		if present[name] || order.handedOut || now > order.expires || draining {
+		if present[name] || order.sent || now > order.expires || draining {
 			delete(p.starts, name)
 			dropped = true
 		}
--- a/internal/agent/poll_state.go
+++ b/internal/agent/poll_state.go
@@ -57,9 +57,9 @@
 // server is the one to ask now.
 func (p *pollState) server() string { return p.servers[p.current%len(p.servers)] }
 
-// failed turns to the next server, after a pause that grows and differs from one agent to
+// recordFailure turns to the next server, after a pause that grows and differs from one agent to
 // another.
-func (p *pollState) failed(now clock.Monotonic) {
+func (p *pollState) recordFailure(now clock.Monotonic) {
 	p.current++
 	p.backoff = min(max(minBackoff, p.backoff*2), maxBackoff)
 	jitter := clock.Millis(p.seq * jitterFactor % uint64(p.backoff))
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -15,9 +15,9 @@
 	// control plane keeps one open; after that it is pollSlack longer than that.
 	initialPollTimeout clock.Millis = 1000
 	pollSlack          clock.Millis = 150
-	// searchTimeout takes its place once nothing was heard for lostAfter.
-	searchTimeout clock.Millis = 300
-	lostAfter     clock.Millis = 2000
+	// reconnectTimeout takes its place once nothing was heard for lostAfter.
+	reconnectTimeout clock.Millis = 300
+	contactLostAfter clock.Millis = 2000
 	// replaceDelay is how soon a poll with something to report replaces one still open.
 	replaceDelay clock.Millis = 10
 )
@@ -25,8 +25,8 @@
 // pollTimeout is how long to wait for the answer to the open poll. While the agent is out
 // of touch it asks more often, since the control plane answers its first poll at once.
 func (a *Agent) pollTimeout() clock.Millis {
-	if a.polls.backoff > 0 && a.now.Since(a.contact.at) > lostAfter {
-		return searchTimeout
+	if a.polls.backoff > 0 && a.now.Since(a.contact.sentAt) > contactLostAfter {
+		return reconnectTimeout
 	}
 	return a.polls.timeout
 }
@@ -78,7 +78,7 @@
 		Active:       a.activeRuns(),
 		Finished:     heartbeat.Finished,
 		Cleared:      a.orders.clearedStops(),
-		LeftInOrder:  a.runner.left(a.now),
+		LeftInOrder:  a.runner.hasLeft(a.now),
 		PresumedDead: a.runner.presumedDead(a.now),
 	}
 	if a.runner.draining() {
@@ -95,12 +95,12 @@
 	for _, active := range a.runner.heartbeat.Active {
 		p := a.progress[attempt{active.Task, active.Attempt}]
 		if p.stalled(a.now) {
-			active.StalledFor = a.now.Since(p.at)
+			active.StalledFor = a.now.Since(p.changedAt)
 		}
 		active.ProgressRate = p.rate
 		list = append(list, active)
 	}
-	for _, order := range a.orders.inOrder() {
+	for _, order := range a.orders.sortedStarts() {
 		list = append(list, runnerapi.RunState{Task: order.Task, Attempt: order.Attempt})
 	}
 	return list
@@ -121,7 +121,7 @@
 			a.polls.refusedStatus = r.Status
 			a.logEvent("poll-refused", "status", r.Status, "body", string(r.Body), "via", from)
 		}
-		a.polls.failed(a.now)
+		a.polls.recordFailure(a.now)
 		return
 	}
 	a.polls.backoff = 0
@@ -130,8 +130,8 @@
 	if !a.InContact() {
 		a.logEvent("in-touch", "via", from)
 	}
-	a.contact.answered(open.sentAt)
-	a.followOrders(response, open)
+	a.contact.recordAnswer(open.sentAt)
+	a.applyOrders(response, open)
 	a.pollIfDue()
 }
 
@@ -156,22 +156,22 @@
 	if !ok {
 		return
 	}
-	a.contact.answered(sentAt)
-	a.takeLease(response)
+	a.contact.recordAnswer(sentAt)
+	a.updateLease(response)
 }
 
-// takeLease takes the length of the lease and the fencing token.
-func (a *Agent) takeLease(response *runnerapi.PollResponse) {
+// updateLease takes the length of the lease and the fencing token.
+func (a *Agent) updateLease(response *runnerapi.PollResponse) {
 	if response.Lease > 0 {
 		a.contact.lease = response.Lease
 	}
 	a.token.value = max(a.token.value, response.FencingToken)
 }
 
-// followOrders takes the orders that an answer bears. They are for the incarnation that the
+// applyOrders takes the orders that an answer bears. They are for the incarnation that the
 // poll spoke of.
-func (a *Agent) followOrders(response *runnerapi.PollResponse, open *openPoll) {
-	a.takeLease(response)
+func (a *Agent) applyOrders(response *runnerapi.PollResponse, open *openPoll) {
+	a.updateLease(response)
 	if response.StartTimeout > 0 {
 		a.polls.timeout = runnerapi.PollTimeout(response.StartTimeout) + pollSlack
 	}
@@ -194,8 +194,8 @@
 	}
 }
 
-// followLeader turns to a new leader by its own word.
-func (a *Agent) followLeader(announcement *wire.Announcement) {
+// switchToLeader turns to a new leader by its own word.
+func (a *Agent) switchToLeader(announcement *wire.Announcement) {
 	p := &a.polls
 	if len(p.servers) > 0 && p.server() == announcement.Addr && p.open != nil {
 		return
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -19,8 +19,8 @@
 
 // runProgress is how far an attempt had come when it last made progress.
 type runProgress struct {
-	percent int64
-	at      clock.Monotonic
+	percent   int64
+	changedAt clock.Monotonic
 	// interval is how long the last percent took.
 	interval clock.Millis
 	// stallReported says that the control plane is told that it makes none.
@@ -52,7 +52,7 @@
 // stalled reports whether an attempt has made no progress for far longer than it used to
 // take.
 func (p runProgress) stalled(now clock.Monotonic) bool {
-	return now.Since(p.at) >= stallReportAfter+4*p.interval
+	return now.Since(p.changedAt) >= stallReportAfter+4*p.interval
 }
 
 // recordProgress notes when each attempt last made progress.
@@ -65,11 +65,11 @@
 		p, known := previous[name]
 		switch {
 		case !known:
-			p = runProgress{percent: percent, at: a.now, ratePercent: percent, rateSince: a.now}
+			p = runProgress{percent: percent, changedAt: a.now, ratePercent: percent, rateSince: a.now}
 		case p.percent != percent:
 			p.percent = percent
-			p.interval = a.now.Since(p.at)
-			p.at = a.now
+			p.interval = a.now.Since(p.changedAt)
+			p.changedAt = a.now
 			p.stallReported = false
 		case !p.stallReported && p.stalled(a.now):
 			p.stallReported = true
--- a/internal/api/catalog/tenant.go
+++ b/internal/api/catalog/tenant.go
@@ -30,9 +30,9 @@
 	GPUs int64 `json:"gpus,omitempty"`
 }
 
-// idleShare is the part of a quota, as a divisor, up to which a tenant may pass its quota by
+// overrunDivisor is the part of a quota, as a divisor, up to which a tenant may pass its quota by
 // one task.
-const idleShare = 2
+const overrunDivisor = 2
 
 // Admits tells whether a tenant that has used running may start so many tasks more, together
 // or not at all. Up to half of the quota in use the last of them may pass it: otherwise a large
@@ -45,11 +45,11 @@
 	if q.Holds(used.Plus(others).Plus(task)) {
 		return true
 	}
-	twice := job.Demand{}
-	for range idleShare {
-		twice = twice.Plus(used)
+	scaled := job.Demand{}
+	for range overrunDivisor {
+		scaled = scaled.Plus(used)
 	}
-	return q.Holds(twice) && q.Holds(used.Plus(others))
+	return q.Holds(scaled) && q.Holds(used.Plus(others))
 }
 
 // IsZero tells whether the quota bounds nothing.
--- a/internal/api/catalog/tenant_test.go
+++ b/internal/api/catalog/tenant_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestKeysStayOutOfSight: keys stand neither in what gateways are sent and operators read, nor in errors and logs.
-func TestKeysStayOutOfSight(t *testing.T) {
+// TestKeysNotExposed: keys stand neither in what gateways are sent and operators read, nor in errors and logs.
+func TestKeysNotExposed(t *testing.T) {
 	c := readTenants(t)
 	published := c.Published()
 	texts := []string{fmt.Sprint(c.Tenants), fmt.Sprintf("%+v %#v %s", c.Tenants, c.Tenants, c.Tenants[0].Keys)}
--- a/internal/api/catalog/tenant_update_test.go
+++ b/internal/api/catalog/tenant_update_test.go
@@ -14,8 +14,8 @@
 	return fmt.Sprintf(`{"base":3,"version":4,"update":{"tenants":[%s]}}`, update)
 }
 
-// TestTenantUpdateKeepsTheRest guards against an update that loses keys or limits which it doesn't name.
-func TestTenantUpdateKeepsTheRest(t *testing.T) {
+// TestTenantUpdateKeepsOtherFields guards against an update that loses keys or limits which it doesn't name.
+func TestTenantUpdateKeepsOtherFields(t *testing.T) {
 	before := readTenants(t)
 	var faults jsondoc.FieldErrors
 	change := ReadPatch([]byte(updateText(`{"name":"t","addKeys":["third-key","second-key"],"dropKeys":["first-key"]},{"name":"u","weight":7}`)), &faults)
--- a/internal/api/job/demand.go
+++ b/internal/api/job/demand.go
@@ -19,8 +19,8 @@
 func (d Demand) CPU() int64 { return d.Cores*milliCoresPerCore + d.MilliCores }
 
 // Fits tells whether d is no more than room in processors, memory and GPUs.
-func (d Demand) Fits(room Demand) bool {
-	return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs
+func (d Demand) Fits(available Demand) bool {
+	return d.CPU() <= available.CPU() && d.Mem <= available.Mem && d.GPUs <= available.GPUs
 }
 
 // WithinLimit tells whether d keeps within a limit that does not mention GPUs.
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -104,8 +104,8 @@
 		return []string{"*"}
 	}
 	var cells []string
-	for name, at := range t.ChangedAt {
-		if at > c.Base && (c.Whole || c.names(name)) {
+	for name, changedAt := range t.ChangedAt {
+		if changedAt > c.Base && (c.Whole || c.names(name)) {
 			cells = append(cells, name)
 		}
 	}
@@ -193,12 +193,12 @@
 	if len(t.ChangedAt) <= maxDroppedCells+len(t.Rows)*(len(Columns)+1) {
 		return
 	}
-	maps.DeleteFunc(t.ChangedAt, func(name string, at identifier.Epoch) bool {
+	maps.DeleteFunc(t.ChangedAt, func(name string, changedAt identifier.Epoch) bool {
 		row, _, _ := strings.Cut(name, ".")
 		if _, ok := t.Rows[identifier.Row(row)]; ok {
 			return false
 		}
-		t.OldestBase = max(t.OldestBase, at)
+		t.OldestBase = max(t.OldestBase, changedAt)
 		return true
 	})
 }
--- a/internal/api/runnerapi/scan_poll.go
+++ b/internal/api/runnerapi/scan_poll.go
@@ -38,7 +38,7 @@
 	s := &scanner{text: string(text)}
 	p := &PollRequest{Mode: ModeActive}
 	given := s.object(pollFields, func(i int) { s.pollField(p, pollFields[i]) })
-	s.end()
+	s.expectEnd()
 	if s.failed || !validPoll(p, given) {
 		return nil
 	}
--- a/internal/api/runnerapi/scanner.go
+++ b/internal/api/runnerapi/scanner.go
@@ -13,8 +13,8 @@
 // nothing.
 type scanner struct {
 	text string
-	// at is the position of the next byte.
-	at     int
+	// pos is the position of the next byte.
+	pos    int
 	failed bool
 }
 
@@ -26,10 +26,10 @@
 	}
 }
 
-// end requires that nothing but space is left.
-func (s *scanner) end() {
-	s.space()
-	s.require(s.at == len(s.text))
+// expectEnd requires that nothing but space is left.
+func (s *scanner) expectEnd() {
+	s.skipSpace()
+	s.require(s.pos == len(s.text))
 }
 
 // fieldSet is a set of an object's fields, by their position in the list of its fields.
@@ -40,15 +40,15 @@
 // object reads an object that has none but these fields, each at most once, and returns
 // those that it has. value reads the value of the i-th field.
 func (s *scanner) object(fields []string, value func(i int)) fieldSet {
-	s.token('{')
-	if s.next('}') {
+	s.expect('{')
+	if s.accept('}') {
 		return 0
 	}
 	var given fieldSet
 	previous := -1
 	for !s.failed {
 		key := s.string()
-		s.token(':')
+		s.expect(':')
 		// Fields mostly come in the order of the list.
 		i := previous + 1
 		if i >= len(fields) || fields[i] != key {
@@ -61,18 +61,18 @@
 		previous = i
 		given |= 1 << i
 		value(i)
-		if s.next('}') {
+		if s.accept('}') {
 			return given
 		}
-		s.token(',')
+		s.expect(',')
 	}
 	return given
 }
 
 // list reads a list of at most limit elements, each by element.
 func (s *scanner) list(limit int, element func()) {
-	s.token('[')
-	if s.next(']') {
+	s.expect('[')
+	if s.accept(']') {
 		return
 	}
 	for count := 1; !s.failed; count++ {
@@ -81,53 +81,53 @@
 			return
 		}
 		element()
-		if s.next(']') {
+		if s.accept(']') {
 			return
 		}
-		s.token(',')
+		s.expect(',')
 	}
 }
 
-func (s *scanner) space() {
-	for s.at < len(s.text) {
-		switch s.text[s.at] {
+func (s *scanner) skipSpace() {
+	for s.pos < len(s.text) {
+		switch s.text[s.pos] {
 		case ' ', '\t', '\r', '\n':
-			s.at++
+			s.pos++
 		default:
 			return
 		}
 	}
 }
 
-// next skips a token if it comes next.
-func (s *scanner) next(token byte) bool {
-	s.space()
-	if s.at >= len(s.text) || s.text[s.at] != token {
+// accept skips a token if it comes accept.
+func (s *scanner) accept(token byte) bool {
+	s.skipSpace()
+	if s.pos >= len(s.text) || s.text[s.pos] != token {
 		return false
 	}
-	s.at++
+	s.pos++
 	return true
 }
 
-// token skips a token that must come next.
-func (s *scanner) token(token byte) { s.require(s.next(token)) }
+// expect skips a expect that must come next.
+func (s *scanner) expect(token byte) { s.require(s.accept(token)) }
 
 // string reads a string. When it has no escapes it is a part of the text, not a copy.
 func (s *scanner) string() string {
-	s.token('"')
-	start := s.at
+	s.expect('"')
+	start := s.pos
 	plain := true
-	for ; s.at < len(s.text) && !s.failed; s.at++ {
-		switch c := s.text[s.at]; {
+	for ; s.pos < len(s.text) && !s.failed; s.pos++ {
+		switch c := s.text[s.pos]; {
 		case c == '"':
-			s.at++
+			s.pos++
 			if plain {
-				return s.text[start : s.at-1]
+				return s.text[start : s.pos-1]
 			}
-			return s.unquote(s.text[start-1 : s.at])
+			return s.unquote(s.text[start-1 : s.pos])
 		case c == '\\':
 			plain = false
-			s.at++
+			s.pos++
 		case c >= 0x80:
 			plain = false
 		case c < ' ':
@@ -171,17 +171,17 @@
 
 // int reads a whole number without sign, point or exponent.
 func (s *scanner) int(low, high int64) int64 {
-	s.space()
-	start := s.at
+	s.skipSpace()
+	start := s.pos
 	var value int64
-	for ; s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9'; s.at++ {
-		if s.at-start >= maxDigits {
+	for ; s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9'; s.pos++ {
+		if s.pos-start >= maxDigits {
 			s.fail()
 			return 0
 		}
-		value = value*10 + int64(s.text[s.at]-'0')
+		value = value*10 + int64(s.text[s.pos]-'0')
 	}
-	digits := s.at - start
+	digits := s.pos - start
 	leadingZero := digits > 1 && s.text[start] == '0'
 	if digits == 0 || leadingZero || value < low || value > high {
 		s.fail()
@@ -191,14 +191,14 @@
 }
 
 func (s *scanner) bool() bool {
-	s.space()
-	rest := s.text[min(s.at, len(s.text)):]
+	s.skipSpace()
+	rest := s.text[min(s.pos, len(s.text)):]
 	switch {
 	case strings.HasPrefix(rest, "true"):
-		s.at += len("true")
+		s.pos += len("true")
 		return true
 	case strings.HasPrefix(rest, "false"):
-		s.at += len("false")
+		s.pos += len("false")
 		return false
 	}
 	s.fail()
--- a/internal/runner/attempts.go
+++ b/internal/runner/attempts.go
@@ -12,11 +12,11 @@
 // attempt is one attempt under way.
 type attempt struct {
 	runnerapi.Start
-	// end is when it has run its time, and defect says that it ends in one.
-	end    clock.Monotonic
+	// endsAt is when it has run its time, and defect says that it ends in one.
+	endsAt clock.Monotonic
 	defect bool
-	// gangComplete is when the last poll was sent whose answer called its gang complete.
-	gangComplete clock.Monotonic
+	// gangCompleteAt is when the last poll was sent whose answer called its gang complete.
+	gangCompleteAt clock.Monotonic
 }
 
 // attemptTable is the attempts of a runner, by their leases.
@@ -104,10 +104,10 @@
 		span += span * clock.Millis(r.config.SlowdownPercent) / 100
 	}
 	attempts.running[order.Lease] = &attempt{
-		Start:        order,
-		end:          r.now.Add(span),
-		gangComplete: sentAt,
-		defect:       r.random.Int63n(100) < r.config.DefectPercent,
+		Start:          order,
+		endsAt:         r.now.Add(span),
+		gangCompleteAt: sentAt,
+		defect:         r.random.Int63n(100) < r.config.DefectPercent,
 	}
 	attempts.used[order.Lease] = r.now
 	r.unreported = true
--- a/internal/runner/polls.go
+++ b/internal/runner/polls.go
@@ -18,9 +18,9 @@
 	open    map[uint64]clock.Monotonic
 	nextAt  clock.Monotonic
 	backoff clock.Millis
-	// contact is when the last poll was sent that was answered, lease how long the runner's
+	// lastContact is when the last poll was sent that was answered, lease how long the runner's
 	// leases last from then, and startTimeout how long a start may wait.
-	contact      clock.Monotonic
+	lastContact  clock.Monotonic
 	lease        clock.Millis
 	startTimeout clock.Millis
 }
@@ -28,7 +28,7 @@
 func newPollState(now clock.Monotonic) pollState {
 	return pollState{
 		open:         map[uint64]clock.Monotonic{},
-		contact:      now,
+		lastContact:  now,
 		lease:        initialLease,
 		startTimeout: initialStartTimeout,
 	}
@@ -118,18 +118,18 @@
 	}
 	r.polls.backoff = 0
 	r.polls.nextAt = r.now
-	r.polls.contact = max(r.polls.contact, sentAt)
+	r.polls.lastContact = max(r.polls.lastContact, sentAt)
 	if response.Retired {
 		r.retire()
 		return
 	}
-	r.followOrders(response, seq, sentAt)
+	r.applyOrders(response, seq, sentAt)
 	r.pollIfDue()
 }
 
-// followOrders carries out what a response orders. Starts are heeded only in the response to
+// applyOrders carries out what a response orders. Starts are heeded only in the response to
 // the newest poll, and in time.
-func (r *Runner) followOrders(response runnerapi.PollResponse, seq uint64, sentAt clock.Monotonic) {
+func (r *Runner) applyOrders(response runnerapi.PollResponse, seq uint64, sentAt clock.Monotonic) {
 	if response.Lease > 0 && response.StartTimeout > 0 {
 		r.polls.lease = response.Lease
 		r.polls.startTimeout = response.StartTimeout
@@ -143,7 +143,7 @@
 	}
 	for _, id := range response.CompleteGangs {
 		if member := r.attempts.running[id]; member != nil {
-			member.gangComplete = max(member.gangComplete, sentAt)
+			member.gangCompleteAt = max(member.gangCompleteAt, sentAt)
 		}
 	}
 	for _, id := range response.Stops {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -75,7 +75,7 @@
 
 // InContact reports whether a poll was answered lately.
 func (r *Runner) InContact() bool {
-	return r.polls.seq > 1 && r.now.Since(r.polls.contact) < 3*r.polls.startTimeout
+	return r.polls.seq > 1 && r.now.Since(r.polls.lastContact) < 3*r.polls.startTimeout
 }
 
 // LearnGateways takes a list of gateways from whoever knows one. The gateway that is polled
@@ -129,15 +129,15 @@
 // has run its time.
 func (r *Runner) observe(now clock.Monotonic) {
 	r.now = max(r.now, now)
-	lapsed := r.now.Since(r.polls.contact) > r.polls.lease
+	lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease
 	for _, id := range r.attempts.runningIDs() {
 		running := r.attempts.running[id]
 		switch {
-		case lapsed || running.GangLease > 0 && r.now.Since(running.gangComplete) > running.GangLease:
+		case lapsed || running.GangLease > 0 && r.now.Since(running.gangCompleteAt) > running.GangLease:
 			r.end(id, runnerapi.OutcomeLeaseLapsed)
-		case r.now >= running.end && running.defect:
+		case r.now >= running.endsAt && running.defect:
 			r.end(id, runnerapi.OutcomeDefect)
-		case r.now >= running.end:
+		case r.now >= running.endsAt:
 			r.end(id, runnerapi.OutcomeSuccess)
 		}
 	}
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -99,7 +99,7 @@
 	{
 		name:        "capacity ignored",
 		file:        "internal/api/job/demand.go",
-		original:    "return d.CPU() <= room.CPU() && d.Mem <= room.Mem && d.GPUs <= room.GPUs",
+		original:    "return d.CPU() <= available.CPU() && d.Mem <= available.Mem && d.GPUs <= available.GPUs",
 		replacement: "return true",
 		tests:       packages("./internal/state", "./internal/scheduler"),
 		want:        "unsound placements",
--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -7,8 +7,8 @@
 	{
 		name:        "changes on a stale base win",
 		file:        "internal/api/limits/table.go",
-		original:    "if at > c.Base && (c.Whole || c.names(name)) {",
-		replacement: "if at > c.Base && at == 0 {",
+		original:    "if changedAt > c.Base && (c.Whole || c.names(name)) {",
+		replacement: "if changedAt > c.Base && changedAt == 0 {",
 		tests:       faultSequences("limits"),
 		want:        "P10 at",
 	},
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -13,7 +13,7 @@
 	{
 		name:        "runner ignores its lease",
 		file:        "internal/runner/runner.go",
-		original:    "lapsed := r.now.Since(r.polls.contact) > r.polls.lease",
+		original:    "lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease",
 		replacement: "lapsed := false",
 		tests:       test("./tests/simulation/scenarios", "TestRunnersCutOff"),
 		want:        "P3 at",
@@ -21,7 +21,7 @@
 	{
 		name:        "gang members go on without confirmation",
 		file:        "internal/runner/runner.go",
-		original:    "case lapsed || running.GangLease > 0 && r.now.Since(running.gangComplete) > running.GangLease:",
+		original:    "case lapsed || running.GangLease > 0 && r.now.Since(running.gangCompleteAt) > running.GangLease:",
 		replacement: "case lapsed:",
 		tests:       test("./tests/simulation/scenarios", "TestIncompleteGang"),
 		want:        "in part for",
@@ -135,8 +135,8 @@
 		file:        "internal/agent/heartbeats.go",
 		original:    "return heartbeat.Draining || r.unannouncedAt > 0",
 		replacement: "return heartbeat.Draining",
-		tests:       test("./internal/agent", "TestUnannouncedFarewell"),
-		want:        "reported at the farewell",
+		tests:       test("./internal/agent", "TestUnannouncedDeparture"),
+		want:        "reported at the departure",
 	},
 	{
 		name:        "unannounced leaver is called no more",
@@ -197,8 +197,8 @@
 	{
 		name:        "runner goes on a little after its lease",
 		file:        "internal/runner/runner.go",
-		original:    "lapsed := r.now.Since(r.polls.contact) > r.polls.lease",
-		replacement: "lapsed := r.now.Since(r.polls.contact) > r.polls.lease*106/100",
+		original:    "lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease",
+		replacement: "lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease*106/100",
 		tests:       test("./tests/simulation/scenarios", "TestCancelledRunEndsWithLease"),
 		want:        "P6 at",
 	},
--- a/tests/mutation/tenants.go
+++ b/tests/mutation/tenants.go
@@ -79,7 +79,7 @@
 		file:        "internal/api/catalog/tenant_update.go",
 		original:    "tenant.Keys = slices.Clone(tenant.Keys)",
 		replacement: "tenant.Keys = slices.Clone(u.DropKeys)",
-		tests:       test("./internal/api/catalog", "TestTenantUpdateKeepsTheRest"),
+		tests:       test("./internal/api/catalog", "TestTenantUpdateKeepsOtherFields"),
 		want:        "t has 2 keys",
 	},
 	{
@@ -87,8 +87,8 @@
 		file:        "internal/api/catalog/api_key.go",
 		original:    "func (APIKey) String() string { return redacted }",
 		replacement: "func (k APIKey) String() string { return string(k) }",
-		tests:       test("./internal/api/catalog", "TestKeysStayOutOfSight"),
-		want:        "--- FAIL: TestKeysStayOutOfSight",
+		tests:       test("./internal/api/catalog", "TestKeysNotExposed"),
+		want:        "--- FAIL: TestKeysNotExposed",
 	},
 	{
 		name:        "quota leaves memory out",
