--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -6,13 +6,13 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Agent is the agent of one runner as a pure state machine. It does no input or output and
-// reads no clock. It is not safe for concurrent use.
+// Agent is the agent of one runner as a pure state machine. It performs no I/O and reads no
+// clock. It is not safe for concurrent use.
 type Agent struct {
 	config Config
 	now    clock.Monotonic
 	output Output
-	// stopping says that this process is about to end.
+	// stopping is set once this process is about to exit.
 	stopping bool
 
 	runner   runnerState
@@ -22,20 +22,21 @@
 	polls   pollState
 	contact controlPlaneContact
 	token   fencingToken
-	// unreported says that the control plane has yet to hear of something.
+	// unreported is set while there are changes that no poll has reported yet.
 	unreported bool
 }
 
-// controlPlaneContact is when the control plane last heard this agent, and for how long
-// that holds.
+// controlPlaneContact records when the control plane last received a poll from this agent,
+// and the length of the lease that it granted.
 type controlPlaneContact struct {
-	// sentAt is when the last poll was sent that was answered.
+	// sentAt is when the agent sent the last poll that was answered.
 	sentAt      clock.Monotonic
 	established bool
 	lease       clock.Millis
 }
 
-// leaseLeft is what is left of the control plane's lease, 0 or less when it is over.
+// leaseLeft returns the remaining time of the control plane's lease, 0 or less once it has
+// expired.
 func (c *controlPlaneContact) leaseLeft(now clock.Monotonic) clock.Millis {
 	if !c.established {
 		return 0
@@ -49,8 +50,9 @@
 	c.established = true
 }
 
-// New makes an agent that has heard neither its runner nor the control plane. It assumes
-// that an agent before it has just given the runner the longest lease there is.
+// New returns an agent that has had no contact yet with its runner or the control plane. It
+// assumes that a previous agent process has just granted the runner the longest possible
+// lease.
 func New(config Config, now clock.Monotonic) *Agent {
 	a := &Agent{
 		config: config,
@@ -65,25 +67,25 @@
 	return a
 }
 
-// PrepareToStop says that this agent is about to end: from now on its runner is given the
-// longest lease there is.
+// PrepareToStop announces that this process is about to exit: from now on the agent grants
+// its runner the longest possible lease.
 func (a *Agent) PrepareToStop() { a.stopping = true }
 
-// InContact reports whether the control plane has answered within its lease.
+// InContact reports whether the control plane's lease is still valid.
 func (a *Agent) InContact() bool { return a.contact.leaseLeft(a.now) > 0 }
 
-// FencingToken is the highest fencing token that this agent knows of, 0 for none.
+// FencingToken returns the highest fencing token known to this agent, 0 if there is none.
 func (a *Agent) FencingToken() uint64 { return a.token.value }
 
-// TakeOutput returns the output so far and clears it.
+// TakeOutput returns the pending output and clears it.
 func (a *Agent) TakeOutput() Output {
 	out := a.output
 	a.output = Output{}
 	return out
 }
 
-// Tick passes in the time: it drops starts that have expired, reports a runner that is
-// dead, and polls when due. It should come every TickInterval.
+// Tick advances the time: it drops expired starts, reports a dead runner, and polls when
+// due. The owner should call it every TickInterval.
 func (a *Agent) Tick(now clock.Monotonic) {
 	a.now = max(a.now, now)
 	a.requestFencingToken()
@@ -102,7 +104,7 @@
 	a.pollIfDue()
 }
 
-// HandleMessage passes in a message of the control plane.
+// HandleMessage processes a message from the control plane.
 func (a *Agent) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	a.now = max(a.now, now)
 	if announcement := msg.Announcement; announcement != nil && announcement.NamesSenderLeader() {
--- a/internal/agent/config.go
+++ b/internal/agent/config.go
@@ -8,36 +8,37 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Config is what an agent is started with. Name is the name under which the control plane
-// knows the runner of this machine; a runner that is started again there is a new
-// incarnation of it. Seeds are addresses of control-plane servers.
+// Config configures an agent. Name is the name under which the control plane knows the
+// runner of this machine; a runner that restarts there is a new incarnation of it. Seeds are
+// addresses of control-plane servers.
 type Config struct {
 	Name   identifier.Runner
 	Addr   string
 	Domain identifier.Domain
 	Seeds  []string
-	// Seed is where the numbers of polls begin. It must lie above those of earlier
-	// processes: microseconds since 1970 will do.
+	// Seed is the initial sequence number of polls. It must be higher than the sequence
+	// numbers of earlier agent processes; microseconds since 1970 meet this requirement.
 	Seed int64
-	// MaxLease is the longest lease that a runner takes.
+	// MaxLease is the longest lease that a runner accepts.
 	MaxLease clock.Millis
-	// UsualLease is what a runner is given while all is well, 0 for MaxLease. The shorter
-	// it is, the sooner a runner that has crashed is known to be dead; it must outlast a
-	// restart of the agent.
+	// UsualLease is the longest lease granted in normal operation, 0 for MaxLease. A
+	// shorter lease detects a crashed runner sooner, but the lease must outlast a restart
+	// of the agent.
 	UsualLease clock.Millis
-	// DepartureNotice is how long a runner is expected to go on at least that says farewell
-	// without having announced its departure.
+	// DepartureNotice is the minimum time that a runner is expected to keep running after a
+	// leave notification if it did not announce its departure beforehand.
 	DepartureNotice clock.Millis
-	// HeartbeatInterval is how long a runner should wait between heartbeats.
+	// HeartbeatInterval is the interval between a runner's heartbeats.
 	HeartbeatInterval clock.Millis
 }
 
-// Heartbeat is one heartbeat of the runner: who it is, its whole capacity, and what runs
-// or has ended on it. DepartsIn is the least time it has left, and counts only while
-// Draining is set.
+// Heartbeat is one heartbeat of the runner: its identity, its total capacity, and the
+// attempts that run or have ended on it. DepartsIn is the minimum time until the runner
+// leaves, and is valid only while Draining is set.
 type Heartbeat struct {
 	Runner identifier.Incarnation
-	// Seq rises with every heartbeat of one incarnation: a late one is passed over.
+	// Seq increases with every heartbeat of one incarnation, so that late heartbeats are
+	// ignored.
 	Seq       uint64
 	Pool      string
 	Domain    identifier.Domain
@@ -50,10 +51,10 @@
 	Finished  []runnerapi.RunEnd
 }
 
-// Orders answer a heartbeat. Lease is how long everything that runs may run on, counted
-// from the sending of the heartbeat; 0 holds nothing and starts nothing. ObservedThrough
-// is the number up to which ends need not be reported again, and NextHeartbeat after how
-// long to send the next heartbeat.
+// Orders is the response to a heartbeat. Lease is how long the running attempts may
+// continue, counted from when the runner sent the heartbeat; a lease of 0 renews nothing and
+// starts nothing. ObservedThrough is the sequence number up to which ends need not be
+// reported again, and NextHeartbeat is the delay before the next heartbeat.
 type Orders struct {
 	Lease           clock.Millis
 	FencingToken    uint64
@@ -63,14 +64,13 @@
 	NextHeartbeat   clock.Millis
 }
 
-// Event is one line for the log: a name and alternating keys and values.
+// Event is a log entry: a name and alternating keys and values.
 type Event struct {
 	Name   string
 	Fields []any
 }
 
-// Output is what the inputs so far ask the owner to do: messages to send and events to
-// log.
+// Output holds the messages to send and the events to log as a result of the inputs so far.
 type Output struct {
 	Messages []wire.Envelope
 	Events   []Event
--- a/internal/agent/doc.go
+++ b/internal/agent/doc.go
@@ -1,25 +1,27 @@
-// Package agent is the part of the scheduler that stands beside one runner which speaks
-// another protocol. It alone speaks to that runner: it answers the runner's heartbeats at
-// once under the lease that the control plane gave it, passes on starts and stops with the
-// leader's fencing token, reports to the control plane what changed, and lets work run on
-// under its lease while the control plane looks for a new leader.
+// Package agent connects the control plane to one runner that speaks another protocol. The
+// agent is the only process that communicates with that runner. It answers the runner's
+// heartbeats immediately, under the lease granted by the control plane; forwards starts and
+// stops with the leader's fencing token; reports changes to the control plane; and lets
+// tasks continue under their lease while the control plane elects a new leader.
 //
-// An agent is a pure state machine, [Agent]. It starts no goroutine, does no input or
-// output and reads no clock: package agentd runs it as a daemon. Its inputs are the time
-// (Tick), the runner's heartbeats (HandleHeartbeat) and its farewell (RunnerLeft), and
-// messages of the control plane (HandleMessage). After any of them TakeOutput returns
-// messages to send and events to log. It keeps nothing on disk.
+// An agent is a pure state machine, [Agent]. It starts no goroutines, performs no I/O and
+// reads no clock: package agentd runs it as a daemon. Its inputs are the time (Tick), the
+// runner's heartbeats (HandleHeartbeat) and leave notification (RunnerLeft), and messages
+// from the control plane (HandleMessage). After each input, TakeOutput returns the messages
+// to send and the events to log. Nothing is stored on disk.
 //
-// What holds at all times:
+// Invariants:
 //
-//   - A runner's lease is counted from the last poll that the control plane answered, by
-//     the agent's own clock, so that it never outlasts the one the leader reckons with.
-//   - A start order leaves in one answer only, and expires with the poll that brought it.
-//   - A runner is presumed dead only once every lease that it was given has run out.
-//   - Heartbeats of an incarnation that another has replaced, or that come late, change
-//     nothing.
+//   - A runner's lease is counted from the time at which the agent sent the last poll that
+//     the control plane answered, on the agent's own clock, so that it never outlasts the
+//     lease that the leader assumes.
+//   - A start order is sent in one heartbeat response only, and expires with the poll whose
+//     response delivered it.
+//   - A runner is presumed dead only after every lease that it was granted has expired.
+//   - Late heartbeats, and heartbeats from a superseded incarnation, change nothing.
 //
-// Begin with agent.go (the machine and its inputs); heartbeats.go follows the runner,
-// orders.go what it is to do, progress.go its attempts, polls.go and poll_state.go the
-// control plane, and fencing_token.go the number of its leader.
+// Start with agent.go, which has the state machine and its inputs. heartbeats.go tracks the
+// runner, orders.go its pending orders, progress.go the progress of its attempts, polls.go
+// and poll_state.go the exchange with the control plane, and fencing_token.go the leader's
+// fencing token.
 package agent
--- a/internal/agent/fencing_token.go
+++ b/internal/agent/fencing_token.go
@@ -8,19 +8,19 @@
 	"orchidward/internal/transport/wire"
 )
 
-// tokenRequestInterval is how often the fencing token is asked for.
+// tokenRequestInterval is the interval between requests for the fencing token.
 const tokenRequestInterval clock.Millis = 200
 
-// fencingToken is the highest fencing token known, and the last request for one.
+// fencingToken holds the highest fencing token known, and the last request for one.
 type fencingToken struct {
 	value       uint64
 	requestID   uint64
 	requestedAt clock.Monotonic
 }
 
-// requestFencingToken asks the control plane for its fencing token before there is a
-// heartbeat to report: a runner that obeyed an earlier process takes nothing with a lower
-// one.
+// requestFencingToken requests the fencing token from the control plane until the first
+// heartbeat arrives: a runner that accepted orders from an earlier agent process rejects
+// orders with a lower token.
 func (a *Agent) requestFencingToken() {
 	t := &a.token
 	if a.runner.heartbeat != nil || t.value > 0 || len(a.polls.servers) == 0 {
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// A runner is presumed dead once it has been silent for deadSilence and its lease has
-	// been over for deadSlack.
+	// A runner is presumed dead once it has been silent for deadSilence and its lease
+	// expired more than deadSlack ago.
 	deadSilence clock.Millis = 1000
 	deadSlack   clock.Millis = 100
-	// leaveDelay is how long after its farewell a runner counts as gone that had
-	// announced its departure, unless it is heard again.
+	// leaveDelay is how long after its leave notification a runner that announced its
+	// departure is considered to have left, unless it sends another heartbeat.
 	leaveDelay clock.Millis = 300
 	// maxSuperseded bounds the incarnations that are remembered.
 	maxSuperseded = 16
 )
 
-// runnerState is what the agent knows of its runner.
+// runnerState is what the agent knows about its runner.
 type runnerState struct {
-	// heartbeat is the last one, nil before the first of an incarnation, and heardAt when
-	// it came.
+	// heartbeat is the last heartbeat, nil before the first of an incarnation, and heardAt
+	// is when it arrived.
 	heartbeat *Heartbeat
 	heardAt   clock.Monotonic
-	// leaseEnd is when the last lease given to the runner, by this process or one before
-	// it, has run out on the slowest clock.
+	// leaseEnd is when the last lease granted to the runner, by this or an earlier agent
+	// process, has expired even on the slowest permitted clock.
 	leaseEnd clock.Monotonic
-	// deathReported says that the control plane is told that the runner is dead.
+	// deathReported is set once the runner's death has been queued for reporting to the
+	// control plane.
 	deathReported bool
-	// leftAt is when the runner said farewell at the end of an announced departure, 0
-	// when it has not. unannouncedAt is when it did so without having announced it, 0
-	// when it has not: it goes on for a while, and what it runs does too.
+	// leftAt is when the runner sent its leave notification after announcing its departure,
+	// unannouncedAt when it sent one without announcing it; 0 means never. A runner that
+	// leaves unannounced keeps running for a while, and so do its attempts.
 	leftAt        clock.Monotonic
 	unannouncedAt clock.Monotonic
-	// superseded are the incarnations that another has replaced.
+	// superseded holds the incarnations that a newer one has replaced.
 	superseded map[identifier.Incarnation]bool
 }
 
-// presumedDead reports whether the runner is silent and whatever it ran is over.
+// presumedDead reports whether the runner is silent and every lease it was granted has
+// expired, so that none of its attempts can still be running.
 func (r *runnerState) presumedDead(now clock.Monotonic) bool {
 	if r.heartbeat == nil {
 		return false
@@ -45,22 +47,22 @@
 	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
 }
 
-// hasLeft reports whether the runner has ended in order.
+// hasLeft reports whether the runner has left in an orderly way.
 func (r *runnerState) hasLeft(now clock.Monotonic) bool {
 	return r.leftAt > 0 && now.Since(r.leftAt) > leaveDelay
 }
 
-// draining reports whether the runner is about to leave: by its last heartbeat, or since it
-// has said farewell.
+// draining reports whether the runner is about to leave, according to its last heartbeat or
+// a leave notification.
 func (r *runnerState) draining() bool { return r.drainingAsOf(r.heartbeat) }
 
-// drainingAsOf reports the same by a given heartbeat.
+// drainingAsOf is like draining, but uses the given heartbeat in place of the last one.
 func (r *runnerState) drainingAsOf(heartbeat *Heartbeat) bool {
 	return heartbeat.Draining || r.unannouncedAt > 0
 }
 
-// departsIn is the least time that a draining runner has left. One that said farewell
-// without notice is expected to go on for notice.
+// departsIn returns the minimum time until a draining runner leaves. A runner that left
+// unannounced is expected to keep running for notice after its leave notification.
 func (r *runnerState) departsIn(now clock.Monotonic, notice clock.Millis) clock.Millis {
 	if r.heartbeat.Draining {
 		return max(0, r.heartbeat.DepartsIn-now.Since(r.heardAt))
@@ -68,13 +70,13 @@
 	return max(0, notice-now.Since(r.unannouncedAt))
 }
 
-// isIncarnation reports whether the last heartbeat came from this incarnation.
+// isIncarnation reports whether the last heartbeat came from the given incarnation.
 func (r *runnerState) isIncarnation(incarnation identifier.Incarnation) bool {
 	return r.heartbeat != nil && r.heartbeat.Runner == incarnation
 }
 
-// HandleHeartbeat takes a heartbeat of the runner and answers it at once. One that comes
-// late, or from an incarnation that another has replaced, is answered without a lease.
+// HandleHeartbeat processes a heartbeat of the runner and returns the response to send
+// immediately. A late heartbeat, or one from a superseded incarnation, gets no lease.
 func (a *Agent) HandleHeartbeat(heartbeat Heartbeat, now clock.Monotonic) Orders {
 	a.now = max(a.now, now)
 	orders := Orders{NextHeartbeat: a.config.HeartbeatInterval}
@@ -104,11 +106,11 @@
 	return orders
 }
 
-// RunnerLeft takes the runner's farewell. One that had announced its departure ends now.
-// One that had not is draining from now on, whatever its heartbeats say: it goes on for a
-// while, with or without heartbeats, and what it runs counts as running until its end is
-// reported or its lease has run out. A farewell that is repeated, or comes from an earlier
-// incarnation, changes nothing.
+// RunnerLeft processes the runner's leave notification. A runner that announced its
+// departure beforehand is terminating now. A runner that did not is draining from now on,
+// whatever its heartbeats say: it keeps running for a while, with or without heartbeats, and
+// its attempts count as running until their end is reported or their lease expires. A
+// repeated notification, or one from an earlier incarnation, has no effect.
 func (a *Agent) RunnerLeft(incarnation identifier.Incarnation, now clock.Monotonic) {
 	a.now = max(a.now, now)
 	switch {
@@ -124,7 +126,7 @@
 	}
 }
 
-// usualLease is the longest lease to give the runner now.
+// usualLease returns the longest lease that may be granted to the runner now.
 func (a *Agent) usualLease() clock.Millis {
 	if a.config.UsualLease == 0 || a.stopping {
 		return a.config.MaxLease
@@ -132,8 +134,8 @@
 	return min(a.config.UsualLease, a.config.MaxLease)
 }
 
-// beginIncarnation notes that another incarnation of the runner reports: whatever the
-// earlier one ran is dead.
+// beginIncarnation records that a new incarnation of the runner reports. The attempts of the
+// previous incarnation are dead.
 func (a *Agent) beginIncarnation(incarnation identifier.Incarnation) {
 	if a.runner.heartbeat != nil {
 		previous := a.runner.heartbeat.Runner
@@ -149,14 +151,14 @@
 	a.unreported = true
 }
 
-// forgetRuns drops everything that concerns the attempts of one incarnation.
+// forgetRuns discards the orders and the progress of all attempts of an incarnation.
 func (a *Agent) forgetRuns() {
 	a.orders = newPendingOrders()
 	a.progress = map[attempt]runProgress{}
 }
 
-// compareWithOrders compares a heartbeat with the one before it, and with what was
-// ordered.
+// compareWithOrders compares a heartbeat with the previous one and with the pending orders,
+// and sets unreported if anything changed.
 func (a *Agent) compareWithOrders(heartbeat *Heartbeat) {
 	present := heartbeat.attempts()
 	if differs(a.runner.heartbeat, heartbeat, present) {
@@ -171,7 +173,7 @@
 	}
 }
 
-// attempts is the set of those that a heartbeat reports, as running or ended.
+// attempts returns the set of attempts that the heartbeat reports as running or ended.
 func (h *Heartbeat) attempts() map[attempt]bool {
 	set := map[attempt]bool{}
 	for _, active := range h.Active {
@@ -183,8 +185,8 @@
 	return set
 }
 
-// differs reports whether a heartbeat says something that the one before it did not, beyond
-// the progress of attempts.
+// differs reports whether a heartbeat has changes over the previous one other than the
+// progress of attempts.
 func differs(previous, current *Heartbeat, present map[attempt]bool) bool {
 	if previous == nil || previous.Draining != current.Draining || previous.Capacity != current.Capacity || previous.Pool != current.Pool {
 		return true
--- a/internal/agent/orders.go
+++ b/internal/agent/orders.go
@@ -10,7 +10,7 @@
 	"orchidward/internal/clock"
 )
 
-// attempt names one attempt at a task.
+// attempt identifies one attempt at a task.
 type attempt struct {
 	task   identifier.TaskRef
 	number uint64
@@ -25,22 +25,23 @@
 	)
 }
 
-// startOrder is a start on its way to the runner. handedOut says that the
-// answer to a heartbeat carried it.
+// startOrder is a start that the runner has not confirmed yet. sent is set once a heartbeat
+// response has carried it.
 type startOrder struct {
 	runnerapi.Start
 	expires clock.Monotonic
 	sent    bool
 }
 
-// pendingOrders are the orders of the control plane for one incarnation of the runner.
+// pendingOrders holds the control plane's orders for one incarnation of the runner.
 type pendingOrders struct {
 	starts map[attempt]*startOrder
 	stops  map[attempt]bool
-	// cleared are attempts to be stopped that were in no heartbeat after the order, and
-	// so never will run.
+	// cleared holds the attempts to stop that a heartbeat received after the stop order
+	// did not report, and that therefore never run.
 	cleared map[attempt]bool
-	// observedThrough is the number up to which the control plane has the runner's ends.
+	// observedThrough is the sequence number up to which the control plane has recorded
+	// the ends reported by the runner.
 	observedThrough uint64
 }
 
@@ -48,8 +49,8 @@
 	return pendingOrders{starts: map[attempt]*startOrder{}, stops: map[attempt]bool{}, cleared: map[attempt]bool{}}
 }
 
-// takeStarts hands out the starts that were not handed out yet. The next heartbeat shows
-// whether they arrived.
+// takeStarts returns the starts that have not been sent yet and marks them as sent. The next
+// heartbeat shows whether the runner received them.
 func (p *pendingOrders) takeStarts(now clock.Monotonic) []runnerapi.Start {
 	var list []runnerapi.Start
 	for _, order := range p.sortedStarts() {
@@ -61,7 +62,7 @@
 	return list
 }
 
-// sortedStarts lists the starts in the order of their leases.
+// sortedStarts lists the starts, ordered by lease.
 func (p *pendingOrders) sortedStarts() []*startOrder {
 	var list []*startOrder
 	for _, order := range p.starts {
@@ -71,7 +72,7 @@
 	return list
 }
 
-// stopsForRunner lists the attempts that the runner is to stop.
+// stopsForRunner lists the attempts that the runner must stop.
 func (p *pendingOrders) stopsForRunner() []runnerapi.RunStop {
 	list := map[attempt]bool{}
 	for stopped := range p.stops {
@@ -82,7 +83,7 @@
 	return sortedStops(list)
 }
 
-// clearedStops lists the attempts that never will run.
+// clearedStops lists the attempts that are certain never to run.
 func (p *pendingOrders) clearedStops() []runnerapi.RunStop { return sortedStops(p.cleared) }
 
 func sortedStops(set map[attempt]bool) []runnerapi.RunStop {
@@ -93,7 +94,7 @@
 	return list
 }
 
-// dropExpired drops starts whose time is up and reports whether there were any.
+// dropExpired drops expired starts and reports whether there were any.
 func (p *pendingOrders) dropExpired(now clock.Monotonic) bool {
 	dropped := false
 	for name, order := range p.starts {
@@ -105,7 +106,7 @@
 	return dropped
 }
 
-// dropUnsentStarts drops the starts that were not handed out: the runner is to get none of them.
+// dropUnsentStarts drops the starts that have not been sent, so that they never are.
 func (p *pendingOrders) dropUnsentStarts() {
 	for name, order := range p.starts {
 		if !order.sent {
@@ -114,8 +115,9 @@
 	}
 }
 
-// pruneStarts drops, at a heartbeat, starts that the runner has or was handed, that have
-// expired, or that a draining runner must not get. It reports whether there were any.
+// pruneStarts drops, when a heartbeat arrives, starts that the heartbeat reports, that were
+// already sent, that have expired, or that a draining runner must not receive. It reports
+// whether there were any.
 func (p *pendingOrders) pruneStarts(present map[attempt]bool, draining bool, now clock.Monotonic) bool {
 	dropped := false
 	for name, order := range p.starts {
@@ -127,8 +129,8 @@
 	return dropped
 }
 
-// recordCleared notes attempts to be stopped that a heartbeat does not report, and lists
-// those that are new.
+// recordCleared marks as cleared the attempts to stop that a heartbeat does not report, and
+// returns those that were not marked before.
 func (p *pendingOrders) recordCleared(present map[attempt]bool) []attempt {
 	var list []attempt
 	for stopped := range p.stops {
@@ -140,8 +142,8 @@
 	return list
 }
 
-// replaceStops takes the attempts that are to stop now, and forgets what was cleared of
-// others.
+// replaceStops replaces the attempts to stop, drops their pending starts, and removes the
+// cleared marks of all other attempts.
 func (p *pendingOrders) replaceStops(list []runnerapi.RunStop) {
 	stops := map[attempt]bool{}
 	for _, stop := range list {
@@ -160,8 +162,8 @@
 	}
 }
 
-// addStarts takes new starts and reports whether there were any. An attempt that is already
-// ordered, is to stop, or that the runner reports, is passed over.
+// addStarts adds new starts and reports whether there were any. It ignores attempts that
+// already have a start order, that must stop, or that the runner reports.
 func (p *pendingOrders) addStarts(list []runnerapi.Start, present map[attempt]bool, expires clock.Monotonic) bool {
 	added := false
 	for _, start := range list {
--- a/internal/agent/poll_state.go
+++ b/internal/agent/poll_state.go
@@ -6,35 +6,35 @@
 )
 
 const (
-	// sentPollTTL is how long the time of a poll is remembered.
+	// sentPollTTL is how long the send time of a poll is kept.
 	sentPollTTL clock.Millis = 5000
-	// minBackoff and maxBackoff bound the pause after a failed poll.
+	// minBackoff and maxBackoff bound the backoff after a failed poll.
 	minBackoff clock.Millis = 50
 	maxBackoff clock.Millis = 400
-	// jitterFactor is a prime that spreads the numbers of polls, which begin at another
-	// one in each agent, over the length of a pause.
+	// jitterFactor is a prime that maps the sequence numbers of polls, which start at a
+	// different number in each agent, to jitter within the backoff.
 	jitterFactor uint64 = 7919
 )
 
-// pollState is how the agent polls the control plane: one poll is kept open, and goes to
-// one server after another until one answers.
+// pollState is the state of the agent's polling of the control plane. One poll is kept open;
+// the agent tries one server after another until one answers.
 type pollState struct {
 	servers []string
 	current int
-	// seq is the number of the last poll or request.
+	// seq is the sequence number of the last poll or other request.
 	seq  uint64
 	open *openPoll
-	// sentAt is when each of the last polls was sent.
+	// sentAt holds the send times of recent polls that have no response yet.
 	sentAt  map[uint64]clock.Monotonic
 	nextAt  clock.Monotonic
 	backoff clock.Millis
-	// timeout is how long a poll is awaited.
+	// timeout is how long to wait for the response to a poll.
 	timeout clock.Millis
 	// refusedStatus is the status of the last refusal that was logged.
 	refusedStatus int
 }
 
-// openPoll is the poll under way.
+// openPoll is the poll that awaits its response.
 type openPoll struct {
 	seq         uint64
 	sentAt      clock.Monotonic
@@ -54,11 +54,11 @@
 	return p
 }
 
-// server is the one to ask now.
+// server returns the address of the server to send requests to.
 func (p *pollState) server() string { return p.servers[p.current%len(p.servers)] }
 
-// recordFailure turns to the next server, after a pause that grows and differs from one agent to
-// another.
+// recordFailure switches to the next server, with exponential backoff and jitter that differs
+// between agents.
 func (p *pollState) recordFailure(now clock.Monotonic) {
 	p.current++
 	p.backoff = min(max(minBackoff, p.backoff*2), maxBackoff)
@@ -66,7 +66,7 @@
 	p.nextAt = now.Add(p.backoff/2 + jitter)
 }
 
-// begin opens a poll and forgets when old ones were sent.
+// begin opens a poll and discards the send times of old ones.
 func (p *pollState) begin(incarnation identifier.Incarnation, now clock.Monotonic) {
 	p.seq++
 	p.open = &openPoll{seq: p.seq, sentAt: now, incarnation: incarnation}
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -11,19 +11,22 @@
 )
 
 const (
-	// initialPollTimeout is how long a poll is awaited before it is known how long the
-	// control plane keeps one open; after that it is pollSlack longer than that.
+	// initialPollTimeout is the poll timeout until the agent learns how long the control
+	// plane holds a poll open. From then on the timeout is that time plus pollSlack.
 	initialPollTimeout clock.Millis = 1000
 	pollSlack          clock.Millis = 150
-	// reconnectTimeout takes its place once nothing was heard for lostAfter.
+	// reconnectTimeout replaces the poll timeout once no poll that was sent within
+	// contactLostAfter has been answered.
 	reconnectTimeout clock.Millis = 300
 	contactLostAfter clock.Millis = 2000
-	// replaceDelay is how soon a poll with something to report replaces one still open.
+	// replaceDelay is the minimum age of an open poll before a poll with new information
+	// replaces it.
 	replaceDelay clock.Millis = 10
 )
 
-// pollTimeout is how long to wait for the answer to the open poll. While the agent is out
-// of touch it asks more often, since the control plane answers its first poll at once.
+// pollTimeout returns how long to wait for the response to the open poll. While the agent has
+// lost contact it polls more often, since the control plane answers the first poll after
+// contact is restored immediately.
 func (a *Agent) pollTimeout() clock.Millis {
 	if a.polls.backoff > 0 && a.now.Since(a.contact.sentAt) > contactLostAfter {
 		return reconnectTimeout
@@ -31,8 +34,7 @@
 	return a.polls.timeout
 }
 
-// pollIfDue keeps one poll open; what is unreported goes out in a new one that takes its
-// place.
+// pollIfDue keeps one poll open. Unreported changes are sent in a new poll that replaces it.
 func (a *Agent) pollIfDue() {
 	p := &a.polls
 	if a.runner.heartbeat == nil || len(p.servers) == 0 || a.now < p.nextAt {
@@ -45,7 +47,7 @@
 	p.begin(a.runner.heartbeat.Runner, a.now)
 	body, err := json.Marshal(a.pollRequest())
 	if err != nil {
-		panic("agent: a poll does not encode: " + err.Error())
+		panic("agent: encoding a poll: " + err.Error())
 	}
 	a.send(p.server(), &wire.Request{
 		ID:     p.seq,
@@ -56,7 +58,7 @@
 	})
 }
 
-// pollRequest is what the agent reports of its runner.
+// pollRequest builds the agent's report on its runner.
 func (a *Agent) pollRequest() runnerapi.PollRequest {
 	heartbeat := a.runner.heartbeat
 	silentFor := a.now.Since(a.runner.heardAt)
@@ -88,8 +90,8 @@
 	return request
 }
 
-// activeRuns lists what runs by the last heartbeat, with what the agent has measured, and
-// what is on its way to the runner.
+// activeRuns lists the attempts that the last heartbeat reports as running, with the stalls
+// and progress rates that the agent has measured, and the starts in flight to the runner.
 func (a *Agent) activeRuns() []runnerapi.RunState {
 	var list []runnerapi.RunState
 	for _, active := range a.runner.heartbeat.Active {
@@ -106,7 +108,7 @@
 	return list
 }
 
-// handlePollResponse takes the answer to a poll.
+// handlePollResponse processes the response to a poll.
 func (a *Agent) handlePollResponse(from wire.Peer, r *wire.Response) {
 	open := a.polls.open
 	if open == nil || r.ID != open.seq {
@@ -143,9 +145,9 @@
 	return response, json.Unmarshal(r.Body, response) == nil
 }
 
-// handleReplacedPoll takes the answer to a poll that another has replaced or that was given
-// up. What it orders is passed over, since the control plane says it again, but it shows
-// that the control plane has heard this agent since the poll was sent.
+// handleReplacedPoll processes the response to a poll that was replaced or timed out. Its
+// orders are ignored, since the control plane repeats them, but it proves that the control
+// plane received the poll after it was sent, and so renews the lease.
 func (a *Agent) handleReplacedPoll(r *wire.Response) {
 	sentAt, ok := a.polls.sentAt[r.ID]
 	if !ok {
@@ -160,7 +162,7 @@
 	a.updateLease(response)
 }
 
-// updateLease takes the length of the lease and the fencing token.
+// updateLease stores the lease duration and the fencing token from a response.
 func (a *Agent) updateLease(response *runnerapi.PollResponse) {
 	if response.Lease > 0 {
 		a.contact.lease = response.Lease
@@ -168,8 +170,8 @@
 	a.token.value = max(a.token.value, response.FencingToken)
 }
 
-// applyOrders takes the orders that an answer bears. They are for the incarnation that the
-// poll spoke of.
+// applyOrders applies the orders in a poll response. They are meant for the incarnation that the
+// poll reported on.
 func (a *Agent) applyOrders(response *runnerapi.PollResponse, open *openPoll) {
 	a.updateLease(response)
 	if response.StartTimeout > 0 {
@@ -194,7 +196,7 @@
 	}
 }
 
-// switchToLeader turns to a new leader by its own word.
+// switchToLeader switches to a new leader that has announced itself, and polls it immediately.
 func (a *Agent) switchToLeader(announcement *wire.Announcement) {
 	p := &a.polls
 	if len(p.servers) > 0 && p.server() == announcement.Addr && p.open != nil {
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -3,37 +3,39 @@
 import "orchidward/internal/clock"
 
 const (
-	// stallReportAfter is how long an attempt makes no progress before the control plane
-	// is told.
+	// stallReportAfter is the minimum time without progress after which an attempt is
+	// reported to the control plane as stalled.
 	stallReportAfter clock.Millis = 400
-	// The rate of an attempt is measured over minRateSpan at least, and maxRateSpan at
-	// most unless it has come minRatePercent further.
+	// The progress rate of an attempt is measured over at least minRateSpan. A measurement
+	// is complete once the attempt has progressed by minRatePercent, or after maxRateSpan.
 	minRateSpan    clock.Millis = 300
 	maxRateSpan    clock.Millis = 800
 	minRatePercent              = 4
-	// rateScale turns percents a millisecond into thousandths of the task a second.
+	// rateScale converts percent per millisecond to thousandths of the task per second.
 	rateScale = 10_000
-	// finalPercent is where an attempt's progress tells no more.
+	// finalPercent is the progress from which on it is no longer a meaningful basis for
+	// measuring the rate.
 	finalPercent = 99
 )
 
-// runProgress is how far an attempt had come when it last made progress.
+// runProgress tracks the progress of one attempt.
 type runProgress struct {
 	percent   int64
 	changedAt clock.Monotonic
-	// interval is how long the last percent took.
+	// interval is the time between the last two changes of percent.
 	interval clock.Millis
-	// stallReported says that the control plane is told that it makes none.
+	// stallReported is set once the stall has been queued for reporting to the control
+	// plane.
 	stallReported bool
-	// rate is how far it came lately, in thousandths of the task a second, measured from
-	// ratePercent at rateSince.
+	// rate is the most recent progress rate, in thousandths of the task per second. The
+	// next measurement starts from ratePercent at rateSince.
 	rate        int64
 	ratePercent int64
 	rateSince   clock.Monotonic
 }
 
-// measureRate takes the rate once enough has been seen of it, and reports whether it has
-// fallen to less than half.
+// measureRate updates the rate once the measurement is complete, and reports whether the
+// rate has dropped to less than half.
 func (p *runProgress) measureRate(percent int64, now clock.Monotonic) bool {
 	span := now.Since(p.rateSince)
 	if percent >= finalPercent || span < minRateSpan {
@@ -49,13 +51,13 @@
 	return previous > 0 && p.rate*2 < previous
 }
 
-// stalled reports whether an attempt has made no progress for far longer than it used to
-// take.
+// stalled reports whether an attempt has made no progress for much longer than its previous
+// progress took.
 func (p runProgress) stalled(now clock.Monotonic) bool {
 	return now.Since(p.changedAt) >= stallReportAfter+4*p.interval
 }
 
-// recordProgress notes when each attempt last made progress.
+// recordProgress updates the progress of the attempts that a heartbeat reports as running.
 func (a *Agent) recordProgress(heartbeat *Heartbeat) {
 	previous := a.progress
 	a.progress = make(map[attempt]runProgress, len(heartbeat.Active))
