--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -44,7 +44,7 @@
 	return c.lease - now.Since(c.sentAt)
 }
 
-// recordAnswer notes that a poll sent at that time was recordAnswer.
+// recordAnswer records that a poll sent at sentAt was answered.
 func (c *controlPlaneContact) recordAnswer(sentAt clock.Monotonic) {
 	c.sentAt = max(c.sentAt, sentAt)
 	c.established = true
--- a/internal/api/catalog/api_key.go
+++ b/internal/api/catalog/api_key.go
@@ -7,37 +7,38 @@
 	"encoding/hex"
 )
 
-// APIKey is the secret by which a tenant is known. It writes itself as redacted, so that no
-// log, error or metric has it by accident; JSON has the key itself.
+// APIKey is the secret that authenticates a tenant. It formats as "[redacted]", so that it
+// does not end up in a log, error or metric by accident; its JSON encoding is the key itself.
 type APIKey string
 
 const redacted = "[redacted]"
 
-// String hides the key.
+// String returns "[redacted]" in place of the key.
 func (APIKey) String() string { return redacted }
 
-// GoString hides the key.
+// GoString returns "[redacted]" in place of the key.
 func (APIKey) GoString() string { return redacted }
 
-// KeyDigest stands for an API key between processes: its HMAC by SHA-256, in hexadecimal
-// digits.
+// KeyDigest represents an API key in messages between processes: its HMAC-SHA-256 in
+// hexadecimal.
 type KeyDigest string
 
-// Digest is the key's digest by a salt.
+// Digest returns the digest of the key under a salt.
 func (k APIKey) Digest(salt []byte) KeyDigest {
 	mac := hmac.New(sha256.New, salt)
 	mac.Write([]byte(k))
 	return KeyDigest(hex.EncodeToString(mac.Sum(nil)))
 }
 
-// newKeySalt makes the salt that a catalogue keeps from its first tenants on. All servers
-// come to the same one; who has not seen that change can't know it.
+// newKeySalt derives the salt that a catalogue keeps from its first tenants on. It is
+// deterministic, so that all servers derive the same salt, and cannot be computed without
+// the change.
 func newKeySalt(change *Change) []byte {
 	hash := sha256.Sum256([]byte("key salt " + change.Checksum))
 	return hash[:]
 }
 
-// TenantKeys are the digests of a tenant's API keys, as gateways have them.
+// TenantKeys holds the digests of a tenant's API keys, in the form that gateways receive.
 type TenantKeys struct {
 	Tenant  string      `json:"tenant"`
 	Digests []KeyDigest `json:"digests"`
@@ -56,10 +57,10 @@
 	return list
 }
 
-// KeyTable finds tenants by their API keys.
+// KeyTable looks up tenants by their API keys.
 type KeyTable struct {
 	salt []byte
-	// owners are found by the first bytes of a digest, the rest is compared in constant
+	// owners is indexed by the prefix of a digest. Whole digests are compared in constant
 	// time.
 	owners map[KeyDigest][]keyOwner
 }
@@ -69,10 +70,10 @@
 	tenant string
 }
 
-// prefixDigits is how many digits of a digest lead to the owners that it is compared with.
+// prefixDigits is the number of leading digits of a digest that index KeyTable.owners.
 const prefixDigits = 8
 
-// NewKeyTable makes a table of tenants' keys.
+// NewKeyTable returns a table of the tenants' keys.
 func NewKeyTable(salt []byte, tenants []TenantKeys) *KeyTable {
 	t := &KeyTable{salt: salt, owners: map[KeyDigest][]keyOwner{}}
 	for _, keys := range tenants {
@@ -86,10 +87,10 @@
 
 func (d KeyDigest) prefix() KeyDigest { return d[:min(len(d), prefixDigits)] }
 
-// Digest is the digest by which the table knows a key.
+// Digest returns the digest of a key under the table's salt.
 func (t *KeyTable) Digest(key APIKey) KeyDigest { return key.Digest(t.salt) }
 
-// Owner is the tenant to which the key of a digest belongs.
+// Owner returns the tenant that owns the key with the given digest.
 func (t *KeyTable) Owner(digest KeyDigest) (tenant string, ok bool) {
 	for _, owner := range t.owners[digest.prefix()] {
 		if subtle.ConstantTimeCompare([]byte(owner.digest), []byte(digest)) == 1 {
--- a/internal/api/catalog/change.go
+++ b/internal/api/catalog/change.go
@@ -11,28 +11,29 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// Change replaces the catalogue, or some items of it. What can be checked without the
-// catalogue in force has been checked.
+// Change replaces the catalogue, or some items of it. Every check that does not need the
+// current catalogue has been made.
 type Change struct {
-	// Base is the version that the change is based on, Version the one it leads to.
+	// Base is the version that the change is based on, Version the resulting version.
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
-	// Whole says that the change replaces the whole catalogue.
+	// Whole means that the change replaces the whole catalogue.
 	Whole      bool     `json:"whole,omitempty"`
 	Queues     []Queue  `json:"queues,omitempty"`
 	Pools      []Pool   `json:"pools,omitempty"`
 	DropQueues []string `json:"dropQueues,omitempty"`
 	DropPools  []string `json:"dropPools,omitempty"`
-	// Tenants, DropTenants, TenantUpdates and Authenticated are used from the level on that has tenants.
+	// Tenants, DropTenants, TenantUpdates and Authenticated are used from the group level
+	// that introduced tenants on.
 	Tenants       []Tenant        `json:"tenants,omitempty"`
 	DropTenants   []string        `json:"dropTenants,omitempty"`
 	Authenticated bool            `json:"authenticated,omitempty"`
 	TenantUpdates []TenantUpdate  `json:"tenantUpdates,omitempty"`
 	Source        json.RawMessage `json:"source,omitempty"`
-	// Sections changes single sections of the source in place of replacing it, nil where the
-	// source is replaced or left as it is.
+	// Sections changes single sections of the source instead of replacing it. It is nil
+	// when the source is replaced or not changed.
 	Sections *SectionChange `json:"sections,omitempty"`
-	// Checksum is that of the operator's text.
+	// Checksum is the checksum of the text that the operator sent.
 	Checksum string `json:"sum"`
 }
 
@@ -43,7 +44,7 @@
 	Queues  []Queue  `json:"queues"`
 	Pools   []Pool   `json:"pools"`
 	Tenants []Tenant `json:"tenants"`
-	// Authenticated is implied where there are tenants.
+	// Authenticated is implied by the presence of tenants.
 	Authenticated bool            `json:"authenticated"`
 	Source        json.RawMessage `json:"source"`
 }
@@ -66,12 +67,12 @@
 		Tenants []TenantUpdate `json:"tenants"`
 	} `json:"update"`
 	Source json.RawMessage `json:"source"`
-	// Rest is what the change puts into, and drops from, sections of the source.
+	// Rest holds the items to put into, and to drop from, sections of the source.
 	Rest []map[string]json.RawMessage `json:"rest"`
 }
 
-// ReadWhole reads a complete catalogue. Faults are added to faults; the result is nil when
-// the text can't be read, and must not be used when there are any faults.
+// ReadWhole parses a complete catalogue. It adds errors to faults. The result is nil if the
+// text can't be parsed, and must not be used if there are any faults.
 func ReadWhole(text []byte, faults *jsondoc.FieldErrors) *Change {
 	var doc wholeDocument
 	if !decode(text, &doc, faults) {
@@ -88,8 +89,8 @@
 	return change.complete(doc.Base, doc.Version, text, faults)
 }
 
-// ReadPatch reads a change of named items. Faults are added to faults; the result is nil
-// when the text can't be read, and must not be used when there are any faults.
+// ReadPatch parses a change of named items. It adds errors to faults. The result is nil if
+// the text can't be parsed, and must not be used if there are any faults.
 func ReadPatch(text []byte, faults *jsondoc.FieldErrors) *Change {
 	var doc patchDocument
 	if !decode(text, &doc, faults) {
@@ -112,15 +113,15 @@
 	return change.complete(doc.Base, doc.Version, text, faults)
 }
 
-// ForServersWithoutTenants is the change as servers take it that know no tenants: they
-// replace the source as one.
+// ForServersWithoutTenants returns the change in the form for servers that do not support
+// tenants: such servers replace the source as a whole.
 func (c *Change) ForServersWithoutTenants() *Change {
 	plain := *c
 	plain.Sections = nil
 	return &plain
 }
 
-// decode reads one JSON value without unknown fields, and nothing after it.
+// decode decodes exactly one JSON value, and rejects unknown fields and trailing data.
 func decode(text []byte, into any, faults *jsondoc.FieldErrors) bool {
 	d := json.NewDecoder(bytes.NewReader(text))
 	d.DisallowUnknownFields()
@@ -135,7 +136,7 @@
 	return true
 }
 
-// checksumBytes is the number of bytes kept of a SHA-256 hash.
+// checksumBytes is the number of bytes kept from a SHA-256 hash.
 const checksumBytes = 12
 
 // complete sets the versions and the checksum and checks the items.
@@ -165,7 +166,7 @@
 	return c
 }
 
-// Bounds of the fields of queues and pools.
+// Limits on the fields of queues and pools.
 const (
 	maxNameBytes = 128
 	// maxRouteBytes bounds hosts and prefixes.
@@ -174,7 +175,7 @@
 	maxNumber     = 1 << 40
 )
 
-// TouchesTenants tells whether the change needs servers that know tenants.
+// TouchesTenants reports whether the change requires servers that support tenants.
 func (c *Change) TouchesTenants() bool {
 	keyless := slices.ContainsFunc(c.Queues, func(q Queue) bool { return q.Keyless })
 	return c.Authenticated || keyless || len(c.Tenants)+len(c.DropTenants)+len(c.TenantUpdates) > 0
--- a/internal/api/catalog/dedup.go
+++ b/internal/api/catalog/dedup.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maxRecords bounds the remembered changes: more than three days of 1,200.
+	// maxRecords bounds the recorded changes: more than three days at 1,200 changes a day.
 	maxRecords = 4096
-	// maxLegacyRecords is how many changes are remembered without a Dedup.
+	// maxLegacyRecords bounds the recorded changes of a catalogue without a Dedup.
 	maxLegacyRecords = 64
 
 	versionSize = 8
@@ -18,20 +18,20 @@
 	recordSize  = versionSize + digestSize
 )
 
-// Dedup remembers the latest accepted changes, so that one that is sent again because its
-// answer was lost is recognised, however many others were accepted since. The memory is
-// bounded: a change that may have been accepted and forgotten can be told from one that
-// certainly was not accepted by the horizon. Versions only ever rise, so the records are
-// in the order of their versions, and every forgotten version is at most the horizon.
+// Dedup records the latest accepted changes, so that a retry after a lost response is
+// recognised, however many other changes were accepted in the meantime. The records are
+// bounded; the horizon distinguishes a change that may have been accepted and discarded from
+// one that was certainly not accepted. Versions only increase, so the records are ordered by
+// version, and every discarded version is at most the horizon.
 type Dedup struct {
-	// Records holds for each change its version and the digest of its content,
-	// packed, oldest first.
+	// Records holds the version and the content digest of each change, packed, oldest
+	// first.
 	Records []byte `json:"records,omitempty"`
-	// Horizon is the newest version that was forgotten, 0 for none.
+	// Horizon is the newest version whose record was discarded, 0 for none.
 	Horizon uint64 `json:"horizon,omitempty"`
 }
 
-// LegacyRecord is an accepted change as it was remembered before Dedup.
+// LegacyRecord is the record of an accepted change in the format used before Dedup.
 type LegacyRecord struct {
 	Version  uint64 `json:"version"`
 	Checksum string `json:"sum"`
@@ -39,8 +39,8 @@
 
 type digest [digestSize]byte
 
-// The kinds of change that a digest tells apart. Legacy records do not say which kind they
-// are of. The texts are part of the digests in snapshots.
+// The kinds of change that a digest distinguishes. Legacy records do not have the kind. The
+// texts are part of the digests in snapshots, and so must not change.
 const (
 	kindLegacy  = "former"
 	kindReplace = "replace"
@@ -59,8 +59,8 @@
 	return digest(hash[:digestSize])
 }
 
-// newDedup takes over legacy records. When there are as many as are kept, others may have
-// been forgotten.
+// newDedup returns a Dedup with the legacy records. If their number has reached its bound,
+// older ones may have been discarded.
 func newDedup(legacy []LegacyRecord) *Dedup {
 	d := &Dedup{}
 	for _, record := range legacy {
@@ -72,7 +72,7 @@
 	return d
 }
 
-// Len is the number of remembered changes.
+// Len returns the number of recorded changes.
 func (d *Dedup) Len() int { return len(d.Records) / recordSize }
 
 func (d *Dedup) version(i int) uint64 {
@@ -90,7 +90,7 @@
 	return i, i < d.Len() && d.version(i) == version
 }
 
-// has tells whether the change is remembered as accepted.
+// has reports whether the change is recorded as accepted.
 func (d *Dedup) has(change *Change) bool {
 	i, ok := d.find(change.Version)
 	if !ok {
@@ -100,20 +100,20 @@
 	return known == newDigest(change.kind(), change.Checksum) || known == newDigest(kindLegacy, change.Checksum)
 }
 
-// mayHaveForgotten tells whether the change can have been accepted and forgotten since. A
-// version at or below its own base was never accepted.
+// mayHaveForgotten reports whether the change may have been accepted and its record
+// discarded. A change whose version is not above its base was never accepted.
 func (d *Dedup) mayHaveForgotten(change *Change) bool {
 	return change.Base < change.Version && change.Version <= d.Horizon
 }
 
-// with is the memory after a change was accepted; the one it is called on stays as it is.
+// with returns a copy of the records with an accepted change added. It does not modify d.
 func (d *Dedup) with(change *Change) *Dedup {
 	next := &Dedup{Records: slices.Clone(d.Records), Horizon: d.Horizon}
 	next.add(change.Version, newDigest(change.kind(), change.Checksum))
 	return next
 }
 
-// add adds a record and forgets the oldest ones above the bound.
+// add adds a record and discards the oldest ones above the bound.
 func (d *Dedup) add(version uint64, content digest) {
 	d.Records = binary.BigEndian.AppendUint64(d.Records, version)
 	d.Records = append(d.Records, content[:]...)
--- a/internal/api/catalog/merge.go
+++ b/internal/api/catalog/merge.go
@@ -8,8 +8,8 @@
 	"github.com/go-faster/errors"
 )
 
-// With returns the catalogue after the change, or why the change is not valid. The one it
-// is called on stays as it is.
+// With returns the catalogue that results from the change, or an error if the change is not
+// valid. It does not modify c.
 func (c *Catalog) With(change *Change) (*Catalog, error) {
 	next := &Catalog{Version: change.Version}
 	if change.Whole {
@@ -40,7 +40,7 @@
 	return next, nil
 }
 
-// patchedSource is the source after a change of named items.
+// patchedSource returns the source that results from a change of named items.
 func (c *Catalog) patchedSource(change *Change) json.RawMessage {
 	switch {
 	case change.Sections != nil:
@@ -51,7 +51,7 @@
 	return c.Source
 }
 
-// remember takes over what the previous catalogue remembered and adds the change.
+// remember copies the previous catalogue's records of changes and adds the change.
 func (c *Catalog) remember(previous *Catalog, change *Change) {
 	if previous.Dedup != nil {
 		c.Dedup = previous.Dedup.with(change)
@@ -62,11 +62,11 @@
 	c.LegacyRecords = records[max(0, len(records)-maxLegacyRecords):]
 }
 
-// merge replaces items by name in their place, adds new ones at the end, and drops some.
-// Of several new items of one name the last counts; an item that is both new and dropped
+// merge replaces items by name in place, appends new ones, and removes dropped ones. If put
+// has several items of the same name, the last one wins; an item that is both put and dropped
 // is kept.
 func merge[T any](old, put []T, drop []string, name func(T) string) []T {
-	// latest has the position in put of the item of each name.
+	// latest maps each name to the position of its last item in put.
 	latest := map[string]int{}
 	for i, item := range put {
 		latest[name(item)] = i
@@ -96,7 +96,7 @@
 	return merged
 }
 
-// validate checks what a change alone does not show. previous is the version in force.
+// validate makes the checks that need the whole catalogue. previous is the current version.
 func (c *Catalog) validate(previous uint64) error {
 	if c.Version <= previous {
 		return errors.New("the version is not above the current one")
--- a/internal/api/catalog/routes.go
+++ b/internal/api/catalog/routes.go
@@ -6,16 +6,16 @@
 	"strings"
 )
 
-// Route is the host and the prefix of the paths that belong to a queue.
+// Route is the host and path prefix of the requests that belong to a queue.
 type Route struct {
 	Queue  string `json:"name"`
 	Host   string `json:"host"`
 	Prefix string `json:"prefix"`
-	// Protected says that requests must bear a tenant's API key.
+	// Protected means that requests must carry a tenant's API key.
 	Protected bool `json:"protected,omitempty"`
 }
 
-// Routes lists the routes of all queues, hosts in lower case.
+// Routes lists the routes of all queues, with hosts in lower case.
 func (c *Catalog) Routes() []Route {
 	var routes []Route
 	for i := range c.Queues {
@@ -30,13 +30,13 @@
 	return routes
 }
 
-// RouteMap finds the queue that a request belongs to.
+// RouteMap looks up the queue that a request belongs to.
 type RouteMap struct {
 	// Version is the version of the catalogue.
 	Version uint64
-	// byHost has the routes of each host, the longest prefix first.
+	// byHost holds the routes of each host, longest prefix first.
 	byHost map[string][]Route
-	// protected are the queues whose requests must bear a tenant's API key.
+	// protected holds the queues whose requests must carry a tenant's API key.
 	protected map[string]bool
 }
 
@@ -55,8 +55,8 @@
 	return m
 }
 
-// Find looks up the queue with the longest prefix of the path, under the request's host in
-// any case and with or without a port. rest is what follows the prefix.
+// Find looks up the queue with the longest prefix that matches the path under the request's
+// host. The host is case-insensitive and may have a port. rest is the path after the prefix.
 func (m *RouteMap) Find(host, path string) (queue, rest string, ok bool) {
 	for _, route := range m.byHost[withoutPort(strings.ToLower(host))] {
 		if rest, ok = strings.CutPrefix(path, route.Prefix); ok {
@@ -66,10 +66,10 @@
 	return "", "", false
 }
 
-// Protected tells whether requests for a queue must bear a tenant's API key.
+// Protected reports whether requests for a queue must carry a tenant's API key.
 func (m *RouteMap) Protected(queue string) bool { return m.protected[queue] }
 
-// withoutPort removes the port of a host. An IPv6 address without a port ends in "]".
+// withoutPort removes the port from a host. An IPv6 address without a port ends in "]".
 func withoutPort(host string) string {
 	i := strings.LastIndexByte(host, ':')
 	if i <= 0 || strings.HasSuffix(host, "]") {
--- a/internal/api/catalog/sections.go
+++ b/internal/api/catalog/sections.go
@@ -8,29 +8,29 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// sections are the sections of a source by their names.
+// sections holds the sections of a source by name.
 type sections map[string]json.RawMessage
 
-// SectionChange changes sections of the source that the catalogue itself has no use for. A
-// section that is a list of items with names is changed item by item, as queues are; any
-// other is replaced.
+// SectionChange changes sections of the source that the catalogue itself does not use. A
+// section that is a list of named items is changed item by item, as queues are; any other
+// section is replaced as a whole.
 type SectionChange struct {
-	// Set replaces sections, Put puts items into them or replaces them, and Drop drops items
-	// by name.
+	// Set replaces whole sections, Put adds or replaces items of sections, and Drop removes
+	// items by name.
 	Set  sections            `json:"set,omitempty"`
 	Put  sections            `json:"put,omitempty"`
 	Drop map[string][]string `json:"drop,omitempty"`
 }
 
-// The parts of a patch's rest, in their order.
+// The positions of the parts of a patch's "rest" list.
 const (
 	restPut = iota
 	restDrop
 	restParts
 )
 
-// readSections reads what a patch changes in the source, nil where it changes nothing or
-// replaces a source that has no sections.
+// readSections reads a patch's changes to sections of the source. The result is nil if the
+// patch changes no section, or replaces the source by a value without sections.
 func readSections(source json.RawMessage, rest []map[string]json.RawMessage, faults *jsondoc.FieldErrors) *SectionChange {
 	change := &SectionChange{Drop: map[string][]string{}}
 	if len(source) > 0 && json.Unmarshal(source, &change.Set) != nil {
@@ -61,7 +61,7 @@
 	return change
 }
 
-// applyTo is a source after the change.
+// applyTo returns the source that results from the change.
 func (c *SectionChange) applyTo(source json.RawMessage) json.RawMessage {
 	next := sections{}
 	if len(source) > 0 && json.Unmarshal(source, &next) != nil {
@@ -78,13 +78,13 @@
 	}
 	text, err := json.Marshal(next)
 	if err != nil {
-		panic("catalog: a source does not encode: " + err.Error())
+		panic("catalog: encoding a source: " + err.Error())
 	}
 	return text
 }
 
-// changedSection is a section after items were put and dropped. What is put into something
-// that is no list of items replaces it.
+// changedSection returns a section after items were put and dropped. If the section or put is
+// not a list of named items, put replaces the section.
 func changedSection(section, put json.RawMessage, drop []string) json.RawMessage {
 	old, isList := readNamedItems(section)
 	added, putsList := readNamedItems(put)
@@ -101,19 +101,19 @@
 	}
 	text, err := json.Marshal(texts)
 	if err != nil {
-		panic("catalog: a section does not encode: " + err.Error())
+		panic("catalog: encoding a section: " + err.Error())
 	}
 	return text
 }
 
-// namedItem is an item of a section, as it was sent.
+// namedItem is an item of a section, with its text as the operator sent it.
 type namedItem struct {
 	name string
 	text json.RawMessage
 }
 
-// readNamedItems reads a list of items that each have a name. A section that is missing is a
-// list without items.
+// readNamedItems reads a list of items that all have a name. A missing section counts as an
+// empty list.
 func readNamedItems(section json.RawMessage) (items []namedItem, ok bool) {
 	if len(section) == 0 {
 		return nil, true
--- a/internal/api/catalog/tenant.go
+++ b/internal/api/catalog/tenant.go
@@ -9,20 +9,20 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// Tenant is a customer. Its jobs are those that were handed in with one of its API keys.
+// Tenant is a customer. A job belongs to the tenant whose API key it was submitted with.
 type Tenant struct {
 	Name string `json:"name"`
-	// Keys are the API keys. A tenant without any hands nothing in.
+	// Keys holds the API keys. A tenant without keys cannot submit jobs.
 	Keys []APIKey `json:"keys,omitempty"`
-	// Weight is the jobs a second, in thousandths, that are the tenant's share when the
-	// runners are full; 0 is no such bound.
+	// Weight is the tenant's share while the runners are full, in thousandths of a job per
+	// second; 0 means no such bound.
 	Weight int64           `json:"weight"`
 	Quota  Quota           `json:"quota"`
 	Source json.RawMessage `json:"source,omitempty"`
 }
 
-// Quota bounds what a tenant may have running at once on all runners. A field of 0 is no
-// bound.
+// Quota bounds the resources that a tenant's running tasks may use at once on all runners. A
+// field of 0 means no bound.
 type Quota struct {
 	MilliCores int64 `json:"milliCores,omitempty"`
 	// Mem is in mebibytes.
@@ -30,13 +30,13 @@
 	GPUs int64 `json:"gpus,omitempty"`
 }
 
-// overrunDivisor is the part of a quota, as a divisor, up to which a tenant may pass its quota by
-// one task.
+// overrunDivisor is the divisor for the part of the quota up to whose use a tenant may exceed
+// its quota by one task.
 const overrunDivisor = 2
 
-// Admits tells whether a tenant that has used running may start so many tasks more, together
-// or not at all. Up to half of the quota in use the last of them may pass it: otherwise a large
-// task or gang might wait for ever behind small ones.
+// Admits reports whether a tenant whose running tasks use used may start the given number of
+// further tasks, all or none. While at most half of the quota is in use, the last of them may
+// exceed it: otherwise a large task or gang might starve behind small ones.
 func (q Quota) Admits(used, task job.Demand, tasks int) bool {
 	var others job.Demand
 	for range tasks - 1 {
@@ -52,22 +52,22 @@
 	return q.Holds(scaled) && q.Holds(used.Plus(others))
 }
 
-// IsZero tells whether the quota bounds nothing.
+// IsZero reports whether the quota has no bounds.
 func (q Quota) IsZero() bool { return q == Quota{} }
 
-// Holds tells whether an amount in use is within the quota.
+// Holds reports whether an amount in use is within the quota.
 func (q Quota) Holds(used job.Demand) bool {
 	return within(used.CPU(), q.MilliCores) && within(used.Mem, q.Mem) && within(used.GPUs, q.GPUs)
 }
 
-// within tells whether an amount keeps a bound, of which 0 is none.
+// within reports whether an amount is within a bound; a bound of 0 means none.
 func within(amount, bound int64) bool { return bound == 0 || amount <= bound }
 
-// Bounds of the fields of tenants.
+// Limits on the fields of tenants.
 const (
 	maxKeys     = 1024
 	maxKeyBytes = 256
-	// MaxWeight is the largest weight: a million jobs a second.
+	// MaxWeight is the largest weight: a million jobs per second.
 	MaxWeight = 1_000_000_000
 	// MaxQuota is the largest bound of a quota.
 	MaxQuota = maxNumber - 1
@@ -90,7 +90,7 @@
 	}
 }
 
-// validateTenants checks that the tenants of a catalogue have names and keys of their own.
+// validateTenants checks that no two tenants of a catalogue share a name or an API key.
 func (c *Catalog) validateTenants() error {
 	names := map[string]bool{}
 	owners := map[APIKey]string{}
--- a/internal/api/catalog/tenant_update.go
+++ b/internal/api/catalog/tenant_update.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// TenantUpdate changes fields of a tenant that is there, and leaves the others: who makes it
-// need not know the tenant's API keys, which nobody can read.
+// TenantUpdate changes some fields of an existing tenant and keeps the others. The operator
+// need not know the tenant's API keys, which can't be read back.
 type TenantUpdate struct {
 	Name     string   `json:"name"`
 	AddKeys  []APIKey `json:"addKeys,omitempty"`
@@ -18,7 +18,7 @@
 	Quota    *Quota   `json:"quota,omitempty"`
 }
 
-// check checks what can be told without the tenant.
+// check makes the checks that do not need the existing tenant.
 func (u *TenantUpdate) check(faults *jsondoc.FieldErrors) {
 	tenant := Tenant{Name: u.Name, Weight: 1, Keys: slices.Concat(u.AddKeys, u.DropKeys)}
 	if u.Weight != nil {
@@ -30,7 +30,7 @@
 	tenant.check(faults)
 }
 
-// applyTo returns the tenant after the update.
+// applyTo returns the tenant with the update applied.
 func (u *TenantUpdate) applyTo(tenant Tenant) (Tenant, error) {
 	if len(tenant.Source) > 0 {
 		return tenant, errors.Errorf("tenant %s has a source, which only a whole tenant replaces", tenant.Name)
@@ -60,7 +60,7 @@
 	return tenant, nil
 }
 
-// updateTenants returns the tenants after updates.
+// updateTenants returns the tenants with the updates applied.
 func updateTenants(tenants []Tenant, updates []TenantUpdate) ([]Tenant, error) {
 	updated := slices.Clone(tenants)
 	for _, update := range updates {
