--- a/internal/api/eventlog/eventlog.go
+++ b/internal/api/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog is the document in which a simulated runner tells a drill what happened
-// to its attempts. Each page has the time on the runner's own clock, so that the reader can
-// place the events on its clock by their age.
+// Package eventlog defines the document in which a simulated runner reports the events of its
+// attempts to a drill. Each page has the time on the runner's clock, so that the reader can
+// convert the events to its own clock by their age.
 package eventlog
 
 import (
@@ -9,25 +9,25 @@
 	"orchidward/internal/clock"
 )
 
-// Page is the event log of one incarnation of a runner.
+// Page is a page of the event log of one incarnation of a runner.
 type Page struct {
 	Runner      identifier.Runner      `json:"runner"`
 	Incarnation identifier.Incarnation `json:"incarnation"`
 	Domain      identifier.Domain      `json:"domain"`
 	Labels      []identifier.Label     `json:"labels"`
 	Capacity    job.Demand             `json:"cap"`
-	// Now is when the page was made, in milliseconds on the runner's monotonic clock.
+	// Now is when the runner wrote the page, in milliseconds on its monotonic clock.
 	Now clock.Monotonic `json:"now"`
-	// BrokenResponses counts polls whose response was incomplete.
+	// BrokenResponses counts the polls with an incomplete response.
 	BrokenResponses int     `json:"broken"`
 	Events          []Event `json:"events"`
 }
 
-// Event is one thing that happened to an attempt.
+// Event is an event of an attempt.
 type Event struct {
 	// Seq numbers the events.
 	Seq uint64 `json:"n"`
-	// At is in milliseconds on the same clock as the page's Now.
+	// At is in milliseconds on the same clock as Page.Now.
 	At     clock.Monotonic    `json:"at"`
 	Kind   string             `json:"what"`
 	Lease  identifier.LeaseID `json:"grant"`
--- a/internal/api/identifier/identifier.go
+++ b/internal/api/identifier/identifier.go
@@ -1,7 +1,7 @@
-// Package identifier has the types that name things: clients, jobs, runners, leases,
-// servers, positions in the log. Each has a type of its own, so that the compiler rejects
-// a runner's name where a job's is wanted. The input is text and numbers from outside; the
-// output is the same as a type, or as text again.
+// Package identifier defines the types of identifiers: of clients, jobs, runners, leases,
+// servers, and positions in the log. Each has a distinct type, so that the compiler rejects a
+// runner's name in place of a job's. The input is text and numbers from outside; the output is
+// the typed value, or its text form.
 package identifier
 
 import (
@@ -13,13 +13,13 @@
 type (
 	// Client is the name of the client that submits a job.
 	Client string
-	// JobID is the id that the client gave its job; it is unique for that client.
+	// JobID is the id that a client chose for its job; it is unique per client.
 	JobID string
-	// Runner is the name of a runner, the same after a restart.
+	// Runner is the name of a runner, which stays the same across restarts.
 	Runner string
-	// Incarnation is one incarnation of a runner: a restart makes a new one.
+	// Incarnation identifies one incarnation of a runner; every restart begins a new one.
 	Incarnation string
-	// Domain is a failure domain, such as a zone, which is drained as one.
+	// Domain is a failure domain, such as a zone, which is drained as a unit.
 	Domain string
 	// Rack is a rack within a failure domain.
 	Rack string
@@ -27,11 +27,11 @@
 	Label string
 	// Row is the name of a row of the limits table.
 	Row string
-	// LeaseID is the id of a lease. Ids rise from 1 and are never used again.
+	// LeaseID is the id of a lease. Ids increase from 1 and are never reused.
 	LeaseID uint64
 	// Epoch is the version of the routing table.
 	Epoch uint64
-	// Node is the id of a control-plane server; 0 is none.
+	// Node is the id of a control-plane server; 0 means none.
 	Node uint64
 	// Term is a term of the consensus group; 0 is before the first.
 	Term uint64
@@ -39,11 +39,12 @@
 	Index uint64
 )
 
-// JobKey names a job everywhere: the client's name, a slash, and the client's id for it.
+// JobKey identifies a job in the whole cluster: the client's name, a slash, and the id that
+// the client chose.
 type JobKey string
 
-// NewJobKey joins a client's name and its own id for the job. Both must be valid names, so
-// that Split finds them again.
+// NewJobKey joins a client's name and its id for the job. Both must be valid names, so that
+// Split can separate them.
 func NewJobKey(client Client, id JobID) JobKey { return JobKey(string(client) + "/" + string(id)) }
 
 // Split separates a key at its first slash.
@@ -54,7 +55,7 @@
 
 func (n Node) String() string { return fmt.Sprintf("%016x", uint64(n)) }
 
-// ParseNode reads what Node.String writes: up to 16 hexadecimal digits, not all zero.
+// ParseNode parses the output of Node.String: up to 16 hexadecimal digits, not all zero.
 func ParseNode(text string) (n Node, ok bool) {
 	value, err := strconv.ParseUint(text, 16, 64)
 	return Node(value), err == nil && value != 0
@@ -63,8 +64,8 @@
 // maxNameBytes bounds the length of a valid name.
 const maxNameBytes = 64
 
-// ValidName tells whether a name from outside may be used: 1 to 64 letters and digits of
-// ASCII, dots, dashes and underscores.
+// ValidName reports whether a name from outside is valid: 1 to 64 ASCII letters, digits,
+// dots, dashes and underscores.
 func ValidName(text string) bool {
 	if text == "" || len(text) > maxNameBytes {
 		return false
--- a/internal/api/identifier/task_ref.go
+++ b/internal/api/identifier/task_ref.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// TaskRef identifies a task: its job, the position of its step in the job and its number
-// within the step, both counted from 0.
+// TaskRef identifies a task by its job, the index of its step in the job and its index within
+// the step, both counted from 0.
 type TaskRef struct {
 	Job  JobKey `json:"job"`
 	Step int    `json:"step"`
--- a/internal/api/job/demand.go
+++ b/internal/api/job/demand.go
@@ -1,34 +1,34 @@
 package job
 
-// milliCoresPerCore is the number of thousandths in a core.
 const milliCoresPerCore = 1000
 
-// Demand is an amount of resources: asked for, in use or free. A difference of two may be
-// negative.
+// Demand is an amount of resources: requested, in use or free. The difference of two demands
+// may be negative.
 type Demand struct {
 	Cores int64 `json:"cores"`
 	// Mem is in mebibytes.
 	Mem int64 `json:"memMb"`
-	// MilliCores are thousandths of a core beyond Cores. Only CPU, which adds both,
-	// counts; in a difference the two may have unlike signs.
+	// MilliCores is added to Cores, in thousandths of a core. Use CPU, which returns the
+	// sum, for comparisons; in a difference the two fields may have different signs.
 	MilliCores int64 `json:"milliCores,omitempty"`
 	GPUs       int64 `json:"gpus,omitempty"`
 }
 
-// CPU is the processors, in thousandths of a core.
+// CPU returns the amount of CPU, in thousandths of a core.
 func (d Demand) CPU() int64 { return d.Cores*milliCoresPerCore + d.MilliCores }
 
-// Fits tells whether d is no more than room in processors, memory and GPUs.
+// Fits reports whether d does not exceed the available CPU, memory and GPUs.
 func (d Demand) Fits(available Demand) bool {
 	return d.CPU() <= available.CPU() && d.Mem <= available.Mem && d.GPUs <= available.GPUs
 }
 
-// WithinLimit tells whether d keeps within a limit that does not mention GPUs.
+// WithinLimit reports whether d does not exceed the CPU and memory of a limit. GPUs are
+// ignored.
 func (d Demand) WithinLimit(limit Demand) bool {
 	return d.CPU() <= limit.CPU() && d.Mem <= limit.Mem
 }
 
-// Plus adds field by field.
+// Plus returns the sum of d and other, field by field.
 func (d Demand) Plus(other Demand) Demand {
 	return Demand{
 		Cores:      d.Cores + other.Cores,
@@ -38,7 +38,7 @@
 	}
 }
 
-// Minus subtracts field by field; it does not stop at zero.
+// Minus returns d less other, field by field. Fields may become negative.
 func (d Demand) Minus(other Demand) Demand {
 	return Demand{
 		Cores:      d.Cores - other.Cores,
@@ -48,10 +48,11 @@
 	}
 }
 
-// shareUnit is a share of 1: shares are in millionths.
+// shareUnit is the unit of shares, which are in millionths.
 const shareUnit = 1_000_000
 
-// Share is the largest of the shares that d has of the total, in millionths.
+// Share returns d's dominant share of the total: the largest of its shares of CPU, memory and
+// GPUs, in millionths.
 func (d Demand) Share(total Demand) int64 {
 	var share int64
 	if total.CPU() > 0 {
--- a/internal/api/job/dependencies.go
+++ b/internal/api/job/dependencies.go
@@ -2,11 +2,11 @@
 
 import "orchidward/internal/api/jsondoc"
 
-// checkDependencies rejects steps that come after an unknown step or after one another in
-// a cycle. positions has the position of each step by its name.
+// checkDependencies rejects steps that depend on an unknown step, name a dependency twice, or
+// form a cycle. positions maps the name of each step to its position.
 func checkDependencies(s *Spec, positions map[string]int, faults *jsondoc.FieldErrors) {
-	// missing counts the steps that each one still waits for, and dependents has the
-	// steps that wait for each one.
+	// missing counts the unsatisfied dependencies of each step, and dependents lists the
+	// steps that depend on it.
 	missing := make([]int, len(s.Steps))
 	dependents := make([][]int, len(s.Steps))
 	for i, step := range s.Steps {
@@ -30,8 +30,8 @@
 	}
 }
 
-// countOrdered is the number of steps that can be put in an order in which each comes after
-// those that it waits for (Kahn, 1962). It is less than all when there is a cycle.
+// countOrdered returns the number of steps that can be sorted topologically (Kahn, 1962). It
+// is less than the number of all steps if there is a cycle.
 func countOrdered(missing []int, dependents [][]int) int {
 	var ready []int
 	for i, count := range missing {
--- a/internal/api/job/read.go
+++ b/internal/api/job/read.go
@@ -13,11 +13,11 @@
 	MaxSteps = 32
 	// MaxTasks bounds the tasks of all steps together.
 	MaxTasks = 4096
-	// MaxPayloadBytes bounds the text that a job hands to its tasks, in bytes.
+	// MaxPayloadBytes bounds the payload that a job passes to its tasks, in bytes.
 	MaxPayloadBytes = 16 << 10
 	// MaxQueueNameBytes bounds the name of a queue, in bytes.
 	MaxQueueNameBytes = 128
-	// MaxRepeats bounds how often a repeated job runs.
+	// MaxRepeats bounds the number of occurrences of a repeated job.
 	MaxRepeats = 1 << 20
 
 	maxUrgency = 1000
@@ -25,16 +25,17 @@
 	maxDefects = 100
 	// maxAmount bounds each amount of resources.
 	maxAmount = 1 << 30
-	// maxSpan bounds spans, in milliseconds.
+	// maxSpan bounds durations, in milliseconds.
 	maxSpan = int64(30 * 24 * time.Hour / time.Millisecond)
-	// maxFirstStart bounds the first time of a repeated job, in milliseconds.
+	// maxFirstStart bounds the time of the first occurrence of a repeated job, in
+	// milliseconds.
 	maxFirstStart = 1 << 45
 	// defaultExpectedRun is in milliseconds.
 	defaultExpectedRun = 1000
 )
 
-// Read reads and checks the JSON of a job. Faults are added to faults; the result is nil
-// when the text is not one JSON object, and must not be used when there are any faults.
+// Read parses and validates the JSON of a job. It adds errors to faults. The result is nil if
+// the text is not a single JSON object, and must not be used if there are any faults.
 func Read(text []byte, faults *jsondoc.FieldErrors) *Spec {
 	o := jsondoc.Parse(text, faults)
 	if o == nil {
@@ -77,7 +78,7 @@
 	s.NotBefore = clock.ClusterTime(at.UnixMilli())
 }
 
-// readQueued reads the fields that only a job for a queue may have.
+// readQueued reads the fields that are valid only for a job for a queue.
 func readQueued(o *jsondoc.Object, s *Spec) {
 	s.Queue = o.Text("queue", "")
 	switch {
@@ -107,7 +108,7 @@
 	return r
 }
 
-// readSteps reads the steps and returns the position of each by its name.
+// readSteps reads the steps and returns a map from their names to their positions.
 func readSteps(o *jsondoc.Object, s *Spec, queued bool) map[string]int {
 	positions := map[string]int{}
 	for i, object := range o.List("steps", MaxSteps) {
@@ -142,7 +143,8 @@
 	return s
 }
 
-// readQueuedStep reads the fields that differ in, or are only for, a job for a queue.
+// readQueuedStep reads the fields of a step that a job for a queue has in addition, or with
+// different bounds.
 func readQueuedStep(o *jsondoc.Object, s *Step) {
 	s.Demand.Cores = o.Int("cores", 0, 0, maxAmount)
 	s.Demand.MilliCores = o.Int("milliCores", 0, 0, maxAmount)
--- a/internal/api/limits/change.go
+++ b/internal/api/limits/change.go
@@ -7,21 +7,21 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// Change is a checked change of the table.
+// Change is a validated change of the table.
 type Change struct {
-	// Base is the epoch that the change was made against.
+	// Base is the epoch of the table that the change is based on.
 	Base identifier.Epoch `json:"base"`
-	// Whole says that Rows replace all rows of the table. Otherwise only the named cells
-	// change, and the rows in Drop are dropped.
+	// Whole means that Rows replaces all rows of the table. Otherwise only the named cells
+	// change, and the rows in Drop are removed.
 	Whole bool                                 `json:"whole"`
 	Rows  map[identifier.Row]map[string]string `json:"rows"`
 	Drop  map[identifier.Row]bool              `json:"drop,omitempty"`
 }
 
-// maxEpoch bounds the epochs that are read: JSON numbers are exact up to it.
+// maxEpoch bounds the epochs in requests: JSON numbers are exact up to this value.
 const maxEpoch = 1 << 53
 
-// names tells whether the change names the cell, or the row when cell has no column.
+// names reports whether the change names the cell, or the row if cell has no column.
 func (c *Change) names(cell string) bool {
 	row, column, _ := strings.Cut(cell, ".")
 	if c.Drop[identifier.Row(row)] {
@@ -35,7 +35,7 @@
 	return ok
 }
 
-// TouchesPolicies tells whether the change has a policy cell.
+// TouchesPolicies reports whether the change has a policy cell.
 func (c *Change) TouchesPolicies() bool {
 	for row, cells := range c.Rows {
 		for column := range cells {
@@ -47,9 +47,9 @@
 	return false
 }
 
-// ReadWhole reads a change that replaces the whole table. Faults are added to faults; the
-// result is nil when the text is not one JSON object, and must not be applied when there
-// are any faults.
+// ReadWhole parses a change that replaces the whole table. It adds errors to faults. The
+// result is nil if the text is not a single JSON object, and must not be applied if there are
+// any faults.
 func ReadWhole(text []byte, faults *jsondoc.FieldErrors) *Change {
 	o := jsondoc.Parse(text, faults)
 	if o == nil {
@@ -78,8 +78,8 @@
 	return c
 }
 
-// ReadPatch reads a change of single cells and rows. Faults are added to faults; the result
-// is nil when the text is not one JSON object, and must not be applied when there are any
+// ReadPatch parses a change of single cells and rows. It adds errors to faults. The result is
+// nil if the text is not a single JSON object, and must not be applied if there are any
 // faults.
 func ReadPatch(text []byte, faults *jsondoc.FieldErrors) *Change {
 	o := jsondoc.Parse(text, faults)
@@ -109,7 +109,7 @@
 	return c
 }
 
-// readNamedCell reads a cell that is named "row.column".
+// readNamedCell reads a cell named "row.column".
 func readNamedCell(o *jsondoc.Object, name string, c *Change) {
 	rowName, column, ok := strings.Cut(name, ".")
 	if !ok || !validRowName(rowName) && rowName != string(SiteRow) {
@@ -137,7 +137,7 @@
 	c.Base = identifier.Epoch(o.Int("base", 0, 0, maxEpoch))
 }
 
-// readRow reads an object of cells. An empty policy is the same as none.
+// readRow reads an object of cells. An empty policy is equivalent to none.
 func readRow(o *jsondoc.Object, row identifier.Row) map[string]string {
 	cells := map[string]string{}
 	if o == nil {
@@ -152,7 +152,8 @@
 	return cells
 }
 
-// readCell reads the field key of o as a cell and adds it to cells.
+// readCell reads the field key of o as the cell in the given row and column, and adds it to
+// cells.
 func readCell(o *jsondoc.Object, key string, row identifier.Row, column string, cells map[string]string) {
 	c, ok := FindColumn(row, column)
 	if !ok {
--- a/internal/api/limits/column.go
+++ b/internal/api/limits/column.go
@@ -11,7 +11,7 @@
 	"orchidward/internal/scheduler/policy"
 )
 
-// Column is what the cells of one column may be: a number between two bounds, one of some
+// Column defines the valid cells of a column: a number between two bounds, one of a set of
 // words, a set of labels ("*" for any), or a policy.
 type Column struct {
 	Name    string
@@ -19,16 +19,16 @@
 	// Min and Max are the bounds of a number.
 	Min int64
 	Max int64
-	// Enum has the words of a column of words.
+	// Enum lists the valid words of a column of words.
 	Enum     []string
 	LabelSet bool
-	// Policy marks a column of placement policies. A row has the cell only when it is
-	// given, so that a table without policies is the same as one from before there were
-	// any.
+	// Policy marks a column of placement policies. A row has the cell only if a policy is
+	// set, so that a table without policies is identical to one from before policies were
+	// introduced.
 	Policy bool
 }
 
-// numeric tells whether the cells are numbers.
+// numeric reports whether the cells are numbers.
 func (c Column) numeric() bool { return c.Enum == nil && !c.LabelSet && !c.Policy }
 
 // Names of the columns of a row.
@@ -60,29 +60,29 @@
 	SiteRememberedJobSpan = "knownMs"
 )
 
-// Values of ColumnOnOutage: what becomes of displaced tasks that fit nowhere else.
+// Values of ColumnOnOutage: how displaced tasks that fit on no other runner are handled.
 const (
-	// OnOutagePreempt preempts strictly cheaper work for them.
+	// OnOutagePreempt preempts strictly cheaper work in favour of the displaced tasks.
 	OnOutagePreempt = "push"
-	// OnOutageWait places them before other work, once there are resources.
+	// OnOutageWait places the displaced tasks before other work, once resources are free.
 	OnOutageWait = "wait"
-	// OnOutageSuspend suspends them until the drain is over.
+	// OnOutageSuspend suspends the displaced tasks until the drain ends.
 	OnOutageSuspend = "ride"
 )
 
-// Values of ColumnOnLoss: what becomes of the tasks of a lost runner.
+// Values of ColumnOnLoss: how the tasks of a lost runner are handled.
 const (
-	// OnLossReplace places them on another runner.
+	// OnLossReplace places the tasks on another runner.
 	OnLossReplace = "replace"
-	// OnLossAwaitRunner keeps them until the runner reports again.
+	// OnLossAwaitRunner holds the tasks until the runner reports again.
 	OnLossAwaitRunner = "hold"
 )
 
-// maxAmount is the upper bound of cells for amounts of resources.
+// maxAmount is the upper bound of cells that hold an amount of resources.
 const maxAmount = 1 << 40
 
-// Columns are the columns of every row but SiteRow, with their defaults and bounds. Memory
-// is in mebibytes.
+// Columns lists the columns of every row except SiteRow, with their defaults and bounds.
+// Memory is in mebibytes.
 var Columns = []Column{
 	{Name: ColumnWeight, Default: "1", Min: 1, Max: 10000},
 	{Name: ColumnMaxCores, Default: "1000000", Min: 0, Max: maxAmount},
@@ -98,8 +98,8 @@
 	{Name: ColumnPolicy, Policy: true},
 }
 
-// SiteColumns are the columns of SiteRow. Those whose names end in Ms are in milliseconds,
-// those that end in Pct in percent.
+// SiteColumns lists the columns of SiteRow. Values of columns whose names end in Ms are in
+// milliseconds, those of columns whose names end in Pct in percent.
 var SiteColumns = []Column{
 	{Name: SiteEvacuation, Default: "5000", Min: 1000, Max: 600000},
 	{Name: SiteDrain, Default: "2000", Min: 500, Max: 600000},
@@ -112,10 +112,10 @@
 	{Name: SiteRememberedJobSpan, Default: "86400000", Min: 60000, Max: 604800000},
 }
 
-// SiteRow is the row of the settings of the whole cluster.
+// SiteRow is the row with the settings of the whole cluster.
 const SiteRow identifier.Row = "site"
 
-// columnsOf lists the columns of a row, which need not exist.
+// columnsOf returns the columns of a row. The row need not exist.
 func columnsOf(row identifier.Row) []Column {
 	if row == SiteRow {
 		return SiteColumns
@@ -123,7 +123,7 @@
 	return Columns
 }
 
-// FindColumn looks up a column of a row, which need not exist, by its name.
+// FindColumn looks up a column of a row by name. The row need not exist.
 func FindColumn(row identifier.Row, name string) (column Column, ok bool) {
 	for _, c := range columnsOf(row) {
 		if c.Name == name {
@@ -133,13 +133,13 @@
 	return Column{}, false
 }
 
-// isPolicy tells whether a cell is a policy.
+// isPolicy reports whether a cell is a policy.
 func isPolicy(row identifier.Row, name string) bool {
 	column, _ := FindColumn(row, name)
 	return column.Policy
 }
 
-// Normalize returns a cell's text in normal form, or why it is not valid.
+// Normalize returns a cell's text in canonical form, or an error if it is not valid.
 func (c Column) Normalize(text string) (string, error) {
 	text = strings.TrimSpace(text)
 	switch {
@@ -171,7 +171,7 @@
 }
 
 const (
-	// AnyLabel in a set of labels allows every label.
+	// AnyLabel allows every label if it is in a set of labels.
 	AnyLabel = "*"
 	// maxLabels bounds the labels of a cell.
 	maxLabels = 16
--- a/internal/api/limits/document.go
+++ b/internal/api/limits/document.go
@@ -8,14 +8,14 @@
 	"orchidward/internal/api/identifier"
 )
 
-// document is the table in the form that ReadWhole reads, without its base.
+// document is the JSON form of the table that ReadWhole accepts, without the base.
 type document struct {
 	Epoch identifier.Epoch          `json:"epoch"`
 	Rows  map[string]map[string]any `json:"rows"`
 	Site  map[string]any            `json:"site"`
 }
 
-// JSON returns the table in the form that ReadWhole reads, without its base.
+// JSON returns the table in the form that ReadWhole accepts, without the base.
 func (t *Table) JSON() []byte {
 	doc := document{
 		Epoch: t.Epoch,
@@ -27,12 +27,12 @@
 	}
 	text, err := json.Marshal(doc)
 	if err != nil {
-		panic(fmt.Sprintf("limits: a table must always encode: %v", err))
+		panic(fmt.Sprintf("limits: encoding a table: %v", err))
 	}
 	return text
 }
 
-// documentRow returns the cells of a row, numbers as numbers.
+// documentRow returns the cells of a row, with numeric cells as numbers.
 func documentRow(columns []Column, row map[string]string) map[string]any {
 	cells := map[string]any{}
 	for _, column := range columns {
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -15,32 +15,32 @@
 // DefaultRow is the row that a new table has.
 const DefaultRow identifier.Row = "default"
 
-// Table is the limits table in force.
+// Table is the current limits table.
 type Table struct {
-	// Epoch is the version of the table. Every change raises it by one, and so does
-	// every change of the catalogue.
+	// Epoch is the version of the table. Every change of the table or of the catalogue
+	// increments it.
 	Epoch identifier.Epoch                     `json:"epoch"`
 	Rows  map[identifier.Row]map[string]string `json:"rows"`
-	// ChangedAt is the epoch that last changed a cell ("row.column"), or added or
-	// dropped a row ("row").
+	// ChangedAt maps a cell ("row.column") to the epoch that last changed it, and a row
+	// ("row") to the epoch that last added or dropped it.
 	ChangedAt map[string]identifier.Epoch `json:"marks"`
-	// OldestBase is the oldest epoch that a change may be based on: what dropped rows
-	// changed before it is forgotten.
+	// OldestBase is the oldest epoch that a change may be based on: the history of rows
+	// dropped before it has been discarded.
 	OldestBase identifier.Epoch `json:"floor"`
 }
 
 const (
-	// maxRows bounds the rows, SiteRow not counted.
+	// maxRows bounds the number of rows, not counting SiteRow.
 	maxRows = 512
-	// maxDroppedCells is the number of cells of dropped rows above which they are
-	// forgotten.
+	// maxDroppedCells is the number of cells of dropped rows above which their history is
+	// discarded.
 	maxDroppedCells = 4096
 )
 
-// ErrTooManyRows is returned by Apply when the table would have too many rows.
+// ErrTooManyRows is returned by Apply if the table would have too many rows.
 var ErrTooManyRows = errors.New("too many rows")
 
-// Default is the table of a new cluster.
+// Default returns the table of a new cluster.
 func Default() *Table {
 	return &Table{
 		Epoch: 1,
@@ -52,7 +52,7 @@
 	}
 }
 
-// fillRow returns a row with the given cells and the defaults of the others.
+// fillRow returns a row with the given cells, and defaults for all others.
 func fillRow(columns []Column, cells map[string]string) map[string]string {
 	row := map[string]string{}
 	for _, column := range columns {
@@ -67,25 +67,25 @@
 	return row
 }
 
-// Cell is the text of a cell, empty when there is no such cell.
+// Cell returns the text of a cell, empty if there is no such cell.
 func (t *Table) Cell(row identifier.Row, column string) string { return t.Rows[row][column] }
 
-// Int is the value of a numeric cell, 0 when it is missing or not a number.
+// Int returns the value of a numeric cell, 0 if it is missing or not a number.
 func (t *Table) Int(row identifier.Row, column string) int64 {
 	value, _ := strconv.ParseInt(t.Rows[row][column], 10, 64)
 	return value
 }
 
-// SiteMillis is a span of the whole cluster, in milliseconds.
+// SiteMillis returns the value of a column of SiteRow that holds a duration.
 func (t *Table) SiteMillis(column string) clock.Millis { return clock.Millis(t.Int(SiteRow, column)) }
 
-// HasRow tells whether the table has the row, which must not be SiteRow.
+// HasRow reports whether the table has the row; it returns false for SiteRow.
 func (t *Table) HasRow(row identifier.Row) bool {
 	_, ok := t.Rows[row]
 	return ok && row != SiteRow
 }
 
-// RowNames lists the rows in order, without SiteRow.
+// RowNames lists the rows except SiteRow, sorted by name.
 func (t *Table) RowNames() []identifier.Row {
 	var names []identifier.Row
 	for name := range t.Rows {
@@ -97,8 +97,8 @@
 	return names
 }
 
-// Conflicts lists the cells of the change that were changed after its base, "*" when the
-// base is too old or unknown.
+// Conflicts lists the cells of the change that were changed after its base, sorted by name.
+// It returns "*" if the base is too old or unknown.
 func (t *Table) Conflicts(c *Change) []string {
 	if c.Base < t.OldestBase || c.Base > t.Epoch {
 		return []string{"*"}
@@ -113,7 +113,7 @@
 	return cells
 }
 
-// Dropped lists the rows that the change would drop, in order.
+// Dropped lists the rows that the change would drop, sorted by name.
 func (t *Table) Dropped(c *Change) []identifier.Row {
 	var dropped []identifier.Row
 	for _, row := range t.RowNames() {
@@ -125,8 +125,8 @@
 	return dropped
 }
 
-// Apply makes the change, of which the caller has made sure that it has no conflicts. It
-// fails with ErrTooManyRows, and then changes nothing.
+// Apply applies the change. The caller must have checked that it has no conflicts. If the
+// table would have too many rows, Apply returns ErrTooManyRows and changes nothing.
 func (t *Table) Apply(c *Change) error {
 	if t.rowsAfter(c) > maxRows+1 {
 		return ErrTooManyRows
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// rowsAfter is the number of rows that the table would have, SiteRow included.
+// rowsAfter returns the number of rows that the table would have after the change, including
+// SiteRow.
 func (t *Table) rowsAfter(c *Change) int {
 	count := len(t.Rows) - len(t.Dropped(c))
 	for row := range c.Rows {
@@ -154,8 +155,8 @@
 	return count
 }
 
-// applyRow sets the given cells of a row. When the change is of the whole table the others
-// return to their defaults.
+// applyRow sets the given cells of a row. If the change replaces the whole table, all other
+// cells return to their defaults.
 func (t *Table) applyRow(name identifier.Row, cells map[string]string, whole bool) {
 	previous, existed := t.Rows[name]
 	if !existed {
@@ -184,11 +185,11 @@
 	t.Rows[name] = row
 }
 
-// cellName is the name of a cell in changes and in ChangedAt. Names of rows have no dots.
+// cellName returns the name of a cell in changes and in ChangedAt. Row names have no dots.
 func cellName(row identifier.Row, column string) string { return string(row) + "." + column }
 
-// forgetDropped forgets when cells of dropped rows were changed, once there are many, and
-// raises OldestBase so that no change is based on what was forgotten.
+// forgetDropped discards the history of dropped rows once it exceeds maxDroppedCells, and
+// raises OldestBase so that no change can be based on an epoch whose history is incomplete.
 func (t *Table) forgetDropped() {
 	if len(t.ChangedAt) <= maxDroppedCells+len(t.Rows)*(len(Columns)+1) {
 		return
