--- a/internal/api/admission/rules.go
+++ b/internal/api/admission/rules.go
@@ -10,31 +10,31 @@
 	"orchidward/internal/api/limits"
 )
 
-// Rules are the compiled limits table. They are safe for concurrent use once compiled.
+// Rules is the compiled limits table. It is safe for concurrent use.
 type Rules struct {
 	// Epoch is the version of the table.
 	Epoch identifier.Epoch
 	rows  map[identifier.Row]*rowRules
 }
 
-// rowRules are the limits of one row.
+// rowRules holds the limits of one row.
 type rowRules struct {
 	maximums []maximum
-	// allowedLabels is nil when every label is allowed.
+	// allowedLabels is nil if every label is allowed.
 	allowedLabels map[identifier.Label]bool
 	maxWaiting    int64
 }
 
-// maximum bounds one number of a job.
+// maximum bounds one numeric property of a job.
 type maximum struct {
 	measure func(s *job.Spec) int64
 	limit   int64
-	// path and message tell of a job that is over the limit.
+	// path and message describe the error of a job that exceeds the limit.
 	path    string
 	message string
 }
 
-// Compile compiles a checked table.
+// Compile compiles a validated table.
 func Compile(t *limits.Table) *Rules {
 	r := &Rules{Epoch: t.Epoch, rows: map[identifier.Row]*rowRules{}}
 	for _, row := range t.RowNames() {
@@ -64,7 +64,7 @@
 	}
 }
 
-// compileLabels returns the set of labels of a cell, nil when it allows every label.
+// compileLabels returns the set of labels of a cell, nil if it allows every label.
 func compileLabels(cell string) map[identifier.Label]bool {
 	names := strings.Fields(cell)
 	if slices.Contains(names, limits.AnyLabel) {
@@ -77,7 +77,7 @@
 	return allowed
 }
 
-// largestCores is the most cores that one task of the job asks for.
+// largestCores returns the largest number of cores that a task of the job requests.
 func largestCores(s *job.Spec) int64 {
 	var largest int64
 	for _, step := range s.Steps {
@@ -86,7 +86,8 @@
 	return largest
 }
 
-// largestMem is the most memory that one task of the job asks for, in mebibytes.
+// largestMem returns the largest amount of memory that a task of the job requests, in
+// mebibytes.
 func largestMem(s *job.Spec) int64 {
 	var largest int64
 	for _, step := range s.Steps {
@@ -97,17 +98,17 @@
 
 func urgency(s *job.Spec) int64 { return s.Urgency }
 
-// Verdict is the result of a check, besides the faults.
+// Verdict is the result of a check, apart from the job's errors.
 type Verdict struct {
-	// QueueFull says that the row has too many waiting tasks for the job.
+	// QueueFull means that the row has too many waiting tasks to accept the job.
 	QueueFull bool
 }
 
-// WaitingUnknown is the number of waiting tasks for a caller that does not know it.
+// WaitingUnknown is passed as the number of waiting tasks by callers that don't know it.
 const WaitingUnknown = -1
 
-// Check checks a job against its row and adds its faults to faults. waiting is the number
-// of tasks that wait in the row, or WaitingUnknown.
+// Check checks a job against the limits of its row and adds its errors to faults. waiting is
+// the number of waiting tasks of the row, or WaitingUnknown.
 func (r *Rules) Check(s *job.Spec, waiting int64, faults *jsondoc.FieldErrors) Verdict {
 	row, ok := r.rows[s.Row]
 	if !ok {
--- a/internal/api/endpoint/doc.go
+++ b/internal/api/endpoint/doc.go
@@ -1,7 +1,7 @@
-// Package endpoint maps the methods and paths of the HTTP API to typed endpoints,
-// and back: it is the one place that knows the API's paths.
+// Package endpoint maps the methods and paths of the HTTP API to typed endpoints, and
+// vice versa. It is the only package that knows the paths of the API.
 //
-// Gateways and control-plane servers parse a request once, by Parse, and then
-// switch on the [Endpoint]'s Kind; clients build paths by the functions in path.go.
-// The paths themselves are described in docs/api.md.
+// Gateways and control-plane servers parse a request once, with [Parse], and then switch on
+// the [Endpoint]'s Kind; clients build paths with the functions in path.go. The paths are
+// documented in docs/api.md.
 package endpoint
--- a/internal/api/endpoint/endpoint.go
+++ b/internal/api/endpoint/endpoint.go
@@ -7,7 +7,7 @@
 	"orchidward/internal/api/identifier"
 )
 
-// Kind says what a request is for.
+// Kind identifies an endpoint of the API.
 type Kind int
 
 const (
@@ -17,9 +17,9 @@
 	ListJobs
 	// GetJob reads one job with its tasks.
 	GetJob
-	// SubmitJob accepts a job under the id that its client chose.
+	// SubmitJob submits a job under the id that its client chose.
 	SubmitJob
-	// CancelJob ends a job.
+	// CancelJob cancels a job.
 	CancelJob
 	// GetJobState reads a job's state in one word.
 	GetJobState
@@ -41,13 +41,13 @@
 	PatchLimits
 	// ListRunners lists the runners.
 	ListRunners
-	// PollRunner is the poll by which a runner reports and is given orders.
+	// PollRunner is the poll with which a runner reports its state and receives orders.
 	PollRunner
 	// GetFencingToken reads the fencing token of the leader.
 	GetFencingToken
 	// ListDrains lists the drains of zones and racks.
 	ListDrains
-	// GetDrain reads one drain, by its id or its zone.
+	// GetDrain reads one drain by its id or zone.
 	GetDrain
 	// StartDrain drains a zone.
 	StartDrain
@@ -55,30 +55,30 @@
 	EndDrain
 	// ListServers lists the control-plane servers.
 	ListServers
-	// JoinGroup is a server's request to be taken into the consensus group. Only
-	// servers send it, by MethodJoin.
+	// JoinGroup is a server's request to join the consensus group. Only servers send it,
+	// with MethodJoin.
 	JoinGroup
-	// SyncGateway is a gateway's request for what changed in the routing table.
-	// Only gateways send it, by MethodSync.
+	// SyncGateway is a gateway's request for changes of the routing table. Only gateways
+	// send it, with MethodSync.
 	SyncGateway
 )
 
-// Methods of requests among the processes of a cluster. They do not come by HTTP.
+// Methods of requests between the processes of a cluster. They are not sent over HTTP.
 const (
 	MethodJoin = "JOIN"
 	MethodSync = "SYNC"
-	// MethodWithdraw takes back a request that was sent before on the same connection,
-	// as its caller has gone. It has no response.
+	// MethodWithdraw cancels an earlier request on the same connection because its caller
+	// has disconnected. It has no response.
 	MethodWithdraw = "WITHDRAW"
 )
 
-// CredentialParam is the parameter of a request between processes that holds the digest of
-// the API key which came with it. Gateways set it; what clients send under it is dropped.
+// CredentialParam is the parameter that holds the digest of a request's API key in requests
+// between processes. Gateways set it, and discard any value that a client sends.
 const CredentialParam = "credential"
 
-// Withdrawable reports whether a request is an order that has no number of its own, and
-// whose copies no server can therefore tell from a new order: to drain a zone, or to put
-// it back into use.
+// Withdrawable reports whether a request is an order without an idempotency key, whose
+// duplicates no server can distinguish from a new order: to drain a zone, or to put it back
+// into use.
 func Withdrawable(method, path string) bool {
 	if method != http.MethodPut && method != http.MethodDelete {
 		return false
@@ -87,9 +87,9 @@
 	return err == nil && (target.Kind == StartDrain || target.Kind == EndDrain)
 }
 
-// Endpoint is what a request is for. Client and JobID are set for endpoints of one
-// job, Name for those of one queue, runner or drain; they are as they stood in the
-// path and have not been checked.
+// Endpoint is the target of a request. Client and JobID are set for endpoints of one job,
+// Name for endpoints of one queue, runner or drain. They are taken from the path and have not
+// been validated.
 type Endpoint struct {
 	Kind   Kind
 	Client identifier.Client
@@ -97,10 +97,10 @@
 	Name   string
 }
 
-// JobKey is the key of the job that the endpoint is for.
+// JobKey returns the key of the endpoint's job.
 func (e Endpoint) JobKey() identifier.JobKey { return identifier.NewJobKey(e.Client, e.JobID) }
 
-// Parse finds the endpoint of a method and a path. The error is ErrNoSuchPath,
+// Parse returns the endpoint for a method and a path. The error is ErrNoSuchPath,
 // ErrNoSuchEndpoint or a *MethodError.
 func Parse(method, path string) (Endpoint, error) {
 	switch method {
@@ -142,7 +142,7 @@
 	return Endpoint{}, ErrNoSuchEndpoint
 }
 
-// collectionKinds are the collections that can only be read.
+// collectionKinds maps the read-only collections to their kinds.
 var collectionKinds = map[string]Kind{
 	jobsCollection:    ListJobs,
 	runnersCollection: ListRunners,
@@ -152,7 +152,7 @@
 	tenantsCollection: ListTenants,
 }
 
-// parseDocument parses the methods of a document that is read and changed as one.
+// parseDocument selects the kind for a document that is read and changed as a whole.
 func parseDocument(method string, get, replace, patch Kind) (Endpoint, error) {
 	switch method {
 	case http.MethodGet:
--- a/internal/api/endpoint/errors.go
+++ b/internal/api/endpoint/errors.go
@@ -3,16 +3,16 @@
 import "errors"
 
 var (
-	// ErrNoSuchPath is a path outside the API.
+	// ErrNoSuchPath is returned for a path outside the API.
 	ErrNoSuchPath = errors.New("no such path")
-	// ErrNoSuchEndpoint is a path that the API does not have, or not for this
-	// method.
+	// ErrNoSuchEndpoint is returned for a path that the API does not have, or does not
+	// have for the method.
 	ErrNoSuchEndpoint = errors.New("no such path or method")
 )
 
-// MethodError is a method that an existing path does not take.
+// MethodError is returned for a method that an existing path does not support.
 type MethodError struct {
-	// Allowed lists the methods that it takes, for people to read.
+	// Allowed lists the supported methods, in human-readable form.
 	Allowed string
 }
 
--- a/internal/api/endpoint/path.go
+++ b/internal/api/endpoint/path.go
@@ -4,7 +4,7 @@
 
 const version = "v1"
 
-// Names of the collections as they stand in paths.
+// Names of the collections in paths.
 const (
 	jobsCollection    = "jobs"
 	statesCollection  = "states"
@@ -30,12 +30,12 @@
 	FencingTokenPath = "/" + version + "/" + fenceCollection
 	DrainsPath       = "/" + version + "/" + drainsCollection
 	ServersPath      = "/" + version + "/" + serversCollection
-	// MembersPath is answered by a gateway itself: the members of the cluster that
-	// it knows.
+	// MembersPath is served by the gateway itself: it lists the cluster members that the
+	// gateway knows.
 	MembersPath = "/" + version + "/members"
 )
 
-// Patterns of the paths with parameters, in the form that HTTP routers take.
+// Patterns of paths with parameters, in the syntax of HTTP routers.
 const (
 	JobPattern      = JobsPath + "/:agent/:id"
 	JobStatePattern = "/" + version + "/" + statesCollection + "/:agent/:id"
@@ -44,26 +44,26 @@
 	DrainPattern    = DrainsPath + "/:name"
 )
 
-// JobPath is the path of one job.
+// JobPath returns the path of a job.
 func JobPath(key identifier.JobKey) string { return JobsPath + "/" + string(key) }
 
-// JobStatePath is the path of a job's state.
+// JobStatePath returns the path of a job's state.
 func JobStatePath(key identifier.JobKey) string {
 	return "/" + version + "/" + statesCollection + "/" + string(key)
 }
 
-// QueuePath is the path of one queue.
+// QueuePath returns the path of a queue.
 func QueuePath(name string) string { return "/" + version + "/" + queuesCollection + "/" + name }
 
-// PollPath is the path of a runner's polls.
+// PollPath returns the path of a runner's polls.
 func PollPath(name identifier.Runner) string {
 	return RunnersPath + "/" + string(name) + "/" + pollAction
 }
 
-// DrainPath is the path of a drain, by its id or its zone.
+// DrainPath returns the path of a drain, given its id or zone.
 func DrainPath(name string) string { return DrainsPath + "/" + name }
 
-// IsJobPath tells whether a path is that of a job, whatever the method.
+// IsJobPath reports whether a path is that of a job, whatever the method.
 func IsJobPath(path string) bool {
 	return len(path) > len(JobsPath) && path[:len(JobsPath)+1] == JobsPath+"/"
 }
--- a/internal/api/jsondoc/error_body.go
+++ b/internal/api/jsondoc/error_body.go
@@ -10,16 +10,16 @@
 
 // ErrorBody is the body of every error response.
 type ErrorBody struct {
-	// Code names the error in one word, for programs, and Message for people.
+	// Code identifies the error to programs, and Message describes it to people.
 	Code    string `json:"code"`
 	Message string `json:"message"`
 	// Faults has details, nil for none.
 	Faults any `json:"faults,omitempty"`
-	// RetryAfter is how long to wait before trying again, 0 when that is of no use.
+	// RetryAfter is how long to wait before a retry, 0 if a retry would not help.
 	RetryAfter clock.Millis `json:"retryMs,omitempty"`
 }
 
-// The codes of faulty requests.
+// The error codes of invalid requests.
 const (
 	codeBadRequest    = "bad-request"
 	codeUnprocessable = "unprocessable"
@@ -30,16 +30,16 @@
 	Error ErrorBody `json:"error"`
 }
 
-// JSON is the response body: an object with the single field "error".
+// JSON returns the response body: an object with the single field "error".
 func (b ErrorBody) JSON() []byte {
 	text, err := json.Marshal(errorDocument{Error: b})
 	if err != nil {
-		panic(fmt.Sprintf("jsondoc: an error body must always encode: %v", err))
+		panic(fmt.Sprintf("jsondoc: encoding an error body: %v", err))
 	}
 	return text
 }
 
-// ErrorBody is the response body for the faults.
+// ErrorBody returns the response body for the errors.
 func (f *FieldErrors) ErrorBody() []byte {
 	code := codeBadRequest
 	if f.Status() == http.StatusUnprocessableEntity {
--- a/internal/api/jsondoc/list.go
+++ b/internal/api/jsondoc/list.go
@@ -7,11 +7,11 @@
 	"orchidward/internal/api/identifier"
 )
 
-// maxListNumber bounds the numbers of lists: JSON numbers are exact up to it.
+// maxListNumber bounds numbers in lists: JSON numbers are exact up to this value.
 const maxListNumber = 1 << 53
 
-// takeList reads a list of at most limit elements, nil when the field is missing or, with
-// a fault, no such list. want names the type in the fault.
+// takeList reads a list of at most limit elements. It returns nil if the field is missing, and
+// adds an error and returns nil if it is not such a list. want names the type in the error.
 func (o *Object) takeList(key, want string, limit int) []any {
 	value, ok := o.take(key)
 	if !ok {
@@ -29,11 +29,11 @@
 	return list
 }
 
-// elementPath is the path of an element of a list.
+// elementPath returns the path of an element of a list.
 func elementPath(list string, i int) string { return fmt.Sprintf("%s[%d]", list, i) }
 
-// Names reads a list of at most limit valid names and returns them sorted. Elements that
-// are no valid name are left out, with a fault each.
+// Names reads a list of at most limit valid names and returns them sorted. It omits elements
+// that are not valid names and adds an error for each.
 func (o *Object) Names(key string, limit int) []string {
 	var names []string
 	for i, element := range o.takeList(key, "a list of names", limit) {
@@ -52,8 +52,8 @@
 	return names
 }
 
-// List reads a list of at most limit objects. Elements that are no object are left out,
-// with a fault each.
+// List reads a list of at most limit objects. It omits elements that are not objects and adds
+// an error for each.
 func (o *Object) List(key string, limit int) []*Object {
 	var objects []*Object
 	for i, element := range o.takeList(key, "a list", limit) {
@@ -64,8 +64,8 @@
 	return objects
 }
 
-// Ints reads a list of at most limit whole numbers from 0 up. Elements that are no such
-// number count as 0, with a fault each.
+// Ints reads a list of at most limit integers that are not negative. It returns 0 for elements
+// that are not such integers and adds an error for each.
 func (o *Object) Ints(key string, limit int) []int64 {
 	var numbers []int64
 	for i, element := range o.takeList(key, "a list of numbers", limit) {
--- a/internal/api/jsondoc/object.go
+++ b/internal/api/jsondoc/object.go
@@ -8,13 +8,13 @@
 	"orchidward/internal/api/identifier"
 )
 
-// Object is a JSON object that is read field by field. Faults are added to the list that
-// was given to Parse. A field whose value is null counts as missing.
+// Object is a JSON object that is read field by field. Its getters add errors to the list that
+// was passed to Parse. A field whose value is null counts as missing.
 type Object struct {
 	values map[string]any
 	// path is the object's own path, empty for the document.
 	path string
-	// read has the fields that a getter has read.
+	// read holds the fields that a getter has read.
 	read   map[string]bool
 	faults *FieldErrors
 }
@@ -23,22 +23,22 @@
 	return &Object{values: values, path: path, read: map[string]bool{}, faults: faults}
 }
 
-// Path is the path of a field from the top of the document, for faults.
+// Path returns the path of a field from the top of the document, for errors.
 func (o *Object) Path(key string) string { return joinPath(o.path, key) }
 
-// Errors is the list that the object's faults are added to.
+// Errors returns the list that the object's errors are added to.
 func (o *Object) Errors() *FieldErrors { return o.faults }
 
-// Has tells whether the field is there and not null. It does not count as reading it.
+// Has reports whether the field is present and not null. It does not mark the field as read.
 func (o *Object) Has(key string) bool { return o.values[key] != nil }
 
-// Keys lists the fields in alphabetical order, null ones included.
+// Keys lists the fields in alphabetical order, including those that are null.
 func (o *Object) Keys() []string { return slices.Sorted(maps.Keys(o.values)) }
 
-// Skip counts as reading the field.
+// Skip marks the field as read.
 func (o *Object) Skip(key string) { o.read[key] = true }
 
-// Done adds a fault for every field that was not read.
+// Done adds an error for every field that was not read.
 func (o *Object) Done() {
 	for _, key := range o.Keys() {
 		if !o.read[key] {
@@ -47,15 +47,15 @@
 	}
 }
 
-// take reads the value of a field; ok is false when it is missing.
+// take returns the value of a field and marks it as read; ok is false if it is missing.
 func (o *Object) take(key string) (value any, ok bool) {
 	o.read[key] = true
 	value = o.values[key]
 	return value, value != nil
 }
 
-// Text reads a string, or returns def when the field is missing or, with a fault, of
-// another type.
+// Text reads a string. It returns def if the field is missing, and adds an error and returns
+// def if it has another type.
 func (o *Object) Text(key, def string) string {
 	value, ok := o.take(key)
 	if !ok {
@@ -69,7 +69,7 @@
 	return text
 }
 
-// Name reads a string that must be a valid name. It is a fault to leave out a required one.
+// Name reads a string that must be a valid name. A missing required name is an error.
 func (o *Object) Name(key string, required bool) string {
 	text := o.Text(key, "")
 	if !o.Has(key) && !required {
@@ -84,8 +84,8 @@
 	return text
 }
 
-// OneOf reads one of a few words, or returns def with a fault when it is none of them. A
-// missing field counts as def, so that it is a fault when def is none of the words.
+// OneOf reads a string that must be one of the words. Otherwise it adds an error and returns
+// def. A missing field counts as def, and so is an error if def is not one of the words.
 func (o *Object) OneOf(key, def string, words ...string) string {
 	text := o.Text(key, def)
 	if slices.Contains(words, text) {
@@ -95,8 +95,8 @@
 	return def
 }
 
-// Bool reads true or false, or returns def when the field is missing or, with a fault, of
-// another type.
+// Bool reads a boolean. It returns def if the field is missing, and adds an error and returns
+// def if it has another type.
 func (o *Object) Bool(key string, def bool) bool {
 	value, ok := o.take(key)
 	if !ok {
@@ -110,8 +110,8 @@
 	return truth
 }
 
-// Int reads a whole number from low to high, or returns def when the field is missing or,
-// with a fault, not such a number. def itself is not checked.
+// Int reads an integer from low to high. It returns def if the field is missing, and adds an
+// error and returns def if it is not such an integer. def itself is not checked.
 func (o *Object) Int(key string, def, low, high int64) int64 {
 	value, ok := o.take(key)
 	if !ok {
@@ -120,7 +120,7 @@
 	return o.wholeNumber(value, o.Path(key), def, low, high)
 }
 
-// wholeNumber checks a value that must be a whole number from low to high.
+// wholeNumber checks a value that must be an integer from low to high.
 func (o *Object) wholeNumber(value any, path string, def, low, high int64) int64 {
 	number, ok := value.(json.Number)
 	if !ok {
@@ -143,7 +143,7 @@
 	return n
 }
 
-// onlyDigits tells whether a JSON number has neither a point nor an exponent.
+// onlyDigits reports whether a JSON number has neither a decimal point nor an exponent.
 func onlyDigits(number string) bool {
 	for i, c := range number {
 		if (c < '0' || c > '9') && !(i == 0 && c == '-') {
@@ -166,8 +166,8 @@
 	return "", false
 }
 
-// Object reads an object within this one, nil when the field is missing or, with a fault,
-// of another type.
+// Object reads a nested object. It returns nil if the field is missing, and adds an error and
+// returns nil if it has another type.
 func (o *Object) Object(key string) *Object {
 	value, ok := o.take(key)
 	if !ok {
--- a/internal/api/jsondoc/parse.go
+++ b/internal/api/jsondoc/parse.go
@@ -10,9 +10,9 @@
 // maxDepth bounds the nesting of a document.
 const maxDepth = 16
 
-// Parse reads one JSON object. It returns nil, with a fault, when the text is not valid
-// JSON, has a key twice in one object, is nested deeper than 16 levels, is no object, or
-// is followed by other data. encoding/json alone lets the keys and the depth pass.
+// Parse parses a single JSON object. It adds an error and returns nil if the text is not valid
+// JSON, has a duplicate key in an object, is nested deeper than 16 levels, is not an object, or
+// is followed by other data. encoding/json by itself accepts duplicate keys and deep nesting.
 func Parse(text []byte, faults *FieldErrors) *Object {
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	decoder.UseNumber()
--- a/internal/api/runnerapi/agent.go
+++ b/internal/api/runnerapi/agent.go
@@ -8,27 +8,27 @@
 // MaxCheckpointBytes bounds a checkpoint, in bytes.
 const MaxCheckpointBytes = 16 << 10
 
-// An agent may be restarted and remembers nothing, and its runner does not know of leases.
-// So both name an attempt by its task and its number.
+// An agent keeps no state across restarts, and its runner does not know about leases, so both
+// identify an attempt by its task and attempt number.
 
-// RunState is an attempt that is running.
+// RunState is the state of a running attempt.
 type RunState struct {
 	Task    identifier.TaskRef `json:"task"`
 	Attempt uint64             `json:"run"`
-	// Checkpoint is the last one, empty for none.
+	// Checkpoint is the last checkpoint, empty for none.
 	Checkpoint string `json:"saved,omitempty"`
-	// ProgressPercent is how far the attempt says it is.
+	// ProgressPercent is the progress that the attempt reports.
 	ProgressPercent int64 `json:"percent,omitempty"`
 	// StalledFor is how long ProgressPercent has not changed, in milliseconds.
 	StalledFor clock.Millis `json:"stillMs,omitempty"`
-	// ProgressRate is the recent progress, in thousandths of the whole task a second; 0
-	// when it is not known.
+	// ProgressRate is the recent progress rate, in thousandths of the whole task per
+	// second; 0 means unknown.
 	ProgressRate int64 `json:"speed,omitempty"`
 }
 
 // RunEnd is an attempt that ended.
 type RunEnd struct {
-	// Seq rises from 1 within each incarnation of a runner.
+	// Seq increases from 1 within each incarnation of a runner.
 	Seq     uint64             `json:"n"`
 	Task    identifier.TaskRef `json:"task"`
 	Attempt uint64             `json:"run"`
@@ -43,25 +43,27 @@
 	Attempt uint64             `json:"run"`
 }
 
-// How an attempt ended. Runners without an agent report the first four only.
+// Outcomes of attempts. Runners without an agent report only the first four.
 const (
 	OutcomeSuccess = "well"
 	// OutcomeDefect is a failure of the attempt or of its runner.
 	OutcomeDefect = "defect"
-	// OutcomeStopped is an attempt that was told to stop.
+	// OutcomeStopped means that the attempt was ordered to stop.
 	OutcomeStopped = "stopped"
-	// OutcomeLeaseLapsed is an attempt whose lease ran out.
+	// OutcomeLeaseLapsed means that the attempt's lease expired.
 	OutcomeLeaseLapsed = "lapsed"
-	// OutcomeGangBroken is an attempt that ended because another member of its gang did.
+	// OutcomeGangBroken means that the attempt ended because another member of its gang
+	// ended.
 	OutcomeGangBroken = "broken"
-	// OutcomeGangIncomplete is an attempt that ended because not all members of its gang
-	// started.
+	// OutcomeGangIncomplete means that the attempt ended because not all members of its
+	// gang started.
 	OutcomeGangIncomplete = "alone"
-	// OutcomeRejected is an attempt that the runner refused to start.
+	// OutcomeRejected means that the runner refused to start the attempt.
 	OutcomeRejected = "refused"
 )
 
-// runnerOutcomes are those that a runner may report, agentOutcomes those that an agent may.
+// runnerOutcomes lists the outcomes that a runner may report, agentOutcomes those that an
+// agent may report.
 var (
 	runnerOutcomes = []string{OutcomeSuccess, OutcomeDefect, OutcomeStopped, OutcomeLeaseLapsed}
 	agentOutcomes  = append(runnerOutcomes[:len(runnerOutcomes):len(runnerOutcomes)], OutcomeGangBroken, OutcomeGangIncomplete, OutcomeRejected)
--- a/internal/api/runnerapi/doc.go
+++ b/internal/api/runnerapi/doc.go
@@ -1,9 +1,9 @@
-// Package runnerapi is the published protocol of runners and agents: what a poll says
-// ([PollRequest]) and what its response says ([PollResponse]). docs/runners.md describes it
-// for others. The input is the JSON of a poll, read and checked by [Read], which gathers
-// all its faults.
+// Package runnerapi defines the public protocol of runners and agents: the poll
+// ([PollRequest]) and its response ([PollResponse]). docs/runners.md is its documentation for
+// implementers. The input is the JSON of a poll, parsed and validated by [Read], which collects
+// all errors.
 //
-// Begin with poll.go and agent.go, the documents. A poll is read by a scanner
-// (scan_poll.go, scanner.go) when it is plainly valid and else, to name its faults, by
-// read.go; the two must agree on every poll that the scanner takes.
+// Start with poll.go and agent.go, which define the documents. A fast scanner (scan_poll.go,
+// scanner.go) reads polls that are plainly valid; read.go reads all others in order to report
+// their errors. The two must agree on every poll that the scanner accepts.
 package runnerapi
--- a/internal/api/runnerapi/read.go
+++ b/internal/api/runnerapi/read.go
@@ -6,26 +6,26 @@
 	"orchidward/internal/clock"
 )
 
-// Bounds of the fields of a poll.
+// Limits on the fields of a poll.
 const (
 	// maxItems bounds each list of attempts.
 	maxItems  = 4096
 	maxLabels = 64
 	// maxAmount bounds each amount of resources.
 	maxAmount = 1 << 30
-	// maxMillis bounds spans, in milliseconds.
+	// maxMillis bounds durations, in milliseconds.
 	maxMillis = 1 << 40
-	// maxID bounds leases and counters: JSON numbers are exact up to it.
+	// maxID bounds lease ids and counters: JSON numbers are exact up to this value.
 	maxID = 1 << 53
-	// maxTaskNumber bounds the numbers of steps and tasks.
+	// maxTaskNumber bounds the indices of steps and tasks.
 	maxTaskNumber = 1 << 20
 	maxPercent    = 1 << 20
 	maxRate       = 1 << 30
 )
 
-// Read reads and checks a poll. Faults are added to faults; the result must not be used
-// when there are any. Polls come once or twice a second from every runner, and nearly all
-// are valid, so the scanner is tried first.
+// Read parses and validates a poll. It adds errors to faults. The result must not be used if
+// there are any. Every runner polls once or twice a second, and nearly all polls are valid, so
+// Read tries the scanner first.
 func Read(text []byte, faults *jsondoc.FieldErrors) *PollRequest {
 	if poll := scanPoll(text); poll != nil {
 		return poll
@@ -33,7 +33,7 @@
 	return readChecked(text, faults)
 }
 
-// readChecked reads any poll and names each of its faults.
+// readChecked reads any poll and reports all of its errors.
 func readChecked(text []byte, faults *jsondoc.FieldErrors) *PollRequest {
 	o := jsondoc.Parse(text, faults)
 	if o == nil {
@@ -71,8 +71,8 @@
 	return p
 }
 
-// minimumAmount is the least that a runner may have of cores and memory. The runner of an
-// agent may have milli cores alone, and none that matter to the cluster.
+// minimumAmount returns the minimum number of cores and amount of memory of a runner. A runner
+// behind an agent may have only milli cores, or no resources that the cluster manages.
 func minimumAmount(agent bool) int64 {
 	if agent {
 		return 0
--- a/internal/api/runnerapi/scan_poll.go
+++ b/internal/api/runnerapi/scan_poll.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/clock"
 )
 
-// The fields of each object. A field of a poll that comes after "agent" is for agents only.
+// The fields of each object. The fields of a poll after "agent" are for agents only.
 var (
 	pollFields = []string{
 		"incarnation", "seq", "cores", "memMb", "labels", "domain", "rack", "mode", "departsMs", "running", "ended",
@@ -21,18 +21,18 @@
 	taskFields     = []string{"job", "step", "num"}
 )
 
-// Positions in the lists above.
+// Positions in the field lists.
 const (
 	pollRackField      = 6
 	pollAgentField     = 11
 	endOutcomeField    = 2
 	runEndOutcomeField = 3
 
-	// requiredPollFields are those that every poll has.
+	// requiredPollFields is the set of fields that every poll must have.
 	requiredPollFields fieldSet = 1<<0 | 1<<1 | 1<<2 | 1<<3 | 1<<5
 )
 
-// scanPoll reads a poll in one pass over the text, or returns nil when it is not plainly
+// scanPoll reads a poll in one pass over the text. It returns nil if the poll is not plainly
 // valid.
 func scanPoll(text []byte) *PollRequest {
 	s := &scanner{text: string(text)}
@@ -46,7 +46,7 @@
 	return p
 }
 
-// validPoll checks what depends on more than one field.
+// validPoll makes the checks that involve more than one field.
 func validPoll(p *PollRequest, given fieldSet) bool {
 	agentGiven := given.has(pollAgentField)
 	if given&requiredPollFields != requiredPollFields || !agentGiven && !given.has(pollRackField) {
--- a/internal/api/runnerapi/scanner.go
+++ b/internal/api/runnerapi/scanner.go
@@ -8,9 +8,9 @@
 	"orchidward/internal/api/identifier"
 )
 
-// scanner reads JSON whose shape is known, in one pass. It fails at whatever is not plainly
-// valid and does not say why. Once it has failed it stays so, and what it returned means
-// nothing.
+// scanner reads JSON of a known structure in one pass. It fails on any input that is not
+// plainly valid, without giving a reason. A failure is permanent, and makes all returned values
+// meaningless.
 type scanner struct {
 	text string
 	// pos is the position of the next byte.
@@ -26,19 +26,19 @@
 	}
 }
 
-// expectEnd requires that nothing but space is left.
+// expectEnd requires that only white space is left.
 func (s *scanner) expectEnd() {
 	s.skipSpace()
 	s.require(s.pos == len(s.text))
 }
 
-// fieldSet is a set of an object's fields, by their position in the list of its fields.
+// fieldSet is a set of an object's fields, as a bit mask of their positions in the field list.
 type fieldSet uint32
 
 func (f fieldSet) has(i int) bool { return f&(1<<i) != 0 }
 
-// object reads an object that has none but these fields, each at most once, and returns
-// those that it has. value reads the value of the i-th field.
+// object reads an object with no fields other than the given ones, each at most once, and
+// returns the set of those present. It calls value to read the value of the i-th field.
 func (s *scanner) object(fields []string, value func(i int)) fieldSet {
 	s.expect('{')
 	if s.accept('}') {
@@ -49,7 +49,7 @@
 	for !s.failed {
 		key := s.string()
 		s.expect(':')
-		// Fields mostly come in the order of the list.
+		// Fields are usually in the order of the list.
 		i := previous + 1
 		if i >= len(fields) || fields[i] != key {
 			i = slices.Index(fields, key)
@@ -69,7 +69,7 @@
 	return given
 }
 
-// list reads a list of at most limit elements, each by element.
+// list reads a list of at most limit elements, and calls element to read each one.
 func (s *scanner) list(limit int, element func()) {
 	s.expect('[')
 	if s.accept(']') {
@@ -99,7 +99,7 @@
 	}
 }
 
-// accept skips a token if it comes accept.
+// accept consumes a token if it is the next one, and reports whether it was.
 func (s *scanner) accept(token byte) bool {
 	s.skipSpace()
 	if s.pos >= len(s.text) || s.text[s.pos] != token {
@@ -109,10 +109,11 @@
 	return true
 }
 
-// expect skips a expect that must come next.
+// expect consumes a token, and fails if it is not the next one.
 func (s *scanner) expect(token byte) { s.require(s.accept(token)) }
 
-// string reads a string. When it has no escapes it is a part of the text, not a copy.
+// string reads a string. A string of plain ASCII without escapes is a substring of the text,
+// not a copy.
 func (s *scanner) string() string {
 	s.expect('"')
 	start := s.pos
@@ -138,7 +139,7 @@
 	return ""
 }
 
-// unquote decodes a string with its quotes.
+// unquote decodes a quoted string.
 func (s *scanner) unquote(quoted string) string {
 	var decoded string
 	s.require(json.Unmarshal([]byte(quoted), &decoded) == nil)
@@ -166,10 +167,10 @@
 	return ""
 }
 
-// maxDigits is enough for maxID, the largest number of a poll.
+// maxDigits is enough for maxID, the largest number in a poll.
 const maxDigits = 17
 
-// int reads a whole number without sign, point or exponent.
+// int reads an integer without sign, decimal point or exponent.
 func (s *scanner) int(low, high int64) int64 {
 	s.skipSpace()
 	start := s.pos
