--- a/internal/agent/agent_fixture_test.go
+++ b/internal/agent/agent_fixture_test.go
@@ -17,12 +17,13 @@
 	controlPlaneStartTimeout clock.Millis = 1000
 )
 
-// newTestAgent is an agent whose seeds are the servers k1 and k2.
+// newTestAgent returns an agent whose seeds are the servers k1 and k2.
 func newTestAgent() *Agent {
 	return New(Config{Name: "m", Addr: "me", Domain: "d", Seeds: []string{"k1", "k2"}, Seed: 100, MaxLease: 6000, HeartbeatInterval: 100}, 0)
 }
 
-// heartbeat is one of incarnation i-1, on which the first attempts at these jobs run.
+// heartbeat returns a heartbeat of incarnation i-1, which runs the first attempts at the given
+// jobs.
 func heartbeat(seq uint64, jobs ...identifier.JobKey) Heartbeat {
 	b := Heartbeat{Runner: "i-1", Seq: seq, Pool: "p", Domain: "d", Rack: "k", Capacity: job.Demand{MilliCores: 1000, Mem: 10}}
 	for _, key := range jobs {
@@ -31,24 +32,25 @@
 	return b
 }
 
-// firstHeartbeat is the first one of an incarnation.
+// firstHeartbeat returns the first heartbeat of an incarnation.
 func firstHeartbeat(incarnation identifier.Incarnation) Heartbeat {
 	b := heartbeat(1)
 	b.Runner = incarnation
 	return b
 }
 
-// startOf orders the start of the first attempt at a job.
+// startOf returns a response that orders the start of the first attempt at a job.
 func startOf(key identifier.JobKey) runnerapi.PollResponse {
 	return runnerapi.PollResponse{Starts: []runnerapi.Start{{Task: identifier.TaskRef{Job: key}, Attempt: 1}}}
 }
 
-// stopOf orders the first attempt at a job to stop.
+// stopOf returns a response that orders the first attempt at a job to stop.
 func stopOf(key identifier.JobKey) runnerapi.PollResponse {
 	return runnerapi.PollResponse{StopRuns: []runnerapi.RunStop{{Task: identifier.TaskRef{Job: key}, Attempt: 1}}}
 }
 
-// takeRequest is the last request that an agent sent, of which there must be one.
+// takeRequest returns the last request that the agent sent, and fails the test if there is
+// none.
 func takeRequest(t *testing.T, a *Agent) (to wire.Peer, request *wire.Request) {
 	t.Helper()
 	for _, envelope := range a.TakeOutput().Messages {
@@ -63,7 +65,7 @@
 	return to, request
 }
 
-// respond answers an agent's request as a server.
+// respond delivers a server's response to a request of the agent.
 func respond(t *testing.T, a *Agent, from wire.Peer, id uint64, response runnerapi.PollResponse, now clock.Monotonic) {
 	t.Helper()
 	response.Lease = controlPlaneLease
--- a/internal/agent/departure_test.go
+++ b/internal/agent/departure_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/transport/wire"
 )
 
-// lastPoll is the last poll that an agent sent, nil if it sent none.
+// lastPoll returns the last poll that the agent sent, nil if it sent none.
 func lastPoll(t *testing.T, a *Agent) *runnerapi.PollRequest {
 	t.Helper()
 	var last *wire.Request
@@ -28,20 +28,21 @@
 	return poll
 }
 
-// TestUnannouncedDeparture checks what becomes of a runner that says farewell without having
-// announced its departure, whether it sends heartbeats on or not, and whether the farewell
-// comes once, twice, or from an earlier incarnation too: it is draining at once, gets no
-// start, and is never said to have left while its lease may be in force.
+// TestUnannouncedDeparture checks a runner that sends a leave notification without having
+// announced its departure, whether or not it keeps sending heartbeats, and whether the
+// notification arrives once, repeatedly, or also from an earlier incarnation: the runner is
+// draining immediately, gets no starts, and is never reported as left while its lease may
+// still be valid.
 func TestUnannouncedDeparture(t *testing.T) {
-	const notice, farewellAt = 2000, 1200
+	const notice, leftAt = 2000, 1200
 	for _, test := range []struct {
 		name       string
 		heartbeats bool
-		farewells  int
+		notifications  int
 	}{
-		{"it goes on with heartbeats", true, 1},
-		{"it is silent", false, 1},
-		{"the farewell is repeated", true, 3},
+		{"heartbeats continue", true, 1},
+		{"silent", false, 1},
+		{"notification repeated", true, 3},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			a := newTestAgent()
@@ -50,45 +51,45 @@
 			_, poll := takeRequest(t, a)
 			respond(t, a, "k1", poll.ID, startOf("q/b.0"), 1100)
 			a.TakeOutput()
-			a.RunnerLeft("i-0", farewellAt-50)
-			if said := lastPoll(t, a); said != nil {
-				t.Errorf("the farewell of another incarnation was reported: %+v", said)
+			a.RunnerLeft("i-0", leftAt-50)
+			if reported := lastPoll(t, a); reported != nil {
+				t.Errorf("the leave notification of another incarnation was reported: %+v", reported)
 			}
-			a.RunnerLeft("i-1", farewellAt)
-			said := lastPoll(t, a)
-			if said == nil || said.Mode != runnerapi.ModeDraining || said.DepartsIn != notice || said.LeftInOrder {
-				t.Fatalf("reported at the departure: %+v", said)
+			a.RunnerLeft("i-1", leftAt)
+			reported := lastPoll(t, a)
+			if reported == nil || reported.Mode != runnerapi.ModeDraining || reported.DepartsIn != notice || reported.LeftInOrder {
+				t.Fatalf("reported at the departure: %+v", reported)
 			}
 			leaseEnd := a.runner.leaseEnd
-			for now := clock.Monotonic(farewellAt + 100); now < farewellAt+3000; now += 100 {
+			for now := clock.Monotonic(leftAt + 100); now < leftAt+3000; now += 100 {
 				if test.heartbeats {
 					if orders := a.HandleHeartbeat(heartbeat(uint64(now), "q/a.0"), now); len(orders.Start) > 0 {
-						t.Fatalf("at %d it was given a start", now)
+						t.Fatalf("at %d the draining runner got a start", now)
 					}
 				}
-				if test.farewells > 1 {
+				if test.notifications > 1 {
 					a.RunnerLeft("i-1", now)
 				}
 				a.Tick(now)
 				if a.runner.hasLeft(now) {
-					t.Fatalf("at %d it counts as gone", now)
+					t.Fatalf("at %d the runner counts as left", now)
 				}
-				if left := a.runner.departsIn(now, notice); left > notice-clock.Millis(now-farewellAt) && left > 0 {
-					t.Fatalf("at %d it has %d ms left", now, left)
+				if left := a.runner.departsIn(now, notice); left > notice-clock.Millis(now-leftAt) && left > 0 {
+					t.Fatalf("at %d the runner departs in %d ms, more than its notice", now, left)
 				}
 			}
 			if !test.heartbeats {
 				a.Tick(leaseEnd.Add(deadSlack + 10))
 				if !a.runner.presumedDead(a.now) {
-					t.Error("it is silent, its lease is over, and it does not count as dead")
+					t.Error("the runner is silent and its lease has expired, but it is not presumed dead")
 				}
 			}
 		})
 	}
 }
 
-// TestAnnouncedDeparture checks that a runner which had announced its departure counts as
-// gone a moment after its farewell, unless it is heard again.
+// TestAnnouncedDeparture checks that a runner that announced its departure counts as left
+// after leaveDelay from its leave notification, unless it sends another heartbeat.
 func TestAnnouncedDeparture(t *testing.T) {
 	a := newTestAgent()
 	draining := heartbeat(1)
@@ -96,17 +97,17 @@
 	a.HandleHeartbeat(draining, 1000)
 	a.RunnerLeft("i-1", 1200)
 	if a.runner.hasLeft(1200) || !a.runner.hasLeft(1200+clock.Monotonic(leaveDelay)+1) {
-		t.Error("it does not count as gone just after the delay")
+		t.Error("the runner counts as left before the delay, or not just after it")
 	}
 	draining.Seq = 2
 	a.HandleHeartbeat(draining, 1300)
 	if a.runner.hasLeft(3000) {
-		t.Error("it counts as gone though it was heard again")
+		t.Error("the runner counts as left after another heartbeat")
 	}
 }
 
-// TestDepartureOfEarlierIncarnation checks that another incarnation of the runner is not taken
-// for leaving.
+// TestDepartureOfEarlierIncarnation checks that the leave notification of an earlier
+// incarnation does not affect its successor.
 func TestDepartureOfEarlierIncarnation(t *testing.T) {
 	a := newTestAgent()
 	a.HandleHeartbeat(heartbeat(1), 1000)
@@ -114,6 +115,6 @@
 	a.HandleHeartbeat(firstHeartbeat("i-2"), 1200)
 	a.RunnerLeft("i-1", 1300)
 	if a.runner.draining() {
-		t.Error("the new incarnation counts as leaving")
+		t.Error("the new incarnation counts as draining")
 	}
 }
--- a/internal/agent/heartbeats_test.go
+++ b/internal/agent/heartbeats_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestPendingStartDropped checks that a start is never handed over once it has expired,
-// nor to a runner that has begun to drain, nor to another incarnation.
+// TestPendingStartDropped checks that a start is never sent after it has expired, nor to a
+// runner that has begun to drain, nor to another incarnation.
 func TestPendingStartDropped(t *testing.T) {
 	for _, test := range []struct {
 		name       string
@@ -34,22 +34,22 @@
 	}
 }
 
-// TestOldHeartbeatsIgnored checks that a heartbeat that comes late, or of an incarnation
-// that was replaced, changes nothing and is answered without orders.
+// TestOldHeartbeatsIgnored checks that a late heartbeat, or one of a superseded incarnation,
+// changes nothing and gets a response without orders.
 func TestOldHeartbeatsIgnored(t *testing.T) {
 	a := newTestAgent()
 	a.HandleHeartbeat(heartbeat(5, "q/a.0"), 1000)
 	_, poll := takeRequest(t, a)
 	respond(t, a, "k1", poll.ID, stopOf("q/a.0"), 1010)
 	if orders := a.HandleHeartbeat(heartbeat(4), 1100); len(orders.Stop) > 0 || orders.Lease > 0 {
-		t.Errorf("a late heartbeat was answered %+v", orders)
+		t.Errorf("response to a late heartbeat: %+v", orders)
 	}
 	if orders := a.HandleHeartbeat(heartbeat(6, "q/a.0"), 1200); len(orders.Stop) != 1 {
-		t.Errorf("the stop is gone: %+v", orders)
+		t.Errorf("the stop order was lost: %+v", orders)
 	}
 	a.HandleHeartbeat(firstHeartbeat("i-2"), 1300)
 	orders := a.HandleHeartbeat(heartbeat(7, "q/a.0"), 1400)
 	if orders.Lease > 0 || len(orders.Start)+len(orders.Stop) > 0 {
-		t.Errorf("an incarnation that was replaced was answered %+v", orders)
+		t.Errorf("response to a superseded incarnation: %+v", orders)
 	}
 }
--- a/internal/agent/polls_test.go
+++ b/internal/agent/polls_test.go
@@ -10,9 +10,9 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestReplacedPollRenewsLease checks that a poll with something new replaces the open one,
-// and that the answer to the one replaced orders nothing but renews the lease, once, from
-// when that poll was sent.
+// TestReplacedPollRenewsLease checks that a poll with new information replaces the open one,
+// and that the response to the replaced poll has no effect other than to renew the lease,
+// once, from when that poll was sent.
 func TestReplacedPollRenewsLease(t *testing.T) {
 	a := newTestAgent()
 	a.HandleHeartbeat(heartbeat(1), 1000)
@@ -32,55 +32,55 @@
 	respond(t, a, "k1", first.ID, runnerapi.PollResponse{}, 1400)
 	orders = a.HandleHeartbeat(heartbeat(4, "q/a.0"), 2300)
 	if orders.Lease != 3700 {
-		t.Errorf("an answer counted twice: held for %d", orders.Lease)
+		t.Errorf("a duplicate response renewed the lease: held for %d", orders.Lease)
 	}
 }
 
-// TestNewLeaderPolledAtOnce checks that a server that says it leads is polled at once, and
-// that one which only knows the leader is not.
+// TestNewLeaderPolledAtOnce checks that the agent immediately polls a server that announces
+// itself as leader, but not one that only names the leader.
 func TestNewLeaderPolledAtOnce(t *testing.T) {
 	a := newTestAgent()
 	a.HandleHeartbeat(heartbeat(1), 1000)
 	if to, _ := takeRequest(t, a); to == "k9" {
-		t.Fatal("polled k9 before it was heard of")
+		t.Fatal("polled k9 before its announcement")
 	}
 
 	members := []raft.Member{{ID: 9, Addr: "k9"}, {ID: 2, Addr: "k2"}}
 	leader := &wire.Announcement{Role: wire.RoleServer, Node: 9, LeaderID: 9, Addr: "k9", Members: members}
 	a.HandleMessage("k9", wire.Message{Announcement: leader}, 1050)
 	if to, _ := takeRequest(t, a); to != "k9" {
-		t.Errorf("polls %s", to)
+		t.Errorf("polled %s, want k9", to)
 	}
 
 	follower := &wire.Announcement{Role: wire.RoleServer, Node: 2, LeaderID: 9, Addr: "k2"}
 	a.HandleMessage("k2", wire.Message{Announcement: follower}, 1060)
 	if n := len(a.TakeOutput().Messages); n > 0 {
-		t.Error("a server that only knows the leader was followed")
+		t.Error("polled after the announcement of a follower")
 	}
 }
 
-// TestFencingTokenRequested checks that before there is a heartbeat the agent asks for the
-// fencing token, one server after another, until one answers.
+// TestFencingTokenRequested checks that before the first heartbeat the agent requests the
+// fencing token from one server after another until one answers.
 func TestFencingTokenRequested(t *testing.T) {
 	a := newTestAgent()
 	a.Tick(1000)
 	firstServer, first := takeRequest(t, a)
 	if first.Path != endpoint.FencingTokenPath {
-		t.Fatalf("asked for %s", first.Path)
+		t.Fatalf("requested %s", first.Path)
 	}
 	refusal := &wire.Response{ID: first.ID, Status: http.StatusServiceUnavailable, NotLeader: true}
 	a.HandleMessage(firstServer, wire.Message{Response: refusal}, 1010)
 	a.Tick(1400)
 	secondServer, second := takeRequest(t, a)
 	if secondServer == firstServer {
-		t.Error("the same server was asked again")
+		t.Error("the same server got the second request")
 	}
 	respond(t, a, secondServer, second.ID, runnerapi.PollResponse{FencingToken: 9}, 1410)
 	if a.FencingToken() != 9 {
-		t.Errorf("fencing token %d", a.FencingToken())
+		t.Errorf("fencing token %d, want 9", a.FencingToken())
 	}
 	a.Tick(1800)
 	if n := len(a.TakeOutput().Messages); n > 0 {
-		t.Error("asked again although the token is known")
+		t.Error("requested the token again although it is known")
 	}
 }
--- a/internal/runner/attempts.go
+++ b/internal/runner/attempts.go
@@ -9,24 +9,26 @@
 	"orchidward/internal/clock"
 )
 
-// attempt is one attempt under way.
+// attempt is a running attempt.
 type attempt struct {
 	runnerapi.Start
-	// endsAt is when it has run its time, and defect says that it ends in one.
+	// endsAt is when the attempt finishes, and defect means that it ends with a defect.
 	endsAt clock.Monotonic
 	defect bool
-	// gangCompleteAt is when the last poll was sent whose answer called its gang complete.
+	// gangCompleteAt is when the runner sent the last poll whose response listed the gang as
+	// complete.
 	gangCompleteAt clock.Monotonic
 }
 
-// attemptTable is the attempts of a runner, by their leases.
+// attemptTable holds the attempts of a runner by lease.
 type attemptTable struct {
 	running map[identifier.LeaseID]*attempt
-	// ended are those whose end is not acknowledged.
+	// ended holds the ends that have not been acknowledged.
 	ended map[identifier.LeaseID]runnerapi.End
-	// used is when each lease was used up: it must not start again.
+	// used holds when each lease was last used. A used lease must not start an attempt
+	// again.
 	used map[identifier.LeaseID]clock.Monotonic
-	// sweptAt is when used was last looked through.
+	// sweptAt is when used was last swept.
 	sweptAt clock.Monotonic
 }
 
@@ -40,11 +42,12 @@
 
 func (t *attemptTable) runningIDs() []identifier.LeaseID { return slices.Sorted(maps.Keys(t.running)) }
 
-// usedSweepInterval lies between two searches for leases to forget. They are kept for far
-// longer.
+// usedSweepInterval is the interval between sweeps of used leases. It is much shorter than
+// usedLeaseTTL.
 const usedSweepInterval clock.Millis = 1000
 
-// forgetUsed forgets leases that are of no more concern.
+// forgetUsed removes used leases that are older than usedLeaseTTL, unless their attempt is
+// running or has an unacknowledged end.
 func (t *attemptTable) forgetUsed(now clock.Monotonic) {
 	if now.Since(t.sweptAt) < usedSweepInterval {
 		return
@@ -58,7 +61,7 @@
 	}
 }
 
-// end ends an attempt that runs.
+// end ends a running attempt.
 func (r *Runner) end(id identifier.LeaseID, outcome string) {
 	ended := r.attempts.running[id]
 	delete(r.attempts.running, id)
@@ -68,8 +71,8 @@
 	r.logEvent(Event{outcome, id, ended.Task, ended.Demand})
 }
 
-// stop ends an attempt at once. One that was never heard of is marked, so that its start,
-// should it come yet, finds the lease used up.
+// stop ends an attempt immediately. If the attempt is unknown, its lease is marked as used, so
+// that a start that arrives later has no effect.
 func (r *Runner) stop(id identifier.LeaseID) {
 	attempts := &r.attempts
 	if attempts.running[id] != nil {
@@ -85,8 +88,8 @@
 	}
 }
 
-// start starts an attempt that an answer to the poll sent at that time has ordered. A lease
-// that was used, or that does not fit, starts nothing.
+// start starts an attempt that was ordered by the response to the poll sent at sentAt. It
+// ignores orders whose lease was used before, and orders that exceed the free resources.
 func (r *Runner) start(order runnerapi.Start, sentAt clock.Monotonic) {
 	attempts := &r.attempts
 	if _, used := attempts.used[order.Lease]; used || attempts.running[order.Lease] != nil {
--- a/internal/runner/config.go
+++ b/internal/runner/config.go
@@ -6,8 +6,8 @@
 	"orchidward/internal/clock"
 )
 
-// Config is what a runner is started with. Gateways are those that it polls, and Seed makes
-// its random choices repeatable.
+// Config configures a runner. Gateways lists the gateways to poll, and Seed makes random
+// choices reproducible.
 type Config struct {
 	Name        identifier.Runner
 	Incarnation identifier.Incarnation
@@ -17,13 +17,13 @@
 	Rack        identifier.Rack
 	Gateways    []string
 	Seed        int64
-	// SlowdownPercent stretches every attempt, and DefectPercent is the share of attempts
-	// that end in a defect, both in percent.
+	// SlowdownPercent lengthens every attempt, and DefectPercent is the share of attempts
+	// that end with a defect, both in percent.
 	SlowdownPercent int64
 	DefectPercent   int64
 }
 
-// Poll is a poll to be sent. Its response counts only within Timeout.
+// Poll is a poll to send. A response that arrives after Timeout is ignored.
 type Poll struct {
 	Gateway string
 	Seq     uint64
@@ -31,7 +31,7 @@
 	Timeout clock.Millis
 }
 
-// Kinds of events, beside the outcomes of attempts (package runnerapi).
+// Kinds of events, in addition to the outcomes of attempts (package runnerapi).
 const (
 	// EventStart is the start of an attempt.
 	EventStart = "start"
@@ -39,8 +39,8 @@
 	EventAcked = "acked"
 )
 
-// Event is what happened to an attempt, for logs and for observers. Kind is an outcome of
-// package runnerapi, EventStart or EventAcked.
+// Event is an event of an attempt, for logs and observers. Kind is an outcome of package
+// runnerapi, EventStart or EventAcked.
 type Event struct {
 	Kind   string
 	Lease  identifier.LeaseID
@@ -48,7 +48,7 @@
 	Demand job.Demand
 }
 
-// Output is what the inputs so far ask the owner to do: polls to send and events to log.
+// Output holds the polls to send and the events to log as a result of the inputs so far.
 type Output struct {
 	Polls  []Poll
 	Events []Event
@@ -57,16 +57,17 @@
 const (
 	// TickInterval is how often Tick should be called.
 	TickInterval clock.Millis = 20
-	// initialLease and initialStartTimeout hold until the control plane gives others.
+	// initialLease and initialStartTimeout apply until the control plane sends other values.
 	initialLease        clock.Millis = 10000
 	initialStartTimeout clock.Millis = 1000
-	// usedLeaseTTL is how long a lease is remembered that must not start again.
+	// usedLeaseTTL is how long a used lease is kept, so that it cannot start an attempt
+	// again.
 	usedLeaseTTL clock.Millis = 60000
-	// maxReportedEnds bounds the ends that one poll reports, and maxEnds those that wait to
-	// be acknowledged: beyond it nothing is started.
+	// maxReportedEnds bounds the ends that one poll reports. maxEnds bounds the
+	// unacknowledged ends: once it is reached, the runner starts no attempts.
 	maxReportedEnds = 512
 	maxEnds         = 4096
-	// minBackoff and maxBackoff bound the pause after a failed poll.
+	// minBackoff and maxBackoff bound the backoff after a failed poll.
 	minBackoff clock.Millis = 50
 	maxBackoff clock.Millis = 1000
 	// maxOpenPolls bounds the polls without a response.
--- a/internal/runner/polls.go
+++ b/internal/runner/polls.go
@@ -10,16 +10,17 @@
 	"orchidward/internal/clock"
 )
 
-// pollState is the exchange with the control plane.
+// pollState is the state of the exchange with the control plane.
 type pollState struct {
-	// seq is the number of the last poll, and open is when each poll without a response was
-	// sent.
+	// seq is the sequence number of the last poll, and open holds the send times of polls
+	// that await a response.
 	seq     uint64
 	open    map[uint64]clock.Monotonic
 	nextAt  clock.Monotonic
 	backoff clock.Millis
-	// lastContact is when the last poll was sent that was answered, lease how long the runner's
-	// leases last from then, and startTimeout how long a start may wait.
+	// lastContact is when the runner sent the last poll that was answered. lease is the
+	// duration of the runner's leases from then on, and startTimeout how long a start order
+	// is valid.
 	lastContact  clock.Monotonic
 	lease        clock.Millis
 	startTimeout clock.Millis
@@ -34,7 +35,7 @@
 	}
 }
 
-// pollIfDue keeps one poll open; what is unreported goes out in a new one that replaces it.
+// pollIfDue keeps one poll open. Unreported changes are sent in a new poll that replaces it.
 func (r *Runner) pollIfDue() {
 	r.dropOverdue()
 	p := &r.polls
@@ -50,12 +51,12 @@
 	p.open[p.seq] = r.now
 	body, err := json.Marshal(r.pollRequest())
 	if err != nil {
-		panic("runner: a poll does not encode: " + err.Error())
+		panic("runner: encoding a poll: " + err.Error())
 	}
 	r.output.Polls = append(r.output.Polls, Poll{Gateway: r.gateways.addr(), Seq: p.seq, Body: body, Timeout: p.startTimeout})
 }
 
-// dropOverdue gives up polls that were not answered in time.
+// dropOverdue drops polls that have timed out.
 func (r *Runner) dropOverdue() {
 	p := &r.polls
 	for seq, sentAt := range p.open {
@@ -68,7 +69,7 @@
 	}
 }
 
-// pollFailed turns to the next gateway, after a pause that grows.
+// pollFailed switches to the next gateway, with exponential backoff and jitter.
 func (r *Runner) pollFailed() {
 	r.gateways.current++
 	p := &r.polls
@@ -99,7 +100,8 @@
 	return request
 }
 
-// HandlePollResponse takes the outcome of a poll; a status of 0 means that none came.
+// HandlePollResponse processes the response to a poll. A status of 0 means that there was no
+// response.
 func (r *Runner) HandlePollResponse(seq uint64, status int, body []byte, now clock.Monotonic) {
 	r.observe(now)
 	sentAt, ok := r.polls.open[seq]
@@ -127,8 +129,8 @@
 	r.pollIfDue()
 }
 
-// applyOrders carries out what a response orders. Starts are heeded only in the response to
-// the newest poll, and in time.
+// applyOrders applies the orders of a response. It ignores starts unless the response is to
+// the newest poll and within the start timeout.
 func (r *Runner) applyOrders(response runnerapi.PollResponse, seq uint64, sentAt clock.Monotonic) {
 	if response.Lease > 0 && response.StartTimeout > 0 {
 		r.polls.lease = response.Lease
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -7,12 +7,12 @@
 	"orchidward/internal/clock"
 )
 
-// Runner is a runner as a pure state machine: it polls for orders, runs tasks that only take
-// time, and stops them when its lease lapses. It does no input or output and reads no clock.
-// It is not safe for concurrent use.
+// Runner is a runner as a pure state machine: it polls for orders, simulates tasks by letting
+// time pass, and stops them when its lease expires. It performs no I/O and reads no clock. It
+// is not safe for concurrent use.
 type Runner struct {
-	// Retired says that a newer incarnation has this runner's name, so that this one is to
-	// end. Callers may only read it.
+	// Retired is set once a newer incarnation has taken over this runner's name, and this
+	// one must exit. Callers must not modify it.
 	Retired bool
 
 	config Config
@@ -24,15 +24,16 @@
 	polls    pollState
 	attempts attemptTable
 
-	// unreported says that the control plane has yet to hear of something.
+	// unreported is set while there are changes that no poll has reported yet.
 	unreported bool
 	mode       string
 	departsAt  clock.Monotonic
-	// isolatedUntil is until when this stand-in neither sends nor hears anything.
+	// isolatedUntil is when a simulated network isolation ends. Until then the runner sends
+	// no polls and ignores responses.
 	isolatedUntil clock.Monotonic
 }
 
-// gatewayList is the gateways that a runner knows, and the one that it polls now.
+// gatewayList holds the gateways that a runner knows, and the one that it currently polls.
 type gatewayList struct {
 	addrs   []string
 	current int
@@ -40,7 +41,7 @@
 
 func (l *gatewayList) addr() string { return l.addrs[l.current%len(l.addrs)] }
 
-// New makes a runner without tasks, which polls a random one of its gateways first.
+// New returns a runner without tasks. It polls a random gateway first.
 func New(config Config, now clock.Monotonic) *Runner {
 	r := &Runner{
 		config:   config,
@@ -57,7 +58,7 @@
 	return r
 }
 
-// TakeOutput returns the output so far and clears it.
+// TakeOutput returns the pending output and clears it.
 func (r *Runner) TakeOutput() Output {
 	out := r.output
 	r.output = Output{}
@@ -67,19 +68,19 @@
 // Gateways lists the gateways that the runner knows.
 func (r *Runner) Gateways() []string { return r.gateways.addrs }
 
-// Mode is runnerapi.ModeActive or runnerapi.ModeDraining.
+// Mode returns runnerapi.ModeActive or runnerapi.ModeDraining.
 func (r *Runner) Mode() string { return r.mode }
 
-// Running is the number of tasks that run.
+// Running returns the number of running tasks.
 func (r *Runner) Running() int { return len(r.attempts.running) }
 
-// InContact reports whether a poll was answered lately.
+// InContact reports whether a recent poll was answered.
 func (r *Runner) InContact() bool {
 	return r.polls.seq > 1 && r.now.Since(r.polls.lastContact) < 3*r.polls.startTimeout
 }
 
-// LearnGateways takes a list of gateways from whoever knows one. The gateway that is polled
-// now stays, if it is among them.
+// LearnGateways replaces the list of gateways. An empty list is ignored. The runner keeps
+// polling its current gateway if the new list has it.
 func (r *Runner) LearnGateways(addrs []string) {
 	if len(addrs) == 0 {
 		return
@@ -97,13 +98,16 @@
 	}
 }
 
-// SwitchGateway turns to another gateway: this one says that it is about to stop.
+// SwitchGateway switches to another gateway, after the current one has announced that it is
+// about to stop.
 func (r *Runner) SwitchGateway() { r.gateways.current++ }
 
-// Isolate keeps the stand-in from sending and hearing for a while; its tasks run on.
+// Isolate simulates a network isolation: for the given time the runner neither sends polls nor
+// processes responses, while its tasks keep running.
 func (r *Runner) Isolate(span clock.Millis) { r.isolatedUntil = r.now.Add(span) }
 
-// SetMode makes the runner say that it is leaving, after how long, or that it is not.
+// SetMode makes the runner report the given mode and, if it is draining, the time until it
+// leaves.
 func (r *Runner) SetMode(mode string, departsIn clock.Millis, now clock.Monotonic) {
 	r.observe(now)
 	r.mode = mode
@@ -112,21 +116,21 @@
 	r.pollIfDue()
 }
 
-// SetFaults changes how the stand-in misbehaves; see Config.
+// SetFaults sets the simulated faults; see Config.
 func (r *Runner) SetFaults(slowdownPercent, defectPercent int64) {
 	r.config.SlowdownPercent = slowdownPercent
 	r.config.DefectPercent = defectPercent
 }
 
-// Tick passes in the time: it stops tasks whose lease has lapsed, ends those whose time is
-// up, and polls when due. It should come every TickInterval.
+// Tick advances the time: it stops tasks whose lease has expired, ends those that have
+// finished, and polls when due. The owner should call it every TickInterval.
 func (r *Runner) Tick(now clock.Monotonic) {
 	r.observe(now)
 	r.pollIfDue()
 }
 
-// observe takes the time of an input. It first ends what outlived its lease, and then what
-// has run its time.
+// observe advances the time to that of an input, and ends the attempts that have outlived
+// their lease or have finished. An expired lease takes precedence.
 func (r *Runner) observe(now clock.Monotonic) {
 	r.now = max(r.now, now)
 	lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease
@@ -144,7 +148,7 @@
 	r.attempts.forgetUsed(r.now)
 }
 
-// retire ends everything: a newer incarnation has this runner's name.
+// retire ends all attempts, because a newer incarnation has taken over this runner's name.
 func (r *Runner) retire() {
 	for _, id := range r.attempts.runningIDs() {
 		r.end(id, runnerapi.OutcomeStopped)
--- a/internal/runner/runner_test.go
+++ b/internal/runner/runner_test.go
@@ -19,7 +19,7 @@
 	firstPollAt clock.Monotonic = 10
 )
 
-// newTestRunner is a runner that has sent its first poll.
+// newTestRunner returns a runner that has sent its first poll.
 func newTestRunner() *Runner {
 	r := New(Config{
 		Name:        "r",
@@ -34,7 +34,7 @@
 	return r
 }
 
-// respond answers a poll and returns the kinds of the events that it brings about.
+// respond delivers a response to a poll and returns the kinds of the resulting events.
 func respond(t *testing.T, r *Runner, seq uint64, response runnerapi.PollResponse, now clock.Monotonic) string {
 	t.Helper()
 	response.Lease = testLease
@@ -47,7 +47,7 @@
 	return eventKinds(r.TakeOutput())
 }
 
-// eventKinds lists the kinds of an output's events, with a space between them.
+// eventKinds returns the kinds of an output's events, separated by spaces.
 func eventKinds(output Output) string {
 	var kinds []string
 	for _, event := range output.Events {
@@ -56,7 +56,7 @@
 	return strings.Join(kinds, " ")
 }
 
-// starts orders an attempt of a minute to start for each lease.
+// starts returns an order for a one-minute attempt for each lease.
 func starts(leases ...identifier.LeaseID) []runnerapi.Start {
 	var list []runnerapi.Start
 	for _, id := range leases {
@@ -70,8 +70,8 @@
 	return list
 }
 
-// TestLateStartsIgnored checks that a response past its time, or to a poll that another
-// has replaced, starts nothing, and that stops are followed all the same.
+// TestLateStartsIgnored checks that a response past its timeout, or to a poll that another one
+// has replaced, starts nothing, while its stops still apply.
 func TestLateStartsIgnored(t *testing.T) {
 	t.Run("in time", func(t *testing.T) {
 		r := newTestRunner()
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestUsedLeasesNotStartedAgain checks that a lease starts one attempt at most, and none
-// when its stop came first.
+// TestUsedLeasesNotStartedAgain checks that a lease starts at most one attempt, and none if
+// its stop arrived first.
 func TestUsedLeasesNotStartedAgain(t *testing.T) {
 	r := newTestRunner()
 	respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1), Stops: []identifier.LeaseID{2}}, 100)
@@ -112,20 +112,21 @@
 	}
 }
 
-// TestLeaseLapsesBeforeResponse checks that a runner that stood still past its lease first
-// ends its attempts, and that a response which waited meanwhile starts nothing.
+// TestLeaseLapsesBeforeResponse checks that a runner that was suspended past its lease first
+// ends its attempts, and that a response that arrived in the meantime starts nothing.
 func TestLeaseLapsesBeforeResponse(t *testing.T) {
 	r := newTestRunner()
 	respond(t, r, 1, runnerapi.PollResponse{Starts: starts(1)}, 100)
 	r.Tick(120)
 	response := runnerapi.PollResponse{Starts: starts(2), CompleteGangs: []identifier.LeaseID{1}}
 	if got := respond(t, r, r.polls.seq, response, 20000); got != "lapsed" {
-		t.Errorf("on waking: %q", got)
+		t.Errorf("after the suspension: %q, want only lapsed", got)
 	}
 }
 
-// runGang runs one attempt under a gang lease, 0 for none, whose gang is called complete
-// until completeUntil. It returns how the attempt ended before the time limit, and when.
+// runGang runs one attempt under a gang lease, 0 for none, and has the responses list its gang
+// as complete until completeUntil. It returns the attempt's outcome and when it ended; the
+// outcome is empty if it was still running at the time limit.
 func runGang(t *testing.T, gangLease clock.Millis, completeUntil clock.Monotonic) (outcome string, endedAt clock.Monotonic) {
 	t.Helper()
 	const (
@@ -151,20 +152,20 @@
 	return outcome, now
 }
 
-// TestGangLease checks that a gang member goes on while responses call its gang complete,
-// counted from when their polls were sent, and ends itself otherwise.
+// TestGangLease checks that a gang member keeps running while responses list its gang as
+// complete, and ends once its gang lease, counted from when their polls were sent, has expired.
 func TestGangLease(t *testing.T) {
 	outcome, endedAt := runGang(t, 3000, 5000)
 	if outcome != runnerapi.OutcomeLeaseLapsed || endedAt < 7000 || endedAt > 8100 {
-		t.Errorf("not called complete from 5000 on it ended %q at %d", outcome, endedAt)
+		t.Errorf("complete until 5000, the attempt ended %q at %d", outcome, endedAt)
 	}
 }
 
-// TestNoGangLease checks that an attempt without a gang lease, as leaders of an earlier
-// version start it, goes on although no response calls a gang complete.
+// TestNoGangLease checks that an attempt without a gang lease, as started by leaders of an
+// earlier version, keeps running although no response lists its gang as complete.
 func TestNoGangLease(t *testing.T) {
 	outcome, endedAt := runGang(t, 0, 0)
 	if outcome != "" {
-		t.Errorf("it ended %q at %d", outcome, endedAt)
+		t.Errorf("the attempt ended %q at %d", outcome, endedAt)
 	}
 }
