--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -29,8 +29,8 @@
 // controlPlaneContact records when the control plane last received a poll from this agent,
 // and the length of the lease that it granted.
 type controlPlaneContact struct {
-	// sentAt is when the agent sent the last poll that was answered.
-	sentAt      clock.Monotonic
+	// pollSentAt is when the agent sent the last poll that was answered.
+	pollSentAt  clock.Monotonic
 	established bool
 	lease       clock.Millis
 }
@@ -41,12 +41,12 @@
 	if !c.established {
 		return 0
 	}
-	return c.lease - now.Since(c.sentAt)
+	return c.lease - now.Since(c.pollSentAt)
 }
 
 // recordAnswer records that a poll sent at sentAt was answered.
 func (c *controlPlaneContact) recordAnswer(sentAt clock.Monotonic) {
-	c.sentAt = max(c.sentAt, sentAt)
+	c.pollSentAt = max(c.pollSentAt, sentAt)
 	c.established = true
 }
 
--- a/internal/agent/departure_test.go
+++ b/internal/agent/departure_test.go
@@ -36,9 +36,9 @@
 func TestUnannouncedDeparture(t *testing.T) {
 	const notice, leftAt = 2000, 1200
 	for _, test := range []struct {
-		name       string
-		heartbeats bool
-		notifications  int
+		name          string
+		heartbeats    bool
+		notifications int
 	}{
 		{"heartbeats continue", true, 1},
 		{"silent", false, 1},
@@ -71,7 +71,7 @@
 					a.RunnerLeft("i-1", now)
 				}
 				a.Tick(now)
-				if a.runner.hasLeft(now) {
+				if a.runner.left(now) {
 					t.Fatalf("at %d the runner counts as left", now)
 				}
 				if left := a.runner.departsIn(now, notice); left > notice-clock.Millis(now-leftAt) && left > 0 {
@@ -96,12 +96,12 @@
 	draining.Draining = true
 	a.HandleHeartbeat(draining, 1000)
 	a.RunnerLeft("i-1", 1200)
-	if a.runner.hasLeft(1200) || !a.runner.hasLeft(1200+clock.Monotonic(leaveDelay)+1) {
+	if a.runner.left(1200) || !a.runner.left(1200+clock.Monotonic(leaveDelay)+1) {
 		t.Error("the runner counts as left before the delay, or not just after it")
 	}
 	draining.Seq = 2
 	a.HandleHeartbeat(draining, 1300)
-	if a.runner.hasLeft(3000) {
+	if a.runner.left(3000) {
 		t.Error("the runner counts as left after another heartbeat")
 	}
 }
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -47,8 +47,8 @@
 	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
 }
 
-// hasLeft reports whether the runner has left in an orderly way.
-func (r *runnerState) hasLeft(now clock.Monotonic) bool {
+// left reports whether the runner has left in an orderly way.
+func (r *runnerState) left(now clock.Monotonic) bool {
 	return r.leftAt > 0 && now.Since(r.leftAt) > leaveDelay
 }
 
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -28,7 +28,7 @@
 // lost contact it polls more often, since the control plane answers the first poll after
 // contact is restored immediately.
 func (a *Agent) pollTimeout() clock.Millis {
-	if a.polls.backoff > 0 && a.now.Since(a.contact.sentAt) > contactLostAfter {
+	if a.polls.backoff > 0 && a.now.Since(a.contact.pollSentAt) > contactLostAfter {
 		return reconnectTimeout
 	}
 	return a.polls.timeout
@@ -80,7 +80,7 @@
 		Active:       a.activeRuns(),
 		Finished:     heartbeat.Finished,
 		Cleared:      a.orders.clearedStops(),
-		LeftInOrder:  a.runner.hasLeft(a.now),
+		LeftInOrder:  a.runner.left(a.now),
 		PresumedDead: a.runner.presumedDead(a.now),
 	}
 	if a.runner.draining() {
--- a/internal/api/runnerapi/scanner.go
+++ b/internal/api/runnerapi/scanner.go
@@ -40,15 +40,15 @@
 // object reads an object with no fields other than the given ones, each at most once, and
 // returns the set of those present. It calls value to read the value of the i-th field.
 func (s *scanner) object(fields []string, value func(i int)) fieldSet {
-	s.expect('{')
-	if s.accept('}') {
+	s.token('{')
+	if s.next('}') {
 		return 0
 	}
 	var given fieldSet
 	previous := -1
 	for !s.failed {
 		key := s.string()
-		s.expect(':')
+		s.token(':')
 		// Fields are usually in the order of the list.
 		i := previous + 1
 		if i >= len(fields) || fields[i] != key {
@@ -61,18 +61,18 @@
 		previous = i
 		given |= 1 << i
 		value(i)
-		if s.accept('}') {
+		if s.next('}') {
 			return given
 		}
-		s.expect(',')
+		s.token(',')
 	}
 	return given
 }
 
 // list reads a list of at most limit elements, and calls element to read each one.
 func (s *scanner) list(limit int, element func()) {
-	s.expect('[')
-	if s.accept(']') {
+	s.token('[')
+	if s.next(']') {
 		return
 	}
 	for count := 1; !s.failed; count++ {
@@ -81,10 +81,10 @@
 			return
 		}
 		element()
-		if s.accept(']') {
+		if s.next(']') {
 			return
 		}
-		s.expect(',')
+		s.token(',')
 	}
 }
 
@@ -99,8 +99,8 @@
 	}
 }
 
-// accept consumes a token if it is the next one, and reports whether it was.
-func (s *scanner) accept(token byte) bool {
+// next consumes a token if it is the next one, and reports whether it was.
+func (s *scanner) next(token byte) bool {
 	s.skipSpace()
 	if s.pos >= len(s.text) || s.text[s.pos] != token {
 		return false
@@ -109,13 +109,13 @@
 	return true
 }
 
-// expect consumes a token, and fails if it is not the next one.
-func (s *scanner) expect(token byte) { s.require(s.accept(token)) }
+// token consumes a token, and fails if it is not the next one.
+func (s *scanner) token(token byte) { s.require(s.next(token)) }
 
 // string reads a string. A string of plain ASCII without escapes is a substring of the text,
 // not a copy.
 func (s *scanner) string() string {
-	s.expect('"')
+	s.token('"')
 	start := s.pos
 	plain := true
 	for ; s.pos < len(s.text) && !s.failed; s.pos++ {
--- a/internal/runner/attempts.go
+++ b/internal/runner/attempts.go
@@ -12,8 +12,8 @@
 // attempt is a running attempt.
 type attempt struct {
 	runnerapi.Start
-	// endsAt is when the attempt finishes, and defect means that it ends with a defect.
-	endsAt clock.Monotonic
+	// end is when the attempt finishes, and defect means that it ends with a defect.
+	end    clock.Monotonic
 	defect bool
 	// gangCompleteAt is when the runner sent the last poll whose response listed the gang as
 	// complete.
@@ -108,7 +108,7 @@
 	}
 	attempts.running[order.Lease] = &attempt{
 		Start:          order,
-		endsAt:         r.now.Add(span),
+		end:            r.now.Add(span),
 		gangCompleteAt: sentAt,
 		defect:         r.random.Int63n(100) < r.config.DefectPercent,
 	}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -139,9 +139,9 @@
 		switch {
 		case lapsed || running.GangLease > 0 && r.now.Since(running.gangCompleteAt) > running.GangLease:
 			r.end(id, runnerapi.OutcomeLeaseLapsed)
-		case r.now >= running.endsAt && running.defect:
+		case r.now >= running.end && running.defect:
 			r.end(id, runnerapi.OutcomeDefect)
-		case r.now >= running.endsAt:
+		case r.now >= running.end:
 			r.end(id, runnerapi.OutcomeSuccess)
 		}
 	}
