--- a/internal/api/admission/rules_test.go
+++ b/internal/api/admission/rules_test.go
@@ -10,7 +10,7 @@
 	"orchidward/internal/api/limits"
 )
 
-// atEveryLimit is a job that is at every limit of the row that TestCheck makes.
+// atEveryLimit returns a job that is exactly at every limit of the row that TestCheck sets up.
 func atEveryLimit() *job.Spec {
 	return &job.Spec{Row: "default", Urgency: 3, Steps: []job.Step{
 		{Name: "a", Tasks: 3, Demand: job.Demand{Cores: 2, Mem: 100}, Labels: []identifier.Label{"ssd"}},
@@ -18,8 +18,9 @@
 	}}
 }
 
-// TestCheck: a job at each limit of a row passes and one past it is rejected, by the name
-// of the limit, and a row with too many waiting tasks is told from a faulty job.
+// TestCheck checks that a job at every limit of its row passes, that a job past a limit is
+// rejected with the name of that limit, and that a row with too many waiting tasks is
+// distinguished from an invalid job.
 func TestCheck(t *testing.T) {
 	table := limits.Default()
 	row := table.Rows[limits.DefaultRow]
@@ -52,7 +53,7 @@
 		verdict := rules.Check(spec, c.waiting, &faults)
 		body := string(faults.ErrorBody())
 		if verdict.QueueFull != c.full || faults.Any() != (c.fault != "") {
-			t.Errorf("%s: full %v, %s", name, verdict.QueueFull, body)
+			t.Errorf("%s: queue full is %v, errors %s", name, verdict.QueueFull, body)
 		}
 		if faults.Any() && !strings.Contains(body, c.fault) {
 			t.Errorf("%s: %s, want %s", name, body, c.fault)
--- a/internal/api/catalog/catalog_test.go
+++ b/internal/api/catalog/catalog_test.go
@@ -7,13 +7,13 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// validText is a complete catalogue without faults.
+// validText is a valid complete catalogue.
 const validText = `{"base":0,"version":3,"queues":[` +
 	`{"name":"q","host":"H.example","prefix":"/a/","pool":"x","timeoutMs":1,"source":{"odd":1}}],` +
 	`"pools":[{"name":"x"}],"source":{"limits":{"a":1}}}`
 
-// TestReadWholeRejects: a text that is cut short, of the wrong shape or out of bounds is
-// rejected before it is proposed.
+// TestReadWholeRejects checks that ReadWhole rejects a text that is truncated, has the wrong
+// structure or a value out of bounds, before it is proposed.
 func TestReadWholeRejects(t *testing.T) {
 	for name, text := range map[string]string{
 		"cut short":     validText[:len(validText)-4],
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestPatch: named items are replaced in their place, added at the end or dropped. The rest
-// stays as it was, with what the operator sent along.
+// TestPatch checks that a patch replaces named items in place, appends new ones and drops
+// others, and keeps everything else, including the source that the operator sent along.
 func TestPatch(t *testing.T) {
 	var faults jsondoc.FieldErrors
 	whole := ReadWhole([]byte(validText), &faults)
@@ -59,14 +59,15 @@
 		t.Errorf("the previous catalogue changed: %+v", first)
 	}
 	if !next.Has(patch) || !next.Has(ReadWhole([]byte(validText), &faults)) || next.Has(&Change{Version: 5, Checksum: "x"}) {
-		t.Error("accepted changes are not recognised")
+		t.Error("accepted changes are not recognised, or another change is")
 	}
 	if _, err := next.With(&Change{Version: 9, DropPools: []string{"y"}}); err == nil {
-		t.Error("a pool was dropped that a queue names")
+		t.Error("a pool that a queue names was dropped")
 	}
 }
 
-// TestFind: the longest prefix under the host, whatever its case and port.
+// TestFind checks that Find selects the longest prefix under the host, whatever the host's
+// case and port.
 func TestFind(t *testing.T) {
 	routes := NewRouteMap(4, []Route{
 		{Queue: "a", Host: "h.example", Prefix: "/x/"},
--- a/internal/api/catalog/tenant_test.go
+++ b/internal/api/catalog/tenant_test.go
@@ -14,7 +14,7 @@
 	`{"name":"b","host":"h","prefix":"/b/","pool":"x","timeoutMs":1,"keyless":true}],"pools":[{"name":"x"}],` +
 	`"tenants":[{"name":"t","keys":["first-key","second-key"],"weight":1000,"quota":{"milliCores":5}},{"name":"u","weight":1}]}`
 
-// readTenants is the catalogue of tenantsText.
+// readTenants returns the catalogue of tenantsText.
 func readTenants(t *testing.T) *Catalog {
 	t.Helper()
 	var faults jsondoc.FieldErrors
@@ -29,7 +29,8 @@
 	return next
 }
 
-// TestQuotaAdmits: a quota bounds each resource by itself, 0 is no bound, and up to half of it in use the last of what starts may pass it.
+// TestQuotaAdmits checks that a quota bounds each resource separately, that 0 means no bound,
+// and that the last task to start may exceed the quota while at most half of it is in use.
 func TestQuotaAdmits(t *testing.T) {
 	cores := func(n int64) job.Demand { return job.Demand{MilliCores: n} }
 	for name, c := range map[string]struct {
@@ -58,7 +59,8 @@
 	}
 }
 
-// TestKeysAreFoundByDigest: a key leads to its tenant by its digest alone, and only that key does.
+// TestKeysAreFoundByDigest checks that the digest of a key identifies its tenant, and that no
+// other digest does.
 func TestKeysAreFoundByDigest(t *testing.T) {
 	c := readTenants(t)
 	keys := NewKeyTable(c.KeySalt, c.TenantKeys())
@@ -68,14 +70,15 @@
 		}
 	}
 	if _, ok := keys.Owner(""); ok {
-		t.Error("no digest leads to a tenant")
+		t.Error("an empty digest identifies a tenant")
 	}
 	if _, ok := keys.Owner(keys.Digest("first-key").prefix()); ok {
-		t.Error("the beginning of a digest leads to a tenant")
+		t.Error("the prefix of a digest identifies a tenant")
 	}
 }
 
-// TestKeysNotExposed: keys stand neither in what gateways are sent and operators read, nor in errors and logs.
+// TestKeysNotExposed checks that API keys are neither in the documents for gateways and
+// operators nor in errors and logs.
 func TestKeysNotExposed(t *testing.T) {
 	c := readTenants(t)
 	published := c.Published()
@@ -89,15 +92,16 @@
 	}
 	for _, text := range texts {
 		if strings.Contains(text, "first-key") || strings.Contains(text, "second-key") {
-			t.Errorf("a key stands in %s", text)
+			t.Errorf("an API key is in %s", text)
 		}
 	}
 	if len(c.Tenants[0].Keys) != 2 || published.KeySalt != nil {
-		t.Errorf("the catalogue has lost its keys, or shows its salt: %+v", published)
+		t.Errorf("the catalogue lost its keys, or published its salt: %+v", published)
 	}
 }
 
-// TestTenantsOfPatches: a patch adds, replaces and drops tenants by name, and the salt stays.
+// TestTenantsOfPatches checks that a patch adds, replaces and drops tenants by name, and that
+// the salt does not change.
 func TestTenantsOfPatches(t *testing.T) {
 	var faults jsondoc.FieldErrors
 	c := readTenants(t)
@@ -110,7 +114,7 @@
 		t.Errorf("%+v", next)
 	}
 	if !next.Protected(next.Queue("a")) || next.Protected(next.Queue("b")) {
-		t.Error("keyless queues are not told from others")
+		t.Error("a keyless queue is protected, or another is not")
 	}
 	last, err := next.With(ReadPatch([]byte(`{"base":4,"version":5,"drop":{"tenants":["u","v"]}}`), &faults))
 	if err != nil || len(last.Tenants) != 0 || !last.Protected(last.Queue("a")) {
@@ -118,7 +122,8 @@
 	}
 }
 
-// TestFaultyTenantsRejected: two tenants never share a name or a key, and fields keep their bounds.
+// TestFaultyTenantsRejected checks that two tenants cannot share a key, that fields out of
+// bounds are rejected, and that errors do not contain a key.
 func TestFaultyTenantsRejected(t *testing.T) {
 	c := readTenants(t)
 	for name, tenants := range map[string]string{
@@ -140,6 +145,6 @@
 		}
 	}
 	if _, err := c.With(&Change{Version: 4, Tenants: []Tenant{{Name: "u", Keys: []APIKey{"k", "k"}, Weight: 1}}}); err != nil {
-		t.Errorf("a tenant's key given twice: %v", err)
+		t.Errorf("a duplicate key within one tenant was rejected: %v", err)
 	}
 }
--- a/internal/api/catalog/tenant_update_test.go
+++ b/internal/api/catalog/tenant_update_test.go
@@ -9,12 +9,13 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// updateText is a patch of tenantsText with one update.
+// updateText returns a patch of tenantsText with the given tenant updates.
 func updateText(update string) string {
 	return fmt.Sprintf(`{"base":3,"version":4,"update":{"tenants":[%s]}}`, update)
 }
 
-// TestTenantUpdateKeepsOtherFields guards against an update that loses keys or limits which it doesn't name.
+// TestTenantUpdateKeepsOtherFields guards against an update that loses keys or limits which it
+// does not name.
 func TestTenantUpdateKeepsOtherFields(t *testing.T) {
 	before := readTenants(t)
 	var faults jsondoc.FieldErrors
@@ -37,7 +38,8 @@
 	}
 }
 
-// TestTenantUpdateRefused guards against updates of nobody, of keys that are another's or not held, and of sources.
+// TestTenantUpdateRefused guards against updates of unknown tenants, of keys that belong to
+// another tenant or that the tenant does not have, and of tenants with a source.
 func TestTenantUpdateRefused(t *testing.T) {
 	withSource := readTenants(t)
 	withSource.Tenants[1].Source = []byte(`{"any":"thing"}`)
@@ -65,7 +67,7 @@
 		if _, err := before.With(change); err == nil {
 			t.Errorf("%s passed", name)
 		} else if strings.Contains(err.Error(), "-key") {
-			t.Errorf("%s: the error has a key: %v", name, err)
+			t.Errorf("%s: the error contains a key: %v", name, err)
 		}
 	}
 }
--- a/internal/api/endpoint/endpoint_test.go
+++ b/internal/api/endpoint/endpoint_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestParse: every endpoint is found by its method and path, and what the API does
-// not have is refused by the error that says so.
+// TestParse checks that Parse finds every endpoint by its method and path.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		method, path string
@@ -43,7 +42,7 @@
 	}
 }
 
-// TestParseRefuses: methods and paths that the API does not have.
+// TestParseRefuses checks the errors for methods and paths that the API does not have.
 func TestParseRefuses(t *testing.T) {
 	for _, c := range []struct {
 		method, path string
@@ -70,12 +69,12 @@
 		}
 		var wrongMethod *MethodError
 		if errors.As(err, &wrongMethod) == (c.want != nil) || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s %s: %v is of another kind than wanted", c.method, c.path, err)
+			t.Errorf("%s %s: %v has the wrong type", c.method, c.path, err)
 		}
 	}
 }
 
-// TestJobPath: what lies below the collection of jobs is a job's path.
+// TestJobPath checks that exactly the paths below the collection of jobs are job paths.
 func TestJobPath(t *testing.T) {
 	for path, want := range map[string]bool{
 		JobPath("a/j"):   true,
@@ -85,7 +84,7 @@
 		CatalogPath:      false,
 	} {
 		if IsJobPath(path) != want {
-			t.Errorf("%s is a job's path: %v", path, !want)
+			t.Errorf("IsJobPath(%s) = %v", path, !want)
 		}
 	}
 }
--- a/internal/api/job/read_test.go
+++ b/internal/api/job/read_test.go
@@ -7,7 +7,7 @@
 	"orchidward/internal/api/jsondoc"
 )
 
-// TestReadRejects: each fault is found, with the status and the path that it must have.
+// TestReadRejects checks that Read detects each error and reports the right status and path.
 func TestReadRejects(t *testing.T) {
 	for name, c := range map[string]struct {
 		text   string
@@ -39,34 +39,35 @@
 		var faults jsondoc.FieldErrors
 		Read([]byte(c.text), &faults)
 		if !faults.Any() || faults.Status() != c.status {
-			t.Errorf("%s: want %d, have %v", name, c.status, faults.List)
+			t.Errorf("%s: want status %d, got %v", name, c.status, faults.List)
 			continue
 		}
 		if found := faults.List[0].Path; c.path != "" && found != c.path {
-			t.Errorf("%s: want the fault at %s, have %v", name, c.path, faults.List)
+			t.Errorf("%s: want an error at %s, got %v", name, c.path, faults.List)
 		}
 	}
 }
 
-// TestChecksumOfEqualJobs: the same job written in another way has the same checksum.
+// TestChecksumOfEqualJobs checks that the same job written differently has the same checksum,
+// and a different job another one.
 func TestChecksumOfEqualJobs(t *testing.T) {
 	var faults jsondoc.FieldErrors
 	a := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p","q"]}]}`), &faults)
 	b := Read([]byte(` {"steps":[{"labels":["q","p"],"tasks":1,"cores":1,"name":"x"}],"urgency":0,"pending":"a"}`), &faults)
 	c := Read([]byte(`{"pending":"a","steps":[{"name":"x","labels":["p"]}]}`), &faults)
 	if faults.Any() || a.Checksum() != b.Checksum() || a.Checksum() == c.Checksum() {
-		t.Errorf("checksums %s %s %s, faults %v", a.Checksum(), b.Checksum(), c.Checksum(), faults.List)
+		t.Errorf("checksums %s %s %s, errors %v", a.Checksum(), b.Checksum(), c.Checksum(), faults.List)
 	}
 }
 
-// FuzzRead: a text that is read without faults gives a job within the bounds.
+// FuzzRead checks that a text that is read without errors yields a job within the bounds.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(`{"pending":"a","steps":[{"name":"x","after":["y"]},{"name":"y"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		var faults jsondoc.FieldErrors
 		if s := Read(text, &faults); s != nil && !faults.Any() {
 			if len(s.Steps) == 0 || s.TaskCount() < 1 || s.TaskCount() > MaxTasks {
-				t.Errorf("passed %+v", s)
+				t.Errorf("accepted %+v", s)
 			}
 		}
 	})
--- a/internal/api/limits/table_test.go
+++ b/internal/api/limits/table_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestConflicts: a change conflicts only with a later change of a cell that it names, and a
-// change of the whole table with any later change.
+// TestConflicts checks that a change conflicts only with later changes of cells that it names,
+// and a change of the whole table with any later change.
 func TestConflicts(t *testing.T) {
 	table := Default()
 	apply(t, table, patch(t, `{"base":1,"cells":{"stock.weight":3,"push.weight":1}}`))
@@ -41,7 +41,7 @@
 		`{"base":1,"cells":{"push.labels":"a","new.weight":2}}`: {"push", "push.labels"},
 	} {
 		if have := table.Conflicts(patch(t, text)); !reflect.DeepEqual(have, want) {
-			t.Errorf("%s conflicts with %v, want %v", text, have, want)
+			t.Errorf("%s: conflicts %v, want %v", text, have, want)
 		}
 	}
 
@@ -52,7 +52,7 @@
 	}
 	current := ReadWhole([]byte(`{"base":3,"rows":{"a":{"weight":2}}}`), &faults)
 	if faults.Any() || len(table.Conflicts(current)) != 0 {
-		t.Errorf("a whole table based on the epoch in force must not conflict: %v", faults.List)
+		t.Errorf("a whole table based on the current epoch must not conflict: %v", faults.List)
 	}
 	apply(t, table, current)
 	if names := table.RowNames(); !reflect.DeepEqual(names, []identifier.Row{"a"}) || table.Int("a", "weight") != 2 || table.Epoch != 4 {
@@ -60,7 +60,7 @@
 	}
 }
 
-// TestReadPatchRejects: each fault is found, with the status that it must have.
+// TestReadPatchRejects checks that ReadPatch detects each error and reports the right status.
 func TestReadPatchRejects(t *testing.T) {
 	for text, status := range map[string]int{
 		`{"cells":{"a.weight":1}}`:                          422,
@@ -82,12 +82,13 @@
 		var faults jsondoc.FieldErrors
 		ReadPatch([]byte(text), &faults)
 		if !faults.Any() || faults.Status() != status {
-			t.Errorf("%s: want %d, have %v", text, status, faults.List)
+			t.Errorf("%s: want status %d, got %v", text, status, faults.List)
 		}
 	}
 }
 
-// FuzzReadPatch: a change that is read without faults leaves a table of valid cells.
+// FuzzReadPatch checks that applying a change that is read without errors yields a table of
+// valid cells.
 func FuzzReadPatch(f *testing.F) {
 	f.Add([]byte(`{"base":1,"cells":{"a.weight":2,"site.evacMs":4000},"drop":["b"]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -97,13 +98,13 @@
 			return
 		}
 		table := Default()
-		// A change that is rejected must leave a valid table, too.
+		// A rejected change must leave a valid table, too.
 		_ = table.Apply(change)
 		for _, row := range table.RowNames() {
 			for _, column := range Columns {
 				cell := table.Cell(row, column.Name)
 				if _, err := column.Normalize(cell); err != nil {
-					t.Errorf("%s.%s = %q passed: %s", row, column.Name, cell, err)
+					t.Errorf("%s.%s = %q is not valid: %s", row, column.Name, cell, err)
 				}
 			}
 		}
--- a/internal/api/runnerapi/read_test.go
+++ b/internal/api/runnerapi/read_test.go
@@ -14,13 +14,13 @@
 	"orchidward/internal/clock"
 )
 
-// TestFieldPositions: the positions of fields that the scanner has as constants are right.
+// TestFieldPositions checks the scanner's constants for the positions of fields.
 func TestFieldPositions(t *testing.T) {
 	if pollFields[pollRackField] != "rack" || pollFields[pollAgentField] != "agent" {
-		t.Error("a field of polls has another position")
+		t.Error("a poll field is not at its constant's position")
 	}
 	if endFields[endOutcomeField] != "how" || runEndFields[runEndOutcomeField] != "how" {
-		t.Error("a field of ends has another position")
+		t.Error("the outcome field of an end is not at its constant's position")
 	}
 	required := []string{"incarnation", "seq", "cores", "memMb", "domain"}
 	for i, name := range pollFields {
@@ -30,7 +30,7 @@
 	}
 }
 
-// texts are strings that are hard to read.
+// texts holds strings with escapes, multi-byte characters and other difficult content.
 var texts = []string{"", "x", "a b", "q\"uo\\te", "ünï", "\u2028<&>", "a\x01b", strings.Repeat("s", 40)}
 
 func pick[T any](rnd *rand.Rand, list []T) T { return list[rnd.Intn(len(list))] }
@@ -43,7 +43,7 @@
 	}
 }
 
-// randomPoll is a valid poll, most of whose fields are left out at random.
+// randomPoll returns a valid poll in which optional fields are omitted at random.
 func randomPoll(rnd *rand.Rand) PollRequest {
 	p := PollRequest{
 		Incarnation: "i-1",
@@ -100,7 +100,7 @@
 	}
 }
 
-// fragments are what mutants are made of.
+// fragments holds the texts that mutate inserts.
 var fragments = []string{
 	"{", "}", "[", "]", ",", ":", `"`, `\`, "\\u0041", "\\ud800", " ", "\n", "\t", "\x00", "\xff", "é",
 	"0", "00", "-", "-0", "1", ".5", "e3",
@@ -111,8 +111,8 @@
 	"[]", "{}",
 }
 
-// mutate puts fragments in, takes parts out or replaces values, once or twice. The result
-// may still be valid.
+// mutate inserts fragments, removes parts or replaces values, once or twice. The result may
+// still be valid.
 func mutate(rnd *rand.Rand, text string) string {
 	for range 1 + rnd.Intn(2) {
 		if text == "" {
@@ -160,7 +160,7 @@
 	return text[:start] + field + text[start:]
 }
 
-// removeField removes the next field after the position, up to the one that follows.
+// removeField removes the next field after the position, up to the following field.
 func removeField(text string, at int) string {
 	comma := strings.Index(text[at:], `,"`)
 	if comma < 0 {
@@ -174,7 +174,7 @@
 	return text[:start] + text[start+2+following:]
 }
 
-// readBoth reads a text with both readers and fails the test where they disagree.
+// readBoth reads a text with both readers and fails the test if they disagree.
 func readBoth(t *testing.T, text string) (scanned *PollRequest, faults jsondoc.FieldErrors) {
 	t.Helper()
 	checked := readChecked([]byte(text), &faults)
@@ -183,7 +183,7 @@
 		return nil, faults
 	}
 	if faults.Any() {
-		t.Fatalf("scanned with faults: %s\n%v", text, faults.List)
+		t.Fatalf("the scanner accepted an invalid poll: %s\n%v", text, faults.List)
 	}
 	if !reflect.DeepEqual(scanned, checked) {
 		t.Fatalf("%s\nscanned %+v\nchecked %+v", text, scanned, checked)
@@ -195,9 +195,9 @@
 	return scanned, faults
 }
 
-// TestReadersAgree compares the two readers on valid polls and on mutants: what the scanner
-// takes, the other reader takes and reads alike; what has a fault, the scanner does not
-// take; and it does take what agents and runners send.
+// TestReadersAgree compares the two readers on valid polls and on mutated ones. Every poll
+// that the scanner accepts must be accepted by the other reader with the same result, the
+// scanner must not accept a poll with errors, and it must accept what agents and runners send.
 func TestReadersAgree(t *testing.T) {
 	rnd := rand.New(rand.NewSource(1))
 	valid, taken := 0, 0
@@ -207,7 +207,7 @@
 			t.Fatal(err)
 		}
 		if scanned, faults := readBoth(t, string(text)); scanned == nil {
-			t.Fatalf("not scanned: %s\n%v", text, faults.List)
+			t.Fatalf("the scanner rejected a valid poll: %s\n%v", text, faults.List)
 		}
 		valid++
 		taken++
@@ -225,7 +225,8 @@
 	}
 }
 
-// TestReadersAgreeAtBounds: both readers accept a value at its bound and reject one past it.
+// TestReadersAgreeAtBounds checks that both readers accept a value at its bound and reject one
+// past it.
 func TestReadersAgreeAtBounds(t *testing.T) {
 	list := func(count int, element string) string {
 		return "[" + strings.TrimSuffix(strings.Repeat(element+",", count), ",") + "]"
