--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -26,8 +26,8 @@
 	unreported bool
 }
 
-// controlPlaneContact records when the control plane last received a poll from this agent,
-// and the length of the lease that it granted.
+// controlPlaneContact records the last confirmed contact with the control plane and the
+// duration of the lease that it granted.
 type controlPlaneContact struct {
 	// pollSentAt is when the agent sent the last poll that was answered.
 	pollSentAt  clock.Monotonic
@@ -63,7 +63,7 @@
 		},
 		polls: newPollState(config),
 	}
-	a.forgetRuns()
+	a.resetAttempts()
 	return a
 }
 
@@ -95,7 +95,7 @@
 	if a.runner.presumedDead(a.now) && !a.runner.deathReported {
 		a.runner.deathReported = true
 		a.unreported = true
-		a.logEvent("runner-dead", "runner", a.runner.heartbeat.Runner, "silentMs", a.now.Since(a.runner.heardAt))
+		a.logEvent("runner-dead", "runner", a.runner.heartbeat.Runner, "silentMs", a.now.Since(a.runner.receivedAt))
 	}
 	if a.polls.open != nil && a.now.Since(a.polls.open.sentAt) > a.pollTimeout() {
 		a.polls.open = nil
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -19,10 +19,10 @@
 
 // runnerState is what the agent knows about its runner.
 type runnerState struct {
-	// heartbeat is the last heartbeat, nil before the first of an incarnation, and heardAt
-	// is when it arrived.
-	heartbeat *Heartbeat
-	heardAt   clock.Monotonic
+	// heartbeat is the last heartbeat, nil before the first of an incarnation, and
+	// receivedAt is when it arrived.
+	heartbeat  *Heartbeat
+	receivedAt clock.Monotonic
 	// leaseEnd is when the last lease granted to the runner, by this or an earlier agent
 	// process, has expired even on the slowest permitted clock.
 	leaseEnd clock.Monotonic
@@ -44,7 +44,7 @@
 	if r.heartbeat == nil {
 		return false
 	}
-	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
+	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.receivedAt) > deadSilence
 }
 
 // left reports whether the runner has left in an orderly way.
@@ -65,7 +65,7 @@
 // unannounced is expected to keep running for notice after its leave notification.
 func (r *runnerState) departsIn(now clock.Monotonic, notice clock.Millis) clock.Millis {
 	if r.heartbeat.Draining {
-		return max(0, r.heartbeat.DepartsIn-now.Since(r.heardAt))
+		return max(0, r.heartbeat.DepartsIn-now.Since(r.receivedAt))
 	}
 	return max(0, notice-now.Since(r.unannouncedAt))
 }
@@ -91,7 +91,7 @@
 	a.compareWithOrders(&heartbeat)
 	a.recordProgress(&heartbeat)
 	a.runner.heartbeat = &heartbeat
-	a.runner.heardAt = a.now
+	a.runner.receivedAt = a.now
 	a.runner.leftAt = 0
 	a.runner.deathReported = false
 	orders.FencingToken = a.token.value
@@ -145,14 +145,14 @@
 		a.runner.superseded[previous] = true
 		a.logEvent("runner-restarted", "was", previous, "is", incarnation)
 	}
-	a.forgetRuns()
+	a.resetAttempts()
 	a.runner.heartbeat = nil
 	a.runner.unannouncedAt = 0
 	a.unreported = true
 }
 
-// forgetRuns discards the orders and the progress of all attempts of an incarnation.
-func (a *Agent) forgetRuns() {
+// resetAttempts discards the orders and the progress of all attempts of an incarnation.
+func (a *Agent) resetAttempts() {
 	a.orders = newPendingOrders()
 	a.progress = map[attempt]runProgress{}
 }
--- a/internal/agent/polls.go
+++ b/internal/agent/polls.go
@@ -61,7 +61,7 @@
 // pollRequest builds the agent's report on its runner.
 func (a *Agent) pollRequest() runnerapi.PollRequest {
 	heartbeat := a.runner.heartbeat
-	silentFor := a.now.Since(a.runner.heardAt)
+	silentFor := a.now.Since(a.runner.receivedAt)
 	request := runnerapi.PollRequest{
 		Agent:        true,
 		Incarnation:  heartbeat.Runner,
@@ -146,8 +146,8 @@
 }
 
 // handleReplacedPoll processes the response to a poll that was replaced or timed out. Its
-// orders are ignored, since the control plane repeats them, but it proves that the control
-// plane received the poll after it was sent, and so renews the lease.
+// orders are ignored, since the control plane repeats them, but the response proves that the
+// control plane has received that poll, and so renews the lease from when it was sent.
 func (a *Agent) handleReplacedPoll(r *wire.Response) {
 	sentAt, ok := a.polls.sentAt[r.ID]
 	if !ok {
--- a/internal/agent/progress.go
+++ b/internal/agent/progress.go
@@ -6,15 +6,15 @@
 	// stallReportAfter is the minimum time without progress after which an attempt is
 	// reported to the control plane as stalled.
 	stallReportAfter clock.Millis = 400
-	// The progress rate of an attempt is measured over at least minRateSpan. A measurement
-	// is complete once the attempt has progressed by minRatePercent, or after maxRateSpan.
-	minRateSpan    clock.Millis = 300
-	maxRateSpan    clock.Millis = 800
+	// The progress rate of an attempt is measured over at least minRateWindow. A measurement
+	// is complete once the attempt has progressed by minRatePercent, or after maxRateWindow.
+	minRateWindow  clock.Millis = 300
+	maxRateWindow  clock.Millis = 800
 	minRatePercent              = 4
 	// rateScale converts percent per millisecond to thousandths of the task per second.
 	rateScale = 10_000
-	// finalPercent is the progress from which on it is no longer a meaningful basis for
-	// measuring the rate.
+	// finalPercent is the progress from which on the rate is no longer measured, since
+	// progress that close to the end has no information.
 	finalPercent = 99
 )
 
@@ -37,15 +37,15 @@
 // measureRate updates the rate once the measurement is complete, and reports whether the
 // rate has dropped to less than half.
 func (p *runProgress) measureRate(percent int64, now clock.Monotonic) bool {
-	span := now.Since(p.rateSince)
-	if percent >= finalPercent || span < minRateSpan {
+	elapsed := now.Since(p.rateSince)
+	if percent >= finalPercent || elapsed < minRateWindow {
 		return false
 	}
-	if percent-p.ratePercent < minRatePercent && span < maxRateSpan {
+	if percent-p.ratePercent < minRatePercent && elapsed < maxRateWindow {
 		return false
 	}
 	previous := p.rate
-	p.rate = max(1, (percent-p.ratePercent)*rateScale/int64(span))
+	p.rate = max(1, (percent-p.ratePercent)*rateScale/int64(elapsed))
 	p.ratePercent = percent
 	p.rateSince = now
 	return previous > 0 && p.rate*2 < previous
--- a/internal/api/catalog/merge.go
+++ b/internal/api/catalog/merge.go
@@ -36,7 +36,7 @@
 	if next.KeySalt == nil && next.Authenticated {
 		next.KeySalt = newKeySalt(change)
 	}
-	next.remember(c, change)
+	next.recordChange(c, change)
 	return next, nil
 }
 
@@ -51,8 +51,8 @@
 	return c.Source
 }
 
-// remember copies the previous catalogue's records of changes and adds the change.
-func (c *Catalog) remember(previous *Catalog, change *Change) {
+// recordChange copies the previous catalogue's records of changes and adds the change.
+func (c *Catalog) recordChange(previous *Catalog, change *Change) {
 	if previous.Dedup != nil {
 		c.Dedup = previous.Dedup.with(change)
 		return
--- a/internal/api/catalog/tenant.go
+++ b/internal/api/catalog/tenant.go
@@ -30,8 +30,8 @@
 	GPUs int64 `json:"gpus,omitempty"`
 }
 
-// overrunDivisor is the divisor for the part of the quota up to whose use a tenant may exceed
-// its quota by one task.
+// overrunDivisor determines when a tenant may exceed its quota by one task: while it uses at
+// most 1/overrunDivisor of the quota.
 const overrunDivisor = 2
 
 // Admits reports whether a tenant whose running tasks use used may start the given number of
--- a/internal/api/job/read.go
+++ b/internal/api/job/read.go
@@ -25,8 +25,8 @@
 	maxDefects = 100
 	// maxAmount bounds each amount of resources.
 	maxAmount = 1 << 30
-	// maxSpan bounds durations, in milliseconds.
-	maxSpan = int64(30 * 24 * time.Hour / time.Millisecond)
+	// maxDuration bounds durations, in milliseconds.
+	maxDuration = int64(30 * 24 * time.Hour / time.Millisecond)
 	// maxFirstStart bounds the time of the first occurrence of a repeated job, in
 	// milliseconds.
 	maxFirstStart = 1 << 45
@@ -65,7 +65,7 @@
 	if o.Has("notBefore") && o.Has("delayMs") {
 		o.Errors().Invalid("delayMs", "give notBefore or delayMs, not both")
 	}
-	s.Delay = clock.Millis(o.Int("delayMs", 0, 0, maxSpan))
+	s.Delay = clock.Millis(o.Int("delayMs", 0, 0, maxDuration))
 	text := o.Text("notBefore", "")
 	if text == "" {
 		return
@@ -100,7 +100,7 @@
 	r := &Repeat{}
 	r.Count = o.Int("times", 1, 1, MaxRepeats)
 	r.First = clock.ClusterTime(o.Int("firstMs", 0, 0, maxFirstStart))
-	r.Every = clock.Millis(o.Int("everyMs", 0, 0, maxSpan))
+	r.Every = clock.Millis(o.Int("everyMs", 0, 0, maxDuration))
 	o.Done()
 	if r.Count > 1 && r.Every == 0 {
 		o.Errors().Invalid("repeat.everyMs", "want a span between two times")
@@ -138,7 +138,7 @@
 		s.Labels = append(s.Labels, identifier.Label(label))
 	}
 	s.MaxDefects = o.Int("allowedDefects", 1, 1, maxDefects)
-	s.ExpectedRun = clock.Millis(o.Int("spanMs", defaultExpectedRun, 1, maxSpan))
+	s.ExpectedRun = clock.Millis(o.Int("spanMs", defaultExpectedRun, 1, maxDuration))
 	o.Done()
 	return s
 }
--- a/internal/api/limits/table.go
+++ b/internal/api/limits/table.go
@@ -139,7 +139,7 @@
 	for row, cells := range c.Rows {
 		t.applyRow(row, cells, c.Whole)
 	}
-	t.forgetDropped()
+	t.pruneDropped()
 	return nil
 }
 
@@ -188,9 +188,9 @@
 // cellName returns the name of a cell in changes and in ChangedAt. Row names have no dots.
 func cellName(row identifier.Row, column string) string { return string(row) + "." + column }
 
-// forgetDropped discards the history of dropped rows once it exceeds maxDroppedCells, and
+// pruneDropped discards the history of dropped rows once it exceeds maxDroppedCells, and
 // raises OldestBase so that no change can be based on an epoch whose history is incomplete.
-func (t *Table) forgetDropped() {
+func (t *Table) pruneDropped() {
 	if len(t.ChangedAt) <= maxDroppedCells+len(t.Rows)*(len(Columns)+1) {
 		return
 	}
--- a/internal/api/runnerapi/read_test.go
+++ b/internal/api/runnerapi/read_test.go
@@ -124,49 +124,49 @@
 }
 
 func mutateOnce(rnd *rand.Rand, text string) string {
-	at := rnd.Intn(len(text) + 1)
+	pos := rnd.Intn(len(text) + 1)
 	fragment := pick(rnd, fragments)
 	switch rnd.Intn(5) {
 	case 0:
-		return text[:at] + fragment + text[at:]
+		return text[:pos] + fragment + text[pos:]
 	case 1:
-		return text[:at] + text[min(len(text), at+1+rnd.Intn(4)):]
+		return text[:pos] + text[min(len(text), pos+1+rnd.Intn(4)):]
 	case 2:
-		return replaceValue(text, at, fragment)
+		return replaceValue(text, pos, fragment)
 	case 3:
-		return insertField(text, at, fragment)
+		return insertField(text, pos, fragment)
 	}
-	return removeField(text, at)
+	return removeField(text, pos)
 }
 
 // replaceValue replaces the next value after the position.
-func replaceValue(text string, at int, value string) string {
-	colon := strings.IndexByte(text[at:], ':')
+func replaceValue(text string, pos int, value string) string {
+	colon := strings.IndexByte(text[pos:], ':')
 	if colon < 0 {
 		return text
 	}
-	start := at + colon + 1
+	start := pos + colon + 1
 	end := start + max(0, strings.IndexAny(text[start:], ",}]"))
 	return text[:start] + value + text[end:]
 }
 
 // insertField inserts a field at the beginning of the next object after the position.
-func insertField(text string, at int, field string) string {
-	brace := strings.IndexByte(text[at:], '{')
+func insertField(text string, pos int, field string) string {
+	brace := strings.IndexByte(text[pos:], '{')
 	if brace < 0 {
 		return text
 	}
-	start := at + brace + 1
+	start := pos + brace + 1
 	return text[:start] + field + text[start:]
 }
 
 // removeField removes the next field after the position, up to the following field.
-func removeField(text string, at int) string {
-	comma := strings.Index(text[at:], `,"`)
+func removeField(text string, pos int) string {
+	comma := strings.Index(text[pos:], `,"`)
 	if comma < 0 {
 		return text
 	}
-	start := at + comma
+	start := pos + comma
 	following := strings.Index(text[start+2:], `,"`)
 	if following < 0 {
 		return text
--- a/internal/runner/attempts.go
+++ b/internal/runner/attempts.go
@@ -46,9 +46,9 @@
 // usedLeaseTTL.
 const usedSweepInterval clock.Millis = 1000
 
-// forgetUsed removes used leases that are older than usedLeaseTTL, unless their attempt is
+// sweepUsed removes used leases that are older than usedLeaseTTL, unless their attempt is
 // running or has an unacknowledged end.
-func (t *attemptTable) forgetUsed(now clock.Monotonic) {
+func (t *attemptTable) sweepUsed(now clock.Monotonic) {
 	if now.Since(t.sweptAt) < usedSweepInterval {
 		return
 	}
@@ -102,13 +102,13 @@
 	if !order.Demand.Fits(free) {
 		return
 	}
-	span := order.ExpectedRun
+	duration := order.ExpectedRun
 	if r.config.SlowdownPercent > 0 {
-		span += span * clock.Millis(r.config.SlowdownPercent) / 100
+		duration += duration * clock.Millis(r.config.SlowdownPercent) / 100
 	}
 	attempts.running[order.Lease] = &attempt{
 		Start:          order,
-		end:            r.now.Add(span),
+		end:            r.now.Add(duration),
 		gangCompleteAt: sentAt,
 		defect:         r.random.Int63n(100) < r.config.DefectPercent,
 	}
--- a/internal/runner/polls.go
+++ b/internal/runner/polls.go
@@ -103,7 +103,7 @@
 // HandlePollResponse processes the response to a poll. A status of 0 means that there was no
 // response.
 func (r *Runner) HandlePollResponse(seq uint64, status int, body []byte, now clock.Monotonic) {
-	r.observe(now)
+	r.advance(now)
 	sentAt, ok := r.polls.open[seq]
 	if !ok {
 		r.pollIfDue()
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -104,12 +104,12 @@
 
 // Isolate simulates a network isolation: for the given time the runner neither sends polls nor
 // processes responses, while its tasks keep running.
-func (r *Runner) Isolate(span clock.Millis) { r.isolatedUntil = r.now.Add(span) }
+func (r *Runner) Isolate(duration clock.Millis) { r.isolatedUntil = r.now.Add(duration) }
 
 // SetMode makes the runner report the given mode and, if it is draining, the time until it
 // leaves.
 func (r *Runner) SetMode(mode string, departsIn clock.Millis, now clock.Monotonic) {
-	r.observe(now)
+	r.advance(now)
 	r.mode = mode
 	r.departsAt = r.now.Add(departsIn)
 	r.unreported = true
@@ -125,13 +125,13 @@
 // Tick advances the time: it stops tasks whose lease has expired, ends those that have
 // finished, and polls when due. The owner should call it every TickInterval.
 func (r *Runner) Tick(now clock.Monotonic) {
-	r.observe(now)
+	r.advance(now)
 	r.pollIfDue()
 }
 
-// observe advances the time to that of an input, and ends the attempts that have outlived
+// advance advances the time to that of an input, and ends the attempts that have outlived
 // their lease or have finished. An expired lease takes precedence.
-func (r *Runner) observe(now clock.Monotonic) {
+func (r *Runner) advance(now clock.Monotonic) {
 	r.now = max(r.now, now)
 	lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease
 	for _, id := range r.attempts.runningIDs() {
@@ -145,7 +145,7 @@
 			r.end(id, runnerapi.OutcomeSuccess)
 		}
 	}
-	r.attempts.forgetUsed(r.now)
+	r.attempts.sweepUsed(r.now)
 }
 
 // retire ends all attempts, because a newer incarnation has taken over this runner's name.
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -70,7 +70,7 @@
 		name:        "a silent runner is taken for dead",
 		file:        "internal/agent/heartbeats.go",
 		original:    "now > r.leaseEnd.Add(deadSlack)",
-		replacement: "now > r.heardAt.Add(deadSlack)",
+		replacement: "now > r.receivedAt.Add(deadSlack)",
 		tests:       test("./internal/controlplane", "TestDeadRunnerWorkRestarted"),
 		want:        "TWICE",
 	},
