--- a/internal/agent/fencing_token.go
+++ b/internal/agent/fencing_token.go
@@ -18,9 +18,9 @@
 	requestedAt clock.Monotonic
 }
 
-// requestFencingToken requests the fencing token from the control plane until the first
-// heartbeat arrives: a runner that accepted orders from an earlier agent process rejects
-// orders with a lower token.
+// requestFencingToken requests the fencing token from the control plane until it is known or
+// the first heartbeat arrives, after which polls return it: a runner that accepted orders from
+// an earlier agent process rejects orders with a lower token.
 func (a *Agent) requestFencingToken() {
 	t := &a.token
 	if a.runner.heartbeat != nil || t.value > 0 || len(a.polls.servers) == 0 {
--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -13,7 +13,7 @@
 	// leaveDelay is how long after its leave notification a runner that announced its
 	// departure is considered to have left, unless it sends another heartbeat.
 	leaveDelay clock.Millis = 300
-	// maxSuperseded bounds the incarnations that are remembered.
+	// maxSuperseded bounds the superseded incarnations that are kept.
 	maxSuperseded = 16
 )
 
