--- a/internal/agent/heartbeats.go
+++ b/internal/agent/heartbeats.go
@@ -6,80 +6,82 @@
 )
 
 const (
-	// A runner is presumed dead once it has been silent for deadSilence and its lease has
-	// been over for deadSlack.
+	// A runner is presumed dead once it has been silent for deadSilence and its lease
+	// expired more than deadSlack ago.
 	deadSilence clock.Millis = 1000
 	deadSlack   clock.Millis = 100
-	// farewellDelay is how long after its farewell a runner counts as gone that had
-	// announced its departure, unless it is heard again.
-	farewellDelay clock.Millis = 300
-	// maxPastIncarnations bounds the incarnations that are remembered.
-	maxPastIncarnations = 16
+	// leaveDelay is how long after its leave notification a runner that announced its
+	// departure is considered to have left, unless it sends another heartbeat.
+	leaveDelay clock.Millis = 300
+	// maxSuperseded bounds the superseded incarnations that are kept.
+	maxSuperseded = 16
 )
 
-// runnerState is what the agent knows of its runner.
+// runnerState is what the agent knows about its runner.
 type runnerState struct {
-	// heartbeat is the last one, nil before the first of an incarnation, and heardAt when
-	// it came.
-	heartbeat *Heartbeat
-	heardAt   clock.Monotonic
-	// leaseEnd is when the last lease given to the runner, by this process or one before
-	// it, has run out on the slowest clock.
+	// heartbeat is the last heartbeat, nil before the first of an incarnation, and
+	// receivedAt is when it arrived.
+	heartbeat  *Heartbeat
+	receivedAt clock.Monotonic
+	// leaseEnd is when the last lease granted to the runner, by this or an earlier agent
+	// process, has expired even on the slowest permitted clock.
 	leaseEnd clock.Monotonic
-	// deathReported says that the control plane is told that the runner is dead.
+	// deathReported is set once the runner's death has been queued for reporting to the
+	// control plane.
 	deathReported bool
-	// leftAt is when the runner said farewell at the end of an announced departure, 0
-	// when it has not. unannouncedAt is when it did so without having announced it, 0
-	// when it has not: it goes on for a while, and what it runs does too.
+	// leftAt is when the runner sent its leave notification after announcing its departure,
+	// unannouncedAt when it sent one without announcing it; 0 means never. A runner that
+	// leaves unannounced keeps running for a while, and so do its attempts.
 	leftAt        clock.Monotonic
 	unannouncedAt clock.Monotonic
-	// past are the incarnations that another has replaced.
-	past map[identifier.Incarnation]bool
+	// superseded holds the incarnations that a newer one has replaced.
+	superseded map[identifier.Incarnation]bool
 }
 
-// presumedDead reports whether the runner is silent and whatever it ran is over.
+// presumedDead reports whether the runner is silent and every lease it was granted has
+// expired, so that none of its attempts can still be running.
 func (r *runnerState) presumedDead(now clock.Monotonic) bool {
 	if r.heartbeat == nil {
 		return false
 	}
-	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.heardAt) > deadSilence
+	return now > r.leaseEnd.Add(deadSlack) && now.Since(r.receivedAt) > deadSilence
 }
 
-// left reports whether the runner has ended in order.
+// left reports whether the runner has left in an orderly way.
 func (r *runnerState) left(now clock.Monotonic) bool {
-	return r.leftAt > 0 && now.Since(r.leftAt) > farewellDelay
+	return r.leftAt > 0 && now.Since(r.leftAt) > leaveDelay
 }
 
-// draining reports whether the runner is about to leave: by its last heartbeat, or since it
-// has said farewell.
-func (r *runnerState) draining() bool { return r.leavesBy(r.heartbeat) }
+// draining reports whether the runner is about to leave, according to its last heartbeat or
+// a leave notification.
+func (r *runnerState) draining() bool { return r.drainingAsOf(r.heartbeat) }
 
-// leavesBy reports the same by a given heartbeat.
-func (r *runnerState) leavesBy(heartbeat *Heartbeat) bool {
+// drainingAsOf is like draining, but uses the given heartbeat in place of the last one.
+func (r *runnerState) drainingAsOf(heartbeat *Heartbeat) bool {
 	return heartbeat.Draining || r.unannouncedAt > 0
 }
 
-// departsIn is the least time that a draining runner has left. One that said farewell
-// without notice is expected to go on for notice.
+// departsIn returns the minimum time until a draining runner leaves. A runner that left
+// unannounced is expected to keep running for notice after its leave notification.
 func (r *runnerState) departsIn(now clock.Monotonic, notice clock.Millis) clock.Millis {
 	if r.heartbeat.Draining {
-		return max(0, r.heartbeat.DepartsIn-now.Since(r.heardAt))
+		return max(0, r.heartbeat.DepartsIn-now.Since(r.receivedAt))
 	}
 	return max(0, notice-now.Since(r.unannouncedAt))
 }
 
-// isIncarnation reports whether the last heartbeat came from this incarnation.
+// isIncarnation reports whether the last heartbeat came from the given incarnation.
 func (r *runnerState) isIncarnation(incarnation identifier.Incarnation) bool {
 	return r.heartbeat != nil && r.heartbeat.Runner == incarnation
 }
 
-// HandleHeartbeat takes a heartbeat of the runner and answers it at once. One that comes
-// late, or from an incarnation that another has replaced, is answered without a lease.
+// HandleHeartbeat processes a heartbeat of the runner and returns the response to send
+// immediately. A late heartbeat, or one from a superseded incarnation, gets no lease.
 func (a *Agent) HandleHeartbeat(heartbeat Heartbeat, now clock.Monotonic) Orders {
 	a.now = max(a.now, now)
 	orders := Orders{NextHeartbeat: a.config.HeartbeatInterval}
 	switch {
-	case a.runner.past[heartbeat.Runner]:
+	case a.runner.superseded[heartbeat.Runner]:
 		return orders
 	case !a.runner.isIncarnation(heartbeat.Runner):
 		a.beginIncarnation(heartbeat.Runner)
@@ -89,7 +91,7 @@
 	a.compareWithOrders(&heartbeat)
 	a.recordProgress(&heartbeat)
 	a.runner.heartbeat = &heartbeat
-	a.runner.heardAt = a.now
+	a.runner.receivedAt = a.now
 	a.runner.leftAt = 0
 	a.runner.deathReported = false
 	orders.FencingToken = a.token.value
@@ -104,11 +106,11 @@
 	return orders
 }
 
-// RunnerLeft takes the runner's farewell. One that had announced its departure ends now.
-// One that had not is draining from now on, whatever its heartbeats say: it goes on for a
-// while, with or without heartbeats, and what it runs counts as running until its end is
-// reported or its lease has run out. A farewell that is repeated, or comes from an earlier
-// incarnation, changes nothing.
+// RunnerLeft processes the runner's leave notification. A runner that announced its
+// departure beforehand is terminating now. A runner that did not is draining from now on,
+// whatever its heartbeats say: it keeps running for a while, with or without heartbeats, and
+// its attempts count as running until their end is reported or their lease expires. A
+// repeated notification, or one from an earlier incarnation, has no effect.
 func (a *Agent) RunnerLeft(incarnation identifier.Incarnation, now clock.Monotonic) {
 	a.now = max(a.now, now)
 	switch {
@@ -118,13 +120,13 @@
 	case a.runner.unannouncedAt == 0:
 		a.runner.unannouncedAt = a.now
 		a.unreported = true
-		a.orders.dropStarts()
+		a.orders.dropUnsentStarts()
 		a.logEvent("runner-leaves-unannounced", "runner", incarnation)
 		a.pollIfDue()
 	}
 }
 
-// usualLease is the longest lease to give the runner now.
+// usualLease returns the longest lease that may be granted to the runner now.
 func (a *Agent) usualLease() clock.Millis {
 	if a.config.UsualLease == 0 || a.stopping {
 		return a.config.MaxLease
@@ -132,37 +134,37 @@
 	return min(a.config.UsualLease, a.config.MaxLease)
 }
 
-// beginIncarnation notes that another incarnation of the runner reports: whatever the
-// earlier one ran is dead.
+// beginIncarnation records that a new incarnation of the runner reports. The attempts of the
+// previous incarnation are dead.
 func (a *Agent) beginIncarnation(incarnation identifier.Incarnation) {
 	if a.runner.heartbeat != nil {
 		previous := a.runner.heartbeat.Runner
-		if len(a.runner.past) >= maxPastIncarnations {
-			clear(a.runner.past)
+		if len(a.runner.superseded) >= maxSuperseded {
+			clear(a.runner.superseded)
 		}
-		a.runner.past[previous] = true
+		a.runner.superseded[previous] = true
 		a.logEvent("runner-restarted", "was", previous, "is", incarnation)
 	}
-	a.forgetRuns()
+	a.resetAttempts()
 	a.runner.heartbeat = nil
 	a.runner.unannouncedAt = 0
 	a.unreported = true
 }
 
-// forgetRuns drops everything that concerns the attempts of one incarnation.
-func (a *Agent) forgetRuns() {
+// resetAttempts discards the orders and the progress of all attempts of an incarnation.
+func (a *Agent) resetAttempts() {
 	a.orders = newPendingOrders()
 	a.progress = map[attempt]runProgress{}
 }
 
-// compareWithOrders compares a heartbeat with the one before it, and with what was
-// ordered.
+// compareWithOrders compares a heartbeat with the previous one and with the pending orders,
+// and sets unreported if anything changed.
 func (a *Agent) compareWithOrders(heartbeat *Heartbeat) {
 	present := heartbeat.attempts()
 	if differs(a.runner.heartbeat, heartbeat, present) {
 		a.unreported = true
 	}
-	if a.orders.dropFetched(present, a.runner.leavesBy(heartbeat), a.now) {
+	if a.orders.pruneStarts(present, a.runner.drainingAsOf(heartbeat), a.now) {
 		a.unreported = true
 	}
 	for _, stopped := range a.orders.recordCleared(present) {
@@ -171,7 +173,7 @@
 	}
 }
 
-// attempts is the set of those that a heartbeat reports, as running or ended.
+// attempts returns the set of attempts that the heartbeat reports as running or ended.
 func (h *Heartbeat) attempts() map[attempt]bool {
 	set := map[attempt]bool{}
 	for _, active := range h.Active {
@@ -183,8 +185,8 @@
 	return set
 }
 
-// differs reports whether a heartbeat says something that the one before it did not, beyond
-// the progress of attempts.
+// differs reports whether a heartbeat has changes over the previous one other than the
+// progress of attempts.
 func differs(previous, current *Heartbeat, present map[attempt]bool) bool {
 	if previous == nil || previous.Draining != current.Draining || previous.Capacity != current.Capacity || previous.Pool != current.Pool {
 		return true
--- a/internal/api/runnerapi/scanner.go
+++ b/internal/api/runnerapi/scanner.go
@@ -8,13 +8,13 @@
 	"orchidward/internal/api/identifier"
 )
 
-// scanner reads JSON whose shape is known, in one pass. It fails at whatever is not plainly
-// valid and does not say why. Once it has failed it stays so, and what it returned means
-// nothing.
+// scanner reads JSON of a known structure in one pass. It fails on any input that is not
+// plainly valid, without giving a reason. A failure is permanent, and makes all returned values
+// meaningless.
 type scanner struct {
 	text string
-	// at is the position of the next byte.
-	at     int
+	// pos is the position of the next byte.
+	pos    int
 	failed bool
 }
 
@@ -26,19 +26,19 @@
 	}
 }
 
-// end requires that nothing but space is left.
-func (s *scanner) end() {
-	s.space()
-	s.require(s.at == len(s.text))
+// expectEnd requires that only white space is left.
+func (s *scanner) expectEnd() {
+	s.skipSpace()
+	s.require(s.pos == len(s.text))
 }
 
-// fieldSet is a set of an object's fields, by their position in the list of its fields.
+// fieldSet is a set of an object's fields, as a bit mask of their positions in the field list.
 type fieldSet uint32
 
 func (f fieldSet) has(i int) bool { return f&(1<<i) != 0 }
 
-// object reads an object that has none but these fields, each at most once, and returns
-// those that it has. value reads the value of the i-th field.
+// object reads an object with no fields other than the given ones, each at most once, and
+// returns the set of those present. It calls value to read the value of the i-th field.
 func (s *scanner) object(fields []string, value func(i int)) fieldSet {
 	s.token('{')
 	if s.next('}') {
@@ -49,7 +49,7 @@
 	for !s.failed {
 		key := s.string()
 		s.token(':')
-		// Fields mostly come in the order of the list.
+		// Fields are usually in the order of the list.
 		i := previous + 1
 		if i >= len(fields) || fields[i] != key {
 			i = slices.Index(fields, key)
@@ -69,7 +69,7 @@
 	return given
 }
 
-// list reads a list of at most limit elements, each by element.
+// list reads a list of at most limit elements, and calls element to read each one.
 func (s *scanner) list(limit int, element func()) {
 	s.token('[')
 	if s.next(']') {
@@ -88,46 +88,47 @@
 	}
 }
 
-func (s *scanner) space() {
-	for s.at < len(s.text) {
-		switch s.text[s.at] {
+func (s *scanner) skipSpace() {
+	for s.pos < len(s.text) {
+		switch s.text[s.pos] {
 		case ' ', '\t', '\r', '\n':
-			s.at++
+			s.pos++
 		default:
 			return
 		}
 	}
 }
 
-// next skips a token if it comes next.
+// next consumes a token if it is the next one, and reports whether it was.
 func (s *scanner) next(token byte) bool {
-	s.space()
-	if s.at >= len(s.text) || s.text[s.at] != token {
+	s.skipSpace()
+	if s.pos >= len(s.text) || s.text[s.pos] != token {
 		return false
 	}
-	s.at++
+	s.pos++
 	return true
 }
 
-// token skips a token that must come next.
+// token consumes a token, and fails if it is not the next one.
 func (s *scanner) token(token byte) { s.require(s.next(token)) }
 
-// string reads a string. When it has no escapes it is a part of the text, not a copy.
+// string reads a string. A string of plain ASCII without escapes is a substring of the text,
+// not a copy.
 func (s *scanner) string() string {
 	s.token('"')
-	start := s.at
+	start := s.pos
 	plain := true
-	for ; s.at < len(s.text) && !s.failed; s.at++ {
-		switch c := s.text[s.at]; {
+	for ; s.pos < len(s.text) && !s.failed; s.pos++ {
+		switch c := s.text[s.pos]; {
 		case c == '"':
-			s.at++
+			s.pos++
 			if plain {
-				return s.text[start : s.at-1]
+				return s.text[start : s.pos-1]
 			}
-			return s.unquote(s.text[start-1 : s.at])
+			return s.unquote(s.text[start-1 : s.pos])
 		case c == '\\':
 			plain = false
-			s.at++
+			s.pos++
 		case c >= 0x80:
 			plain = false
 		case c < ' ':
@@ -138,7 +139,7 @@
 	return ""
 }
 
-// unquote decodes a string with its quotes.
+// unquote decodes a quoted string.
 func (s *scanner) unquote(quoted string) string {
 	var decoded string
 	s.require(json.Unmarshal([]byte(quoted), &decoded) == nil)
@@ -166,22 +167,22 @@
 	return ""
 }
 
-// maxDigits is enough for maxID, the largest number of a poll.
+// maxDigits is enough for maxID, the largest number in a poll.
 const maxDigits = 17
 
-// int reads a whole number without sign, point or exponent.
+// int reads an integer without sign, decimal point or exponent.
 func (s *scanner) int(low, high int64) int64 {
-	s.space()
-	start := s.at
+	s.skipSpace()
+	start := s.pos
 	var value int64
-	for ; s.at < len(s.text) && s.text[s.at] >= '0' && s.text[s.at] <= '9'; s.at++ {
-		if s.at-start >= maxDigits {
+	for ; s.pos < len(s.text) && s.text[s.pos] >= '0' && s.text[s.pos] <= '9'; s.pos++ {
+		if s.pos-start >= maxDigits {
 			s.fail()
 			return 0
 		}
-		value = value*10 + int64(s.text[s.at]-'0')
+		value = value*10 + int64(s.text[s.pos]-'0')
 	}
-	digits := s.at - start
+	digits := s.pos - start
 	leadingZero := digits > 1 && s.text[start] == '0'
 	if digits == 0 || leadingZero || value < low || value > high {
 		s.fail()
@@ -191,14 +192,14 @@
 }
 
 func (s *scanner) bool() bool {
-	s.space()
-	rest := s.text[min(s.at, len(s.text)):]
+	s.skipSpace()
+	rest := s.text[min(s.pos, len(s.text)):]
 	switch {
 	case strings.HasPrefix(rest, "true"):
-		s.at += len("true")
+		s.pos += len("true")
 		return true
 	case strings.HasPrefix(rest, "false"):
-		s.at += len("false")
+		s.pos += len("false")
 		return false
 	}
 	s.fail()
