--- a/cmd/orchidctl/cluster.go
+++ b/cmd/orchidctl/cluster.go
@@ -18,7 +18,8 @@
 	ID     string `name:"id" help:"The drain's own id, so that a resend is known for one."`
 }
 
-// drainBody names the operation, so that a repeated request starts no second one.
+// drainBody carries the id of a drain, so that a repeated request does not start a second
+// drain.
 type drainBody struct {
 	ID string `json:"id"`
 }
@@ -48,7 +49,7 @@
 	Name string `arg:"" optional:"" help:"One drain's id or zone."`
 }
 
-// Run shows the drains, or one.
+// Run shows all drains, or one of them.
 func (c *drainsCommand) Run(a *api) error {
 	if c.Name != "" {
 		return callAndShow(a, http.MethodGet, endpoint.DrainPath(url.PathEscape(c.Name)), nil, printDrain)
@@ -77,7 +78,7 @@
 	}
 }
 
-// formatDemand writes the resources that a demand names.
+// formatDemand formats a demand: cores and memory always, other resources if not zero.
 func formatDemand(d job.Demand) string {
 	amounts := map[string]int64{"cores": d.Cores, "memMb": d.Mem}
 	if d.MilliCores != 0 {
@@ -115,7 +116,7 @@
 
 type serversCommand struct{}
 
-// Run shows the control-plane servers, as their leader sees them.
+// Run shows the control-plane servers as the leader sees them.
 func (c *serversCommand) Run(a *api) error {
 	return callAndShow(a, http.MethodGet, endpoint.ServersPath, nil, func(doc controlplane.ServersDoc) {
 		fmt.Printf("term %v  commit %v  snapshot %v  level %v  cluster time %v  clocks agree %v\n",
@@ -142,7 +143,7 @@
 
 type membersCommand struct{}
 
-// Run shows what one gateway knows of the cluster.
+// Run shows the servers and gateways that one gateway knows.
 func (c *membersCommand) Run(a *api) error {
 	return callAndShow(a, http.MethodGet, endpoint.MembersPath, nil, func(doc gatewayd.MembersDoc) {
 		for _, server := range doc.Servers {
--- a/cmd/orchidctl/job.go
+++ b/cmd/orchidctl/job.go
@@ -18,7 +18,7 @@
 	"orchidward/internal/state"
 )
 
-// waitInterval is how often a job's state is asked for.
+// waitInterval is the time between two reads of a job's state.
 const waitInterval = 250 * time.Millisecond
 
 type jobCommand struct {
@@ -30,7 +30,7 @@
 	List    jobList    `cmd:"" help:"List jobs."`
 }
 
-// jobPath is the path of the job that the command line names.
+// jobPath returns the API path of a job named AGENT/ID.
 func jobPath(name string) (string, error) {
 	client, id, ok := strings.Cut(name, "/")
 	if !ok || client == "" || id == "" || strings.Contains(id, "/") {
@@ -40,7 +40,7 @@
 	return endpoint.JobPath(key), nil
 }
 
-// readFile reads a file that the command line names, or standard input for "-".
+// readFile reads a file named on the command line, or standard input for "-".
 func readFile(name string) ([]byte, error) {
 	if name == "-" {
 		return io.ReadAll(os.Stdin)
@@ -90,7 +90,7 @@
 	MostMs int64  `help:"Give up after so long." default:"600000"`
 }
 
-// Run waits until a job has ended and shows it.
+// Run waits until a job has ended or the timeout has passed, and shows the job.
 func (c *jobWait) Run(a *api) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
@@ -150,7 +150,7 @@
 	fmt.Println()
 }
 
-// printField prints a field that is not empty.
+// printField prints a field unless it is empty.
 func printField(name, value string) {
 	if value != "" {
 		fmt.Printf("  %s %s", name, value)
--- a/cmd/orchidctl/job_explain.go
+++ b/cmd/orchidctl/job_explain.go
@@ -13,7 +13,7 @@
 	Job string `arg:"" help:"AGENT/ID, or QUEUE/ID"`
 }
 
-// Run shows where a job's time went.
+// Run shows how long a job waited and ran, and the time lost to failed attempts.
 func (c *jobExplain) Run(a *api) error {
 	path, err := jobPath(c.Job)
 	if err != nil {
--- a/cmd/orchidctl/limits.go
+++ b/cmd/orchidctl/limits.go
@@ -16,7 +16,7 @@
 	"orchidward/internal/api/limits"
 )
 
-// siteRow stands for the site-wide cells, in CSV and on the command line.
+// siteRow is the row name of the site-wide cells in CSV and on the command line.
 const siteRow = string(limits.SiteRow)
 
 type limitsCommand struct {
@@ -26,7 +26,7 @@
 	Set limitsSet     `cmd:"" help:"Change cells: row.column=value ..."`
 }
 
-// limitsTable is the limits table as the API shows it. A cell is a number or a string.
+// limitsTable is the limits table as the API returns it. A cell is a number or a string.
 type limitsTable struct {
 	Epoch int64                     `json:"epoch"`
 	Site  map[string]any            `json:"site"`
@@ -47,7 +47,8 @@
 	return fmt.Sprint(value)
 }
 
-// records is the table as a spreadsheet: a line for each row, and one for each site-wide cell.
+// records returns the table as CSV records: a header, one record for each row, and one for
+// each site-wide cell.
 func (t limitsTable) records() [][]string {
 	header := []string{"row"}
 	for _, column := range limits.Columns {
@@ -97,7 +98,7 @@
 	return csv.NewWriter(os.Stdout).WriteAll(table.records())
 }
 
-// rawObject is a JSON object whose values are passed on as they are: the cluster checks them.
+// rawObject is a JSON object whose values are forwarded unparsed; the cluster validates them.
 type rawObject map[string]json.RawMessage
 
 type limitsReplace struct {
@@ -126,7 +127,8 @@
 	return a.changeLimits(http.MethodPut, document)
 }
 
-// baseEpoch is the epoch that the command line names, or that of the table in force.
+// baseEpoch returns the epoch given on the command line or, if that is 0, the epoch of the
+// current table.
 func (a *api) baseEpoch(given int64) (int64, error) {
 	if given != 0 {
 		return given, nil
@@ -135,7 +137,7 @@
 	return table.Epoch, err
 }
 
-// readTable reads a table from CSV, by the file's name, or from JSON.
+// readTable parses a table from CSV if the file name ends in .csv, and from JSON otherwise.
 func readTable(name string, text []byte) (rawObject, error) {
 	if strings.HasSuffix(name, ".csv") {
 		var err error
@@ -150,13 +152,13 @@
 	return document, nil
 }
 
-// csvTable is a table as CSV has it, all cells as text.
+// csvTable is a table read from CSV; all cells are strings.
 type csvTable struct {
 	Site map[string]string            `json:"site"`
 	Rows map[string]map[string]string `json:"rows"`
 }
 
-// csvToJSON reads the form that limitsCSV writes.
+// csvToJSON converts the CSV that limitsCSV writes to JSON.
 func csvToJSON(text []byte) ([]byte, error) {
 	reader := csv.NewReader(bytes.NewReader(text))
 	reader.FieldsPerRecord = -1
@@ -189,7 +191,7 @@
 	Base  int64    `help:"Epoch the change was made against; the present one if left out."`
 }
 
-// limitsPatch is a change of some cells and rows.
+// limitsPatch is a request that changes some cells and drops some rows.
 type limitsPatch struct {
 	Base  int64             `json:"base"`
 	Cells map[string]string `json:"cells"`
@@ -216,7 +218,7 @@
 	return a.changeLimits(http.MethodPatch, patch)
 }
 
-// changedLimits is the answer to a change.
+// changedLimits is the response to a change.
 type changedLimits struct {
 	Epoch int64 `json:"epoch"`
 }
--- a/cmd/orchidctl/main.go
+++ b/cmd/orchidctl/main.go
@@ -1,6 +1,6 @@
-// Command orchidctl is the command line of clients and operators. It exits 0 when done, 1
-// when the cluster refused, 2 on bad usage, 3 when no gateway could be reached, 4 when a
-// change may have been made and its outcome is not known.
+// Command orchidctl is the command-line client for users and operators. It exits with 0 on
+// success, 1 if the cluster refused the request, 2 on bad usage, 3 if no gateway could be
+// reached, and 4 if a change may have been made but its outcome is unknown.
 package main
 
 import (
@@ -49,23 +49,24 @@
 	Members membersCommand `cmd:"" help:"Show what one gateway knows of the cluster."`
 }
 
-// api is what every command works with: the cluster's API, and how to print.
+// api is passed to every command. It holds the client of the cluster's API and the output
+// format.
 type api struct {
 	client   *httpclient.Client
 	printRaw bool
 }
 
-// refusedError is a response of the cluster that is not a success.
+// refusedError is an error response of the cluster.
 type refusedError struct{ response httpclient.Response }
 
 func (e refusedError) Error() string { return e.response.Message() }
 
-// usageError is a fault in what was asked of orchidctl itself.
+// usageError reports an invalid argument or input file.
 type usageError struct{ message string }
 
 func (e usageError) Error() string { return e.message }
 
-// call sends a request and returns the document of a success.
+// call sends a request and returns the body of a successful response.
 func (a *api) call(method, path string, body []byte) ([]byte, error) {
 	response, err := a.client.Do(context.Background(), method, path, body)
 	if err != nil {
@@ -80,7 +81,7 @@
 	return response.Body, nil
 }
 
-// show prints a document: as it came, or by the given printer.
+// show prints a document: verbatim if raw output was requested, otherwise with printDoc.
 func show[T any](a *api, text []byte, printDoc func(doc T)) error {
 	if a.printRaw {
 		fmt.Println(string(text))
@@ -94,7 +95,7 @@
 	return nil
 }
 
-// callAndShow sends a request and prints the document of a success.
+// callAndShow sends a request and prints the body of a successful response.
 func callAndShow[T any](a *api, method, path string, body []byte, printDoc func(doc T)) error {
 	text, err := a.call(method, path, body)
 	if err != nil {
--- a/cmd/orchidctl/tenant.go
+++ b/cmd/orchidctl/tenant.go
@@ -22,13 +22,13 @@
 	Remove tenantRemove `cmd:"" help:"Remove a tenant: its keys are refused from then on, what it has running goes on."`
 }
 
-// weightUnit is a weight of one job a second, which the API counts in thousandths.
+// weightUnit is a weight of one job per second; the API counts weights in thousandths.
 const weightUnit = 1000
 
-// defaultWeight is that of a tenant which is made without one.
+// defaultWeight is the weight of a tenant that is created without one.
 const defaultWeight = 1 * weightUnit
 
-// tenants are the tenants as the API lists them.
+// tenants reads the list of tenants from the API.
 func (a *api) tenants() (doc controlplane.TenantsDoc, err error) {
 	text, err := a.call(http.MethodGet, endpoint.TenantsPath, nil)
 	if err != nil {
@@ -40,7 +40,7 @@
 	return doc, nil
 }
 
-// findTenant finds a tenant in a list, nil when there is none of this name.
+// findTenant returns the tenant with the given name, or nil if the list has none.
 func findTenant(doc controlplane.TenantsDoc, name string) *controlplane.TenantDoc {
 	i := slices.IndexFunc(doc.Tenants, func(t controlplane.TenantDoc) bool { return t.Name == name })
 	if i < 0 {
@@ -49,7 +49,7 @@
 	return &doc.Tenants[i]
 }
 
-// tenantPatch is a change of tenants in the catalogue.
+// tenantPatch is a request that changes tenants in the catalogue.
 type tenantPatch struct {
 	Base    uint64        `json:"base"`
 	Version uint64        `json:"version"`
@@ -70,15 +70,15 @@
 	Tenants []catalog.TenantUpdate `json:"tenants"`
 }
 
-// changedCatalog is the answer to a change.
+// changedCatalog is the response to a change.
 type changedCatalog struct {
 	Version uint64 `json:"version"`
 }
 
 func printChangedCatalog(changed changedCatalog) { fmt.Printf("version %d\n", changed.Version) }
 
-// changeTenants sends a change that builds on a version of the catalogue, and returns the
-// answer.
+// changeTenants sends a change based on the given version of the catalogue, and returns
+// the response.
 func (a *api) changeTenants(base uint64, patch tenantPatch) ([]byte, error) {
 	patch.Base = base
 	patch.Version = base + 1
@@ -89,7 +89,7 @@
 	return a.call(http.MethodPatch, endpoint.CatalogPath, body)
 }
 
-// updateTenant sends an update of a tenant that is there, and returns the answer.
+// updateTenant sends an update of an existing tenant, and returns the response.
 func (a *api) updateTenant(update catalog.TenantUpdate) ([]byte, error) {
 	doc, err := a.tenants()
 	if err != nil {
@@ -136,7 +136,7 @@
 		formatUse(t.Used.Mem, t.Quota.Mem), formatUse(t.Used.GPUs, t.Quota.GPUs), t.Waiting, t.Keys)
 }
 
-// formatUse writes what is in use of a bound, of which 0 is none.
+// formatUse formats the amount in use and its bound; a bound of 0 means unbounded.
 func formatUse(used, bound int64) string {
 	if bound == 0 {
 		return fmt.Sprintf("%d/-", used)
@@ -152,7 +152,7 @@
 	GPUs       *int64   `name:"gpus" help:"Most GPUs in use at once; 0 is no bound."`
 }
 
-// Run changes a tenant's weight and quota, or makes a tenant.
+// Run changes a tenant's weight and quota, or creates the tenant.
 func (c *tenantSet) Run(a *api) error {
 	doc, err := a.tenants()
 	if err != nil {
@@ -166,11 +166,11 @@
 		}
 		patch.Update = &tenantUpdate{[]catalog.TenantUpdate{update}}
 	} else {
-		made := catalog.Tenant{Name: c.Name, Weight: defaultWeight, Quota: c.quota(catalog.Quota{})}
+		created := catalog.Tenant{Name: c.Name, Weight: defaultWeight, Quota: c.quota(catalog.Quota{})}
 		if weight := c.weight(); weight != nil {
-			made.Weight = *weight
+			created.Weight = *weight
 		}
-		patch.Put = &putTenants{[]catalog.Tenant{made}}
+		patch.Put = &putTenants{[]catalog.Tenant{created}}
 	}
 	text, err := a.changeTenants(doc.Version, patch)
 	if err != nil {
@@ -179,7 +179,7 @@
 	return show(a, text, printChangedCatalog)
 }
 
-// weight is the weight that the command line names, nil for none.
+// weight returns the weight given on the command line, or nil if none was given.
 func (c *tenantSet) weight() *int64 {
 	if c.Weight == nil {
 		return nil
@@ -188,7 +188,7 @@
 	return &weight
 }
 
-// quota is a quota with the bounds that the command line names in place of its own.
+// quota returns the current quota with the bounds given on the command line replaced.
 func (c *tenantSet) quota(current catalog.Quota) catalog.Quota {
 	quota := current
 	for _, bound := range []struct {
--- a/cmd/orchidctl/tenant_keys.go
+++ b/cmd/orchidctl/tenant_keys.go
@@ -17,8 +17,8 @@
 	Rotate keysRotate `cmd:"" help:"Make a new API key, add it to the tenant and print it, this once. The others stay until they are removed."`
 }
 
-// keysFile is a file of API keys. They are no arguments: those can be read by every user of
-// the machine.
+// keysFile is a file of API keys. Keys are not passed as arguments, because every user of
+// the machine can read those.
 type keysFile struct {
 	Name string `arg:"" help:"Tenant."`
 	File string `arg:"" help:"File with one key a line, or - for standard input."`
@@ -41,7 +41,7 @@
 	return keys, nil
 }
 
-// readAPIKey reads the file of a caller's own API key, which may be named or not.
+// readAPIKey reads the caller's API key from a file. An empty file name means no key.
 func readAPIKey(name string) (catalog.APIKey, error) {
 	if name == "" {
 		return "", nil
@@ -67,7 +67,7 @@
 
 type keysRemove struct{ keysFile }
 
-// Run takes API keys away.
+// Run removes API keys.
 func (c *keysRemove) Run(a *api) error {
 	keys, err := c.read()
 	if err != nil {
@@ -84,7 +84,7 @@
 	Name string `arg:"" help:"Tenant."`
 }
 
-// rotatedKey is what is printed of a new API key. Version is left out while it is not known
+// rotatedKey is the printed result of a key rotation. Version is omitted if it is unknown
 // whether the key was added.
 type rotatedKey struct {
 	Tenant  string         `json:"tenant"`
@@ -92,20 +92,20 @@
 	Version uint64         `json:"version,omitempty"`
 }
 
-// Run makes, adds and prints an API key. One that may have been added is printed too: else
-// nobody could remove it.
+// Run generates an API key, adds it to the tenant and prints it. The key is also printed if
+// it is unknown whether it was added; otherwise nobody could remove it.
 func (c *keysRotate) Run(a *api) error {
-	made := rotatedKey{Tenant: c.Name, Key: catalog.APIKey(rand.Text())}
-	text, err := a.updateTenant(catalog.TenantUpdate{Name: c.Name, AddKeys: []catalog.APIKey{made.Key}})
+	rotated := rotatedKey{Tenant: c.Name, Key: catalog.APIKey(rand.Text())}
+	text, err := a.updateTenant(catalog.TenantUpdate{Name: c.Name, AddKeys: []catalog.APIKey{rotated.Key}})
 	if err != nil && exitCode(err) != exitOutcomeUnknown {
 		return err
 	}
 	if err == nil {
-		if err = json.Unmarshal(text, &made); err != nil {
+		if err = json.Unmarshal(text, &rotated); err != nil {
 			return errors.Wrap(err, "answer does not parse")
 		}
 	}
-	document, encodeErr := json.Marshal(made)
+	document, encodeErr := json.Marshal(rotated)
 	if encodeErr != nil {
 		return encodeErr
 	}
@@ -115,9 +115,9 @@
 	return err
 }
 
-func printRotatedKey(made rotatedKey) {
-	if made.Version == 0 {
+func printRotatedKey(rotated rotatedKey) {
+	if rotated.Version == 0 {
 		fmt.Println("this key may have been added:")
 	}
-	fmt.Println(string(made.Key))
+	fmt.Println(string(rotated.Key))
 }
--- a/cmd/orchidctl/tenant_test.go
+++ b/cmd/orchidctl/tenant_test.go
@@ -23,7 +23,7 @@
 const presentTenants = `{"version":7,"tenants":[{"name":"gilde","weight":2000,"quota":{"milliCores":9000,"memMb":512},` +
 	`"used":{"cores":1,"memMb":64,"milliCores":500},"waiting":3,"keys":2}]}`
 
-// fakeGateway lists presentTenants and takes changes of the catalogue.
+// fakeGateway serves presentTenants and records changes to the catalogue.
 type fakeGateway struct {
 	patches []string
 	status  int
@@ -43,7 +43,7 @@
 	}
 }
 
-// runCommand runs orchidctl with some arguments and returns its exit code and what it printed.
+// runCommand runs orchidctl with the given arguments and returns its exit code and output.
 func runCommand(t *testing.T, g *fakeGateway, args ...string) (code int, output string) {
 	t.Helper()
 	server := httptest.NewServer(g)
@@ -74,11 +74,11 @@
 	return code, string(text)
 }
 
-// mustPatch is the only change that a gateway was sent, as the cluster reads it.
+// mustPatch returns the only change that the gateway received, as the cluster parses it.
 func mustPatch(t *testing.T, g *fakeGateway) *catalog.Change {
 	t.Helper()
 	if len(g.patches) != 1 {
-		t.Fatalf("%d changes", len(g.patches))
+		t.Fatalf("the gateway received %d changes, want 1", len(g.patches))
 	}
 	var faults jsondoc.FieldErrors
 	change := catalog.ReadPatch([]byte(g.patches[0]), &faults)
@@ -86,12 +86,12 @@
 		t.Fatal(faults.List)
 	}
 	if change.Base != 7 || change.Version != 8 {
-		t.Errorf("builds on %d and leads to %d", change.Base, change.Version)
+		t.Errorf("the change has base %d and version %d, want 7 and 8", change.Base, change.Version)
 	}
 	return change
 }
 
-// TestTenantSetKeepsOtherFields guards against a change of one bound that sets the others, or a tenant that loses its keys.
+// TestTenantSetKeepsOtherFields guards against a change of one bound that also sets the others, or removes the tenant's keys.
 func TestTenantSetKeepsOtherFields(t *testing.T) {
 	g := &fakeGateway{status: http.StatusOK}
 	if code, output := runCommand(t, g, "tenant", "set", "gilde", "--mem-mb", "1024"); code != exitDone || output != "version 8\n" {
@@ -107,7 +107,7 @@
 	}
 }
 
-// TestTenantSetMakesTenant guards against a tenant that can't be made, or is made without a weight.
+// TestTenantSetMakesTenant guards against a tenant that cannot be created, or is created without a weight.
 func TestTenantSetMakesTenant(t *testing.T) {
 	g := &fakeGateway{status: http.StatusOK}
 	runCommand(t, g, "tenant", "set", "telmar", "--gpus", "2")
@@ -117,7 +117,7 @@
 	}
 }
 
-// TestKeysRotatePrintsOnce guards against a new key that is weak, not the one that was added, or never seen by who made it.
+// TestKeysRotatePrintsOnce guards against a new key that is weak, differs from the one that was added, or is never shown to its creator.
 func TestKeysRotatePrintsOnce(t *testing.T) {
 	seen := map[string]bool{}
 	for _, status := range []int{http.StatusOK, http.StatusOK, http.StatusGatewayTimeout, http.StatusPreconditionFailed} {
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestKeysComeFromFiles guards against keys that are read with blanks, and against files without any.
+// TestKeysComeFromFiles guards against keys read with surrounding whitespace, and against files without a key.
 func TestKeysComeFromFiles(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(file, []byte("one\r\n\n two \n"), 0o600); err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-// TestTenantRemove guards against a removal that drops another tenant, or is sent for one that is not there.
+// TestTenantRemove guards against a removal that drops another tenant, or is sent for one that does not exist.
 func TestTenantRemove(t *testing.T) {
 	g := &fakeGateway{status: http.StatusOK}
 	if code, _ := runCommand(t, g, "tenant", "remove", "nobody"); code != exitRefused || len(g.patches) != 0 {
@@ -174,7 +174,7 @@
 	}
 }
 
-// TestTenantShown guards against figures in the wrong place.
+// TestTenantShown guards against figures printed in the wrong column.
 func TestTenantShown(t *testing.T) {
 	var doc controlplane.TenantsDoc
 	if err := json.Unmarshal([]byte(presentTenants), &doc); err != nil {
--- a/cmd/orchidward-gateway/main.go
+++ b/cmd/orchidward-gateway/main.go
@@ -1,5 +1,5 @@
 // Command orchidward-gateway is the stateless front end: it serves HTTP to clients,
-// operators and runners and passes their requests to the control plane. It keeps
+// operators and runners and forwards their requests to the control plane. It stores
 // nothing on disk.
 package main
 
--- a/cmd/orchidward-runner/controls.go
+++ b/cmd/orchidward-runner/controls.go
@@ -14,7 +14,7 @@
 	"orchidward/internal/transport/httpserver"
 )
 
-// The stand-in's own paths.
+// Paths of the stand-in runner's control API.
 const (
 	controlPath = "/v1/stand-in"
 	eventsPath  = "/v1/stand-in/events"
@@ -26,14 +26,14 @@
 	codeBadRequest  = "bad-request"
 )
 
-// addControls adds the paths by which an operator, or a drill, tells the stand-in how to
-// behave and reads what happened on it.
+// addControls adds the routes by which an operator or a drill sets the behaviour of the
+// stand-in runner and reads its event log.
 func (d *daemon) addControls() {
 	d.http.Gin.POST(controlPath, d.serveControl)
 	d.http.Gin.GET(eventsPath, d.serveEvents)
 }
 
-// behaviour is how the stand-in is to behave.
+// behaviour is the requested mode of the stand-in runner and the faults that it simulates.
 type behaviour struct {
 	mode            string
 	departsIn       clock.Millis
@@ -57,7 +57,7 @@
 	}
 }
 
-// controlResponse is the answer to a change of behaviour.
+// controlResponse is the response to a change of behaviour.
 type controlResponse struct {
 	Mode string `json:"mode"`
 }
--- a/cmd/orchidward-runner/daemon.go
+++ b/cmd/orchidward-runner/daemon.go
@@ -34,7 +34,7 @@
 	exitRetired      = 1
 )
 
-// daemon runs a runner.Runner. Polls go out from goroutines of their own.
+// daemon runs a runner.Runner. Each poll is sent by a goroutine of its own.
 type daemon struct {
 	log      *logging.Logger
 	group    *lifecycle.Group
@@ -47,9 +47,9 @@
 	runner   *runner.Runner
 	loop     *eventloop.Loop[*runner.Runner]
 	events   *eventLog
-	// discovery is how it finds gateways. Only the event loop touches it.
+	// discovery finds gateways. Only the event loop accesses it.
 	discovery discovery
-	// retired says that the process is about to end, as a newer one has its name.
+	// retired is set when the process is about to exit because a newer process has its name.
 	retired bool
 }
 
@@ -85,7 +85,7 @@
 	return d, nil
 }
 
-// newConfig is the configuration of the runner, with an incarnation drawn at random.
+// newConfig returns the configuration of the runner, with a random incarnation.
 func newConfig(f *flags) (runner.Config, error) {
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// poll sends a poll and hands its outcome to the runner.
+// poll sends a poll and passes its outcome to the runner.
 func (d *daemon) poll(p runner.Poll) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.Timeout.Duration())
 	defer cancel()
--- a/cmd/orchidward-runner/discovery.go
+++ b/cmd/orchidward-runner/discovery.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// discoveryInterval lies between two searches for gateways while none answers,
-	// refreshInterval while one does: then it keeps the members known for others that ask.
+	// discoveryInterval is the time between two searches for gateways while none responds,
+	// refreshInterval the time while one does. The latter searches keep the list of members
+	// up to date, so that this process can answer the discovery requests of others.
 	discoveryInterval clock.Millis = 500
 	refreshInterval   clock.Millis = 5000
-	// longAgo lies before every search.
+	// longAgo is the time of the last search before there was one; it makes the first
+	// search due at once.
 	longAgo clock.Monotonic = -10000
 )
 
-// discovery is how a runner finds gateways.
+// discovery is the state of the search for gateways.
 type discovery struct {
 	seeds []string
-	// self is what this process announces of itself.
+	// self is the announcement that this process sends.
 	self    wire.Announcement
 	members []raft.Member
 	lastAt  clock.Monotonic
@@ -28,7 +30,7 @@
 	return discovery{seeds: seeds, self: self, lastAt: longAgo}
 }
 
-// handleMessage answers discovery, and learns gateways and members from it.
+// handleMessage answers discovery requests, and learns gateways and members from replies.
 func (d *daemon) handleMessage(from wire.Peer, msg wire.Message) {
 	t := msg.Announcement
 	if t == nil {
@@ -50,7 +52,7 @@
 	}
 }
 
-// discover asks seeds and members for gateways when it is time to.
+// discover asks members and seeds for gateways when the next search is due.
 func (d *daemon) discover() {
 	interval := discoveryInterval
 	if d.http.Ready() {
@@ -67,7 +69,8 @@
 	}
 }
 
-// addresses are the members known, and the seeds where that is not enough.
+// addresses returns the addresses of the known members, and also those of the seeds if no
+// member is known or the runner is not ready.
 func (d *discovery) addresses(ready bool) map[string]bool {
 	set := map[string]bool{}
 	for _, member := range d.members {
--- a/cmd/orchidward-runner/event_log.go
+++ b/cmd/orchidward-runner/event_log.go
@@ -8,11 +8,11 @@
 	"orchidward/internal/runner"
 )
 
-// maxEvents bounds the events that are kept.
+// maxEvents bounds the number of retained events.
 const maxEvents = 8192
 
-// eventLog keeps the last events of attempts, with the time on this process's own clock, for
-// a drill to read. It is safe for concurrent use.
+// eventLog retains the latest events of attempts, with timestamps of this process's clock,
+// for a drill to read. It is safe for concurrent use.
 type eventLog struct {
 	mu      sync.Mutex
 	page    eventlog.Page
@@ -49,7 +49,7 @@
 	l.page.BrokenResponses++
 }
 
-// after copies what came after the event of the given number.
+// after returns a copy of the events that follow the given sequence number.
 func (l *eventLog) after(seq uint64, now clock.Monotonic) eventlog.Page {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/cmd/orchidward-runner/main.go
+++ b/cmd/orchidward-runner/main.go
@@ -1,5 +1,5 @@
-// Command orchidward-runner is the stand-in back end: it speaks the published
-// protocol and simulates work, well or badly, as it is told.
+// Command orchidward-runner is a stand-in runner: it implements the published protocol
+// and simulates tasks. Its flags and its control API make it slow, faulty or isolated.
 package main
 
 import (
--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -1,5 +1,5 @@
-// Command orchidward-server is a control-plane server: it keeps the replicated
-// state on its disk. The one that leads schedules the work and runs the drains.
+// Command orchidward-server is a control-plane server: it stores the replicated
+// state on disk. The leader of the servers schedules jobs and runs drains.
 package main
 
 import (
@@ -13,7 +13,7 @@
 	"orchidward/internal/daemon/settings"
 )
 
-// maxLosses is how many lost disks a group of five voters bears.
+// maxLosses is the number of lost disks that a group of five voters tolerates.
 const maxLosses = 2
 
 type flags struct {
