--- a/cmd/orchidward-runner/daemon.go
+++ b/cmd/orchidward-runner/daemon.go
@@ -113,7 +113,7 @@
 		TickInterval: runner.TickInterval.Duration(),
 		Tick:         d.tick,
 		Message:      d.handleMessage,
-		AfterInput:   d.handOnOutput,
+		AfterInput:   d.processOutput,
 	})
 }
 
@@ -129,7 +129,7 @@
 	}
 }
 
-func (d *daemon) handOnOutput() {
+func (d *daemon) processOutput() {
 	out := d.runner.TakeOutput()
 	for _, event := range out.Events {
 		d.log.Event(event.Kind, "lease", event.Lease, "task", event.Task)
@@ -146,7 +146,7 @@
 	defer cancel()
 	status, body, err := d.sendPoll(ctx, p)
 	if err != nil && httpclient.BrokeOff(err) {
-		d.events.responseBroke()
+		d.events.countBrokenResponse()
 	}
 	d.loop.Post(func(r *runner.Runner) { r.HandlePollResponse(p.Seq, status, body, d.clock.Now()) })
 }
--- a/cmd/orchidward-runner/event_log.go
+++ b/cmd/orchidward-runner/event_log.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// responseBroke counts a poll whose response broke off.
-func (l *eventLog) responseBroke() {
+// countBrokenResponse counts a poll whose response broke off.
+func (l *eventLog) countBrokenResponse() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.page.BrokenResponses++
