--- a/cmd/zone-drill/drill.go
+++ b/cmd/zone-drill/drill.go
@@ -18,37 +18,38 @@
 
 // Times without a unit of their own are in milliseconds.
 const (
-	// eventDelay is how long events wait for those of other runners.
+	// eventDelay is how long events are held back, so that those of other runners can be
+	// sorted in.
 	eventDelay = 700
-	// maxQueued is how many results of other goroutines wait for the drill.
+	// maxQueued bounds the queue of results from other goroutines.
 	maxQueued = 4096
 
 	tickInterval  = 20 * time.Millisecond
 	loadInterval  = 1000
 	probeInterval = 200
-	// maxOvertime is how long after the load the drill waits for jobs to end.
+	// maxOvertime is how long the drill waits for jobs to end after the load has ended.
 	maxOvertime = 90000
 
 	httpTimeout  = 500 * time.Millisecond
 	firstTimeout = 2 * time.Second
 )
 
-// drill is one drill. It is the invariants.Cluster that its checker reads.
+// drill is the state of a drill. It implements invariants.Cluster for its checker.
 type drill struct {
 	flags      *flags
 	goroutines *lifecycle.Group
 	clock      *clock.System
-	// results are functions that other goroutines hand to the drill.
+	// results are functions that other goroutines queue for the drill's goroutine.
 	results *lifecycle.Queue[func()]
 	checker *invariants.Checker
 	random  *rand.Rand
 	http    *http.Client
-	// now is the time of what is being done, which for events of runners is past.
+	// now is the time of the event being processed; for events of runners it lies in the past.
 	now     int64
 	startAt int64
 
 	runners map[string]*runnerLog
-	// events wait to be handed to the checker in order of time.
+	// events are pending for the checker, which receives them in order of time.
 	events []scheduled
 	timers []scheduled
 	ready  map[string]bool
@@ -63,9 +64,9 @@
 // responses counts the requests of the drill.
 type responses struct {
 	sent int
-	// retried were refused or not answered, and sent again.
+	// retried counts requests that were rejected or got no response, and were sent again.
 	retried int
-	// broken were answered in part only.
+	// broken counts responses that broke off.
 	broken int
 }
 
@@ -84,16 +85,17 @@
 	return d
 }
 
-// Time is the time of what is being done, in ms.
+// Time returns the time of the event being processed, in ms.
 func (d *drill) Time() int64 { return d.now }
 
-// Quiet is false: nobody knows what else goes wrong in a running cluster.
+// Quiet returns false: a running cluster may have faults that the drill does not know of.
 func (d *drill) Quiet() bool { return false }
 
-// Undisturbed is false, as Quiet is.
+// Undisturbed returns false, for the same reason as Quiet.
 func (d *drill) Undisturbed() bool { return false }
 
-// Logf prints violations as they are found; the rest is in the runners' logs.
+// Logf prints violations as they are found. Other lines are dropped; the runners' logs have
+// them.
 func (d *drill) Logf(text string, args ...any) {
 	if strings.HasPrefix(text, invariants.ViolationLog) {
 		warnf(text, args...)
@@ -102,7 +104,7 @@
 
 func (d *drill) clockNow() int64 { return int64(d.clock.Now()) }
 
-// run runs the drill until its load is over and its jobs have ended.
+// run runs the drill until the load has been submitted and its jobs have ended.
 func (d *drill) run() error {
 	if err := d.requireGateway(); err != nil {
 		return err
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// requireGateway fails unless a gateway answers.
+// requireGateway returns an error unless a gateway responds with success.
 func (d *drill) requireGateway() error {
 	client := httpclient.New(d.flags.Gates, firstTimeout)
 	response, err := client.Do(context.Background(), http.MethodGet, endpoint.RunnersPath, nil)
@@ -147,7 +149,7 @@
 	return nil
 }
 
-// loop handles results, and every tickInterval what is due.
+// loop handles results as they arrive, and calls tick every tickInterval.
 func (d *drill) loop(loadEnd int64) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/cmd/zone-drill/gateways.go
+++ b/cmd/zone-drill/gateways.go
@@ -14,7 +14,8 @@
 	requestTimeout    = 3 * time.Second
 )
 
-// gateway picks one that says it is ready, as a load balancer does.
+// gateway returns a random gateway that reports ready, as a load balancer would, or any if
+// none does.
 func (d *drill) gateway() string {
 	var candidates []string
 	for _, gateway := range d.flags.Gates {
@@ -28,7 +29,7 @@
 	return candidates[d.random.Intn(len(candidates))]
 }
 
-// followReadiness keeps whether a gateway says it is ready.
+// followReadiness polls the readiness of a gateway and keeps d.ready up to date.
 func (d *drill) followReadiness(gateway string, stop <-chan struct{}) {
 	lifecycle.Every(readinessInterval, stop, func() {
 		response, err := d.http.Get("http://" + gateway + "/ready")
@@ -41,8 +42,8 @@
 	})
 }
 
-// request makes one request by a connection of its own, without retries; done is
-// called by the drill's goroutine.
+// request sends one request on a connection of its own, without retries. The drill's
+// goroutine calls done with the outcome.
 func (d *drill) request(method, path string, body []byte, done func(response httpclient.Response, err error)) {
 	gateway := d.gateway()
 	d.responses.sent++
@@ -58,13 +59,13 @@
 	})
 }
 
-// countBroken counts responses that broke off: only a process that is killed may break
-// one off.
+// countBroken counts responses that broke off, unless the drill kills processes: a killed
+// process may break off its responses, a running one may not.
 func (d *drill) countBroken(count int) {
 	if !d.flags.kills() {
 		d.responses.broken += count
 	}
 }
 
-// succeeded tells whether a request was answered with success.
+// succeeded reports whether a request got a successful response.
 func succeeded(response httpclient.Response, err error) bool { return err == nil && response.OK() }
--- a/cmd/zone-drill/load.go
+++ b/cmd/zone-drill/load.go
@@ -13,16 +13,16 @@
 	"orchidward/internal/transport/httpclient"
 )
 
-// clientName is the client in whose name the drill submits its jobs.
+// clientName is the client name under which the drill submits its jobs.
 const clientName identifier.Client = "drill"
 
 const (
-	// cancelShare is the share of jobs that are cancelled: one in so many.
+	// cancelShare sets the share of jobs that are cancelled: one in cancelShare.
 	cancelShare  = 12
 	readInterval = 250
 )
 
-// jobDocument is a job as it is submitted.
+// jobDocument is the body of a job submission.
 type jobDocument struct {
 	Row     string         `json:"pending"`
 	Steps   []stepDocument `json:"steps"`
@@ -55,7 +55,8 @@
 	}
 }
 
-// jobsPerSecond is how many jobs are due where the usual load has so many a second.
+// jobsPerSecond scales a rate of the usual load by the load percentage. A fractional job is
+// submitted with the corresponding probability.
 func (d *drill) jobsPerSecond(usual int64) int64 {
 	percent := usual * d.flags.RatePct
 	count := percent / 100
@@ -65,7 +66,7 @@
 	return count
 }
 
-// submit submits a job with these steps, and follows it until it ends.
+// submit submits a job with the given steps, and follows it until it ends.
 func (d *drill) submit(steps ...stepDocument) {
 	body, err := json.Marshal(jobDocument{Row: d.flags.Row, Urgency: d.random.Intn(3), Steps: steps})
 	if err != nil {
@@ -84,7 +85,7 @@
 	d.send(key, submitted, body)
 }
 
-// send sends a job until it is accepted, or refused for good.
+// send submits a job, with retries, until it is accepted or rejected permanently.
 func (d *drill) send(key identifier.JobKey, submitted *invariants.Job, body []byte) {
 	d.request(http.MethodPut, endpoint.JobPath(key), body, func(response httpclient.Response, err error) {
 		switch {
@@ -111,7 +112,7 @@
 	}
 }
 
-// follow reads a job until it has ended.
+// follow reads the state of a job every readInterval until the job has ended.
 func (d *drill) follow(key identifier.JobKey) {
 	d.request(http.MethodGet, endpoint.JobPath(key), nil, func(response httpclient.Response, err error) {
 		var document struct {
@@ -133,7 +134,7 @@
 	})
 }
 
-// cancel cancels a job until that is acknowledged.
+// cancel sends a cancellation, with retries, until it is acknowledged.
 func (d *drill) cancel(key identifier.JobKey, submitted *invariants.Job) {
 	submitted.CancelSent = true
 	d.request(http.MethodDelete, endpoint.JobPath(key), nil, func(response httpclient.Response, err error) {
--- a/cmd/zone-drill/main.go
+++ b/cmd/zone-drill/main.go
@@ -22,10 +22,10 @@
 	exitUnreachable = 3
 )
 
-// stopTimeout is how long the drill waits for its goroutines in the end.
+// stopTimeout bounds the wait for the drill's goroutines at exit.
 const stopTimeout = 3 * time.Second
 
-// flags are the command line.
+// flags are the command-line flags.
 type flags struct {
 	Boot    string   `help:"Settings file, JSON, keys as the flags." placeholder:"FILE"`
 	Gates   []string `help:"IP:PORT of gates." default:"127.0.0.1:7200" env:"ORCHIDWARD_GATES"`
@@ -54,7 +54,7 @@
 	}
 }
 
-// kills tells whether processes are killed, in place of an order to drain.
+// kills reports whether the drill kills processes instead of draining the domain.
 func (f *flags) kills() bool { return len(f.Pids) > 0 }
 
 func main() {
@@ -95,7 +95,7 @@
 	fmt.Fprintf(os.Stderr, programName+": "+text+"\n", args...)
 }
 
-// report is what a drill prints as JSON.
+// report is the JSON output of a drill.
 type report struct {
 	Counts   map[string]int `json:"counts"`
 	Kept     bool           `json:"kept"`
--- a/cmd/zone-drill/outage.go
+++ b/cmd/zone-drill/outage.go
@@ -11,17 +11,18 @@
 )
 
 const (
-	// minDrained is how long the domain is drained at least once that is acknowledged.
+	// minDrained is the least time for which the domain stays drained after the drain was
+	// acknowledged.
 	minDrained = 6500
 	retryDelay = 300
 
-	// The domain is out for the middle third of the load: these are ms for each second
-	// of it.
+	// The domain is out of service for the middle third of the load. These are the start
+	// and end in ms per second of load.
 	outageStart = 333
 	outageEnd   = 667
 )
 
-// outage is the time for which the domain is taken out.
+// outage is the period in which the domain is out of service.
 type outage struct {
 	startAt int64
 	endAt   int64
@@ -36,10 +37,10 @@
 	}
 }
 
-// duration is how long the domain is out.
+// duration returns how long the domain is out of service.
 func (o outage) duration() int64 { return o.endAt - o.startAt }
 
-// advanceOutage takes the domain out and brings it back when due.
+// advanceOutage starts and ends the outage when due.
 func (d *drill) advanceOutage() {
 	if !d.outage.started && d.now >= d.outage.startAt {
 		d.outage.started = true
@@ -51,7 +52,7 @@
 	}
 }
 
-// takeOut drains the domain, or kills the processes that were named.
+// takeOut drains the domain, or kills the processes given on the command line.
 func (d *drill) takeOut() {
 	if d.flags.kills() {
 		d.kill()
@@ -76,7 +77,7 @@
 	}
 }
 
-// bringBack reopens the domain; killed processes are started by the operator.
+// bringBack reopens the domain. Killed processes are restarted by the operator.
 func (d *drill) bringBack() {
 	if d.flags.kills() {
 		return
@@ -89,18 +90,18 @@
 	})
 }
 
-// service is what probes of the limits table found.
+// service holds the results of the probes of the limits table.
 type service struct {
-	// epoch is the one that was last read, or that before it if the last went back.
+	// epoch is the last epoch read, or the one before it if the last read went back.
 	epoch        int64
 	reads        int
 	lastAnswerAt int64
-	// longestGap is the longest time between two answers.
+	// longestGap is the longest time between two successful responses.
 	longestGap int64
 }
 
-// probe reads the limits table, to see whether the cluster serves and whether its epoch
-// goes back.
+// probe reads the limits table, to check that the cluster responds and that the table's
+// epoch does not go back.
 func (d *drill) probe() {
 	epochBefore := d.service.epoch
 	d.request(http.MethodGet, endpoint.LimitsPath, nil, func(response httpclient.Response, err error) {
--- a/cmd/zone-drill/runners.go
+++ b/cmd/zone-drill/runners.go
@@ -17,24 +17,25 @@
 
 const (
 	pageInterval = 60 * time.Millisecond
-	// maxPageFailures is after how many failed reads in a row a runner is dead.
+	// maxPageFailures is the number of consecutive failed reads after which a runner
+	// counts as dead.
 	maxPageFailures = 5
 )
 
-// runnerLog is a runner as its event log shows it.
+// runnerLog is the state of a runner as derived from its event log.
 type runnerLog struct {
 	page        eventlog.Page
 	incarnation int
 	live        bool
-	// readAt is when its log was last read: nothing later is known of it.
+	// readAt is the time of the last read of the log. The state is not known after it.
 	readAt int64
-	// clockOffset is what its clock is behind the drill's, by the page that took the
-	// least time to fetch, roundTrip.
+	// clockOffset is how far the runner's clock is behind the drill's, as estimated from
+	// the page with the shortest fetch time, which is roundTrip.
 	clockOffset int64
 	roundTrip   int64
 }
 
-// Runner describes a runner by name; it is empty for an unknown one.
+// Runner returns the view of the named runner, which is empty for an unknown one.
 func (d *drill) Runner(name string) invariants.RunnerView {
 	log := d.runners[name]
 	if log == nil {
@@ -59,13 +60,13 @@
 	failures    int
 }
 
-// followRunner reads the event log of a runner until the stop.
+// followRunner reads the event log of a runner until stop is closed.
 func (d *drill) followRunner(addr string, stop <-chan struct{}) {
 	reader := &pageReader{drill: d, addr: addr}
 	lifecycle.Every(pageInterval, stop, func() { reader.next(stop) })
 }
 
-// next reads the next page, from the first event where the runner has started anew.
+// next reads the next page, or the first page if the runner has restarted.
 func (r *pageReader) next(stop <-chan struct{}) {
 	page, sent, received, ok := r.fetch(r.lastEvent)
 	if !ok {
@@ -96,7 +97,8 @@
 	}
 }
 
-// fetch reads the events after one, and when the request was sent and answered.
+// fetch reads the events after a sequence number. It also returns when the request was sent
+// and when the response was received.
 func (r *pageReader) fetch(after uint64) (page eventlog.Page, sent, received int64, ok bool) {
 	sent = r.drill.clockNow()
 	response, err := r.drill.http.Get(fmt.Sprintf("http://%s/v1/stand-in/events?after=%d", r.addr, after))
@@ -110,7 +112,7 @@
 	return page, sent, received, ok
 }
 
-// addPage takes in a page of a runner's event log.
+// addPage processes a page of a runner's event log.
 func (d *drill) addPage(page eventlog.Page, sent, received int64) {
 	name := string(page.Runner)
 	log := d.runners[name]
@@ -143,7 +145,8 @@
 	log.roundTrip = math.MaxInt64
 }
 
-// addEvent queues an event of the drill's own jobs for the checker.
+// addEvent queues an event for the checker if it belongs to a job of the drill or is an
+// acknowledgement.
 func (d *drill) addEvent(name string, e eventlog.Event, at int64) {
 	client, _ := e.Task.Job.Split()
 	if at < d.startAt || client != clientName && e.Kind != runner.EventAcked {
--- a/cmd/zone-drill/schedule.go
+++ b/cmd/zone-drill/schedule.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// scheduled is something to be done at a time.
+// scheduled is a function to be called at a given time.
 type scheduled struct {
 	at int64
 	do func()
@@ -13,8 +13,7 @@
 	d.timers = append(d.timers, scheduled{d.clockNow() + ms, do})
 }
 
-// repeat runs a function after a delay, and at a steady interval from then on until it
-// returns false.
+// repeat runs a function after a delay, and then at a fixed interval until it returns false.
 func (d *drill) repeat(delay, interval int64, do func() (again bool)) {
 	d.repeatAt(d.clockNow()+delay, interval, do)
 }
@@ -27,7 +26,7 @@
 	}})
 }
 
-// runTimers runs what is due.
+// runTimers calls the timers that are due.
 func (d *drill) runTimers() {
 	timers := d.timers
 	d.timers = nil
@@ -40,7 +39,7 @@
 	}
 }
 
-// releaseEvents hands the checker all events up to a moment, oldest first.
+// releaseEvents passes all events up to a given time to the checker, oldest first.
 func (d *drill) releaseEvents(until int64) {
 	slices.SortStableFunc(d.events, func(a, b scheduled) int { return int(a.at - b.at) })
 	for len(d.events) > 0 && d.events[0].at <= until {
--- a/cmd/zone-drill/verdict.go
+++ b/cmd/zone-drill/verdict.go
@@ -10,14 +10,14 @@
 	"orchidward/internal/runner"
 )
 
-// Verdicts. Too little evidence is a verdict of its own, and no success.
+// Verdicts. Too little evidence is a separate verdict, and it does not count as success.
 const (
 	kept           = "kept"
 	broken         = "BROKEN"
 	littleEvidence = "too little evidence"
 )
 
-// Evidence that a verdict needs at least.
+// The least evidence that a verdict needs, and the longest gap in service that is allowed.
 const (
 	minStarts   = 20
 	minAccepted = 20
@@ -27,7 +27,7 @@
 	maxGapMs    = 12000
 )
 
-// verdict is the outcome for one promise, with the figures it rests on.
+// verdict is the outcome for one promise, with the figures that it is based on.
 type verdict struct {
 	Promise string `json:"promise"`
 	Verdict string `json:"verdict"`
@@ -44,7 +44,7 @@
 	return true
 }
 
-// verdicts judges every promise, in the order of their numbers.
+// verdicts returns the verdict of every promise, in the order of their numbers.
 func (d *drill) verdicts() []verdict {
 	if d.service.longestGap > maxGapMs {
 		d.checker.Violate(invariants.ServiceAvailable, "no answer for %d ms", d.service.longestGap)
@@ -56,7 +56,7 @@
 	return append(verdicts, d.serviceVerdicts()...)
 }
 
-// startVerdicts judges the promises of when and where tasks start.
+// startVerdicts returns the verdicts on when and where tasks start.
 func (d *drill) startVerdicts() []verdict {
 	counts := d.checker.Counts
 	starts := counts[invariants.EventCount(runner.EventStart)]
@@ -102,10 +102,10 @@
 	}
 }
 
-// ended is how many jobs ended in a state.
+// ended returns the number of jobs that ended in the given state.
 func (d *drill) ended(state string) int { return d.checker.Counts[invariants.EndedCount(state)] }
 
-// judge makes the verdict of one promise; a violation counts whatever the evidence.
+// judge returns the verdict of one promise. A violation counts regardless of the evidence.
 func (d *drill) judge(promise, what string, enough bool, figures string, args ...any) verdict {
 	v := verdict{Promise: promise, Verdict: kept, What: what, Figures: fmt.Sprintf(figures, args...)}
 	if !enough {
