--- a/cmd/zone-drill/drill.go
+++ b/cmd/zone-drill/drill.go
@@ -160,14 +160,14 @@
 			handle()
 		case <-ticker.C:
 			d.tick()
-			if d.over(loadEnd) {
+			if d.finished(loadEnd) {
 				return
 			}
 		}
 	}
 }
 
-func (d *drill) over(loadEnd int64) bool {
+func (d *drill) finished(loadEnd int64) bool {
 	done := d.now > loadEnd+eventDelay && d.openJobs == 0 && d.outage.ended
 	return done || d.now > loadEnd+maxOvertime
 }
--- a/cmd/zone-drill/outage.go
+++ b/cmd/zone-drill/outage.go
@@ -44,23 +44,23 @@
 func (d *drill) advanceOutage() {
 	if !d.outage.started && d.now >= d.outage.startAt {
 		d.outage.started = true
-		d.takeOut()
+		d.startOutage()
 	}
 	if !d.outage.ended && d.now >= d.outage.endAt {
 		d.outage.ended = true
-		d.bringBack()
+		d.endOutage()
 	}
 }
 
-// takeOut drains the domain, or kills the processes given on the command line.
-func (d *drill) takeOut() {
+// startOutage drains the domain, or kills the processes given on the command line.
+func (d *drill) startOutage() {
 	if d.flags.kills() {
 		d.kill()
 		return
 	}
 	d.request(http.MethodPut, endpoint.DrainPath(d.flags.Domain), nil, func(response httpclient.Response, err error) {
 		if !succeeded(response, err) {
-			d.after(retryDelay, d.takeOut)
+			d.after(retryDelay, d.startOutage)
 			return
 		}
 		d.checker.DrainAcked(d.flags.Domain)
@@ -77,15 +77,15 @@
 	}
 }
 
-// bringBack reopens the domain. Killed processes are restarted by the operator.
-func (d *drill) bringBack() {
+// endOutage reopens the domain. Killed processes are restarted by the operator.
+func (d *drill) endOutage() {
 	if d.flags.kills() {
 		return
 	}
 	d.checker.ReopenRequested(d.flags.Domain)
 	d.request(http.MethodDelete, endpoint.DrainPath(d.flags.Domain), nil, func(response httpclient.Response, err error) {
 		if !succeeded(response, err) {
-			d.after(retryDelay, d.bringBack)
+			d.after(retryDelay, d.endOutage)
 		}
 	})
 }
--- a/cmd/zone-drill/runners.go
+++ b/cmd/zone-drill/runners.go
@@ -145,8 +145,8 @@
 	log.roundTrip = math.MaxInt64
 }
 
-// addEvent queues an event for the checker if it belongs to a job of the drill or is an
-// acknowledgement.
+// addEvent queues an event for the checker if it belongs to a job of the drill, or reports
+// that the control plane has acknowledged an end.
 func (d *drill) addEvent(name string, e eventlog.Event, at int64) {
 	client, _ := e.Task.Job.Split()
 	if at < d.startAt || client != clientName && e.Kind != runner.EventAcked {
--- a/cmd/zone-drill/verdict.go
+++ b/cmd/zone-drill/verdict.go
@@ -12,9 +12,9 @@
 
 // Verdicts. Too little evidence is a separate verdict, and it does not count as success.
 const (
-	kept           = "kept"
-	broken         = "BROKEN"
-	littleEvidence = "too little evidence"
+	kept                 = "kept"
+	broken               = "BROKEN"
+	insufficientEvidence = "too little evidence"
 )
 
 // The least evidence that a verdict needs, and the longest gap in service that is allowed.
@@ -64,19 +64,19 @@
 	enough := starts > minStarts
 	drained := d.flags.kills() || d.outage.duration() > minDrainMs
 	return []verdict{
-		d.judge(invariants.NoStartInDrainedDomain, "no start in a closed zone 5 s after the acknowledgement", drained && enough,
+		d.verdictOf(invariants.NoStartInDrainedDomain, "no start in a closed zone 5 s after the acknowledgement", drained && enough,
 			"starts %d, zone out for %d ms", starts, d.outage.duration()),
-		d.judge(invariants.RunsOnce, "no task runs twice at once, or again after its end was told", enough,
+		d.verdictOf(invariants.RunsOnce, "no task runs twice at once, or again after its end was told", enough,
 			"starts %d, called back %d, reruns no scheduler can decide %d", starts, calledBack, counts[invariants.CountUndecidedRerun]),
-		d.judge(invariants.StartsInOrder, "no start before the steps it depends on", enough,
+		d.verdictOf(invariants.StartsInOrder, "no start before the steps it depends on", enough,
 			"starts %d, ends unread on lost runners %d", starts, counts[invariants.CountUnseenEnds]),
-		d.judge(invariants.DefectsBounded, "no start after the allowed defects", enough,
+		d.verdictOf(invariants.DefectsBounded, "no start after the allowed defects", enough,
 			"defects %d", counts[invariants.EventCount(runnerapi.OutcomeDefect)]),
-		d.judge(invariants.CancelStopsWork, "no start 3 s after a cancel, running work gone at once", d.ended(invariants.JobCancelled) > 0,
+		d.verdictOf(invariants.CancelStopsWork, "no start 3 s after a cancel, running work gone at once", d.ended(invariants.JobCancelled) > 0,
 			"cancelled %d", d.ended(invariants.JobCancelled)),
-		d.judge(invariants.PlacementFits, "no start without the label or past the room", enough,
+		d.verdictOf(invariants.PlacementFits, "no start without the label or past the room", enough,
 			"starts %d", starts),
-		d.judge(invariants.GangRunsTogether, "no gang runs in part", enough,
+		d.verdictOf(invariants.GangRunsTogether, "no gang runs in part", enough,
 			"gang parts over the limit: %d", counts[invariants.ViolationCount(invariants.GangRunsTogether)]),
 	}
 }
@@ -85,7 +85,7 @@
 	accepted := d.checker.Counts[invariants.CountAcked]
 	stuck := d.checker.Counts[invariants.CountStuck]
 	return []verdict{
-		d.judge(invariants.JobStateIsTrue, "accepted jobs are known everywhere and end truly", accepted > minAccepted && stuck == 0,
+		d.verdictOf(invariants.JobStateIsTrue, "accepted jobs are known everywhere and end truly", accepted > minAccepted && stuck == 0,
 			"accepted %d, well %d, failed %d, cancelled %d, not ended %d",
 			accepted, d.ended(invariants.JobSucceeded), d.ended(invariants.JobFailed), d.ended(invariants.JobCancelled), stuck),
 	}
@@ -93,11 +93,11 @@
 
 func (d *drill) serviceVerdicts() []verdict {
 	return []verdict{
-		d.judge(invariants.LimitsTableNeverGoesBack, "the table's epoch never goes back", d.service.reads > minReads,
+		d.verdictOf(invariants.LimitsTableNeverGoesBack, "the table's epoch never goes back", d.service.reads > minReads,
 			"reads %d", d.service.reads),
-		d.judge(invariants.ServiceAvailable, "service is back within 12 s", d.service.reads > minReads,
+		d.verdictOf(invariants.ServiceAvailable, "service is back within 12 s", d.service.reads > minReads,
 			"longest time without an answer %d ms", d.service.longestGap),
-		d.judge(invariants.AnswersComplete, "no answer breaks off half-way", d.responses.sent > minRequests,
+		d.verdictOf(invariants.AnswersComplete, "no answer breaks off half-way", d.responses.sent > minRequests,
 			"requests %d, to be asked again %d, half answers %d", d.responses.sent, d.responses.retried, d.responses.broken),
 	}
 }
@@ -105,11 +105,11 @@
 // ended returns the number of jobs that ended in the given state.
 func (d *drill) ended(state string) int { return d.checker.Counts[invariants.EndedCount(state)] }
 
-// judge returns the verdict of one promise. A violation counts regardless of the evidence.
-func (d *drill) judge(promise, what string, enough bool, figures string, args ...any) verdict {
+// verdictOf returns the verdict of one promise. A violation counts regardless of the evidence.
+func (d *drill) verdictOf(promise, what string, enough bool, figures string, args ...any) verdict {
 	v := verdict{Promise: promise, Verdict: kept, What: what, Figures: fmt.Sprintf(figures, args...)}
 	if !enough {
-		v.Verdict = littleEvidence
+		v.Verdict = insufficientEvidence
 	}
 	violation := slices.IndexFunc(d.checker.Violations, func(line string) bool {
 		return strings.HasPrefix(line, promise+" ")
