--- a/tests/mutation/consensus.go
+++ b/tests/mutation/consensus.go
@@ -5,7 +5,7 @@
 // consensusMutations break elections, replication, leases and changes of membership.
 var consensusMutations = []mutation{
 	{
-		name:        "committed without a quorum",
+		name:        "entry is committed without a quorum",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "quorumMatch := matches[r.voterCount()/2]",
 		replacement: "quorumMatch := matches[0]",
@@ -13,7 +13,7 @@
 		want:        "seed ",
 	},
 	{
-		name:        "acknowledged before it is on disk",
+		name:        "entry is acknowledged before it is on disk",
 		file:        "internal/consensus/raft/follower.go",
 		original:    "synced := min(match, r.outbox.syncedIndex)",
 		replacement: "synced := match",
@@ -37,7 +37,7 @@
 		want:        "lease at once",
 	},
 	{
-		name:        "older term's entries committed by count",
+		name:        "entries of an older term are committed by counting replicas",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "quorumMatch > r.commit && term == r.hardState.Term",
 		replacement: "quorumMatch > r.commit && term > 0",
@@ -45,7 +45,7 @@
 		want:        "committed by count",
 	},
 	{
-		name:        "votes for a shorter log",
+		name:        "voter grants its vote to a shorter log",
 		file:        "internal/consensus/raft/voting.go",
 		original:    "return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= r.log.last()",
 		replacement: "return lastTerm > 0 || m.LogTerm >= lastTerm",
@@ -53,7 +53,7 @@
 		want:        "seed ",
 	},
 	{
-		name:        "two members changed at once",
+		name:        "two membership changes overlap",
 		file:        "internal/consensus/raft/membership.go",
 		original:    "r.commit < r.leadership.termStart || r.lastConfiguration().index > r.commit",
 		replacement: "false",
@@ -61,7 +61,7 @@
 		want:        "seed ",
 	},
 	{
-		name:        "vote sent before it is on disk",
+		name:        "vote is sent before it is on disk",
 		file:        "internal/consensus/raft/voting.go",
 		original:    "\tr.sendAfterSync(Message{Kind: VoteReply, To: m.From})\n}",
 		replacement: "\tr.send(Message{Kind: VoteReply, To: m.From})\n}",
@@ -69,7 +69,7 @@
 		want:        "before the sync",
 	},
 	{
-		name:        "restarted server votes at once",
+		name:        "restarted server votes without a delay",
 		file:        "internal/consensus/raft/voting.go",
 		original:    "if r.now.Since(r.startedAt) < r.timing.ElectionTimeout {",
 		replacement: "if false {",
@@ -77,7 +77,7 @@
 		want:        "helped to elect another",
 	},
 	{
-		name:        "killed once, never elected again",
+		name:        "restarted servers never start an election",
 		file:        "internal/consensus/raft/tick.go",
 		original:    "if r.timer.expired(now) && r.isVoter(r.id) && !r.leaving {",
 		replacement: "if r.timer.expired(now) && r.isVoter(r.id) && r.hardState.Term == 0 {",
@@ -85,7 +85,7 @@
 		want:        "all are back for 2 s",
 	},
 	{
-		name:        "two of five commit",
+		name:        "two of five voters commit an entry",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "quorumMatch := matches[r.voterCount()/2]",
 		replacement: "quorumMatch := matches[min(1, r.voterCount()/2)]",
@@ -93,7 +93,7 @@
 		want:        "seed ",
 	},
 	{
-		name:        "acknowledged on the disks that are lost",
+		name:        "entry is acknowledged that is only on the lost disks",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "quorumMatch := matches[r.voterCount()/2]",
 		replacement: "quorumMatch := matches[0]",
@@ -101,7 +101,7 @@
 		want:        "P9 at",
 	},
 	{
-		name:        "two members of five changed at once",
+		name:        "two membership changes overlap among five voters",
 		file:        "internal/consensus/raft/membership.go",
 		original:    "r.commit < r.leadership.termStart || r.lastConfiguration().index > r.commit",
 		replacement: "false",
@@ -109,7 +109,7 @@
 		want:        "seed ",
 	},
 	{
-		name:        "the log behind a snapshot is bounded by number only",
+		name:        "log retained behind a snapshot is bounded by count only",
 		file:        "internal/consensus/raft/log.go",
 		original:    "&& bytes <= limit.bytes\n",
 		replacement: "&& bytes > 0\n",
@@ -117,7 +117,7 @@
 		want:        "bytes of committed entries",
 	},
 	{
-		name:        "a late snapshot takes acknowledged entries away",
+		name:        "late snapshot removes acknowledged entries",
 		file:        "internal/consensus/raft/snapshot.go",
 		original:    "if term, ok := r.log.term(chunk.Index); ok && term == chunk.Term {",
 		replacement: "if term, ok := r.log.term(chunk.Index); ok && term > chunk.Term {",
@@ -125,7 +125,7 @@
 		want:        "and its log ends at",
 	},
 	{
-		name:        "the log after a snapshot that is being sent is let go",
+		name:        "log after a snapshot is compacted during its transfer",
 		file:        "internal/consensus/raft/snapshot.go",
 		original:    "oldest = min(oldest, p.transfer.snapshot.Index)",
 		replacement: "oldest = max(oldest, p.transfer.snapshot.Index)",
@@ -164,7 +164,7 @@
 		want:  "renewed the lease",
 	},
 	{
-		name:        "lease as long as the election timeout",
+		name:        "lease is as long as the election timeout",
 		file:        "internal/consensus/raft/timing.go",
 		original:    "electionTimeout * 4 / 5,",
 		replacement: "electionTimeout,",
@@ -180,7 +180,7 @@
 		want:        "has committed",
 	},
 	{
-		name:        "stale members elect a stale one",
+		name:        "stale members elect a stale leader",
 		file:        "internal/consensus/raft/voting.go",
 		original:    "return m.LogTerm > lastTerm || m.LogTerm == lastTerm && m.Index >= r.log.last()",
 		replacement: "return m.LogTerm >= lastTerm",
@@ -188,7 +188,7 @@
 		want:        "committed",
 	},
 	{
-		name:        "a learner's caught-up log is never believed",
+		name:        "learner is never recognised as caught up",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "\tif m.Index > p.match {\n",
 		replacement: "\tif m.Index > p.match && r.isVoter(m.From) {\n",
@@ -204,7 +204,7 @@
 		want:        "took a message for",
 	},
 	{
-		name:        "entries are repeated with every heartbeat",
+		name:        "entries are resent with every heartbeat",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "			r.repeatProbe(to, p)\n",
 		replacement: "			p.appendInFlight = false\n			p.next = p.lastPrevIndex + 1\n			r.replicateTo(to, true)\n",
--- a/tests/mutation/given_up.go
+++ b/tests/mutation/given_up.go
@@ -5,7 +5,7 @@
 // givenUpMutations let orders take effect that their sender has given up.
 var givenUpMutations = []mutation{
 	{
-		name:        "request whose caller left is taken from the queue",
+		name:        "abandoned request is taken from the queue",
 		file:        "internal/daemon/eventloop/await.go",
 		original:    "		call.giveUp()\n",
 		replacement: "		_ = call\n",
@@ -13,7 +13,7 @@
 		want:        "work began whose caller had left",
 	},
 	{
-		name:        "time in the process does not count",
+		name:        "time spent in a process does not count against the budget",
 		file:        "internal/gateway/config.go",
 		original:    "return r.budget() - r.Waited }",
 		replacement: "return r.budget() }",
@@ -41,7 +41,7 @@
 		want:        "whose caller waited no more",
 	},
 	{
-		name:        "order that is given up is not withdrawn",
+		name:        "abandoned order is not withdrawn",
 		file:        "internal/controlplane/withdrawal.go",
 		original:    "return order.request.peer == from && order.request.ID == id",
 		replacement: "return order.request.peer == from && order.request.ID == 0",
@@ -49,7 +49,7 @@
 		want:        "after its caller had hung up",
 	},
 	{
-		name:        "leader keeps no order for a withdrawal",
+		name:        "leader does not delay orders that may be withdrawn",
 		file:        "internal/controlplane/withdrawal.go",
 		original:    "const (\n	// drainOrderDelay",
 		replacement: "const (\n	neverDelayed = true\n	// drainOrderDelay",
@@ -60,7 +60,7 @@
 		want:  "after its caller had hung up",
 	},
 	{
-		name:        "stall counts for an order that is kept",
+		name:        "stall counts towards the delay of an order",
 		file:        "internal/controlplane/withdrawal.go",
 		original:    "if len(s.delayedOrders) == 0 || now.Since(s.now) <= drainOrderDelay {",
 		replacement: "if len(s.delayedOrders) >= 0 {",
@@ -68,7 +68,7 @@
 		want:        "1 drains, want 0",
 	},
 	{
-		name:        "kept order is not judged again",
+		name:        "delayed order is not checked for expiry again",
 		file:        "internal/controlplane/withdrawal.go",
 		original:    "if s.orderExpired(r.Request) {",
 		replacement: "if s.orderExpired(r.Request) && s.stopping != nil {",
@@ -76,7 +76,7 @@
 		want:        "want it accepted: false",
 	},
 	{
-		name:        "follower withdraws nothing",
+		name:        "follower forwards no withdrawal to the leader",
 		file:        "internal/controlplane/withdrawal.go",
 		original:    "if request.withdrawable {",
 		replacement: "if request.withdrawable && request.to == \"\" {",
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -13,7 +13,7 @@
 		want:        "P2 at",
 	},
 	{
-		name:        "runners that stay are cordoned with their rack",
+		name:        "remaining runners are cordoned with their rack",
 		file:        "internal/state/drain_scope.go",
 		original:    "\tif s.Level < RackScopeLevel {\n",
 		replacement: "\tif true {\n",
@@ -21,7 +21,7 @@
 		want:        "takes no work",
 	},
 	{
-		name:        "drain of a rack outlives its runners",
+		name:        "drain of a rack continues after its runners have left",
 		file:        "internal/state/drain_scope.go",
 		original:    "runner.Draining && (!runner.Gone || s.Level < RackScopeLevel)",
 		replacement: "runner.Draining",
@@ -29,7 +29,7 @@
 		want:        "although none of its runners leaves",
 	},
 	{
-		name:        "raise keeps the cordons of former programs",
+		name:        "level raise keeps the cordons of older versions",
 		file:        "internal/state/apply.go",
 		original:    "if s.Level >= RackScopeLevel {",
 		replacement: "if s.Level > RackScopeLevel {",
@@ -37,7 +37,7 @@
 		want:        "cordoned for good",
 	},
 	{
-		name:        "leaving rack is not cordoned",
+		name:        "draining rack is not cordoned",
 		file:        "internal/state/drain_scope.go",
 		original:    "runner.cordonedBy = id",
 		replacement: `runner.cordonedBy = ""`,
@@ -57,7 +57,7 @@
 		want:  "P1 at",
 	},
 	{
-		name:        "steps in any order",
+		name:        "steps start in any order",
 		file:        "internal/state/job.go",
 		original:    "if j.Spec.Steps[i].Name == name && !j.stepSucceeded(i) {",
 		replacement: "if j.Spec.Steps[i].Name == name && j.stepCounts[i].succeeded < 0 {",
@@ -65,7 +65,7 @@
 		want:        "P4 at",
 	},
 	{
-		name:        "start times ignored",
+		name:        "start times are ignored",
 		file:        "internal/state/submit.go",
 		original:    "\treturn spec.NotBefore\n",
 		replacement: "\treturn 0\n",
@@ -73,7 +73,7 @@
 		want:        "P4 at",
 	},
 	{
-		name:        "defects not counted",
+		name:        "defects are not counted",
 		file:        "internal/state/row_attempts.go",
 		original:    "\ttask.Defects++\n",
 		replacement: "",
@@ -81,7 +81,7 @@
 		want:        "P5 at",
 	},
 	{
-		name:        "cancel revokes no lease",
+		name:        "cancellation revokes no lease",
 		file:        "internal/state/job_lifecycle.go",
 		original:    "\t\ts.abortTasks(j, RevokeCancelled)\n",
 		replacement: "",
@@ -89,7 +89,7 @@
 		want:        "P6 at",
 	},
 	{
-		name:        "labels ignored",
+		name:        "labels are ignored",
 		file:        "internal/scheduler/feasibility/pack.go",
 		original:    "\t\tif !slices.Contains(have, label) {\n\t\t\treturn false",
 		replacement: "\t\tif !slices.Contains(have, label) {\n\t\t\treturn true",
@@ -97,7 +97,7 @@
 		want:        "P7 at",
 	},
 	{
-		name:        "capacity ignored",
+		name:        "capacity is ignored",
 		file:        "internal/api/job/demand.go",
 		original:    "return d.CPU() <= available.CPU() && d.Mem <= available.Mem && d.GPUs <= available.GPUs",
 		replacement: "return true",
@@ -105,7 +105,7 @@
 		want:        "invalid placements were applied",
 	},
 	{
-		name:        "gang partners are not revoked",
+		name:        "leases of gang partners are not revoked",
 		file:        "internal/state/lease_lifecycle.go",
 		original:    `if partner.RevokeReason == "" {`,
 		replacement: `if partner.RevokeReason == "never" {`,
@@ -121,7 +121,7 @@
 		want:        "job a/x is well, want running",
 	},
 	{
-		name:        "step not held to its stage",
+		name:        "drain command is not checked against the drain's stage",
 		file:        "internal/state/drain_stages.go",
 		original:    "if drain == nil || drain.Stage != command.From {",
 		replacement: "if drain == nil {",
@@ -129,7 +129,7 @@
 		want:        "a command for an earlier stage",
 	},
 	{
-		name:        "a gang's failure counts by member",
+		name:        "failure of a gang is counted once per member",
 		file:        "internal/state/queue_attempts.go",
 		original:    "if attempt != unknownAttempt && counted.LastDefectiveAttempt >= attempt {",
 		replacement: "if false {",
@@ -137,7 +137,7 @@
 		want:        "counted twice",
 	},
 	{
-		name:        "any pool will do",
+		name:        "task is placed in any pool",
 		file:        "internal/state/queue_jobs.go",
 		original:    "\treturn r.Pool == j.Terms.Pool\n",
 		replacement: "\treturn r.Pool != \"\"\n",
@@ -145,7 +145,7 @@
 		want:        "outside the pool",
 	},
 	{
-		name:        "occurrences begin early",
+		name:        "occurrences of a repeated job start early",
 		file:        "internal/state/repeat.go",
 		original:    "if dueAt > s.Now {",
 		replacement: "if dueAt > s.Now+5000 {",
@@ -153,7 +153,7 @@
 		want:        "is running, want waiting",
 	},
 	{
-		name:        "checkpoint goes to another task",
+		name:        "checkpoint is stored for another task",
 		file:        "internal/state/checkpoints.go",
 		original:    "\tj.Task(lease.Task).Checkpoint = data\n",
 		replacement: "\tj.Steps[lease.Task.Step][1].Checkpoint = data\n",
@@ -161,7 +161,7 @@
 		want:        "saved",
 	},
 	{
-		name:        "late work first",
+		name:        "late jobs are scheduled first",
 		file:        "internal/scheduler/job_order.go",
 		original:    "cmp.Compare(a.timeliness, b.timeliness),",
 		replacement: "cmp.Compare(b.timeliness, a.timeliness),",
@@ -169,7 +169,7 @@
 		want:        "want q/first",
 	},
 	{
-		name:        "runs have two names",
+		name:        "runs have different names in starts and cancellations",
 		file:        "internal/state/attempt_lookup.go",
 		original:    "\t\tref.Job = occurrenceKey(j.Key, 0)",
 		replacement: "\t\t_ = occurrenceKey",
@@ -177,7 +177,7 @@
 		want:        "LIMIT",
 	},
 	{
-		name:        "cancel leaves no tombstone",
+		name:        "cancellation of an unknown job leaves no tombstone",
 		file:        "internal/state/job_lifecycle.go",
 		original:    "return s.rejectUnknownCancel(command.Key)",
 		replacement: `return rejected(http.StatusNotFound, codeNoJob, "no such job")`,
@@ -193,7 +193,7 @@
 		want:        "want 201",
 	},
 	{
-		name:        "reopening finds an old drain",
+		name:        "reopening ends an earlier drain instead of the current one",
 		file:        "internal/state/drain_requests.go",
 		original:    "if s.Level >= ResendLevel && found != nil && !found.Stage.Reopening() && candidate.Stage.Reopening() {",
 		replacement: "if false {",
@@ -201,7 +201,7 @@
 		want:        "stays drained",
 	},
 	{
-		name:        "resend starts a drain of the same id again",
+		name:        "resend restarts a drain with the same id",
 		file:        "internal/state/drain_requests.go",
 		original:    `if command.ID != "" && s.Drains[command.ID] != nil {`,
 		replacement: `if command.ID != "" && s.Drains[command.ID] != nil && !s.Drains[command.ID].Stage.Reopening() {`,
--- a/tests/mutation/membership.go
+++ b/tests/mutation/membership.go
@@ -5,7 +5,7 @@
 // membershipMutations break how servers found a group, join, leave and are replaced.
 var membershipMutations = []mutation{
 	{
-		name:        "an old version joins",
+		name:        "server of an old version joins",
 		file:        "internal/controlplane/membership.go",
 		original:    "if body.Level < s.state.Level {",
 		replacement: "if false {",
@@ -21,7 +21,7 @@
 		want:        "nobody leads",
 	},
 	{
-		name:        "silent voter is kept long",
+		name:        "silent voter is removed late",
 		file:        "internal/controlplane/membership.go",
 		original:    "minVoterSilence clock.Millis = 1000",
 		replacement: "minVoterSilence clock.Millis = 10000",
@@ -29,7 +29,7 @@
 		want:        "nobody leads",
 	},
 	{
-		name:        "three voters on a larger cluster",
+		name:        "larger cluster has only three voters",
 		file:        "internal/controlplane/membership.go",
 		original:    "maxVoters = 5",
 		replacement: "maxVoters = 3",
@@ -37,7 +37,7 @@
 		want:        "nobody leads",
 	},
 	{
-		name:        "voters regardless of zones",
+		name:        "voters are chosen regardless of zones",
 		file:        "internal/controlplane/membership_plan.go",
 		original:    "p.votersByDomain[member.Domain] < p.votersByDomain[p.readyLearner.Domain]",
 		replacement: "member.ID < p.readyLearner.ID",
@@ -52,7 +52,7 @@
 		want:  "by domain map",
 	},
 	{
-		name:        "a lagging learner votes",
+		name:        "lagging learner becomes a voter",
 		file:        "internal/controlplane/membership.go",
 		original:    "status.Match >= s.raft.TermStart() && status.Match+caughtUpGap >= s.raft.CommitIndex()",
 		replacement: "true",
@@ -60,7 +60,7 @@
 		want:        "became a voter with its log",
 	},
 	{
-		name:        "voters removed whoever is live",
+		name:        "voters are removed without a live majority",
 		file:        "internal/controlplane/membership_plan.go",
 		original:    "return liveVoters > voters/2",
 		replacement: "return liveVoters >= 0",
@@ -68,7 +68,7 @@
 		want:        "voters would be live",
 	},
 	{
-		name:        "five voters for good",
+		name:        "five voters are never reduced to three",
 		file:        "internal/controlplane/membership.go",
 		original:    "s.now.Since(s.leader.maxVotersLiveAt) <= memberDeadAfter",
 		replacement: "true",
@@ -76,7 +76,7 @@
 		want:        "with four alive for long",
 	},
 	{
-		name:        "only a leading seed admits members",
+		name:        "only a seed that is the leader admits members",
 		file:        "internal/controlplane/discovery.go",
 		original:    "\tif announcement.Founded {",
 		replacement: "\tif announcement.Founded && announcement.LeaderID == announcement.Node {",
@@ -100,7 +100,7 @@
 		want:        "replaced, nobody leads",
 	},
 	{
-		name:        "founded without listening for a group",
+		name:        "group is founded without waiting for an existing one",
 		file:        "internal/controlplane/discovery.go",
 		original:    "!everySeed && !s.discovery.quietPeriodOver(s.now)",
 		replacement: "everySeed && false",
@@ -116,7 +116,7 @@
 		want:        "not served within",
 	},
 	{
-		name:        "a replacement is not given a voter's seat",
+		name:        "replacement does not become a voter",
 		file:        "internal/controlplane/membership_plan.go",
 		original:    "case plan.readyLearner != nil && (plan.needsVoter(want) ||",
 		replacement: "case plan.readyLearner != nil && (false ||",
@@ -124,7 +124,7 @@
 		want:        "until the group tolerates the next loss",
 	},
 	{
-		name:        "leaving leader keeps leadership",
+		name:        "stopping leader keeps leadership",
 		file:        "internal/controlplane/graceful_stop.go",
 		original:    "\tif s.raft.TransferLeadership() {\n",
 		replacement: "\tif false {\n",
@@ -132,7 +132,7 @@
 		want:        "without an accepted job to",
 	},
 	{
-		name:        "leadership transferred before entries are committed",
+		name:        "leadership is transferred before entries are committed",
 		file:        "internal/controlplane/graceful_stop.go",
 		original:    "if !late && (len(s.proposals.byIndex) > 0 || !s.raft.Replicated()) {",
 		replacement: "if false && !late {",
@@ -140,7 +140,7 @@
 		want:        "answers of unknown outcome",
 	},
 	{
-		name:        "leave is not announced",
+		name:        "announced departure of a server is ignored",
 		file:        "internal/controlplane/membership.go",
 		original:    "(silentFor > limit || status.Leaving)",
 		replacement: "silentFor > limit",
@@ -156,7 +156,7 @@
 		want:        "the next loss is not tolerated",
 	},
 	{
-		name:        "size of a snapshot is carried by some messages only",
+		name:        "size of a snapshot is missing from some messages",
 		file:        "internal/transport/wire/encode.go",
 		original:    "\tout.SetViewTotal(m.Total)\n",
 		replacement: "\tif m.Snapshot != nil {\n\t\tout.SetViewTotal(m.Total)\n\t}\n",
@@ -164,7 +164,7 @@
 		want:        "is lost",
 	},
 	{
-		name:        "silent voter is waited for as before",
+		name:        "silent voter is removed after 2 s instead of 1 s",
 		file:        "internal/controlplane/membership.go",
 		original:    "minVoterSilence clock.Millis = 1000",
 		replacement: "minVoterSilence clock.Millis = 2000",
@@ -172,7 +172,7 @@
 		want:        "want full tolerance within",
 	},
 	{
-		name:        "planned stop leaves a second seat empty",
+		name:        "planned stop is not held back while a voter is absent",
 		file:        "internal/controlplane/stop_hold.go",
 		original:    "maxStopHold clock.Millis = 2000",
 		replacement: "maxStopHold clock.Millis = 0",
@@ -180,7 +180,7 @@
 		want:        "nobody led for",
 	},
 	{
-		name:        "new leader takes unheard voters for present",
+		name:        "new leader counts voters without contact as present",
 		file:        "internal/controlplane/stop_hold.go",
 		original:    "(!server.Heard || server.SilentFor > voterAbsentAfter)",
 		replacement: "server.SilentFor > voterAbsentAfter",
@@ -188,7 +188,7 @@
 		want:        "nobody led for",
 	},
 	{
-		name:        "five voters become three whatever losses are tolerated",
+		name:        "five voters become three regardless of the tolerated losses",
 		file:        "internal/controlplane/membership.go",
 		original:    "s.votersToTolerateLosses() >= maxVoters {",
 		replacement: "s.votersToTolerateLosses() > maxVoters {",
@@ -196,7 +196,7 @@
 		want:        "of 3 voters lost, nobody leads",
 	},
 	{
-		name:        "member that joins again counts as silent since its removal",
+		name:        "rejoined member counts as silent since its removal",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "if _, ok := r.Member(id); !ok {",
 		replacement: "if false {",
@@ -204,7 +204,7 @@
 		want:        "but counts as silent for",
 	},
 	{
-		name:        "removed learner follows its last leader for ever",
+		name:        "removed learner never forgets its last leader",
 		file:        "internal/consensus/raft/tick.go",
 		original:    "if r.timer.expired(now) && !r.isVoter(r.id) && !r.leaving {",
 		replacement: "if false {",
@@ -212,7 +212,7 @@
 		want:        "is still known as",
 	},
 	{
-		name:        "member that was removed searches late",
+		name:        "removed member starts discovery late",
 		file:        "internal/controlplane/discovery.go",
 		original:    "rejoinAfter clock.Millis = 2500",
 		replacement: "rejoinAfter clock.Millis = 5000",
--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -5,7 +5,7 @@
 // operatorMutations break how operators' changes of limits and the catalogue are taken.
 var operatorMutations = []mutation{
 	{
-		name:        "changes on a stale base win",
+		name:        "changes with a stale base are accepted",
 		file:        "internal/api/limits/table.go",
 		original:    "if changedAt > c.Base && (c.Whole || c.names(name)) {",
 		replacement: "if changedAt > c.Base && changedAt == 0 {",
@@ -13,7 +13,7 @@
 		want:        "P10 at",
 	},
 	{
-		name:        "both concurrent changes win",
+		name:        "two concurrent changes are both accepted",
 		file:        "internal/state/catalog.go",
 		original:    "if current.Version != change.Base {",
 		replacement: "if current.Version < change.Base {",
@@ -21,7 +21,7 @@
 		want:        "want 412",
 	},
 	{
-		name:        "accepted changes are soon forgotten",
+		name:        "accepted changes are forgotten too early",
 		file:        "internal/api/catalog/dedup.go",
 		original:    "maxRecords = 4096",
 		replacement: "maxRecords = 64",
@@ -29,7 +29,7 @@
 		want:        "was refused with",
 	},
 	{
-		name:        "forgotten changes are refused",
+		name:        "resend of a forgotten change is rejected",
 		file:        "internal/state/catalog.go",
 		original:    "if current.MayHaveForgotten(change) {",
 		replacement: "if false {",
@@ -37,7 +37,7 @@
 		want:        "sent again: 412",
 	},
 	{
-		name:        "any old number may have been taken",
+		name:        "any old version counts as possibly accepted",
 		file:        "internal/api/catalog/dedup.go",
 		original:    "return change.Base < change.Version && change.Version <= d.Horizon",
 		replacement: "return change.Version <= d.Horizon",
@@ -45,7 +45,7 @@
 		want:        "a version not above its own base: 504",
 	},
 	{
-		name:        "a patch passes for a whole catalogue",
+		name:        "patch is recorded as a replacement of the catalogue",
 		file:        "internal/api/catalog/dedup.go",
 		original:    "\treturn kindPatch\n",
 		replacement: "\treturn kindReplace\n",
@@ -53,7 +53,7 @@
 		want:        "two changes were acknowledged under one version",
 	},
 	{
-		name:        "accepted changes are forgotten by the raise",
+		name:        "accepted changes are forgotten when the level is raised",
 		file:        "internal/api/catalog/catalog.go",
 		original:    "newDedup(c.LegacyRecords)",
 		replacement: "newDedup(nil)",
@@ -61,7 +61,7 @@
 		want:        "sent again got 412",
 	},
 	{
-		name:        "a resend is taken for another change",
+		name:        "resend is treated as another change",
 		file:        "internal/state/catalog.go",
 		original:    "\tif current.Has(change) {",
 		replacement: "\tif false {",
@@ -69,7 +69,7 @@
 		want:        "no register answers so",
 	},
 	{
-		name:        "one number confirmed for any content",
+		name:        "version is confirmed for any content",
 		file:        "internal/api/catalog/dedup.go",
 		original:    "return known == newDigest(change.kind(), change.Checksum) ||",
 		replacement: "return true ||",
@@ -77,7 +77,7 @@
 		want:        "no register answers so",
 	},
 	{
-		name:        "dedup records are not in snapshots",
+		name:        "deduplication records are missing from snapshots",
 		file:        "internal/api/catalog/catalog.go",
 		original:    "`json:\"dedup,omitempty\"`",
 		replacement: "`json:\"-\"`",
@@ -85,7 +85,7 @@
 		want:        "no register answers so",
 	},
 	{
-		name:        "resend is refused by a whole cluster",
+		name:        "resend to a whole cluster is rejected",
 		file:        "internal/state/catalog.go",
 		original:    "\tif current.Has(change) {",
 		replacement: "\tif false {",
@@ -93,7 +93,7 @@
 		want:        "no register answers so",
 	},
 	{
-		name:        "unread parts of a patch are dropped",
+		name:        "unknown parts of a patch are dropped",
 		file:        "platform/config_translation.go",
 		original:    "out.Rest = upsert.unknownParts(remove)",
 		replacement: "_ = upsert.unknownParts(remove)",
@@ -131,7 +131,7 @@
 		want:  "goes back to version",
 	},
 	{
-		name:        "catalogue acknowledged on the disk that is lost",
+		name:        "catalogue is acknowledged that is only on the lost disk",
 		file:        "internal/consensus/raft/replication.go",
 		original:    "quorumMatch := matches[r.voterCount()/2]",
 		replacement: "quorumMatch := matches[0]",
@@ -147,7 +147,7 @@
 		want:        "P2 at",
 	},
 	{
-		name:        "text after a configuration is taken",
+		name:        "text after a configuration is accepted",
 		file:        "internal/api/catalog/change.go",
 		original:    "if _, err := d.Token(); err != io.EOF {",
 		replacement: "if _, err := d.Token(); err == io.ErrUnexpectedEOF {",
@@ -155,7 +155,7 @@
 		want:        "data after passed",
 	},
 	{
-		name:        "queue of a pool that is not there is taken",
+		name:        "queue with an unknown pool is accepted",
 		file:        "internal/api/catalog/merge.go",
 		original:    "case !pools[q.Pool]:",
 		replacement: "case q.Pool == \"\":",
--- a/tests/mutation/placement.go
+++ b/tests/mutation/placement.go
@@ -3,7 +3,7 @@
 // placementMutations break how the scheduler chooses where and when tasks run.
 var placementMutations = []mutation{
 	{
-		name:        "estimates decide what is too late",
+		name:        "predicted runs are not used to find late jobs",
 		file:        "internal/scheduler/job_order.go",
 		original:    "if queue := c.queue(j.Terms.Queue); queue != nil {",
 		replacement: "if queue := c.queue(j.Terms.Queue); queue != nil && c.full() {",
@@ -11,7 +11,7 @@
 		want:        "want q/low",
 	},
 	{
-		name:        "nobody waits for a near runner",
+		name:        "tasks never wait for a near runner",
 		file:        "internal/scheduler/deferral.go",
 		original:    "if gain <= minDeferralGain {",
 		replacement: "if gain >= 0 {",
@@ -19,7 +19,7 @@
 		want:        "room soon",
 	},
 	{
-		name:        "tasks wait for a near runner without end",
+		name:        "tasks wait for a near runner without a limit",
 		file:        "internal/scheduler/deferral.go",
 		original:    "c.view.DeferredFor(ref) >= min(best.gain, maxDeferral)",
 		replacement: "c.view.DeferredFor(ref) < 0",
@@ -27,7 +27,7 @@
 		want:        "waited too long",
 	},
 	{
-		name:        "a job stands still for a better runner",
+		name:        "long run waits too long for a better runner",
 		file:        "internal/scheduler/deferral.go",
 		original:    ">= min(best.gain, maxDeferral)",
 		replacement: ">= best.gain",
@@ -35,7 +35,7 @@
 		want:        "a long run has waited for seconds",
 	},
 	{
-		name:        "all wait for the same room",
+		name:        "more tasks are deferred than capacity becomes free",
 		file:        "internal/scheduler/deferral.go",
 		original:    "releases.claimed = releases.claimed.Plus(step.Demand)",
 		replacement: "releases.claimed = releases.claimed.Minus(step.Demand)",
@@ -43,7 +43,7 @@
 		want:        "more tasks than room",
 	},
 	{
-		name:        "services wait for a better runner",
+		name:        "services are deferred for a better runner",
 		file:        "internal/scheduler/deferral.go",
 		original:    "if step.Service || step.Gang ||",
 		replacement: "if",
@@ -51,7 +51,7 @@
 		want:        "0 placed, 1 deferred",
 	},
 	{
-		name:        "deferred tasks are never forgotten",
+		name:        "deferrals of tasks never expire",
 		file:        "internal/scheduler/deferral.go",
 		original:    "if now.Since(span.last) > deferralRetention {",
 		replacement: "if now.Since(span.last) < 0 {",
@@ -59,7 +59,7 @@
 		want:        "still deferred",
 	},
 	{
-		name:        "low priorities take all room",
+		name:        "low priorities take all free capacity",
 		file:        "internal/scheduler/headroom.go",
 		original:    "return headroom.Fits(free)",
 		replacement: "return headroom.Fits(free) || length >= 0",
@@ -67,7 +67,7 @@
 		want:        "with 4 left free",
 	},
 	{
-		name:        "services wait for headroom",
+		name:        "services are held back for headroom",
 		file:        "internal/scheduler/headroom.go",
 		original:    "length < 0 || u.spec().Service ||",
 		replacement: "length < 0 ||",
@@ -75,7 +75,7 @@
 		want:        "want all 20",
 	},
 	{
-		name:        "a service shares the shape of what is held back",
+		name:        "service shares the shape of tasks that are held back",
 		file:        "internal/scheduler/queues.go",
 		original:    "shape.constraints += \" service\"",
 		replacement: "shape.constraints += \"\"",
@@ -83,7 +83,7 @@
 		want:        "the service is not placed",
 	},
 	{
-		name:        "one task at a time for good",
+		name:        "trial of a runner never admits more than one task",
 		file:        "internal/scheduler/node.go",
 		original:    "return 1 << min(streak/successesPerDoubling, maxTrialDoublings)",
 		replacement: "return 1",
@@ -91,7 +91,7 @@
 		want:        "after 4 successes",
 	},
 	{
-		name:        "room is left free in an empty pool",
+		name:        "headroom is left free in an empty pool",
 		file:        "internal/scheduler/headroom.go",
 		original:    "headroomThreshold = 600_000",
 		replacement: "headroomThreshold = 0",
@@ -99,7 +99,7 @@
 		want:        "in an empty pool",
 	},
 	{
-		name:        "estimates are believed whatever comes of them",
+		name:        "estimates are used regardless of their accuracy",
 		file:        "internal/prediction/durations.go",
 		original:    "if q.level.count < minObserved {",
 		replacement: "if q.level.count < 1e9 {",
@@ -107,7 +107,7 @@
 		want:        "runs of 2000 ms",
 	},
 	{
-		name:        "one run decides a runner's rate",
+		name:        "single run determines the work rate of a runner",
 		file:        "internal/prediction/rate.go",
 		original:    "noise := e.variance / e.runs / e.runs",
 		replacement: "noise := 0.0",
@@ -115,7 +115,7 @@
 		want:        "one run that is badly predicted",
 	},
 	{
-		name:        "waiting is not timed",
+		name:        "waiting time is not recorded",
 		file:        "internal/state/job_timing.go",
 		original:    "task.Waiting += lease.OpenedAt.Since(since)",
 		replacement: "task.Waiting += 0 * lease.OpenedAt.Since(since)",
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -5,7 +5,7 @@
 // requestMutations break the way of a request and of its answer.
 var requestMutations = []mutation{
 	{
-		name:        "resumed gateway decides",
+		name:        "resumed gateway answers without contact with the leader",
 		file:        "internal/gateway/gateway.go",
 		original:    "return g.routing.rules != nil && now.Since(g.sync.lastContactAt) < LeaderContactTimeout",
 		replacement: "return g.routing.rules != nil",
@@ -20,7 +20,7 @@
 		want:  "just resumed it answered",
 	},
 	{
-		name:        "silent gang member is trusted",
+		name:        "gang with a silent member is not revoked",
 		file:        "internal/controlplane/leader.go",
 		original:    "\ts.revokeSilentGangs()\n",
 		replacement: "",
@@ -28,7 +28,7 @@
 		want:        "in part for",
 	},
 	{
-		name:        "start times accepted without agreed clocks",
+		name:        "start times are accepted without agreed clocks",
 		file:        "internal/controlplane/requests.go",
 		original:    "if spec.HasStartTime() && !s.leader.clock.canAppoint",
 		replacement: "if false && !s.leader.clock.canAppoint",
@@ -36,7 +36,7 @@
 		want:        "P4 at",
 	},
 	{
-		name:        "an unknown leader gets no answer",
+		name:        "leader outside the member list gets no response",
 		file:        "internal/controlplane/apply.go",
 		original:    "case msg.To == s.leaderLink.hint.id:",
 		replacement: "case msg.To == 0:",
@@ -44,7 +44,7 @@
 		want:        "members:",
 	},
 	{
-		name:        "routing table goes back",
+		name:        "routing table goes back to an older epoch",
 		file:        "internal/routing/replica.go",
 		original:    "if t.Epoch <= r.epoch {",
 		replacement: "if t.Epoch == 0 {",
@@ -52,7 +52,7 @@
 		want:        "the table went back",
 	},
 	{
-		name:        "abandoned requests are held back",
+		name:        "requests in flight are kept when contact is lost",
 		file:        "internal/gateway/gateway.go",
 		original:    "for _, id := range g.requests.ids() {\n\t\tg.fail(id, codeContactLost",
 		replacement: "for _, id := range g.requests.ids()[:0] {\n\t\tg.fail(id, codeContactLost",
@@ -60,7 +60,7 @@
 		want:        "of budget left",
 	},
 	{
-		name:        "rejected what may be accepted",
+		name:        "request that may be accepted is reported as rejected",
 		file:        "internal/gateway/requests.go",
 		original:    "r.Method != http.MethodGet && (r.outcomeUnknown || r.attempt != 0)",
 		replacement: `r.Method == ""`,
@@ -84,7 +84,7 @@
 		want:        "past the drain delay, the request in flight got",
 	},
 	{
-		name:        "abandoned, and called rejected",
+		name:        "unknown outcome is reported as rejected",
 		file:        "internal/gateway/requests.go",
 		original:    "r.Method != http.MethodGet && (r.outcomeUnknown || r.attempt != 0)",
 		replacement: `r.Method == ""`,
@@ -92,7 +92,7 @@
 		want:        "no register answers so",
 	},
 	{
-		name:        "any sender's response counts",
+		name:        "forwarder accepts any sender's response",
 		file:        "internal/controlplane/forwarding.go",
 		original:    "if !ok || request.to != from {",
 		replacement: "if !ok {",
@@ -108,7 +108,7 @@
 		want:        "accepted the response of another server",
 	},
 	{
-		name:        "a leader that does not answer is waited for",
+		name:        "requests wait for an unreachable leader",
 		file:        "internal/controlplane/leader_link.go",
 		original:    "if silent > leaderUnreachableAfter && !link.unreachable {",
 		replacement: "if silent > 1<<40 && !link.unreachable {",
@@ -124,7 +124,7 @@
 		want:        "a change takes",
 	},
 	{
-		name:        "pages nobody asked for count",
+		name:        "pages that were not requested are accepted",
 		file:        "internal/routing/replica.go",
 		original:    "case after != wanted:",
 		replacement: "case after == wanted && false:",
@@ -132,7 +132,7 @@
 		want:        "that was not requested",
 	},
 	{
-		name:        "a page of a newer table ends the update at its epoch",
+		name:        "paged update ends at too high an epoch",
 		file:        "internal/routing/replica.go",
 		original:    "\tr.epoch = u.first.Epoch\n",
 		replacement: "\tr.epoch = u.first.Epoch + 1\n",
@@ -140,7 +140,7 @@
 		want:        "seed ",
 	},
 	{
-		name:        "a stale attempt is kept",
+		name:        "stale attempt is not ended",
 		file:        "internal/gateway/requests.go",
 		original:    "\tr.staleReturns++\n\tg.requests.endAttempt(r)\n",
 		replacement: "\tr.staleReturns++\n\tr.attempt = 0\n",
@@ -148,7 +148,7 @@
 		want:        "an ended attempt was accepted",
 	},
 	{
-		name:        "every stale request asks",
+		name:        "every stale request starts a sync",
 		file:        "internal/gateway/requests.go",
 		original:    "if g.Epoch() == before && before <= r.epoch && len(response.Body) == 0 {",
 		replacement: "if len(response.Body) == 0 {",
@@ -156,7 +156,7 @@
 		want:        "for 50 stale requests",
 	},
 	{
-		name:        "undecided requests fill the log",
+		name:        "size of pending proposals is unbounded",
 		file:        "internal/controlplane/proposals.go",
 		original:    "t.bytes+size > maxProposalBytes",
 		replacement: "t.bytes < 0",
@@ -164,7 +164,7 @@
 		want:        "bytes each were accepted",
 	},
 	{
-		name:        "truncated body passes for a complete one",
+		name:        "truncated body is treated as complete",
 		file:        "platform/body.go",
 		original:    "\tif err == nil {\n",
 		replacement: "\tif err == nil || err == io.ErrUnexpectedEOF {\n",
@@ -172,7 +172,7 @@
 		want:        "done 1 times, want 0",
 	},
 	{
-		name:        "a request is carried out twice",
+		name:        "request is handled twice",
 		file:        "internal/transport/httpserver/handler_server.go",
 		original:    "\t\th.ServeHTTP(&closingWriter{ResponseWriter: w, server: s}, r)\n",
 		replacement: "\t\th.ServeHTTP(&closingWriter{ResponseWriter: w, server: s}, r)\n\t\th.ServeHTTP(&closingWriter{ResponseWriter: w, server: s}, r)\n",
@@ -180,7 +180,7 @@
 		want:        "carried out",
 	},
 	{
-		name:        "client repeats what may have been done",
+		name:        "client resends a request that may have been applied",
 		file:        "internal/transport/httpclient/client.go",
 		original:    "if last || outcomeUnknown && !idempotent {",
 		replacement: "if last || outcomeUnknown && !idempotent && !isChange {",
@@ -188,7 +188,7 @@
 		want:        "was sent ",
 	},
 	{
-		name:        "rejection hides an earlier attempt",
+		name:        "rejection hides the unknown outcome of an earlier attempt",
 		file:        "internal/transport/httpclient/client.go",
 		original:    "\tcase outcomeUnknown:\n",
 		replacement: "\tcase outcomeUnknown && last.err != nil:\n",
@@ -196,7 +196,7 @@
 		want:        "then 503",
 	},
 	{
-		name:        "whatever comes on a connection is the response",
+		name:        "client accepts a stray response on a reused connection",
 		file:        "internal/transport/httpclient/client.go",
 		original:    "transport.DisableKeepAlives = true",
 		replacement: "transport.DisableKeepAlives = false",
@@ -212,7 +212,7 @@
 		want:        "another got it",
 	},
 	{
-		name:        "what waited for one process goes to another",
+		name:        "queued messages are sent to a successor process",
 		file:        "internal/transport/link/connection.go",
 		original:    "\t\tc.discard()\n",
 		replacement: "",
@@ -220,7 +220,7 @@
 		want:        "got what waited for another",
 	},
 	{
-		name:        "accepted connection is read but not written to after a while",
+		name:        "idle accepted connection is read but not written to",
 		file:        "internal/transport/link/streams.go",
 		original:    "\twriter := newMessageWriter(c, conn)\n\tfor {\n",
 		replacement: "\twriter := newMessageWriter(c, conn)\n\tidle := time.NewTimer(l.idleTimeout).C\n\tfor {\n",
@@ -240,7 +240,7 @@
 		want:  "no response on a connection that is still read",
 	},
 	{
-		name:        "peer that refuses connections is dialled without end",
+		name:        "peer that refuses connections is dialled forever",
 		file:        "internal/transport/link/connection.go",
 		original:    "if unused && l.removeIfEmpty(to, c) {",
 		replacement: "if unused && conn == nil && l.removeIfEmpty(to, c) {",
@@ -248,7 +248,7 @@
 		want:        "a peer that refuses is kept",
 	},
 	{
-		name:        "connection counts as idle while responses come on it",
+		name:        "connection counts as idle while it receives responses",
 		file:        "internal/transport/link/streams.go",
 		original:    "if received == receivedBefore {",
 		replacement: "if received >= receivedBefore {",
@@ -272,7 +272,7 @@
 		want:        "a heartbeat that was given up was",
 	},
 	{
-		name:        "handler calls an unknown outcome rejected",
+		name:        "handler reports an unknown outcome as rejected",
 		file:        "platform/responses.go",
 		original:    "\t\treplyError(w, http.StatusGatewayTimeout, \"the outcome is not known\")\n",
 		replacement: "\t\treplyRetryLater(w, http.StatusServiceUnavailable, response.RetryAfter, \"not taken\")\n",
@@ -280,7 +280,7 @@
 		want:        "answered 503",
 	},
 	{
-		name:        "deposed leader says that it did not accept it",
+		name:        "deposed leader reports an unknown outcome as rejected",
 		file:        "internal/controlplane/proposals.go",
 		original:    "s.replyError(p.peer, p.id, errLeaderChanged)",
 		replacement: `s.replyError(p.peer, p.id, apiError{503, "leader-changed", "", 0})`,
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -3,7 +3,7 @@
 // runnerMutations break runners, agents and how the leader judges them.
 var runnerMutations = []mutation{
 	{
-		name:        "task placed anew before its lease expires",
+		name:        "task is placed again before its lease expires",
 		file:        "internal/controlplane/runner_contact.go",
 		original:    "return now.Since(c.lastHeard) > lease+lease/runnerDriftFraction+runnerLapseMargin",
 		replacement: "return now.Since(c.lastHeard) > 3000",
@@ -19,7 +19,7 @@
 		want:        "P3 at",
 	},
 	{
-		name:        "gang members go on without confirmation",
+		name:        "gang members continue without confirmation",
 		file:        "internal/runner/runner.go",
 		original:    "case lapsed || running.GangLease > 0 && r.now.Since(running.gangCompleteAt) > running.GangLease:",
 		replacement: "case lapsed:",
@@ -27,7 +27,7 @@
 		want:        "in part for",
 	},
 	{
-		name:        "late answers start work",
+		name:        "late poll responses start tasks",
 		file:        "internal/runner/polls.go",
 		original:    "if seq != r.polls.seq || r.now.Since(sentAt) > response.StartTimeout ||",
 		replacement: "if",
@@ -35,7 +35,7 @@
 		want:        "after its poll",
 	},
 	{
-		name:        "leases start again",
+		name:        "used leases are started again",
 		file:        "internal/runner/attempts.go",
 		original:    "if _, used := attempts.used[order.Lease]; used || attempts.running[order.Lease] != nil {",
 		replacement: "if attempts.running[order.Lease] != nil {",
@@ -51,7 +51,7 @@
 		want:        "TWICE",
 	},
 	{
-		name:        "drained starts are kept",
+		name:        "leases that a draining runner cannot start are kept",
 		file:        "internal/controlplane/runner_health.go",
 		original:    "if unstartable := s.unstartableLeases(); len(unstartable) > 0 {",
 		replacement: "if unstartable := s.unstartableLeases(); len(unstartable) > 1<<20 {",
@@ -59,7 +59,7 @@
 		want:        "is running",
 	},
 	{
-		name:        "stalled runs are left",
+		name:        "stalled runs are not revoked",
 		file:        "internal/controlplane/runner_health.go",
 		original:    "return p.stalledFor+s.now.Since(c.lastHeard) > span",
 		replacement: "return span < 0",
@@ -67,7 +67,7 @@
 		want:        "are left on the stalled runner",
 	},
 	{
-		name:        "a silent runner is taken for dead",
+		name:        "silent runner is presumed dead too early",
 		file:        "internal/agent/heartbeats.go",
 		original:    "now > r.leaseEnd.Add(deadSlack)",
 		replacement: "now > r.receivedAt.Add(deadSlack)",
@@ -75,7 +75,7 @@
 		want:        "TWICE",
 	},
 	{
-		name:        "a dead runner is waited for",
+		name:        "dead runner is not reported as presumed dead",
 		file:        "internal/agent/polls.go",
 		original:    "\t\tPresumedDead: a.runner.presumedDead(a.now),\n",
 		replacement: "",
@@ -83,7 +83,7 @@
 		want:        "after the crash the job is running",
 	},
 	{
-		name:        "answers to replaced polls are nothing",
+		name:        "responses to superseded polls are ignored",
 		file:        "internal/agent/polls.go",
 		original:    "\t\ta.handleReplacedPoll(r)\n",
 		replacement: "",
@@ -91,7 +91,7 @@
 		want:        "held for",
 	},
 	{
-		name:        "slow runners are given work",
+		name:        "work rate of slow runners is ignored",
 		file:        "internal/scheduler/node.go",
 		original:    " / max(n.workRate, minWorkRate)\n",
 		replacement: " / max(prediction.NominalRate, minWorkRate)\n",
@@ -99,7 +99,7 @@
 		want:        "turned slow, job",
 	},
 	{
-		name:        "any response on a runner's connection counts",
+		name:        "any response on a runner's connection is accepted",
 		file:        "platform/runner_calls.go",
 		original:    "return clock > c.lastClock && clock-c.lastClock <= maxAdvance",
 		replacement: "return clock >= 0 || maxAdvance > 0",
@@ -107,7 +107,7 @@
 		want:        "was answered with the clock at",
 	},
 	{
-		name:        "calls to a runner are sent again",
+		name:        "calls to a runner are retried",
 		file:        "platform/runner_calls.go",
 		original:    "\t\tc.close()\n\t}\n\treturn body, id, err\n",
 		replacement: "\t\tc.close()\n\t\tbody, id, err = c.send(path, in)\n\t}\n\treturn body, id, err\n",
@@ -123,7 +123,7 @@
 		want:        "calls to another",
 	},
 	{
-		name:        "unannounced farewell counts as the end",
+		name:        "unannounced departure counts as the end of a runner",
 		file:        "internal/agent/heartbeats.go",
 		original:    "\tcase a.runner.heartbeat.Draining:\n",
 		replacement: "\tcase true:\n",
@@ -131,7 +131,7 @@
 		want:        "TWICE",
 	},
 	{
-		name:        "unannounced leaver gets starts",
+		name:        "runner that departs unannounced receives starts",
 		file:        "internal/agent/heartbeats.go",
 		original:    "return heartbeat.Draining || r.unannouncedAt > 0",
 		replacement: "return heartbeat.Draining",
@@ -139,7 +139,7 @@
 		want:        "reported at the departure",
 	},
 	{
-		name:        "unannounced leaver is called no more",
+		name:        "runner that departs unannounced is no longer called",
 		file:        "platform/runner_client.go",
 		original:    "case c.latest.Draining:",
 		replacement: "case true:",
@@ -163,7 +163,7 @@
 		want:        "gateways turned to a new leader after",
 	},
 	{
-		name:        "start carries another text",
+		name:        "start carries another payload",
 		file:        "internal/controlplane/agent_answers.go",
 		original:    "start.Payload = j.Spec.Payload",
 		replacement: "start.Payload = j.Spec.Steps[0].Name",
@@ -171,7 +171,7 @@
 		want:        "unasked at",
 	},
 	{
-		name:        "another text replaces the first",
+		name:        "resubmission with another payload is accepted",
 		file:        "internal/state/submit.go",
 		original:    "if j.Checksum != checksum {\n\t\t\treturn rejected",
 		replacement: "if j.Checksum == \"\" {\n\t\t\treturn rejected",
@@ -179,7 +179,7 @@
 		want:        "another text under the id",
 	},
 	{
-		name:        "unknown runs go on",
+		name:        "unknown runs are not stopped",
 		file:        "internal/controlplane/agent_answers.go",
 		original:    "return append(list, agent.unknownRuns...)",
 		replacement: "return list",
@@ -187,7 +187,7 @@
 		want:        "although the control plane does not know it",
 	},
 	{
-		name:        "gang with agents waits for its silent member",
+		name:        "gang with agents waits too long for a silent member",
 		file:        "internal/controlplane/gangs.go",
 		original:    "limit := silentGangPolls * s.startTimeout()",
 		replacement: "limit := 100 * silentGangPolls * s.startTimeout()",
@@ -195,7 +195,7 @@
 		want:        "a member ran on for",
 	},
 	{
-		name:        "runner goes on a little after its lease",
+		name:        "runner continues slightly past its lease",
 		file:        "internal/runner/runner.go",
 		original:    "lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease",
 		replacement: "lapsed := r.now.Since(r.polls.lastContact) > r.polls.lease*106/100",
@@ -203,7 +203,7 @@
 		want:        "P6 at",
 	},
 	{
-		name:        "gang members go on for a whole lease",
+		name:        "gang members continue for a whole lease",
 		file:        "internal/controlplane/gangs.go",
 		original:    "const gangLeasePercent = 70",
 		replacement: "const gangLeasePercent = 100",
--- a/tests/mutation/storage.go
+++ b/tests/mutation/storage.go
@@ -3,7 +3,7 @@
 // storageMutations break the write-ahead log and its snapshots.
 var storageMutations = []mutation{
 	{
-		name:        "outdated snapshot is finished",
+		name:        "superseded snapshot is completed",
 		file:        "internal/consensus/wal/snapshot_writer.go",
 		original:    "if w.snapshot.Index <= l.snapshotIndex {",
 		replacement: "if w.snapshot.Index == 0 {",
@@ -11,7 +11,7 @@
 		want:        "superseded snapshot is still being written",
 	},
 	{
-		name:        "torn records taken",
+		name:        "torn records are accepted",
 		file:        "internal/consensus/wal/record.go",
 		original:    "if binary.LittleEndian.Uint32(record[checksumOffset:]) != recordChecksum(record) {",
 		replacement: "if false {",
@@ -43,7 +43,7 @@
 		want:        "acknowledged",
 	},
 	{
-		name:        "a data folder's own name is not synced",
+		name:        "directory entry of a data folder is not synced",
 		file:        "internal/consensus/wal/filesystem.go",
 		original:    "err = syncPath(parent)",
 		replacement: "err = nil",
--- a/tests/mutation/tenants.go
+++ b/tests/mutation/tenants.go
@@ -19,7 +19,7 @@
 		want:        "bytes of key",
 	},
 	{
-		name:        "key is passed on as it came",
+		name:        "gateway forwards a key in plain text",
 		file:        "internal/gateway/authentication.go",
 		original:    "r.Query = withCredential(r.Query, digest)",
 		replacement: "r.Query = withCredential(r.Query, catalog.KeyDigest(r.Credential))",
@@ -35,7 +35,7 @@
 		want:        "keyless queue: forwarded with",
 	},
 	{
-		name:        "new key is refused for good by a gateway that is behind",
+		name:        "stale gateway rejects a new key permanently",
 		file:        "internal/gateway/authentication.go",
 		original:    "case g.routing.behindSince > 0:",
 		replacement: "case g.routing.behindSince > 1<<60:",
@@ -43,7 +43,7 @@
 		want:        "a key that may be new",
 	},
 	{
-		name:        "key is not checked again by a newer table",
+		name:        "key is not checked again after a table update",
 		file:        "internal/gateway/requests.go",
 		original:    "	if g.validate(r) {\n		g.forward(r)\n	}\n}\n\n// applyStaleTable",
 		replacement: "	g.forward(r)\n}\n\n// applyStaleTable",
@@ -51,7 +51,7 @@
 		want:        "a revoked key",
 	},
 	{
-		name:        "job that may be taken is refused for its key",
+		name:        "job that may be accepted is rejected for its key",
 		file:        "internal/gateway/authentication.go",
 		original:    "case r.mayBeApplied():",
 		replacement: "case false && r.mayBeApplied():",
@@ -83,7 +83,7 @@
 		want:        "t has 2 keys",
 	},
 	{
-		name:        "keys write themselves",
+		name:        "keys are printed in plain text",
 		file:        "internal/api/catalog/api_key.go",
 		original:    "func (APIKey) String() string { return redacted }",
 		replacement: "func (k APIKey) String() string { return string(k) }",
@@ -91,7 +91,7 @@
 		want:        "--- FAIL: TestKeysNotExposed",
 	},
 	{
-		name:        "quota leaves memory out",
+		name:        "quota ignores memory",
 		file:        "internal/api/catalog/tenant.go",
 		original:    "within(used.Mem, q.Mem) && ",
 		replacement: "",
@@ -99,7 +99,7 @@
 		want:        "memory",
 	},
 	{
-		name:        "placements are not held against the quota",
+		name:        "placements are not checked against the quota",
 		file:        "internal/state/placement.go",
 		original:    "if !s.withinQuota(j, step.Demand, len(placement.Tasks)) {",
 		replacement: "if false && !s.withinQuota(j, step.Demand, len(placement.Tasks)) {",
@@ -115,7 +115,7 @@
 		want:        "--- FAIL: TestTenantNeverAboveQuota",
 	},
 	{
-		name:        "starts go on after a quota was lowered",
+		name:        "starts continue after a quota is lowered",
 		file:        "internal/controlplane/quota_holds.go",
 		original:    "	if !s.state.OverQuota(tenant) {\n",
 		replacement: "	if true || !s.state.OverQuota(tenant) {\n",
@@ -123,7 +123,7 @@
 		want:        "--- FAIL: TestLateStartsKeepLoweredBound",
 	},
 	{
-		name:        "several keys by HTTP pass for one",
+		name:        "request with several keys is accepted",
 		file:        "internal/daemon/gatewayd/routes.go",
 		original:    "	if len(values) != 1 {",
 		replacement: "	if len(values) == 0 {",
--- a/tests/mutation/time.go
+++ b/tests/mutation/time.go
@@ -3,7 +3,7 @@
 // timeMutations break clocks, cluster time and the expiry of orders.
 var timeMutations = []mutation{
 	{
-		name:        "cluster time believes any clock",
+		name:        "cluster time follows any clock",
 		file:        "internal/controlplane/cluster_clock.go",
 		original:    "if mayStep && diff > minStep {",
 		replacement: "if diff > minStep || diff < -minStep {",
@@ -11,7 +11,7 @@
 		want:        "cluster time is off",
 	},
 	{
-		name:        "clocks need not agree",
+		name:        "clocks are not required to agree",
 		file:        "internal/controlplane/cluster_clock.go",
 		original:    "minSpread := clock.ClusterTime(agreementWindow + 1)",
 		replacement: "minSpread := clock.ClusterTime(1 << 40)",
@@ -19,7 +19,7 @@
 		want:        "cluster time is off",
 	},
 	{
-		name:        "cluster time set back by a late entry",
+		name:        "late entry sets the cluster time back",
 		file:        "internal/controlplane/cluster_clock.go",
 		original:    "t.clock = newClusterClock(applied, arrivedAt)",
 		replacement: "t.clock = newClusterClock(applied, max(arrivedAt, now))",
@@ -27,7 +27,7 @@
 		want:        "cluster time is off",
 	},
 	{
-		name:        "truncated tail keeps its arrival time",
+		name:        "arrival times of a truncated log tail are kept",
 		file:        "internal/controlplane/cluster_clock.go",
 		original:    "truncatedFrom > 0 && t.arrivals",
 		replacement: "truncatedFrom < 0 && t.arrivals",
@@ -51,7 +51,7 @@
 		want:        "is closed again",
 	},
 	{
-		name:        "clock reading of a former leader counts",
+		name:        "clock reading of a former leader is accepted",
 		file:        "internal/controlplane/order_expiry.go",
 		original:    "\tif request.LeaderTime.Term != s.raft.Term() {\n\t\treturn true\n\t}\n",
 		replacement: "\tif request.LeaderTime.Term != s.raft.Term() {\n\t\treturn false\n\t}\n",
--- a/tests/mutation/versions.go
+++ b/tests/mutation/versions.go
@@ -5,7 +5,7 @@
 // versionMutations break what keeps servers of different versions apart.
 var versionMutations = []mutation{
 	{
-		name:        "level raised by most",
+		name:        "level is raised before every server supports it",
 		file:        "internal/controlplane/levels.go",
 		original:    "if status.SilentFor > levelSilentLimit || status.Level <= s.state.Level {",
 		replacement: "if status.SilentFor > levelSilentLimit {",
@@ -20,7 +20,7 @@
 		want:  "upgraded, the level is",
 	},
 	{
-		name:        "unknown entries read as empty",
+		name:        "unknown entries are read as empty",
 		file:        "internal/state/commands.go",
 		original:    "\td.DisallowUnknownFields()\n",
 		replacement: "",
@@ -28,7 +28,7 @@
 		want:        "went on past an entry",
 	},
 	{
-		name:        "states are not compared",
+		name:        "state checksums are not compared",
 		file:        "internal/controlplane/levels.go",
 		original:    "if !ok || checksum == command.Checksum {",
 		replacement: "if !ok || checksum > 0 || checksum == command.Checksum {",
