--- a/tests/mutation/given_up.go
+++ b/tests/mutation/abandoned.go
@@ -2,8 +2,8 @@
 
 import "orchidward/tests/sourceedit"
 
-// givenUpMutations let orders take effect that their sender has given up.
-var givenUpMutations = []mutation{
+// abandonedRequestMutations let requests take effect that their caller has abandoned.
+var abandonedRequestMutations = []mutation{
 	{
 		name:        "abandoned request is taken from the queue",
 		file:        "internal/daemon/eventloop/await.go",
--- a/tests/mutation/consensus.go
+++ b/tests/mutation/consensus.go
@@ -2,7 +2,7 @@
 
 import "orchidward/tests/sourceedit"
 
-// consensusMutations break elections, replication, leases and changes of membership.
+// consensusMutations break elections, replication, leases and membership changes.
 var consensusMutations = []mutation{
 	{
 		name:        "entry is committed without a quorum",
--- a/tests/mutation/errors.go
+++ b/tests/mutation/errors.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// errUnnoticed says that the tests of a broken tree passed.
+// errUnnoticed reports that the tests of a broken tree passed.
 var errUnnoticed = errors.New("UNNOTICED")
 
-// maxOutputTail is how much of a failed test's output an error shows, in bytes.
+// maxOutputTail bounds the part of a failed test's output in an error, in bytes.
 const maxOutputTail = 300
 
-// otherFailureError says that the tests failed for something else than the mutation.
+// otherFailureError reports that the tests failed, but without the wanted message.
 type otherFailureError struct {
 	want   string
 	output string
@@ -19,5 +19,5 @@
 
 func (e *otherFailureError) Error() string {
 	tail := e.output[max(0, len(e.output)-maxOutputTail):]
-	return fmt.Sprintf("failed, but not by %q: %s", e.want, tail)
+	return fmt.Sprintf("failed, but did not print %q: %s", e.want, tail)
 }
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -2,7 +2,7 @@
 
 import "orchidward/tests/sourceedit"
 
-// jobMutations break the state of jobs, leases and drains, and the scheduler.
+// jobMutations break the scheduler and the state of jobs, leases and drains.
 var jobMutations = []mutation{
 	{
 		name:        "zone is not cordoned",
--- a/tests/mutation/main.go
+++ b/tests/mutation/main.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// maxLine is how much of a test's message is shown, in bytes.
+// maxLine bounds the printed part of a test's message, in bytes.
 const maxLine = 120
 
-// result is what came of one mutation.
+// result is the outcome of one mutation: the failure message that noticed it, or an error.
 type result struct {
 	noticedBy string
 	err       error
@@ -42,21 +42,21 @@
 	return chosen
 }
 
-// runAll runs mutations, so many at once, prints the results in the order of the list
-// and returns how many went unnoticed.
+// runAll runs the mutations, at most jobs at once, prints the results in the order of the
+// list and returns how many mutations went unnoticed.
 func runAll(list []mutation, jobs int) int {
 	results := make([]chan result, len(list))
-	free := make(chan struct{}, jobs)
+	slots := make(chan struct{}, jobs)
 	for i := range list {
 		results[i] = make(chan result, 1)
 	}
 	go func() {
 		for i, m := range list {
-			free <- struct{}{}
+			slots <- struct{}{}
 			go func() {
 				noticedBy, err := m.run()
 				results[i] <- result{noticedBy, err}
-				<-free
+				<-slots
 			}()
 		}
 	}()
@@ -71,7 +71,7 @@
 	return unnoticed
 }
 
-// String is the result as it is printed.
+// String formats the result for printing.
 func (r result) String() string {
 	if r.err != nil {
 		return r.err.Error()
--- a/tests/mutation/main_test.go
+++ b/tests/mutation/main_test.go
@@ -2,14 +2,15 @@
 
 import "testing"
 
-// minMutations guards against a table that is no longer listed.
+// minMutations guards against a table that is missing from allMutations.
 const minMutations = 205
 
-// TestOriginals: the text that each mutation replaces stands in its file, and only once;
-// otherwise it would be seen only when somebody runs them all.
+// TestOriginals checks that the text that each mutation replaces occurs exactly once in its
+// file. Without this test, an outdated text would be found only when all mutations are run
+// by hand.
 func TestOriginals(t *testing.T) {
 	if n := len(allMutations()); n < minMutations {
-		t.Errorf("only %d mutations", n)
+		t.Errorf("found %d mutations, want at least %d", n, minMutations)
 	}
 	for _, m := range allMutations() {
 		for _, e := range m.edits() {
@@ -20,12 +21,13 @@
 	}
 }
 
-// TestNames: each mutation has a name of its own, and says what it wants.
+// TestNames checks that each mutation has a unique name, tests, a wanted message and an
+// effect.
 func TestNames(t *testing.T) {
 	seen := map[string]bool{}
 	for _, m := range allMutations() {
 		if seen[m.name] {
-			t.Errorf("two mutations are called %q", m.name)
+			t.Errorf("two mutations are named %q", m.name)
 		}
 		seen[m.name] = true
 		if m.want == "" || len(m.tests) == 0 || m.original == m.replacement {
--- a/tests/mutation/membership.go
+++ b/tests/mutation/membership.go
@@ -2,7 +2,7 @@
 
 import "orchidward/tests/sourceedit"
 
-// membershipMutations break how servers found a group, join, leave and are replaced.
+// membershipMutations break how servers found a group, join it, leave it and are replaced.
 var membershipMutations = []mutation{
 	{
 		name:        "server of an old version joins",
--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -2,7 +2,8 @@
 
 import "orchidward/tests/sourceedit"
 
-// operatorMutations break how operators' changes of limits and the catalogue are taken.
+// operatorMutations break how operators' changes to the limits and the catalogue are
+// applied.
 var operatorMutations = []mutation{
 	{
 		name:        "changes with a stale base are accepted",
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -2,7 +2,7 @@
 
 import "orchidward/tests/sourceedit"
 
-// requestMutations break the way of a request and of its answer.
+// requestMutations break the transport of requests and of their responses.
 var requestMutations = []mutation{
 	{
 		name:        "resumed gateway answers without contact with the leader",
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -1,6 +1,6 @@
 package main
 
-// runnerMutations break runners, agents and how the leader judges them.
+// runnerMutations break runners, agents and how the leader assesses their health.
 var runnerMutations = []mutation{
 	{
 		name:        "task is placed again before its lease expires",
--- a/tests/mutation/tenants.go
+++ b/tests/mutation/tenants.go
@@ -1,6 +1,6 @@
 package main
 
-// tenantMutations let requests pass without a tenant's key, or tenants past their quota.
+// tenantMutations let requests pass without a tenant's key, or tenants exceed their quota.
 var tenantMutations = []mutation{
 	{
 		name:        "leader does not check keys",
--- a/tests/mutation/versions.go
+++ b/tests/mutation/versions.go
@@ -2,7 +2,7 @@
 
 import "orchidward/tests/sourceedit"
 
-// versionMutations break what keeps servers of different versions apart.
+// versionMutations break the checks between servers of different versions.
 var versionMutations = []mutation{
 	{
 		name:        "level is raised before every server supports it",
