--- a/tests/ablation/main_test.go
+++ b/tests/ablation/main_test.go
@@ -87,7 +87,7 @@
 	have, err := multiplyDays(twoDays, []string{"b-1"}, 2)
 	want := "name = \"site\"\n[[day]]\nname = \"b-1-s0\"\nseed = 20\n[[day]]\nname = \"b-1-s1\"\nseed = 7939\n"
 	if err != nil || have != want {
-		t.Errorf("got %q, %v, want %q", have, err, want)
+		t.Errorf("got %q, %v", have, err)
 	}
 	if all, _ := multiplyDays(twoDays, []string{""}, 3); strings.Count(all, dayMark) != 6 {
 		t.Errorf("all days, three seeds: %s", all)
--- a/tests/mutation/main_test.go
+++ b/tests/mutation/main_test.go
@@ -10,7 +10,7 @@
 // by hand.
 func TestOriginals(t *testing.T) {
 	if n := len(allMutations()); n < minMutations {
-		t.Errorf("found %d mutations, want at least %d", n, minMutations)
+		t.Errorf("found only %d mutations", n)
 	}
 	for _, m := range allMutations() {
 		for _, e := range m.edits() {
--- a/tests/promises/promises_test.go
+++ b/tests/promises/promises_test.go
@@ -40,7 +40,7 @@
 	page := readFile(t, promisesPage)
 	sources, files := testSources(t)
 	if files < minTestFiles {
-		t.Fatalf("found %d test files, want at least %d", files, minTestFiles)
+		t.Fatalf("found only %d test files", files)
 	}
 	for _, name := range testName.FindAllStringSubmatch(page, -1) {
 		if !strings.Contains(sources, "func "+name[1]+"(t *testing.T)") {
@@ -79,7 +79,7 @@
 		}
 	}
 	if rows < minRows {
-		t.Errorf("found %d rows of promises, want at least %d", rows, minRows)
+		t.Errorf("found only %d rows of promises", rows)
 	}
 }
 
