--- a/tests/ablation/compare.go
+++ b/tests/ablation/compare.go
@@ -27,7 +27,7 @@
 }
 
 // compare returns the rows of all versions. Those of the first version have differences of 0.
-func compare(results []played) []row {
+func compare(results []versionResult) []row {
 	base := map[string]dayResult{}
 	for _, day := range results[0].days {
 		base[day.Name] = day
@@ -65,10 +65,10 @@
 func newRow(version, day string, days []dayResult, base map[string]dayResult) row {
 	r := row{version: version, day: day, pairs: len(days)}
 	var scores, differences []float64
-	for _, played := range days {
-		scores = append(scores, played.Score)
-		differences = append(differences, played.Score-base[played.Name].Score)
-		if played.broken() {
+	for _, result := range days {
+		scores = append(scores, result.Score)
+		differences = append(differences, result.Score-base[result.Name].Score)
+		if result.broken() {
 			r.broken++
 		}
 	}
--- a/tests/ablation/main_test.go
+++ b/tests/ablation/main_test.go
@@ -101,10 +101,10 @@
 // bench are excluded.
 func TestCompare(t *testing.T) {
 	day := func(name string, score float64) dayResult { return dayResult{Name: name, Score: score} }
-	first := played{"x", []dayResult{day("a-1-s0", 0.2), day("a-1-s1", 0.6), day("fresh-1", 1)}}
-	second := played{"y", []dayResult{day("a-1-s1", 0.9), day("a-1-s0", 0.3), day("fresh-2", 0)}}
+	first := versionResult{"x", []dayResult{day("a-1-s0", 0.2), day("a-1-s1", 0.6), day("fresh-1", 1)}}
+	second := versionResult{"y", []dayResult{day("a-1-s1", 0.9), day("a-1-s0", 0.3), day("fresh-2", 0)}}
 	second.days[0].Rules = map[string]int64{"LOST": 1}
-	rows := compare([]played{first, second})
+	rows := compare([]versionResult{first, second})
 	last := rows[len(rows)-1]
 	if last.version != "y" || last.day != "a-1" || last.pairs != 2 || last.broken != 1 {
 		t.Fatalf("the last row is %+v", last)
--- a/tests/ablation/play.go
+++ b/tests/ablation/play.go
@@ -41,15 +41,15 @@
 	Days  []dayResult `json:"days"`
 }
 
-// played is a version with the results of its days.
-type played struct {
+// versionResult is a version with the results of its days.
+type versionResult struct {
 	version string
 	days    []dayResult
 }
 
 // playAll runs the days on each version, or reads the results of an earlier run.
-func playAll(o options, site siteCopy) ([]played, error) {
-	results := make([]played, len(o.versions))
+func playAll(o options, site siteCopy) ([]versionResult, error) {
+	results := make([]versionResult, len(o.versions))
 	failures := make([]error, len(o.versions))
 	done := make(chan struct{})
 	slots := make(chan struct{}, o.atOnce)
--- a/tests/ablation/site.go
+++ b/tests/ablation/site.go
@@ -69,7 +69,7 @@
 		}
 		for i := range seeds {
 			copied := strings.Replace(day, name[0], fmt.Sprintf("name = %q", copyName(name[1], i)), 1)
-			copied = strings.Replace(copied, seed[0], fmt.Sprintf("seed = %d", number(seed[1])+i*seedStep), 1)
+			copied = strings.Replace(copied, seed[0], fmt.Sprintf("seed = %d", parseSeed(seed[1])+i*seedStep), 1)
 			result.WriteString(dayMark + copied)
 			count++
 		}
@@ -94,7 +94,7 @@
 	return name[:at]
 }
 
-func number(digits string) int {
+func parseSeed(digits string) int {
 	n := 0
 	for _, digit := range digits {
 		n = n*10 + int(digit-'0')
