--- a/cmd/orchidward-server/main.go
+++ b/cmd/orchidward-server/main.go
@@ -1,5 +1,5 @@
 // Command orchidward-server is a control-plane server: it stores the replicated
-// state on disk. The leader of the servers schedules jobs and runs drains.
+// state on disk. The leader among them schedules jobs and runs drains.
 package main
 
 import (
--- a/tests/mutation/consensus.go
+++ b/tests/mutation/consensus.go
@@ -21,7 +21,7 @@
 		want:        "P9 at",
 	},
 	{
-		name:        "no election",
+		name:        "no election starts after the first term",
 		file:        "internal/consensus/raft/tick.go",
 		original:    "if r.timer.expired(now) && r.isVoter(r.id) && !r.leaving {",
 		replacement: "if r.timer.expired(now) && r.isVoter(r.id) && r.hardState.Term == 0 {",
--- a/tests/mutation/jobs.go
+++ b/tests/mutation/jobs.go
@@ -169,7 +169,7 @@
 		want:        "want q/first",
 	},
 	{
-		name:        "runs have different names in starts and cancellations",
+		name:        "orders to agents name tasks without their occurrence",
 		file:        "internal/state/attempt_lookup.go",
 		original:    "\t\tref.Job = occurrenceKey(j.Key, 0)",
 		replacement: "\t\t_ = occurrenceKey",
