--- a/tests/ablation/compare.go
+++ b/tests/ablation/compare.go
@@ -10,24 +10,24 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// allDays is the row of a comparison for all days together.
+// allDays is the day name of the row that covers all days.
 const allDays = "all"
 
-// row compares a version with the first one, over the copies of one day or over all days.
+// row compares a version with the first version, over the copies of one day or over all days.
 type row struct {
 	version string
 	day     string
 	pairs   int
-	// mean is that of the version's scores; difference that of the differences from the
-	// first version, pair by pair, and standardError its own.
+	// mean is the mean of the version's scores. difference is the mean of the paired
+	// differences from the first version, and standardError its standard error.
 	mean          float64
 	difference    float64
 	standardError float64
 	broken        int
 }
 
-// compare makes the rows of all versions, the first one's with differences of 0.
-func compare(results []played) []row {
+// compare returns the rows of all versions. Those of the first version have differences of 0.
+func compare(results []versionResult) []row {
 	base := map[string]dayResult{}
 	for _, day := range results[0].days {
 		base[day.Name] = day
@@ -50,7 +50,7 @@
 	return rows
 }
 
-// sortedDays lists the days by name, all of them together first.
+// sortedDays returns the names of the days, with allDays first and the others sorted.
 func sortedDays(byDay map[string][]dayResult) []string {
 	var names []string
 	for name := range byDay {
@@ -65,10 +65,10 @@
 func newRow(version, day string, days []dayResult, base map[string]dayResult) row {
 	r := row{version: version, day: day, pairs: len(days)}
 	var scores, differences []float64
-	for _, played := range days {
-		scores = append(scores, played.Score)
-		differences = append(differences, played.Score-base[played.Name].Score)
-		if played.broken() {
+	for _, result := range days {
+		scores = append(scores, result.Score)
+		differences = append(differences, result.Score-base[result.Name].Score)
+		if result.broken() {
 			r.broken++
 		}
 	}
