--- a/tests/scale/catalog_changes.go
+++ b/tests/scale/catalog_changes.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return m, err
 	}
-	everywhere := time.Since(sent)
+	allGateways := time.Since(sent)
 	time.Sleep(changeSettleTime)
 	after, err := c.cluster.sample()
 	if err != nil {
@@ -142,7 +142,7 @@
 	m = measurement{Phase: phase, X: float64(queues), Values: changeCosts(before, after)}
 	m.Values[figureBodyKB] = float64(bytes) / 1e3
 	m.Values[figureAccepted] = float64(accepted.Milliseconds())
-	m.Values[figureAllGateways] = float64(everywhere.Milliseconds())
+	m.Values[figureAllGateways] = float64(allGateways.Milliseconds())
 	return m, nil
 }
 
--- a/tests/scale/cluster.go
+++ b/tests/scale/cluster.go
@@ -182,7 +182,7 @@
 	defer cancel()
 	_ = c.goroutines.Stop(ctx)
 	for _, p := range c.processes() {
-		p.end()
+		p.stop()
 	}
 }
 
--- a/tests/scale/lease_trial.go
+++ b/tests/scale/lease_trial.go
@@ -48,12 +48,12 @@
 			if x.Message.Request == nil {
 				continue
 			}
-			was := s.openPoll
+			replaced := s.openPoll
 			s.openPoll = x.Message.Request.ID
 			s.openedAt = now
 			s.polls++
-			if was != 0 {
-				s.answer(was, now)
+			if replaced != 0 {
+				s.answer(replaced, now)
 			}
 		}
 	}
@@ -63,8 +63,8 @@
 // span, out of step. It counts the polls, and of the heartbeats after the warm-up those
 // that were answered without a lease, of which there should be none.
 func leaseTrial(tasks int, span clock.Millis) (polls, withoutLease, heartbeats int) {
-	s := &standInRunner{incarnation: "a", domain: "n", rack: "r", leaseEnd: 1 << 40}
-	c := &stubLeader{agent: agent.New(agent.Config{
+	runner := &standInRunner{incarnation: "a", domain: "n", rack: "r", leaseEnd: 1 << 40}
+	leader := &stubLeader{agent: agent.New(agent.Config{
 		Name:              "a",
 		Addr:              "x",
 		Domain:            "n",
@@ -74,7 +74,7 @@
 		HeartbeatInterval: heartbeatInterval,
 	}, 0)}
 	for i := range tasks {
-		s.runs = append(s.runs, &taskRun{
+		runner.runs = append(runner.runs, &taskRun{
 			task:      identifier.TaskRef{Job: "q/00000000000000a1.0", Num: i},
 			attempt:   1,
 			span:      span + clock.Millis(i)*span/97,
@@ -82,10 +82,10 @@
 		})
 	}
 	for now := clock.Monotonic(0); now < leaseTrialTime; now += clock.Monotonic(agent.TickInterval) {
-		c.agent.Tick(now)
-		if s.advance(now) {
-			o := c.agent.HandleHeartbeat(s.heartbeat(now), now)
-			s.applyOrders(o, now, now)
+		leader.agent.Tick(now)
+		if runner.advance(now) {
+			o := leader.agent.HandleHeartbeat(runner.heartbeat(now), now)
+			runner.applyOrders(o, now, now)
 			if now > leaseTrialWarmUp {
 				heartbeats++
 				if o.Lease == 0 {
@@ -93,9 +93,9 @@
 				}
 			}
 		}
-		c.step(now)
+		leader.step(now)
 	}
-	return c.polls, withoutLease, heartbeats
+	return leader.polls, withoutLease, heartbeats
 }
 
 // runLeaseTrials prints the result of leaseTrial for several numbers and spans of tasks.
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -84,7 +84,7 @@
 // gangInterval, of the rate's size and at most maxGang, the rest in jobs of at most
 // jobTasks.
 func (l *load) start(rate int, seed uint64) func() {
-	over := make(chan struct{})
+	done := make(chan struct{})
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	span := func() clock.Millis { return shortTask*2/3 + clock.Millis(rnd.Int64N(int64(shortTask)*2/3)) }
 	gang := min(maxGang, rate)
@@ -100,7 +100,7 @@
 			select {
 			case <-stop:
 				return
-			case <-over:
+			case <-done:
 				return
 			case <-small.C:
 				l.submit(l.job(tasks, span(), false, 0))
@@ -109,5 +109,5 @@
 			}
 		}
 	})
-	return func() { close(over) }
+	return func() { close(done) }
 }
--- a/tests/scale/main.go
+++ b/tests/scale/main.go
@@ -75,12 +75,12 @@
 	if err != nil {
 		return err
 	}
-	stop := make(chan os.Signal, 1)
-	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
-	f.goroutines.Go(func(over <-chan struct{}) {
+	interrupts := make(chan os.Signal, 1)
+	signal.Notify(interrupts, os.Interrupt, syscall.SIGTERM)
+	f.goroutines.Go(func(done <-chan struct{}) {
 		select {
-		case <-over:
-		case <-stop:
+		case <-done:
+		case <-interrupts:
 			fmt.Fprintln(os.Stderr, "scale: stopped")
 			f.kill()
 			os.Exit(1)
--- a/tests/scale/plan.go
+++ b/tests/scale/plan.go
@@ -192,7 +192,7 @@
 // running adds tasks that run for long, step by step.
 func (p *plan) running() {
 	random := rand.New(rand.NewPCG(1, 2))
-	long := clock.Millis(p.longTask.Milliseconds())
+	meanSpan := clock.Millis(p.longTask.Milliseconds())
 	err := p.cluster.wait(10*time.Second, "short tasks over", func() bool { return p.cluster.agents.running.Load() == 0 })
 	if err != nil {
 		p.report.notef("failed: %v", err)
@@ -210,7 +210,7 @@
 			if k%8 == 7 {
 				gpus = 1
 			}
-			p.load.submit(p.load.job(tasks, long*2/3+clock.Millis(random.Int64N(int64(long)*2/3)), false, gpus))
+			p.load.submit(p.load.job(tasks, meanSpan*2/3+clock.Millis(random.Int64N(int64(meanSpan)*2/3)), false, gpus))
 			submitted += tasks
 		}
 		err := p.cluster.wait(25*time.Second, "the tasks run", func() bool {
--- a/tests/scale/process.go
+++ b/tests/scale/process.go
@@ -18,7 +18,7 @@
 const ticksPerSecond = 100
 
 // endTimeout is how long a process may take to end before it is killed.
-const endTimeout = 5 * time.Second
+const stopGracePeriod = 5 * time.Second
 
 // process is a process that a run starts, measured by what the kernel says of it and
 // ended by its id.
@@ -49,11 +49,11 @@
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
 // end stops the process and waits for it.
-func (p *process) end() {
+func (p *process) stop() {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
-	kill := time.AfterFunc(endTimeout, func() { _ = p.cmd.Process.Kill() })
+	killTimer := time.AfterFunc(stopGracePeriod, func() { _ = p.cmd.Process.Kill() })
 	_ = p.cmd.Wait()
-	kill.Stop()
+	killTimer.Stop()
 	p.log.Close()
 }
 
--- a/tests/scale/standin_runner.go
+++ b/tests/scale/standin_runner.go
@@ -129,16 +129,16 @@
 	if o.Lease > 0 {
 		s.leaseEnd = max(s.leaseEnd, sent.Add(o.Lease))
 	}
-	left := s.ends[:0]
+	unobserved := s.ends[:0]
 	for _, e := range s.ends {
 		if e.Seq > o.ObservedThrough {
-			left = append(left, e)
+			unobserved = append(unobserved, e)
 		}
 	}
-	s.ends = left
+	s.ends = unobserved
 	for _, x := range o.Stop {
-		if w := s.find(x.Task, x.Attempt); w != nil && w.stopAt == 0 {
-			w.stopAt = now.Add(stopDelay)
+		if run := s.find(x.Task, x.Attempt); run != nil && run.stopAt == 0 {
+			run.stopAt = now.Add(stopDelay)
 		}
 	}
 	for _, x := range o.Start {
