--- a/tests/scale/catalog_changes.go
+++ b/tests/scale/catalog_changes.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// changeTimeout is how long every gateway may take to have a change.
+	// changeTimeout limits how long it may take until every gateway has applied a change.
 	changeTimeout = 12 * time.Second
-	// changeSettleTime is waited after a change before its cost is sampled.
+	// changeSettleTime is the wait after a change before its cost is sampled.
 	changeSettleTime = 300 * time.Millisecond
 	hostCount        = 280
 )
 
-// Names of the figures of a change of the catalog.
+// Names of the figures of catalog changes.
 const (
 	figureBodyKB        = "bodyKB"
 	figureAccepted      = "takenMs"
@@ -34,20 +34,21 @@
 	figureSeconds       = "seconds"
 )
 
-// catalogChanges changes the catalog, and measures how long every gateway takes to have
-// a change.
+// catalogChanges changes the catalog, and measures how long it takes until every gateway
+// has applied a change.
 type catalogChanges struct {
 	cluster *cluster
 	version uint64
 }
 
-// catalogItems are queues and pools in a change.
+// catalogItems holds the queues and pools in a change.
 type catalogItems struct {
 	Queues []catalog.Queue `json:"queues,omitempty"`
 	Pools  []catalog.Pool  `json:"pools,omitempty"`
 }
 
-// changeDocument is a change of the catalog: a PUT has items, a PATCH has those to put.
+// changeDocument is a catalog change. A PUT has all items at the top level; a PATCH has the
+// items to replace in Put.
 type changeDocument struct {
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
@@ -69,7 +70,8 @@
 	}
 }
 
-// change sends a change and waits until it is accepted. It returns the body's size.
+// change sends a change and waits until it is accepted. It returns the size of the request
+// body.
 func (c *catalogChanges) change(method string, document changeDocument) (bytes int, err error) {
 	document.Base = c.version
 	document.Version = c.version + 1
@@ -88,7 +90,7 @@
 	return len(body), nil
 }
 
-// replaceAll replaces the catalog by one of so many queues.
+// replaceAll replaces the catalog with one that has the given number of queues.
 func (c *catalogChanges) replaceAll(queues int) (bytes int, err error) {
 	items := catalogItems{Pools: []catalog.Pool{{Name: pool}}}
 	for i := range queues {
@@ -97,15 +99,15 @@
 	return c.change(http.MethodPut, changeDocument{catalogItems: items})
 }
 
-// changeOne changes one queue.
+// changeOne changes the priority of one queue.
 func (c *catalogChanges) changeOne(i int) (bytes int, err error) {
 	queue := makeQueue(i)
 	queue.Priority = int64(c.version % 4)
 	return c.change(http.MethodPatch, changeDocument{Put: &catalogItems{Queues: []catalog.Queue{queue}}})
 }
 
-// epochs are the epochs of the routing table at the gateways, 0 for one that does not
-// answer.
+// epochs returns the routing table epoch of each gateway, 0 for a gateway that does not
+// respond.
 func (c *catalogChanges) epochs() []float64 {
 	var epochs []float64
 	for _, addr := range c.cluster.gatewayHTTP {
@@ -115,7 +117,7 @@
 	return epochs
 }
 
-// measure makes a change, waits until every gateway has it, and measures its cost.
+// measure makes a change, waits until every gateway has applied it, and measures its cost.
 func (c *catalogChanges) measure(phase string, queues int, change func() (bytes int, err error)) (measurement, error) {
 	var m measurement
 	epochs := c.epochs()
@@ -146,7 +148,7 @@
 	return m, nil
 }
 
-// allAbove tells whether every gateway has a later epoch than before.
+// allAbove reports whether the epoch of every gateway is above the given one.
 func (c *catalogChanges) allAbove(epochs []float64) bool {
 	for i, epoch := range c.epochs() {
 		if epoch <= epochs[i] {
@@ -156,8 +158,8 @@
 	return true
 }
 
-// changeCosts are what a change cost the first gateway and, unless it changed, the
-// leader.
+// changeCosts returns the cost of a change on the first gateway and, unless the leader
+// changed, on the leader.
 func changeCosts(before, after sample) map[string]float64 {
 	const once = 1
 	gateway := after.gateways[0].ratesSince(before.gateways[0], once)
--- a/tests/scale/cluster.go
+++ b/tests/scale/cluster.go
@@ -25,14 +25,14 @@
 const (
 	serverCount  = 3
 	gatewayCount = 2
-	// serverProcs and gatewayProcs are the processors of each process.
+	// serverProcs and gatewayProcs are the GOMAXPROCS of each process.
 	serverProcs  = 2
 	gatewayProcs = 1
 	// maxBodyKB is the largest body that gateways accept.
 	maxBodyKB = "4096"
 
-	// Ports that are tried. A cluster takes portCount in a row: portsPerServer for each
-	// server, the rest for gateways.
+	// The range of ports that freePorts searches. A cluster uses portCount consecutive
+	// ports: portsPerServer for each server and the rest for gateways.
 	firstPort      = 21000
 	lastPort       = 29000
 	portCount      = 50
@@ -46,10 +46,10 @@
 	waitInterval   = 10 * time.Millisecond
 )
 
-// clientName is the client in whose name jobs are submitted.
+// clientName is the client that submits all jobs.
 const clientName identifier.Client = "q"
 
-// cluster is the processes of a run, and the simulated agents.
+// cluster holds the processes and the simulated agents of a run.
 type cluster struct {
 	dir        string
 	goroutines *lifecycle.Group
@@ -64,7 +64,7 @@
 	gatewayHTTP []string
 }
 
-// freePorts finds so many ports in a row on which nobody listens.
+// freePorts returns the first of count consecutive free ports.
 func freePorts(count int) (first int, err error) {
 	for port := firstPort; port < lastPort; port += count {
 		if allFree(port, count) {
@@ -87,8 +87,8 @@
 
 func localAddr(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// newCluster builds the programs into a folder and starts the processes. With an error
-// it may return a cluster, which the caller must close.
+// newCluster builds the programs into dir and starts the processes. If it fails, it may
+// still return a cluster, which the caller must close.
 func newCluster(dir string) (*cluster, error) {
 	if _, err := os.Stat("cmd/orchidward-server"); err != nil {
 		return nil, errors.Wrap(err, "run from the root of the repository")
@@ -107,7 +107,7 @@
 	return c, c.start()
 }
 
-// start starts the processes; those that came up are ended by close.
+// start starts the processes. If it fails, close stops those that were started.
 func (c *cluster) start() error {
 	port, err := freePorts(portCount)
 	if err != nil {
@@ -173,10 +173,10 @@
 	return true
 }
 
-// processes are all of them, the servers last.
+// processes returns all processes, the servers last.
 func (c *cluster) processes() []*process { return slices.Concat(c.gateways, c.servers) }
 
-// close ends what was started, gracefully.
+// close stops the goroutines and the processes gracefully.
 func (c *cluster) close() {
 	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
@@ -186,18 +186,18 @@
 	}
 }
 
-// kill ends the processes at once.
+// kill kills the processes without waiting for them.
 func (c *cluster) kill() {
 	for _, p := range c.processes() {
 		_ = p.cmd.Process.Kill()
 	}
 }
 
-// wait waits until a condition is met; the error names what was waited for.
+// wait waits up to limit until a condition is met. The error on a timeout contains what.
 func (c *cluster) wait(limit time.Duration, what string, met func() bool) error {
 	for end := time.Now().Add(limit); !met(); time.Sleep(waitInterval) {
 		if time.Now().After(end) {
-			return errors.Errorf("not within %v: %s", limit, what)
+			return errors.Errorf("timed out after %v: %s", limit, what)
 		}
 	}
 	return nil
@@ -221,7 +221,8 @@
 	return received.StatusCode, response, err
 }
 
-// metrics reads the metrics page of a server or gateway, by names without prefix.
+// metrics returns the metrics of a server or gateway, by their names without the
+// orchidward_ prefix.
 func (c *cluster) metrics(addr string) (map[string]float64, error) {
 	_, page, err := c.get("http://" + addr + "/metrics")
 	if err != nil {
@@ -237,7 +238,7 @@
 	return values, nil
 }
 
-// leader is the number of the server that leads, -1 if none says so, and its metrics.
+// leader returns the number of the leader, or -1 if no server reports to be it, and its metrics.
 func (c *cluster) leader() (number int, metrics map[string]float64) {
 	for i, addr := range c.serverHTTP {
 		metrics, err := c.metrics(addr)
@@ -248,7 +249,7 @@
 	return -1, nil
 }
 
-// submit submits a job at a gateway.
+// submit submits a job to a gateway.
 func (c *cluster) submit(gatewayHTTP, id, body string) (status int, err error) {
 	path := endpoint.JobPath(identifier.NewJobKey(clientName, identifier.JobID(id)))
 	status, _, err = c.send(http.MethodPut, "http://"+gatewayHTTP+path, body)
--- a/tests/scale/lease_trial.go
+++ b/tests/scale/lease_trial.go
@@ -19,8 +19,8 @@
 	pollHoldTime     clock.Millis    = 600
 )
 
-// stubLeader answers polls as the leader does, and loses none: a poll that a later one
-// replaces at once, any other after pollHoldTime.
+// stubLeader responds to every poll as the leader does, and loses none: it responds to a
+// poll when a later one replaces it, or else after pollHoldTime.
 type stubLeader struct {
 	agent    *agent.Agent
 	openPoll uint64
@@ -31,12 +31,12 @@
 func (s *stubLeader) answer(id uint64, now clock.Monotonic) {
 	text, err := json.Marshal(runnerapi.PollResponse{Lease: trialLease, StartTimeout: 1000})
 	if err != nil {
-		panic("scale: a response does not encode: " + err.Error())
+		panic("scale: encode response: " + err.Error())
 	}
 	s.agent.HandleMessage("k", wire.Message{Response: &wire.Response{ID: id, Status: http.StatusOK, Body: text}}, now)
 }
 
-// step answers the poll that is due, and takes those that the agent sends.
+// step responds to the open poll if that is due, and receives the polls that the agent sends.
 func (s *stubLeader) step(now clock.Monotonic) {
 	if s.openPoll != 0 && now.Since(s.openedAt) >= pollHoldTime {
 		id := s.openPoll
@@ -59,9 +59,10 @@
 	}
 }
 
-// leaseTrial runs an agent in virtual time with so many running tasks of about such a
-// span, out of step. It counts the polls, and of the heartbeats after the warm-up those
-// that were answered without a lease, of which there should be none.
+// leaseTrial runs an agent in virtual time. Its runner runs the given number of tasks,
+// whose spans differ slightly and whose starts are staggered. leaseTrial counts the polls,
+// the heartbeats after the warm-up, and those of them whose response had no lease, of which
+// there should be none.
 func leaseTrial(tasks int, span clock.Millis) (polls, withoutLease, heartbeats int) {
 	runner := &standInRunner{incarnation: "a", domain: "n", rack: "r", leaseEnd: 1 << 40}
 	leader := &stubLeader{agent: agent.New(agent.Config{
@@ -98,7 +99,7 @@
 	return leader.polls, withoutLease, heartbeats
 }
 
-// runLeaseTrials prints the result of leaseTrial for several numbers and spans of tasks.
+// runLeaseTrials prints the results of leaseTrial for several task counts and spans.
 func runLeaseTrials() {
 	for _, one := range []struct {
 		tasks int
--- a/tests/scale/load.go
+++ b/tests/scale/load.go
@@ -22,10 +22,10 @@
 	shortTask clock.Millis = 3000
 )
 
-// queueFull stands for the status of jobs that the load's own queue did not take.
+// queueFull is the status under which jobs are counted that did not fit in the load's own queue.
 const queueFull = -1
 
-// load submits jobs at the gateways at a steady rate of tasks.
+// load submits jobs to the gateways at a constant rate of tasks.
 type load struct {
 	cluster  *cluster
 	jobs     *lifecycle.Queue[string]
@@ -63,7 +63,7 @@
 	}
 }
 
-// job is a job of so many equal tasks, as a gang if asked for.
+// job returns the body of a job with the given number of equal tasks.
 func (l *load) job(tasks int, span clock.Millis, gang bool, gpus int) string {
 	step := fmt.Sprintf(`{"name":"s0","tasks":%d,"gang":%v,"milliCores":1000,"memMb":1000,"gpus":%d,"spanMs":%d}`,
 		tasks, gang, gpus, span)
@@ -80,9 +80,9 @@
 	}
 }
 
-// start submits rate tasks a second until the returned function is called: one gang every
-// gangInterval, of the rate's size and at most maxGang, the rest in jobs of at most
-// jobTasks.
+// start submits rate tasks per second until the returned function is called. Every
+// gangInterval it submits one gang of rate tasks, at most maxGang; the other tasks are in
+// jobs of at most jobTasks.
 func (l *load) start(rate int, seed uint64) func() {
 	done := make(chan struct{})
 	rnd := rand.New(rand.NewPCG(seed, 1))
--- a/tests/scale/main.go
+++ b/tests/scale/main.go
@@ -21,7 +21,7 @@
 	phases      string
 	longTask    time.Duration
 	keepFiles   bool
-	// The full size.
+	// runners, starts (per second) and tasks are the full size of the cluster.
 	runners, starts, tasks int
 }
 
--- a/tests/scale/measure.go
+++ b/tests/scale/measure.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// sample is all that is counted, at one moment.
+// sample holds the usage of all processes and the counters at one moment.
 type sample struct {
 	at time.Time
-	// leader is the number of the server that leads, -1 for none.
+	// leader is the number of the leading server, -1 for none.
 	leader        int
 	servers       []usage
 	gateways      []usage
@@ -53,14 +53,15 @@
 	return list, nil
 }
 
-// measurement is one measurement of a point: what was varied, how far, and the figures.
+// measurement is one measurement of a point: the phase, the value of the quantity that the
+// phase varies, and the figures.
 type measurement struct {
 	Phase  string             `json:"phase"`
 	X      float64            `json:"x"`
 	Values map[string]float64 `json:"values"`
 }
 
-// Names of figures. Those of followers and gateways are means over them.
+// Names of figures. Figures of followers and gateways are means over all of them.
 const (
 	figureLeaderCPU     = "leadCpu%"
 	figureLeaderMB      = "leadMB"
@@ -89,11 +90,11 @@
 	figureWaitMax       = "waitMaxms"
 	figureRunning       = "running"
 	figureCores         = "cores"
-	// figurePolls is the polls a second of all agents together, which is not printed.
+	// figurePolls is the polls per second of all agents together. It is not printed.
 	figurePolls = "polls"
 )
 
-// figureOrder are the figures in the order of the table.
+// figureOrder lists the figures in the order of the table.
 var figureOrder = []string{
 	figureLeaderCPU, figureLeaderMB, figureLeaderIn, figureLeaderOut, figureLeaderReads, figureLeaderWrites,
 	figureEntries, figureSnapshots,
@@ -103,7 +104,7 @@
 	figureStarts, figureLapsed, figureWaitP50, figureWaitP99, figureWaitMax, figureRunning, figureCores,
 }
 
-// measure measures a point over a window. It fails if the leader changes meanwhile.
+// measure measures a point over a window. It fails if the leader changes during the window.
 func (c *cluster) measure(phase string, x float64, window time.Duration) (measurement, error) {
 	var m measurement
 	c.agents.takeWaits()
@@ -129,7 +130,7 @@
 	return m, nil
 }
 
-// rates are the figures of the time between two samples.
+// rates returns the figures for the interval between two samples.
 func rates(before, after sample) map[string]float64 {
 	seconds := after.at.Sub(before.at).Seconds()
 	values := map[string]float64{}
@@ -172,7 +173,7 @@
 	values[figureLeaderWrites] = rate.writeCalls
 }
 
-// addFollower adds one of so many followers to their means.
+// addFollower adds one follower's share to the means over all followers.
 func addFollower(values map[string]float64, rate usage, followers int) {
 	share := 1 / float64(followers)
 	values[figureFollowerCPU] += rate.cpu * 100 * share
@@ -182,7 +183,7 @@
 	values[figureFollowerWrite] += rate.writeCalls * share
 }
 
-// addGateway adds one of so many gateways to their means.
+// addGateway adds one gateway's share to the means over all gateways.
 func addGateway(values map[string]float64, rate usage, gateways int) {
 	share := 1 / float64(gateways)
 	values[figureGatewayCPU] += rate.cpu * 100 * share
--- a/tests/scale/plan.go
+++ b/tests/scale/plan.go
@@ -25,14 +25,15 @@
 	settleTime   = 2 * time.Second
 )
 
-// The full size, where nothing else is asked for.
+// The default full size.
 const (
 	defaultRunners = 600
 	defaultTasks   = 8200
 	defaultStarts  = 70
 )
 
-// plan is the points of a run, in their order.
+// plan runs the points of a run in order. overloaded is set once a point used more than
+// maxCores processors; no further points are measured then.
 type plan struct {
 	settings
 	cluster    *cluster
@@ -43,7 +44,7 @@
 	overloaded bool
 }
 
-// scaled is a size, a tenth of it in a small run.
+// scaled returns n, or a tenth of it in a small run.
 func (p *plan) scaled(n int) int {
 	if p.small {
 		return max(1, n/10)
@@ -51,7 +52,7 @@
 	return n
 }
 
-// mayRun tells whether another point may begin, and notes it where not.
+// mayRun reports whether another point may begin. If not, it adds a note to the report.
 func (p *plan) mayRun(what string) bool {
 	switch {
 	case time.Since(p.startedAt) > p.limit:
@@ -64,7 +65,7 @@
 	return false
 }
 
-// repeat measures a point a few times.
+// repeat measures a point repetitions times.
 func (p *plan) repeat(phase string, x float64) {
 	for range p.repetitions {
 		m, err := p.cluster.measure(phase, x, p.window)
@@ -78,7 +79,8 @@
 	}
 }
 
-// measureUnderLoad measures a point while so many tasks start a second.
+// measureUnderLoad measures a point while rate tasks are submitted per second. With a rate
+// of 0 it measures the idle cluster.
 func (p *plan) measureUnderLoad(phase string, x float64, rate int) {
 	if rate == 0 {
 		time.Sleep(settleTime)
@@ -92,12 +94,12 @@
 	time.Sleep(shortTask.Duration())
 }
 
-// selected tells whether a phase was asked for.
+// selected reports whether a phase was requested.
 func (p *plan) selected(phase string) bool {
 	return strings.Contains(","+p.phases+",", ","+phase+",")
 }
 
-// run runs the phases that were asked for.
+// run runs the requested phases.
 func (p *plan) run() {
 	if !p.publishFirstCatalog() || !p.growRunners() {
 		return
@@ -127,7 +129,8 @@
 		p.load.accepted.Load(), p.load.rejected)
 }
 
-// growRunners adds runners, and measures each size at rest and with a little load.
+// growRunners adds runners in steps, and measures each size idle and under a light load. It
+// reports whether the full size was reached.
 func (p *plan) growRunners() bool {
 	sizes := []int{11, 100, 300, p.runners}
 	if !p.selected("fleet") {
@@ -151,7 +154,8 @@
 	return true
 }
 
-// publishFirstCatalog publishes a first catalog, once the servers' level allows it.
+// publishFirstCatalog publishes the first catalog. It retries because the servers reject
+// catalogs until the cluster's level allows them.
 func (p *plan) publishFirstCatalog() bool {
 	var last error
 	err := p.cluster.wait(20*time.Second, "first catalog", func() bool {
@@ -166,7 +170,7 @@
 	return err == nil
 }
 
-// catalogs measures changes of catalogs of growing size.
+// catalogs measures catalog changes with a growing number of queues.
 func (p *plan) catalogs() {
 	for _, n := range []int{3, 280, 1400, 10000} {
 		if n = max(1, p.scaled(n)); !p.mayRun(fmt.Sprintf("catalog of %d queues", n)) {
@@ -189,7 +193,7 @@
 	p.report.add(m)
 }
 
-// running adds tasks that run for long, step by step.
+// running adds long-running tasks in steps, and measures each step.
 func (p *plan) running() {
 	random := rand.New(rand.NewPCG(1, 2))
 	meanSpan := clock.Millis(p.longTask.Milliseconds())
@@ -225,7 +229,8 @@
 	}
 }
 
-// operatorReads reads what operators read.
+// operatorReads requests the pages that operators use, and notes the size and duration of
+// each response.
 func (p *plan) operatorReads() {
 	for _, path := range []string{
 		endpoint.RunnersPath,
--- a/tests/scale/process.go
+++ b/tests/scale/process.go
@@ -13,23 +13,24 @@
 	"github.com/go-faster/errors"
 )
 
-// ticksPerSecond is the kernel's count of processor time in a second, the same on every
-// Linux that Go runs on.
+// ticksPerSecond is the unit of CPU times in /proc (USER_HZ), which is 100 on every Linux
+// platform that Go supports.
 const ticksPerSecond = 100
 
-// endTimeout is how long a process may take to end before it is killed.
+// stopGracePeriod is how long a process may take to stop before it is killed.
 const stopGracePeriod = 5 * time.Second
 
-// process is a process that a run starts, measured by what the kernel says of it and
-// ended by its id.
+// process is a child process of the run. Its usage is read from /proc, and it is stopped
+// by its process ID.
 type process struct {
 	name string
 	cmd  *exec.Cmd
 	log  *os.File
 }
 
-// startProcess runs a program with so many processors at its disposal. It is killed when
-// this process dies; for that the caller must be on the main thread.
+// startProcess starts a program with GOMAXPROCS set to processors. The kernel kills it when
+// the thread that started it ends, so the caller must be on the main thread for the program
+// to run until this process ends.
 func startProcess(dir, name, program string, processors int, args ...string) (*process, error) {
 	log, err := os.Create(filepath.Join(dir, name+".log"))
 	if err != nil {
@@ -48,7 +49,7 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// end stops the process and waits for it.
+// stop stops the process and waits for its end. It kills the process after stopGracePeriod.
 func (p *process) stop() {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	killTimer := time.AfterFunc(stopGracePeriod, func() { _ = p.cmd.Process.Kill() })
@@ -57,10 +58,10 @@
 	p.log.Close()
 }
 
-// usage is what a process has used since its start, and the memory it has. cpu is in
-// seconds, rss in bytes. The bytes are those of system calls, the disk's included; the
-// kernel's write_bytes is of no use here: it counts 2 MiB for every small write into a
-// large page of the cache.
+// usage is a process's use of resources since its start, and its current memory. cpu is in
+// seconds, rss in bytes. readBytes and writtenBytes are those of all read and write system
+// calls, on files and on sockets. The kernel's write_bytes is not usable here: it counts
+// 2 MiB for every small write into a large page of the page cache.
 type usage struct {
 	cpu          float64
 	rss          float64
@@ -70,7 +71,7 @@
 	writeCalls   float64
 }
 
-// ratesSince is the use a second since an earlier moment; the memory is as it is now.
+// ratesSince returns the usage per second since an earlier sample; rss is the current value.
 func (u usage) ratesSince(earlier usage, seconds float64) usage {
 	return usage{
 		cpu:          (u.cpu - earlier.cpu) / seconds,
@@ -82,7 +83,7 @@
 	}
 }
 
-// usageOf reads the usage of a process from /proc.
+// usageOf returns the usage of a process, read from /proc.
 func usageOf(pid int) (usage, error) {
 	var u usage
 	dir := fmt.Sprintf("/proc/%d/", pid)
@@ -103,19 +104,19 @@
 	return u, nil
 }
 
-// Fields of /proc/PID/stat after the name: user and system time in ticks.
+// Indexes of the fields of /proc/PID/stat after the name: user and system time in ticks.
 const (
 	firstTimeField = 11
 	lastTimeField  = 12
 )
 
-// parseCPU reads the seconds of processor time from a process's stat line. The name of
-// the program, in parentheses, may have spaces and parentheses itself.
+// parseCPU returns the seconds of CPU time in a process's stat line. The program name,
+// which is in parentheses, may itself contain spaces and parentheses.
 func parseCPU(stat string) (float64, error) {
 	var seconds float64
 	fields := strings.Fields(stat[strings.LastIndex(stat, ")")+1:])
 	if len(fields) <= lastTimeField {
-		return 0, errors.Errorf("stat %q", stat)
+		return 0, errors.Errorf("malformed stat line %q", stat)
 	}
 	for _, field := range fields[firstTimeField : lastTimeField+1] {
 		ticks, err := strconv.ParseFloat(field, 64)
@@ -127,8 +128,8 @@
 	return seconds, nil
 }
 
-// parse takes in lines of /proc/PID/status or io: a name and a number, in KiB where a
-// unit follows.
+// parse sets fields from the lines of /proc/PID/status or io. A line has a name and a
+// number, which is in KiB if a unit follows.
 func (u *usage) parse(text string) {
 	targets := map[string]*float64{
 		"VmRSS": &u.rss,
--- a/tests/scale/process_test.go
+++ b/tests/scale/process_test.go
@@ -2,15 +2,15 @@
 
 import "testing"
 
-// TestUsage: a name with blanks and brackets does not shift the fields, kibibytes
-// become bytes, and rates are by the second.
+// TestUsage checks that spaces and parentheses in the program name do not shift the fields,
+// that KiB are converted to bytes, and that rates are per second.
 func TestUsage(t *testing.T) {
 	cpu, err := parseCPU("12 (a ) b) S 1 12 12 0 -1 4194304 100 0 0 0 250 50 0 0 20 0 9 0 100 1 1")
 	if err != nil || cpu != 3 {
-		t.Errorf("%v s, %v", cpu, err)
+		t.Errorf("CPU time %v s, error %v; want 3 s", cpu, err)
 	}
 	if _, err = parseCPU("12 (a"); err == nil {
-		t.Error("a torn line was read")
+		t.Error("parseCPU accepted a truncated line")
 	}
 	u := usage{cpu: 3}
 	u.parse("Name:\tx\nVmRSS:\t   100 kB\nrchar: 3000\nwchar: 2000\nsyscr: 30\nsyscw: 20\n")
--- a/tests/scale/regression.go
+++ b/tests/scale/regression.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// point is one measurement: how much of the one thing, and how much of the other.
+// point is one data point: the varied quantity x and the measured figure y.
 type point struct{ x, y float64 }
 
-// regression is y = base + slope x. rSquared is the share of the variance that it
-// explains, NaN where there is none.
+// regression is the line y = base + slope*x. rSquared is the share of the variance of y that
+// the line explains, NaN if y does not vary.
 type regression struct{ base, slope, rSquared float64 }
 
 func (l regression) at(x float64) float64 { return l.base + l.slope*x }
 
-// fitLine is the line of least squares; ok is false unless there are points at two
-// values of x or more.
+// fitLine returns the least-squares line through the points. ok is false unless the points
+// have at least two different values of x.
 func fitLine(list []point) (l regression, ok bool) {
 	if len(list) < 2 {
 		return regression{}, false
@@ -45,7 +45,7 @@
 	return l, true
 }
 
-// summary is the mean, the least and the greatest of some values, and their number.
+// summary holds the mean, minimum and maximum of some values, and their number.
 type summary struct {
 	mean, low, high float64
 	n               int
--- a/tests/scale/report.go
+++ b/tests/scale/report.go
@@ -12,6 +12,7 @@
 	"github.com/wcharczuk/go-chart/v2/drawing"
 )
 
+// report collects the measurements and notes of a run.
 type report struct {
 	settings
 	measurements []measurement
@@ -20,12 +21,14 @@
 
 func newReport(s settings) *report { return &report{settings: s} }
 
+// notef adds a note to the report and prints it.
 func (r *report) notef(format string, vals ...any) {
 	text := fmt.Sprintf(format, vals...)
 	r.notes = append(r.notes, text)
 	fmt.Println("#", text)
 }
 
+// add adds a measurement to the report and prints a summary of it.
 func (r *report) add(m measurement) {
 	r.measurements = append(r.measurements, m)
 	v := m.Values
@@ -39,7 +42,8 @@
 	fmt.Printf("%.0f running, %.1f cores\n", v[figureRunning], v[figureCores])
 }
 
-// rows are the measurements by point and figure, the points in the order they came.
+// rows groups the measurements by point and figure. The keys are the points, in the order of
+// their first measurement.
 func (r *report) rows() (keys []string, vals map[string]map[string][]float64) {
 	vals = map[string]map[string][]float64{}
 	for _, m := range r.measurements {
@@ -55,6 +59,8 @@
 	return keys, vals
 }
 
+// write prints the table and the fitted lines, and writes the measurements and the plot to
+// files.
 func (r *report) write(points, plot string) error {
 	r.table()
 	r.slopes()
@@ -95,7 +101,7 @@
 	return len(figureOrder)
 }
 
-// pointsOf are the values of a figure in a phase, over what was varied.
+// pointsOf returns the values of a figure in a phase, over the quantity that the phase varies.
 func (r *report) pointsOf(phase, figure string) []point {
 	var list []point
 	for _, m := range r.measurements {
@@ -127,14 +133,14 @@
 	figureAgentIn,
 }
 
-// sizedPhase is a phase that varies one size, and that size at its full.
+// sizedPhase is a phase that varies one size, with the full value of that size.
 type sizedPhase struct {
 	phase    string
 	fullSize float64
 }
 
-// slopes prints the fitted lines, and what they add up to at full size beside what was
-// measured there.
+// slopes prints the fitted lines of each figure, and compares the total extrapolated to full
+// size with the total measured there.
 func (r *report) slopes() {
 	fmt.Printf("\nslopes: figure = base + rate x; fit 1 is a straight line\n")
 	for _, name := range regressedFigures {
@@ -148,9 +154,9 @@
 	}
 }
 
-// extrapolate prints the fitted lines of a figure and returns their sum at full size: the
-// base of the first, and the slope of each times its size. It is not ok when a line is
-// missing.
+// extrapolate prints the fitted lines of a figure and returns their total at full size: the
+// base of the first line plus, for each line, its slope times its full size. ok is false if
+// a line cannot be fitted.
 func (r *report) extrapolate(figure string) (total float64, ok bool) {
 	ok = true
 	for i, one := range []sizedPhase{
@@ -180,7 +186,7 @@
 	return vals
 }
 
-// leaderCPUSeries is the leader's processor time in one phase, in one colour of the plot.
+// leaderCPUSeries returns the plot series of the leader's CPU usage in one phase.
 func (r *report) leaderCPUSeries(of sizedPhase, color drawing.Color) chart.ContinuousSeries {
 	series := chart.ContinuousSeries{
 		Name: fmt.Sprintf("%s (1 = %v)", of.phase, of.fullSize),
@@ -201,7 +207,7 @@
 	return series
 }
 
-// draw plots the leader's processor time over the share of the full size.
+// draw plots the leader's CPU usage over the share of the full size.
 func (r *report) draw(path string) error {
 	c := chart.Chart{
 		Title:  "leader: share of one core",
--- a/tests/scale/simulated_agents.go
+++ b/tests/scale/simulated_agents.go
@@ -25,32 +25,33 @@
 	heartbeatInterval = 100
 	// groupSize is how many agents share a goroutine.
 	groupSize = 75
-	// maxFrames is how many frames wait for a group.
+	// maxFrames is how many frames can be queued for a group.
 	maxFrames = 8192
-	// sampleEvery is the share of agents whose bytes are counted: one in so many.
+	// sampleEvery selects the agents whose bytes are counted: one in sampleEvery.
 	sampleEvery    = 20
 	domainCount    = 7
 	runnersPerRack = 12
 	gpusPerRunner  = 5
 	runnerMilli    = 24000
 	runnerMemMB    = 64000
-	// maxWait is the longest wait for a start that the histogram tells apart, in ms.
+	// maxWait is the longest wait for a start that the histogram records, in ms; longer waits
+	// are recorded as maxWait.
 	maxWait int64 = 120_000
 	// waitDigits is the precision of the histogram in decimal digits.
 	waitDigits = 3
 )
 
-// simulatedAgent is an agent's own state machine on a link of its own to the servers,
-// beside a stand-in runner. Many of them share this process.
+// simulatedAgent is the real state machine of an agent, with its own link to the servers and
+// a stand-in runner. Many simulated agents share this process.
 type simulatedAgent struct {
 	machine *agent.Agent
 	link    *link.Link
 	runner  *standInRunner
-	// traffic counts this agent's bytes; nil where they are not counted.
+	// traffic counts this agent's bytes; it is nil if they are not counted.
 	traffic *traffic
 }
 
-// simulatedAgents are all simulated agents of a run.
+// simulatedAgents holds all simulated agents of a run.
 type simulatedAgents struct {
 	goroutines *lifecycle.Group
 	clock      *clock.System
@@ -58,7 +59,7 @@
 	agents     []*simulatedAgent
 
 	mu sync.Mutex
-	// waits are the times from the submission of jobs to the starts of their tasks.
+	// waits holds the times from the submission of jobs to the starts of their tasks.
 	waits *hdrhistogram.Histogram
 
 	starts, lapsed, sent, running atomic.Int64
@@ -70,7 +71,7 @@
 	return &simulatedAgents{goroutines: goroutines, clock: system, seeds: seeds, waits: newWaits()}
 }
 
-// taskStarted records how long a task of a job waited for its start.
+// taskStarted records how long a task waited for its start.
 func (a *simulatedAgents) taskStarted(submitted, started clock.Monotonic) {
 	a.starts.Add(1)
 	a.mu.Lock()
@@ -78,7 +79,7 @@
 	_ = a.waits.RecordValue(min(maxWait, max(1, int64(started.Since(submitted)))))
 }
 
-// takeWaits returns the waits since it was last called.
+// takeWaits returns the waits since the previous call, and resets them.
 func (a *simulatedAgents) takeWaits() *hdrhistogram.Histogram {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -87,10 +88,10 @@
 	return waits
 }
 
-// agentCounts is what the agents have counted so far.
+// agentCounts holds the totals of all agents so far.
 type agentCounts struct {
 	starts, lapsed, sent float64
-	// bytesOut and bytesIn are those of the agents that are sampled.
+	// bytesOut and bytesIn are totals over the sampled agents only.
 	bytesOut, bytesIn float64
 	sampled           float64
 }
@@ -112,7 +113,7 @@
 	return counts
 }
 
-// grow adds agents until there are so many.
+// grow adds agents until there are count of them.
 func (a *simulatedAgents) grow(count int) error {
 	for len(a.agents) < count {
 		g := &group{agents: a, frames: lifecycle.NewQueue[frame](maxFrames)}
@@ -153,8 +154,8 @@
 	return added, nil
 }
 
-// newRunner is the i-th runner: every second one has GPUs. Runs take up to a tenth more
-// or less than their span.
+// newRunner returns the i-th runner. Every second runner has GPUs. Runs take up to a tenth
+// longer or shorter than their span.
 func (a *simulatedAgents) newRunner(i int) *standInRunner {
 	random := rand.New(rand.NewPCG(uint64(i), 3))
 	r := &standInRunner{
@@ -180,7 +181,7 @@
 	message wire.Message
 }
 
-// group is some agents that share a goroutine.
+// group is a set of agents that share a goroutine.
 type group struct {
 	agents  *simulatedAgents
 	frames  *lifecycle.Queue[frame]
@@ -227,7 +228,7 @@
 	g.flush(member)
 }
 
-// flush sends what an agent's state machine wants sent.
+// flush sends the pending messages of an agent's state machine.
 func (g *group) flush(member *simulatedAgent) {
 	for _, envelope := range member.machine.TakeOutput().Messages {
 		g.agents.sent.Add(1)
--- a/tests/scale/standin_runner.go
+++ b/tests/scale/standin_runner.go
@@ -12,11 +12,11 @@
 	"orchidward/internal/clock"
 )
 
-// stopDelay is how long a run takes to end on order, in ms.
+// stopDelay is how long a run takes to end after a stop order, in ms.
 const stopDelay clock.Millis = 150
 
-// standInRunner does no work: it starts what it is told, reports how far each run would
-// be, ends it after its span, and sends heartbeats.
+// standInRunner simulates a runner that does no work. It starts the runs that it is ordered
+// to start, reports their simulated progress in heartbeats, and ends each after its span.
 type standInRunner struct {
 	incarnation identifier.Incarnation
 	domain      identifier.Domain
@@ -29,12 +29,12 @@
 	runs          []*taskRun
 	ends          []runnerapi.RunEnd
 	lastEnd       uint64
-	// lapses counts the runs whose lease lapsed.
+	// lapses counts the runs that ended because the lease expired.
 	lapses int64
-	// onStart, if set, is called for every start: when the job was submitted, and when
-	// the run started.
+	// onStart, if set, is called for every start, with the time of the job's submission and
+	// the time of the start.
 	onStart func(submitted, at clock.Monotonic)
-	// vary, if set, is how long a run of a span really takes.
+	// vary, if set, returns the actual duration of a run with the given span.
 	vary func(span clock.Millis) (actual clock.Millis)
 }
 
@@ -47,13 +47,13 @@
 	stopAt    clock.Monotonic
 }
 
-// encodePayload is the payload of every job of a scale run: how long a task runs and when
-// the job was submitted, by the one clock of the run.
+// encodePayload returns the payload of a job: the span of its tasks, and when the job was
+// submitted according to the clock of the run.
 func encodePayload(span clock.Millis, submitted clock.Monotonic) string {
 	return fmt.Sprintf("%d %d", span, submitted)
 }
 
-// decodePayload reads what encodePayload has written.
+// decodePayload decodes the output of encodePayload.
 func decodePayload(text string) (span clock.Millis, submitted clock.Monotonic, ok bool) {
 	spanText, submittedText, _ := strings.Cut(text, " ")
 	spanMs, err := strconv.ParseInt(spanText, 10, 64)
@@ -64,8 +64,8 @@
 	return clock.Millis(spanMs), clock.Monotonic(submittedMs), err == nil
 }
 
-// advance lets time pass, and tells whether a heartbeat is due. Runs end whose lease has
-// lapsed.
+// advance ends the runs that are due, and all runs if the lease has expired. It reports
+// whether a heartbeat is due.
 func (s *standInRunner) advance(now clock.Monotonic) bool {
 	kept := s.runs[:0]
 	for _, run := range s.runs {
@@ -90,7 +90,7 @@
 	return now >= s.nextHeartbeat
 }
 
-// addEnd records that an attempt has ended, under the next number.
+// addEnd records the end of an attempt, with the next sequence number.
 func (s *standInRunner) addEnd(task identifier.TaskRef, attempt uint64, outcome string) {
 	s.lastEnd++
 	s.ends = append(s.ends, runnerapi.RunEnd{
@@ -101,7 +101,7 @@
 	})
 }
 
-// heartbeat is the next heartbeat.
+// heartbeat returns the next heartbeat.
 func (s *standInRunner) heartbeat(now clock.Monotonic) agent.Heartbeat {
 	s.seq++
 	heartbeat := agent.Heartbeat{
@@ -123,7 +123,7 @@
 	return heartbeat
 }
 
-// applyOrders takes the response to a heartbeat that was sent at the given time.
+// applyOrders applies the response to a heartbeat that was sent at the given time.
 func (s *standInRunner) applyOrders(o agent.Orders, sent, now clock.Monotonic) {
 	s.nextHeartbeat = sent + clock.Monotonic(max(1, o.NextHeartbeat))
 	if o.Lease > 0 {
@@ -155,7 +155,8 @@
 	return nil
 }
 
-// start rejects what has no payload of its own, and takes the same start only once.
+// start starts a run. It rejects a start whose payload encodePayload did not produce, and
+// ignores a start of an attempt that is already running.
 func (s *standInRunner) start(x runnerapi.Start, now clock.Monotonic) {
 	if s.find(x.Task, x.Attempt) != nil {
 		return
--- a/tests/scale/standin_runner_test.go
+++ b/tests/scale/standin_runner_test.go
@@ -13,8 +13,8 @@
 	return runnerapi.Start{Task: identifier.TaskRef{Job: "q/00000000000000a1.0", Num: num}, Attempt: 1, Payload: encodePayload(span, 40)}
 }
 
-// TestStandIn: a run starts on order and once, reports its progress, succeeds after its
-// span, and its end is reported until it was observed.
+// TestStandIn checks that a run starts only once, reports its progress, succeeds after its
+// span, and that its end is reported until the agent has observed it.
 func TestStandIn(t *testing.T) {
 	var submitted, began clock.Monotonic
 	count := 0
@@ -32,14 +32,14 @@
 		t.Errorf("%d starts, submitted at %d, started at %d", count, submitted, began)
 	}
 	if s.advance(99) || !s.advance(100) {
-		t.Error("no heartbeat every 100 ms")
+		t.Error("the next heartbeat is not due after exactly 100 ms")
 	}
 	if b := s.heartbeat(550); len(b.Active) != 1 || b.Active[0].ProgressPercent != 50 || b.Active[0].Attempt != 1 {
-		t.Errorf("half way: %+v", b.Active)
+		t.Errorf("halfway through the span: %+v", b.Active)
 	}
 	s.advance(1049)
 	if len(s.runs) != 1 {
-		t.Error("ended before its span was over")
+		t.Error("the run ended before its span was over")
 	}
 	s.advance(1050)
 	for range 2 {
@@ -51,12 +51,12 @@
 	}
 	s.applyOrders(agent.Orders{Lease: 6000, NextHeartbeat: 100, ObservedThrough: 1}, 1200, 1200)
 	if b := s.heartbeat(1300); len(b.Finished) != 0 {
-		t.Errorf("an observed end is reported again: %+v", b.Finished)
+		t.Errorf("an observed end was reported again: %+v", b.Finished)
 	}
 }
 
-// TestStandInEnds: a run ends on order and when its lease lapses; one without a payload is
-// rejected.
+// TestStandInEnds checks that a run ends after a stop order and when the lease expires, and
+// that a start with an invalid payload is rejected.
 func TestStandInEnds(t *testing.T) {
 	s := &standInRunner{}
 	bad := newStart(2, 1000)
@@ -65,16 +65,16 @@
 	s.applyOrders(agent.Orders{Lease: 1000, Stop: []runnerapi.RunStop{{Task: newStart(0, 1).Task, Attempt: 1}}}, 100, 100)
 	s.advance(249)
 	if len(s.runs) != 2 {
-		t.Errorf("%d runs before the stop took effect", len(s.runs))
+		t.Errorf("%d runs before the stop delay was over, want 2", len(s.runs))
 	}
 	s.advance(250)
 	s.advance(1100)
 	if len(s.runs) != 1 {
-		t.Errorf("%d runs under the lease", len(s.runs))
+		t.Errorf("%d runs before the lease expired, want 1", len(s.runs))
 	}
 	s.advance(1101)
 	if s.lapses != 1 {
-		t.Errorf("%d lapses counted", s.lapses)
+		t.Errorf("%d lapses counted, want 1", s.lapses)
 	}
 	want := []string{runnerapi.OutcomeRejected, runnerapi.OutcomeStopped, runnerapi.OutcomeLeaseLapsed}
 	b := s.heartbeat(1101)
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestStandInVaries: progress and end go by how long a run really takes.
+// TestStandInVaries checks that progress and end follow the actual duration of a run.
 func TestStandInVaries(t *testing.T) {
 	s := &standInRunner{vary: func(span clock.Millis) clock.Millis { return span * 2 }}
 	s.applyOrders(agent.Orders{Lease: 6000, Start: []runnerapi.Start{newStart(0, 1000)}}, 0, 0)
@@ -97,12 +97,12 @@
 		t.Errorf("%+v", b.Active)
 	}
 	if s.advance(2000); len(s.runs) != 0 {
-		t.Error("did not end")
+		t.Error("the run did not end after its actual duration")
 	}
 }
 
-// TestAgentAndStandIn: behind a real agent that never reached a server the runner gets no
-// lease, and so starts nothing.
+// TestAgentAndStandIn checks that an agent that never reached a server grants its runner no
+// lease, so that the runner starts nothing.
 func TestAgentAndStandIn(t *testing.T) {
 	s := &standInRunner{incarnation: "a", domain: "n", rack: "r"}
 	m := agent.New(agent.Config{Name: "a", Addr: "x", Domain: "n", Seeds: []string{"k"}, Seed: 1, MaxLease: 6000, HeartbeatInterval: 100}, 0)
--- a/tests/scale/traffic.go
+++ b/tests/scale/traffic.go
@@ -6,12 +6,12 @@
 	"orchidward/internal/transport/wire"
 )
 
-// traffic counts the bytes of an agent's frames.
+// traffic counts the encoded bytes of the messages that an agent sends and receives.
 type traffic struct {
 	sent, received atomic.Int64
 }
 
-// byteCounter is a writer that only counts.
+// byteCounter is an io.Writer that counts the bytes written to it and discards them.
 type byteCounter struct{ total *atomic.Int64 }
 
 func (c byteCounter) Write(b []byte) (int, error) {
@@ -19,9 +19,9 @@
 	return len(b), nil
 }
 
-// countBytes adds the size of a message as encoded.
+// countBytes adds the encoded size of a message to a total.
 func countBytes(total *atomic.Int64, message wire.Message) {
 	if err := wire.NewEncoder(byteCounter{total}).Encode(message); err != nil {
-		panic("scale: a message does not encode: " + err.Error())
+		panic("scale: encode message: " + err.Error())
 	}
 }
