--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -96,8 +96,8 @@
 	{
 		name:        "unknown parts of a patch are dropped",
 		file:        "platform/config_translation.go",
-		original:    "out.Rest = upsert.unknownParts(remove)",
-		replacement: "_ = upsert.unknownParts(remove)",
+		original:    "out.Rest = upsert.unknownSections(remove)",
+		replacement: "_ = upsert.unknownSections(remove)",
 		tests:       test("./platform", "TestPatchesDiffer"),
 		want:        "two patches give one change",
 	},
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -117,7 +117,7 @@
 	{
 		name:        "calls to a runner follow redirects",
 		file:        "platform/runner_calls.go",
-		original:    "CheckRedirect: dontFollow",
+		original:    "CheckRedirect: rejectRedirect",
 		replacement: "CheckRedirect: nil",
 		tests:       test("./platform", "TestCallsNotRedirected"),
 		want:        "calls to another",
