--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -99,7 +99,7 @@
 		original:    "out.Rest = upsert.unknownSections(remove)",
 		replacement: "_ = upsert.unknownSections(remove)",
 		tests:       test("./platform", "TestPatchesDiffer"),
-		want:        "two patches give one change",
+		want:        "two patches are translated to one change",
 	},
 	{
 		name:        "truncated request drains a zone",
@@ -107,7 +107,7 @@
 		original:    "\tif _, ok = readBody(w, r, MaxConfigBytes); !ok {\n",
 		replacement: "\tif false {\n",
 		tests:       test("./platform", "TestIncompleteRequestRefused"),
-		want:        "done 1 times, want 0",
+		want:        "took effect 1 times, want 0",
 	},
 	{
 		name:        "gateway keeps its first catalogue",
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -169,7 +169,7 @@
 		original:    "\tif err == nil {\n",
 		replacement: "\tif err == nil || err == io.ErrUnexpectedEOF {\n",
 		tests:       test("./platform", "TestIncompleteRequestRefused"),
-		want:        "done 1 times, want 0",
+		want:        "took effect 1 times, want 0",
 	},
 	{
 		name:        "request is handled twice",
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -144,7 +144,7 @@
 		original:    "case c.latest.Draining:",
 		replacement: "case true:",
 		tests:       test("./platform", "TestUnannouncedLeaverIsCalled"),
-		want:        "is called no more",
+		want:        "is no longer called",
 	},
 	{
 		name:        "leader is not announced to agents",
