--- a/cmd/orchidward-runner/daemon.go
+++ b/cmd/orchidward-runner/daemon.go
@@ -145,7 +145,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), p.Timeout.Duration())
 	defer cancel()
 	status, body, err := d.sendPoll(ctx, p)
-	if err != nil && httpclient.BrokeOff(err) {
+	if err != nil && httpclient.IsBrokenResponse(err) {
 		d.events.countBrokenResponse()
 	}
 	d.loop.Post(func(r *runner.Runner) { r.HandlePollResponse(p.Seq, status, body, d.clock.Now()) })
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -107,7 +107,7 @@
 // HandleMessage processes a message from the control plane.
 func (a *Agent) HandleMessage(from wire.Peer, msg wire.Message, now clock.Monotonic) {
 	a.now = max(a.now, now)
-	if announcement := msg.Announcement; announcement != nil && announcement.NamesSenderLeader() {
+	if announcement := msg.Announcement; announcement != nil && announcement.ClaimsLeadership() {
 		a.switchToLeader(announcement)
 		return
 	}
--- a/internal/controlplane/forwarder_node.go
+++ b/internal/controlplane/forwarder_node.go
@@ -105,7 +105,7 @@
 	if !announcement.Founded || len(announcement.Members) == 0 {
 		return
 	}
-	byLeader := announcement.Role == wire.RoleServer && announcement.NamesSenderLeader()
+	byLeader := announcement.Role == wire.RoleServer && announcement.ClaimsLeadership()
 	switch {
 	case byLeader:
 		f.selfConfirmedAt = s.now
--- a/internal/daemon/agentd/daemon.go
+++ b/internal/daemon/agentd/daemon.go
@@ -66,7 +66,7 @@
 		TickInterval: agent.TickInterval.Duration(),
 		Tick:         d.tick,
 		Message:      d.handleMessage,
-		AfterInput:   d.handOnOutput,
+		AfterInput:   d.processOutput,
 	})
 }
 
@@ -79,7 +79,7 @@
 	d.agent.HandleMessage(from, msg, d.clock.Now())
 }
 
-func (d *Daemon) handOnOutput() {
+func (d *Daemon) processOutput() {
 	out := d.agent.TakeOutput()
 	for _, event := range out.Events {
 		d.log.Event(event.Name, event.Fields...)
--- a/internal/daemon/eventloop/await.go
+++ b/internal/daemon/eventloop/await.go
@@ -19,24 +19,24 @@
 // goes on, unless the caller has it cancelled. A result from before the loop ended is
 // returned, not ErrStopped.
 func Await[M, R any](ctx context.Context, l *Loop[M], start func(m M, done func(R))) (R, error) {
-	var none R
+	var zero R
 	results := make(chan R, 1)
 	call, ok := l.calls.push(func(m M) { start(m, func(result R) { results <- result }) })
 	if !ok {
-		return none, ErrQueueFull
+		return zero, ErrQueueFull
 	}
 	select {
 	case result := <-results:
 		return result, nil
 	case <-ctx.Done():
-		call.giveUp()
-		return none, ctx.Err()
+		call.cancel()
+		return zero, ctx.Err()
 	case <-l.Done():
 	}
 	select {
 	case result := <-results:
 		return result, nil
 	default:
-		return none, ErrStopped
+		return zero, ErrStopped
 	}
 }
--- a/internal/daemon/eventloop/await_test.go
+++ b/internal/daemon/eventloop/await_test.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// TestAwaitGivenUpBeforeItBegins checks that work never begins whose caller left while it
+// TestAwaitCancelledBeforeStart checks that work never begins whose caller left while it
 // waited for the loop, and that the calls behind it do.
-func TestAwaitGivenUpBeforeItBegins(t *testing.T) {
+func TestAwaitCancelledBeforeStart(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	l := New(&counter{}, 16)
--- a/internal/daemon/eventloop/calls.go
+++ b/internal/daemon/eventloop/calls.go
@@ -17,8 +17,8 @@
 // Call is one function to be run on the machine.
 type Call[M any] struct {
 	run func(m M)
-	// taken says that the call has begun, or that its caller has given it up.
-	taken    atomic.Bool
+	// claimed says that the call has begun, or that its caller has given it up.
+	claimed  atomic.Bool
 	finished chan struct{}
 }
 
@@ -61,7 +61,7 @@
 	case <-ctx.Done():
 	case <-q.done:
 	}
-	if call.giveUp() {
+	if call.cancel() {
 		return false
 	}
 	<-call.finished
@@ -72,12 +72,12 @@
 	return &Call[M]{run: run, finished: make(chan struct{})}
 }
 
-// giveUp takes the call back, and reports whether it had not begun: then it never will.
-func (c *Call[M]) giveUp() bool { return c.taken.CompareAndSwap(false, true) }
+// cancel takes the call back, and reports whether it had not begun: then it never will.
+func (c *Call[M]) cancel() bool { return c.claimed.CompareAndSwap(false, true) }
 
 // Run carries the call out, unless its caller has given it up.
 func (c *Call[M]) Run(m M) {
-	if c.taken.CompareAndSwap(false, true) {
+	if c.claimed.CompareAndSwap(false, true) {
 		c.run(m)
 		close(c.finished)
 	}
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -76,7 +76,7 @@
 	if d.link, err = link.Listen(settings.Addr, group); err != nil {
 		return nil, err
 	}
-	begin := func() {
+	start := func() {
 		d.connections = linkmonitor.New(d.link, log, d.gauges)
 		d.link.Serve(d.loop.Receive)
 		group.Go(d.run)
@@ -85,7 +85,7 @@
 		d.gauges = httpserver.NewGauges()
 		log.Event("start", "program", programName, "addr", settings.Addr, "domain", settings.Domain)
 		hooks.Append(fx.Hook{OnStart: func(context.Context) error {
-			begin()
+			start()
 			return nil
 		}})
 		return d, nil
@@ -97,7 +97,7 @@
 	d.gauges = d.http.Gauge
 	d.addRoutes()
 	log.Event("start", "program", programName, "addr", settings.Addr, "http", settings.HTTP, "domain", settings.Domain)
-	d.http.Run(hooks, group, log, programName, begin)
+	d.http.Run(hooks, group, log, programName, start)
 	return d, nil
 }
 
@@ -116,7 +116,7 @@
 		TickInterval: gateway.TickInterval.Duration(),
 		Tick:         d.tick,
 		Message:      d.handleMessage,
-		AfterInput:   d.handOnOutput,
+		AfterInput:   d.processOutput,
 	})
 }
 
@@ -129,7 +129,7 @@
 	d.gateway.HandleMessage(from, msg, d.clock.Now())
 }
 
-func (d *Daemon) handOnOutput() {
+func (d *Daemon) processOutput() {
 	out := d.gateway.TakeOutput()
 	for _, event := range out.Events {
 		d.log.Event(event.Name, event.Fields...)
--- a/internal/daemon/serverd/daemon.go
+++ b/internal/daemon/serverd/daemon.go
@@ -55,8 +55,8 @@
 	// requests are those that were made here. Only the event loop touches them.
 	requests *inflight.Requests
 
-	// tenantsShownAt is when the metrics by tenant were last renewed.
-	tenantsShownAt clock.Monotonic
+	// tenantMetricsUpdatedAt is when the metrics by tenant were last renewed.
+	tenantMetricsUpdatedAt clock.Monotonic
 
 	// left is closed once the server has left its group in order.
 	left     chan struct{}
@@ -88,7 +88,7 @@
 	if d.link, err = link.Listen(settings.Addr, group); err != nil {
 		return nil, err
 	}
-	if err = d.begin(settings, group, hooks, id); err != nil {
+	if err = d.registerHooks(settings, group, hooks, id); err != nil {
 		d.link.Close()
 		return nil, err
 	}
@@ -109,10 +109,10 @@
 	return nil
 }
 
-// begin hooks the goroutines into the process's lifecycle, by way of the HTTP server if
+// registerHooks hooks the goroutines into the process's lifecycle, by way of the HTTP server if
 // there is one.
-func (d *Daemon) begin(settings Settings, group *lifecycle.Group, hooks fx.Lifecycle, id identifier.Node) error {
-	begin := func() {
+func (d *Daemon) registerHooks(settings Settings, group *lifecycle.Group, hooks fx.Lifecycle, id identifier.Node) error {
+	start := func() {
 		d.connections = linkmonitor.New(d.link, d.log, d.gauges)
 		d.link.Serve(d.loop.Receive)
 		group.Go(d.store.run)
@@ -128,11 +128,11 @@
 	}
 	d.log.Event("start", "program", programName, "node", id, "addr", settings.Addr, "domain", settings.Domain)
 	if d.http != nil {
-		d.http.Run(hooks, group, d.log, programName, begin)
+		d.http.Run(hooks, group, d.log, programName, start)
 		return nil
 	}
 	hooks.Append(fx.Hook{OnStart: func(context.Context) error {
-		begin()
+		start()
 		return nil
 	}})
 	return nil
@@ -145,7 +145,7 @@
 		Message:      d.handleMessage,
 		BeforeCall:   d.observe,
 		BeforeInput:  d.submitNextWrite,
-		AfterInput:   d.handOnOutput,
+		AfterInput:   d.processOutput,
 		Completions:  d.store.completions(d.handleWritten),
 	})
 }
@@ -165,9 +165,9 @@
 // observe records that the process runs: it may have stood still.
 func (d *Daemon) observe() { d.requests.Observe(d.clock.Now()) }
 
-// handOnOutput gives the server the requests that wait for it, and hands on what it sends,
+// processOutput gives the server the requests that wait for it, and hands on what it sends,
 // writes and answers.
-func (d *Daemon) handOnOutput() {
+func (d *Daemon) processOutput() {
 	for _, dispatch := range d.requests.TakeDispatches() {
 		d.server.HandleMessage(dispatch.Peer, wire.Message{Request: dispatch.Request}, d.clock.Now(), d.clock.Wall())
 	}
--- a/internal/daemon/serverd/daemon_fixture_test.go
+++ b/internal/daemon/serverd/daemon_fixture_test.go
@@ -108,8 +108,8 @@
 	return response.Status == http.StatusCreated || response.Status == http.StatusOK
 }
 
-// askUntilDecided repeats a request, as a caller would, until its outcome is known.
-func askUntilDecided(ctx context.Context, d *Daemon, request gateway.Request) gateway.Response {
+// retryUntilDecided repeats a request, as a caller would, until its outcome is known.
+func retryUntilDecided(ctx context.Context, d *Daemon, request gateway.Request) gateway.Response {
 	var response gateway.Response
 	for ctx.Err() == nil {
 		response = d.Do(ctx, request)
--- a/internal/daemon/serverd/daemon_test.go
+++ b/internal/daemon/serverd/daemon_test.go
@@ -23,13 +23,13 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	for i, d := range servers {
-		response := askUntilDecided(ctx, d, submitJob(fmt.Sprintf("j%d", i)))
+		response := retryUntilDecided(ctx, d, submitJob(fmt.Sprintf("j%d", i)))
 		if !submitted(response) {
 			t.Fatalf("server %d answered %d %s", i, response.Status, response.Body)
 		}
 	}
 	for i, d := range servers {
-		response := askUntilDecided(ctx, d, gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
+		response := retryUntilDecided(ctx, d, gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
 		for j := range servers {
 			if !strings.Contains(string(response.Body), fmt.Sprintf("a/j%d", j)) {
 				t.Errorf("server %d does not know job %d: %d %s", i, j, response.Status, response.Body)
@@ -59,11 +59,11 @@
 	servers := startServers(t, group, seeds)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	response = askUntilDecided(ctx, forwarder, submitJob("j"))
+	response = retryUntilDecided(ctx, forwarder, submitJob("j"))
 	if !submitted(response) {
 		t.Fatalf("the forwarder answered %d %s", response.Status, response.Body)
 	}
-	response = askUntilDecided(ctx, servers[0], gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
+	response = retryUntilDecided(ctx, servers[0], gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
 	if !strings.Contains(string(response.Body), "a/j") {
 		t.Errorf("a member does not know the job: %d %s", response.Status, response.Body)
 	}
@@ -136,7 +136,7 @@
 	servers := startServers(t, group, freeAddrs(1))
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if response := askUntilDecided(ctx, servers[0], submitJob("j")); !submitted(response) {
+	if response := retryUntilDecided(ctx, servers[0], submitJob("j")); !submitted(response) {
 		t.Fatalf("answered %d %s", response.Status, response.Body)
 	}
 	servers[0].loop.Post(func(*controlplane.Server) { time.Sleep(2 * budget * time.Millisecond) })
@@ -145,7 +145,7 @@
 	if response := servers[0].Do(ctx, late); response.Status != http.StatusServiceUnavailable {
 		t.Errorf("answered %d %s", response.Status, response.Body)
 	}
-	response := askUntilDecided(ctx, servers[0], gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
+	response := retryUntilDecided(ctx, servers[0], gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
 	if strings.Contains(string(response.Body), "a/late") {
 		t.Errorf("a job was taken whose caller waited no more: %s", response.Body)
 	}
--- a/internal/daemon/serverd/graceful_stop_test.go
+++ b/internal/daemon/serverd/graceful_stop_test.go
@@ -27,7 +27,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	if response := askUntilDecided(ctx, servers[0], submitJob("j")); !submitted(response) {
+	if response := retryUntilDecided(ctx, servers[0], submitJob("j")); !submitted(response) {
 		t.Fatalf("before: %d %s", response.Status, response.Body)
 	}
 	previous := findLeader(ctx, servers)
@@ -45,7 +45,7 @@
 	if next := findLeader(ctx, servers); next < 0 || next == previous {
 		t.Errorf("server %d leads after server %d left", next, previous)
 	}
-	if response := askUntilDecided(ctx, servers[previous], submitJob("j")); response.Status != http.StatusOK {
+	if response := retryUntilDecided(ctx, servers[previous], submitJob("j")); response.Status != http.StatusOK {
 		t.Errorf("asked at the server that left: %d %s", response.Status, response.Body)
 	}
 }
--- a/internal/daemon/serverd/tenant_metrics.go
+++ b/internal/daemon/serverd/tenant_metrics.go
@@ -17,10 +17,10 @@
 // others have in use together.
 func (d *Daemon) updateTenantMetrics() {
 	now := d.clock.Now()
-	if now.Since(d.tenantsShownAt) < tenantMetricsInterval {
+	if now.Since(d.tenantMetricsUpdatedAt) < tenantMetricsInterval {
 		return
 	}
-	d.tenantsShownAt = now
+	d.tenantMetricsUpdatedAt = now
 	others := job.Demand{}
 	usedCPU, usedMem, usedGPUs := map[string]float64{}, map[string]float64{}, map[string]float64{}
 	quotaCPU, quotaMem, quotaGPUs := map[string]float64{}, map[string]float64{}, map[string]float64{}
--- a/internal/daemon/settings/file.go
+++ b/internal/daemon/settings/file.go
@@ -68,8 +68,8 @@
 		return fmt.Sprint(value), nil
 	}
 	var texts []string
-	for _, one := range list {
-		texts = append(texts, fmt.Sprint(one))
+	for _, item := range list {
+		texts = append(texts, fmt.Sprint(item))
 	}
 	return strings.Join(texts, ","), nil
 }
--- a/internal/gateway/leader_sync.go
+++ b/internal/gateway/leader_sync.go
@@ -129,7 +129,7 @@
 		g.send(from, wire.Message{Announcement: reply})
 		return
 	}
-	byLeader := announcement.Role == wire.RoleServer && announcement.NamesSenderLeader()
+	byLeader := announcement.Role == wire.RoleServer && announcement.ClaimsLeadership()
 	if byLeader && len(announcement.Members) > 0 {
 		g.followLeader(announcement)
 		return
--- a/internal/transport/httpclient/attempt.go
+++ b/internal/transport/httpclient/attempt.go
@@ -75,14 +75,14 @@
 	}
 	response, err := c.http.Do(request)
 	if err != nil {
-		c.countBroken(err)
+		c.countIfBroken(err)
 		a.err = err
 		return a
 	}
 	defer response.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		c.countBroken(err)
+		c.countIfBroken(err)
 		a.err = err
 		return a
 	}
@@ -94,15 +94,15 @@
 	return a
 }
 
-func (c *Client) countBroken(err error) {
-	if BrokeOff(err) {
+func (c *Client) countIfBroken(err error) {
+	if IsBrokenResponse(err) {
 		c.BrokenResponses++
 	}
 }
 
-// BrokeOff tells a response that broke off from a gateway that can't be reached or is
+// IsBrokenResponse tells a response that broke off from a gateway that can't be reached or is
 // silent.
-func BrokeOff(err error) bool {
+func IsBrokenResponse(err error) bool {
 	var connecting *net.OpError
 	if errors.As(err, &connecting) && connecting.Op == "dial" {
 		return false
--- a/internal/transport/httpclient/client.go
+++ b/internal/transport/httpclient/client.go
@@ -86,7 +86,7 @@
 		}
 		last := count >= c.Attempts*len(c.Gateways) || unanswered >= 2*len(c.Gateways)
 		if last || outcomeUnknown && !idempotent {
-			return a.Response, c.giveUp(a, outcomeUnknown)
+			return a.Response, c.finalError(a, outcomeUnknown)
 		}
 		if err := sleep(ctx, min(a.pause, maxPause)); err != nil {
 			if outcomeUnknown {
@@ -97,10 +97,10 @@
 	}
 }
 
-// giveUp is the error of a request whose last attempt had no final response. A response
+// finalError is the error of a request whose last attempt had no final response. A response
 // that says that the outcome is unknown needs no error, nor a refusal of a request that
 // nobody can have taken.
-func (c *Client) giveUp(last attempt, outcomeUnknown bool) error {
+func (c *Client) finalError(last attempt, outcomeUnknown bool) error {
 	var cause error
 	switch {
 	case last.Status == http.StatusGatewayTimeout:
--- a/internal/transport/httpclient/client_test.go
+++ b/internal/transport/httpclient/client_test.go
@@ -14,9 +14,9 @@
 
 const (
 	attemptTimeout = 150 * time.Millisecond
-	// patientTimeout is for attempts that must have their response, however busy the
+	// longTimeout is for attempts that must have their response, however busy the
 	// machine is.
-	patientTimeout = 10 * time.Second
+	longTimeout = 10 * time.Second
 )
 
 var nonIdempotent = []struct{ method, path string }{
@@ -166,12 +166,12 @@
 		},
 	} {
 		gateway := newFakeGateway(t, answer)
-		c := New([]string{gateway.addr()}, patientTimeout)
+		c := New([]string{gateway.addr()}, longTimeout)
 		c.Attempts = 1
 		for i := range 30 {
 			path := fmt.Sprintf("/v1/jobs/a/%d", i)
 			late := fault == "late" && i%10 == 0
-			timeout := patientTimeout
+			timeout := longTimeout
 			if late {
 				timeout = attemptTimeout
 			}
--- a/internal/transport/httpserver/random_streams_test.go
+++ b/internal/transport/httpserver/random_streams_test.go
@@ -43,11 +43,11 @@
 }
 
 // parseComplete reads the complete requests of a stream, one after another, up to the first
-// that is none. The first certain of them are plain.
-func parseComplete(stream []byte) (list []executed, certain int) {
+// that is none. The first plainCount of them are plain.
+func parseComplete(stream []byte) (list []executed, plainCount int) {
 	source := bytes.NewReader(stream)
 	in := bufio.NewReader(source)
-	doubt := false
+	ambiguous := false
 	for {
 		if n := len(list); n > 0 && list[n-1].method == http.MethodPost {
 			skipLineEnds(in)
@@ -55,17 +55,17 @@
 		begin := len(stream) - source.Len() - in.Buffered()
 		r, err := http.ReadRequest(in)
 		if err != nil {
-			return list, certain
+			return list, plainCount
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			return list, certain
+			return list, plainCount
 		}
 		list = append(list, executed{r.Method, r.URL.Path, r.Header.Get(requestIDHeader), string(body)})
 		raw := stream[begin : len(stream)-source.Len()-in.Buffered()]
-		doubt = doubt || !plain(r, raw, body)
-		if !doubt {
-			certain++
+		ambiguous = ambiguous || !plain(r, raw, body)
+		if !ambiguous {
+			plainCount++
 		}
 	}
 }
@@ -89,17 +89,17 @@
 	calls := e.takeCalls(local)
 	checkResponses(t, answers, calls, clean)
 	done := carriedOut(calls)
-	list, certain := parseComplete(stream)
-	if len(done) < certain {
-		t.Errorf("%d requests stand completely in %q, only %v were carried out", certain, stream, done)
+	list, plainCount := parseComplete(stream)
+	if len(done) < plainCount {
+		t.Errorf("%d requests stand completely in %q, only %v were carried out", plainCount, stream, done)
 	}
 	checkInOrder(t, done, list, stream)
-	for i := 0; i < certain && i < len(done); i++ {
+	for i := 0; i < plainCount && i < len(done); i++ {
 		if done[i] != list[i] {
 			t.Errorf("carried out %v in place of %v in %q", done[i], list[i], stream)
 		}
 	}
-	return certain
+	return plainCount
 }
 
 // checkInOrder checks that what was carried out are requests of a stream, in its order and
@@ -179,15 +179,15 @@
 	random := rand.New(rand.NewSource(1))
 	begin := time.Now()
 	streams := 0
-	certain := 0
+	plainCount := 0
 	for streams < randomStreams && time.Since(begin) < randomStreamTime && !t.Failed() {
-		certain += checkStream(t, e, addr, randomStream(random), random.Intn(40))
+		plainCount += checkStream(t, e, addr, randomStream(random), random.Intn(40))
 		streams++
 	}
-	if certain < streams/2 {
-		t.Errorf("only %d requests of %d streams had to be carried out", certain, streams)
+	if plainCount < streams/2 {
+		t.Errorf("only %d requests of %d streams had to be carried out", plainCount, streams)
 	}
-	t.Logf("%d streams, %d requests that had to be carried out", streams, certain)
+	t.Logf("%d streams, %d requests that had to be carried out", streams, plainCount)
 }
 
 // FuzzServer is TestRandomStreams for bytes that the fuzzer chooses.
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -141,10 +141,10 @@
 
 // Run hooks a daemon into the process's lifecycle: begin starts its goroutines, and requests are
 // served until the graceful stop.
-func (s *Server) Run(hooks fx.Lifecycle, group *lifecycle.Group, log *logging.Logger, program string, begin func()) {
+func (s *Server) Run(hooks fx.Lifecycle, group *lifecycle.Group, log *logging.Logger, program string, start func()) {
 	hooks.Append(fx.Hook{
 		OnStart: func(context.Context) error {
-			begin()
+			start()
 			s.Serve(group)
 			return nil
 		},
--- a/internal/transport/httpserver/stream_fixture_test.go
+++ b/internal/transport/httpserver/stream_fixture_test.go
@@ -21,7 +21,7 @@
 
 const (
 	requestIDHeader = "X-Id"
-	accountHeader   = "X-Echo"
+	summaryHeader   = "X-Echo"
 	maxEchoBody     = 64
 	exchangeTimeout = 20 * time.Second
 )
@@ -45,8 +45,8 @@
 	refused int
 }
 
-// account identifies the call: the response to the request carries it.
-func (h handled) account() string {
+// summary identifies the call: the response to the request carries it.
+func (h handled) summary() string {
 	if h.refused != 0 {
 		return fmt.Sprintf("%q refused with %d", h.method, h.refused)
 	}
@@ -67,7 +67,7 @@
 	e.mu.Lock()
 	e.calls[r.RemoteAddr] = append(e.calls[r.RemoteAddr], one)
 	e.mu.Unlock()
-	w.Header().Set(accountHeader, one.account())
+	w.Header().Set(summaryHeader, one.summary())
 	if one.refused != 0 {
 		w.WriteHeader(one.refused)
 		return
@@ -213,7 +213,7 @@
 			continue
 		}
 		list = append(list, res.StatusCode)
-		account := res.Header.Get(accountHeader)
+		account := res.Header.Get(summaryHeader)
 		if account == "" {
 			continue
 		}
@@ -222,8 +222,8 @@
 		}
 		want := calls[next]
 		next++
-		if account != want.account() {
-			t.Errorf("%s was answered with %s", want.account(), account)
+		if account != want.summary() {
+			t.Errorf("%s was answered with %s", want.summary(), account)
 		}
 		if want.refused == 0 && method != http.MethodHead && err == nil && string(body) != want.String() {
 			t.Errorf("%v was answered with %q", want, body)
--- a/internal/transport/link/connection.go
+++ b/internal/transport/link/connection.go
@@ -30,8 +30,8 @@
 type connection struct {
 	queue *lifecycle.Queue[wire.Message]
 	conn  net.Conn
-	// taken counts the messages that were taken off the queue, to be sent or dropped.
-	taken    atomic.Uint64
+	// dequeued counts the messages that were dequeued off the queue, to be sent or dropped.
+	dequeued atomic.Uint64
 	progress queueProgress
 	// received counts the messages that came in.
 	received atomic.Uint64
@@ -47,7 +47,7 @@
 	for {
 		select {
 		case <-c.queue.Out():
-			c.taken.Add(1)
+			c.dequeued.Add(1)
 		default:
 			return
 		}
@@ -98,7 +98,7 @@
 }
 
 // activity counts the messages that were sent and received.
-func (c *connection) activity() uint64 { return c.taken.Load() + c.received.Load() }
+func (c *connection) activity() uint64 { return c.dequeued.Load() + c.received.Load() }
 
 // removeIfEmpty forgets a connection that is down while no message waits for it, and
 // reports whether it did.
--- a/internal/transport/link/stalled.go
+++ b/internal/transport/link/stalled.go
@@ -10,7 +10,7 @@
 
 // queueProgress is what the last check saw of a connection's queue.
 type queueProgress struct {
-	taken    uint64
+	dequeued uint64
 	since    time.Time
 	reported bool
 }
@@ -41,9 +41,9 @@
 
 // stalled checks the queue, and reports whether it has now been found to stand still.
 func (c *connection) stalled(now time.Time, limit time.Duration) bool {
-	taken := c.taken.Load()
-	if c.queue.Len() == 0 || taken != c.progress.taken || c.progress.since.IsZero() {
-		c.progress = queueProgress{taken: taken, since: now}
+	taken := c.dequeued.Load()
+	if c.queue.Len() == 0 || taken != c.progress.dequeued || c.progress.since.IsZero() {
+		c.progress = queueProgress{dequeued: taken, since: now}
 		return false
 	}
 	if c.progress.reported || now.Sub(c.progress.since) < limit {
--- a/internal/transport/link/stalled_test.go
+++ b/internal/transport/link/stalled_test.go
@@ -38,7 +38,7 @@
 		t.Error("reported twice")
 	}
 	<-c.queue.Out()
-	c.taken.Add(1)
+	c.dequeued.Add(1)
 	if check(limit/2) != 0 || check(limit) != 1 {
 		t.Error("not reported anew after progress")
 	}
@@ -54,9 +54,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := unused.Addr().String()
+	unusedAddr := unused.Addr().String()
 	unused.Close()
-	l.Send(wire.Peer(nobody), request(2))
+	l.Send(wire.Peer(unusedAddr), request(2))
 	waitFor(t, "a failed dial is not counted", func() bool { return l.Counts().DialFailures > 0 })
 	if counts := l.Counts(); counts.Dialled != 1 || counts.Sent != 2 {
 		t.Errorf("the dialling side counts %+v", counts)
--- a/internal/transport/link/streams.go
+++ b/internal/transport/link/streams.go
@@ -76,7 +76,7 @@
 // write writes a message that was taken off the queue, and what is buffered once no other
 // waits.
 func (w *messageWriter) write(message wire.Message) error {
-	w.connection.taken.Add(1)
+	w.connection.dequeued.Add(1)
 	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
--- a/internal/transport/wire/message.go
+++ b/internal/transport/wire/message.go
@@ -150,6 +150,6 @@
 	LeaderTime LeaderTime
 }
 
-// NamesSenderLeader reports whether the sender, a server that belongs to a group, says that
+// ClaimsLeadership reports whether the sender, a server that belongs to a group, says that
 // it leads itself.
-func (a *Announcement) NamesSenderLeader() bool { return a.Node != 0 && a.LeaderID == a.Node }
+func (a *Announcement) ClaimsLeadership() bool { return a.Node != 0 && a.LeaderID == a.Node }
--- a/tests/mutation/abandoned.go
+++ b/tests/mutation/abandoned.go
@@ -7,9 +7,9 @@
 	{
 		name:        "abandoned request is taken from the queue",
 		file:        "internal/daemon/eventloop/await.go",
-		original:    "		call.giveUp()\n",
+		original:    "		call.cancel()\n",
 		replacement: "		_ = call\n",
-		tests:       test("./internal/daemon/eventloop", "TestAwaitGivenUpBeforeItBegins"),
+		tests:       test("./internal/daemon/eventloop", "TestAwaitCancelledBeforeStart"),
 		want:        "work began whose caller had left",
 	},
 	{
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -266,8 +266,8 @@
 	{
 		name:        "abandoned heartbeat is handled later",
 		file:        "internal/daemon/eventloop/calls.go",
-		original:    "\tif call.giveUp() {\n\t\treturn false\n",
-		replacement: "\tif !call.taken.Load() {\n\t\treturn false\n",
+		original:    "\tif call.cancel() {\n\t\treturn false\n",
+		replacement: "\tif !call.claimed.Load() {\n\t\treturn false\n",
 		tests:       test("./internal/daemon/agentd", "TestCancelledHeartbeatNeverHandled"),
 		want:        "a heartbeat that was given up was",
 	},
