--- a/internal/daemon/serverd/daemon.go
+++ b/internal/daemon/serverd/daemon.go
@@ -88,7 +88,7 @@
 	if d.link, err = link.Listen(settings.Addr, group); err != nil {
 		return nil, err
 	}
-	if err = d.registerHooks(settings, group, hooks, id); err != nil {
+	if err = d.start(settings, group, hooks, id); err != nil {
 		d.link.Close()
 		return nil, err
 	}
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// registerHooks hooks the goroutines into the process's lifecycle, by way of the HTTP server if
+// start hooks the goroutines into the process's lifecycle, by way of the HTTP server if
 // there is one.
-func (d *Daemon) registerHooks(settings Settings, group *lifecycle.Group, hooks fx.Lifecycle, id identifier.Node) error {
+func (d *Daemon) start(settings Settings, group *lifecycle.Group, hooks fx.Lifecycle, id identifier.Node) error {
 	start := func() {
 		d.connections = linkmonitor.New(d.link, d.log, d.gauges)
 		d.link.Serve(d.loop.Receive)
--- a/internal/transport/httpserver/stream_fixture_test.go
+++ b/internal/transport/httpserver/stream_fixture_test.go
@@ -213,8 +213,8 @@
 			continue
 		}
 		list = append(list, res.StatusCode)
-		account := res.Header.Get(summaryHeader)
-		if account == "" {
+		summary := res.Header.Get(summaryHeader)
+		if summary == "" {
 			continue
 		}
 		if next >= len(calls) {
@@ -222,8 +222,8 @@
 		}
 		want := calls[next]
 		next++
-		if account != want.summary() {
-			t.Errorf("%s was answered with %s", want.summary(), account)
+		if summary != want.summary() {
+			t.Errorf("%s was answered with %s", want.summary(), summary)
 		}
 		if want.refused == 0 && method != http.MethodHead && err == nil && string(body) != want.String() {
 			t.Errorf("%v was answered with %q", want, body)
--- a/internal/transport/link/stalled.go
+++ b/internal/transport/link/stalled.go
@@ -41,9 +41,9 @@
 
 // stalled checks the queue, and reports whether it has now been found to stand still.
 func (c *connection) stalled(now time.Time, limit time.Duration) bool {
-	taken := c.dequeued.Load()
-	if c.queue.Len() == 0 || taken != c.progress.dequeued || c.progress.since.IsZero() {
-		c.progress = queueProgress{dequeued: taken, since: now}
+	dequeued := c.dequeued.Load()
+	if c.queue.Len() == 0 || dequeued != c.progress.dequeued || c.progress.since.IsZero() {
+		c.progress = queueProgress{dequeued: dequeued, since: now}
 		return false
 	}
 	if c.progress.reported || now.Sub(c.progress.since) < limit {
