--- a/internal/transport/httpclient/attempt.go
+++ b/internal/transport/httpclient/attempt.go
@@ -22,18 +22,18 @@
 // maxResponseBytes bounds the body of a response.
 const maxResponseBytes = 64 << 20
 
-// attempt is what came of sending a request once.
+// attempt is the outcome of sending a request once.
 type attempt struct {
 	Response
 	// pause is how long to wait before the next attempt.
 	pause time.Duration
-	// sent says that there was a connection, so that the gateway may have received the
-	// request.
+	// sent is set once a connection was obtained, from which point the gateway may have
+	// received the request.
 	sent bool
 	err  error
 }
 
-// final reports whether the response is the last word on the request.
+// final reports whether the response settles the request, so that it is not retried.
 func (a attempt) final() bool {
 	if a.err != nil {
 		return false
@@ -45,12 +45,13 @@
 	return true
 }
 
-// outcomeUnknown reports whether it can't be said what became of the request if it was sent.
+// outcomeUnknown reports whether the request may or may not have been applied, provided that
+// it was sent.
 func (a attempt) outcomeUnknown() bool {
 	return a.err != nil || a.Status == http.StatusGatewayTimeout
 }
 
-// message says what became of the attempt.
+// message describes the outcome of the attempt for an error text.
 func (a attempt) message() string {
 	if a.err != nil {
 		return a.err.Error()
@@ -100,8 +101,8 @@
 	}
 }
 
-// IsBrokenResponse tells a response that broke off from a gateway that can't be reached or is
-// silent.
+// IsBrokenResponse reports whether err means that the connection failed before the response
+// was complete, as opposed to a failed dial or a timeout.
 func IsBrokenResponse(err error) bool {
 	var connecting *net.OpError
 	if errors.As(err, &connecting) && connecting.Op == "dial" {
--- a/internal/transport/httpclient/client.go
+++ b/internal/transport/httpclient/client.go
@@ -12,43 +12,44 @@
 	"orchidward/internal/gateway"
 )
 
-// ErrUnreachable says that no gateway answered; a change was then sent to none.
+// ErrUnreachable means that no gateway responded. If the request was a change, no gateway
+// received it.
 var ErrUnreachable = errors.New("no gateway answered")
 
-// ErrOutcomeUnknown says that a gateway may have taken the request, and that its response is
-// not known.
+// ErrOutcomeUnknown means that a gateway may have accepted the request, but that no
+// conclusive response was received.
 var ErrOutcomeUnknown = errors.New("the outcome is not known")
 
-// defaultAttempts is how often a request is tried for each gateway.
+// defaultAttempts is the default number of attempts per gateway.
 const defaultAttempts = 4
 
 // Client sends requests to a list of gateways. It is not safe for concurrent use.
 type Client struct {
 	Gateways []string
-	// Attempts is how often a request is tried for each gateway in the list.
+	// Attempts is the maximum number of attempts per request, for each gateway in the list.
 	Attempts int
-	// APIKey is the tenant's key that goes with each request, empty for none.
+	// APIKey is the tenant's key sent with each request; empty sends none.
 	APIKey catalog.APIKey
-	// BrokenResponses counts responses that broke off: the gateway was reached, and then
-	// the connection failed before the response was complete.
+	// BrokenResponses counts incomplete responses: the gateway was reached, and then the
+	// connection failed before the response was complete.
 	BrokenResponses int
 
 	http *http.Client
-	// next counts the gateways that were turned away from.
+	// next counts failovers; modulo the number of gateways it selects the next one to try.
 	next int
 }
 
-// New makes a client that waits so long for each response. Each request has a connection
-// of its own, so that nothing else that comes on it is taken for the response, and goes to
-// the gateway that was asked and no further.
+// New returns a client that waits up to timeout for each response. Each request uses its own
+// connection, so that no stray data on a shared one can be mistaken for its response.
+// Redirects are not followed.
 func New(gateways []string, timeout time.Duration) *Client {
 	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.DisableKeepAlives = true
 	return newClient(gateways, timeout, transport)
 }
 
-// NewKeepAlive makes a client whose requests share connections with those of all other such
-// clients, to see whether gateways close them in order.
+// NewKeepAlive returns a client whose requests share persistent connections with all other
+// such clients. It serves to check that gateways close persistent connections gracefully.
 func NewKeepAlive(gateways []string, timeout time.Duration) *Client {
 	return newClient(gateways, timeout, http.DefaultTransport)
 }
@@ -61,14 +62,15 @@
 	}
 }
 
-// dontFollow has a redirection handed back as the response that it is.
+// dontFollow makes the HTTP client return a redirect as the response.
 func dontFollow(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// Do sends a request until a gateway gives a final response. Refusals that ask to come back
-// are waited out, a few times. A request that may have been carried out is sent again only
-// if it is idempotent; from then on no refusal tells what became of it, so that the error
-// is ErrOutcomeUnknown. It is ErrUnreachable when no gateway answered, and the context's
-// when that ended between two attempts.
+// Do sends a request until a gateway gives a final response. After a rejection that asks for
+// a retry, it waits and tries the next gateway, up to a limited number of attempts. A request
+// that may have been applied is sent again only if it is idempotent. From then on a rejection
+// no longer shows that the request was not applied, so the error is ErrOutcomeUnknown. The
+// error is ErrUnreachable when no gateway responded, and the context's error when the context
+// ended between two attempts.
 func (c *Client) Do(ctx context.Context, method, path string, body []byte) (Response, error) {
 	isChange := method != http.MethodGet
 	idempotent := gateway.Request{Method: method, Path: path}.Idempotent()
@@ -97,9 +99,9 @@
 	}
 }
 
-// finalError is the error of a request whose last attempt had no final response. A response
-// that says that the outcome is unknown needs no error, nor a refusal of a request that
-// nobody can have taken.
+// finalError returns the error of a request whose last attempt had no final response. It is
+// nil if the response itself says that the outcome is unknown, or rejects a request that no
+// gateway can have accepted.
 func (c *Client) finalError(last attempt, outcomeUnknown bool) error {
 	var cause error
 	switch {
@@ -115,7 +117,7 @@
 	return errors.Wrapf(cause, "tried %s (last: %s)", strings.Join(c.Gateways, ", "), last.message())
 }
 
-// sleep waits, or ends early with the context's error.
+// sleep waits for pause, or returns the context's error if the context ends first.
 func sleep(ctx context.Context, pause time.Duration) error {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/transport/httpclient/doc.go
+++ b/internal/transport/httpclient/doc.go
@@ -1,4 +1,4 @@
-// Package httpclient is an HTTP client of gateways: it tries them in turn, waits as long as
-// it is told to when the cluster is busy, and says which it tried. What may have been
-// carried out is sent again only if it is idempotent.
+// Package httpclient is an HTTP client for gateways. It tries them in turn, honors Retry-After
+// when the cluster is busy, and names the gateways that it tried in its errors. A request that
+// may have been applied is sent again only if it is idempotent.
 package httpclient
--- a/internal/transport/httpclient/response.go
+++ b/internal/transport/httpclient/response.go
@@ -10,11 +10,11 @@
 type Response struct {
 	Status int
 	Body   []byte
-	// Gateway is the address of the gateway that gave it.
+	// Gateway is the address of the gateway that sent the response.
 	Gateway string
 }
 
-// OK reports whether the status is one of success (2xx).
+// OK reports whether the status is a success (2xx).
 func (r Response) OK() bool {
 	return r.Status >= http.StatusOK && r.Status < http.StatusMultipleChoices
 }
@@ -28,7 +28,8 @@
 	} `json:"error"`
 }
 
-// Message is the error's own message, or the status.
+// Message returns the status with the code, message and faults of the error body, or the
+// status alone if the body holds no error.
 func (r Response) Message() string {
 	var doc errorDoc
 	if json.Unmarshal(r.Body, &doc) != nil || doc.Error.Code == "" {
--- a/internal/transport/httpserver/connection_limit.go
+++ b/internal/transport/httpserver/connection_limit.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// maxConnections is how many connections a process holds at once.
+	// maxConnections is the maximum number of open connections per process.
 	maxConnections = 8192
-	// refusalTimeout is how long the refusal of a connection may take to write.
+	// refusalTimeout bounds writing the response to a rejected connection.
 	refusalTimeout = time.Second
 )
 
-// tooManyConnections is the whole answer to a connection past the limit.
+// tooManyConnections is the raw response to a connection over the limit.
 const tooManyConnections = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// limitListener accepts connections while fewer than limit are open. One that comes past
-// that is told to come back, at once, and is not kept waiting in a queue.
+// limitListener accepts connections while fewer than limit are open. A connection over the
+// limit is answered immediately with a 503 and Retry-After instead of waiting in the backlog.
 type limitListener struct {
 	net.Listener
 	open  atomic.Int64
@@ -38,15 +38,15 @@
 	}
 }
 
-// refuse answers a connection past the limit; whether the answer arrives is up to its
-// client.
+// refuse answers a connection over the limit and closes it. Write errors are ignored: the
+// response is best effort.
 func refuse(conn net.Conn) {
 	_ = conn.SetDeadline(time.Now().Add(refusalTimeout))
 	_, _ = conn.Write([]byte(tooManyConnections))
 	_ = conn.Close()
 }
 
-// countedConn is one connection, counted until it closes.
+// countedConn is a connection that counts toward the limit until it is closed.
 type countedConn struct {
 	net.Conn
 	closed   atomic.Bool
--- a/internal/transport/httpserver/handler_server.go
+++ b/internal/transport/httpserver/handler_server.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// NewHandlerServer listens on the address for a handler of the caller's own. It has the
-// same listener, limits and graceful stop as any other server, and none of the pages. The
-// caller may set DrainDelay before the stop; Gin is nil.
+// NewHandlerServer returns a server that listens on addr and serves h. It has the same
+// listener, limits and graceful stop as one returned by New, but none of the common pages.
+// Gin is nil. The caller may set DrainDelay before the stop.
 func NewHandlerServer(addr string, h http.Handler) (*Server, error) {
 	s, err := listen(addr)
 	if err != nil {
@@ -16,8 +16,8 @@
 	return s, nil
 }
 
-// closingWriter writes a response that says that its connection closes, if the stop has
-// begun by the time its header goes out.
+// closingWriter adds "Connection: close" to a response if the stop has begun by the time its
+// header is written.
 type closingWriter struct {
 	http.ResponseWriter
 	server      *Server
@@ -48,5 +48,5 @@
 	_ = http.NewResponseController(w.ResponseWriter).Flush()
 }
 
-// Unwrap lets http.ResponseController reach what this does not offer itself.
+// Unwrap gives http.ResponseController access to the methods of the wrapped writer.
 func (w *closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/transport/httpserver/metrics.go
+++ b/internal/transport/httpserver/metrics.go
@@ -8,10 +8,10 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// metricPrefix stands before the name of every metric.
+// metricPrefix is the prefix of every metric name.
 const metricPrefix = "orchidward_"
 
-// Gauges is a set of named numbers that Prometheus can collect. It is safe for concurrent
+// Gauges is a set of named gauges that Prometheus can collect. It is safe for concurrent
 // use.
 type Gauges struct {
 	mu     sync.Mutex
@@ -19,26 +19,26 @@
 	groups map[string]gaugeGroup
 }
 
-// gaugeGroup is a gauge of several series, which differ in the value of one label.
+// gaugeGroup is a gauge with several series, one for each value of a label.
 type gaugeGroup struct {
 	label  string
 	values map[string]float64
 }
 
-// NewGauges makes an empty set.
+// NewGauges returns an empty set.
 func NewGauges() *Gauges {
 	return &Gauges{values: map[string]float64{}, groups: map[string]gaugeGroup{}}
 }
 
-// Set gives a gauge its value; the first value creates it.
+// Set sets the value of a gauge, and creates the gauge if it does not exist.
 func (g *Gauges) Set(name string, value float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.values[name] = value
 }
 
-// SetGroup gives a gauge a series for each value of a label, in place of those that it had.
-// The caller bounds their number.
+// SetGroup replaces the series of a gauge by one for each value of a label. The caller bounds
+// their number.
 func (g *Gauges) SetGroup(name, label string, values map[string]float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -49,7 +49,7 @@
 // collector.
 func (g *Gauges) Describe(_ chan<- *prometheus.Desc) {}
 
-// Collect sends every gauge in the order of names.
+// Collect sends all gauges, sorted by name.
 func (g *Gauges) Collect(out chan<- prometheus.Metric) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/transport/httpserver/server.go
+++ b/internal/transport/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver is the HTTP side that every daemon has: liveness, readiness, metrics,
-// one form of error, a bound on connections, and a graceful stop that answers the requests
-// in flight.
+// Package httpserver is the HTTP server shared by all daemons. It provides liveness, readiness
+// and metrics endpoints, a common error format, a connection limit, and a graceful stop that
+// completes the requests in flight.
 package httpserver
 
 import (
@@ -22,7 +22,7 @@
 )
 
 const (
-	// defaultDrainDelay is a little longer than the longest that a poll is held.
+	// defaultDrainDelay is slightly longer than the longest long poll.
 	defaultDrainDelay = 900 * time.Millisecond
 
 	readHeaderTimeout = 5 * time.Second
@@ -31,14 +31,14 @@
 	maxHeaderBytes    = 16 << 10
 )
 
-// Server is the HTTP server of a daemon: the pages /live, /ready and /metrics, and whatever
-// routes the daemon adds to Gin before Serve is called.
+// Server is the HTTP server of a daemon. It serves /live, /ready and /metrics, and the routes
+// that the daemon adds to Gin before it calls Serve.
 type Server struct {
 	// Gin is nil for a server made by NewHandlerServer.
 	Gin   *gin.Engine
 	Gauge *Gauges
-	// DrainDelay is how long a stop goes on taking requests, each answered saying that
-	// its connection closes, before the listener closes.
+	// DrainDelay is how long a stopping server continues to accept requests before it closes
+	// the listener. Every response in that time carries "Connection: close".
 	DrainDelay time.Duration
 
 	ready    atomic.Bool
@@ -47,8 +47,8 @@
 	listener *limitListener
 }
 
-// New opens the address and sets up the common pages. The server is not ready, and answers
-// no request, until SetReady and Serve are called.
+// New listens on addr and sets up the common pages. The server answers requests once Serve is
+// called, and reports ready once SetReady(true) is called.
 func New(addr string) (*Server, error) {
 	s, err := listen(addr)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return s, nil
 }
 
-// listen opens the address, for as many connections as a process may hold.
+// listen opens a listener that is limited to maxConnections.
 func listen(addr string) (*Server, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -101,8 +101,7 @@
 	})
 }
 
-// closeWhileStopping says with every response of a stopping server that its connection
-// closes.
+// closeWhileStopping adds "Connection: close" to every response of a stopping server.
 func (s *Server) closeWhileStopping(c *gin.Context) {
 	if s.stopping.Load() {
 		c.Header("Connection", "close")
@@ -121,26 +120,26 @@
 	c.JSON(http.StatusServiceUnavailable, gin.H{"ready": false})
 }
 
-// Addr is the address in use, with the actual port when 0 was asked for.
+// Addr returns the listening address, with the actual port if port 0 was requested.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// SetReady is what the daemon says of itself; a stopping one is never ready.
+// SetReady sets the daemon's readiness. A stopping server reports not ready regardless.
 func (s *Server) SetReady(ready bool) { s.ready.Store(ready) }
 
-// Ready is what SetReady last said.
+// Ready returns the value last passed to SetReady.
 func (s *Server) Ready() bool { return s.ready.Load() }
 
 // Stopping reports whether the graceful stop has begun.
 func (s *Server) Stopping() bool { return s.stopping.Load() }
 
-// Serve starts to answer requests in a goroutine of group and returns at once. Stop ends
-// it.
+// Serve starts answering requests in a goroutine of group and returns immediately. Stop ends
+// that goroutine.
 func (s *Server) Serve(group *lifecycle.Group) {
 	group.Go(func(<-chan struct{}) { _ = s.http.Serve(s.listener) })
 }
 
-// Run hooks a daemon into the process's lifecycle: begin starts its goroutines, and requests are
-// served until the graceful stop.
+// Run registers a daemon with the process's lifecycle. On start it calls start, which starts
+// the daemon's goroutines, and then serves requests until the graceful stop.
 func (s *Server) Run(hooks fx.Lifecycle, group *lifecycle.Group, log *logging.Logger, program string, start func()) {
 	hooks.Append(fx.Hook{
 		OnStart: func(context.Context) error {
@@ -155,9 +154,10 @@
 	})
 }
 
-// Stop is graceful: first this process is not ready and every response says that its
-// connection closes, so that no client sends on one that is about to go; then the listener
-// closes and the requests in flight are answered. The error is the context's.
+// Stop stops the server gracefully. For DrainDelay the server reports not ready and every
+// response carries "Connection: close", so that no client sends a request on a connection that
+// is about to be closed. Then the listener is closed and the requests in flight are completed.
+// If ctx ends first, Stop returns its error.
 func (s *Server) Stop(ctx context.Context) error {
 	s.stopping.Store(true)
 	delay := time.NewTimer(s.DrainDelay)
@@ -169,7 +169,7 @@
 	return s.http.Shutdown(ctx)
 }
 
-// WriteError writes an error response in the one form that all have.
+// WriteError writes an error response in the common format.
 func WriteError(c *gin.Context, status int, code, message string) {
 	c.Data(status, "application/json", jsondoc.ErrorBody{Code: code, Message: message}.JSON())
 	c.Abort()
--- a/internal/transport/link/connection.go
+++ b/internal/transport/link/connection.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// A peer that has lost power sends nothing and answers a first packet only after
-	// seconds, so that it is dialled anew often. Data that it has not acknowledged for
-	// userTimeoutMs milliseconds ends the connection.
+	// A peer that has lost power sends nothing, and after a restart may take seconds to answer
+	// a first packet. Dials therefore time out quickly and are repeated often, and a connection
+	// ends once data on it has been unacknowledged for userTimeoutMs milliseconds.
 	dialTimeout    = 400 * time.Millisecond
 	redialInterval = 60 * time.Millisecond
 	userTimeoutMs  = 800
 	writeTimeout   = 3 * time.Second
-	// idleTimeout ends a dialled connection on which nothing was sent or received.
+	// idleTimeout closes a dialled connection on which nothing was sent or received.
 	idleTimeout = 60 * time.Second
-	// bufferBytes is the size of the buffers on both sides of a connection.
+	// bufferBytes is the size of the read buffer and of the write buffer of a connection.
 	bufferBytes = 64 << 10
 )
 
-// connection is what is to be sent to one peer. conn is nil while it is not yet
-// dialled, and is guarded by the link's mutex.
+// connection holds the messages queued for one peer and the current TCP connection to it.
+// conn is nil until the first dial succeeds, and is guarded by the link's mutex.
 type connection struct {
 	queue *lifecycle.Queue[wire.Message]
 	conn  net.Conn
 	// dequeued counts the messages that were dequeued off the queue, to be sent or dropped.
 	dequeued atomic.Uint64
 	progress queueProgress
-	// received counts the messages that came in.
+	// received counts the messages received.
 	received atomic.Uint64
 }
 
@@ -41,8 +41,9 @@
 	return &connection{queue: lifecycle.NewQueue[wire.Message](queueLength)}
 }
 
-// discard drops what waits for a connection that is down: what is still wanted is sent
-// again, and another process may be at the address by then.
+// discard drops the messages queued for a connection that is down. Senders retransmit what
+// still matters, and by the time the address is reachable again another process may be
+// listening there.
 func (c *connection) discard() {
 	for {
 		select {
@@ -87,8 +88,7 @@
 	})
 }
 
-// remove forgets a connection. A peer that was dialled is dialled again by the next
-// Send.
+// remove removes a connection. If it was dialled, the next Send to its peer dials again.
 func (l *Link) remove(peer wire.Peer, c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,11 +97,11 @@
 	}
 }
 
-// activity counts the messages that were sent and received.
+// activity returns the number of messages dequeued and received so far.
 func (c *connection) activity() uint64 { return c.dequeued.Load() + c.received.Load() }
 
-// removeIfEmpty forgets a connection that is down while no message waits for it, and
-// reports whether it did.
+// removeIfEmpty removes a connection that is down unless messages are queued for it, and
+// reports whether it found the queue empty.
 func (l *Link) removeIfEmpty(peer wire.Peer, c *connection) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,9 +114,9 @@
 	return true
 }
 
-// dialLoop keeps a peer connected for as long as there is something to send to it. A peer
-// that cannot be dialled, or closes a connection before anything was sent or received on
-// it, is not dialled again until there is.
+// dialLoop keeps a peer connected while there are messages to send to it. If a dial fails, or
+// the peer closes the connection before anything was sent or received on it, the peer is not
+// dialled again until another message is queued.
 func (l *Link) dialLoop(to wire.Peer, c *connection, stop <-chan struct{}) {
 	for {
 		before := c.activity()
@@ -146,8 +146,8 @@
 	l.counts.DialFailures++
 }
 
-// runDialled runs a connection until it ends, and reports whether it is not to be
-// dialled again: it was idle, or the link is closed.
+// runDialled runs a dialled connection until it ends. It returns true if the peer must not be
+// redialled, because the connection was idle or the link is closed.
 func (l *Link) runDialled(to wire.Peer, c *connection, conn net.Conn, stop <-chan struct{}) bool {
 	defer conn.Close()
 	setUserTimeout(conn)
@@ -166,7 +166,7 @@
 	return idle
 }
 
-// attach records what was dialled, unless the link is closed.
+// attach records a dialled connection, and reports whether the link is still open.
 func (l *Link) attach(c *connection, conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -175,9 +175,8 @@
 	return !l.closed
 }
 
-// setUserTimeout has the kernel end a connection whose other end acknowledges
-// nothing for userTimeoutMs (RFC 5482). A connection that cannot be set stays as it
-// is.
+// setUserTimeout makes the kernel close a connection whose peer acknowledges nothing for
+// userTimeoutMs (RFC 5482). If the option cannot be set, the connection is left unchanged.
 func setUserTimeout(conn net.Conn) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
--- a/internal/transport/link/link.go
+++ b/internal/transport/link/link.go
@@ -10,49 +10,48 @@
 )
 
 const (
-	// queueLength is how many messages may wait for one connection.
+	// queueLength is the capacity of the send queue of one connection.
 	queueLength = 4096
 	// maxConnections bounds the connections, dialled and accepted together.
 	maxConnections = 1024
 )
 
-// Handler receives what comes in. It must not block for long.
+// Handler handles received messages. It must not block for long.
 type Handler func(from wire.Peer, message wire.Message)
 
 // Link sends and receives messages over TCP, with one connection for each peer.
-// Messages can be lost and there is no acknowledgement. It is safe for
-// concurrent use.
+// Messages can be lost and are not acknowledged. It is safe for concurrent use.
 type Link struct {
 	group   *lifecycle.Group
 	handler Handler
-	// idleTimeout is after how long without a message to send a dialled connection is
-	// closed; tests shorten it.
+	// idleTimeout is how long a dialled connection may go without a message sent or received
+	// before it is closed; tests shorten it.
 	idleTimeout time.Duration
 	listener    net.Listener
 
 	mu          sync.Mutex
 	connections map[wire.Peer]*connection
-	// accepted counts the connections that were accepted so far.
+	// accepted counts the connections accepted so far.
 	accepted uint64
 	closed   bool
 	counts   Counts
 }
 
-// Counts are numbers of a link since its start.
+// Counts holds counters of a link since its start.
 type Counts struct {
-	// Sent messages were accepted for sending, Dropped ones were not sent, because their
-	// queue was full or their peer could not be dialled. A message whose queue is full
-	// counts as both.
+	// Sent counts messages accepted for sending. Dropped counts messages that Send discarded
+	// because their queue was full or their peer must not be dialled. A message that found its
+	// queue full counts as both.
 	Sent    uint64
 	Dropped uint64
-	// Accepted and Dialled are connections, DialFailures attempts to dial one.
+	// Accepted and Dialled count connections, DialFailures counts failed dials.
 	Accepted     uint64
 	Dialled      uint64
 	DialFailures uint64
 }
 
-// Listen opens the address; messages come in once Serve is called. The link's
-// goroutines run in the group.
+// Listen opens a link that listens on addr. It receives messages once Serve is called. The
+// link's goroutines run in group.
 func Listen(addr string, group *lifecycle.Group) (*Link, error) {
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -61,12 +60,12 @@
 	return &Link{group: group, listener: listener, idleTimeout: idleTimeout, connections: map[wire.Peer]*connection{}}, nil
 }
 
-// Addr is the listening address, with the actual port when 0 was asked for.
+// Addr returns the listening address, with the actual port if port 0 was requested.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Serve starts to accept connections and returns at once; it must be called
-// before the first Send. The handler is called from one goroutine for each
-// connection, also at the same time.
+// Serve starts accepting connections and returns immediately. It must be called before the
+// first Send. The handler is called from one goroutine per connection, so calls may be
+// concurrent.
 func (l *Link) Serve(handler Handler) {
 	l.handler = handler
 	l.group.Go(func(_ <-chan struct{}) { l.acceptLoop() })
@@ -76,8 +75,7 @@
 	})
 }
 
-// Close stops listening, closes all connections and does not wait for their
-// goroutines.
+// Close stops listening and closes all connections, without waiting for their goroutines.
 func (l *Link) Close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,8 +88,8 @@
 	}
 }
 
-// Send queues a message for a peer and dials it if need be. It never blocks; a
-// message that cannot be queued is dropped.
+// Send queues a message for a peer and dials the peer if there is no connection. It never
+// blocks: a message that cannot be queued is dropped.
 func (l *Link) Send(to wire.Peer, message wire.Message) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,12 +109,12 @@
 	}
 }
 
-// mayDial reports whether a peer without a connection may get one.
+// mayDial reports whether a peer without a connection may be dialled.
 func (l *Link) mayDial(to wire.Peer) bool {
 	return !l.closed && to != "" && !to.Accepted() && len(l.connections) < maxConnections
 }
 
-// Counts returns the numbers so far.
+// Counts returns the current counters.
 func (l *Link) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/link/stalled.go
+++ b/internal/transport/link/stalled.go
@@ -8,24 +8,24 @@
 	"orchidward/internal/transport/wire"
 )
 
-// queueProgress is what the last check saw of a connection's queue.
+// queueProgress records the progress of a connection's queue as of the last check.
 type queueProgress struct {
 	dequeued uint64
 	since    time.Time
 	reported bool
 }
 
-// StalledConnection is a connection for which messages wait while none is taken to be
-// sent.
+// StalledConnection describes a connection whose queued messages are not being sent.
 type StalledConnection struct {
 	Peer wire.Peer
-	// Queued is how many messages wait.
+	// Queued is the number of messages in the queue.
 	Queued int
 }
 
-// TakeStalled returns the connections, in the order of their peers, for which messages
-// have waited at least limit without one being taken. Each is returned once, until it
-// makes progress again. It is to be called regularly, more often than limit.
+// TakeStalled returns the connections, sorted by peer, whose messages have been queued for at
+// least limit without any being dequeued. A connection is returned once, and again only after
+// it has made progress in between. TakeStalled must be called regularly, at intervals shorter
+// than limit.
 func (l *Link) TakeStalled(now time.Time, limit time.Duration) []StalledConnection {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -39,7 +39,7 @@
 	return stalled
 }
 
-// stalled checks the queue, and reports whether it has now been found to stand still.
+// stalled checks the queue and reports whether it is newly found to be stalled.
 func (c *connection) stalled(now time.Time, limit time.Duration) bool {
 	dequeued := c.dequeued.Load()
 	if c.queue.Len() == 0 || dequeued != c.progress.dequeued || c.progress.since.IsZero() {
--- a/internal/transport/link/streams.go
+++ b/internal/transport/link/streams.go
@@ -8,12 +8,12 @@
 	"orchidward/internal/transport/wire"
 )
 
-// The two directions of a connection begin and end together: when reading ends, so does
-// writing, and a writer that ends closes the connection. One that is read but no longer
-// written to would take requests and answer none. Only the side that dialled ends a
-// connection because it is idle, and so both sides know of it.
+// The two directions of a connection start and end together: when reading ends, so does
+// writing, and a writer that ends closes the connection. A connection that is read but no
+// longer written to would accept requests and answer none. Only the dialling side closes an
+// idle connection, which the accepting side then sees as the end of the stream.
 
-// writeAccepted sends what is queued until either direction fails or the link stops.
+// writeAccepted sends queued messages until either direction fails or the link stops.
 func (l *Link) writeAccepted(c *connection, conn net.Conn, readEnded, stop <-chan struct{}) {
 	defer conn.Close()
 	writer := newMessageWriter(c, conn)
@@ -31,9 +31,9 @@
 	}
 }
 
-// writeDialled sends what is queued until either direction fails, the link stops, or
-// nothing was sent or received for the idle timeout. It reports whether it ended for the
-// last reason. Its caller closes the connection.
+// writeDialled sends queued messages until either direction fails, the link stops, or nothing
+// was sent or received for the idle timeout. It returns true in the last case. The caller
+// closes the connection.
 func (l *Link) writeDialled(c *connection, conn net.Conn, readEnded, stop <-chan struct{}) (idle bool) {
 	writer := newMessageWriter(c, conn)
 	timer := time.NewTimer(l.idleTimeout)
@@ -73,8 +73,8 @@
 	return &messageWriter{connection: c, conn: conn, buffer: buffer, encoder: wire.NewEncoder(buffer)}
 }
 
-// write writes a message that was taken off the queue, and what is buffered once no other
-// waits.
+// write writes a message that was removed from the queue. It flushes the buffer once the queue
+// is empty.
 func (w *messageWriter) write(message wire.Message) error {
 	w.connection.dequeued.Add(1)
 	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
--- a/internal/transport/wire/decode.go
+++ b/internal/transport/wire/decode.go
@@ -12,10 +12,10 @@
 	"orchidward/internal/transport/wire/frame"
 )
 
-// MaxFrame is the largest frame that is read, in bytes.
+// MaxFrame is the maximum size of a frame that is read, in bytes.
 const MaxFrame = 8 << 20
 
-// errEmptyFrame says that a frame holds no part that this version knows.
+// errEmptyFrame means that a frame holds no message type that this version knows.
 var errEmptyFrame = errors.New("frame holds no known message")
 
 // Decoder reads messages from a stream, one frame each. It is not safe for
@@ -24,16 +24,16 @@
 	frames *capnp.Decoder
 }
 
-// NewDecoder makes a decoder that reads from r and refuses frames larger than
-// MaxFrame bytes.
+// NewDecoder returns a decoder that reads from r and rejects frames larger than MaxFrame
+// bytes.
 func NewDecoder(r io.Reader) *Decoder {
 	frames := capnp.NewDecoder(r)
 	frames.MaxMessageSize = MaxFrame
 	return &Decoder{frames}
 }
 
-// Decode reads the next message. Any error, the end of the stream included, means
-// that the stream cannot be read any further.
+// Decode reads the next message. After any error, including the end of the stream, the stream
+// cannot be read any further.
 func (d *Decoder) Decode() (Message, error) {
 	var m Message
 	msg, err := d.frames.Decode()
@@ -59,7 +59,7 @@
 	return m, err
 }
 
-// fieldReader reads one field after another and keeps the first error.
+// fieldReader reads fields one after another and keeps the first error.
 type fieldReader struct {
 	err error
 }
@@ -69,7 +69,7 @@
 	return s
 }
 
-// data copies a field, whose bytes belong to the frame.
+// data returns a copy of a field, since the original bytes are owned by the frame.
 func (r *fieldReader) data(b []byte, err error) []byte {
 	r.err = firstError(r.err, err)
 	return append([]byte(nil), b...)
@@ -144,7 +144,7 @@
 	return a, fields.err
 }
 
-// leaderTimeReader is a part of a frame that carries a reading of a leader's clock.
+// leaderTimeReader is a message in a frame that carries a reading of a leader's clock.
 type leaderTimeReader interface {
 	LeaderTerm() uint64
 	LeaderAt() int64
--- a/internal/transport/wire/encode.go
+++ b/internal/transport/wire/encode.go
@@ -15,11 +15,11 @@
 	writer io.Writer
 }
 
-// NewEncoder makes an encoder that writes to w.
+// NewEncoder returns an encoder that writes to w.
 func NewEncoder(w io.Writer) *Encoder { return &Encoder{w} }
 
-// Encode writes one message as one frame. After an error the stream may end within
-// a frame and must not be written to again.
+// Encode writes a message as one frame. After an error the stream may end in the middle of a
+// frame and must not be written to again.
 func (e *Encoder) Encode(m Message) error {
 	msg, seg, err := capnp.NewMessage(capnp.SingleSegment(nil))
 	if err != nil {
@@ -35,7 +35,7 @@
 	return capnp.NewEncoder(e.writer).Encode(msg)
 }
 
-// encodeMessage fills a frame with the one part of a message that is set.
+// encodeMessage fills a frame with the one field of a message that is set.
 func encodeMessage(f frame.Frame, m Message) error {
 	switch {
 	case m.Raft != nil:
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// encodeMembers fills a member list; for no members it allocates none.
+// encodeMembers fills a member list; it allocates none if there are no members.
 func encodeMembers(allocate func(n int32) (frame.Member_List, error), members []raft.Member) error {
 	if len(members) == 0 {
 		return nil
@@ -196,7 +196,7 @@
 	return nil
 }
 
-// encodeSnapshot fills in a chunk of a snapshot.
+// encodeSnapshot encodes a chunk of a snapshot.
 func encodeSnapshot(out frame.Raft, m *raft.Message) error {
 	out.SetHasView(true)
 	out.SetViewIndex(uint64(m.Snapshot.Index))
--- a/internal/transport/wire/message.go
+++ b/internal/transport/wire/message.go
@@ -10,16 +10,16 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// Role says what kind of process an announcement is of.
+// Role is the kind of process that sent an announcement.
 type Role string
 
-// The roles, as they stand in frames.
+// The roles, by their names in frames.
 const (
 	// RoleServer is a control-plane server with a disk, which may be a member of the
 	// group.
 	RoleServer Role = "keeper"
-	// RoleForwarder is a control-plane server without a disk, which passes requests on
-	// to the leader.
+	// RoleForwarder is a control-plane server without a disk, which forwards requests to the
+	// leader.
 	RoleForwarder Role = "porter"
 	// RoleGateway is a gateway.
 	RoleGateway Role = "gate"
@@ -27,7 +27,7 @@
 	RoleRunner Role = "runner"
 )
 
-// Message carries exactly one of these.
+// Message is a frame's content. Exactly one field is set.
 type Message struct {
 	Raft         *raft.Message
 	Request      *Request
@@ -35,14 +35,14 @@
 	Announcement *Announcement
 }
 
-// Envelope is a message on its way out of a process.
+// Envelope is an outgoing message with its destination.
 type Envelope struct {
 	To      Peer
 	Message Message
 }
 
-// LeaderTime is a reading of a leader's own monotonic clock, in the term that it led.
-// The zero value is no reading.
+// LeaderTime is a reading of a leader's monotonic clock, with the term in which it led. The
+// zero value means no reading.
 type LeaderTime struct {
 	Term identifier.Term
 	At   clock.Monotonic
@@ -53,28 +53,28 @@
 	return t.Term > than.Term || t.Term == than.Term && t.At > than.At
 }
 
-// Request is a request on its way to the leader.
+// Request is a request to the leader, which other processes may forward.
 type Request struct {
-	// ID is the sender's, and is repeated in the response.
+	// ID is chosen by the sender and repeated in the response.
 	ID     uint64
 	Method string
 	Path   string
 	Query  string
 	Body   []byte
-	// Epoch is that of the sender's routing table.
+	// Epoch is the epoch of the sender's routing table.
 	Epoch identifier.Epoch
 	// Budget is how much longer the sender waits for the response, in milliseconds.
 	Budget clock.Millis
-	// Hops is how often the request was passed on.
+	// Hops is how many times the request was forwarded.
 	Hops uint8
-	// HasLeaderTime says that LeaderTime is the latest reading of the leader's clock
-	// that the sender had when it sent this; Budget counts from then on.
+	// HasLeaderTime means that LeaderTime is the latest reading of the leader's clock that
+	// the sender had when it sent the request; Budget starts at that reading.
 	HasLeaderTime bool
 	LeaderTime    LeaderTime
 }
 
-// IsOrder reports whether the request changes something: an order that its sender has
-// given up on must not be carried out later.
+// IsOrder reports whether the request changes state. An order that its sender has abandoned
+// must not be applied later.
 func (r *Request) IsOrder() bool {
 	switch r.Method {
 	case http.MethodPut, http.MethodPatch, http.MethodDelete:
@@ -83,14 +83,14 @@
 	return false
 }
 
-// NewWithdrawal is the request that takes back another one: the receiver knows that one by
-// the connection that both came on, and by its ID.
+// NewWithdrawal returns a request that withdraws an earlier one. The receiver identifies the
+// earlier request by its ID and by the connection on which both arrived.
 func NewWithdrawal(id, withdrawn uint64) *Request {
 	return &Request{ID: id, Method: endpoint.MethodWithdraw, Path: "/", Query: strconv.FormatUint(withdrawn, 10)}
 }
 
-// Withdraws is the ID of the request that this one takes back; ok is false if it takes none
-// back.
+// Withdraws returns the ID of the request that this one withdraws; ok is false if this request
+// is not a withdrawal.
 func (r *Request) Withdraws() (id uint64, ok bool) {
 	if r.Method != endpoint.MethodWithdraw {
 		return 0, false
@@ -106,19 +106,19 @@
 	Status     int
 	Body       []byte
 	RetryAfter clock.Millis
-	// NotLeader says that the receiver of the request does not lead.
+	// NotLeader means that the receiver of the request is not the leader.
 	NotLeader bool
-	// Stale says that the sender's routing table is old; the body is the new one.
+	// Stale means that the sender's routing table is outdated; the body is the current one.
 	Stale bool
-	// Expired says that the order may be older than its sender waits, and was not
-	// taken.
+	// Expired means that the order was rejected because its sender's budget may have run
+	// out.
 	Expired bool
-	// LeaderTime is a reading of the answering leader's clock.
+	// LeaderTime is a reading of the responding leader's clock.
 	LeaderTime LeaderTime
 }
 
-// IsRefusal reports whether the status says that the request was not carried out, and may
-// be sent again later, or again with another key.
+// IsRefusal reports whether the status means that the request was not applied and may be sent
+// again, either later or with another key.
 func (r *Response) IsRefusal() bool {
 	switch r.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusUnauthorized:
@@ -127,18 +127,19 @@
 	return false
 }
 
-// Announcement is how processes discover one another: it says who the sender is and
-// whom it knows.
+// Announcement is the message by which processes discover one another. It describes the sender
+// and the processes that the sender knows.
 type Announcement struct {
 	// WantReply asks for an announcement in return.
 	WantReply bool
 	Role      Role
 	Node      identifier.Node
-	// Addr is where the sender accepts frames, HTTP where it serves clients.
+	// Addr is the address on which the sender accepts frames, HTTP the address on which it
+	// serves clients.
 	Addr   string
 	Domain identifier.Domain
 	HTTP   string
-	// Founded says that the sender knows the group to exist.
+	// Founded means that the sender knows that the group exists.
 	Founded  bool
 	LeaderID identifier.Node
 	Members  []raft.Member
@@ -146,10 +147,10 @@
 	Founders []raft.Member
 	// Gateways are the addresses of the gateways that the sender knows.
 	Gateways []string
-	// LeaderTime is a reading of the sender's clock, where the sender leads.
+	// LeaderTime is a reading of the sender's clock, if the sender is the leader.
 	LeaderTime LeaderTime
 }
 
-// ClaimsLeadership reports whether the sender, a server that belongs to a group, says that
-// it leads itself.
+// ClaimsLeadership reports whether the sender is a member of the group and names itself as its
+// leader.
 func (a *Announcement) ClaimsLeadership() bool { return a.Node != 0 && a.LeaderID == a.Node }
--- a/internal/transport/wire/peer.go
+++ b/internal/transport/wire/peer.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// Peer is the other end of a connection: an address to dial, a connection that was
-// accepted, or a request of the process itself.
+// Peer identifies the remote end of a message: an address to dial, an accepted connection, or
+// a request made in this process.
 type Peer string
 
 const (
@@ -11,18 +11,18 @@
 	localPrefix    = '@'
 )
 
-// AcceptedPeer is the n-th connection that was accepted. It cannot be dialled.
+// AcceptedPeer returns the peer for the n-th accepted connection. It cannot be dialled.
 func AcceptedPeer(n uint64) Peer { return numbered(acceptedPrefix, n) }
 
-// LocalPeer is the n-th request that was made at this process.
+// LocalPeer returns the peer for the n-th request made in this process.
 func LocalPeer(n uint64) Peer { return numbered(localPrefix, n) }
 
 func numbered(prefix byte, n uint64) Peer {
 	return Peer(strconv.AppendUint([]byte{prefix}, n, 10))
 }
 
-// Accepted reports whether the peer is a connection that was accepted.
+// Accepted reports whether the peer is an accepted connection.
 func (p Peer) Accepted() bool { return p != "" && p[0] == acceptedPrefix }
 
-// Local reports whether the peer is a request that was made at this process.
+// Local reports whether the peer is a request made in this process.
 func (p Peer) Local() bool { return p != "" && p[0] == localPrefix }
