--- a/internal/daemon/agentd/daemon.go
+++ b/internal/daemon/agentd/daemon.go
@@ -1,5 +1,5 @@
-// Package agentd runs an agent as a daemon. It has no HTTP side of its own: the platform's
-// face (package platform) or another one calls it.
+// Package agentd runs an agent as a daemon. It has no HTTP server of its own: it is called by
+// the platform API (package platform) or by another frontend.
 package agentd
 
 import (
@@ -20,11 +20,11 @@
 	"orchidward/internal/transport/wire"
 )
 
-// callQueueSize bounds the calls that wait for the agent.
+// callQueueSize bounds the queue of calls to the agent.
 const callQueueSize = 1024
 
-// Settings are what an agent is started with. Memory is the memory limit of the process in
-// bytes; 0 sets none.
+// Settings is the configuration of an agent daemon. Memory is the memory limit of the process
+// in bytes; 0 sets none.
 type Settings struct {
 	Agent  agent.Config
 	Memory int64
@@ -37,11 +37,11 @@
 	link  *link.Link
 	agent *agent.Agent
 	loop  *eventloop.Loop[*agent.Agent]
-	// connections reports on the link.
+	// connections publishes metrics of the link and logs stalled connections.
 	connections *linkmonitor.Monitor
 }
 
-// New opens the agent's address. The agent begins, and ends, with the process.
+// New opens the agent's listening address. The agent starts and stops with the process.
 func New(settings Settings, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle) (*Daemon, error) {
 	lifecycle.LimitMemory(settings.Memory)
 	d := &Daemon{log: log, clock: clock.NewSystem()}
@@ -89,34 +89,34 @@
 	}
 }
 
-// Heartbeat answers a heartbeat of the runner. When ok is false, the agent has not heard
-// of the heartbeat and never will.
+// Heartbeat processes a heartbeat of the runner and returns the agent's orders. If ok is false,
+// the agent has not processed the heartbeat and never will.
 func (d *Daemon) Heartbeat(ctx context.Context, heartbeat agent.Heartbeat) (orders agent.Orders, ok bool) {
 	ok = d.loop.Do(ctx, func(a *agent.Agent) { orders = a.HandleHeartbeat(heartbeat, d.clock.Now()) })
 	return orders, ok
 }
 
-// RunnerLeft takes the runner's farewell. When it returns false, the agent has not heard of it
-// and never will.
+// RunnerLeft processes the runner's leave notification. If it returns false, the agent has not
+// processed the notification and never will.
 func (d *Daemon) RunnerLeft(ctx context.Context, incarnation identifier.Incarnation) bool {
 	return d.loop.Do(ctx, func(a *agent.Agent) { a.RunnerLeft(incarnation, d.clock.Now()) })
 }
 
-// FencingToken is the highest fencing token that the agent knows of, 0 for none.
+// FencingToken returns the highest fencing token that the agent knows, 0 for none.
 func (d *Daemon) FencingToken(ctx context.Context) uint64 {
 	var token uint64
 	d.loop.Do(ctx, func(a *agent.Agent) { token = a.FencingToken() })
 	return token
 }
 
-// PrepareToStop says that the agent is about to end. It comes before the runner is turned
-// away, whose last heartbeats are then answered with the longest lease.
+// PrepareToStop tells the agent that the process is about to exit. It must be called before
+// the runner's requests are rejected, so that the runner's last heartbeats are answered with
+// the longest lease.
 func (d *Daemon) PrepareToStop(ctx context.Context) bool {
 	return d.loop.Do(ctx, func(a *agent.Agent) { a.PrepareToStop() })
 }
 
-// Inspect runs f on the agent's own goroutine. When it returns false, f has not run and never
-// will.
+// Inspect runs f on the agent's event loop. If it returns false, f has not run and never will.
 func (d *Daemon) Inspect(ctx context.Context, f func(a *agent.Agent)) bool {
 	return d.loop.Do(ctx, f)
 }
--- a/internal/daemon/eventloop/await.go
+++ b/internal/daemon/eventloop/await.go
@@ -5,19 +5,19 @@
 	"errors"
 )
 
-// Errors of Await, besides that of its context.
+// Errors returned by Await, besides the error of its context.
 var (
-	// ErrQueueFull says that the call was not taken in and never will be.
+	// ErrQueueFull means that the call was rejected and will never run.
 	ErrQueueFull = errors.New("too many calls wait for the event loop")
-	// ErrStopped says that the loop ended before there was a result.
+	// ErrStopped means that the loop ended before there was a result.
 	ErrStopped = errors.New("the event loop has ended")
 )
 
-// Await starts work on the machine and waits for its result, which may come with a later
-// input: start runs on the loop's goroutine and keeps done, to be called at most once. When
-// the context ends before start has begun, start never runs; when it ends later the work
-// goes on, unless the caller has it cancelled. A result from before the loop ended is
-// returned, not ErrStopped.
+// Await starts an operation on the machine and waits for its result, which a later input may
+// produce. start runs on the loop's goroutine and arranges for done to be called at most once.
+// If the context ends before start has begun, start never runs; if it ends later, the
+// operation continues unless the caller cancels it. A result that was produced before the loop
+// ended is returned in place of ErrStopped.
 func Await[M, R any](ctx context.Context, l *Loop[M], start func(m M, done func(R))) (R, error) {
 	var zero R
 	results := make(chan R, 1)
--- a/internal/daemon/eventloop/doc.go
+++ b/internal/daemon/eventloop/doc.go
@@ -1,8 +1,8 @@
-// Package eventloop runs a state machine as a daemon: one goroutine alone touches the
-// machine, so that it needs no locks.
+// Package eventloop runs a state machine as a daemon. Only one goroutine accesses the machine,
+// so it needs no locks.
 //
-// The goroutine takes one input after another: messages of other processes, calls from
-// other goroutines, ticks, and completions of work elsewhere, such as on a disk. After
-// each it hands on what the machine has to send. All queues are bounded; what comes when
-// one is full is refused at once.
+// The goroutine processes one input after another: messages from other processes, calls from
+// other goroutines, ticks, and completions of operations elsewhere, such as disk writes. After
+// each input it processes the machine's output. All queues are bounded; an input that finds
+// its queue full is rejected immediately.
 package eventloop
--- a/internal/daemon/eventloop/loop.go
+++ b/internal/daemon/eventloop/loop.go
@@ -8,7 +8,7 @@
 	"orchidward/internal/transport/wire"
 )
 
-// messageQueueSize bounds the messages that wait for the loop.
+// messageQueueSize bounds the queue of received messages.
 const messageQueueSize = 8192
 
 // Loop is the event loop of a machine of type M, usually a pointer.
@@ -23,25 +23,26 @@
 	msg  wire.Message
 }
 
-// Handlers is what a daemon does with the inputs of its machine. All are called from the
-// loop's goroutine.
+// Handlers are the callbacks by which a daemon processes the inputs of its machine. All are
+// called from the loop's goroutine.
 type Handlers struct {
 	// TickInterval is how often Tick is called.
 	TickInterval time.Duration
 	Tick         func()
-	// Message takes one message of another process.
+	// Message handles one message from another process.
 	Message func(from wire.Peer, msg wire.Message)
-	// BeforeCall, if set, comes before each call to the machine.
+	// BeforeCall, if set, is called before each call to the machine.
 	BeforeCall func()
-	// BeforeInput, if set, comes before the loop waits for its next input.
+	// BeforeInput, if set, is called before the loop waits for its next input.
 	BeforeInput func()
-	// AfterInput comes after each input and hands on the machine's output.
+	// AfterInput is called after each input to process the machine's output.
 	AfterInput func()
-	// Completions, if set, brings work that has ended elsewhere. An error ends the loop.
+	// Completions, if set, delivers completions of operations that run elsewhere. The loop
+	// calls each function, and ends if it returns an error.
 	Completions <-chan func() error
 }
 
-// New makes the loop of a machine, with a queue for so many calls.
+// New returns the event loop of a machine, with a queue for the given number of calls.
 func New[M any](machine M, calls int) *Loop[M] {
 	return &Loop[M]{
 		machine:  machine,
@@ -50,24 +51,24 @@
 	}
 }
 
-// Receive queues a message. It is dropped when the queue is full: senders reckon with lost
-// messages.
+// Receive queues a message. If the queue is full the message is dropped: senders tolerate
+// message loss.
 func (l *Loop[M]) Receive(from wire.Peer, msg wire.Message) {
 	l.messages.TryPush(message{from, msg})
 }
 
-// Do runs f on the loop's goroutine and waits for it. When it is false, f has not run and
+// Do runs f on the loop's goroutine and waits for it. If Do returns false, f has not run and
 // never will.
 func (l *Loop[M]) Do(ctx context.Context, f func(m M)) bool { return l.calls.Do(ctx, f) }
 
-// Post queues f to be run on the loop's goroutine and does not wait. It is false when too
-// many calls wait.
+// Post queues f to be run on the loop's goroutine and does not wait. It returns false if the
+// queue is full.
 func (l *Loop[M]) Post(f func(m M)) bool { return l.calls.Post(f) }
 
-// Done is closed once the loop has ended.
+// Done returns a channel that is closed once the loop has ended.
 func (l *Loop[M]) Done() <-chan struct{} { return l.calls.Done() }
 
-// Run takes inputs until the stop, or until a completion ends with an error.
+// Run processes inputs until stop is closed or a completion returns an error.
 func (l *Loop[M]) Run(stop <-chan struct{}, h Handlers) {
 	defer l.calls.Close()
 	ticker := time.NewTicker(h.TickInterval)
--- a/internal/daemon/gatewayd/daemon.go
+++ b/internal/daemon/gatewayd/daemon.go
@@ -1,6 +1,6 @@
-// Package gatewayd runs a gateway as a daemon. Requests come in by its own HTTP server
-// (routes.go) or, without one, by Do from a face of another dialect such as package
-// platform; messages of the control plane come in by the link.
+// Package gatewayd runs a gateway as a daemon. It receives requests from its own HTTP server
+// (routes.go) or, if it has none, by calls of Do from a frontend with another API, such as
+// package platform. It exchanges messages with the control plane over the link.
 package gatewayd
 
 import (
@@ -24,14 +24,14 @@
 )
 
 const (
-	// callQueueSize bounds the calls that wait for the gateway.
+	// callQueueSize bounds the queue of calls to the gateway.
 	callQueueSize = 4096
 	programName   = "gateway"
 )
 
-// Settings are what a gateway is started with. Without HTTP it serves none of its own.
-// BodyKb bounds a request's body in KiB; Memory is the memory limit of the process in bytes,
-// 0 sets none.
+// Settings is the configuration of a gateway daemon. If HTTP is empty, the daemon has no HTTP
+// server. BodyKb bounds a request's body in KiB. Memory is the memory limit of the process in
+// bytes; 0 sets none.
 type Settings struct {
 	Addr   string
 	HTTP   string
@@ -47,21 +47,22 @@
 	clock  *clock.System
 	link   *link.Link
 	gauges *httpserver.Gauges
-	// connections reports on the link.
+	// connections publishes metrics of the link and logs stalled connections.
 	connections *linkmonitor.Monitor
 	gateway     *gateway.Gateway
 	loop        *eventloop.Loop[*gateway.Gateway]
-	// http is nil for a gateway without an HTTP side of its own.
+	// http is nil for a gateway without an HTTP server.
 	http         *httpserver.Server
 	maxBodyBytes int64
 
 	ready         atomic.Bool
 	lastRequestID atomic.Uint64
-	// callers answer the requests in flight, by their ids. Only the event loop touches them.
+	// callers holds the response callbacks of the requests in flight, by request ID. Only the
+	// event loop accesses it.
 	callers map[uint64]func(gateway.Response)
 }
 
-// New opens the gateway's addresses. The gateway begins, and ends, with the process.
+// New opens the gateway's listening addresses. The gateway starts and stops with the process.
 func New(settings Settings, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle) (*Daemon, error) {
 	lifecycle.LimitMemory(settings.Memory)
 	d := &Daemon{
@@ -101,8 +102,8 @@
 	return d, nil
 }
 
-// gateway is the configuration of the gateway itself. One without an HTTP side is known by
-// its address within the cluster.
+// gateway returns the configuration of the gateway itself. A gateway without an HTTP server is
+// identified by its address within the cluster.
 func (s Settings) gateway() gateway.Config {
 	name := s.HTTP
 	if name == "" {
@@ -145,10 +146,10 @@
 	}
 }
 
-// Ready reports whether this gateway is in touch with the leader.
+// Ready reports whether this gateway has contact with the leader.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
-// updateMetrics renews the metrics and the readiness; it comes with every tick.
+// updateMetrics updates the metrics and the readiness on every tick.
 func (d *Daemon) updateMetrics() {
 	ready := d.gateway.Ready(d.clock.Now())
 	d.ready.Store(ready)
--- a/internal/daemon/gatewayd/requests.go
+++ b/internal/daemon/gatewayd/requests.go
@@ -20,12 +20,12 @@
 	codeBadRequest = "bad-request"
 )
 
-// retryAfterRefusal is when a caller may come back whose request was not taken in.
+// retryAfterRefusal is the Retry-After of a request that the daemon could not process.
 const retryAfterRefusal clock.Millis = 1000
 
-// Do has the gateway answer a request, within the request's budget. A caller whose context
-// ends is forgotten, and gets a 504 in case it still looks. A request that cannot be taken
-// in is refused at once.
+// Do passes a request to the gateway and returns its response, within the request's budget. If
+// ctx ends first, the request is abandoned and Do returns a 504. If the call queue is full, the
+// request is rejected immediately.
 func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
 	r.ID = d.lastRequestID.Add(1)
 	arrivedAt := d.clock.Now()
@@ -47,7 +47,7 @@
 	return gateway.ErrorResponse(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
 }
 
-// forget drops a request whose caller has gone.
+// forget drops an abandoned request.
 func (d *Daemon) forget(id uint64) {
 	d.loop.Post(func(g *gateway.Gateway) {
 		g.Forget(id)
@@ -55,14 +55,14 @@
 	})
 }
 
-// Inspect runs f on the gateway's own goroutine. When it returns false, f has not run and never
+// Inspect runs f on the gateway's event loop. If it returns false, f has not run and never
 // will.
 func (d *Daemon) Inspect(ctx context.Context, f func(g *gateway.Gateway)) bool {
 	return d.loop.Do(ctx, f)
 }
 
-// overloaded answers a request that was not taken in. Unlike that of other errors its body
-// does not repeat when to come back.
+// overloaded returns the response to a request that was rejected because the call queue is
+// full. Unlike the body of other error responses, its body does not repeat the retry delay.
 func overloaded() gateway.Response {
 	body := jsondoc.ErrorBody{Code: codeBusy, Message: "this gateway is full"}
 	return gateway.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterRefusal, Body: body.JSON()}
--- a/internal/daemon/gatewayd/routes.go
+++ b/internal/daemon/gatewayd/routes.go
@@ -18,10 +18,10 @@
 	"orchidward/internal/transport/httpserver"
 )
 
-// budgetHeader says how long the caller waits, in milliseconds.
+// budgetHeader is the request header that states how long the caller waits, in milliseconds.
 const budgetHeader = "Budget-Ms"
 
-// How a caller gives its tenant's API key.
+// The header and scheme with which a caller sends its tenant's API key.
 const (
 	authorizationHeader = "Authorization"
 	bearerScheme        = "Bearer"
@@ -33,8 +33,8 @@
 	maxBudget clock.Millis = 30000
 )
 
-// addRoutes adds the API to the gateway's own HTTP server. The requests of the API go to
-// the gateway, and its responses out as they come.
+// addRoutes adds the API's routes to the HTTP server. API requests are passed to the gateway,
+// and its responses are returned unchanged.
 func (d *Daemon) addRoutes() {
 	d.http.Gin.GET(endpoint.MembersPath, d.serveMembers)
 	for _, path := range []string{
@@ -47,7 +47,7 @@
 	}
 }
 
-// MemberDoc is a control-plane server as a gateway knows it.
+// MemberDoc describes a control-plane server that a gateway knows.
 type MemberDoc struct {
 	Addr   string            `json:"addr"`
 	Domain identifier.Domain `json:"domain"`
@@ -55,15 +55,15 @@
 	Voter  bool              `json:"voter"`
 }
 
-// MembersDoc is the cluster as a gateway knows it.
+// MembersDoc describes the cluster as known to a gateway.
 type MembersDoc struct {
 	Epoch    identifier.Epoch `json:"epoch"`
 	Gateways []string         `json:"gates"`
 	Servers  []MemberDoc      `json:"keepers"`
 }
 
-// serveMembers shows what this gateway knows of the cluster, for runners that look for
-// other gateways. It needs no leader.
+// serveMembers returns the cluster members that this gateway knows, for runners that look for
+// other gateways. It works without a leader.
 func (d *Daemon) serveMembers(c *gin.Context) {
 	doc := MembersDoc{Servers: []MemberDoc{}}
 	ok := d.Inspect(c.Request.Context(), func(g *gateway.Gateway) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// serve passes a request on to the gateway and waits for its response.
+// serve passes a request to the gateway and writes its response.
 func (d *Daemon) serve(c *gin.Context) {
 	r, ok := d.readRequest(c)
 	if !ok {
@@ -97,8 +97,8 @@
 	writeResponse(c, response)
 }
 
-// readRequest reads a request and its body. One that cannot be read is answered here, and
-// ok is false.
+// readRequest reads a request and its body. If it cannot, it writes the error response and
+// returns false.
 func (d *Daemon) readRequest(c *gin.Context) (r gateway.Request, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.Writer, c.Request.Body, d.maxBodyBytes))
 	var tooLarge *http.MaxBytesError
@@ -127,8 +127,8 @@
 	}, true
 }
 
-// bearerToken is the API key of a request (RFC 6750, section 2.1), which its header holds
-// alone; empty where it holds none or several.
+// bearerToken returns the API key of a request (RFC 6750, section 2.1). It is empty unless the
+// request has exactly one Authorization header.
 func bearerToken(header http.Header) catalog.APIKey {
 	values := header.Values(authorizationHeader)
 	if len(values) != 1 {
@@ -141,7 +141,7 @@
 	return catalog.APIKey(strings.TrimSpace(token))
 }
 
-// readBudget reads a caller's budget, 0 where it gives none.
+// readBudget parses a caller's budget; it is 0 if the caller gives none.
 func readBudget(text string) (budget clock.Millis, ok bool) {
 	if text == "" {
 		return 0, true
@@ -153,7 +153,7 @@
 
 func writeResponse(c *gin.Context, response gateway.Response) {
 	if response.RetryAfter > 0 {
-		// The header has whole seconds; rounded down, a caller would come back too early.
+		// The header holds whole seconds; rounded down, the caller would retry too early.
 		seconds := (response.RetryAfter + 999) / 1000
 		c.Header("Retry-After", strconv.FormatInt(int64(seconds), 10))
 	}
--- a/internal/daemon/lifecycle/group.go
+++ b/internal/daemon/lifecycle/group.go
@@ -1,6 +1,6 @@
-// Package lifecycle starts the goroutines of a process, and is the only place that does:
-// each belongs to a [Group], which ends all of them and waits for them. [Queue] is the
-// bounded queue by which they hand values on.
+// Package lifecycle starts the goroutines of a process, and is the only package that does. Each
+// goroutine belongs to a [Group], which stops all of them and waits for them. [Queue] is the
+// bounded queue by which goroutines pass values to one another.
 package lifecycle
 
 import (
@@ -11,7 +11,7 @@
 	"go.uber.org/fx"
 )
 
-// Group supervises the goroutines of a process: it starts them, tells all of them to end
+// Group supervises the goroutines of a process: it starts them, signals all of them to stop
 // and waits for them. It is safe for concurrent use.
 type Group struct {
 	running  sync.WaitGroup
@@ -19,7 +19,7 @@
 	stop     chan struct{}
 }
 
-// New makes a group without goroutines.
+// New returns a group without goroutines.
 func New() *Group { return &Group{stop: make(chan struct{})} }
 
 // Go starts a goroutine. run should return soon after stop is closed.
@@ -31,8 +31,8 @@
 	}()
 }
 
-// Stop tells all goroutines to end and waits for them as long as ctx allows. The error is
-// the context's.
+// Stop signals all goroutines to stop and waits for them until ctx ends, in which case it
+// returns the context's error.
 func (g *Group) Stop(ctx context.Context) error {
 	g.stopOnce.Do(func() { close(g.stop) })
 	ended := make(chan struct{})
@@ -48,7 +48,7 @@
 	}
 }
 
-// Every calls do at a steady interval until the stop.
+// Every calls do at a fixed interval until stop is closed.
 func Every(interval time.Duration, stop <-chan struct{}, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/daemon/lifecycle/queue.go
+++ b/internal/daemon/lifecycle/queue.go
@@ -1,13 +1,13 @@
 package lifecycle
 
-// Queue is a bounded queue between goroutines. What comes when it is full is refused, and
-// the sender decides what that means.
+// Queue is a bounded queue between goroutines. TryPush rejects a value when the queue is full,
+// and the sender decides how to handle that.
 type Queue[T any] struct{ values chan T }
 
-// NewQueue makes an empty queue for size values.
+// NewQueue returns an empty queue with capacity for size values.
 func NewQueue[T any](size int) *Queue[T] { return &Queue[T]{make(chan T, size)} }
 
-// TryPush adds a value without waiting. It returns false when the queue is full.
+// TryPush adds a value without waiting. It returns false if the queue is full.
 func (q *Queue[T]) TryPush(v T) bool {
 	select {
 	case q.values <- v:
@@ -17,7 +17,8 @@
 	}
 }
 
-// Push waits until the queue is not full, or for the stop; then it is false.
+// Push adds a value, waiting while the queue is full. It returns false if stop is closed
+// first.
 func (q *Queue[T]) Push(v T, stop <-chan struct{}) bool {
 	select {
 	case q.values <- v:
@@ -27,8 +28,8 @@
 	}
 }
 
-// Out is the channel to receive from. It is never closed.
+// Out returns the channel to receive from. It is never closed.
 func (q *Queue[T]) Out() <-chan T { return q.values }
 
-// Len is the number of values that wait.
+// Len returns the number of queued values.
 func (q *Queue[T]) Len() int { return len(q.values) }
--- a/internal/daemon/linkmonitor/monitor.go
+++ b/internal/daemon/linkmonitor/monitor.go
@@ -1,5 +1,5 @@
-// Package linkmonitor reports on the connections of a daemon: their numbers as metrics, and
-// those that stand still in the log.
+// Package linkmonitor reports on the connections of a daemon: it publishes their counters as
+// metrics and logs stalled connections.
 package linkmonitor
 
 import (
@@ -12,11 +12,11 @@
 )
 
 const (
-	// interval is how often the connections are looked at, and stalledAfter how long
-	// messages may wait for one before the log says so.
+	// interval is how often the connections are checked. stalledAfter is how long messages may
+	// be queued for a connection without progress before it is logged as stalled.
 	interval     = time.Second
 	stalledAfter = 2 * time.Second
-	// maxNamedPeers is how many peers one line of the log names.
+	// maxNamedPeers bounds the peers named in one log line.
 	maxNamedPeers = 8
 )
 
@@ -28,12 +28,13 @@
 	checkedAt time.Time
 }
 
-// New makes a monitor that logs to log and sets the metrics of gauges.
+// New returns a monitor of l that logs to log and sets metrics in gauges.
 func New(l *link.Link, log *logging.Logger, gauges *httpserver.Gauges) *Monitor {
 	return &Monitor{link: l, log: log, gauges: gauges}
 }
 
-// Tick looks at the connections when it is time to. It should come several times a second.
+// Tick checks the connections if at least interval has passed since the last check. It should
+// be called several times a second.
 func (m *Monitor) Tick(now time.Time) {
 	if now.Sub(m.checkedAt) < interval {
 		return
@@ -48,7 +49,7 @@
 	m.gauges.Set("dial_failures", float64(counts.DialFailures))
 }
 
-// logStalled logs one line for all connections that were found to stand still.
+// logStalled logs one line for all newly stalled connections.
 func (m *Monitor) logStalled(stalled []link.StalledConnection) {
 	if len(stalled) == 0 {
 		return
--- a/internal/daemon/logging/logger.go
+++ b/internal/daemon/logging/logger.go
@@ -1,5 +1,5 @@
-// Package logging writes the log of a process, one key=value line for each event, and runs
-// a daemon from its start to its stop.
+// Package logging writes the log of a process, one line of key=value pairs per event, and runs
+// a daemon from start to stop.
 package logging
 
 import (
@@ -14,7 +14,7 @@
 // Logger writes to standard error. It is safe for concurrent use.
 type Logger struct{ out *logrus.Logger }
 
-// New makes a logger that writes both events and errors.
+// New returns a logger that writes both events and errors.
 func New() *Logger {
 	out := logrus.New()
 	out.SetOutput(os.Stderr)
@@ -22,18 +22,18 @@
 	return &Logger{out}
 }
 
-// Event writes a line of the level info. fields are alternating keys and values; a key
-// without a value is left out.
+// Event writes a line at level info. fields are alternating keys and values; a key without a
+// value is omitted.
 func (l *Logger) Event(name string, fields ...any) {
 	l.out.WithFields(toFields(fields)).Info(name)
 }
 
-// Error writes a line of the level error, with keys and values as in Event.
+// Error writes a line at level error, with keys and values as in Event.
 func (l *Logger) Error(name string, fields ...any) {
 	l.out.WithFields(toFields(fields)).Error(name)
 }
 
-// Quiet leaves out the events from now on; errors are still written.
+// Quiet suppresses events from now on; errors are still written.
 func (l *Logger) Quiet() { l.out.SetLevel(logrus.ErrorLevel) }
 
 func toFields(list []any) logrus.Fields {
@@ -44,7 +44,7 @@
 	return fields
 }
 
-// toValue leaves simple values as they are; others are written as text.
+// toValue returns simple values unchanged and formats all others as text.
 func toValue(value any) any {
 	switch value.(type) {
 	case string, bool, int, int64, uint64, error:
--- a/internal/daemon/logging/run.go
+++ b/internal/daemon/logging/run.go
@@ -18,9 +18,9 @@
 	exitFailure      = 1
 )
 
-// Run runs a daemon put together from the options until it is told to stop. What kept it
-// from starting is one line, and the exit code 1. A terminal that goes away is logged, and
-// the daemon goes on.
+// Run runs a daemon built from the options until it receives a stop signal, and exits the
+// process. If the daemon cannot start, Run logs the cause in one line and exits with code 1. A
+// hangup signal, as when the terminal is closed, is logged and otherwise ignored.
 func Run(options ...fx.Option) {
 	log := New()
 	hangups := make(chan os.Signal, 1)
@@ -49,7 +49,7 @@
 	return run(ctx)
 }
 
-// wait waits until the daemon is told to stop.
+// wait waits until the daemon must stop, and logs hangup signals.
 func wait(log *Logger, stop <-chan fx.ShutdownSignal, hangups <-chan os.Signal) fx.ShutdownSignal {
 	for {
 		select {
--- a/internal/daemon/serverd/daemon.go
+++ b/internal/daemon/serverd/daemon.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// callQueueSize bounds the calls that wait for the server.
+	// callQueueSize bounds the queue of calls to the server.
 	callQueueSize = 4096
 	programName   = "server"
 	// exitHalted is the exit code of a server that halted or whose disk failed.
@@ -37,34 +37,34 @@
 	clock  *clock.System
 	link   *link.Link
 	gauges *httpserver.Gauges
-	// connections reports on the link.
+	// connections publishes metrics of the link and logs stalled connections.
 	connections *linkmonitor.Monitor
 	server      *controlplane.Server
 	loop        *eventloop.Loop[*controlplane.Server]
-	// http is nil for a server without pages of its own.
+	// http is nil for a server without HTTP pages.
 	http     *httpserver.Server
 	shutdown fx.Shutdowner
 
-	// store is the disk, and writes are the operations that wait for it. Only the event
-	// loop touches the latter.
+	// store performs disk operations, and writes holds those that are pending. Only the event
+	// loop accesses writes.
 	store  *store
 	writes wal.WriteQueue
 
 	ready         atomic.Bool
 	lastRequestID atomic.Uint64
-	// requests are those that were made here. Only the event loop touches them.
+	// requests holds the requests made at this server. Only the event loop accesses it.
 	requests *inflight.Requests
 
-	// tenantMetricsUpdatedAt is when the metrics by tenant were last renewed.
+	// tenantMetricsUpdatedAt is when the metrics by tenant were last updated.
 	tenantMetricsUpdatedAt clock.Monotonic
 
-	// left is closed once the server has left its group in order.
+	// left is closed once the server has left its group gracefully.
 	left     chan struct{}
 	leftOnce sync.Once
 }
 
-// New opens the server's folder and addresses. The server begins, and ends, with the
-// process, and ends the process when it must halt.
+// New opens the server's data folder and listening addresses. The server starts and stops with
+// the process, and shuts the process down when it must halt.
 func New(settings Settings, group *lifecycle.Group, log *logging.Logger, hooks fx.Lifecycle, shutdown fx.Shutdowner) (*Daemon, error) {
 	lifecycle.LimitMemory(settings.Memory)
 	d := &Daemon{
@@ -95,7 +95,7 @@
 	return d, nil
 }
 
-// resume gives the server what its disk held.
+// resume restores the server's state from the disk.
 func (d *Daemon) resume() error {
 	recovered, err := d.store.open()
 	if err != nil || recovered == nil {
@@ -109,8 +109,8 @@
 	return nil
 }
 
-// start hooks the goroutines into the process's lifecycle, by way of the HTTP server if
-// there is one.
+// start registers the server's goroutines with the process's lifecycle, through the HTTP server
+// if there is one.
 func (d *Daemon) start(settings Settings, group *lifecycle.Group, hooks fx.Lifecycle, id identifier.Node) error {
 	start := func() {
 		d.connections = linkmonitor.New(d.link, d.log, d.gauges)
@@ -162,11 +162,11 @@
 	d.server.HandleMessage(from, msg, d.clock.Now(), d.clock.Wall())
 }
 
-// observe records that the process runs: it may have stood still.
+// observe records that the process is running, so that a suspension can be detected.
 func (d *Daemon) observe() { d.requests.Observe(d.clock.Now()) }
 
-// processOutput gives the server the requests that wait for it, and hands on what it sends,
-// writes and answers.
+// processOutput passes pending local requests to the server, then handles the server's output:
+// events, writes, messages and responses.
 func (d *Daemon) processOutput() {
 	for _, dispatch := range d.requests.TakeDispatches() {
 		d.server.HandleMessage(dispatch.Peer, wire.Message{Request: dispatch.Request}, d.clock.Now(), d.clock.Wall())
@@ -188,7 +188,7 @@
 	}
 }
 
-// deliver sends a message to another process, or answers a request that was made here.
+// deliver sends a message to another process, or completes a request made at this server.
 func (d *Daemon) deliver(message wire.Envelope) {
 	if !message.To.Local() {
 		d.link.Send(message.To, message.Message)
@@ -199,15 +199,15 @@
 	}
 }
 
-// submitNextWrite gives the disk its next operation, if it is free.
+// submitNextWrite submits the next disk operation if none is in progress.
 func (d *Daemon) submitNextWrite() {
 	if operation := d.writes.Next(); operation != nil {
 		d.store.submit(operation)
 	}
 }
 
-// handleWritten takes the outcome of an operation of the disk. A disk that fails ends the
-// process: its contents are not known any more.
+// handleWritten processes the outcome of a disk operation. A disk failure ends the process,
+// because the contents of the disk are then unknown.
 func (d *Daemon) handleWritten(operation *wal.Operation, err error) error {
 	d.writes.Done(operation)
 	if err != nil {
@@ -226,5 +226,5 @@
 
 func (d *Daemon) endProcess() { _ = d.shutdown.Shutdown(fx.ExitCode(exitHalted)) }
 
-// Ready reports whether this server knows who leads.
+// Ready reports whether this server knows the leader.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
--- a/internal/daemon/serverd/doc.go
+++ b/internal/daemon/serverd/doc.go
@@ -1,5 +1,5 @@
-// Package serverd runs a control-plane server as a daemon. The event loop alone touches the
-// server; the disk has a goroutine of its own (store.go), so that heartbeats never wait for
-// a sync. Requests come in by Do from a face such as package platform, messages of other
-// processes by the link.
+// Package serverd runs a control-plane server as a daemon. Only the event loop accesses the
+// server. Disk operations run in a separate goroutine (store.go), so that heartbeats never wait
+// for a sync. Requests arrive through Do from a frontend such as package platform, messages of
+// other processes through the link.
 package serverd
--- a/internal/daemon/serverd/graceful_stop.go
+++ b/internal/daemon/serverd/graceful_stop.go
@@ -8,16 +8,16 @@
 	"orchidward/internal/controlplane"
 )
 
-// LeaveOnStop has this server leave its group in order when the process is told to stop:
-// leadership goes to another server while this one still serves, so that nothing waits for
-// an election. Hooks run in reverse at the stop: it is to be called after the faces that
-// bring requests, so that they still serve meanwhile.
+// LeaveOnStop makes this server leave its group gracefully when the process stops: leadership
+// is transferred to another server while this one still serves, so that no request waits for
+// an election. Stop hooks run in reverse order, so LeaveOnStop must be called after the
+// frontends that accept requests have registered theirs; they then keep serving meanwhile.
 func (d *Daemon) LeaveOnStop(hooks fx.Lifecycle) {
 	hooks.Append(fx.Hook{OnStop: d.leave})
 }
 
-// leave waits until the server has left or the context ends; what could not be done in time
-// is left to an election.
+// leave waits until the server has left or the context ends. If leadership was not transferred
+// in time, the remaining servers elect a leader.
 func (d *Daemon) leave(ctx context.Context) error {
 	if !d.loop.Post(func(s *controlplane.Server) { s.Leave() }) {
 		return nil
--- a/internal/daemon/serverd/metrics.go
+++ b/internal/daemon/serverd/metrics.go
@@ -2,7 +2,7 @@
 
 import "orchidward/internal/consensus/raft"
 
-// updateMetrics renews the metrics and the readiness; it comes with every tick.
+// updateMetrics updates the metrics and the readiness on every tick.
 func (d *Daemon) updateMetrics() {
 	d.setReady(d.server.KnowsLeader())
 	r := d.server.Raft()
--- a/internal/daemon/serverd/requests.go
+++ b/internal/daemon/serverd/requests.go
@@ -18,13 +18,13 @@
 	codeStopping = "stopping"
 )
 
-// retryAfterStop is when a caller may come back to a server that has stopped.
+// retryAfterStop is the Retry-After of requests to a server that has stopped.
 const retryAfterStop clock.Millis = 1000
 
-// Do has the leader answer a request, wherever it is, within the request's budget. Where no
-// leader has been known for a while the answer is a 503 at once, with when to come back; a
-// 504 means that the outcome is not known. A caller whose context ends is forgotten, and
-// gets a 504 in case it still looks.
+// Do passes a request to the leader, on whichever server it is, and returns the response within
+// the request's budget. If no leader has been known for a while, the response is an immediate
+// 503 with a Retry-After. A 504 means that the outcome is unknown. If ctx ends first, the
+// request is abandoned and Do returns a 504.
 func (d *Daemon) Do(ctx context.Context, r gateway.Request) gateway.Response {
 	r.ID = d.lastRequestID.Add(1)
 	arrivedAt := d.clock.Now()
@@ -45,8 +45,7 @@
 	return gateway.ErrorResponse(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
 }
 
-// Inspect runs f on the server's own goroutine. When it returns false, f has not run and never
-// will.
+// Inspect runs f on the server's event loop. If it returns false, f has not run and never will.
 func (d *Daemon) Inspect(ctx context.Context, f func(s *controlplane.Server)) bool {
 	return d.loop.Do(ctx, f)
 }
--- a/internal/daemon/serverd/settings.go
+++ b/internal/daemon/serverd/settings.go
@@ -11,15 +11,16 @@
 	"orchidward/internal/state"
 )
 
-// Settings are what a server is started with. Without Data, a folder, it is one without a
-// disk, which only forwards requests. Without HTTP it serves no pages of its own.
+// Settings is the configuration of a server daemon. Data is the data folder; if it is empty,
+// the server has no disk and only forwards requests. If HTTP is empty, the server has no HTTP
+// pages.
 type Settings struct {
 	Data   string
 	Addr   string
 	HTTP   string
 	Domain identifier.Domain
 	Seeds  []string
-	// Files and FileKb are the number of the files of a new write-ahead log and their size
+	// Files and FileKb are the number of files of a new write-ahead log and the size of each
 	// in KiB.
 	Files  int64
 	FileKb int64
@@ -29,11 +30,10 @@
 	InitialLimits map[string]string
 	// Memory is the memory limit of the process in bytes; 0 sets none.
 	Memory int64
-	// ElectionTimeout is the least time that a server waits for a leader before it asks
-	// for an election; 0 is the usual one.
+	// ElectionTimeout is the minimum time that a server waits for a leader before it starts an
+	// election; 0 selects the default.
 	ElectionTimeout clock.Millis
-	// LossesTolerated is how many disks of servers may be lost at once; 0 if that is not
-	// said.
+	// LossesTolerated is how many server disks may be lost at once; 0 if unspecified.
 	LossesTolerated int
 }
 
@@ -44,7 +44,7 @@
 	return raft.NewTiming(s.ElectionTimeout)
 }
 
-// server is the configuration of the server itself.
+// server returns the configuration of the server itself.
 func (s Settings) server(id identifier.Node) controlplane.Config {
 	return controlplane.Config{
 		ID:            id,
@@ -62,7 +62,7 @@
 	}
 }
 
-// randomID is a random number that is not 0.
+// randomID returns a random non-zero number.
 func randomID() uint64 {
 	var bytes [8]byte
 	if _, err := rand.Read(bytes[:]); err != nil {
--- a/internal/daemon/serverd/store.go
+++ b/internal/daemon/serverd/store.go
@@ -10,23 +10,23 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// store is the disk of a server. Its goroutine carries out one operation of the write-ahead
-// log at a time, and reports each once it is synced.
+// store performs the disk operations of a server. Its goroutine executes one operation of the
+// write-ahead log at a time, and reports each once it is synced.
 type store struct {
 	// folder is nil for a server without a disk.
 	folder *wal.Folder
 	layout wal.Layout
 	log    *wal.Log
-	// submitted and finished hold one operation at most: the write queue hands out the
-	// next one only after the last was reported.
+	// submitted and finished hold at most one operation each: the write queue returns the next
+	// operation only after the previous one was reported.
 	submitted *lifecycle.Queue[*wal.Operation]
 	finished  *lifecycle.Queue[func() error]
 	report    func(operation *wal.Operation, err error) error
 	used      atomic.Int64
 }
 
-// newStore opens the folder and reads or makes up the server's identity; a server without a
-// disk has neither.
+// newStore opens the data folder and reads the server's identity from it, or creates one. A
+// server without a disk has neither.
 func newStore(settings Settings) (s *store, id identifier.Node, err error) {
 	s = &store{
 		submitted: lifecycle.NewQueue[*wal.Operation](1),
@@ -43,7 +43,7 @@
 	return s, id, err
 }
 
-// open reads what the disk held, nil where it held nothing.
+// open recovers the log from the disk. It returns nil if there is none.
 func (s *store) open() (*wal.Recovered, error) {
 	if s.folder == nil {
 		return nil, nil
@@ -56,16 +56,17 @@
 	return recovered, nil
 }
 
-// percentUsed is how much of the log is in use. It is safe for concurrent use.
+// percentUsed returns the percentage of the log that is in use. It is safe for concurrent use.
 func (s *store) percentUsed() int { return int(s.used.Load()) }
 
-// completions is where finished operations come, to be reported by the receiver's call.
+// completions returns the channel of finished operations. Each received function reports one
+// operation to report when it is called.
 func (s *store) completions(report func(operation *wal.Operation, err error) error) <-chan func() error {
 	s.report = report
 	return s.finished.Out()
 }
 
-// submit hands in the next operation. The caller has had the report of the last one.
+// submit starts the next operation. The previous one must have been reported.
 func (s *store) submit(operation *wal.Operation) { s.submitted.TryPush(operation) }
 
 func (s *store) run(stop <-chan struct{}) {
--- a/internal/daemon/serverd/tenant_metrics.go
+++ b/internal/daemon/serverd/tenant_metrics.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// tenantMetricsInterval is how often the metrics by tenant are renewed.
+	// tenantMetricsInterval is how often the metrics by tenant are updated.
 	tenantMetricsInterval clock.Millis = 1000
-	// maxTenantSeries bounds the tenants that have series of their own.
+	// maxTenantSeries bounds the number of tenants with separate series.
 	maxTenantSeries = 16
 	tenantLabel     = "tenant"
 )
 
-// updateTenantMetrics renews what the largest tenants have in use, and may have, and what all
-// others have in use together.
+// updateTenantMetrics updates the usage and quota of each of the largest tenants, and the
+// combined usage of all others.
 func (d *Daemon) updateTenantMetrics() {
 	now := d.clock.Now()
 	if now.Since(d.tenantMetricsUpdatedAt) < tenantMetricsInterval {
--- a/internal/daemon/settings/doc.go
+++ b/internal/daemon/settings/doc.go
@@ -1,4 +1,4 @@
-// Package settings reads a program's settings: flags, and a JSON settings file whose keys are
-// the flags' names. Everything is checked before anything is opened, and every problem is
-// named with its key.
+// Package settings reads a program's settings from flags and from a JSON settings file whose
+// keys are the flag names. All settings are checked before any file or address is opened, and
+// every problem is reported with its key.
 package settings
--- a/internal/daemon/settings/file.go
+++ b/internal/daemon/settings/file.go
@@ -12,14 +12,14 @@
 	"github.com/go-faster/errors"
 )
 
-// File is a settings file as a source of flag values for kong.
+// File is a settings file that provides flag values to kong.
 type File struct {
 	Path   string
 	values map[string]any
 }
 
-// ReadFile reads a settings file, which must hold one JSON object. Its keys are not checked;
-// Validate does that.
+// ReadFile reads a settings file, which must contain one JSON object. It does not check the
+// keys; Validate does.
 func ReadFile(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return f, nil
 }
 
-// Validate names keys that no flag has.
+// Validate returns an error that lists the keys for which there is no flag.
 func (f *File) Validate(app *kong.Application) error {
 	known := map[string]bool{}
 	for _, flag := range app.Flags {
@@ -56,7 +56,7 @@
 	return errors.Errorf("%s: unknown keys: %s", f.Path, strings.Join(unknown, ", "))
 }
 
-// Resolve gives kong the value of a flag, nil when the file has none. A list becomes its
+// Resolve returns the value of a flag, or nil if the file has none. A list is returned as its
 // values joined by commas.
 func (f *File) Resolve(_ *kong.Context, _ *kong.Path, flag *kong.Flag) (any, error) {
 	value, ok := f.values[flag.Name]
--- a/internal/daemon/settings/parse.go
+++ b/internal/daemon/settings/parse.go
@@ -11,13 +11,13 @@
 const (
 	// fileFlag is the flag that names the settings file.
 	fileFlag = "--boot"
-	// exitUsage is the exit code of a program that was not started as it should be.
+	// exitUsage is the exit code for invalid flags or settings.
 	exitUsage = 2
 )
 
-// Parse fills the program's flags from the command line and, with --boot FILE, from a
-// settings file; the command line wins. check looks at the values. Parse exits 2 on bad
-// usage, with one line for each problem.
+// Parse fills the program's flags from the command line and, with --boot FILE, from a settings
+// file; the command line takes precedence. check validates the values. On invalid usage, Parse
+// prints one line per problem and exits with code 2.
 func Parse(into any, name, help string, check func(v *Validator)) *kong.Context {
 	options := []kong.Option{kong.Name(name), kong.Description(help), kong.UsageOnError(), kong.Exit(exitWithUsage)}
 	for _, path := range settingsFiles(os.Args) {
@@ -36,8 +36,8 @@
 	return ctx
 }
 
-// settingsFiles lists the settings files that the command line names. They are needed before
-// the command line is parsed, since they are a source of flags.
+// settingsFiles returns the settings files named on the command line. They must be known before
+// kong parses the command line, since they provide flag values.
 func settingsFiles(args []string) []string {
 	var paths []string
 	for i, arg := range args {
--- a/internal/transport/link/connection.go
+++ b/internal/transport/link/connection.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// A peer that has lost power sends nothing, and after a restart may take seconds to answer
-	// a first packet. Dials therefore time out quickly and are repeated often, and a connection
-	// ends once data on it has been unacknowledged for userTimeoutMs milliseconds.
+	// A peer that has lost power sends nothing, and answers the first packet of a new
+	// connection only after seconds. Dials therefore time out quickly and are repeated often,
+	// and a connection is closed once data on it has been unacknowledged for userTimeoutMs
+	// milliseconds.
 	dialTimeout    = 400 * time.Millisecond
 	redialInterval = 60 * time.Millisecond
 	userTimeoutMs  = 800
@@ -30,7 +31,7 @@
 type connection struct {
 	queue *lifecycle.Queue[wire.Message]
 	conn  net.Conn
-	// dequeued counts the messages that were dequeued off the queue, to be sent or dropped.
+	// dequeued counts the messages removed from the queue, whether sent or dropped.
 	dequeued atomic.Uint64
 	progress queueProgress
 	// received counts the messages received.
