--- a/internal/daemon/agentd/cancelled_heartbeat_test.go
+++ b/internal/daemon/agentd/cancelled_heartbeat_test.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// TestCancelledHeartbeatNeverHandled checks that a heartbeat whose caller was told that the
-// agent has not heard of it is never handled, also not when the loop comes to it later.
+// TestCancelledHeartbeatNeverHandled checks that a heartbeat is never handled once its caller
+// was told that the agent did not process it, even if its call is still in the loop's queue.
 func TestCancelledHeartbeatNeverHandled(t *testing.T) {
 	const cancelled, next identifier.Incarnation = "given-up", "the-next"
 	group := lifecycle.New()
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, ok := d.Heartbeat(cancelledContext(ctx), heartbeat(cancelled, 0)); ok {
-		t.Error("a heartbeat was answered before the loop began")
+		t.Error("a heartbeat was answered before the loop started")
 	}
 
 	life.start(ctx, t)
@@ -34,10 +34,10 @@
 	}
 	sendUntilReported(next, "the next incarnation was not reported to the control plane")
 	if controlPlane.reported(cancelled) {
-		t.Fatal("a heartbeat that was given up was reported to the control plane")
+		t.Fatal("an abandoned heartbeat was reported to the control plane")
 	}
-	// Had it been handled, its incarnation would count as replaced and never be reported.
-	sendUntilReported(cancelled, "a heartbeat that was given up was heard of: its incarnation counts as past")
+	// If it had been handled, its incarnation would be superseded and never reported.
+	sendUntilReported(cancelled, "an abandoned heartbeat was handled: its incarnation is superseded")
 	if err := group.Stop(ctx); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/daemon/agentd/daemon_fixture_test.go
+++ b/internal/daemon/agentd/daemon_fixture_test.go
@@ -24,10 +24,10 @@
 	reportTimeout = 15 * time.Second
 )
 
-// fakeLifecycle keeps the hooks that a daemon registers.
+// fakeLifecycle records the hooks that a daemon registers.
 type fakeLifecycle struct{ hooks []fx.Hook }
 
-// Append is that of fx.Lifecycle.
+// Append implements fx.Lifecycle.
 func (l *fakeLifecycle) Append(hook fx.Hook) { l.hooks = append(l.hooks, hook) }
 
 func (l *fakeLifecycle) start(ctx context.Context, t *testing.T) {
@@ -69,21 +69,21 @@
 	c.bodies += string(request.Body)
 }
 
-// anyRequest reports whether a request has come.
+// anyRequest reports whether any request was received.
 func (c *fakeControlPlane) anyRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests > 0
 }
 
-// reported reports whether a request has named an incarnation.
+// reported reports whether any request contained the incarnation.
 func (c *fakeControlPlane) reported(incarnation identifier.Incarnation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Contains(c.bodies, string(incarnation))
 }
 
-// newTestDaemon makes the agent of runner r1, which is not started.
+// newTestDaemon returns the agent of runner r1, not yet started.
 func newTestDaemon(t *testing.T, group *lifecycle.Group, controlPlane string) (*Daemon, *fakeLifecycle) {
 	t.Helper()
 	log := logging.New()
@@ -104,12 +104,12 @@
 	return d, life
 }
 
-// heartbeat is one of an incarnation on which nothing runs.
+// heartbeat returns a heartbeat of an incarnation on which nothing runs.
 func heartbeat(incarnation identifier.Incarnation, seq uint64) agent.Heartbeat {
 	return agent.Heartbeat{Runner: incarnation, Seq: seq, Domain: "north", Rack: "k", Capacity: job.Demand{Cores: 4, Mem: 1024}}
 }
 
-// cancelledContext is a context that has ended.
+// cancelledContext returns a context that is already cancelled.
 func cancelledContext(parent context.Context) context.Context {
 	ctx, cancel := context.WithCancel(parent)
 	cancel()
--- a/internal/daemon/agentd/daemon_test.go
+++ b/internal/daemon/agentd/daemon_test.go
@@ -8,9 +8,8 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// TestDaemon checks that heartbeats are answered also without an answer of the control
-// plane, that the agent's reports are sent, and that a daemon that is not running answers
-// nothing.
+// TestDaemon checks that heartbeats are answered even if the control plane does not respond,
+// that the agent's reports are sent, and that a daemon that is not running answers nothing.
 func TestDaemon(t *testing.T) {
 	group := lifecycle.New()
 	controlPlane, addr := startControlPlane(t, group)
@@ -18,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, ok := d.Heartbeat(cancelledContext(ctx), agent.Heartbeat{Runner: "x"}); ok {
-		t.Error("a heartbeat was answered before the loop began")
+		t.Error("a heartbeat was answered before the loop started")
 	}
 
 	life.start(ctx, t)
@@ -32,13 +31,13 @@
 		}
 	}
 	if !d.RunnerLeft(ctx, "a") || !d.Inspect(ctx, func(*agent.Agent) {}) {
-		t.Error("the loop takes no calls")
+		t.Error("the loop executes no calls")
 	}
 
 	if err := group.Stop(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if _, ok = d.Heartbeat(ctx, agent.Heartbeat{Runner: "a"}); ok {
-		t.Error("a loop that ended answered a heartbeat")
+		t.Error("a heartbeat was answered after the loop ended")
 	}
 }
--- a/internal/daemon/eventloop/await_test.go
+++ b/internal/daemon/eventloop/await_test.go
@@ -16,8 +16,8 @@
 	return group
 }
 
-// TestAwait checks that a result is returned, whether it is there at once or comes with a
-// later input.
+// TestAwait checks that a result is returned whether it is available immediately or produced
+// by a later input.
 func TestAwait(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -27,18 +27,18 @@
 
 	result, err := Await(ctx, l, func(_ *counter, done func(int)) { done(1) })
 	if result != 1 || err != nil {
-		t.Errorf("at once: %d, %v", result, err)
+		t.Errorf("immediate result: %d, %v", result, err)
 	}
 	result, err = Await(ctx, l, func(_ *counter, done func(int)) {
 		l.Post(func(*counter) { done(2) })
 	})
 	if result != 2 || err != nil {
-		t.Errorf("by a later call: %d, %v", result, err)
+		t.Errorf("result of a later call: %d, %v", result, err)
 	}
 }
 
-// TestAwaitErrors checks how a call ends that gets no result: by the full queue, by its
-// context, or by the end of the loop.
+// TestAwaitErrors checks the error of a call without a result: because the queue is full, the
+// context ended or the loop ended.
 func TestAwaitErrors(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -66,8 +66,8 @@
 	}
 }
 
-// TestAwaitCancelledBeforeStart checks that work never begins whose caller left while it
-// waited for the loop, and that the calls behind it do.
+// TestAwaitCancelledBeforeStart checks that a call is never executed if its caller's context
+// ends while the call is queued, and that later calls are executed.
 func TestAwaitCancelledBeforeStart(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -76,14 +76,14 @@
 	left, leave := context.WithCancel(ctx)
 	leave()
 	if _, err := Await(left, l, func(*counter, func(int)) { begun = true }); !errors.Is(err, context.Canceled) {
-		t.Fatalf("the caller has left: %v", err)
+		t.Fatalf("a cancelled context: %v", err)
 	}
 	group := runLoop(l)
 	defer group.Stop(ctx)
 	if !l.Do(ctx, func(*counter) {}) {
-		t.Fatal("the next call was not carried out")
+		t.Fatal("the next call was not executed")
 	}
 	if begun {
-		t.Error("work began whose caller had left before the loop came to it")
+		t.Error("an abandoned call was executed")
 	}
 }
--- a/internal/daemon/eventloop/calls_test.go
+++ b/internal/daemon/eventloop/calls_test.go
@@ -7,21 +7,21 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// TestCallQueue checks that calls are carried out in order, that one which is refused or
-// given up never is, and that a full queue refuses at once.
+// TestCallQueue checks that calls are executed in order, that rejected and cancelled calls are
+// never executed, and that a full queue rejects calls immediately.
 func TestCallQueue(t *testing.T) {
 	q := NewCallQueue[*[]int](2)
 	list := []int{}
 	if !q.Post(func(m *[]int) { *m = append(*m, 1) }) {
-		t.Fatal("an empty queue refused")
+		t.Fatal("an empty queue rejected a call")
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	if q.Do(cancelled, func(m *[]int) { *m = append(*m, 2) }) {
-		t.Error("done without a loop")
+		t.Error("a call was executed without a loop")
 	}
 	if q.Post(func(m *[]int) { *m = append(*m, 3) }) || q.Do(context.Background(), func(m *[]int) { *m = append(*m, 4) }) {
-		t.Error("a full queue took one more")
+		t.Error("a full queue accepted a call")
 	}
 	(<-q.Out()).Run(&list)
 	(<-q.Out()).Run(&list)
@@ -29,13 +29,13 @@
 	defer group.Stop(context.Background())
 	group.Go(func(<-chan struct{}) { (<-q.Out()).Run(&list) })
 	if !q.Do(context.Background(), func(m *[]int) { *m = append(*m, 5) }) {
-		t.Error("not done")
+		t.Error("a call was not executed")
 	}
 	if len(list) != 2 || list[0] != 1 || list[1] != 5 {
-		t.Errorf("done: %v, want 1 and 5", list)
+		t.Errorf("executed %v, want 1 and 5", list)
 	}
 	q.Close()
 	if q.Do(context.Background(), func(m *[]int) { *m = append(*m, 6) }) {
-		t.Error("done by a loop that ended")
+		t.Error("a call was executed after the loop ended")
 	}
 }
--- a/internal/daemon/eventloop/loop_test.go
+++ b/internal/daemon/eventloop/loop_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// TestLoop checks that every input reaches the machine, that its output is handed on after
-// each, and that a loop that has ended takes no calls.
+// TestLoop checks that every input reaches the machine, that output is processed after each
+// input, and that a loop that has ended executes no calls.
 func TestLoop(t *testing.T) {
 	c := &counter{}
 	l := New(c, 16)
@@ -44,11 +44,11 @@
 		ok := l.Do(ctx, func(m *counter) {
 			ticked = m.ticks > 0 && m.messages == 1
 			if m.outputs+1 != m.messages+m.ticks+m.calls || m.prepared != m.outputs+1 {
-				t.Errorf("%+v: each input has one output, and is prepared for once", *m)
+				t.Errorf("%+v: want one AfterInput and one BeforeInput per input", *m)
 			}
 		})
 		if !ok {
-			t.Fatal("the loop takes no calls")
+			t.Fatal("the loop executes no calls")
 		}
 	}
 	if err := group.Stop(ctx); err != nil {
@@ -56,12 +56,12 @@
 	}
 	<-l.Done()
 	if l.Do(ctx, func(*counter) {}) {
-		t.Error("a loop that has ended took a call")
+		t.Error("a call was executed after the loop ended")
 	}
 }
 
-// TestCompletions checks that work that ended elsewhere is an input, and that a failure
-// ends the loop before the output is handed on.
+// TestCompletions checks that a completion is processed as an input, and that a failed one ends
+// the loop before the output is processed.
 func TestCompletions(t *testing.T) {
 	c := &counter{}
 	l := New(c, 16)
--- a/internal/daemon/gatewayd/bearer_test.go
+++ b/internal/daemon/gatewayd/bearer_test.go
@@ -13,7 +13,7 @@
 	"orchidward/internal/routing"
 )
 
-// TestBearerToken guards against a key that is taken from a header that is malformed or not alone.
+// TestBearerToken checks that no key is read from a malformed or repeated header.
 func TestBearerToken(t *testing.T) {
 	for name, c := range map[string]struct {
 		values []string
@@ -27,12 +27,13 @@
 		"scheme missing": {[]string{"held-key"}, ""},
 	} {
 		if got := bearerToken(http.Header{authorizationHeader: c.values}); got != c.want {
-			t.Errorf("%s: %d bytes of key", name, len(got))
+			t.Errorf("%s: wrong key, of %d bytes", name, len(got))
 		}
 	}
 }
 
-// TestProtectedQueueWantsBearer guards against submissions by HTTP that pass without the key that their queue asks for.
+// TestProtectedQueueWantsBearer checks that HTTP submissions to a protected queue are rejected
+// without the key that the queue requires.
 func TestProtectedQueueWantsBearer(t *testing.T) {
 	const heldKey catalog.APIKey = "held-key"
 	group := lifecycle.New()
@@ -52,7 +53,7 @@
 	}
 	life.start(t)
 	defer func() { _ = d.http.Stop(context.Background()) }()
-	waitFor(t, "never in touch", d.Ready)
+	waitFor(t, "the gateway has no contact with the leader", d.Ready)
 	submit := func(key string) int {
 		body := strings.NewReader(`{"queue":"q","steps":[{"name":"s"}]}`)
 		request, err := http.NewRequest(http.MethodPut, "http://"+d.http.Addr()+"/v1/jobs/a/b", body)
--- a/internal/daemon/gatewayd/daemon_fixture_test.go
+++ b/internal/daemon/gatewayd/daemon_fixture_test.go
@@ -23,10 +23,10 @@
 
 const leaderNode identifier.Node = 7
 
-// fakeLifecycle keeps the hooks that a daemon registers.
+// fakeLifecycle records the hooks that a daemon registers.
 type fakeLifecycle struct{ hooks []fx.Hook }
 
-// Append is that of fx.Lifecycle.
+// Append implements fx.Lifecycle.
 func (l *fakeLifecycle) Append(hook fx.Hook) { l.hooks = append(l.hooks, hook) }
 
 func (l *fakeLifecycle) start(t *testing.T) {
@@ -54,7 +54,8 @@
 	return startLeaderWith(t, group, func(*routing.FullTable) {})
 }
 
-// startLeaderWith listens for gateways with a routing table that is completed by the caller.
+// startLeaderWith listens for gateways until the group stops. complete fills in the routing
+// table.
 func startLeaderWith(t *testing.T, group *lifecycle.Group, complete func(table *routing.FullTable)) (leader *fakeLeader, addr string) {
 	t.Helper()
 	table := &routing.FullTable{Epoch: 1, Rows: limits.Default().Rows}
@@ -96,7 +97,7 @@
 	l.link.Send(to, wire.Message{Response: &wire.Response{ID: id, Status: http.StatusOK, Body: body}})
 }
 
-// newTestDaemon makes a gateway that knows one server, and is not started.
+// newTestDaemon returns a gateway with one seed, not yet started.
 func newTestDaemon(t *testing.T, group *lifecycle.Group, seed string) (*Daemon, *fakeLifecycle) {
 	t.Helper()
 	log := logging.New()
--- a/internal/daemon/gatewayd/daemon_test.go
+++ b/internal/daemon/gatewayd/daemon_test.go
@@ -11,26 +11,26 @@
 	"orchidward/internal/gateway"
 )
 
-// inFlight counts a daemon's requests without a response and the callers that wait for
-// them.
+// inFlight returns the number of requests in flight plus the number of callers waiting for
+// their responses.
 func inFlight(t *testing.T, d *Daemon) int {
 	t.Helper()
 	count := 0
 	if !d.Inspect(context.Background(), func(g *gateway.Gateway) { count = g.InFlight() + len(d.callers) }) {
-		t.Fatal("the loop takes no calls")
+		t.Fatal("the loop executes no calls")
 	}
 	return count
 }
 
-// TestRequestToLeader checks that a request goes to the leader and its response comes back,
-// and that one whose caller has left is forgotten.
+// TestRequestToLeader checks that a request is sent to the leader and its response returned,
+// and that an abandoned request is dropped.
 func TestRequestToLeader(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
 	leader, addr := startLeader(t, group)
 	d, life := newTestDaemon(t, group, addr)
 	life.start(t)
-	waitFor(t, "never in touch", d.Ready)
+	waitFor(t, "the gateway has no contact with the leader", d.Ready)
 	response := d.Do(context.Background(), gateway.Request{Method: http.MethodGet, Path: "/v1/table"})
 	if response.Status != http.StatusOK || string(response.Body) != "the table" {
 		t.Errorf("got %d %s", response.Status, response.Body)
@@ -48,13 +48,13 @@
 	}
 	cancel()
 	if response = <-got; response.Status != http.StatusGatewayTimeout {
-		t.Errorf("a caller that left got %d", response.Status)
+		t.Errorf("an abandoned request returned %d", response.Status)
 	}
-	waitFor(t, "the request of a caller that left is still in flight", func() bool { return inFlight(t, d) == 0 })
+	waitFor(t, "an abandoned request is still in flight", func() bool { return inFlight(t, d) == 0 })
 }
 
-// TestRequestRefusedAtOnce checks that a gateway that is full, out of touch or stopped says
-// so at once.
+// TestRequestRefusedAtOnce checks that a gateway that is overloaded, has lost contact or has
+// stopped rejects requests immediately.
 func TestRequestRefusedAtOnce(t *testing.T) {
 	group := lifecycle.New()
 	d, life := newTestDaemon(t, group, "127.0.0.1:1")
@@ -69,24 +69,24 @@
 	}
 
 	life.start(t)
-	waitFor(t, "the loop does not come to its calls", func() bool {
+	waitFor(t, "the loop executes no calls", func() bool {
 		return d.Inspect(context.Background(), func(*gateway.Gateway) {})
 	})
 	response = ask()
 	if response.Status != http.StatusServiceUnavailable || !strings.Contains(string(response.Body), "out-of-touch") {
-		t.Errorf("out of touch: %d %s", response.Status, response.Body)
+		t.Errorf("without contact: %d %s", response.Status, response.Body)
 	}
 
 	if err := group.Stop(context.Background()); err != nil {
 		t.Fatal(err)
 	}
 	if response = ask(); response.Status != http.StatusGatewayTimeout {
-		t.Errorf("a loop that ended answered %d", response.Status)
+		t.Errorf("after the loop ended: %d", response.Status)
 	}
 }
 
-// TestQueueTimeCounts checks that the time for which a request waits for the loop is taken
-// from its caller's.
+// TestQueueTimeCounts checks that the time a request spends in the loop's queue is subtracted
+// from its budget.
 func TestQueueTimeCounts(t *testing.T) {
 	const budget = 100
 	group := lifecycle.New()
@@ -94,7 +94,7 @@
 	leader, addr := startLeader(t, group)
 	d, life := newTestDaemon(t, group, addr)
 	life.start(t)
-	waitFor(t, "never in touch", d.Ready)
+	waitFor(t, "the gateway has no contact with the leader", d.Ready)
 	d.loop.Post(func(*gateway.Gateway) { time.Sleep(2 * budget * time.Millisecond) })
 	response := d.Do(context.Background(), gateway.Request{Method: http.MethodPut, Path: "/v1/closings/a", Budget: budget})
 	if response.Status != http.StatusServiceUnavailable || leader.unanswered.Load() != 0 {
--- a/internal/daemon/linkmonitor/monitor_test.go
+++ b/internal/daemon/linkmonitor/monitor_test.go
@@ -14,8 +14,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestCountsPublished checks that the numbers of a link become metrics, renewed at most
-// once in an interval.
+// TestCountsPublished checks that the counters of a link are published as metrics, at most once
+// per interval.
 func TestCountsPublished(t *testing.T) {
 	group := lifecycle.New()
 	t.Cleanup(func() { _ = group.Stop(context.Background()) })
@@ -31,15 +31,15 @@
 	l.Send(wire.AcceptedPeer(7), wire.Message{})
 	monitor.Tick(now.Add(interval / 2))
 	if dropped := gaugeValue(t, gauges, "orchidward_frames_dropped"); dropped != 0 {
-		t.Errorf("%v frames dropped are published within the interval", dropped)
+		t.Errorf("%v dropped frames are published within the interval", dropped)
 	}
 	monitor.Tick(now.Add(interval))
 	if dropped := gaugeValue(t, gauges, "orchidward_frames_dropped"); dropped != 1 {
-		t.Errorf("%v frames dropped are published, want 1", dropped)
+		t.Errorf("%v dropped frames are published, want 1", dropped)
 	}
 }
 
-// gaugeValue collects the gauges and returns the value of one.
+// gaugeValue collects the gauges and returns the value of the named one.
 func gaugeValue(t *testing.T, gauges *httpserver.Gauges, name string) float64 {
 	t.Helper()
 	registry := prometheus.NewRegistry()
--- a/internal/daemon/logging/run_test.go
+++ b/internal/daemon/logging/run_test.go
@@ -14,10 +14,10 @@
 	"go.uber.org/fx"
 )
 
-// daemonEnv is set for the process that TestHangupDoesNotStop starts of itself.
+// daemonEnv is set in the child process of TestHangupDoesNotStop, which runs the same binary.
 const daemonEnv = "ORCHIDWARD_LOGS_DAEMON"
 
-// TestMain runs a daemon in the process that TestHangupDoesNotStop starts.
+// TestMain runs a daemon if this is the child process of TestHangupDoesNotStop.
 func TestMain(m *testing.M) {
 	if os.Getenv(daemonEnv) != "" {
 		Run(fx.Invoke(func(l *Logger, life fx.Lifecycle) {
@@ -30,8 +30,8 @@
 	os.Exit(m.Run())
 }
 
-// TestHangupDoesNotStop checks that a hangup is logged and ends nothing, and that a
-// termination signal does.
+// TestHangupDoesNotStop checks that a hangup signal is logged and does not stop the daemon, and
+// that a termination signal does.
 func TestHangupDoesNotStop(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), 60*time.Second)
 	defer cancel()
@@ -58,7 +58,7 @@
 	}
 	for lines.Scan() {
 		if !strings.Contains(lines.Text(), "hangup") {
-			t.Errorf("at the end it said %q", lines.Text())
+			t.Errorf("unexpected line after SIGTERM: %q", lines.Text())
 		}
 	}
 	if err = cmd.Wait(); err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// TestQuiet checks that a quiet log leaves out events and keeps errors.
+// TestQuiet checks that a quiet logger suppresses events and writes errors.
 func TestQuiet(t *testing.T) {
 	var text bytes.Buffer
 	l := New()
--- a/internal/daemon/serverd/daemon_fixture_test.go
+++ b/internal/daemon/serverd/daemon_fixture_test.go
@@ -18,10 +18,10 @@
 	"orchidward/internal/gateway"
 )
 
-// testTimeout bounds what the tests of this package wait for.
+// testTimeout bounds each wait in the tests of this package.
 const testTimeout = 60 * time.Second
 
-// fakeLifecycle runs its start hooks when told to, and remembers a shutdown.
+// fakeLifecycle records hooks, runs the start hooks on demand and records a shutdown.
 type fakeLifecycle struct {
 	hooks    []fx.Hook
 	shutdown chan bool
@@ -29,10 +29,10 @@
 
 func newFakeLifecycle() *fakeLifecycle { return &fakeLifecycle{shutdown: make(chan bool, 1)} }
 
-// Append is that of fx.Lifecycle.
+// Append implements fx.Lifecycle.
 func (l *fakeLifecycle) Append(hook fx.Hook) { l.hooks = append(l.hooks, hook) }
 
-// Shutdown is that of fx.Shutdowner.
+// Shutdown implements fx.Shutdowner.
 func (l *fakeLifecycle) Shutdown(...fx.ShutdownOption) error {
 	select {
 	case l.shutdown <- true:
@@ -53,7 +53,7 @@
 	}
 }
 
-// freeAddrs finds addresses nobody listens on, below the range that the kernel gives to
+// freeAddrs returns unused addresses, with ports below the range that the kernel assigns to
 // outgoing connections.
 func freeAddrs(n int) []string {
 	var list []string
@@ -67,8 +67,8 @@
 	return list
 }
 
-// newTestDaemon makes a server without pages of its own. It keeps its log in data, and is
-// one without a disk where that is empty.
+// newTestDaemon returns a server without HTTP pages. It keeps its log in data; if data is empty,
+// the server has no disk.
 func newTestDaemon(t *testing.T, group *lifecycle.Group, data, addr string, seeds []string) (*Daemon, *fakeLifecycle) {
 	t.Helper()
 	log := logging.New()
@@ -98,17 +98,18 @@
 	return servers
 }
 
-// submitJob is a request that submits a job of one task.
+// submitJob returns a request that submits a job of one task.
 func submitJob(id string) gateway.Request {
 	return gateway.Request{Method: http.MethodPut, Path: "/v1/jobs/a/" + id, Body: []byte(`{"pending":"default","steps":[{"name":"s"}]}`)}
 }
 
-// submitted reports whether a response says that the job was accepted, now or before.
+// submitted reports whether a response says that the job was accepted, by this request or an
+// earlier one.
 func submitted(response gateway.Response) bool {
 	return response.Status == http.StatusCreated || response.Status == http.StatusOK
 }
 
-// retryUntilDecided repeats a request, as a caller would, until its outcome is known.
+// retryUntilDecided retries a request until its outcome is known, as a caller would.
 func retryUntilDecided(ctx context.Context, d *Daemon, request gateway.Request) gateway.Response {
 	var response gateway.Response
 	for ctx.Err() == nil {
@@ -120,14 +121,15 @@
 	return response
 }
 
-// memberCount is the number of members that a server knows, -1 if it can't be asked.
+// memberCount returns the number of group members that a server knows, -1 if its loop does not
+// run.
 func memberCount(ctx context.Context, d *Daemon) int {
 	count := -1
 	d.Inspect(ctx, func(s *controlplane.Server) { count = len(s.Raft().Members()) })
 	return count
 }
 
-// role is a server's role in its group, the zero value if it has none.
+// role returns a server's role in its group, the zero value if it has none.
 func role(ctx context.Context, d *Daemon) raft.Role {
 	var r raft.Role
 	d.Inspect(ctx, func(s *controlplane.Server) {
@@ -138,8 +140,7 @@
 	return r
 }
 
-// findLeader is the position of the server that leads, -1 when none does before the context
-// ends.
+// findLeader returns the index of the leader, or -1 if there is none before the context ends.
 func findLeader(ctx context.Context, servers []*Daemon) int {
 	for ctx.Err() == nil {
 		for i, d := range servers {
--- a/internal/daemon/serverd/daemon_test.go
+++ b/internal/daemon/serverd/daemon_test.go
@@ -14,8 +14,8 @@
 	"orchidward/internal/gateway"
 )
 
-// TestRequestAtAnyServer checks that a request made at any server, leading or not, is
-// decided by the leader, and that all servers know what one of them accepted.
+// TestRequestAtAnyServer checks that a request made at any server, leader or follower, is
+// decided by the leader, and that all servers return a job accepted through one of them.
 func TestRequestAtAnyServer(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
@@ -32,18 +32,18 @@
 		response := retryUntilDecided(ctx, d, gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
 		for j := range servers {
 			if !strings.Contains(string(response.Body), fmt.Sprintf("a/j%d", j)) {
-				t.Errorf("server %d does not know job %d: %d %s", i, j, response.Status, response.Body)
+				t.Errorf("server %d does not list job %d: %d %s", i, j, response.Status, response.Body)
 			}
 		}
 		if count := memberCount(ctx, d); count != len(servers) {
-			t.Errorf("server %d shows %d members", i, count)
+			t.Errorf("server %d knows %d members", i, count)
 		}
 		waitFor(t, fmt.Sprintf("server %d is not ready", i), d.Ready)
 	}
 }
 
-// TestDisklessServerForwards checks that a server without a data folder keeps nothing and
-// is no member, and that the leader decides a request made at it all the same.
+// TestDisklessServerForwards checks that a server without a data folder is not a member of the
+// group, and that the leader still decides requests made at it.
 func TestDisklessServerForwards(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
@@ -65,21 +65,21 @@
 	}
 	response = retryUntilDecided(ctx, servers[0], gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
 	if !strings.Contains(string(response.Body), "a/j") {
-		t.Errorf("a member does not know the job: %d %s", response.Status, response.Body)
+		t.Errorf("a member does not list the job: %d %s", response.Status, response.Body)
 	}
 
 	isMember := true
 	if !forwarder.Inspect(ctx, func(s *controlplane.Server) { isMember = s.Raft() != nil }) || isMember || !forwarder.Ready() {
-		t.Errorf("the forwarder is a member: %v, is ready: %v", isMember, forwarder.Ready())
+		t.Errorf("forwarder is a member: %v, ready: %v", isMember, forwarder.Ready())
 	}
 	if count := memberCount(ctx, servers[0]); count != len(seeds) {
-		t.Errorf("%d members", count)
+		t.Errorf("the group has %d members", count)
 	}
 }
 
-// TestServerWithoutLeader checks that a server that knows no leader tells its caller to
-// come back when the budget is used up, and that one which is full, or has ended, says so
-// at once.
+// TestServerWithoutLeader checks that a server without a known leader rejects a request with a
+// retry delay once the request's budget is used up, and that an overloaded or stopped server
+// rejects it immediately.
 func TestServerWithoutLeader(t *testing.T) {
 	group := lifecycle.New()
 	seeds := freeAddrs(3)
@@ -97,7 +97,7 @@
 	}
 
 	life.start(t)
-	waitFor(t, "the loop does not come to its calls", func() bool {
+	waitFor(t, "the loop executes no calls", func() bool {
 		return d.Inspect(context.Background(), func(*controlplane.Server) {})
 	})
 	response := ask(300)
@@ -108,9 +108,9 @@
 	cancel()
 	response = d.Do(cancelled, gateway.Request{Method: http.MethodGet, Path: "/v1/table"})
 	if response.Status != http.StatusGatewayTimeout {
-		t.Errorf("a caller that left got %d", response.Status)
+		t.Errorf("an abandoned request returned %d", response.Status)
 	}
-	waitFor(t, "requests still wait", func() bool {
+	waitFor(t, "requests are still pending", func() bool {
 		waiting := -1
 		d.Inspect(context.Background(), func(*controlplane.Server) { waiting = d.requests.Len() })
 		return waiting == 0
@@ -120,15 +120,15 @@
 		t.Fatal(err)
 	}
 	if response := ask(0); response.Status != http.StatusGatewayTimeout {
-		t.Errorf("a loop that ended answered %d", response.Status)
+		t.Errorf("after the loop ended: %d", response.Status)
 	}
 	if d.Inspect(context.Background(), func(*controlplane.Server) {}) {
-		t.Error("a loop that ended took a call")
+		t.Error("a call was executed after the loop ended")
 	}
 }
 
-// TestQueueTimeCounts checks that the time for which a request waits for the loop is taken
-// from its caller's: an order whose caller waits no more is not carried out.
+// TestQueueTimeCounts checks that the time a request spends in the loop's queue is subtracted
+// from its budget: an order whose caller has timed out is not applied.
 func TestQueueTimeCounts(t *testing.T) {
 	const budget = 100
 	group := lifecycle.New()
@@ -147,6 +147,6 @@
 	}
 	response := retryUntilDecided(ctx, servers[0], gateway.Request{Method: http.MethodGet, Path: "/v1/jobs"})
 	if strings.Contains(string(response.Body), "a/late") {
-		t.Errorf("a job was taken whose caller waited no more: %s", response.Body)
+		t.Errorf("a job was accepted after its caller's budget had run out: %s", response.Body)
 	}
 }
--- a/internal/daemon/serverd/graceful_stop_test.go
+++ b/internal/daemon/serverd/graceful_stop_test.go
@@ -9,9 +9,9 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// TestLeaveOnStopTransfersLeadership checks that a leader that is told to stop hands on
-// leadership before its hook returns, and that the next leader decides requests made at it
-// afterwards.
+// TestLeaveOnStopTransfersLeadership checks that a leader that is stopped transfers leadership
+// before its stop hook returns, and that the next leader decides requests made at the stopped
+// server afterwards.
 func TestLeaveOnStopTransfersLeadership(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
@@ -32,7 +32,7 @@
 	}
 	previous := findLeader(ctx, servers)
 	if previous < 0 {
-		t.Fatal("nobody leads")
+		t.Fatal("there is no leader")
 	}
 
 	hooks := lives[previous].hooks
@@ -40,12 +40,12 @@
 		t.Fatal(err)
 	}
 	if role(ctx, servers[previous]) == raft.Leader {
-		t.Error("the hook returned, and the server still leads")
+		t.Error("the stop hook returned, and the server is still the leader")
 	}
 	if next := findLeader(ctx, servers); next < 0 || next == previous {
-		t.Errorf("server %d leads after server %d left", next, previous)
+		t.Errorf("server %d is the leader after server %d left", next, previous)
 	}
 	if response := retryUntilDecided(ctx, servers[previous], submitJob("j")); response.Status != http.StatusOK {
-		t.Errorf("asked at the server that left: %d %s", response.Status, response.Body)
+		t.Errorf("request at the server that left: %d %s", response.Status, response.Body)
 	}
 }
--- a/internal/daemon/settings/file_test.go
+++ b/internal/daemon/settings/file_test.go
@@ -41,8 +41,8 @@
 	return f, err
 }
 
-// TestSettingsFile checks that values of every kind are read as they were written, large
-// numbers among them, that the command line has precedence, and that faults are reported.
+// TestSettingsFile checks that values of every kind, including large numbers, are read as they
+// were written, that the command line takes precedence, and that errors are reported.
 func TestSettingsFile(t *testing.T) {
 	text := `{"addr": "10.0.0.1:7001", "seeds": ["10.0.0.1:1", "10.0.0.2:2"], "file-kb": 1048576, "slow": true}`
 	f, err := parse(t, text, "--addr", "10.0.0.9:9")
@@ -78,10 +78,10 @@
 		"files: want 3 to 99, have 2",
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("%s lacks %s", got, want)
+			t.Errorf("%s does not contain %s", got, want)
 		}
 	}
 	if problems := new(Validator).Problems(); len(problems) > 0 {
-		t.Errorf("problems of no setting: %v", problems)
+		t.Errorf("an unused validator reports problems: %v", problems)
 	}
 }
--- a/internal/transport/httpclient/client_test.go
+++ b/internal/transport/httpclient/client_test.go
@@ -14,7 +14,7 @@
 
 const (
 	attemptTimeout = 150 * time.Millisecond
-	// longTimeout is for attempts that must have their response, however busy the
+	// longTimeout is for attempts that must receive their response, however busy the
 	// machine is.
 	longTimeout = 10 * time.Second
 )
@@ -26,9 +26,9 @@
 	{http.MethodPatch, "/v1/table"},
 }
 
-// TestUnknownIsNotRepeated checks that a change which is not idempotent is not sent again
-// once a gateway may have taken it: one that gave no response, reset the connection after
-// any byte of its response, closed it, or said itself that it doesn't know the outcome.
+// TestUnknownIsNotRepeated checks that a non-idempotent change is not sent again once a gateway
+// may have accepted it: the gateway sent no response, reset the connection after any byte of
+// its response, closed it early, or responded that the outcome is unknown.
 func TestUnknownIsNotRepeated(t *testing.T) {
 	complete := responseText(http.StatusOK, `{"done":true}`)
 	faults := map[string]func(*net.TCPConn, *http.Request){
@@ -51,14 +51,13 @@
 				t.Fatalf("%s: %s %s was sent %d times", fault, change.method, change.path, gateway.count())
 			}
 			if !errors.Is(err, ErrOutcomeUnknown) && got.Status != http.StatusGatewayTimeout {
-				t.Errorf("%s: %s %s came to %d, %v", fault, change.method, change.path, got.Status, err)
+				t.Errorf("%s: %s %s returned %d, %v", fault, change.method, change.path, got.Status, err)
 			}
 		}
 	}
 }
 
-// unknownOutcomes are ways for a gateway to respond that leave the outcome of a request
-// unknown.
+// unknownOutcomes returns gateway behaviors after which the outcome of a request is unknown.
 func unknownOutcomes() map[string]func(*net.TCPConn, *http.Request) {
 	return map[string]func(*net.TCPConn, *http.Request){
 		"no response": neverRespond,
@@ -67,8 +66,8 @@
 	}
 }
 
-// TestIdempotentIsRepeated checks that requests for jobs, which are known by their ids, and
-// reads are sent again after no response, a reset or a 504.
+// TestIdempotentIsRepeated checks that reads, and changes of jobs, which are identified by their
+// IDs, are sent again after a missing response, a reset or a 504.
 func TestIdempotentIsRepeated(t *testing.T) {
 	for fault, answer := range unknownOutcomes() {
 		for _, one := range []struct{ method, path string }{
@@ -81,14 +80,14 @@
 			c := New([]string{first.addr(), second.addr()}, attemptTimeout)
 			got, err := c.Do(t.Context(), one.method, one.path, nil)
 			if err != nil || got.Status != http.StatusOK || string(got.Body) != one.path || got.Gateway != second.addr() {
-				t.Errorf("%s: %s %s came to %+v, %v", fault, one.method, one.path, got, err)
+				t.Errorf("%s: %s %s returned %+v, %v", fault, one.method, one.path, got, err)
 			}
 		}
 	}
 }
 
-// TestNotTakenIsRepeated checks that any request which no gateway can have taken is sent
-// again: when nobody listened, or the gateway said that it did not take it.
+// TestNotTakenIsRepeated checks that a request that no gateway can have accepted is always sent
+// again: when the connection was refused, or the gateway rejected the request.
 func TestNotTakenIsRepeated(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -102,18 +101,18 @@
 			c := New([]string{first, second.addr()}, attemptTimeout)
 			got, err := c.Do(t.Context(), change.method, change.path, nil)
 			if err != nil || got.Status != http.StatusOK || second.count() != 1 {
-				t.Errorf("%s %s came to %d, %v; sent %d times", change.method, change.path, got.Status, err, second.count())
+				t.Errorf("%s %s returned %d, %v; sent %d times", change.method, change.path, got.Status, err, second.count())
 			}
 		}
 	}
 	c := New([]string{closed.Addr().String()}, attemptTimeout)
 	if _, err = c.Do(t.Context(), http.MethodPut, "/v1/table", nil); !errors.Is(err, ErrUnreachable) || errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("nobody listens: %v", err)
+		t.Errorf("no listener: %v", err)
 	}
 }
 
-// TestUnknownIsNoRefusal checks that once an attempt may have been taken, neither the
-// refusals of later ones nor an unreachable gateway turn the outcome into "not taken".
+// TestUnknownIsNoRefusal checks that once an attempt may have been accepted, neither rejections
+// of later attempts nor an unreachable gateway turn the outcome into a rejection.
 func TestUnknownIsNoRefusal(t *testing.T) {
 	for fault, answer := range unknownOutcomes() {
 		for _, status := range []int{http.StatusTooManyRequests, http.StatusServiceUnavailable} {
@@ -122,7 +121,7 @@
 			c := New([]string{first.addr(), second.addr()}, attemptTimeout)
 			c.Attempts = 1
 			if got, err := c.Do(t.Context(), http.MethodPut, "/v1/jobs/a/1", nil); !errors.Is(err, ErrOutcomeUnknown) {
-				t.Errorf("%s, then %d: came to %d, %v", fault, status, got.Status, err)
+				t.Errorf("%s, then %d: returned %d, %v", fault, status, got.Status, err)
 			}
 			if first.count() != 1 || second.count() != 1 {
 				t.Errorf("%s, then %d: sent %d and %d times", fault, status, first.count(), second.count())
@@ -132,23 +131,23 @@
 		c := New([]string{first.addr()}, attemptTimeout)
 		ctx, cancel := context.WithTimeout(t.Context(), 2*attemptTimeout)
 		if _, err := c.Do(ctx, http.MethodPut, "/v1/jobs/a/1", nil); !errors.Is(err, ErrOutcomeUnknown) {
-			t.Errorf("%s, and the caller gave up: %v", fault, err)
+			t.Errorf("%s, and the caller timed out: %v", fault, err)
 		}
 		cancel()
 	}
 }
 
-// TestStrayResponsesIgnored checks that a gateway that responds twice, sends more than its
-// response is long, or responds to a request that was given up, leaves nothing that the
-// next request could take for its own response.
+// TestStrayResponsesIgnored checks that the next request never mistakes stray data for its own
+// response, after a gateway has responded twice, sent more than the length of its response, or
+// responded to an abandoned request.
 func TestStrayResponsesIgnored(t *testing.T) {
 	stray := responseText(http.StatusOK, "another's")
 	answered := sync.Map{}
 	for fault, answer := range map[string]func(conn *net.TCPConn, r *http.Request){
-		"two answers": func(conn *net.TCPConn, r *http.Request) {
+		"two responses": func(conn *net.TCPConn, r *http.Request) {
 			respondWith(responseText(http.StatusOK, r.URL.Path)+stray)(conn, r)
 		},
-		"second answer, when the next request comes": func(conn *net.TCPConn, r *http.Request) {
+		"second response when the next request arrives": func(conn *net.TCPConn, r *http.Request) {
 			if _, before := answered.Swap(conn, true); before {
 				respondWith(stray)(conn, r)
 			}
@@ -159,7 +158,7 @@
 		},
 		"late": func(conn *net.TCPConn, r *http.Request) {
 			if strings.HasSuffix(r.URL.Path, "0") {
-				// The caller gives up and closes; only then is it answered.
+				// The response is sent only after the caller has timed out and closed.
 				_, _ = conn.Read(make([]byte, 1))
 			}
 			respondWith(responseText(http.StatusOK, r.URL.Path))(conn, r)
@@ -182,14 +181,14 @@
 				t.Fatalf("%s: %s was answered with %q", fault, path, got.Body)
 			}
 			if (err != nil) != late {
-				t.Errorf("%s: %s came to %v", fault, path, err)
+				t.Errorf("%s: %s returned %v", fault, path, err)
 			}
 		}
 	}
 }
 
-// TestClosedWhileIdle checks that where connections are kept alive, a change is not sent
-// again by itself when the gateway closes the connection just as the change is sent on it.
+// TestClosedWhileIdle checks that on a persistent connection a change is not resent
+// automatically when the gateway closes the connection just as the change is sent.
 func TestClosedWhileIdle(t *testing.T) {
 	for _, change := range nonIdempotent {
 		gateway := newFakeGateway(t, func(conn *net.TCPConn, r *http.Request) {
@@ -209,7 +208,7 @@
 	}
 }
 
-// TestNoRedirection checks that a request goes to the gateway that was asked and no further.
+// TestNoRedirection checks that redirects are not followed.
 func TestNoRedirection(t *testing.T) {
 	for _, status := range []int{301, 302, 303, 307, 308} {
 		other := newFakeGateway(t, respondWith(responseText(http.StatusOK, "{}")))
@@ -218,7 +217,7 @@
 		gateway := newFakeGateway(t, respondWith(redirection))
 		got, err := New([]string{gateway.addr()}, attemptTimeout).Do(t.Context(), http.MethodPut, "/v1/closings/north", []byte("{}"))
 		if err != nil || got.Status != status || other.count() != 0 {
-			t.Errorf("%d came to %d, %v; another got it %d times", status, got.Status, err, other.count())
+			t.Errorf("%d returned %d, %v; another got it %d times", status, got.Status, err, other.count())
 		}
 	}
 }
--- a/internal/transport/httpclient/fake_gateway_test.go
+++ b/internal/transport/httpclient/fake_gateway_test.go
@@ -13,7 +13,7 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// fakeGateway is a gateway whose responses are written by the test, byte by byte.
+// fakeGateway is a gateway whose raw responses are written by the test.
 type fakeGateway struct {
 	listener net.Listener
 	answer   func(conn *net.TCPConn, r *http.Request)
@@ -22,7 +22,8 @@
 	requests []string
 }
 
-// newFakeGateway listens until the test ends; answer is called for each complete request.
+// newFakeGateway starts a gateway that runs until the test ends. It calls answer for each
+// complete request.
 func newFakeGateway(t *testing.T, answer func(conn *net.TCPConn, r *http.Request)) *fakeGateway {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -70,24 +71,24 @@
 
 func (s *fakeGateway) addr() string { return s.listener.Addr().String() }
 
-// count is how many complete requests arrived.
+// count returns the number of complete requests received.
 func (s *fakeGateway) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests)
 }
 
-// responseText is the text of a response with a body.
+// responseText returns the raw text of a response with a body.
 func responseText(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// respondWith answers each request with the same text.
+// respondWith returns a handler that answers each request with the same raw text.
 func respondWith(text string) func(*net.TCPConn, *http.Request) {
 	return func(conn *net.TCPConn, _ *http.Request) { _, _ = io.WriteString(conn, text) }
 }
 
-// respondAndReset answers with a text and resets the connection.
+// respondAndReset returns a handler that writes the raw text and resets the connection.
 func respondAndReset(text string) func(*net.TCPConn, *http.Request) {
 	return func(conn *net.TCPConn, _ *http.Request) {
 		_, _ = io.WriteString(conn, text)
@@ -96,5 +97,5 @@
 	}
 }
 
-// neverRespond leaves a request without a response.
+// neverRespond is a handler that sends no response.
 func neverRespond(*net.TCPConn, *http.Request) {}
--- a/internal/transport/httpserver/connection_loss_test.go
+++ b/internal/transport/httpserver/connection_loss_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// TestResponseToClosedConnectionDropped checks that the response to a request whose client
-// has closed the connection reaches nobody: requests on a later connection get their own.
+// TestResponseToClosedConnectionDropped checks that the response to a request whose client has
+// closed the connection is dropped, and that requests on a later connection get their own
+// responses.
 func TestResponseToClosedConnectionDropped(t *testing.T) {
 	entered := make(chan bool)
 	release := make(chan bool)
@@ -86,7 +87,7 @@
 			_ = conn.(*net.TCPConn).SetLinger(0)
 			conn.Close()
 			if err = <-outcome; err == nil {
-				t.Errorf("a body of which %d of %d bytes came passed for complete", n, len(body))
+				t.Errorf("a body with %d of %d bytes received was read as complete", n, len(body))
 			}
 		}
 	}
--- a/internal/transport/httpserver/handler_server_test.go
+++ b/internal/transport/httpserver/handler_server_test.go
@@ -11,7 +11,7 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// waitUntilClosed waits until nobody listens on an address.
+// waitUntilClosed waits until connections to an address are refused.
 func waitUntilClosed(t *testing.T, addr string) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); {
@@ -24,8 +24,8 @@
 	t.Fatal("still listening")
 }
 
-// serveInFlight is a server with one request in flight, which is answered when release is
-// closed; got is what its client then gets.
+// serveInFlight starts a server with one request in flight, which is answered when release is
+// closed. got receives the result that its client sees.
 func serveInFlight(t *testing.T, group *lifecycle.Group) (s *Server, release chan bool, got chan string) {
 	t.Helper()
 	entered := make(chan bool)
@@ -45,13 +45,13 @@
 	group.Go(func(<-chan struct{}) {
 		res, err := http.Get("http://" + s.Addr() + "/slow")
 		if err != nil {
-			got <- "broke off: " + err.Error()
+			got <- "failed: " + err.Error()
 			return
 		}
 		defer res.Body.Close()
 		line, _ := bufio.NewReader(res.Body).ReadString(0)
 		if !res.Close {
-			line += ", and the connection stays"
+			line += ", and the connection stays open"
 		}
 		got <- line
 	})
@@ -59,8 +59,8 @@
 	return s, release, got
 }
 
-// TestStopWaitsForInFlight checks that a request still in flight when the drain delay is
-// over and the listener has closed is answered completely, however long it takes.
+// TestStopWaitsForInFlight checks that a request that is still in flight after the drain delay,
+// when the listener is closed, is answered completely, however long it takes.
 func TestStopWaitsForInFlight(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
@@ -78,19 +78,20 @@
 	}
 }
 
-// TestDrainClosesConnections checks that a draining server takes requests, and that every
-// response, also to requests from before, says that its connection closes.
+// TestDrainClosesConnections checks that a draining server accepts requests, and that every
+// response carries "Connection: close", including responses to requests that were in flight
+// when the drain began.
 func TestDrainClosesConnections(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
 	s, release, got := serveInFlight(t, group)
 	if s.DrainDelay != defaultDrainDelay {
-		t.Errorf("drains for %v", s.DrainDelay)
+		t.Errorf("drain delay %v, want the default", s.DrainDelay)
 	}
 	conn, res := get(t, s.Addr(), "/")
 	conn.Close()
 	if res.StatusCode != http.StatusOK || res.Close {
-		t.Errorf("before the stop: %d, closes: %v", res.StatusCode, res.Close)
+		t.Errorf("before the stop: status %d, closes connection: %v", res.StatusCode, res.Close)
 	}
 	s.DrainDelay = time.Hour
 	ctx, cancel := context.WithCancel(context.Background())
@@ -104,7 +105,7 @@
 	conn, res = get(t, s.Addr(), "/")
 	conn.Close()
 	if res.StatusCode != http.StatusOK || !res.Close {
-		t.Errorf("while draining: %d, closes: %v", res.StatusCode, res.Close)
+		t.Errorf("while draining: status %d, closes connection: %v", res.StatusCode, res.Close)
 	}
 	close(release)
 	if text := <-got; text != "complete" {
--- a/internal/transport/httpserver/metrics_test.go
+++ b/internal/transport/httpserver/metrics_test.go
@@ -6,7 +6,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// TestGroupReplacesSeries guards against series of tenants that are no more, which would pile up without bound.
+// TestGroupReplacesSeries checks that series of removed tenants are dropped; otherwise they
+// would accumulate without bound.
 func TestGroupReplacesSeries(t *testing.T) {
 	gauges := NewGauges()
 	gauges.SetGroup("used", "tenant", map[string]float64{"a": 1, "b": 2})
--- a/internal/transport/httpserver/random_streams_test.go
+++ b/internal/transport/httpserver/random_streams_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// maxPlainRequest bounds a plain request, in bytes.
+// maxPlainRequest is the maximum size of a plain request, in bytes.
 const maxPlainRequest = 4096
 
 var (
@@ -22,7 +22,7 @@
 	printable = regexp.MustCompile(`^[!-~]([ -~]*[!-~])?$`)
 )
 
-// plain reports whether a request is beyond doubt one that must be carried out.
+// plain reports whether a request is unambiguously valid, so that the server must execute it.
 func plain(r *http.Request, raw []byte, body []byte) bool {
 	head, _, _ := bytes.Cut(raw, []byte("\r\n\r\n"))
 	if r.ProtoMajor != 1 || r.ProtoMinor != 1 || r.Close || !plainHost.MatchString(r.Host) {
@@ -42,8 +42,8 @@
 	return len(r.TransferEncoding) == 0 || r.ContentLength < 0
 }
 
-// parseComplete reads the complete requests of a stream, one after another, up to the first
-// that is none. The first plainCount of them are plain.
+// parseComplete parses the complete requests of a stream, up to the first that is invalid or
+// incomplete. The first plainCount of them are plain.
 func parseComplete(stream []byte) (list []executed, plainCount int) {
 	source := bytes.NewReader(stream)
 	in := bufio.NewReader(source)
@@ -70,7 +70,7 @@
 	}
 }
 
-// skipLineEnds skips the line ends that old clients send after the body of a POST.
+// skipLineEnds skips the line breaks that old clients send after the body of a POST.
 func skipLineEnds(in *bufio.Reader) {
 	ends, _ := in.Peek(4)
 	for _, b := range ends {
@@ -81,8 +81,8 @@
 	}
 }
 
-// checkStream sends a stream and compares what was carried out with what the stream has. It
-// returns how many of its first requests had to be carried out.
+// checkStream sends a stream and compares the requests that were executed with those in the
+// stream. It returns how many of the first requests had to be executed.
 func checkStream(t testing.TB, e *echo, addr string, stream []byte, piece int) int {
 	t.Helper()
 	answers, local, clean := exchange(t, addr, stream, piece)
@@ -91,19 +91,19 @@
 	done := carriedOut(calls)
 	list, plainCount := parseComplete(stream)
 	if len(done) < plainCount {
-		t.Errorf("%d requests stand completely in %q, only %v were carried out", plainCount, stream, done)
+		t.Errorf("%d requests are complete in %q, only %v were carried out", plainCount, stream, done)
 	}
 	checkInOrder(t, done, list, stream)
 	for i := 0; i < plainCount && i < len(done); i++ {
 		if done[i] != list[i] {
-			t.Errorf("carried out %v in place of %v in %q", done[i], list[i], stream)
+			t.Errorf("carried out %v instead of %v in %q", done[i], list[i], stream)
 		}
 	}
 	return plainCount
 }
 
-// checkInOrder checks that what was carried out are requests of a stream, in its order and
-// each once.
+// checkInOrder checks that the executed requests are requests of the stream, in order and each
+// at most once.
 func checkInOrder(t testing.TB, done, list []executed, stream []byte) {
 	t.Helper()
 	next := 0
@@ -112,13 +112,13 @@
 			next++
 		}
 		if next == len(list) {
-			t.Fatalf("%v does not stand completely, or once, in %q", one, stream)
+			t.Fatalf("carried out %v, which is not among the remaining complete requests of %q", one, stream)
 		}
 		next++
 	}
 }
 
-// randomRequest is the text of a request that is mostly valid.
+// randomRequest returns the raw text of a request that is usually valid.
 func randomRequest(random *rand.Rand, id int) string {
 	method := []string{"GET", "PUT", "POST", "DELETE", "HEAD", "PATCH"}[random.Intn(6)]
 	path := []string{"/a", "/b/c", "/c", "/d", "/e?f=g", "/early"}[random.Intn(6)]
@@ -142,8 +142,8 @@
 	return rawRequest(method, path, name, withLength(len(body)), body)
 }
 
-// randomStream is a sequence of requests, often with some bytes changed, removed,
-// duplicated or cut off.
+// randomStream returns a sequence of requests, often with some bytes changed, removed,
+// duplicated or truncated.
 func randomStream(random *rand.Rand) []byte {
 	var stream []byte
 	for i := random.Intn(4); i >= 0; i-- {
@@ -171,9 +171,8 @@
 	randomStreamTime = 3 * time.Second
 )
 
-// TestRandomStreams checks that whatever bytes come, the complete requests among them are
-// carried out once, in their order, each is answered with its own response, and nothing
-// else is carried out.
+// TestRandomStreams checks that for arbitrary input, the complete requests in it are executed
+// once and in order, each is answered with its own response, and nothing else is executed.
 func TestRandomStreams(t *testing.T) {
 	e, addr := newHandlerEcho(t)
 	random := rand.New(rand.NewSource(1))
@@ -190,7 +189,7 @@
 	t.Logf("%d streams, %d requests that had to be carried out", streams, plainCount)
 }
 
-// FuzzServer is TestRandomStreams for bytes that the fuzzer chooses.
+// FuzzServer checks the properties of TestRandomStreams on streams chosen by the fuzzer.
 func FuzzServer(f *testing.F) {
 	hidden := rawRequest("PUT", "/hidden", "9", withLength(0), "")
 	f.Add([]byte(rawRequest("PUT", "/a", "1", withLength(3), "abc")+rawRequest("GET", "/b", "2", "", "")), 0)
--- a/internal/transport/httpserver/server_test.go
+++ b/internal/transport/httpserver/server_test.go
@@ -13,7 +13,7 @@
 	"orchidward/internal/daemon/lifecycle"
 )
 
-// get sends a request on a connection of its own, which stays open.
+// get sends a request on a new connection, which stays open.
 func get(t *testing.T, addr, path string) (conn net.Conn, res *http.Response) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -32,8 +32,8 @@
 	return conn, res
 }
 
-// TestConnectionLimit checks that a process with all its connections in use refuses more
-// at once, says when to come back, and accepts again as soon as others are closed.
+// TestConnectionLimit checks that a server at its connection limit rejects further connections
+// immediately with Retry-After, and accepts connections again once others are closed.
 func TestConnectionLimit(t *testing.T) {
 	s, err := New("127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 		open = append(open, conn)
 	}
 	if _, res := get(t, s.Addr(), "/live"); res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") == "" {
-		t.Errorf("one too many got %d", res.StatusCode)
+		t.Errorf("connection over the limit got %d", res.StatusCode)
 	}
 	open[0].Close()
 	for end := time.Now().Add(30 * time.Second); s.listener.open.Load() > 2; {
@@ -59,12 +59,12 @@
 		}
 	}
 	if _, res := get(t, s.Addr(), "/live"); res.StatusCode != http.StatusOK {
-		t.Errorf("after one left, the next got %d", res.StatusCode)
+		t.Errorf("after one was closed, the next connection got %d", res.StatusCode)
 	}
 }
 
 // TestStopAnswersInFlight checks that a request in flight when the stop begins is answered
-// completely, and that the process is not ready from that moment on.
+// completely, and that the server reports not ready from then on.
 func TestStopAnswersInFlight(t *testing.T) {
 	s, err := New("127.0.0.1:0")
 	if err != nil {
@@ -101,7 +101,7 @@
 		}
 	}
 	if _, res := get(t, s.Addr(), "/ready"); res.StatusCode != http.StatusServiceUnavailable {
-		t.Errorf("a stopping process says %d to /ready", res.StatusCode)
+		t.Errorf("a stopping server answers /ready with %d", res.StatusCode)
 	}
 	release <- true
 	if text := <-got; text != "complete" {
--- a/internal/transport/httpserver/stream_fixture_test.go
+++ b/internal/transport/httpserver/stream_fixture_test.go
@@ -26,7 +26,7 @@
 	exchangeTimeout = 20 * time.Second
 )
 
-// executed is one request that a handler read completely and carried out.
+// executed is a request that a handler read completely and executed.
 type executed struct {
 	method string
 	path   string
@@ -38,8 +38,8 @@
 	return fmt.Sprintf("%s %s id %s body %q", e.method, e.path, e.id, e.body)
 }
 
-// handled is one call of a handler: what it carried out, or the status with which it
-// refused, 0 for none.
+// handled is one call of a handler: the request it executed, or the status with which it
+// rejected the request, 0 if it did not.
 type handled struct {
 	executed
 	refused int
@@ -55,7 +55,7 @@
 
 var echoMethods = []string{"GET", "HEAD", "PUT", "POST", "PATCH", "DELETE"}
 
-// echo is a handler that answers each request with the account of its call, and records
+// echo is a handler that answers each request with the summary of its call, and records
 // the calls of each connection in order.
 type echo struct {
 	mu    sync.Mutex
@@ -75,7 +75,7 @@
 	_, _ = io.WriteString(w, one.String())
 }
 
-// read reads a request as the program's handlers do.
+// read reads a request in the way the daemons' handlers do.
 func read(w http.ResponseWriter, r *http.Request) handled {
 	var one handled
 	one.executed = executed{method: r.Method, path: r.URL.Path, id: r.Header.Get(requestIDHeader)}
@@ -97,7 +97,7 @@
 	return one
 }
 
-// carriedOut leaves out what was refused.
+// carriedOut returns the calls that were not rejected.
 func carriedOut(calls []handled) []executed {
 	var list []executed
 	for _, one := range calls {
@@ -108,7 +108,7 @@
 	return list
 }
 
-// takeCalls returns the calls of a connection and forgets them.
+// takeCalls returns and removes the calls of a connection.
 func (e *echo) takeCalls(addr string) []handled {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,7 +117,7 @@
 	return list
 }
 
-// newHandlerEcho serves an echo on a server with one handler.
+// newHandlerEcho serves an echo with a server made by NewHandlerServer.
 func newHandlerEcho(t testing.TB) (e *echo, addr string) {
 	e = &echo{calls: map[string][]handled{}}
 	s, err := NewHandlerServer("127.0.0.1:0", e)
@@ -128,7 +128,7 @@
 	return e, s.Addr()
 }
 
-// newRoutedEcho serves an echo on a server with routes.
+// newRoutedEcho serves an echo with a server made by New, which has routes.
 func newRoutedEcho(t testing.TB) (e *echo, addr string) {
 	e = &echo{calls: map[string][]handled{}}
 	s, err := New("127.0.0.1:0")
@@ -154,8 +154,9 @@
 	})
 }
 
-// exchange writes a stream in pieces, closes its side and reads all that comes back. clean
-// is false when the connection was reset, so that responses may be missing.
+// exchange writes a stream in pieces, closes its side for writing and reads everything that
+// the server sends. clean is false if the connection was reset, so that responses may be
+// missing.
 func exchange(t testing.TB, addr string, stream []byte, piece int) (answers []byte, local string, clean bool) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -178,13 +179,13 @@
 	answers, err = io.ReadAll(conn)
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		t.Fatalf("no end of the answers to %q", stream)
+		t.Fatalf("the responses to %q did not end in time", stream)
 	}
 	return answers, conn.LocalAddr().String(), err == nil
 }
 
-// checkResponses checks that the responses are those to the calls in their order, and lists
-// the status of each, the server's own among them.
+// checkResponses checks that the responses match the calls in order. It returns the status of
+// every response, including those that the server sent without calling the handler.
 func checkResponses(t testing.TB, answers []byte, calls []handled, clean bool) []int {
 	t.Helper()
 	var list []int
@@ -201,13 +202,13 @@
 		res, err := http.ReadResponse(in, &http.Request{Method: method})
 		if err != nil {
 			if clean {
-				t.Errorf("an answer does not parse: %v in %q", err, answers)
+				t.Errorf("a response does not parse: %v in %q", err, answers)
 			}
 			break
 		}
 		body, err := io.ReadAll(res.Body)
 		if err != nil && clean {
-			t.Errorf("an answer is cut short: %q", answers)
+			t.Errorf("a response is truncated: %q", answers)
 		}
 		if res.StatusCode < 200 {
 			continue
@@ -218,7 +219,7 @@
 			continue
 		}
 		if next >= len(calls) {
-			t.Fatalf("%d requests were handled and more answered: %q", len(calls), answers)
+			t.Fatalf("only %d requests were handled, but more were answered: %q", len(calls), answers)
 		}
 		want := calls[next]
 		next++
@@ -235,7 +236,7 @@
 	return list
 }
 
-// rawRequest is the text of one request.
+// rawRequest returns the raw text of a request.
 func rawRequest(method, path, id, more, body string) string {
 	return method + " " + path + " HTTP/1.1\r\nHost: a.example\r\n" + requestIDHeader + ": " + id + "\r\n" + more + "\r\n" + body
 }
@@ -244,5 +245,5 @@
 
 const chunked = "Transfer-Encoding: chunked\r\n"
 
-// oneChunk is a chunked body of one chunk.
+// oneChunk returns a chunked body of one chunk.
 func oneChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(text), text) }
--- a/internal/transport/link/idle_test.go
+++ b/internal/transport/link/idle_test.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// shortIdleTimeout is the idle timeout of a link that may find a connection idle.
+	// shortIdleTimeout is the idle timeout of links whose connections may become idle.
 	shortIdleTimeout = 100 * time.Millisecond
-	// longIdleTimeout is that of one that must not, though the test may be held up.
+	// longIdleTimeout is the idle timeout of links whose connections must not become idle, even
+	// if the test is delayed.
 	longIdleTimeout = 2 * time.Second
 )
 
-// listenWithIdleTimeout makes a link with this idle timeout, whose messages go to a
-// channel until the test ends.
+// listenWithIdleTimeout returns a link with the given idle timeout and a channel of its
+// received messages. The link runs until the test ends.
 func listenWithIdleTimeout(t *testing.T, idle time.Duration) (*Link, <-chan received) {
 	t.Helper()
 	group := lifecycle.New()
@@ -33,9 +34,9 @@
 	return l, in
 }
 
-// TestIdleConnectionAnswered checks that a process which has long sent requests without
-// needing an answer, as a gateway does to a server that follows, gets one on the same
-// connection once there is one.
+// TestIdleConnectionAnswered checks that a process that has sent requests for a long time
+// without receiving a response, as a gateway does with a follower, still receives a response
+// on the same connection.
 func TestIdleConnectionAnswered(t *testing.T) {
 	l, in := listenWithIdleTimeout(t, shortIdleTimeout)
 	caller := dialAndRequest(t, l, 1)
@@ -47,7 +48,7 @@
 			t.Fatal(err)
 		}
 		if got := <-in; got.from != peer || got.message.Request.ID != id {
-			t.Fatalf("request %d came as %d from %s", id, got.message.Request.ID, got.from)
+			t.Fatalf("request %d was received as %d from %s", id, got.message.Request.ID, got.from)
 		}
 	}
 	const shortWait = 3 * time.Second
@@ -59,7 +60,7 @@
 }
 
 // TestIdleConnectionEndsOnBothSides checks that a connection on which nothing is sent or
-// received is closed by the side that dialled it, and forgotten by both.
+// received is closed by the dialling side and removed on both sides.
 func TestIdleConnectionEndsOnBothSides(t *testing.T) {
 	dialling, _ := listenWithIdleTimeout(t, shortIdleTimeout)
 	accepting, in := listenWithIdleTimeout(t, shortIdleTimeout)
@@ -69,8 +70,8 @@
 	waitFor(t, "the accepting side keeps an idle connection", func() bool { return accepting.connectionCount() == 0 })
 }
 
-// TestReceivingConnectionNotIdle checks that a connection on which only responses come, long
-// after the last request, is kept.
+// TestReceivingConnectionNotIdle checks that a connection is kept while only responses arrive
+// on it, long after the last request.
 func TestReceivingConnectionNotIdle(t *testing.T) {
 	dialling, responses := listenWithIdleTimeout(t, longIdleTimeout)
 	accepting, in := listenWithIdleTimeout(t, longIdleTimeout)
@@ -82,7 +83,7 @@
 		select {
 		case got := <-responses:
 			if got.message.Response == nil || got.message.Response.ID != id {
-				t.Fatalf("response %d came as %+v", id, got.message.Response)
+				t.Fatalf("response %d was received as %+v", id, got.message.Response)
 			}
 		case <-time.After(testTimeout):
 			t.Fatalf("response %d did not come", id)
@@ -90,9 +91,9 @@
 	}
 }
 
-// TestRefusingPeerNotDialledForNothing checks that a peer which closes each connection at
-// once, as one does that has as many as it takes, is dialled once more after a message was
-// sent, and then not until there is another.
+// TestRefusingPeerNotDialledForNothing checks that a peer that closes each connection at once,
+// as a peer at its connection limit does, is dialled at most twice for a message, and then not
+// until there is another one.
 func TestRefusingPeerNotDialledForNothing(t *testing.T) {
 	l, _ := listen(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -114,7 +115,7 @@
 	const maxDialsAMessage = 2
 	for id := range uint64(3) {
 		l.Send(wire.Peer(listener.Addr().String()), request(id))
-		waitFor(t, "a peer that refuses is kept", func() bool { return len(accepted) > 0 && l.connectionCount() == 0 })
+		waitFor(t, "a connection to a rejecting peer is kept", func() bool { return len(accepted) > 0 && l.connectionCount() == 0 })
 		time.Sleep(5 * redialInterval)
 		if dials := len(accepted); dials > maxDialsAMessage {
 			t.Fatalf("dialled %d times for message %d", dials, id)
--- a/internal/transport/link/link_test.go
+++ b/internal/transport/link/link_test.go
@@ -12,7 +12,7 @@
 	"orchidward/internal/transport/wire"
 )
 
-// testTimeout is how long a test waits for what must happen.
+// testTimeout bounds how long a test waits for an expected event.
 const testTimeout = 20 * time.Second
 
 // waitFor waits until a condition is met.
@@ -25,13 +25,14 @@
 	}
 }
 
-// received is one message and the peer that it came from.
+// received is a message and the peer that sent it.
 type received struct {
 	from    wire.Peer
 	message wire.Message
 }
 
-// listen makes a link whose messages go to a channel, until the test ends.
+// listen returns a link and a channel of its received messages. The link runs until the test
+// ends.
 func listen(t *testing.T) (*Link, <-chan received) {
 	t.Helper()
 	group := lifecycle.New()
@@ -45,7 +46,7 @@
 	return l, in
 }
 
-// connectionCount is how many connections a link has.
+// connectionCount returns the number of connections of a link.
 func (l *Link) connectionCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +61,7 @@
 	return wire.Message{Response: &wire.Response{ID: id, Status: 200}}
 }
 
-// remoteProcess is a process at the other end of one connection.
+// remoteProcess is a process at the remote end of a connection.
 type remoteProcess struct {
 	net.Conn
 	decoder *wire.Decoder
@@ -86,19 +87,19 @@
 	return newRemoteProcess(t, conn)
 }
 
-// TestReplyToClosedConnectionDropped checks that a reply goes out on the connection that
-// its request came on; once that is closed it is dropped, whoever has connected since and
-// whatever number their requests have.
+// TestReplyToClosedConnectionDropped checks that a reply is sent only on the connection on
+// which its request arrived. Once that connection is closed the reply is dropped, even if
+// another process has connected since and uses the same request ID.
 func TestReplyToClosedConnectionDropped(t *testing.T) {
 	l, in := listen(t)
 	first := dialAndRequest(t, l, 5)
 	firstPeer := (<-in).from
 	first.Close()
-	waitFor(t, "a closed connection stays", func() bool { return l.connectionCount() == 0 })
+	waitFor(t, "a closed connection is not removed", func() bool { return l.connectionCount() == 0 })
 	second := dialAndRequest(t, l, 5)
 	secondPeer := (<-in).from
 	if firstPeer == secondPeer {
-		t.Errorf("two connections have one name, %s", secondPeer)
+		t.Errorf("two connections have the same peer, %s", secondPeer)
 	}
 	before := l.Counts().Dropped
 	l.Send(firstPeer, response(5))
@@ -112,9 +113,9 @@
 	}
 }
 
-// TestQueuedMessagesNotSentToSuccessor checks that what waits for a process whose
-// connection is lost goes to nobody else that listens at its address next; that process
-// gets what is sent from then on.
+// TestQueuedMessagesNotSentToSuccessor checks that messages queued for a process whose
+// connection is lost are not sent to another process that listens at the same address later,
+// and that the new process receives the messages sent from then on.
 func TestQueuedMessagesNotSentToSuccessor(t *testing.T) {
 	const (
 		queuedRequests = 300
@@ -150,6 +151,6 @@
 	}
 	l.Send(to, request(lastID))
 	if got, err := newRemoteProcess(t, conn).decoder.Decode(); err != nil || got.Request == nil || got.Request.ID != lastID {
-		t.Errorf("who listens now got what waited for another: %v, %v", got.Request != nil && got.Request.ID < queuedRequests, err)
+		t.Errorf("the new listener got messages queued for another process: %v, %v", got.Request != nil && got.Request.ID < queuedRequests, err)
 	}
 }
--- a/internal/transport/link/stalled_test.go
+++ b/internal/transport/link/stalled_test.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestStalledConnectionReported checks that a connection whose messages nobody takes is
-// reported once the limit has passed, just once, and again only after it made progress.
+// TestStalledConnectionReported checks that a connection whose messages are not dequeued is
+// reported once after the limit has passed, and again only after it has made progress.
 func TestStalledConnectionReported(t *testing.T) {
 	const limit = 2 * time.Second
 	l, _ := listen(t)
@@ -40,11 +40,12 @@
 	<-c.queue.Out()
 	c.dequeued.Add(1)
 	if check(limit/2) != 0 || check(limit) != 1 {
-		t.Error("not reported anew after progress")
+		t.Error("not reported again after progress")
 	}
 }
 
-// TestCounts checks that accepted and dialled connections, and dials that fail, are counted.
+// TestCounts checks that accepted connections, dialled connections and failed dials are
+// counted.
 func TestCounts(t *testing.T) {
 	l, _ := listen(t)
 	other, in := listen(t)
--- a/internal/transport/wire/codec_test.go
+++ b/internal/transport/wire/codec_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// firstVersionMessages are those that the first version knew.
+// firstVersionMessages returns messages with all the fields that the first version had.
 func firstVersionMessages() []Message {
 	members := []raft.Member{
 		{ID: 7, Addr: "127.0.0.1:1", Domain: "north", Voter: true},
@@ -75,7 +75,7 @@
 	}
 }
 
-// laterMessages are messages with what the first version did not have.
+// laterMessages returns messages with fields that the first version did not have.
 func laterMessages() []Message {
 	reading := LeaderTime{Term: 9, At: -4}
 	return []Message{
@@ -94,7 +94,7 @@
 	}
 }
 
-// roundTrip encodes a message and decodes it.
+// roundTrip encodes a message and decodes the result.
 func roundTrip(t *testing.T, m Message) Message {
 	t.Helper()
 	var buf bytes.Buffer
@@ -117,8 +117,9 @@
 	}
 }
 
-// TestLargeAppend checks an append of so many entries that it needs more than the encoder's
-// first segment, which an arena of several segments once refused to link.
+// TestLargeAppend checks an append with so many entries that it does not fit in the encoder's
+// first segment. With a multi-segment arena, encoding such a message failed when segments were
+// linked.
 func TestLargeAppend(t *testing.T) {
 	m := Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
@@ -134,8 +135,7 @@
 	}
 }
 
-// FuzzFrame checks that whatever comes in, decoding neither panics nor returns an empty
-// message.
+// FuzzFrame checks that decoding arbitrary input neither panics nor returns an empty message.
 func FuzzFrame(f *testing.F) {
 	for _, m := range firstVersionMessages() {
 		var buf bytes.Buffer
--- a/internal/transport/wire/compatibility_test.go
+++ b/internal/transport/wire/compatibility_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// TestFirstVersionFrames decodes frames as the first version wrote them, byte for byte.
-// The files are never made anew: a version that cannot read them cannot run beside the
-// first one.
+// TestFirstVersionFrames decodes frames written by the first version. The files must never be
+// regenerated: a version that cannot read them cannot run in a cluster together with the first
+// version.
 func TestFirstVersionFrames(t *testing.T) {
 	for i, want := range firstVersionMessages() {
 		name := filepath.Join("testdata", "frame-1-"+string(rune('a'+i))+".bin")
@@ -20,7 +20,7 @@
 		}
 		decoded, err := NewDecoder(bytes.NewReader(data)).Decode()
 		if err != nil || !reflect.DeepEqual(decoded, want) {
-			t.Errorf("%s reads as %+v (%v), want %+v", name, decoded, err, want)
+			t.Errorf("%s decodes to %+v (%v), want %+v", name, decoded, err, want)
 		}
 	}
 }
--- a/internal/transport/wire/fields_test.go
+++ b/internal/transport/wire/fields_test.go
@@ -7,14 +7,14 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// setter gives one field, somewhere inside a value, another value than zero.
+// setter sets one field, at any depth inside a value, to a non-zero value.
 type setter struct {
 	path string
 	set  func(v reflect.Value)
 }
 
-// setters lists a setter for each field inside a type that holds no fields itself.
-// Pointers on the way are allocated, and lists get one element.
+// setters returns a setter for each leaf field of a type. Setters allocate the pointers on the
+// path to the field, and create slices with one element.
 func setters(t reflect.Type, path string) []setter {
 	switch t.Kind() {
 	case reflect.Struct:
@@ -44,7 +44,8 @@
 	return list
 }
 
-// mapSetters makes setters of an outer value from those of the one that inner finds in it.
+// mapSetters converts setters of an inner value to setters of the outer value in which inner
+// finds it.
 func mapSetters(list []setter, inner func(v reflect.Value) reflect.Value) []setter {
 	var outer []setter
 	for _, s := range list {
@@ -65,13 +66,13 @@
 	case v.Kind() == reflect.String:
 		v.SetString("text")
 	default:
-		panic(path + " is of a type that setScalar does not know")
+		panic(path + " has a type that setScalar does not support")
 	}
 }
 
-// TestEveryFieldSurvives checks that each field of each message is decoded as it was
-// encoded when it is the only one that is set, and for raft messages also with each kind:
-// none is carried only beside another.
+// TestEveryFieldSurvives checks that each field of each message is decoded as it was encoded
+// when no other field is set, and for Raft messages also with each kind. It guards against
+// fields that are encoded only if another field is set.
 func TestEveryFieldSurvives(t *testing.T) {
 	const minFields = 60
 	list := setters(reflect.TypeFor[Message](), "")
@@ -82,7 +83,7 @@
 		var m Message
 		s.set(reflect.ValueOf(&m).Elem())
 		if decoded := roundTrip(t, m); !reflect.DeepEqual(m, decoded) {
-			t.Errorf("%s is lost when it stands alone", s.path)
+			t.Errorf("%s is lost when no other field is set", s.path)
 		}
 	}
 	for _, s := range setters(reflect.TypeFor[raft.Message](), "Raft") {
--- a/tests/mutation/abandoned.go
+++ b/tests/mutation/abandoned.go
@@ -10,7 +10,7 @@
 		original:    "		call.cancel()\n",
 		replacement: "		_ = call\n",
 		tests:       test("./internal/daemon/eventloop", "TestAwaitCancelledBeforeStart"),
-		want:        "work began whose caller had left",
+		want:        "an abandoned call was executed",
 	},
 	{
 		name:        "time spent in a process does not count against the budget",
@@ -38,7 +38,7 @@
 		original:    "r.Waited = d.clock.Now().Since(arrivedAt)",
 		replacement: "r.Waited = arrivedAt.Since(arrivedAt)",
 		tests:       test("./internal/daemon/serverd", "TestQueueTimeCounts"),
-		want:        "whose caller waited no more",
+		want:        "after its caller's budget had run out",
 	},
 	{
 		name:        "abandoned order is not withdrawn",
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -217,7 +217,7 @@
 		original:    "\t\tc.discard()\n",
 		replacement: "",
 		tests:       test("./internal/transport/link", "TestQueuedMessagesNotSentToSuccessor"),
-		want:        "got what waited for another",
+		want:        "got messages queued for another process",
 	},
 	{
 		name:        "idle accepted connection is read but not written to",
@@ -245,7 +245,7 @@
 		original:    "if unused && l.removeIfEmpty(to, c) {",
 		replacement: "if unused && conn == nil && l.removeIfEmpty(to, c) {",
 		tests:       test("./internal/transport/link", "TestRefusingPeerNotDialledForNothing"),
-		want:        "a peer that refuses is kept",
+		want:        "a connection to a rejecting peer is kept",
 	},
 	{
 		name:        "connection counts as idle while it receives responses",
@@ -269,7 +269,7 @@
 		original:    "\tif call.cancel() {\n\t\treturn false\n",
 		replacement: "\tif !call.claimed.Load() {\n\t\treturn false\n",
 		tests:       test("./internal/daemon/agentd", "TestCancelledHeartbeatNeverHandled"),
-		want:        "a heartbeat that was given up was",
+		want:        "an abandoned heartbeat was",
 	},
 	{
 		name:        "handler reports an unknown outcome as rejected",
