--- a/internal/daemon/gatewayd/requests.go
+++ b/internal/daemon/gatewayd/requests.go
@@ -20,8 +20,8 @@
 	codeBadRequest = "bad-request"
 )
 
-// retryAfterRefusal is the Retry-After of a request that the daemon could not process.
-const retryAfterRefusal clock.Millis = 1000
+// retryAfterRejection is the Retry-After of a request that the daemon could not process.
+const retryAfterRejection clock.Millis = 1000
 
 // Do passes a request to the gateway and returns its response, within the request's budget. If
 // ctx ends first, the request is abandoned and Do returns a 504. If the call queue is full, the
@@ -41,7 +41,7 @@
 		return overloaded()
 	case errors.Is(err, eventloop.ErrStopped):
 		return gateway.ErrorResponse(http.StatusGatewayTimeout, codeStopping,
-			"this gateway has stopped; the outcome is not known", retryAfterRefusal)
+			"this gateway has stopped; the outcome is not known", retryAfterRejection)
 	}
 	d.forget(r.ID)
 	return gateway.ErrorResponse(http.StatusGatewayTimeout, codeNoAnswer, "the caller left; the outcome is not known", 0)
@@ -65,5 +65,5 @@
 // full. Unlike the body of other error responses, its body does not repeat the retry delay.
 func overloaded() gateway.Response {
 	body := jsondoc.ErrorBody{Code: codeBusy, Message: "this gateway is full"}
-	return gateway.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterRefusal, Body: body.JSON()}
+	return gateway.Response{Status: http.StatusServiceUnavailable, RetryAfter: retryAfterRejection, Body: body.JSON()}
 }
--- a/internal/gateway/requests.go
+++ b/internal/gateway/requests.go
@@ -195,7 +195,7 @@
 		g.requests.endAttempt(r)
 		r.outcomeUnknown = true
 		r.retryAt = g.now.Add(retryInterval)
-	case r.mayBeApplied() && response.IsRefusal():
+	case r.mayBeApplied() && response.IsRejection():
 		g.replyUnknown(r.ID)
 	default:
 		g.reply(Response{ID: r.ID, Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter})
--- a/internal/inflight/requests.go
+++ b/internal/inflight/requests.go
@@ -143,7 +143,7 @@
 		q.mayHaveExecuted = true
 		q.dispatched = false
 		q.retryAt = now
-	case q.mayHaveChanged() && reply.IsRefusal():
+	case q.mayHaveChanged() && reply.IsRejection():
 		r.respond(q, outcomeUnknown())
 	default:
 		r.respond(q, gateway.Response{Status: reply.Status, Body: reply.Body, RetryAfter: reply.RetryAfter})
--- a/internal/transport/httpclient/client_test.go
+++ b/internal/transport/httpclient/client_test.go
@@ -70,17 +70,17 @@
 // IDs, are sent again after a missing response, a reset or a 504.
 func TestIdempotentIsRepeated(t *testing.T) {
 	for fault, answer := range unknownOutcomes() {
-		for _, one := range []struct{ method, path string }{
+		for _, test := range []struct{ method, path string }{
 			{http.MethodPut, "/v1/jobs/a/1"},
 			{http.MethodDelete, "/v1/jobs/a/1"},
 			{http.MethodGet, "/v1/table"},
 		} {
 			first := newFakeGateway(t, answer)
-			second := newFakeGateway(t, respondWith(responseText(http.StatusOK, one.path)))
+			second := newFakeGateway(t, respondWith(responseText(http.StatusOK, test.path)))
 			c := New([]string{first.addr(), second.addr()}, attemptTimeout)
-			got, err := c.Do(t.Context(), one.method, one.path, nil)
-			if err != nil || got.Status != http.StatusOK || string(got.Body) != one.path || got.Gateway != second.addr() {
-				t.Errorf("%s: %s %s returned %+v, %v", fault, one.method, one.path, got, err)
+			got, err := c.Do(t.Context(), test.method, test.path, nil)
+			if err != nil || got.Status != http.StatusOK || string(got.Body) != test.path || got.Gateway != second.addr() {
+				t.Errorf("%s: %s %s returned %+v, %v", fault, test.method, test.path, got, err)
 			}
 		}
 	}
--- a/internal/transport/httpserver/connection_limit.go
+++ b/internal/transport/httpserver/connection_limit.go
@@ -9,8 +9,8 @@
 const (
 	// maxConnections is the maximum number of open connections per process.
 	maxConnections = 8192
-	// refusalTimeout bounds writing the response to a rejected connection.
-	refusalTimeout = time.Second
+	// rejectTimeout bounds writing the response to a rejected connection.
+	rejectTimeout = time.Second
 )
 
 // tooManyConnections is the raw response to a connection over the limit.
@@ -34,14 +34,14 @@
 			return &countedConn{Conn: conn, listener: l}, nil
 		}
 		l.open.Add(-1)
-		refuse(conn)
+		reject(conn)
 	}
 }
 
-// refuse answers a connection over the limit and closes it. Write errors are ignored: the
+// reject answers a connection over the limit and closes it. Write errors are ignored: the
 // response is best effort.
-func refuse(conn net.Conn) {
-	_ = conn.SetDeadline(time.Now().Add(refusalTimeout))
+func reject(conn net.Conn) {
+	_ = conn.SetDeadline(time.Now().Add(rejectTimeout))
 	_, _ = conn.Write([]byte(tooManyConnections))
 	_ = conn.Close()
 }
--- a/internal/transport/httpserver/random_streams_test.go
+++ b/internal/transport/httpserver/random_streams_test.go
@@ -88,7 +88,7 @@
 	answers, local, clean := exchange(t, addr, stream, piece)
 	calls := e.takeCalls(local)
 	checkResponses(t, answers, calls, clean)
-	done := carriedOut(calls)
+	done := executedCalls(calls)
 	list, plainCount := parseComplete(stream)
 	if len(done) < plainCount {
 		t.Errorf("%d requests are complete in %q, only %v were carried out", plainCount, stream, done)
@@ -107,12 +107,12 @@
 func checkInOrder(t testing.TB, done, list []executed, stream []byte) {
 	t.Helper()
 	next := 0
-	for _, one := range done {
-		for next < len(list) && list[next] != one {
+	for _, call := range done {
+		for next < len(list) && list[next] != call {
 			next++
 		}
 		if next == len(list) {
-			t.Fatalf("carried out %v, which is not among the remaining complete requests of %q", one, stream)
+			t.Fatalf("carried out %v, which is not among the remaining complete requests of %q", call, stream)
 		}
 		next++
 	}
--- a/internal/transport/httpserver/request_framing_test.go
+++ b/internal/transport/httpserver/request_framing_test.go
@@ -63,8 +63,8 @@
 				answers, local, clean := exchange(t, addr, []byte(test.stream), piece)
 				calls := e.takeCalls(local)
 				list := []string{}
-				for _, one := range carriedOut(calls) {
-					list = append(list, one.id)
+				for _, call := range executedCalls(calls) {
+					list = append(list, call.id)
 				}
 				if got := strings.Join(list, " "); got != test.ids {
 					t.Errorf("%s (%s, pieces of %d): carried out %q, want %q", test.name, kind, piece, got, test.ids)
--- a/internal/transport/httpserver/stream_fixture_test.go
+++ b/internal/transport/httpserver/stream_fixture_test.go
@@ -42,13 +42,13 @@
 // rejected the request, 0 if it did not.
 type handled struct {
 	executed
-	refused int
+	rejectedWith int
 }
 
 // summary identifies the call: the response to the request carries it.
 func (h handled) summary() string {
-	if h.refused != 0 {
-		return fmt.Sprintf("%q refused with %d", h.method, h.refused)
+	if h.rejectedWith != 0 {
+		return fmt.Sprintf("%q refused with %d", h.method, h.rejectedWith)
 	}
 	return fmt.Sprintf("%q", h.String())
 }
@@ -63,46 +63,46 @@
 }
 
 func (e *echo) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	one := read(w, r)
+	call := read(w, r)
 	e.mu.Lock()
-	e.calls[r.RemoteAddr] = append(e.calls[r.RemoteAddr], one)
+	e.calls[r.RemoteAddr] = append(e.calls[r.RemoteAddr], call)
 	e.mu.Unlock()
-	w.Header().Set(summaryHeader, one.summary())
-	if one.refused != 0 {
-		w.WriteHeader(one.refused)
+	w.Header().Set(summaryHeader, call.summary())
+	if call.rejectedWith != 0 {
+		w.WriteHeader(call.rejectedWith)
 		return
 	}
-	_, _ = io.WriteString(w, one.String())
+	_, _ = io.WriteString(w, call.String())
 }
 
 // read reads a request in the way the daemons' handlers do.
 func read(w http.ResponseWriter, r *http.Request) handled {
-	var one handled
-	one.executed = executed{method: r.Method, path: r.URL.Path, id: r.Header.Get(requestIDHeader)}
+	var call handled
+	call.executed = executed{method: r.Method, path: r.URL.Path, id: r.Header.Get(requestIDHeader)}
 	if r.URL.Path == "/early" {
-		one.refused = http.StatusServiceUnavailable
-		return one
+		call.rejectedWith = http.StatusServiceUnavailable
+		return call
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEchoBody))
-	one.body = string(body)
+	call.body = string(body)
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		one.refused = http.StatusRequestEntityTooLarge
+		call.rejectedWith = http.StatusRequestEntityTooLarge
 	case err != nil:
-		one.refused = http.StatusBadRequest
+		call.rejectedWith = http.StatusBadRequest
 	case !slices.Contains(echoMethods, r.Method):
-		one.refused = http.StatusMethodNotAllowed
+		call.rejectedWith = http.StatusMethodNotAllowed
 	}
-	return one
+	return call
 }
 
-// carriedOut returns the calls that were not rejected.
-func carriedOut(calls []handled) []executed {
+// executedCalls returns the calls that were not rejected.
+func executedCalls(calls []handled) []executed {
 	var list []executed
-	for _, one := range calls {
-		if one.refused == 0 {
-			list = append(list, one.executed)
+	for _, call := range calls {
+		if call.rejectedWith == 0 {
+			list = append(list, call.executed)
 		}
 	}
 	return list
@@ -226,7 +226,7 @@
 		if summary != want.summary() {
 			t.Errorf("%s was answered with %s", want.summary(), summary)
 		}
-		if want.refused == 0 && method != http.MethodHead && err == nil && string(body) != want.String() {
+		if want.rejectedWith == 0 && method != http.MethodHead && err == nil && string(body) != want.String() {
 			t.Errorf("%v was answered with %q", want, body)
 		}
 	}
--- a/internal/transport/wire/message.go
+++ b/internal/transport/wire/message.go
@@ -117,9 +117,9 @@
 	LeaderTime LeaderTime
 }
 
-// IsRefusal reports whether the status means that the request was not applied and may be sent
+// IsRejection reports whether the status means that the request was not applied and may be sent
 // again, either later or with another key.
-func (r *Response) IsRefusal() bool {
+func (r *Response) IsRejection() bool {
 	switch r.Status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusUnauthorized:
 		return true
