--- a/internal/daemon/serverd/daemon_test.go
+++ b/internal/daemon/serverd/daemon_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// TestDisklessServerForwards checks that a server without a data folder is not a member of the
-// group, and that the leader still decides requests made at it.
+// TestDisklessServerForwards checks that a server without a data folder stores nothing and is
+// not a member of the group, and that the leader still decides requests made at it.
 func TestDisklessServerForwards(t *testing.T) {
 	group := lifecycle.New()
 	defer group.Stop(context.Background())
--- a/internal/transport/wire/codec_test.go
+++ b/internal/transport/wire/codec_test.go
@@ -9,7 +9,7 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// firstVersionMessages returns messages with all the fields that the first version had.
+// firstVersionMessages returns messages that use only fields of the first version.
 func firstVersionMessages() []Message {
 	members := []raft.Member{
 		{ID: 7, Addr: "127.0.0.1:1", Domain: "north", Voter: true},
@@ -118,8 +118,7 @@
 }
 
 // TestLargeAppend checks an append with so many entries that it does not fit in the encoder's
-// first segment. With a multi-segment arena, encoding such a message failed when segments were
-// linked.
+// first segment. A multi-segment arena once failed to link the additional segment.
 func TestLargeAppend(t *testing.T) {
 	m := Message{Raft: &raft.Message{Kind: raft.AppendEntries, From: 1, To: 2}}
 	for i := 0; i < 2000; i++ {
