--- a/internal/transport/link/stalled_test.go
+++ b/internal/transport/link/stalled_test.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/transport/wire"
 )
 
-// TestStalledConnectionReported checks that a connection whose messages nobody takes is
-// reported once the limit has passed, just once, and again only after it made progress.
+// TestStalledConnectionReported checks that a connection whose messages are not dequeued is
+// reported once after the limit has passed, and again only after it has made progress.
 func TestStalledConnectionReported(t *testing.T) {
 	const limit = 2 * time.Second
 	l, _ := listen(t)
@@ -38,13 +38,14 @@
 		t.Error("reported twice")
 	}
 	<-c.queue.Out()
-	c.taken.Add(1)
+	c.dequeued.Add(1)
 	if check(limit/2) != 0 || check(limit) != 1 {
-		t.Error("not reported anew after progress")
+		t.Error("not reported again after progress")
 	}
 }
 
-// TestCounts checks that accepted and dialled connections, and dials that fail, are counted.
+// TestCounts checks that accepted connections, dialled connections and failed dials are
+// counted.
 func TestCounts(t *testing.T) {
 	l, _ := listen(t)
 	other, in := listen(t)
@@ -54,9 +55,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := unused.Addr().String()
+	unusedAddr := unused.Addr().String()
 	unused.Close()
-	l.Send(wire.Peer(nobody), request(2))
+	l.Send(wire.Peer(unusedAddr), request(2))
 	waitFor(t, "a failed dial is not counted", func() bool { return l.Counts().DialFailures > 0 })
 	if counts := l.Counts(); counts.Dialled != 1 || counts.Sent != 2 {
 		t.Errorf("the dialling side counts %+v", counts)
