--- a/tests/simulation/agent.go
+++ b/tests/simulation/agent.go
@@ -9,8 +9,8 @@
 	"orchidward/internal/clock"
 )
 
-// Agent is a process that speaks for one runner of another protocol. Its runner is a
-// process of its own in the same domain.
+// Agent is a process that represents one runner of another protocol to the control
+// plane. The runner is a separate process in the same domain.
 type Agent struct {
 	*Process
 	// Machine is the state machine that runs in the process.
@@ -18,7 +18,7 @@
 	Runner  *AgentRunner
 
 	cluster *Cluster
-	// seed rises with each start, as an agent's numbers of polls must.
+	// seed increases with each start, as an agent's poll numbers must.
 	seed int64
 }
 
@@ -28,25 +28,26 @@
 	agentUsualLease        clock.Millis = 3500
 	agentHeartbeatInterval clock.Millis = 100
 	agentDepartureNotice   clock.Millis = 2000
-	// agentSeedStep is by how much the first number of a poll rises with each start.
+	// agentSeedStep is how much the first poll number increases with each start.
 	agentSeedStep = 1_000_000
 )
 
-// AgentPool is the pool of all runners that agents speak for.
+// AgentPool is the pool of all runners that agents represent.
 const AgentPool = "agents"
 
 // agentsPerRack is how many of these runners share a rack.
 const agentsPerRack = 3
 
-// AddAgents adds agents, each with a runner of this capacity, and starts them. They are
-// spread over the domains, and know the first servers.
+// AddAgents adds agents, each with a runner of the given capacity, and starts them. They
+// are spread over the domains, and know the seed servers.
 func (c *Cluster) AddAgents(count int, capacity job.Demand) {
 	for i := range count {
 		c.AddAgentIn(Domains[i%len(Domains)], capacity)
 	}
 }
 
-// AddAgentIn adds one agent in a domain, with a runner of this capacity, and starts both.
+// AddAgentIn adds one agent in a domain, with a runner of the given capacity, and starts
+// both.
 func (c *Cluster) AddAgentIn(domain string, capacity job.Demand) *Agent {
 	number := len(c.Agents) + 1
 	rack := (number - 1) / (len(Domains) * agentsPerRack)
@@ -90,7 +91,7 @@
 	a.flush()
 }
 
-// flush carries out what the state machine wants sent.
+// flush sends the output of the state machine.
 func (a *Agent) flush() {
 	output := a.Machine.TakeOutput()
 	for _, e := range output.Events {
@@ -99,7 +100,7 @@
 	a.cluster.sendFrames(a.Process, output.Messages)
 }
 
-// handleHeartbeat takes a heartbeat of the runner and sends the answer back.
+// handleHeartbeat handles a heartbeat of the runner and sends the response.
 func (a *Agent) handleHeartbeat(heartbeat agent.Heartbeat) {
 	orders := a.Machine.HandleHeartbeat(heartbeat, a.cluster.Monotonic(a.Process))
 	a.flush()
--- a/tests/simulation/agent_runner.go
+++ b/tests/simulation/agent_runner.go
@@ -12,9 +12,10 @@
 	"orchidward/internal/clock"
 )
 
-// AgentRunner is a runner of another protocol. It sends heartbeats to its agent, obeys
-// the answers, and ends whatever it runs once its lease has lapsed. A member of a gang
-// waits until all others have started, and ends when one of them ends without success.
+// AgentRunner is a runner of another protocol. It sends heartbeats to its agent, follows
+// the orders in the responses, and ends its attempts once its lease has lapsed. A member
+// of a gang waits until all others have started, and ends when one of them ends without
+// success.
 type AgentRunner struct {
 	*Process
 	Agent    *Agent
@@ -23,7 +24,7 @@
 	cluster *Cluster
 	rack    identifier.Rack
 	runs    []*AgentRun
-	// ends are those that the control plane has not acknowledged.
+	// ends are the ended attempts that the control plane has not acknowledged.
 	ends       []runnerapi.RunEnd
 	lastEndSeq uint64
 	// settled is the highest attempt of each task that has ended or was stopped here.
@@ -31,25 +32,25 @@
 	fence   uint64
 
 	heartbeatSeq uint64
-	// awaited is the heartbeat that has no answer yet, 0 for none, and sentAt when the
-	// last one was sent.
+	// awaited is the number of the heartbeat that has no response yet, 0 for none, and
+	// sentAt is when the last heartbeat was sent.
 	awaited       uint64
 	sentAt        clock.Monotonic
 	nextHeartbeat clock.Monotonic
 	leaseEnd      clock.Monotonic
 }
 
-// AgentRun is an attempt on such a runner.
+// AgentRun is an attempt on an AgentRunner.
 type AgentRun struct {
 	runnerapi.Start
 	startedAt clock.Monotonic
 	// workingSince is when the work began, 0 while a gang waits for its members.
 	workingSince clock.Monotonic
-	// stopAt is when it ends after a stop, 0 without one.
+	// stopAt is when the attempt ends after a stop order, 0 without one.
 	stopAt clock.Monotonic
 }
 
-// What a runner of another protocol takes its time for, in ms.
+// Intervals, delays and timeouts of an AgentRunner, in ms.
 const (
 	agentRunnerTick     clock.Millis = 10
 	agentAnswerTimeout  clock.Millis = 1000
@@ -59,11 +60,11 @@
 	maxGangWait         clock.Millis = 3000
 )
 
-// completePercent is the progress of work that is done.
+// completePercent is the progress of a completed attempt.
 const completePercent = 100
 
-// occurrenceSeparator stands between a job and the number of its occurrence, and
-// firstOccurrence is how the name of a job that does not repeat ends.
+// occurrenceSeparator separates the key of a job from the number of its occurrence, and
+// firstOccurrence is the suffix of a job that does not repeat.
 const (
 	occurrenceSeparator = "."
 	firstOccurrence     = ".0"
@@ -79,7 +80,7 @@
 	r.cluster.tickWhileUp(r.Process, agentRunnerTick, r.tick)
 }
 
-// repair starts what is down and wakes what is frozen, on the whole machine.
+// repair resumes or restarts the processes of the agent and its runner.
 func (a *Agent) repair() {
 	a.cluster.Resume(a.Process)
 	a.cluster.Resume(a.Runner.Process)
@@ -91,13 +92,13 @@
 	}
 }
 
-// Crash ends the runner at once, and all that runs on it.
+// Crash ends the runner and all its attempts at once.
 func (r *AgentRunner) Crash() {
 	r.cluster.Kill(r.Process)
 	r.runs = nil
 }
 
-// Runs are the attempts that run at the moment.
+// Runs returns the attempts that are running.
 func (r *AgentRunner) Runs() []*AgentRun { return r.runs }
 
 func (r *AgentRunner) now() clock.Monotonic { return r.cluster.Monotonic(r.Process) }
@@ -114,7 +115,7 @@
 	}
 }
 
-// endRuns ends the attempts whose end has come.
+// endRuns ends the attempts that have an outcome.
 func (r *AgentRunner) endRuns() {
 	now := r.now()
 	running := r.runs[:0:0]
@@ -130,7 +131,7 @@
 	r.runs = running
 }
 
-// outcome is how an attempt ends now, empty while it runs.
+// outcome is the outcome with which an attempt ends now, empty if it continues.
 func (r *AgentRunner) outcome(run *AgentRun, now clock.Monotonic) string {
 	step := r.cluster.AgentRuns.step(run.Task)
 	switch {
@@ -184,7 +185,7 @@
 	return heartbeat
 }
 
-// percent is how much of its work an attempt has done.
+// percent is the progress of an attempt.
 func (run *AgentRun) percent(now clock.Monotonic) int64 {
 	if run.workingSince == 0 {
 		return 0
@@ -192,8 +193,8 @@
 	return min(completePercent, int64(now.Since(run.workingSince)*completePercent/max(1, run.ExpectedRun)))
 }
 
-// handleOrders obeys the answer to a heartbeat, unless the answer is late or comes from a
-// process that another has replaced.
+// handleOrders follows the orders in the response to a heartbeat, unless the response is
+// late or comes from a superseded agent process.
 func (r *AgentRunner) handleOrders(seq uint64, orders agent.Orders) {
 	now := r.now()
 	if seq != r.awaited || now.Since(r.sentAt) > agentAnswerTimeout {
@@ -233,17 +234,17 @@
 	r.ends = unobserved
 }
 
-// Adopt makes the runner run an attempt that it was not told to start, as one does that
-// was started by a control plane of before.
+// Adopt makes the runner run an attempt that the control plane did not order, such as
+// one that a previous control plane started.
 func (r *AgentRunner) Adopt(start runnerapi.Start) {
 	r.runs = append(r.runs, &AgentRun{Start: start, startedAt: r.now()})
 }
 
-// holds tells whether what runs here may still run: the runner is up and its lease has
+// holds reports whether attempts may still run on the runner: it is up and its lease has
 // not lapsed.
 func (r *AgentRunner) holds() bool { return r.Up && r.now() <= r.leaseEnd }
 
-// withOccurrence is a task as runners name it, always with the occurrence of its job.
+// withOccurrence returns a task as runners name it: its job always has an occurrence.
 func withOccurrence(task identifier.TaskRef) identifier.TaskRef {
 	if !strings.Contains(string(task.Job), occurrenceSeparator) {
 		task.Job += firstOccurrence
@@ -260,8 +261,8 @@
 	}
 }
 
-// startRun starts an attempt, unless it runs already; one that is not above what has
-// ended or was stopped here is rejected.
+// startRun starts an attempt, unless it runs already. An attempt that is not above the
+// task's highest ended or stopped attempt is rejected.
 func (r *AgentRunner) startRun(start runnerapi.Start) {
 	for _, run := range r.runs {
 		if run.Task == start.Task && run.Attempt == start.Attempt {
--- a/tests/simulation/agent_runs.go
+++ b/tests/simulation/agent_runs.go
@@ -9,11 +9,11 @@
 	"orchidward/internal/invariants"
 )
 
-// Unasked is the invariant that runners are told to start only what a client submitted,
-// with the text that the client gave it.
+// Unasked is the invariant that runners are ordered to start only tasks that a client
+// submitted, with the payload that the client submitted.
 const Unasked = "unasked"
 
-// AgentRuns checks what runners of another protocol do, from outside: it knows what
+// AgentRuns checks from outside how runners of another protocol behave: it knows what
 // clients submitted and what each runner runs.
 type AgentRuns struct {
 	// Starts counts the attempts that started, Ends those that ended, by outcome.
@@ -30,14 +30,15 @@
 	brokenGangs map[gangAttempt]bool
 }
 
-// agentJob is what clients know of a job for such runners. cancelledAt is 0 for never.
+// agentJob is what clients know of a job for these runners. cancelledAt is 0 for a job
+// that was not cancelled.
 type agentJob struct {
 	payload     string
 	steps       []job.Step
 	cancelledAt int64
 }
 
-// gangAttempt names one attempt of a gang.
+// gangAttempt identifies one attempt of a gang.
 type gangAttempt struct {
 	job     identifier.JobKey
 	step    int
@@ -55,12 +56,12 @@
 	}
 }
 
-// Submitted records that a client sends a job with this text for the first time.
+// Submitted records that a client sends a job with this payload for the first time.
 func (a *AgentRuns) Submitted(key identifier.JobKey, payload string, steps []job.Step) {
 	a.jobs[key] = &agentJob{payload: payload, steps: steps}
 }
 
-// Cancelled records that the cancel of a job was acknowledged.
+// Cancelled records that the cancellation of a job was acknowledged.
 func (a *AgentRuns) Cancelled(key identifier.JobKey) {
 	a.jobs[key].cancelledAt = a.cluster.Now
 }
@@ -75,13 +76,13 @@
 	return count
 }
 
-// jobOf is the job of a task that a runner names with an occurrence.
+// jobOf is the job of a task, without the occurrence that runners add.
 func jobOf(task identifier.TaskRef) identifier.JobKey {
 	key, _, _ := strings.Cut(string(task.Job), occurrenceSeparator)
 	return identifier.JobKey(key)
 }
 
-// step is the step of a task, empty for a task that nobody submitted.
+// step is the step of a task, empty for a task that no client submitted.
 func (a *AgentRuns) step(task identifier.TaskRef) job.Step {
 	j := a.jobs[jobOf(task)]
 	if j == nil || task.Step >= len(j.steps) {
@@ -94,7 +95,7 @@
 	return gangAttempt{run.Task.Job, run.Task.Step, run.Attempt}
 }
 
-// running lists the attempts on live runners that a condition holds for.
+// running lists the attempts on live runners that satisfy a condition.
 func (a *AgentRuns) running(matches func(run *AgentRun) bool) (list []*AgentRun) {
 	for _, one := range a.cluster.Agents {
 		if !one.Runner.holds() {
@@ -109,32 +110,32 @@
 	return list
 }
 
-// assembled tells whether all members of an attempt's gang run.
+// assembled reports whether all members of an attempt's gang are running.
 func (a *AgentRuns) assembled(run *AgentRun, step job.Step) bool {
 	members := a.running(func(other *AgentRun) bool { return gangOf(other) == gangOf(run) })
 	return int64(len(members)) >= step.Tasks
 }
 
-// broken tells whether a member of an attempt's gang ended without success.
+// broken reports whether a member of an attempt's gang ended without success.
 func (a *AgentRuns) broken(run *AgentRun) bool { return a.brokenGangs[gangOf(run)] }
 
-// started checks every rule that a start can violate.
+// started checks every invariant that a start can violate.
 func (a *AgentRuns) started(r *AgentRunner, run *AgentRun) {
 	a.Starts++
 	a.cluster.Logf("%s start %s attempt %d", r.Name, run.Task, run.Attempt)
-	a.checkAsked(r, run)
+	a.checkSubmitted(r, run)
 	if a.succeeded[run.Task] {
-		a.violate(invariants.RunsOnce, "%s starts %s whose success was acknowledged", r.Name, run.Task)
+		a.violate(invariants.RunsOnce, "%s starts %s, whose success was acknowledged", r.Name, run.Task)
 	}
 	if others := a.running(func(other *AgentRun) bool { return other.Task == run.Task }); len(others) > 0 {
-		a.violate(invariants.RunsOnce, "%s starts %s which runs", r.Name, run.Task)
+		a.violate(invariants.RunsOnce, "%s starts %s, which is already running", r.Name, run.Task)
 	}
 	a.checkDrain(r, run)
 	a.checkCapacity(r, run)
 	a.checkGangAttempt(r, run)
 }
 
-// checkDrain finds a start in a domain whose drain was acknowledged.
+// checkDrain detects a start in a domain whose drain was acknowledged.
 func (a *AgentRuns) checkDrain(r *AgentRunner, run *AgentRun) {
 	since, drained := a.cluster.Checker.DrainedSince(r.Domain)
 	if drained && a.cluster.Now > since+maxAgentStartAfterDrain {
@@ -142,7 +143,7 @@
 	}
 }
 
-// checkCapacity finds a start that does not fit.
+// checkCapacity detects a start that exceeds the runner's capacity.
 func (a *AgentRuns) checkCapacity(r *AgentRunner, run *AgentRun) {
 	used := run.Demand
 	for _, other := range r.runs {
@@ -153,33 +154,35 @@
 	}
 }
 
-// checkGangAttempt finds a start of a gang's member beside one of a later attempt.
+// checkGangAttempt detects the start of a gang member while a member of a later attempt
+// is running.
 func (a *AgentRuns) checkGangAttempt(r *AgentRunner, run *AgentRun) {
 	mixed := a.running(func(other *AgentRun) bool {
 		return a.step(run.Task).Gang && other.Task.Job == run.Task.Job && other.Task.Step == run.Task.Step && other.Attempt > run.Attempt
 	})
 	if len(mixed) > 0 {
-		a.violate(invariants.GangRunsTogether, "%s starts %s attempt %d beside a later one", r.Name, run.Task, run.Attempt)
+		a.violate(invariants.GangRunsTogether, "%s starts %s attempt %d while a later attempt is running", r.Name, run.Task, run.Attempt)
 	}
 }
 
-// checkAsked finds a start of what no client submitted, or of another text.
-func (a *AgentRuns) checkAsked(r *AgentRunner, run *AgentRun) {
+// checkSubmitted detects the start of a task that no client submitted, that has another
+// payload, or whose job was cancelled.
+func (a *AgentRuns) checkSubmitted(r *AgentRunner, run *AgentRun) {
 	j := a.jobs[jobOf(run.Task)]
 	if j == nil || run.Task.Step >= len(j.steps) || int64(run.Task.Num) >= j.steps[run.Task.Step].Tasks {
-		a.violate(Unasked, "%s starts %s which nobody submitted", r.Name, run.Task)
+		a.violate(Unasked, "%s starts %s, which no client submitted", r.Name, run.Task)
 		return
 	}
 	if run.Payload != j.payload {
-		a.violate(Unasked, "%s starts %s with the text %q, not %q", r.Name, run.Task, run.Payload, j.payload)
+		a.violate(Unasked, "%s starts %s with payload %q, want %q", r.Name, run.Task, run.Payload, j.payload)
 	}
 	if j.cancelledAt > 0 && a.cluster.Now > j.cancelledAt+maxAgentStartAfterCancel {
-		a.violate(Unasked, "%s starts %s %d ms after its cancel", r.Name, run.Task, a.cluster.Now-j.cancelledAt)
+		a.violate(Unasked, "%s starts %s %d ms after its cancellation", r.Name, run.Task, a.cluster.Now-j.cancelledAt)
 	}
 }
 
-// How long after its job's cancel, and after the drain of its domain, a task may start, in
-// ms.
+// How long after the cancellation of its job, and after the drain of its domain, a task
+// may still start, in ms.
 const (
 	maxAgentStartAfterCancel = 3000
 	maxAgentStartAfterDrain  = 5000
@@ -195,11 +198,11 @@
 	a.LastFailure[r] = a.cluster.Now
 	undisturbed := a.cluster.Undisturbed() && a.jobs[jobOf(run.Task)].cancelledAt == 0
 	if outcome == runnerapi.OutcomeGangIncomplete && undisturbed {
-		a.violate(invariants.GangRunsTogether, "%s waited in vain for the gang of %s", r.Name, run.Task)
+		a.violate(invariants.GangRunsTogether, "%s timed out waiting for the gang of %s", r.Name, run.Task)
 	}
 }
 
-// observed records that the control plane acknowledged an end.
+// observed records that the control plane acknowledged the end of an attempt.
 func (a *AgentRuns) observed(end runnerapi.RunEnd) {
 	if end.Outcome == runnerapi.OutcomeSuccess {
 		a.succeeded[end.Task] = true
--- a/tests/simulation/availability.go
+++ b/tests/simulation/availability.go
@@ -1,8 +1,8 @@
 package simulation
 
-// serviceDue tells whether the cluster must serve, as its machines stand: a
-// majority of the voters have sound disks and hear one another, and some gateway
-// reaches them and the clients. Whatever else is broken is no excuse.
+// serviceDue reports whether the cluster must serve in the current state of its machines:
+// a majority of the voters have healthy disks and reach one another, and some gateway
+// reaches them and the clients. No other fault excuses an outage.
 func (c *Cluster) serviceDue() bool {
 	healthy := c.healthyVoters()
 	required := c.quorum()
@@ -18,7 +18,7 @@
 	return false
 }
 
-// reachableFrom lists the servers that a process reaches.
+// reachableFrom lists the servers that a process can reach.
 func (c *Cluster) reachableFrom(p *Process, servers []*Server) []*Server {
 	var reached []*Server
 	for _, server := range servers {
@@ -29,8 +29,8 @@
 	return reached
 }
 
-// healthyVoters lists the servers that run, know themselves to be voters, and have
-// a disk that keeps up.
+// healthyVoters lists the servers that are running, are voters in their own member list,
+// and have a healthy disk.
 func (c *Cluster) healthyVoters() []*Server {
 	var healthy []*Server
 	for _, server := range c.Servers {
@@ -42,7 +42,7 @@
 	return healthy
 }
 
-// inGroup tells whether a running server knows of a group that it belongs to.
+// inGroup reports whether a running server belongs to a Raft group.
 func (s *Server) inGroup() bool { return s.Machine != nil && s.Machine.Raft() != nil }
 
 func (s *Server) isVoter() bool {
@@ -50,8 +50,8 @@
 	return known && member.Voter
 }
 
-// quorum is how many voters must agree, by the member list of the server with the
-// longest log.
+// quorum is the size of a majority of the voters, by the member list of the server with
+// the longest log.
 func (c *Cluster) quorum() int {
 	var newest *Server
 	for _, server := range c.Servers {
@@ -70,7 +70,7 @@
 	return voters/2 + 1
 }
 
-// hasClique tells whether so many of the servers all reach one another.
+// hasClique reports whether at least size of the servers all reach one another.
 func (c *Cluster) hasClique(servers []*Server, size int) bool {
 	if size == 0 {
 		return true
--- a/tests/simulation/availability_test.go
+++ b/tests/simulation/availability_test.go
@@ -6,34 +6,35 @@
 	"orchidward/internal/invariants"
 )
 
-// settledAt is when a cluster without faults has a leader and synced gateways, in ms.
+// settledAt is when a cluster without faults has a leader and its gateways are in sync,
+// in ms.
 const settledAt = 8000
 
-// freeze suspends so many servers.
+// freeze suspends the first count servers.
 func freeze(c *Cluster, count int) {
 	for _, server := range c.Servers[:count] {
 		c.Suspend(server.Process)
 	}
 }
 
-// TestServiceDue: service is due exactly while a majority of voters with sound disks hear
-// one another and some gateway reaches them and the clients. Each row is one step from
-// the next.
+// TestServiceDue checks that service is due exactly while a majority of voters with
+// healthy disks reach one another and some gateway reaches them and the clients. Pairs of
+// rows lie on either side of each boundary.
 func TestServiceDue(t *testing.T) {
 	for _, one := range []struct {
 		name   string
-		strike func(c *Cluster)
+		inject func(c *Cluster)
 		want   bool
 	}{
-		{"all well", func(*Cluster) {}, true},
+		{"no fault", func(*Cluster) {}, true},
 		{"one server frozen", func(c *Cluster) { freeze(c, 1) }, true},
 		{"two servers frozen", func(c *Cluster) { freeze(c, 2) }, false},
 		{"one disk slow", func(c *Cluster) { c.Servers[0].DiskDelay = 1 }, true},
 		{"two disks slow", func(c *Cluster) { c.Servers[0].DiskDelay, c.Servers[1].DiskDelay = 1, 1 }, false},
-		{"two servers do not hear each other", func(c *Cluster) {
+		{"two servers cannot reach each other", func(c *Cluster) {
 			c.BlockLink(c.Servers[0].Process, c.Servers[1].Process, false)
 		}, true},
-		{"no two servers hear each other", func(c *Cluster) {
+		{"no two servers reach each other", func(c *Cluster) {
 			c.BlockLink(c.Servers[0].Process, c.Servers[1].Process, false)
 			c.BlockLink(c.Servers[1].Process, c.Servers[2].Process, false)
 			c.BlockLink(c.Servers[2].Process, c.Servers[0].Process, false)
@@ -54,7 +55,7 @@
 		t.Run(one.name, func(t *testing.T) {
 			c := NewCluster(1, FastNetwork())
 			c.Run(settledAt)
-			one.strike(c)
+			one.inject(c)
 			if got := c.serviceDue(); got != one.want {
 				t.Errorf("service is due: %t, want %t", got, one.want)
 			}
@@ -62,8 +63,8 @@
 	}
 }
 
-// TestServiceGapEdge leaves a cluster unserved for as long as it may be, and one
-// millisecond more.
+// TestServiceGapEdge checks the longest allowed service gap, and one that is a
+// millisecond longer.
 func TestServiceGapEdge(t *testing.T) {
 	const longestGap = 12000
 	c := NewCluster(1, FastNetwork())
@@ -77,6 +78,6 @@
 	c.Run(settledAt + longestGap + 1)
 	c.Clients.checkService()
 	if c.Checker.Counts[invariants.ViolationCount(invariants.ServiceAvailable)] != 1 {
-		t.Errorf("after %d ms nothing is violated", longestGap+1)
+		t.Errorf("after %d ms: no violation reported", longestGap+1)
 	}
 }
--- a/tests/simulation/client_jobs.go
+++ b/tests/simulation/client_jobs.go
@@ -19,13 +19,13 @@
 	RowCheck identifier.Row = "check"
 )
 
-// clientName is the client in whose name jobs are submitted.
+// clientName is the client that submits the jobs.
 const clientName identifier.Client = "gilde"
 
 const (
-	// loadInterval is the time in ms for which submitLoad submits the jobs.
+	// loadInterval is the length in ms of the period whose jobs submitLoad submits.
 	loadInterval = 1000
-	// Shares of jobs and of what is done with them: one in so many.
+	// Shares of jobs and of the actions on them: a share of n means one in n.
 	signJobShare  = 4
 	nightJobShare = 6
 	ssdShare      = 4
@@ -34,7 +34,7 @@
 	startChoices  = 20
 )
 
-// jobDocument is a job as it is submitted.
+// jobDocument is the submitted form of a job.
 type jobDocument struct {
 	Row       identifier.Row `json:"pending"`
 	Urgency   int64          `json:"urgency"`
@@ -98,7 +98,8 @@
 	c.cluster.After(loadInterval, c.submitLoad)
 }
 
-// jobsPerSecond is how many jobs are due where the usual load has so many a second.
+// jobsPerSecond draws how many jobs to submit in a second where the usual load has the
+// given number per second.
 func (c *Clients) jobsPerSecond(usual int64) int {
 	percent := usual * c.cluster.Spec.LoadPercent
 	count := int(percent / 100)
@@ -108,7 +109,7 @@
 	return count
 }
 
-// below draws a number from 0 to less than a bound.
+// below draws a number in [0, bound).
 func (c *Clients) below(bound int64) int64 { return c.cluster.Random.Int63n(bound) }
 
 func (c *Clients) oneIn(share int) bool { return c.cluster.Random.Intn(share) == 0 }
@@ -117,8 +118,8 @@
 	return clock.Millis(least + c.below(span))
 }
 
-// Submit submits a job with these steps within a second, some of them with a start
-// time. It is sent until it is accepted.
+// Submit submits a job with the given steps within a second, some jobs with a start time.
+// It sends the job until it is accepted.
 func (c *Clients) Submit(row identifier.Row, steps ...job.Step) {
 	spec := job.Spec{Row: row, Urgency: c.below(4)}
 	for _, step := range steps {
@@ -162,7 +163,7 @@
 	return document
 }
 
-// send sends a job and, after no response or a refusal that passes, sends it again.
+// send sends a job, and resends it after no response or a temporary rejection.
 func (c *Clients) send(key identifier.JobKey, submitted *invariants.Job, body []byte) {
 	c.request(http.MethodPut, endpoint.JobPath(key), body, requestTimeout, func(status int, response []byte) {
 		switch status {
@@ -175,13 +176,12 @@
 		case NoResponse, http.StatusServiceUnavailable, http.StatusGatewayTimeout, http.StatusTooManyRequests:
 			c.cluster.After(200+c.below(600), func() { c.send(key, submitted, body) })
 		default:
-			c.cluster.Checker.Violate(invariants.JobStateIsTrue, "job %s refused with %d: %s", key, status, response)
+			c.cluster.Checker.Violate(invariants.JobStateIsTrue, "job %s rejected with %d: %s", key, status, response)
 		}
 	})
 }
 
-// follow reads an accepted job until it ends, sends some of them again, and cancels
-// some.
+// follow reads an accepted job until it ends; it resends some jobs and cancels some.
 func (c *Clients) follow(key identifier.JobKey, submitted *invariants.Job, body []byte) {
 	c.cluster.After(c.below(3000), func() { c.readJob(key) })
 	if c.oneIn(resendShare) {
--- a/tests/simulation/client_limits.go
+++ b/tests/simulation/client_limits.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// readLimitsTimeout is in ms.
+	// readLimitsTimeout is the timeout of a read in ms.
 	readLimitsTimeout = 1000
-	// Weights from firstWeight on are drawn in turn, so that each names the change
-	// that set it.
+	// Weights are assigned in sequence from firstWeight on, so that each weight
+	// identifies the change that set it.
 	firstWeight    = 2
 	weightsInCycle = 9000
 )
 
-// limitsDocument is what the clients read of the limits table.
+// limitsDocument has the parts of the limits table that the clients read.
 type limitsDocument struct {
 	Epoch int64 `json:"epoch"`
 	Rows  map[string]struct {
@@ -31,7 +31,7 @@
 	Cells map[string]any `json:"cells"`
 }
 
-// setUp makes the rows that the clients use; done is called when they are there.
+// setUp creates the rows that the clients use; done is called when they exist.
 func (c *Clients) setUp(done func()) {
 	const retryDelay = 300
 	rows := map[string]any{
@@ -52,8 +52,8 @@
 	})
 }
 
-// changeLimits changes the limits table again and again: mostly soundly, sometimes
-// on an old base, sometimes invalidly.
+// changeLimits changes the limits table repeatedly: mostly with valid changes, sometimes
+// on a stale base, sometimes with invalid changes.
 func (c *Clients) changeLimits() {
 	if c.cluster.Now >= c.StopAt {
 		return
@@ -71,7 +71,7 @@
 	c.cluster.After(700+c.below(800), c.changeLimits)
 }
 
-// ReadLimits reads the limits table, checks it against what was acknowledged and
+// ReadLimits reads the limits table, checks it against the changes acknowledged and
 // rejected before, and calls then with its epoch.
 func (c *Clients) ReadLimits(then func(epoch int64)) {
 	ackedEpoch := c.Epoch
@@ -88,17 +88,17 @@
 		weight := document.Rows[string(RowPush)].Weight
 		switch {
 		case document.Epoch < ackedEpoch:
-			c.cluster.Checker.Violate(invariants.LimitsTableNeverGoesBack, "epoch %d was acknowledged, and %d is read", ackedEpoch, document.Epoch)
+			c.cluster.Checker.Violate(invariants.LimitsTableNeverGoesBack, "epoch %d was acknowledged, but epoch %d is read", ackedEpoch, document.Epoch)
 		case c.rejectedWeights[weight]:
 			c.cluster.Checker.Violate(invariants.LimitsTableNeverGoesBack, "rejected weight %d is in effect", weight)
 		case weight < ackedWeight:
-			c.cluster.Checker.Violate(invariants.LimitsTableNeverGoesBack, "weight %d was acknowledged, and %d is read", ackedWeight, weight)
+			c.cluster.Checker.Violate(invariants.LimitsTableNeverGoesBack, "weight %d was acknowledged, but weight %d is read", ackedWeight, weight)
 		}
 		then(document.Epoch)
 	})
 }
 
-// nextWeight draws a weight that no change has set before.
+// nextWeight returns the next weight of the sequence.
 func (c *Clients) nextWeight() int {
 	c.lastWeight++
 	return c.lastWeight%weightsInCycle + firstWeight
--- a/tests/simulation/clients.go
+++ b/tests/simulation/clients.go
@@ -8,8 +8,8 @@
 	"orchidward/internal/invariants"
 )
 
-// Clients are the clients and operators of a cluster, who share one process: they
-// submit a mix of jobs, send again after no response, cancel, read through any
+// Clients are the clients and operators of a cluster, which share one process: they
+// submit a mix of jobs, retry requests without a response, cancel jobs, read through any
 // gateway, change the limits table, and probe the service.
 type Clients struct {
 	*Process
@@ -17,7 +17,7 @@
 	StopAt int64
 	// Epoch is the highest acknowledged epoch of the limits table.
 	Epoch int64
-	// ServedAt is when a probe was last answered.
+	// ServedAt is when a probe last succeeded.
 	ServedAt int64
 
 	cluster *Cluster
@@ -27,8 +27,8 @@
 	ackedWeight     int
 	rejectedWeights map[int]bool
 
-	// serviceDueSince is since when the cluster must serve without a break, 0 when it
-	// need not.
+	// serviceDueSince is the time since which the cluster has had to serve without
+	// interruption, 0 while it does not have to.
 	serviceDueSince int64
 }
 
@@ -36,7 +36,7 @@
 	// clientsName is the name and the domain of the clients' process.
 	clientsName = "out"
 
-	// Intervals, moments and timeouts in ms.
+	// Intervals, times and timeouts in ms.
 	sweepInterval  = 200
 	probeStart     = 1000
 	probeInterval  = 200
@@ -44,7 +44,7 @@
 	requestTimeout = 2000
 	operateAfter   = 500
 
-	// maxServiceGap is how long the cluster may not answer while it must serve.
+	// maxServiceGap is how long the cluster may be unavailable while service is due.
 	maxServiceGap = 12000
 )
 
@@ -58,7 +58,7 @@
 	return clients
 }
 
-// RandomGateway is the address of one of the gateways.
+// RandomGateway returns the address of a random gateway.
 func (c *Clients) RandomGateway() string {
 	return c.cluster.Gateways[c.cluster.Random.Intn(len(c.cluster.Gateways))].Addr
 }
@@ -68,7 +68,7 @@
 	c.cluster.Request(c.Process, c.RandomGateway(), method, path, body, timeout, done)
 }
 
-// start begins the load at a moment, to stop at another.
+// start generates load from one time to another.
 func (c *Clients) start(from, stopAt int64) {
 	c.StopAt = stopAt
 	c.cluster.At(from, c.submitLoad)
@@ -83,7 +83,7 @@
 	c.cluster.After(sweepInterval, c.sweep)
 }
 
-// probe asks the service something every now and then.
+// probe sends a read request at regular intervals.
 func (c *Clients) probe() {
 	c.request(http.MethodGet, endpoint.LimitsPath, nil, probeTimeout, func(status int, _ []byte) {
 		if status == http.StatusOK {
@@ -93,7 +93,8 @@
 	c.cluster.After(probeInterval, c.probe)
 }
 
-// checkService compares the time without an answer with the state of the machines.
+// checkService checks that the cluster answers probes whenever the state of its machines
+// allows it.
 func (c *Clients) checkService() {
 	if !c.cluster.serviceDue() {
 		c.serviceDueSince = 0
@@ -107,8 +108,8 @@
 	}
 }
 
-// SetDrained drains or reopens a domain: the order is sent until it is acknowledged
-// or no longer wanted.
+// SetDrained drains or reopens a domain: it sends the order until it is acknowledged or
+// no longer wanted.
 func (c *Clients) SetDrained(domain string, drained bool, wanted func() bool) {
 	const retryDelay = 400
 	method := http.MethodPut
@@ -132,11 +133,11 @@
 	})
 }
 
-// mustEncode encodes a document that always encodes.
+// mustEncode encodes a document and panics on failure.
 func mustEncode(document any) []byte {
 	encoded, err := json.Marshal(document)
 	if err != nil {
-		panic("simulation: a document does not encode: " + err.Error())
+		panic("simulation: cannot encode document: " + err.Error())
 	}
 	return encoded
 }
--- a/tests/simulation/cluster.go
+++ b/tests/simulation/cluster.go
@@ -11,14 +11,14 @@
 type Cluster struct {
 	EventLoop
 	Spec ClusterSpec
-	// Random is the source of all chance in the run.
+	// Random is the only source of randomness in the run.
 	Random *rand.Rand
 
-	// Servers includes the diskless ones, which come last.
+	// Servers includes the diskless servers, which come last.
 	Servers  []*Server
 	Gateways []*Gateway
 	Runners  []*Runner
-	// Agents speak for runners of another protocol; a cluster has none unless
+	// Agents represent runners that use another protocol; a cluster has none unless
 	// AddAgents is called.
 	Agents    []*Agent
 	AgentRuns *AgentRuns
@@ -27,43 +27,43 @@
 	Clients *Clients
 	Checker *invariants.Checker
 
-	// Trace says that Log is kept, a line for each thing that happened.
+	// Trace enables Log, which has one line per event.
 	Trace bool
 	Log   []string
-	// Failpoint, if set, is called before a server sends and writes what a step led
-	// to, and returns true if it crashed the server.
+	// Failpoint, if set, is called before a server sends and writes the output of a
+	// step, and returns true if it crashed the server.
 	Failpoint func(server *Server) (crashed bool)
-	// ClocksStopInSuspend gives every process a monotonic clock that stands still
-	// while it is suspended, as CLOCK_MONOTONIC does.
+	// ClocksStopInSuspend gives every process a monotonic clock that does not advance
+	// while the process is suspended, as CLOCK_MONOTONIC does.
 	ClocksStopInSuspend bool
-	// Injected counts the faults that really took effect, by kind.
+	// Injected counts the faults that took effect, by kind.
 	Injected map[FaultKind]int
 	Traffic  Traffic
 
 	processes map[string]*Process
 	network   network
-	// faultsOverAt is when the last fault was over, 0 before.
+	// faultsOverAt is when the last fault ended, 0 before that.
 	faultsOverAt int64
 	// drainOrders numbers the orders to drain or reopen each domain.
 	drainOrders map[string]int
-	// diskLost says that the one server that may lose its disk for good did.
+	// diskLost is set once a server has lost its disk for good; only one per run may.
 	diskLost    bool
 	runnersLost int
 }
 
-// Traffic counts what processes sent one another.
+// Traffic counts the messages between processes and their bytes.
 type Traffic struct {
 	// Frames counts the messages between servers and gateways, Bytes estimates
 	// their size as encoded.
 	Frames int
 	Bytes  int64
-	// Polls counts the answered polls of runners, PollBytes their size and that of
-	// the answers.
+	// Polls counts the answered polls of runners, PollBytes the size of these polls
+	// and their responses.
 	Polls     int64
 	PollBytes int64
 }
 
-// quietAfter is how long after the last fault all is taken to be well, in ms.
+// quietAfter is how long after the last fault the cluster counts as recovered, in ms.
 const quietAfter = 15000
 
 // Latest moments at which processes first start, in ms.
@@ -118,28 +118,28 @@
 	}
 }
 
-// Logf adds a line to the trace of the run, if one is kept.
+// Logf adds a line to the trace of the run, if Trace is set.
 func (c *Cluster) Logf(text string, args ...any) {
 	if c.Trace {
 		c.Log = append(c.Log, fmt.Sprintf("%7d ", c.Now)+fmt.Sprintf(text, args...))
 	}
 }
 
-// Time is the virtual time in milliseconds.
+// Time returns the virtual time in milliseconds.
 func (c *Cluster) Time() int64 { return c.Now }
 
-// Quiet tells whether all faults have been over for more than 15 seconds.
+// Quiet reports whether all faults ended more than 15 seconds ago.
 func (c *Cluster) Quiet() bool {
 	return c.faultsOverAt > 0 && c.Now-c.faultsOverAt > quietAfter
 }
 
-// Undisturbed tells whether the run has no faults at all, defective attempts
-// included.
+// Undisturbed reports whether the run has no faults at all, including defective
+// attempts.
 func (c *Cluster) Undisturbed() bool {
 	return c.Spec.DefectPercent == 0 && c.faultsOverAt == neverDisturbed
 }
 
-// Runner describes a runner by name; it is empty for an unknown one.
+// Runner describes the runner with a name; the view is empty for an unknown name.
 func (c *Cluster) Runner(name string) invariants.RunnerView {
 	for _, runner := range c.Runners {
 		if runner.Name == name {
--- a/tests/simulation/disk.go
+++ b/tests/simulation/disk.go
@@ -6,20 +6,21 @@
 	"github.com/go-faster/errors"
 )
 
-// Disk is a disk in memory. What was synced lasts; a write that was under way when
-// power was lost is lost, torn or done.
+// Disk is an in-memory disk. Synced data persists; a write in progress when power is
+// lost is lost, torn or complete.
 type Disk struct {
 	// Full makes every write fail.
 	Full bool
 
 	files map[string][]byte
-	// tornAt is after how many bytes power is lost in the next write, or notTorn.
+	// tornAt is the number of bytes of the next write after which power is lost, or
+	// notTorn.
 	tornAt int
 }
 
 const notTorn = -1
 
-// partSuffix marks the replacement of a file that is not committed yet.
+// partSuffix is the name suffix of a file's replacement that is not committed yet.
 const partSuffix = ".part"
 
 var (
@@ -29,16 +30,16 @@
 
 func newDisk() *Disk { return &Disk{files: map[string][]byte{}, tornAt: notTorn} }
 
-// Read returns the content of a file, nothing for one that is not there.
+// Read returns the content of a file, which is empty if the file does not exist.
 func (d *Disk) Read(name string) ([]byte, error) { return slices.Clone(d.files[name]), nil }
 
-// Create makes a file of zeros.
+// Create makes a file filled with zeros.
 func (d *Disk) Create(name string, size int) error {
 	d.files[name] = make([]byte, size)
 	return nil
 }
 
-// Write writes and syncs within a file; power may be lost after a part of it.
+// Write writes to and syncs an existing file; power may be lost partway through.
 func (d *Disk) Write(name string, offset int, data []byte) error {
 	if d.Full {
 		return errDiskFull
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// AppendReplacement writes on at the replacement of a file.
+// AppendReplacement writes data at an offset of a file's replacement.
 func (d *Disk) AppendReplacement(name string, offset int, data []byte) error {
 	if err := d.writeError(); err != nil {
 		return err
@@ -61,7 +62,7 @@
 	return nil
 }
 
-// CommitReplacement puts a replacement in place of its file.
+// CommitReplacement replaces a file by its replacement.
 func (d *Disk) CommitReplacement(name string) error {
 	if d.tornAt >= 0 {
 		return errPowerLost
@@ -71,7 +72,7 @@
 	return nil
 }
 
-// Replace replaces a file as a whole.
+// Replace replaces the whole content of a file.
 func (d *Disk) Replace(name string, data []byte) error {
 	if err := d.writeError(); err != nil {
 		return err
--- a/tests/simulation/events.go
+++ b/tests/simulation/events.go
@@ -2,25 +2,25 @@
 
 import "container/heap"
 
-// EventLoop is the virtual time of a cluster and what is due in it.
+// EventLoop runs the events of a cluster in virtual time.
 type EventLoop struct {
-	// Now is the present in milliseconds since the start.
+	// Now is the current virtual time in milliseconds since the start.
 	Now int64
 
 	queue    eventQueue
 	sequence uint64
 }
 
-// At runs a function at a moment.
+// At schedules a function at a time.
 func (l *EventLoop) At(at int64, do func()) {
 	l.sequence++
 	heap.Push(&l.queue, event{at, l.sequence, do})
 }
 
-// After runs a function after a delay in ms.
+// After schedules a function after a delay in ms.
 func (l *EventLoop) After(ms int64, do func()) { l.At(l.Now+ms, do) }
 
-// Run lets virtual time pass until a moment.
+// Run advances virtual time to until and runs all events that are due by then.
 func (l *EventLoop) Run(until int64) {
 	for len(l.queue) > 0 && l.queue[0].at <= until {
 		next := heap.Pop(&l.queue).(event)
@@ -30,15 +30,15 @@
 	l.Now = until
 }
 
-// Poll runs a function now and every so many ms until it returns false.
+// Poll runs a function now and then every ms milliseconds until it returns false.
 func (l *EventLoop) Poll(ms int64, do func() (again bool)) {
 	if do() {
 		l.After(ms, func() { l.Poll(ms, do) })
 	}
 }
 
-// event is something due at a time; of those due together the first added is the
-// first done.
+// event is a function due at a time; events due at the same time run in the order in
+// which they were added.
 type event struct {
 	at       int64
 	sequence uint64
--- a/tests/simulation/fault_actions.go
+++ b/tests/simulation/fault_actions.go
@@ -1,7 +1,7 @@
 package simulation
 
-// faultActions brings each kind of fault about. An action returns what ends the
-// fault, or nil if the fault can't take effect as the cluster stands.
+// faultActions inject each kind of fault. An action returns the function that ends the
+// fault, or nil if the fault cannot take effect in the cluster's current state.
 var faultActions = map[FaultKind]func(c *Cluster, f Fault) (undo func()){
 	ServerCrash:        func(c *Cluster, f Fault) func() { return c.CrashServer(c.targetServer(f)) },
 	LeaderCrash:        func(c *Cluster, f Fault) func() { return c.CrashServer(c.targetLeader(f)) },
@@ -44,12 +44,12 @@
 	MassRestart: func(c *Cluster, _ Fault) func() { return c.restartMany() },
 }
 
-// Inject brings a fault about and ends it after its duration.
+// Inject injects a fault and ends it after its duration.
 func (c *Cluster) Inject(fault Fault) {
 	c.Logf("FAULT %v", fault)
 	action := faultActions[fault.Kind]
 	if action == nil {
-		panic("simulation: no such fault: " + string(fault.Kind))
+		panic("simulation: unknown fault kind: " + string(fault.Kind))
 	}
 	undo := action(c, fault)
 	if undo != nil {
@@ -63,7 +63,7 @@
 	})
 }
 
-// UndoAll returns what ends several faults; nil among them is passed over.
+// UndoAll returns a function that ends several faults. It skips nil functions.
 func UndoAll(undos []func()) func() {
 	return func() {
 		for _, undo := range undos {
@@ -74,14 +74,14 @@
 	}
 }
 
-// undoNothing ends a fault that leaves nothing to end.
+// undoNothing ends a fault that needs no undo.
 func undoNothing() {}
 
 func choose[T any](list []T, choice int) T { return list[choice%len(list)] }
 
 func (c *Cluster) targetServer(f Fault) *Server { return choose(c.Servers, f.Target) }
 
-// targetLeader is the leader, or the server chosen by Target if nobody leads.
+// targetLeader is the leader, or the server chosen by Target if there is no leader.
 func (c *Cluster) targetLeader(f Fault) *Server {
 	if leader := c.Leader(); leader != nil {
 		return leader
--- a/tests/simulation/faults.go
+++ b/tests/simulation/faults.go
@@ -6,31 +6,33 @@
 	"slices"
 )
 
-// FaultKind is what goes wrong.
+// FaultKind is a kind of fault.
 type FaultKind string
 
-// Kinds of fault. Each ends after its duration, unless it says otherwise.
+// Kinds of fault. Each ends after its duration, unless documented otherwise.
 const (
-	// ServerCrash ends a server, LeaderCrash the one that leads.
+	// ServerCrash ends a server, LeaderCrash the leader.
 	ServerCrash FaultKind = "server-crash"
 	LeaderCrash FaultKind = "leader-crash"
-	// ServerFreeze and LeaderFreeze suspend one.
+	// ServerFreeze suspends a server, LeaderFreeze the leader.
 	ServerFreeze FaultKind = "server-freeze"
 	LeaderFreeze FaultKind = "leader-freeze"
-	// ServerIsolated and LeaderIsolated block all its links.
+	// ServerIsolated blocks all links of a server, LeaderIsolated all of the leader.
 	ServerIsolated FaultKind = "server-isolated"
 	LeaderIsolated FaultKind = "leader-isolated"
-	// ServerHalfIsolated blocks all links from it or all to it, by Parameter.
+	// ServerHalfIsolated blocks all links from a server or all links to it, by
+	// Parameter.
 	ServerHalfIsolated FaultKind = "server-half-isolated"
-	// ServerLinkBlocked blocks the link to the server chosen by Parameter.
+	// ServerLinkBlocked blocks the link from a server to the one chosen by Parameter.
 	ServerLinkBlocked FaultKind = "server-link-blocked"
-	// ServerDiskSlow makes its disk slower by 200 ms and twice Parameter.
+	// ServerDiskSlow delays each disk operation of a server by 200 ms plus twice
+	// Parameter.
 	ServerDiskSlow FaultKind = "server-disk-slow"
-	// ServerDiskStalled lets no operation of its disk end.
+	// ServerDiskStalled lets no disk operation of a server complete.
 	ServerDiskStalled FaultKind = "server-disk-stalled"
-	// ServerLost replaces it by an empty one for good, once in a run.
+	// ServerLost replaces a server by an empty one for good, once in a run.
 	ServerLost FaultKind = "server-lost"
-	// ServerClockJump sets its wall clock wrong, by up to hours.
+	// ServerClockJump sets the wall clock of a server wrong, by up to hours.
 	ServerClockJump FaultKind = "server-clock-jump"
 	// AllServersCrash ends all servers at once.
 	AllServersCrash FaultKind = "all-servers-crash"
@@ -45,29 +47,32 @@
 	// RunnerCrash ends a runner, RunnerFreeze suspends it.
 	RunnerCrash  FaultKind = "runner-crash"
 	RunnerFreeze FaultKind = "runner-freeze"
-	// RunnerIsolated blocks all links from it, and those to it by Parameter.
+	// RunnerIsolated blocks all links from a runner and, by Parameter, those to it.
 	RunnerIsolated FaultKind = "runner-isolated"
-	// RunnerDrain makes it leave; by Parameter it crashes then, or stays after all.
+	// RunnerDrain makes a runner announce its departure; by Parameter it then crashes
+	// or withdraws the announcement.
 	RunnerDrain FaultKind = "runner-drain"
-	// RunnerDefective makes most of its attempts fail, and it slow by Parameter.
+	// RunnerDefective makes most attempts of a runner fail, and slows it down by
+	// Parameter.
 	RunnerDefective FaultKind = "runner-defective"
-	// RunnerLost ends it for good, up to three in a run.
+	// RunnerLost ends a runner for good, up to three in a run.
 	RunnerLost FaultKind = "runner-lost"
-	// RackDrain makes a runner's rack leave at short notice, by Parameter, and go.
+	// RackDrain makes all runners of a runner's rack announce their departure at short
+	// notice, by Parameter, and crash when it has passed.
 	RackDrain FaultKind = "rack-drain"
 
 	// DomainCrash ends all servers, gateways and runners of a domain.
 	DomainCrash FaultKind = "domain-crash"
-	// DomainPartition blocks all links between a domain and the rest.
+	// DomainPartition blocks all links between a domain and the other domains.
 	DomainPartition FaultKind = "domain-partition"
-	// DomainLost is DomainCrash with a server that is replaced, once in a run.
+	// DomainLost is DomainCrash plus the replacement of one server, once in a run.
 	DomainLost FaultKind = "domain-lost"
 	// DomainDrain has an operator drain the domain chosen by Parameter.
 	DomainDrain FaultKind = "domain-drain"
 	// DrainRace has operators drain and reopen that domain at the same time.
 	DrainRace FaultKind = "drain-race"
 
-	// LimitsStorm changes the limits table two hundred times in a second.
+	// LimitsStorm changes the limits table 200 times in a second.
 	LimitsStorm FaultKind = "limits-storm"
 	// LimitsRace changes a cell of the limits table six times on the same base.
 	LimitsRace FaultKind = "limits-race"
@@ -82,8 +87,8 @@
 )
 
 // Fault is one fault of a scenario: it begins at At and lasts Duration, both in
-// milliseconds. Target chooses what it strikes, by remainder of the number of
-// candidates. Parameter is a second choice or an amount, as the kind says.
+// milliseconds. Target selects the affected process, modulo the number of candidates.
+// Parameter is a second choice or an amount, depending on the kind.
 type Fault struct {
 	At, Duration int64
 	Kind         FaultKind
@@ -91,13 +96,13 @@
 	Parameter    int
 }
 
-// String is the fault as it can be pasted into a test.
+// String formats the fault as a Go literal to paste into a test.
 func (f Fault) String() string {
 	return fmt.Sprintf("{At: %d, Duration: %d, Kind: %q, Target: %d, Parameter: %d}", f.At, f.Duration, f.Kind, f.Target, f.Parameter)
 }
 
 // faultWeights are the kinds that DrawFaults draws from, each with its weight. The
-// order is part of what a seed means.
+// order determines which faults a seed yields.
 var faultWeights = []struct {
 	kind   FaultKind
 	weight int
@@ -143,15 +148,15 @@
 	// maxChoice bounds Target and Parameter of drawn faults.
 	maxChoice = 1000
 
-	// Durations of drawn faults in ms: half of them are short.
+	// Durations of drawn faults in ms: half of the faults are short.
 	minShortFault  = 200
 	shortFaultSpan = 1500
 	minLongFault   = 2000
 	longFaultSpan  = 16000
 )
 
-// DrawFaults draws so many faults from a seed, which begin and end between two
-// moments. At most one of them loses a disk.
+// DrawFaults draws count faults from a seed, which begin and end between from and to. At
+// most one of them loses a disk.
 func DrawFaults(seed int64, from, to int64, count int) []Fault {
 	var faults []Fault
 	random := rand.New(rand.NewSource(seed))
--- a/tests/simulation/gateway.go
+++ b/tests/simulation/gateway.go
@@ -5,18 +5,18 @@
 	"orchidward/internal/gateway"
 )
 
-// Gateway is a process that takes the requests of clients and runners.
+// Gateway is a process that handles the requests of clients and runners.
 type Gateway struct {
 	*Process
 	Machine *gateway.Gateway
 
 	cluster *Cluster
-	// responders are called with the response to each open request.
+	// responders are the callbacks of pending requests by request ID.
 	responders  map[uint64]func(status int, body []byte)
 	lastRequest uint64
 }
 
-// AddGateway adds a gateway, which is not started yet.
+// AddGateway adds a gateway without starting it.
 func (c *Cluster) AddGateway(name, domain string) *Gateway {
 	g := &Gateway{Process: c.addProcess(name, domain), cluster: c}
 	c.Gateways = append(c.Gateways, g)
@@ -42,7 +42,7 @@
 	g.flush()
 }
 
-// flush carries out what the state machine wants sent and answered.
+// flush sends the messages and responses that the state machine put out.
 func (g *Gateway) flush() {
 	output := g.Machine.TakeOutput()
 	g.cluster.sendFrames(g.Process, output.Messages)
@@ -54,8 +54,8 @@
 	}
 }
 
-// handleRequest takes a request made at this gateway; respond is called once, unless
-// the process dies before or the caller hangs up.
+// handleRequest handles a request sent to this gateway; respond is called once, unless
+// the process ends before that or the caller hangs up.
 func (g *Gateway) handleRequest(request gateway.Request, respond func(status int, body []byte)) (hangUp func()) {
 	g.lastRequest++
 	request.ID = g.lastRequest
--- a/tests/simulation/http.go
+++ b/tests/simulation/http.go
@@ -7,18 +7,19 @@
 	"orchidward/internal/gateway"
 )
 
-// NoResponse is the status that Request reports when no response came in time.
+// NoResponse is the status that Request reports when no response arrived in time.
 const NoResponse = 0
 
 // Request sends an HTTP request from one process to the gateway or server at an
-// address. done is called once, with NoResponse when nothing came within the
+// address. done is called once, with NoResponse if no response arrives within the
 // timeout in ms.
 func (c *Cluster) Request(from *Process, addr, method, path string, body []byte, timeout int64, done func(status int, body []byte)) {
 	c.Call(HTTPCall{from, addr, method, path, body, timeout, timeout}, done)
 }
 
 // HTTPCall is an HTTP request from one process to the gateway or server at an address. Its
-// caller says that it waits for Timeout ms, and hangs up after HangUpAfter if that is less.
+// caller announces that it waits for Timeout ms, but hangs up after HangUpAfter if that is
+// less.
 type HTTPCall struct {
 	From         *Process
 	Addr         string
@@ -28,8 +29,8 @@
 	HangUpAfter  int64
 }
 
-// Call sends an HTTP request. done is called once, with NoResponse when nothing came before
-// the caller hung up or its time was over.
+// Call sends an HTTP request. done is called once, with NoResponse if no response arrives
+// before the caller hangs up or its timeout expires.
 func (c *Cluster) Call(call HTTPCall, done func(status int, body []byte)) {
 	from := call.From
 	over := false
@@ -70,14 +71,14 @@
 	}
 }
 
-// QueueRequest is what a gateway asks of the control plane for a request from outside,
-// once it has found the request's queue.
+// QueueRequest translates an external request into the request that a gateway sends to
+// the control plane, once it has found the request's queue.
 type QueueRequest func(queue string) (method, path string, body []byte)
 
-// RequestQueue sends a request by host and path to a gateway, which finds the queue that
-// it is for. done is called once with the status, NoResponse when nothing came within
-// the timeout in ms: 404 where the gateway knows that there is no such queue, 503 where
-// it cannot know.
+// RequestQueue sends a request to a gateway, which looks up its queue by host and path.
+// done is called once with the status, NoResponse if no response arrives within the
+// timeout in ms: 404 if the gateway knows that there is no such queue, 503 if it cannot
+// know.
 func (c *Cluster) RequestQueue(from *Process, to *Gateway, host, path string, timeout int64, translate QueueRequest, done func(status int)) {
 	over := false
 	finish := func(status int) {
--- a/tests/simulation/machine_faults.go
+++ b/tests/simulation/machine_faults.go
@@ -1,21 +1,21 @@
 package simulation
 
 const (
-	// minRackNotice is the least notice of RackDrain in ms; Parameter is added,
-	// rackNoticeStep times.
+	// minRackNotice is the shortest notice of RackDrain in ms; Parameter multiplied by
+	// rackNoticeStep is added to it.
 	minRackNotice  = 500
 	rackNoticeStep = 4
-	// runnerNoticeStep is the notice of RunnerDrain in ms for each of Parameter.
+	// runnerNoticeStep is multiplied by Parameter for the notice of RunnerDrain in ms.
 	runnerNoticeStep = 10
 	// drainedRunnerDown is how long a drained runner that crashes is down, in ms.
 	drainedRunnerDown = 2000
 
 	// extraDefects is the share of defective attempts that RunnerDefective adds, in
-	// percent, and maxSlowPercent bounds by how much it slows the runner.
+	// percent, and maxSlowPercent bounds how much it slows the runner.
 	extraDefects   = 80
 	maxSlowPercent = 80
 
-	// maxRunnersLost leaves enough runners for all the work.
+	// maxRunnersLost leaves enough runners to complete all jobs.
 	maxRunnersLost = 3
 )
 
@@ -41,11 +41,11 @@
 		return nil
 	}
 	runner.crash()
-	return runner.startAgain
+	return runner.restart
 }
 
-// startAgain starts a runner that is down and not lost for good.
-func (r *Runner) startAgain() {
+// restart starts a runner that is down and not lost for good.
+func (r *Runner) restart() {
 	if !r.Up && !r.removed {
 		r.start()
 	}
@@ -65,7 +65,7 @@
 	}
 }
 
-// LoseRunner ends a runner that never comes back; nil if no more may be lost.
+// LoseRunner ends a runner for good; undo is nil if no more runners may be lost.
 func (c *Cluster) LoseRunner(runner *Runner) (undo func()) {
 	if runner.removed || c.runnersLost >= maxRunnersLost {
 		return nil
@@ -76,8 +76,8 @@
 	return undoNothing
 }
 
-// drainRunner makes a runner say that it leaves. In the end every third one crashes
-// and comes back, the others stay after all.
+// drainRunner makes a runner announce its departure. At the end of the fault, every third
+// runner crashes and restarts; the others withdraw the announcement.
 func (c *Cluster) drainRunner(f Fault) func() {
 	runner := c.targetRunner(f)
 	if !runner.Up || runner.Frozen {
@@ -90,11 +90,11 @@
 			return
 		}
 		runner.crash()
-		c.After(drainedRunnerDown, runner.startAgain)
+		c.After(drainedRunnerDown, runner.restart)
 	}
 }
 
-// drainRack makes a whole rack say that it leaves, and go.
+// drainRack makes all runners of a rack announce their departure, and then crash.
 func (c *Cluster) drainRack(f Fault) func() {
 	rack := c.targetRunner(f).Rack
 	notice := minRackNotice + int64(f.Parameter)*rackNoticeStep
@@ -110,7 +110,7 @@
 	return UndoAll(undos)
 }
 
-// drainAndCrash makes a runner say that it leaves, and crash after the notice.
+// drainAndCrash makes a runner announce its departure, and crash after the notice.
 func (c *Cluster) drainAndCrash(runner *Runner, notice int64) (undo func()) {
 	runner.Drain(notice)
 	incarnation := runner.Incarnation
@@ -124,11 +124,12 @@
 			runner.CancelDrain()
 			return
 		}
-		runner.startAgain()
+		runner.restart()
 	}
 }
 
-// restartMany ends many processes, to come back at the same moment.
+// restartMany ends all runners, and all gateways but one; undo restarts them at the same
+// time.
 func (c *Cluster) restartMany() func() {
 	var undos []func()
 	for _, runner := range c.Runners {
@@ -140,7 +141,7 @@
 	return UndoAll(undos)
 }
 
-// CrashDomain ends all servers, gateways and runners of a domain until undone.
+// CrashDomain ends all servers, gateways and runners of a domain until undo is called.
 func (c *Cluster) CrashDomain(domain string) (undo func()) {
 	var undos []func()
 	for _, server := range c.Servers {
@@ -161,7 +162,7 @@
 	return UndoAll(undos)
 }
 
-// loseDomain crashes a domain and replaces a server of it by an empty one.
+// loseDomain crashes a domain and replaces one of its servers by an empty one.
 func (c *Cluster) loseDomain(domain string) func() {
 	if c.diskLost {
 		return nil
--- a/tests/simulation/membership.go
+++ b/tests/simulation/membership.go
@@ -5,7 +5,8 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// Leader returns the server that leads in the highest term, nil if none does.
+// Leader returns the server that leads in the highest term, or nil if there is no
+// leader.
 func (c *Cluster) Leader() *Server {
 	var leader *Server
 	for _, server := range c.Servers {
@@ -16,8 +17,8 @@
 	return leader
 }
 
-// Voters returns the voters as the leader knows them, and how many there are in
-// each domain; none if nobody leads.
+// Voters returns the voters in the leader's member list, and their number in each
+// domain; none if there is no leader.
 func (c *Cluster) Voters() (voters []raft.Member, byDomain map[identifier.Domain]int) {
 	byDomain = map[identifier.Domain]int{}
 	leader := c.Leader()
@@ -33,7 +34,7 @@
 	return voters, byDomain
 }
 
-// ServerByID returns the running server with an identity, nil if there is none.
+// ServerByID returns the running server with an ID, or nil if there is none.
 func (c *Cluster) ServerByID(id identifier.Node) *Server {
 	for _, server := range c.Servers {
 		if server.Up && server.Machine != nil && server.Machine.Config().ID == id {
@@ -43,14 +44,15 @@
 	return nil
 }
 
-// replacementSuffix is added to the name of a server that is replaced.
+// replacementSuffix is appended to the name of a lost server to name its replacement.
 const replacementSuffix = "b"
 
 // replacementDelay is how long after a server is lost its replacement starts, in ms.
 const replacementDelay = 1000
 
 // AddReplacement removes a server for good and adds an empty one in its domain, at
-// a new address, which is not started yet and knows one gateway besides the seeds.
+// a new address, without starting it. The replacement knows one gateway besides the
+// seeds.
 func (c *Cluster) AddReplacement(lost *Server) *Server {
 	lost.Crash()
 	lost.Removed = true
@@ -75,8 +77,8 @@
 // restartDelay is how long a server is down when it is restarted, in ms.
 const restartDelay = 700
 
-// RestartAtLevel stops a server and starts it again as a version that knows another
-// level of entries.
+// RestartAtLevel stops a server and restarts it as a version that supports another level
+// of log entries.
 func (c *Cluster) RestartAtLevel(server *Server, level uint16) {
 	c.CrashServer(server)
 	server.Level = level
@@ -87,8 +89,8 @@
 	})
 }
 
-// MeasureOutage keeps in longest the longest time between two answers to the
-// clients' probes, from one moment to another.
+// MeasureOutage records in longest the longest time between two successful probes of the
+// clients, between from and until.
 func (c *Cluster) MeasureOutage(from, until int64, longest *int64) {
 	const interval = 10
 	last := int64(0)
--- a/tests/simulation/mixed_test.go
+++ b/tests/simulation/mixed_test.go
@@ -19,7 +19,7 @@
 	showTrace  = flag.Bool("show", false, "print the run of a failing seed")
 )
 
-// TestCalm runs clusters without faults: all invariants hold, and all jobs end.
+// TestCalm runs clusters without faults: all invariants must hold, and all jobs must end.
 func TestCalm(t *testing.T) {
 	for _, spec := range []simulation.ClusterSpec{simulation.FastNetwork(), simulation.LossyNetwork()} {
 		scenario := simulation.Scenario{Seed: 7, Spec: spec, Window: 30000, Recovery: 25000}
@@ -32,10 +32,10 @@
 	}
 }
 
-// TestMixed injects faults of all kinds at once, under many seeds. It shrinks the list
-// of faults of a failing run.
+// TestMixed injects random faults of all kinds, for many seeds. It shrinks the list of
+// faults of a failing run.
 func TestMixed(t *testing.T) {
-	t.Cleanup(func() { t.Log("faults in force:", injectedFaults) })
+	t.Cleanup(func() { t.Log("faults injected:", injectedFaults) })
 	for i := int64(0); i < int64(*seedCount); i++ {
 		seed := *firstSeed + i
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// sameViolation tells whether two runs violate the same invariant.
+// sameViolation reports whether two runs violate the same invariant.
 func sameViolation(a, b *simulation.Cluster) bool {
 	for kind, n := range b.Checker.Counts {
 		if strings.HasPrefix(kind, invariants.ViolationCount("")) && n > 0 && a.Checker.Counts[kind] > 0 {
@@ -69,7 +69,7 @@
 	return false
 }
 
-// formatScenario prints a scenario as it can be pasted into a test.
+// formatScenario formats a scenario as a Go literal to paste into a test.
 func formatScenario(scenario simulation.Scenario) string {
 	text := fmt.Sprintf("Scenario{Seed: %d, Window: %d, Recovery: %d, Faults: []Fault{", scenario.Seed, scenario.Window, scenario.Recovery)
 	for _, f := range scenario.Faults {
--- a/tests/simulation/network.go
+++ b/tests/simulation/network.go
@@ -6,18 +6,18 @@
 	"orchidward/internal/transport/wire"
 )
 
-// link is the way from one process to another, by their names.
+// link is the one-way link from one process to another, by their names.
 type link struct{ from, to string }
 
 // network is the state of all links.
 type network struct {
 	blocked map[link]bool
-	// stalled holds back what is sent by a link, as TCP does while packets are lost;
-	// it arrives once the link is mended.
+	// stalled holds the messages on stalled links, as TCP does while packets are lost;
+	// they arrive once the link recovers.
 	stalled map[link][]func()
-	// lastArrival keeps what is sent by a link in order.
+	// lastArrival is when the last message on a link arrives; it keeps them in order.
 	lastArrival map[link]int64
-	// busyUntil is when a link has carried all that was sent by it.
+	// busyUntil is when a link will have transmitted all messages sent on it.
 	busyUntil map[link]int64
 }
 
@@ -32,18 +32,18 @@
 
 func linkBetween(from, to *Process) link { return link{from.Name, to.Name} }
 
-// blocked tells whether what one process sends does not reach another.
+// blocked reports whether the link from one process to another is blocked.
 func (c *Cluster) blocked(from, to *Process) bool {
 	return c.network.blocked[linkBetween(from, to)]
 }
 
-// reachable tells whether two processes reach each other, both ways.
+// reachable reports whether two processes reach each other, both ways.
 func (c *Cluster) reachable(a, b *Process) bool {
 	return a == b || !c.blocked(a, b) && !c.blocked(b, a)
 }
 
-// carry delivers a message of so many bytes from one process to another, once the link has
-// carried those before it.
+// carry delivers a message of the given size in bytes from one process to another, once
+// the link has transmitted those before it.
 func (c *Cluster) carry(from, to *Process, size int, do func()) {
 	if c.Spec.LinkBytesPerMs == 0 || from == to {
 		c.transmit(from, to, do)
@@ -60,8 +60,8 @@
 	})
 }
 
-// transmit delivers from one process to another: after a delay and in order, or not
-// at all.
+// transmit delivers a message from one process to another: after a delay and in order,
+// or not at all.
 func (c *Cluster) transmit(from, to *Process, do func()) {
 	if c.blocked(from, to) || c.Random.Int63n(1000) < c.Spec.LossPerMille {
 		return
@@ -85,8 +85,8 @@
 	})
 }
 
-// BlockLink blocks what one process sends to another, and with both set also what
-// comes back, until undone; nil for a process and itself.
+// BlockLink blocks the link from one process to another, and with both set also the
+// reverse link, until undo is called; undo is nil if from and to are the same process.
 func (c *Cluster) BlockLink(from, to *Process, both bool) (undo func()) {
 	if from == to {
 		return nil
@@ -102,7 +102,7 @@
 }
 
 // Isolate blocks the links of a process to all others, from all others, or both,
-// until undone.
+// until undo is called.
 func (c *Cluster) Isolate(p *Process, out, in bool) (undo func()) {
 	for _, other := range c.processes {
 		if other == p {
@@ -123,7 +123,8 @@
 	}
 }
 
-// partitionDomain blocks all links between a domain and the rest until undone.
+// partitionDomain blocks all links between a domain and the other domains until undo is
+// called.
 func (c *Cluster) partitionDomain(domain string) (undo func()) {
 	inside := map[string]bool{}
 	for _, p := range c.processesIn(domain) {
@@ -146,8 +147,8 @@
 	}
 }
 
-// StallLink holds back all that is sent from one process to another until undone;
-// then it arrives, in order. It returns nil if the link is stalled already.
+// StallLink holds back all messages from one process to another until undo is called;
+// then they arrive, in order. undo is nil if the link is stalled already.
 func (c *Cluster) StallLink(from, to *Process) (undo func()) {
 	way := linkBetween(from, to)
 	if _, stalled := c.network.stalled[way]; stalled {
@@ -169,8 +170,8 @@
 	}
 }
 
-// sendFrame sends a message through the real encoding, so that nothing reaches another
-// process here that would not reach it in a real cluster.
+// sendFrame sends a message through the real encoding, so that a process receives only
+// what the encoding transports, as in a real cluster.
 func (c *Cluster) sendFrame(from *Process, envelope wire.Envelope) {
 	to := c.processes[string(envelope.To)]
 	if to == nil {
@@ -181,22 +182,22 @@
 	c.carry(from, to, size, func() { c.deliver(to, wire.Peer(from.Addr), message) })
 }
 
-// reencode encodes and decodes a message, and counts its bytes.
+// reencode encodes and decodes a message, and counts its encoded bytes.
 func (c *Cluster) reencode(message wire.Message) (decoded wire.Message, size int) {
 	var buffer bytes.Buffer
 	if err := wire.NewEncoder(&buffer).Encode(message); err != nil {
-		panic("simulation: a message does not encode: " + err.Error())
+		panic("simulation: cannot encode message: " + err.Error())
 	}
 	size = buffer.Len()
 	c.Traffic.Bytes += int64(size)
 	decoded, err := wire.NewDecoder(&buffer).Decode()
 	if err != nil {
-		panic("simulation: an encoded message does not decode: " + err.Error())
+		panic("simulation: cannot decode an encoded message: " + err.Error())
 	}
 	return decoded, size
 }
 
-// deliver hands a message to the state machine that runs in a process.
+// deliver passes a message to the state machine that runs in a process.
 func (c *Cluster) deliver(to *Process, from wire.Peer, message wire.Message) {
 	for _, server := range c.Servers {
 		if server.Process == to && server.Machine != nil {
--- a/tests/simulation/operator_faults.go
+++ b/tests/simulation/operator_faults.go
@@ -13,7 +13,7 @@
 	raceChanges   = 6
 	floodRows     = 150
 
-	// Times in ms and number of the orders of DrainRace.
+	// Times in ms, and the number of orders, of DrainRace.
 	drainRaceAt      = 50
 	drainRaceOrders  = 4
 	drainRaceTimeout = 1000
@@ -24,8 +24,8 @@
 	maxSpikedLoad     = 1000
 )
 
-// newDrainOrder begins an order to drain or reopen a domain, which replaces those
-// before. isLatest tells whether no order has replaced it.
+// newDrainOrder begins an order to drain or reopen a domain, which supersedes earlier
+// orders. isLatest reports whether no later order has superseded it.
 func (c *Cluster) newDrainOrder(domain string) (isLatest func() bool) {
 	c.drainOrders[domain]++
 	number := c.drainOrders[domain]
@@ -42,8 +42,8 @@
 	}
 }
 
-// raceDrains has two operators drain and reopen a domain at the same moment, and
-// one of them reopen it in the end.
+// raceDrains has two operators drain and reopen a domain concurrently, and one of them
+// reopen it in the end.
 func (c *Cluster) raceDrains(domain string) func() {
 	undo := c.drainDomain(domain)
 	c.After(drainRaceAt, func() {
@@ -68,7 +68,8 @@
 	return undoNothing
 }
 
-// raceLimits changes the same cell on the same base at every gateway.
+// raceLimits changes the same cell several times on the same base, through random
+// gateways.
 func (c *Cluster) raceLimits() func() {
 	c.Clients.ReadLimits(func(epoch int64) {
 		for range raceChanges {
--- a/tests/simulation/process.go
+++ b/tests/simulation/process.go
@@ -8,57 +8,59 @@
 	"orchidward/internal/stalldetector"
 )
 
-// WallClockStart is the true time of day at the start, in ms since 1970.
+// WallClockStart is the true wall-clock time at the start, in ms since 1970.
 const WallClockStart = 1_800_000_000_000
 
-// maxInbox is how many messages wait for a suspended process.
+// maxInbox is how many messages a suspended process can have queued; more are dropped.
 const maxInbox = 10000
 
-// driftSteps and driftUnit bound how far clocks drift: by up to 0.2 %, in steps.
+// driftSteps and driftUnit bound the clock drift: up to 0.2 %, in equal steps.
 const (
 	driftSteps = 20
 	driftUnit  = 10000
 )
 
-// Process is one process, whatever it runs.
+// Process is one simulated process: a server, gateway, runner, agent or the clients.
 type Process struct {
 	Name   string
 	Addr   string
 	Domain string
 	Up     bool
-	// Frozen processes do nothing; what is sent to them waits.
+	// Frozen is set while the process is suspended: it does nothing, and messages to it
+	// are queued.
 	Frozen bool
 	// ClockSkew is how far the wall clock is ahead, in ms.
 	ClockSkew int64
 	// Slowness is how many times as long as usual the process takes for each message
-	// and request that it reads; up to 1 it takes no time at all. Requests of clients
-	// wait for it, in the order in which they came; messages of other processes are read
-	// at once and take from the same time, as they have a queue of their own.
+	// and request that it reads; up to 1 it takes no time at all. Client requests wait
+	// in a queue in order of arrival. Messages from other processes have a queue of
+	// their own: they are read at once, but use up the same processing time.
 	Slowness int64
 
-	// Incarnation counts the starts and the ends of the process.
+	// Incarnation counts the starts and ends of the process.
 	Incarnation int
 	startedAt   int64
 	clockDrift  float64
 	inbox       []delivery
 	suspendedAt int64
-	// suspendedFor is for how long the process has been frozen since its start.
+	// suspendedFor is how long the process has been frozen in total since its start.
 	suspendedFor int64
-	// busyUntil is when a slow process has read all that has come, in microseconds, and
-	// arrivedAt when that came, in ms, which it reads at the moment.
+	// busyUntil is when a slow process will have read everything received so far, in
+	// microseconds; arrivedAt is when the message that it is reading arrived, in ms.
 	busyUntil int64
 	arrivedAt int64
 }
 
-// messageCost is what a message costs a process at its usual speed, in microseconds.
+// messageCost is the processing time of a message at the usual speed, in microseconds.
 const messageCost = 500
 
-// unseenWait is for how long, in ms, a request may have waited in a slow process before
-// the process takes note of it: no longer than a stall that goes unnoticed.
-const unseenWait = int64(stalldetector.Limit)
+// undetectedWait is how long, in ms, a request may have waited in a slow process without the
+// process detecting it: at most the longest stall that the stall detector misses.
+const undetectedWait = int64(stalldetector.Limit)
 
-// delivery is what a frozen process does when it wakes, and the connection by which
-// it came. What came by one connection is read in order, connections in any.
+// delivery is a message that a frozen process handles when it is resumed, and the
+// connection it arrived on. Messages of one connection are read in order, different
+// connections in any order.
 type delivery struct {
 	connection string
 	do         func()
@@ -71,7 +73,7 @@
 	return p
 }
 
-// Process returns the process at an address, nil if there is none.
+// Process returns the process at an address, or nil if there is none.
 func (c *Cluster) Process(addr string) *Process { return c.processes[addr] }
 
 // tickWhileUp calls tick at once and at every interval until this incarnation of the
@@ -91,7 +93,7 @@
 	next()
 }
 
-// processesIn lists the processes of a domain by name.
+// processesIn lists the processes of a domain, sorted by name.
 func (c *Cluster) processesIn(domain string) []*Process {
 	var list []*Process
 	for _, p := range c.processes {
@@ -109,13 +111,13 @@
 	p.startedAt = now
 }
 
-// post runs something in a process after a delay, unless it has died since; a
-// frozen one does it when it wakes.
+// post runs a function in a process after a delay, unless the process has ended by
+// then. A frozen process runs it when it is resumed.
 func (c *Cluster) post(p *Process, ms int64, do func()) {
 	c.postFrom(p, ms, p.Name, do)
 }
 
-// postFrom is post for what comes by a connection.
+// postFrom is like post, for a message that arrives on a connection.
 func (c *Cluster) postFrom(p *Process, ms int64, connection string, do func()) {
 	incarnation := p.Incarnation
 	c.After(ms, func() {
@@ -131,7 +133,8 @@
 	})
 }
 
-// read lets a process read what has come: at once, or when a slow one gets to it.
+// read handles a message that has arrived at a process: at once, or once a slow process
+// has worked off its backlog.
 func (c *Cluster) read(p *Process, connection string, do func()) {
 	arrivedAt := c.Now
 	waits := connection == clientsName && (p.Slowness > 1 || c.Backlog(p) > 0)
@@ -156,16 +159,17 @@
 	})
 }
 
-// Backlog is how long what comes to a process now waits until it is read, in ms.
+// Backlog is how long a request that arrives at a process now waits until it is read,
+// in ms.
 func (c *Cluster) Backlog(p *Process) int64 { return max(0, p.busyUntil/1000-c.Now) }
 
-// waited is for how long the request that a process reads now has waited in it, as far as
-// the process can tell.
+// waited is how long the request that a process is reading has waited in it, as far as
+// the process can detect.
 func (c *Cluster) waited(p *Process) clock.Millis {
-	return clock.Millis(max(0, c.Now-p.arrivedAt-unseenWait))
+	return clock.Millis(max(0, c.Now-p.arrivedAt-undetectedWait))
 }
 
-// Monotonic reads the monotonic clock of a process.
+// Monotonic returns the monotonic clock of a process.
 func (c *Cluster) Monotonic(p *Process) clock.Monotonic {
 	elapsed := c.Now - p.startedAt
 	if c.ClocksStopInSuspend {
@@ -174,7 +178,7 @@
 	return clock.Monotonic(float64(elapsed) * (1 + p.clockDrift))
 }
 
-// WallTime reads the wall clock of a process.
+// WallTime returns the wall-clock time of a process.
 func (c *Cluster) WallTime(p *Process) clock.WallTime {
 	return clock.WallTime(WallClockStart + c.Now + p.ClockSkew)
 }
@@ -185,7 +189,7 @@
 	p.suspendedAt = c.Now
 }
 
-// Resume wakes a frozen process, which then does all that waited for it.
+// Resume resumes a frozen process, which then handles all queued messages.
 func (c *Cluster) Resume(p *Process) {
 	if !p.Frozen {
 		return
@@ -202,7 +206,8 @@
 	}
 }
 
-// Freeze suspends a process until undone; nil if it is not running.
+// Freeze suspends a process until undo is called; undo is nil if the process is not
+// running.
 func (c *Cluster) Freeze(p *Process) (undo func()) {
 	if !p.Up || p.Frozen {
 		return nil
@@ -226,8 +231,8 @@
 	p.Incarnation++
 }
 
-// interleave puts what waited at a process into an order in which it may read its
-// connections: each of them in order, among one another in any.
+// interleave puts the messages queued at a process into a random order that keeps the
+// order within each connection.
 func (c *Cluster) interleave(waiting []delivery) []func() {
 	queues := map[string][]func(){}
 	var connections []string
--- a/tests/simulation/runner.go
+++ b/tests/simulation/runner.go
@@ -18,7 +18,7 @@
 	*Process
 	Machine *runner.Runner
 	Config  runner.Config
-	// Rack is the rack it shares with its neighbours.
+	// Rack is the rack that the runner shares with its neighbours.
 	Rack string
 	// OnStart, if set, is called for every attempt that starts.
 	OnStart func(e runner.Event)
@@ -29,10 +29,10 @@
 	removed      bool
 }
 
-// runnersPerRack is how many runners share a rack, and with it a domain.
+// runnersPerRack is how many runners share a rack, and therefore a domain.
 const runnersPerRack = 3
 
-// Labels of the runners: all have standardLabel, every second one ssdLabel too.
+// Labels of the runners: all have standardLabel, every second one also has ssdLabel.
 const (
 	standardLabel identifier.Label = "std"
 	ssdLabel      identifier.Label = "ssd"
@@ -96,7 +96,7 @@
 	r.flush()
 }
 
-// flush reports what happened to the checker and sends the polls that are due.
+// flush reports the runner's events to the checker and sends the polls that are due.
 func (r *Runner) flush() {
 	output := r.Machine.TakeOutput()
 	for _, e := range output.Events {
@@ -120,8 +120,8 @@
 	}
 }
 
-// pollAnswered tells the checker that a poll was answered; draining says that the
-// runner said in it that it leaves.
+// pollAnswered notifies the checker that a poll was answered; draining tells whether
+// the runner announced its departure in that poll.
 func (r *Runner) pollAnswered(draining bool) {
 	if draining && r.draining() {
 		r.cluster.Checker.RunnerLeaving(r.Name)
@@ -131,7 +131,7 @@
 
 func (r *Runner) draining() bool { return r.Machine.Mode() == runnerapi.ModeDraining }
 
-// Drain makes the runner say that it leaves, in so many ms.
+// Drain makes the runner announce that it departs in the given number of ms.
 func (r *Runner) Drain(departsIn int64) {
 	if !r.Up || r.Frozen {
 		return
@@ -140,7 +140,7 @@
 	r.flush()
 }
 
-// CancelDrain makes the runner say that it stays after all.
+// CancelDrain makes the runner withdraw its announced departure.
 func (r *Runner) CancelDrain() {
 	if !r.Up || r.Frozen {
 		return
--- a/tests/simulation/scenario.go
+++ b/tests/simulation/scenario.go
@@ -5,44 +5,45 @@
 	"orchidward/internal/api/runnerapi"
 )
 
-// Scenario is one run: all of it follows from the seed and the faults.
+// Scenario defines one run, which is fully determined by its fields.
 type Scenario struct {
 	Seed int64
 	Spec ClusterSpec
-	// Window is the moment until which clients submit jobs and faults begin; then
-	// all faults end.
+	// Window is the time until which clients submit jobs and faults begin; then all
+	// faults end.
 	Window int64
-	// Recovery is how long after the window accepted jobs may take to end, at least
-	// minRecovery.
+	// Recovery is how long after the window accepted jobs may take to end; values below
+	// minRecovery count as minRecovery.
 	Recovery int64
 	Faults   []Fault
 	// Trace keeps a log of the run.
 	Trace bool
-	// Setup prepares what a list of faults can't say.
+	// Setup, if set, prepares the cluster beyond what the list of faults can express.
 	Setup func(cluster *Cluster)
 }
 
 const (
-	// setUpAt is when the clients first make their rows of the limits table.
+	// setUpAt is when the clients first try to create their rows of the limits table.
 	setUpAt = 2500
-	// minLoadStart is when the load begins at the earliest, loadAfterSetUp how long
-	// after the rows are there.
+	// minLoadStart is the earliest start of the load, loadAfterSetUp the delay of the
+	// load after the rows exist.
 	minLoadStart   = 4000
 	loadAfterSetUp = 2000
 	// minRecovery is long enough for the longest work to run twice over.
 	minRecovery = 70000
-	// minObservation is how long after the window a cluster is watched at least, and
-	// observationAfterDone for how long once every job has ended: a task that still
-	// starts is a violation.
+	// minObservation is the least time for which a cluster is observed after the window,
+	// and observationAfterDone the time for which it is observed once every job has
+	// ended: a task that starts in that time is a violation.
 	minObservation       = 16000
 	observationAfterDone = 4000
-	// observationStep is how often it is looked at whether every job has ended.
+	// observationStep is the interval at which the run checks whether every job has
+	// ended.
 	observationStep = 1000
-	// neverDisturbed is the end of the faults of a run that has none.
+	// neverDisturbed is the value of faultsOverAt for a run without faults.
 	neverDisturbed = 1
 )
 
-// Run plays a scenario and returns the cluster as it stands in the end.
+// Run runs a scenario and returns the cluster in its final state.
 func Run(scenario Scenario) *Cluster {
 	c := NewCluster(scenario.Seed, scenario.Spec)
 	c.Trace = scenario.Trace
@@ -69,7 +70,7 @@
 	return c
 }
 
-// runUntilDone lets time pass until every job has ended, or a moment.
+// runUntilDone advances time until every job has ended, at most to end.
 func (c *Cluster) runUntilDone(window, end int64) {
 	for c.Now < end {
 		c.Run(min(end, c.Now+observationStep))
@@ -80,7 +81,8 @@
 	}
 }
 
-// Heal ends all that is still wrong, so that the end of the run can be waited for.
+// Heal ends all faults that are still active, so that the cluster can recover and the
+// jobs can end.
 func (c *Cluster) Heal() {
 	if c.faultsOverAt == 0 {
 		c.faultsOverAt = c.Now
@@ -88,8 +90,8 @@
 	c.repairAll()
 }
 
-// Repair ends all that is wrong at the moment. More faults may follow: the cluster
-// does not count as quiet.
+// Repair ends all active faults. More faults may follow: the cluster does not count as
+// quiet.
 func (c *Cluster) Repair() {
 	c.repairAll()
 	c.faultsOverAt = 0
@@ -142,7 +144,7 @@
 	}
 }
 
-// logStuckJob logs what the leader knows of a job that did not end.
+// logStuckJob logs the leader's state of a job that did not end.
 func (c *Cluster) logStuckJob(key identifier.JobKey) {
 	leader := c.Leader()
 	if leader == nil {
@@ -152,7 +154,7 @@
 	store := leader.Machine.State()
 	job := store.Jobs[key]
 	if job == nil {
-		c.Logf("%s is not known to the leader", key)
+		c.Logf("the leader does not know %s", key)
 		return
 	}
 	c.Logf("%s is %s, now %d start %d", key, job.State(), store.Now-WallClockStart, job.StartAt-WallClockStart)
--- a/tests/simulation/server.go
+++ b/tests/simulation/server.go
@@ -11,41 +11,42 @@
 	"orchidward/internal/transport/wire"
 )
 
-// Server is a process of the control plane, with a disk that takes its time. Its
-// process goes on in server_disk.go.
+// Server is a process of the control plane, with a disk whose operations take time. The
+// disk operations are in server_disk.go.
 type Server struct {
 	*Process
 	// Machine is the state machine that runs in the process, nil while it is down.
 	Machine *controlplane.Server
 	Disk    *Disk
 	Seeds   []string
-	// Level is the highest level of entries that its version knows.
+	// Level is the highest level of log entries that the server's version supports.
 	Level uint16
-	// Diskless servers keep nothing, never vote, and forward requests.
+	// Diskless is set for a server that stores nothing, never votes, and forwards
+	// requests.
 	Diskless bool
-	// Removed servers never start again.
+	// Removed is set for a server that never starts again.
 	Removed bool
-	// QuitReason is why the process ended by itself, empty if it did not.
+	// QuitReason is why the process exited by itself, empty if it did not.
 	QuitReason string
-	// DiskDelay is added to the duration of each operation of the disk, in ms.
+	// DiskDelay is added to the duration of each disk operation, in ms.
 	DiskDelay int64
-	// DiskStalledUntil is before when no operation of the disk ends.
+	// DiskStalledUntil is the earliest time at which a disk operation can complete.
 	DiskStalledUntil int64
-	// PersistedIndex is how far the log on its disk goes.
+	// PersistedIndex is the index of the last log entry on the disk.
 	PersistedIndex identifier.Index
 
 	cluster *Cluster
 	layout  wal.Layout
 	log     *wal.Log
 	writes  wal.WriteQueue
-	// operation is the operation of the disk under way, nil for none.
+	// operation is the disk operation in progress, nil for none.
 	operation *wal.Operation
-	// requests are those that were made at this server itself.
+	// requests are the requests that were sent to this server directly.
 	requests    *inflight.Requests
 	lastRequest uint64
 }
 
-// Size of a server's log, small enough that it is compacted in many runs.
+// Size of a server's log, small enough that many runs compact it.
 const (
 	logFiles     = 6
 	logFileBytes = 256 << 10
@@ -53,7 +54,7 @@
 
 func (s ClusterSpec) logFileBytes() int { return max(s.LogFileBytes, logFileBytes) }
 
-// AddServer adds a server with an empty disk, which is not started yet.
+// AddServer adds a server with an empty disk, without starting it.
 func (c *Cluster) AddServer(name, domain string) *Server {
 	server := &Server{
 		Process: c.addProcess(name, domain),
@@ -67,7 +68,7 @@
 	return server
 }
 
-// Start starts the process on whatever its disk holds.
+// Start starts the process from the content of its disk.
 func (s *Server) Start() {
 	s.begin(s.cluster.Now)
 	s.writes = wal.WriteQueue{}
@@ -99,8 +100,8 @@
 	}
 }
 
-// recover makes the state machine of a server with a disk. It fails if the machine
-// refuses what the disk holds.
+// recover creates the state machine of a server from its disk. It fails if the machine
+// rejects the content of the disk.
 func (s *Server) recover() error {
 	id, layout, err := wal.Identity(s.Disk, identifier.Node(s.cluster.Random.Uint64()|1), s.layout)
 	if err != nil {
@@ -132,8 +133,8 @@
 	return s.log.PercentUsed()
 }
 
-// Crash ends the process at once; with its power gone, a write under way is lost,
-// torn or done.
+// Crash ends the process at once, as a power loss does: a write in progress is lost,
+// torn or complete.
 func (s *Server) Crash() {
 	if !s.Up {
 		return
@@ -142,21 +143,21 @@
 	s.Stop()
 }
 
-// Stop ends the process with no write under way.
+// Stop ends the process without a power loss.
 func (s *Server) Stop() {
 	s.cluster.Kill(s.Process)
 	s.Machine = nil
 	s.log = nil
 }
 
-// quit ends the process by its own decision.
+// quit ends a process whose state machine or disk makes it exit.
 func (s *Server) quit(reason string) {
 	s.QuitReason = reason
 	s.Crash()
 }
 
-// WipeDisk crashes the server and empties its disk; it may start again, empty, at
-// its old address.
+// WipeDisk crashes the server and empties its disk; the server may start again, empty,
+// at its old address.
 func (s *Server) WipeDisk() {
 	s.Crash()
 	s.Disk = newDisk()
@@ -168,8 +169,8 @@
 	s.Flush()
 }
 
-// Flush carries out what the state machine wants sent and written. A test that
-// calls the machine itself must call it afterwards.
+// Flush sends and writes the output of the state machine. A test that calls the
+// machine directly must call Flush afterwards.
 func (s *Server) Flush() {
 	if s.cluster.Failpoint != nil && s.cluster.Failpoint(s) {
 		return
@@ -188,7 +189,8 @@
 	s.dispatch()
 }
 
-// send hands over the replies to requests made at this server, and sends all else.
+// send completes the requests sent to this server directly with their responses, and
+// sends all other messages.
 func (s *Server) send(list []wire.Envelope) {
 	remote := list[:0]
 	for _, envelope := range list {
@@ -201,7 +203,8 @@
 	s.cluster.sendFrames(s.Process, remote)
 }
 
-// dispatch gives the state machine the requests made at this server that are due.
+// dispatch passes the due requests that were sent to this server directly to the state
+// machine.
 func (s *Server) dispatch() {
 	due := s.requests.TakeDispatches()
 	for _, one := range due {
@@ -213,8 +216,8 @@
 	}
 }
 
-// handleRequest takes a request made at this server; respond is called once, unless
-// the process dies before or the caller hangs up.
+// handleRequest handles a request sent to this server directly; respond is called once,
+// unless the process ends before that or the caller hangs up.
 func (s *Server) handleRequest(request gateway.Request, respond func(status int, body []byte)) (hangUp func()) {
 	s.lastRequest++
 	request.ID = s.lastRequest
@@ -232,8 +235,7 @@
 	}
 }
 
-// IsLeader tells whether this server believes that it leads, and is awake to act on
-// it.
+// IsLeader reports whether this server considers itself the leader and is not suspended.
 func (s *Server) IsLeader() bool {
 	if !s.Up || s.Frozen || s.Machine == nil || s.Machine.Raft() == nil {
 		return false
--- a/tests/simulation/server_disk.go
+++ b/tests/simulation/server_disk.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// minOperation and operationJitter are how long an operation of a healthy disk
-	// takes, in ms.
+	// minOperation and operationJitter bound the duration of an operation of a healthy
+	// disk, in ms.
 	minOperation    = 1
 	operationJitter = 3
-	// maxTornBytes is how much of a write may be on the disk when power is lost.
+	// maxTornBytes bounds how much of a torn write is on the disk.
 	maxTornBytes = 200
 )
 
-// startOperation gives the disk its next operation. It goes on even in a frozen
-// process, which only hears of it when it wakes.
+// startOperation starts the next disk operation. An operation proceeds even while the
+// process is frozen; the state machine is notified of it once the process is resumed.
 func (s *Server) startOperation() {
 	operation := s.writes.Next()
 	if operation == nil {
@@ -54,7 +54,7 @@
 	s.cluster.post(s.Process, 0, func() { s.reportPersisted(operation) })
 }
 
-// reportPersisted tells the state machine that an operation is done.
+// reportPersisted notifies the state machine that an operation has completed.
 func (s *Server) reportPersisted(operation *wal.Operation) {
 	now := s.cluster.Monotonic(s.Process)
 	wall := s.cluster.WallTime(s.Process)
@@ -66,7 +66,7 @@
 	s.Flush()
 }
 
-// recordPersisted keeps how far the log on the disk goes after an operation.
+// recordPersisted updates PersistedIndex after an operation.
 func (s *Server) recordPersisted(operation *wal.Operation) {
 	switch {
 	case operation.Create != nil:
@@ -78,8 +78,8 @@
 	}
 }
 
-// interruptWrite leaves on the disk what a write under way has brought there when
-// power is lost: nothing, a part, or all of it.
+// interruptWrite simulates a power loss during a write: nothing, a part, or all of it
+// is on the disk afterwards.
 func (s *Server) interruptWrite() {
 	if s.operation == nil || s.cluster.Random.Intn(3) == 0 || s.log == nil || s.operation.Write == nil {
 		return
--- a/tests/simulation/server_faults.go
+++ b/tests/simulation/server_faults.go
@@ -1,19 +1,19 @@
 package simulation
 
 const (
-	// minSlowDisk is the least delay of ServerDiskSlow in ms; twice Parameter is
-	// added.
+	// minSlowDisk is the shortest delay of ServerDiskSlow in ms; twice Parameter is
+	// added to it.
 	minSlowDisk = 200
 
-	// Clocks jump by up to maxClockJumps steps of clockJump ms, and away from one
-	// another by clockJumpApart where they would be within minClocksApart.
+	// Clocks jump by up to maxClockJumps steps of clockJump ms. A clock that would be
+	// within minClocksApart ms of another wrong clock jumps clockJumpApart ms further.
 	maxClockJumps  = 100
 	clockJump      = 100_000
 	clockJumpApart = 120_000
 	minClocksApart = 60_000
 )
 
-// CrashServer ends a server until undone; nil if it is down.
+// CrashServer ends a server until undo is called; undo is nil if the server is down.
 func (c *Cluster) CrashServer(server *Server) (undo func()) {
 	if !server.Up {
 		return nil
@@ -55,8 +55,8 @@
 	return undoNothing
 }
 
-// loseServer replaces a server by an empty one. A second loss might take an entry
-// that only a minority is left to hold.
+// loseServer replaces a server by an empty one. Only one disk may be lost in a run: a
+// second loss could destroy an entry that only a minority still stores.
 func (c *Cluster) loseServer(f Fault) func() {
 	if c.diskLost {
 		return nil
@@ -66,8 +66,8 @@
 	return undoNothing
 }
 
-// jumpClock sets a server's clock wrong, back or forward. Several may be wrong at
-// once, but no two alike: two that agree cannot be told from right.
+// jumpClock sets a server's clock back or forward. Several clocks may be wrong at once,
+// but no two may agree: agreeing wrong clocks are indistinguishable from correct ones.
 func (c *Cluster) jumpClock(f Fault) func() {
 	server := c.targetServer(f)
 	skew := int64(f.Parameter%(2*maxClockJumps)-maxClockJumps) * clockJump
--- a/tests/simulation/shrink.go
+++ b/tests/simulation/shrink.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// maxShrinkRuns bounds how many runs a shrinking may take.
+// maxShrinkRuns bounds the number of runs of Shrink.
 const maxShrinkRuns = 60
 
-// Shrink drops faults from a failing scenario for as long as the run still fails,
-// first half of them at a time, then fewer.
+// Shrink removes faults from a failing scenario as long as the run still fails, first
+// half of the faults at a time, then fewer.
 func Shrink(scenario Scenario, fails func(cluster *Cluster) bool) Scenario {
 	smallest := scenario
 	runs := 0
--- a/tests/simulation/simulationtest/simulationtest.go
+++ b/tests/simulation/simulationtest/simulationtest.go
@@ -1,5 +1,5 @@
-// Package simulationtest has what the tests of the simulation share: to play a
-// scenario and check what came of it, and to sum up measured times.
+// Package simulationtest has the helpers that the tests of the simulation share: they run
+// a scenario, check its invariants, and summarize measured times.
 package simulationtest
 
 import (
@@ -11,7 +11,7 @@
 	"orchidward/tests/simulation"
 )
 
-// minSucceeded is how many jobs must have succeeded for a scenario to show anything.
+// minSucceeded is how many jobs must succeed for a scenario to be meaningful.
 const minSucceeded = 30
 
 // CheckInvariants fails the test for each invariant that a run violated.
@@ -22,8 +22,8 @@
 	}
 }
 
-// RunScenario plays a scenario, on the cluster of FastNetwork if it names none, and
-// checks its invariants.
+// RunScenario runs a scenario and checks its invariants. A scenario without a spec uses
+// FastNetwork.
 func RunScenario(t *testing.T, scenario simulation.Scenario) *simulation.Cluster {
 	t.Helper()
 	if scenario.Spec.Servers == 0 {
@@ -37,7 +37,7 @@
 	return cluster
 }
 
-// Longest is the longest of some times, 0 for none.
+// Longest returns the longest of some times, 0 for none.
 func Longest(times []int64) int64 {
 	var longest int64
 	for _, one := range times {
@@ -46,8 +46,7 @@
 	return longest
 }
 
-// Percentile is the time that so many percent of some times do not exceed, 0 for
-// none.
+// Percentile returns the given percentile of some times, 0 for none.
 func Percentile(times []int64, percent int) int64 {
 	if len(times) == 0 {
 		return 0
@@ -56,5 +55,5 @@
 	return sorted[min(len(sorted)-1, len(sorted)*percent/100)]
 }
 
-// Median is the median of some times, 0 for none.
+// Median returns the median of some times, 0 for none.
 func Median(times []int64) int64 { return Percentile(times, 50) }
--- a/tests/simulation/spec.go
+++ b/tests/simulation/spec.go
@@ -5,48 +5,48 @@
 	"orchidward/internal/consensus/raft"
 )
 
-// ClusterSpec is the size of a cluster and its usual conditions.
+// ClusterSpec defines the size of a cluster and its normal operating conditions.
 type ClusterSpec struct {
-	// Servers, Gateways and Runners are how many of each there are.
+	// Servers, Gateways and Runners are the number of processes of each kind.
 	Servers, Gateways, Runners int
 	// Cores and Mem (in MiB) are the capacity of each runner.
 	Cores, Mem int64
 	// DelayMs is the usual one-way delay of messages.
 	DelayMs int64
-	// LinkBytesPerMs is how fast a link between two processes carries messages, in bytes
-	// a ms, 0 for at once.
+	// LinkBytesPerMs is the bandwidth of a link between two processes in bytes per ms, 0
+	// for unlimited.
 	LinkBytesPerMs int64
 	// LossPerMille is the share of messages that are lost.
 	LossPerMille int64
 	// LoadPercent is the clients' load in percent of the usual.
 	LoadPercent int64
-	// DefectPercent is the usual share of attempts that end by a defect.
+	// DefectPercent is the usual share of attempts that end with a defect.
 	DefectPercent int64
-	// ServerDomains is over how many failure domains the servers are spread, 0 for
-	// the usual three. Gateways and runners are always spread over three.
+	// ServerDomains is the number of failure domains over which the servers are spread,
+	// 0 for the usual three. Gateways and runners are always spread over three.
 	ServerDomains int
-	// DisklessServers is how many servers without a disk there are besides.
+	// DisklessServers is the number of additional servers without a disk.
 	DisklessServers int
-	// LossesTolerated is how many disks of servers may be lost at once, as the servers
-	// are told; 0 tells them nothing.
+	// LossesTolerated is the servers' setting of how many server disks may be lost at
+	// once; 0 leaves it unset.
 	LossesTolerated int
 	// LogFileBytes is the size of each file of a server's write-ahead log, 0 for the
-	// usual, which is small enough that it is compacted in many runs.
+	// default, which is small enough that many runs compact the log.
 	LogFileBytes int
-	// ElectionTimeout is the least wait before an election, 0 for the usual.
+	// ElectionTimeout is the shortest election timeout, 0 for the default.
 	ElectionTimeout clock.Millis
 }
 
 // Domains are the failure domains of gateways, runners and, usually, servers.
 var Domains = []string{"north", "east", "west"}
 
-// fourthDomain is the further domain of servers that are spread over four.
+// fourthDomain is the additional domain of servers that are spread over four.
 const fourthDomain = "south"
 
-// maxSeeds is how many servers are known to all from the start.
+// maxSeeds is the largest number of servers in Cluster.Seeds.
 const maxSeeds = 3
 
-// FastNetwork is a cluster of small machines on a fast network without loss.
+// FastNetwork specifies a cluster of small machines on a fast network without loss.
 func FastNetwork() ClusterSpec {
 	return ClusterSpec{
 		Servers:       3,
@@ -60,8 +60,8 @@
 	}
 }
 
-// LossyNetwork is a cluster of larger machines on a slower network that loses some
-// messages.
+// LossyNetwork specifies a cluster of larger machines on a slower network that loses
+// some messages.
 func LossyNetwork() ClusterSpec {
 	spec := FastNetwork()
 	spec.Cores = 64
