--- a/tests/simulation/agents/doc.go
+++ b/tests/simulation/agents/doc.go
@@ -1,5 +1,5 @@
 // Package agents tests, in a simulated cluster (package simulation), runners of another
-// protocol with the agents that speak for them: gangs that lose a member or the leader,
-// the texts of the jobs that reach them, and how soon a new leader is known to all.
-// Begin with fixture_test.go.
+// protocol and the agents that represent them: gangs that lose a member or the leader,
+// the payloads that reach runners, drains, and how soon agents and gateways know a new
+// leader. Begin with fixture_test.go.
 package agents
--- a/tests/simulation/agents/drains_test.go
+++ b/tests/simulation/agents/drains_test.go
@@ -21,16 +21,16 @@
 	drainJobs   = 100
 )
 
-// drainFaults strike around the order to drain.
+// drainFaults are injected around the time of the drain order.
 var drainFaults = []struct {
 	name   string
-	strike func(c *agentCluster) (undo func())
+	inject func(c *agentCluster) (undo func())
 }{
 	{"nothing", func(*agentCluster) func() { return func() {} }},
 	{"leader crashes", func(c *agentCluster) func() { return c.CrashServer(c.Leader()) }},
 	{"leader is isolated", func(c *agentCluster) func() { return c.Isolate(c.Leader().Process, true, true) }},
 	{"leader freezes", func(c *agentCluster) func() { return c.Freeze(c.Leader().Process) }},
-	{"an agent in the domain is cut off", func(c *agentCluster) func() {
+	{"an agent in the domain is isolated", func(c *agentCluster) func() {
 		return c.Isolate(c.firstAgentIn(drainedDomain).Process, true, true)
 	}},
 	{"an agent in the domain restarts", func(c *agentCluster) func() {
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// drain drains a domain from which no runner need have reported, and calls acked once
-// that is acknowledged.
+// drain drains a domain, even if no runner has reported from it, and calls acked once the
+// order is acknowledged.
 func (c *agentCluster) drain(domain string, acked func()) {
 	c.order(http.MethodPut, endpoint.DrainPath(domain), []byte(`{"unseen":true}`), func() {
 		c.Checker.DrainAcked(domain)
@@ -63,7 +63,7 @@
 	c.order(http.MethodDelete, endpoint.DrainPath(domain), nil, func() {})
 }
 
-// runsIn counts the attempts that run in a domain.
+// runsIn counts the attempts running in a domain.
 func (c *agentCluster) runsIn(domain string) (count int) {
 	for _, agent := range c.Agents {
 		if agent.Domain == domain {
@@ -73,28 +73,28 @@
 	return count
 }
 
-// TestDrainWithAgents drains a domain under load while the leader or an agent fails,
-// before, at and after the order. Nothing starts there from 5 s after the acknowledgement
-// on until it is reopened, and all jobs are done.
+// TestDrainWithAgents drains a domain under load while the leader or an agent fails
+// before, at or after the order. From 5 s after the acknowledgement until the reopening,
+// no task may start in the domain, and all jobs must succeed.
 func TestDrainWithAgents(t *testing.T) {
 	t.Parallel()
 	for _, fault := range drainFaults {
 		for _, offset := range []int64{-300, 0, 20, 600} {
 			t.Run(fmt.Sprintf("%s/%d", fault.name, offset), func(t *testing.T) {
 				t.Parallel()
-				playDrain(t, 1, offset, fault.strike)
+				testDrainWithAgents(t, 1, offset, fault.inject)
 			})
 		}
 	}
 }
 
-func playDrain(t *testing.T, seed, offset int64, strike func(c *agentCluster) func()) {
+func testDrainWithAgents(t *testing.T, seed, offset int64, inject func(c *agentCluster) func()) {
 	t.Helper()
 	c := newAgentCluster(t, seed, drainRunners)
 	for i := range drainJobs {
 		c.At(readyAt+int64(i)*jobInterval, func() { c.submit(tasks(2, 400+int64(i%4)*200), func() {}) })
 	}
-	c.At(drainAt+offset, func() { c.After(3000, strike(c)) })
+	c.At(drainAt+offset, func() { c.After(3000, inject(c)) })
 	reopened := false
 	c.At(drainAt, func() {
 		c.drain(drainedDomain, func() {
@@ -120,8 +120,8 @@
 }
 
 // TestDrainOfUnseenDomain drains a domain before any runner has reported from it, and
-// loses the leader. A runner that comes up there gets nothing until it is reopened, and
-// then does its part.
+// crashes the leader. A runner that starts there later must get no task until the domain
+// is reopened, and tasks after that.
 func TestDrainOfUnseenDomain(t *testing.T) {
 	t.Parallel()
 	c := newAgentCluster(t, 1, 2)
@@ -133,7 +133,7 @@
 	}
 	c.Run(readyAt + 14000)
 	if runs := c.runsIn(unseenDomain); runs > 0 {
-		t.Errorf("%d attempts run in a domain that was drained before it was seen", runs)
+		t.Errorf("%d attempts run in a domain that was drained before any runner reported from it", runs)
 	}
 	c.reopen(unseenDomain)
 	c.Run(c.Now + 4000)
--- a/tests/simulation/agents/fixture_test.go
+++ b/tests/simulation/agents/fixture_test.go
@@ -16,19 +16,20 @@
 
 const (
 	queueName = "batch"
-	// readyAt is when the queue is there and every agent is in touch, in ms.
+	// readyAt is when the queue exists and every agent has contact with the leader, in
+	// ms.
 	readyAt = 7000
-	// catalogAt is when the catalog is made.
+	// catalogAt is when the catalog is created, in ms.
 	catalogAt = 4000
-	// orderTimeout is how long an order is awaited, orderRetry the pause after a failure.
+	// orderTimeout is the timeout of an order, orderRetry the delay of a retry, in ms.
 	orderTimeout = 1000
 	orderRetry   = 100
 )
 
-// runnerCapacity is that of each runner.
+// runnerCapacity is the capacity of each runner.
 var runnerCapacity = job.Demand{MilliCores: 4000, Mem: 4000}
 
-// agentCluster is a cluster whose runners are all spoken for by agents.
+// agentCluster is a cluster all of whose runners are represented by agents.
 type agentCluster struct {
 	*simulation.Cluster
 	t *testing.T
@@ -36,8 +37,8 @@
 	keys []identifier.JobKey
 }
 
-// newAgentCluster makes a cluster with so many agents and lets time pass until it can
-// take jobs.
+// newAgentCluster makes a cluster with the given number of agents and runs it until it
+// can accept jobs.
 func newAgentCluster(t *testing.T, seed int64, agents int) *agentCluster {
 	t.Helper()
 	spec := simulation.FastNetwork()
@@ -48,13 +49,13 @@
 	c.Run(readyAt)
 	for _, agent := range c.Agents {
 		if !agent.Machine.InContact() {
-			t.Fatalf("seed %d: %s is not in touch at %d ms", seed, agent.Name, c.Now)
+			t.Fatalf("seed %d: %s has no contact with the leader at %d ms", seed, agent.Name, c.Now)
 		}
 	}
 	return c
 }
 
-// catalogText is a catalog with one queue.
+// catalogText is the body of a catalog with one queue.
 func catalogText() []byte {
 	return []byte(fmt.Sprintf(`{"base":0,"version":2,`+
 		`"queues":[{"name":%q,"host":"h","prefix":"/p/","pool":%q,"rank":0,"tries":3,"stretch":2000,"setPointMs":1000,"timeoutMs":3000}],`+
@@ -76,7 +77,7 @@
 	})
 }
 
-// submit submits a job with its own text.
+// submit submits a job with a unique payload.
 func (c *agentCluster) submit(steps []job.Step, acked func()) identifier.JobKey {
 	id := identifier.JobID(fmt.Sprintf("%016x", len(c.keys)+1))
 	key := identifier.NewJobKey("q", id)
@@ -87,7 +88,7 @@
 	return key
 }
 
-// jobText is a job as clients submit it.
+// jobText is the body with which clients submit a job.
 func jobText(payload string, steps []job.Step) []byte {
 	var list []string
 	for _, step := range steps {
@@ -102,7 +103,7 @@
 	c.order(http.MethodDelete, endpoint.JobPath(key), nil, func() { c.AgentRuns.Cancelled(key) })
 }
 
-// jobState is the state of a job by the leader's own state, empty without a leader.
+// jobState is the state of a job in the leader's store, empty without a leader.
 func (c *agentCluster) jobState(key identifier.JobKey) string {
 	leader := c.Leader()
 	if leader == nil || leader.Machine.State().Jobs[key] == nil {
@@ -111,13 +112,13 @@
 	return leader.Machine.State().Jobs[key].State()
 }
 
-// succeeded tells whether a job has ended well, by the leader's own state.
+// succeeded reports whether a job has succeeded, in the leader's store.
 func (c *agentCluster) succeeded(key identifier.JobKey) bool {
 	return c.jobState(key) == string(state.Succeeded)
 }
 
-// runUntilSucceeded lets time pass until some time after a job has ended well, or until
-// a moment.
+// runUntilSucceeded runs the cluster until 2 s after a job has succeeded, or until 2 s
+// after end.
 func (c *agentCluster) runUntilSucceeded(key identifier.JobKey, end int64) {
 	for c.Now < end && !c.succeeded(key) {
 		c.Run(min(end, c.Now+500))
@@ -133,7 +134,7 @@
 	}
 }
 
-// gang is one step whose tasks are a gang, of which no two fit on one runner.
+// gang returns one step whose tasks are a gang; no two of them fit on one runner.
 func gang(members int64, ms int64) []job.Step {
 	step := tasks(members, ms)
 	step[0].Gang = true
@@ -141,7 +142,7 @@
 	return step
 }
 
-// tasks is one step of small tasks.
+// tasks returns one step of small tasks.
 func tasks(count int64, ms int64) []job.Step {
 	return []job.Step{{Name: "s", Tasks: count, Demand: job.Demand{MilliCores: 900, Mem: 100}, ExpectedRun: clock.Millis(ms)}}
 }
--- a/tests/simulation/agents/gang_test.go
+++ b/tests/simulation/agents/gang_test.go
@@ -15,38 +15,38 @@
 	gangRunners = 6
 	// gangWork is how long the members of the gang run, in ms.
 	gangWork = 9000
-	// faultDuration is how long a fault lasts that ends by itself, in ms.
+	// faultDuration is the duration of a fault, in ms.
 	faultDuration = 12000
-	// recoveryTime is how long after the fault the job has to be done, in ms: the fault
-	// itself, the lease and its margin, and the work once more.
+	// recoveryTime is how long after the fault the job may take to succeed, in ms: the
+	// fault itself, the lease and its margin, and a second run of the work.
 	recoveryTime = 40000
 	// maxMembersAlone is how long after the loss of a member the last of the others may
-	// run on while a leader serves, in ms: three polls of silence and a stop; sooner than
-	// the lost member's lease ends. maxWithLeader is the same where a leader is lost
-	// beside it.
+	// run on while a leader serves, in ms: three polls of silence and a stop, which is
+	// less than the rest of the lost member's lease. maxWithLeader is the same where the
+	// leader is lost too.
 	maxMembersAlone = 3400
 	maxWithLeader   = 4500
 )
 
-// memberFaults strike one member of a gang, or the leader.
+// memberFaults affect one member of a gang, or the leader.
 var memberFaults = []struct {
 	name string
-	// most is how long the other members may run on, 0 where none is lost for so long
-	// that the gang cannot go on.
-	most   int64
-	strike func(c *agentCluster, member *simulation.AgentRunner)
+	// maxRunOn is how long the other members may run on after the fault, 0 where no
+	// member is lost for long enough to end the attempt.
+	maxRunOn int64
+	inject   func(c *agentCluster, member *simulation.AgentRunner)
 }{
 	{"member is silent", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
 		c.After(faultDuration, c.Freeze(member.Process))
 	}},
 	{"member crashes", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) { crash(c, member) }},
-	{"member is cut off with its agent", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
+	{"member is isolated with its agent", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
 		c.After(faultDuration, c.Isolate(member.Agent.Process, true, true))
 	}},
-	{"member is cut off from its agent", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
+	{"link between member and agent is blocked", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
 		c.After(faultDuration, c.BlockLink(member.Process, member.Agent.Process, true))
 	}},
-	{"agent is not heard", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
+	{"links from the agent are blocked", maxMembersAlone, func(c *agentCluster, member *simulation.AgentRunner) {
 		c.After(faultDuration, c.Isolate(member.Agent.Process, true, false))
 	}},
 	{"leader crashes", 0, func(c *agentCluster, _ *simulation.AgentRunner) { c.crashLeader() }},
@@ -74,7 +74,7 @@
 	c.After(faultDuration, runner.Start)
 }
 
-// membersRunning lists the runners on which members of any gang run.
+// membersRunning lists the runners on which any attempt runs.
 func (c *agentCluster) membersRunning() (list []*simulation.AgentRunner) {
 	for _, agent := range c.Agents {
 		if len(agent.Runner.Runs()) > 0 {
@@ -84,22 +84,23 @@
 	return list
 }
 
-// whenMembersRun calls strike once as many members of the gang run, and never again.
-func (c *agentCluster) whenMembersRun(count int, strike func(member *simulation.AgentRunner)) {
+// whenMembersRun calls inject once, as soon as count members of the gang run, with one of
+// their runners.
+func (c *agentCluster) whenMembersRun(count int, inject func(member *simulation.AgentRunner)) {
 	c.Poll(1, func() (again bool) {
 		running := c.membersRunning()
 		if len(running) < count {
 			return true
 		}
-		strike(running[c.Random.Intn(len(running))])
+		inject(running[c.Random.Intn(len(running))])
 		return false
 	})
 }
 
-// TestGangLosesMemberOrLeader strikes a gang when one, two, three or all of its members
-// have begun: between the confirmations of its members, or during its work. The gang is
-// stopped and placed again as one, no attempt of it runs beside a later one, and the job
-// succeeds. The members that are left end soon after the loss.
+// TestGangLosesMemberOrLeader injects a fault when one, two, three or all members of a
+// gang have started: between the confirmations of its members, or while they work. The
+// gang must be stopped and placed again as a whole, no attempt may run concurrently with a
+// later one, and the job must succeed. The remaining members must end soon after the loss.
 func TestGangLosesMemberOrLeader(t *testing.T) {
 	t.Parallel()
 	for _, fault := range memberFaults {
@@ -107,48 +108,48 @@
 			t.Run(fmt.Sprintf("%s/%d begun", fault.name, begun), func(t *testing.T) {
 				t.Parallel()
 				for seed := int64(1); seed <= 2; seed++ {
-					playGangFault(t, seed, begun, fault.most, fault.strike)
+					testGangFault(t, seed, begun, fault.maxRunOn, fault.inject)
 				}
 			})
 		}
 	}
 }
 
-func playGangFault(t *testing.T, seed int64, begun int, most int64, strike func(c *agentCluster, member *simulation.AgentRunner)) {
+func testGangFault(t *testing.T, seed int64, begun int, maxRunOn int64, inject func(c *agentCluster, member *simulation.AgentRunner)) {
 	t.Helper()
 	c := newAgentCluster(t, seed, gangRunners)
 	key := c.submit(gang(gangMembers, gangWork), func() {})
-	var struckAt int64
-	var struck *simulation.AgentRunner
+	var faultAt int64
+	var affected *simulation.AgentRunner
 	c.whenMembersRun(begun, func(member *simulation.AgentRunner) {
-		struckAt, struck = c.Now, member
-		strike(c, member)
+		faultAt, affected = c.Now, member
+		inject(c, member)
 	})
 	c.runUntilSucceeded(key, readyAt+recoveryTime)
 	c.checkInvariants(seed)
 	if got := c.jobState(key); got != string(state.Succeeded) {
-		t.Errorf("seed %d: %d ms after the fault the job is %s", seed, c.Now-struckAt, got)
+		t.Errorf("seed %d: %d ms after the fault the job is %s", seed, c.Now-faultAt, got)
 	}
-	if most == 0 {
+	if maxRunOn == 0 {
 		return
 	}
 	lastEnd := int64(0)
 	for runner, at := range c.AgentRuns.LastFailure {
-		if runner != struck {
+		if runner != affected {
 			lastEnd = max(lastEnd, at)
 		}
 	}
-	t.Logf("seed %d: struck at %d, the last other member ended %d ms later; ends %v", seed, struckAt, lastEnd-struckAt, c.AgentRuns.Ends)
+	t.Logf("seed %d: fault at %d, the last other member ended %d ms later; ends %v", seed, faultAt, lastEnd-faultAt, c.AgentRuns.Ends)
 	if begun == gangMembers && lastEnd == 0 {
 		t.Errorf("seed %d: no other member ended", seed)
 	}
-	if lastEnd-struckAt > most {
-		t.Errorf("seed %d: a member ran on for %d ms after the loss of another", seed, lastEnd-struckAt)
+	if lastEnd-faultAt > maxRunOn {
+		t.Errorf("seed %d: a member ran on for %d ms after the loss of another", seed, lastEnd-faultAt)
 	}
 }
 
-// TestGangUndisturbed has gangs submitted one after another with nothing wrong: none
-// waits in vain, and each is done by its first attempt.
+// TestGangUndisturbed submits gangs one after another without any fault: no member may
+// time out waiting for the others, and each gang must succeed in its first attempt.
 func TestGangUndisturbed(t *testing.T) {
 	t.Parallel()
 	const gangs = 12
@@ -160,7 +161,7 @@
 	c.checkInvariants(1)
 	for outcome, count := range c.AgentRuns.Ends {
 		if outcome != runnerapi.OutcomeSuccess {
-			t.Errorf("%d members ended as %s with nothing wrong", count, outcome)
+			t.Errorf("%d members ended as %s without any fault", count, outcome)
 		}
 	}
 	for _, key := range c.keys {
--- a/tests/simulation/agents/new_leader_test.go
+++ b/tests/simulation/agents/new_leader_test.go
@@ -11,10 +11,10 @@
 
 const (
 	// maxTurnToLeader is how long after its election a leader may be unknown to an
-	// agent, or to a gateway, in ms: an announcement, a poll and its answer, at 3 ms of
-	// delay and a tick of 20 ms each, with room for what is lost.
+	// agent or a gateway, in ms: an announcement, a poll and its response, with 3 ms of
+	// delay and a tick of 20 ms each, plus a margin for lost messages.
 	maxTurnToLeader = 150
-	// leaderProbe is how often it is looked at who leads, in ms.
+	// leaderProbe is the interval of checks for a new leader, in ms.
 	leaderProbe = 1
 	// readInterval is the time between two reads of a gateway, in ms.
 	readInterval = 10
@@ -30,8 +30,8 @@
 	},
 }
 
-// nextLeader calls found at the moment at which another server than the former leader
-// leads under its lease.
+// nextLeader calls found as soon as a server other than the former leader leads and holds
+// the leader lease.
 func (c *agentCluster) nextLeader(former *simulation.Server, found func(leader *simulation.Server)) {
 	c.Poll(leaderProbe, func() (again bool) {
 		for _, server := range c.Servers {
@@ -44,8 +44,8 @@
 	})
 }
 
-// measureAgents measures how long each agent takes to have heard a leader, by the
-// fencing token that only this leader's answer brings.
+// measureAgents measures how long each agent takes to get a response from a new leader,
+// by the fencing token that only this leader's responses carry.
 func (c *agentCluster) measureAgents(leader *simulation.Server, spans *[]int64) {
 	since := c.Now
 	term := uint64(leader.Machine.Raft().Term())
@@ -61,7 +61,8 @@
 }
 
 // measureGateways measures how long after the election of a leader each gateway first
-// answers a read. One without contact refuses it at once, and is asked again.
+// answers a read. A gateway without contact rejects the read at once, and the read is
+// repeated.
 func (c *agentCluster) measureGateways(spans *[]int64) {
 	since := c.Now
 	for _, gateway := range c.Gateways {
@@ -78,8 +79,9 @@
 	}
 }
 
-// TestNewLeaderIsAnnounced loses leaders in turn. Every agent and every gateway turns to
-// the next one as soon as it is elected: it announces itself to all of them.
+// TestNewLeaderIsAnnounced loses leaders in different ways. Every agent and every gateway
+// must switch to the next leader as soon as it is elected, as a new leader announces
+// itself to all of them.
 func TestNewLeaderIsAnnounced(t *testing.T) {
 	t.Parallel()
 	var agents, gateways []int64
--- a/tests/simulation/agents/texts_test.go
+++ b/tests/simulation/agents/texts_test.go
@@ -18,14 +18,14 @@
 	// jobInterval is the time between two jobs, in ms.
 	jobInterval = 150
 	// maxStray is how long an attempt that the control plane does not know may run on a
-	// runner in touch, in ms.
+	// runner that has contact with its agent, in ms.
 	maxStray = 1500
 )
 
-// textFaults are what goes wrong while jobs are submitted, sent again and cancelled.
-var textFaults = []struct {
+// payloadFaults are injected while jobs are submitted, resent and cancelled.
+var payloadFaults = []struct {
 	name   string
-	strike func(c *agentCluster) (undo func())
+	inject func(c *agentCluster) (undo func())
 }{
 	{"nothing", func(*agentCluster) func() { return func() {} }},
 	{"leader crashes", func(c *agentCluster) func() { return c.CrashServer(c.Leader()) }},
@@ -48,9 +48,9 @@
 	{"agent freezes", func(c *agentCluster) func() { return c.Freeze(c.Agents[0].Process) }},
 }
 
-// sendOtherText submits another text under the id of a job that was accepted: it is
-// refused, and never reaches a runner.
-func (c *agentCluster) sendOtherText(key identifier.JobKey) {
+// sendOtherPayload submits another payload under the ID of an accepted job: it must be
+// rejected, and never reach a runner.
+func (c *agentCluster) sendOtherPayload(key identifier.JobKey) {
 	body := jobText("another text", tasks(2, 300))
 	c.Request(c.Clients.Process, c.Clients.RandomGateway(), http.MethodPut, endpoint.JobPath(key), body, orderTimeout, func(status int, _ []byte) {
 		if status == http.StatusOK || status == http.StatusCreated {
@@ -59,22 +59,23 @@
 	})
 }
 
-// TestRunnersGetTheirText submits jobs with a text each, sends other texts under their
-// ids, and cancels some, while servers, agents and runners fail. No runner is told to
-// start anything but what was submitted, with its own text, nor after its cancel.
+// TestRunnersGetTheirText submits jobs with unique payloads, sends other payloads under
+// their IDs, and cancels some of them, while servers, agents and runners fail. No runner
+// may be ordered to start a task that was not submitted, with another payload, or after
+// its job was cancelled.
 func TestRunnersGetTheirText(t *testing.T) {
 	t.Parallel()
-	for _, fault := range textFaults {
+	for _, fault := range payloadFaults {
 		t.Run(fault.name, func(t *testing.T) {
 			t.Parallel()
 			for seed := int64(1); seed <= 2; seed++ {
-				playTexts(t, seed, fault.strike)
+				testPayloads(t, seed, fault.inject)
 			}
 		})
 	}
 }
 
-func playTexts(t *testing.T, seed int64, strike func(c *agentCluster) func()) {
+func testPayloads(t *testing.T, seed int64, inject func(c *agentCluster) func()) {
 	t.Helper()
 	c := newAgentCluster(t, seed, textRunners)
 	cancelled := map[identifier.JobKey]bool{}
@@ -86,11 +87,11 @@
 					cancelled[key] = true
 					c.After(int64(i)*7, func() { c.cancel(key) })
 				}
-				c.sendOtherText(key)
+				c.sendOtherPayload(key)
 			})
 		})
 	}
-	c.At(readyAt+textJobs*jobInterval/2, func() { c.After(2500, strike(c)) })
+	c.At(readyAt+textJobs*jobInterval/2, func() { c.After(2500, inject(c)) })
 	c.Run(readyAt + textJobs*jobInterval + 20000)
 	c.checkInvariants(seed)
 	for _, key := range c.keys {
@@ -105,8 +106,8 @@
 }
 
 // TestUnknownRunsAreStopped has a runner run attempts that the control plane does not
-// know: of a job that nobody submitted, and of one that it knows under another number.
-// Both are stopped, and the job is done by an attempt of its own.
+// know: of jobs that were never submitted, and of a known job with an unknown attempt
+// number. All must be stopped, and the job must succeed in a regular attempt.
 func TestUnknownRunsAreStopped(t *testing.T) {
 	t.Parallel()
 	c := newAgentCluster(t, 1, 2)
--- a/tests/simulation/register/changes_test.go
+++ b/tests/simulation/register/changes_test.go
@@ -10,12 +10,12 @@
 	"strings"
 )
 
-// pick draws one of a list.
+// pick draws one element of a list.
 func pick[T any](rnd *rand.Rand, list ...T) T { return list[rnd.Intn(len(list))] }
 
-// drawChange draws a change by an operator who last read the version seen: mostly valid,
-// sometimes with a version that others use too, sometimes invalid, or valid only on its
-// own base.
+// drawChange draws a change by an operator whose last read returned version seen: mostly
+// valid, sometimes with a version that others use too, sometimes invalid, or valid only on
+// its own base.
 func drawChange(rnd *rand.Rand, number int, seen uint64) *change {
 	c := &change{number: number, replaces: rnd.Intn(3) == 0, base: seen, version: seen + 1, queues: map[string]string{}}
 	switch rnd.Intn(12) {
@@ -48,7 +48,7 @@
 	return c
 }
 
-// removeContradictions does not drop what the change also adds.
+// removeContradictions removes drops of queues and pools that the change also adds.
 func (c *change) removeContradictions() {
 	for _, pool := range c.pools {
 		if len(c.droppedPools) > 0 && c.droppedPools[0] == pool {
@@ -60,13 +60,13 @@
 	}
 }
 
-// changeSet are the changes of a history. Two operators who send the same body send one
-// change: nothing tells the second from a resend.
+// changeSet holds the changes of a history. Two operators that send the same body send the
+// same change, as the second cannot be distinguished from a resend.
 type changeSet struct {
 	list   []*change
 	byText map[string]*change
-	// ignoreMethod takes changes that differ only in their method for the same, as
-	// programs of the old level do.
+	// ignoreMethod treats changes that differ only in their method as equal, as servers
+	// of the old level do.
 	ignoreMethod bool
 }
 
@@ -87,7 +87,7 @@
 	return c
 }
 
-// encode returns the method and the body by which a change is sent.
+// encode returns the method and the body of the request that sends a change.
 func (c *change) encode() (method string, body []byte) {
 	queues, pools := []map[string]any{}, []map[string]any{}
 	for _, name := range slices.Sorted(maps.Keys(c.queues)) {
@@ -148,7 +148,7 @@
 	return r, nil
 }
 
-// formatCalls prints a history for a failed test.
+// formatCalls formats a history for a failure message.
 func formatCalls(calls []*registerCall) string {
 	lines := []string{}
 	for _, x := range calls {
--- a/tests/simulation/register/cluster_test.go
+++ b/tests/simulation/register/cluster_test.go
@@ -14,8 +14,8 @@
 
 var exchangeCount = flag.Int("exchanges", 48, "how many runs of operators with a simulated cluster")
 
-// catalogOperators change the catalog of a cluster, each after reading it. They send a
-// change again as long as its outcome is unknown, and now and then when it is not.
+// catalogOperators change the catalog of a cluster, each after reading it. They resend a
+// change as long as its outcome is unknown, and sometimes even when it is known.
 type catalogOperators struct {
 	cluster *simulation.Cluster
 	random  *rand.Rand
@@ -31,7 +31,7 @@
 	callTimeout     = 2000
 )
 
-// call makes one call, and calls then with its outcome.
+// call makes one call and passes its outcome to then.
 func (o *catalogOperators) call(method string, body []byte, c *change, then func(x *registerCall, body []byte)) {
 	x := &registerCall{startedAt: o.cluster.Now, endedAt: noAnswer, change: c}
 	if c != nil {
@@ -46,7 +46,7 @@
 	})
 }
 
-// read reads the catalog, until it is answered, and calls then with its version.
+// read reads the catalog, with retries, and calls then with its version.
 func (o *catalogOperators) read(then func(seen uint64)) {
 	o.call(http.MethodGet, nil, nil, func(x *registerCall, body []byte) {
 		r, err := newRegister(), error(nil)
@@ -67,7 +67,7 @@
 	})
 }
 
-// changeCatalog is what one operator does: read, change, and again.
+// changeCatalog runs one operator: it reads the catalog, changes it, and repeats.
 func (o *catalogOperators) changeCatalog() {
 	if o.cluster.Now >= o.stopAt {
 		return
@@ -81,7 +81,7 @@
 	})
 }
 
-// send sends a change until its outcome is known or the attempts are used up.
+// send sends a change until its outcome is known or no attempts are left.
 func (o *catalogOperators) send(c *change, attempts int) {
 	method, body := c.encode()
 	o.call(method, body, c, func(x *registerCall, _ []byte) {
@@ -94,7 +94,8 @@
 	})
 }
 
-// registerFaults are the kinds of fault that are injected, some of them twice as often.
+// registerFaults are the kinds of fault that are injected; LeaderIsolated is twice as
+// likely as the others.
 var registerFaults = []simulation.FaultKind{
 	simulation.LeaderCrash,
 	simulation.LeaderFreeze,
@@ -115,9 +116,9 @@
 	simulation.PacketLoss,
 }
 
-// newCatalogOperators makes a cluster with its faults. In every third run the servers
-// start at the old level and are upgraded; in every second one they take snapshots often,
-// so that servers that were down or empty are sent one.
+// newCatalogOperators makes a cluster with faults and operators. In every third run the
+// servers start at the old level and are upgraded; in every second run they take snapshots
+// often, so that servers that were down or empty receive a snapshot.
 func newCatalogOperators(seed int64) *catalogOperators {
 	spec := simulation.FastNetwork()
 	spec.Runners = 1
@@ -159,7 +160,7 @@
 }
 
 // fillLog makes every server take a snapshot: its log counts as full, and many empty
-// enattempts commit.
+// entries commit.
 func (o *catalogOperators) fillLog() {
 	for _, server := range o.cluster.Servers {
 		if server.Machine != nil {
@@ -175,8 +176,8 @@
 	}
 }
 
-// TestRegisterExchange checks all calls of operators to a cluster, under crashes,
-// partitions, lost disks, snapshots and an upgrade, against the specification.
+// TestRegisterExchange checks all operator calls to a cluster with crashes, partitions,
+// lost disks, snapshots and an upgrade against the specification.
 func TestRegisterExchange(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= int64(*exchangeCount); seed++ {
--- a/tests/simulation/register/histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -15,17 +15,17 @@
 
 var historyCount = flag.Int("histories", 1000, "how many histories of changes at the state machine")
 
-// requestCopy is one copy of a change on its way to the leader.
+// requestCopy is one copy of a change in flight to the leader.
 type requestCopy struct {
 	call    *registerCall
 	command *state.Command
-	// awaited says that the leader which proposed it still waits for its outcome.
+	// awaited is set while the leader that proposed it still waits for its outcome.
 	awaited bool
 }
 
-// replicatedRegister is a state machine under a log, with the network before it and
-// leaders that change: copies arrive in any order, late, twice or never, and so do the
-// responses. It stands in for consensus, which TestChaos checks.
+// replicatedRegister simulates a state machine that applies a replicated log, with a
+// network and leader changes: requests arrive in any order, late, twice or never, and
+// responses may be lost. It replaces consensus, which TestChaos checks.
 type replicatedRegister struct {
 	random   *rand.Rand
 	now      int64
@@ -34,7 +34,7 @@
 	proposed []*requestCopy
 	changes  changeSet
 	calls    []*registerCall
-	// acceptedBefore are changes accepted before the history began.
+	// acceptedBefore are the changes accepted before the history began.
 	acceptedBefore []*change
 	// lastRead is the version that each operator last read.
 	lastRead []uint64
@@ -56,8 +56,8 @@
 	m.network = append(m.network, &requestCopy{call, cmd, true})
 }
 
-// deliver delivers a copy to the leader, which proposes it. Now and then another copy
-// stays in the network.
+// deliver delivers a copy to the leader, which proposes it. Sometimes a duplicate stays in
+// the network.
 func (m *replicatedRegister) deliver() {
 	if len(m.network) == 0 {
 		return
@@ -95,8 +95,8 @@
 	}
 }
 
-// depose ends the leader's term: the tail of its log is lost, and nobody waits for the
-// outcome of the rest.
+// depose ends the leader's term: the tail of its log is lost, and no leader waits for the
+// outcome of the remaining entries.
 func (m *replicatedRegister) depose() {
 	m.proposed = m.proposed[:m.random.Intn(len(m.proposed)+1)]
 	for _, entry := range m.proposed {
@@ -160,8 +160,8 @@
 	}
 }
 
-// nearlyFullRegister is a snapshot of a state that remembers almost as many changes as it
-// may, and the changes that it will forget first.
+// nearlyFullRegister returns a snapshot of a state that holds dedup records of count
+// changes, almost as many as it may hold, and the changes that it will drop first.
 func nearlyFullRegister(count uint64) (view []byte, oldest []*change) {
 	full := state.New()
 	full.Level = state.ResendLevel
@@ -177,10 +177,10 @@
 	return full.Encode(), oldest
 }
 
-// historiesPerTest is how many histories a sub-test runs.
+// historiesPerTest is the number of histories per subtest.
 const historiesPerTest = 500
 
-// TestRegisterHistories checks the responses of the state machine, over many histories,
+// TestRegisterHistories checks the responses of the state machine in many histories
 // against the specification of the register.
 func TestRegisterHistories(t *testing.T) {
 	t.Parallel()
@@ -196,19 +196,19 @@
 					statuses[x.status]++
 				}
 			}
-			t.Log("answers by status, 0 for none:", statuses)
+			t.Log("responses by status, 0 for none:", statuses)
 			for status, least := range map[int]int{0: historiesPerTest, 200: historiesPerTest, 412: historiesPerTest, 422: historiesPerTest / 4, 504: 4} {
 				if statuses[status] < least {
-					t.Errorf("too little evidence: %d answers with %d", statuses[status], status)
+					t.Errorf("too little evidence: %d responses with status %d", statuses[status], status)
 				}
 			}
 		})
 	}
 }
 
-// newReplicated begins a history: every second one at the old level, of which some raise
-// it later, and one in sixteen with a state that forgets a change with every one that it
-// accepts.
+// newReplicated begins a history: every second one at the old level, some of which raise
+// the level later, and one in sixteen with a state that drops the dedup record of a change
+// with every change that it accepts.
 func newReplicated(seed int64, view []byte, oldest []*change) *replicatedRegister {
 	m := &replicatedRegister{random: rand.New(rand.NewSource(seed)), state: state.New(), lastRead: make([]uint64, 3)}
 	m.state.Level = state.ResendLevel
--- a/tests/simulation/register/in_force_test.go
+++ b/tests/simulation/register/in_force_test.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// inForceWithin is how long after the acknowledgement of a catalog an older one may
-	// decide, in ms.
+	// inForceWithin is how long after the acknowledgement of a catalog version an older
+	// one may still be applied, in ms.
 	inForceWithin = 2000
-	// versionLasts is how long after its acknowledgement a catalog is replaced, in ms.
+	// versionLasts is how long after its acknowledgement a version is replaced, in ms.
 	versionLasts = 2600
 	// submitInterval is the time between two submissions at each gateway, in ms.
 	submitInterval = 60
 	inForceWindow  = 24000
-	// closingDown is how long all servers are down in the end, in ms.
+	// closingDown is how long all servers are down at the end, in ms.
 	closingDown = 1500
-	// readBackTime is how long the catalog is read back in the end, in ms.
+	// readBackTime is how long the catalog is read back at the end, in ms.
 	readBackTime = 12000
 	firstVersion = 2
 )
 
-// versionRecord is when a catalog was first sent, and first acknowledged, 0 for never.
+// versionRecord is when a version was first sent, and first acknowledged, 0 for never.
 type versionRecord struct {
 	sentAt  int64
 	ackedAt int64
 }
 
-// submission is a job handed in at a gateway for the queue that only one version has.
+// submission is a job submitted to a gateway for a queue that only one version has.
 type submission struct {
 	gateway  string
 	version  uint64
@@ -42,8 +42,8 @@
 	accepted bool
 }
 
-// inForceRun is a cluster whose catalog is replaced again and again: each version has a
-// queue that no other has, so that an accepted job tells by which version it was judged.
+// inForceRun is a cluster whose catalog is replaced repeatedly: each version has a queue
+// that no other has, so that an accepted job shows which version the gateway applied.
 type inForceRun struct {
 	cluster     *simulation.Cluster
 	random      *rand.Rand
@@ -56,7 +56,7 @@
 func versionedQueue(version uint64) string  { return fmt.Sprintf("q%d", version) }
 func versionedPrefix(version uint64) string { return fmt.Sprintf("/q%d/", version) }
 
-// versionedCatalog is the text of a change to a version with its own queue.
+// versionedCatalog is the body of a change to a version with its own queue.
 func versionedCatalog(version uint64) []byte {
 	base := version - 1
 	if version == firstVersion {
@@ -67,7 +67,8 @@
 		`"pools":[{"name":"x"}]}`, base, version, versionedQueue(version), versionedPrefix(version)))
 }
 
-// newInForceRun makes a cluster with faults of servers, gateways and links.
+// newInForceRun makes a cluster with faults of servers, gateways and links, whose catalog
+// is replaced while jobs are submitted.
 func newInForceRun(seed int64) *inForceRun {
 	spec := simulation.FastNetwork()
 	spec.Runners = 1
@@ -109,14 +110,14 @@
 				r.cluster.After(versionLasts, func() { r.replaceCatalog(version + 1) })
 			}
 		case status >= http.StatusBadRequest && status < http.StatusInternalServerError && status != http.StatusTooManyRequests:
-			r.cluster.Checker.Violate("register", "version %d is refused: %d %s", version, status, answer)
+			r.cluster.Checker.Violate("register", "version %d is rejected: %d %s", version, status, answer)
 		default:
 			r.cluster.After(100, func() { r.replaceCatalog(version) })
 		}
 	})
 }
 
-// submitAgain hands jobs in at a gateway until the window is over.
+// submitAgain submits jobs to a gateway until the window is over.
 func (r *inForceRun) submitAgain(gateway *simulation.Gateway) {
 	if r.cluster.Now >= operatorsStart+inForceWindow {
 		return
@@ -125,8 +126,8 @@
 	r.cluster.After(submitInterval, func() { r.submitAgain(gateway) })
 }
 
-// submit hands a job in for the queue of one version. The gateway finds the queue by host
-// and path, as it does for requests from outside.
+// submit submits a job for the queue of one version. The gateway looks up the queue by
+// host and path, as it does for external requests.
 func (r *inForceRun) submit(gateway *simulation.Gateway, version uint64) {
 	r.jobs++
 	one := submission{gateway: gateway.Name, version: version, sentAt: r.cluster.Now}
@@ -144,7 +145,7 @@
 	}, ended)
 }
 
-// check finds submissions that were judged by an older version than they may have been.
+// check detects submissions to which a gateway applied a version that was too old.
 func (r *inForceRun) check(t *testing.T, seed int64) {
 	t.Helper()
 	accepted := 0
@@ -166,8 +167,8 @@
 	}
 }
 
-// checkAccepted finds a job that was accepted by a version after a newer one was
-// acknowledged, or was seen in force.
+// checkAccepted detects a job that was accepted under a version after a newer one was
+// acknowledged, or had been applied to another job.
 func (r *inForceRun) checkAccepted(t *testing.T, seed int64, one submission) {
 	t.Helper()
 	for version := one.version + 1; version <= r.newest; version++ {
@@ -183,8 +184,8 @@
 	}
 }
 
-// loseAllPower ends all servers at once, by seed one of them without its disk, and starts
-// them again.
+// loseAllPower crashes all servers at once, depending on the seed one of them with the
+// loss of its disk, and restarts them.
 func (r *inForceRun) loseAllPower(seed int64) {
 	for i, server := range r.cluster.Servers {
 		if seed%3 == 0 && i == int(seed)%len(r.cluster.Servers) {
@@ -195,8 +196,8 @@
 	}
 }
 
-// readBack reads the catalog at every gateway and server until each has answered: none
-// answers with an older version than the newest that was acknowledged.
+// readBack reads the catalog at every gateway and server until each has answered: none may
+// return a version older than the newest acknowledged one.
 func (r *inForceRun) readBack(t *testing.T, seed int64) {
 	t.Helper()
 	newest := uint64(0)
@@ -229,12 +230,12 @@
 	}
 	r.cluster.Run(r.cluster.Now + readBackTime)
 	if len(answered) < len(addrs) {
-		t.Errorf("seed %d: only %d of %d processes answered in the end", seed, len(answered), len(addrs))
+		t.Errorf("seed %d: only %d of %d processes answered after the restart", seed, len(answered), len(addrs))
 	}
 }
 
-// readVersion is the version of a catalog that was read; complete says that it has the
-// queue of that version and no other.
+// readVersion decodes the version of a catalog; complete reports whether the catalog has
+// the queue of that version and no other.
 func readVersion(body []byte) (version uint64, complete bool) {
 	var read struct {
 		Version uint64 `json:"version"`
@@ -248,11 +249,12 @@
 	return read.Version, read.Queues[0].Name == versionedQueue(read.Version)
 }
 
-// TestCatalogInForce replaces the catalog again and again while servers, gateways and
-// links fail, and hands jobs in at every gateway. A queue that only one version has tells
-// which version judged a job: none is judged by an older one 2 s after a newer one was
-// acknowledged, and none goes back. In the end all servers lose power at once, one its
-// disk too, and what is read back is no older than what was acknowledged.
+// TestCatalogInForce replaces the catalog repeatedly while servers, gateways and links
+// fail, and submits jobs to every gateway. A queue that only one version has shows which
+// version a gateway applied to a job: it must not be an older one 2 s after a newer one was
+// acknowledged, nor older than one applied before. At the end all servers lose power at
+// once, one also its disk, and the version read back must not be older than the newest
+// acknowledged one.
 func TestCatalogInForce(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 12; seed++ {
--- a/tests/simulation/register/specification_test.go
+++ b/tests/simulation/register/specification_test.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// change is what an operator asks for; every copy of it is the same.
+// change is a change that an operator requests; all copies of it are identical.
 type change struct {
 	number        int
 	replaces      bool
@@ -21,7 +21,7 @@
 }
 
 // register holds one version of the catalog and its content. A change names the version
-// it is based on and the one that it makes.
+// it is based on and the one it creates.
 type register struct {
 	version uint64
 	queues  map[string]string
@@ -61,7 +61,7 @@
 	return next, c.version > r.version
 }
 
-// String is the content, the same for registers that read the same.
+// String formats the content; registers with equal content have equal strings.
 func (r register) String() string {
 	queues := []string{}
 	for name, pool := range r.queues {
@@ -72,8 +72,8 @@
 	return fmt.Sprintf("%d by %q queues %v pools %v", r.version, r.source, queues, pools)
 }
 
-// noAnswer is the end of a call whose outcome is unknown: it may take effect at any time
-// after it began, or not at all.
+// noAnswer is the end time of a call whose outcome is unknown: the call may take effect at
+// any time after its start, or never.
 const noAnswer = int64(1) << 62
 
 // registerCall is one call of an operator and its outcome.
@@ -81,7 +81,7 @@
 	startedAt, endedAt int64
 	change             *change // nil for a read
 	status             int
-	content            string // what a read showed
+	content            string // the content that a read returned
 }
 
 func (x *registerCall) outcomeUnknown() bool { return x.endedAt == noAnswer }
@@ -97,8 +97,9 @@
 	return fmt.Sprintf("%d..%s change %d, %d to %d, replaces %v: %d", x.startedAt, end, c.number, c.base, c.version, c.replaces, x.status)
 }
 
-// effect is what a call can do at a point: it could not have been answered as it was
-// (impossible), it leaves the register as it is (noEffect), or its change takes effect.
+// effect is what a call can do in a state of the register: its response contradicts the
+// state (impossible), it does not change the register (noEffect), or its change takes
+// effect.
 type effect int
 
 const (
@@ -132,8 +133,8 @@
 	return impossible
 }
 
-// search looks for an order of the calls, each at a moment between its start and its end,
-// in which the register gives these answers (Wing and Gong, Testing and Verifying
+// search looks for an order of the calls, each at a point between its start and its end,
+// in which the register gives the observed responses (Wing and Gong, Testing and Verifying
 // Concurrent Objects, 1993).
 type search struct {
 	calls    []*registerCall
@@ -141,8 +142,8 @@
 	deadEnds map[string]bool
 }
 
-// linearizable tells whether a register could have answered all calls as they were
-// answered. Some changes were accepted before.
+// linearizable reports whether a register could have given the responses of all calls.
+// before are the changes accepted before the first call.
 func linearizable(first register, before []*change, calls []*registerCall) bool {
 	s := &search{accepted: map[*change]bool{}, deadEnds: map[string]bool{}}
 	for _, c := range before {
@@ -152,8 +153,8 @@
 	calls = slices.Clone(calls)
 	slices.SortStableFunc(calls, func(a, b *registerCall) int { return int(a.startedAt - b.startedAt) })
 	for _, x := range calls {
-		// Of several calls of one change with unknown outcomes, the first can do all
-		// that the others can.
+		// Of several calls of one change with unknown outcomes, the first can take effect
+		// whenever the others can.
 		if x.outcomeUnknown() && begun[x.change] {
 			continue
 		}
@@ -163,8 +164,8 @@
 	return s.explore(first, make([]bool, len(s.calls)))
 }
 
-// explore continues from a state in which some calls are done. A call without effect is
-// done as soon as it can be; only which change takes effect next is tried in turn.
+// explore continues from a state in which some calls are done. Calls without effect are
+// done as soon as possible; the search branches only on which change takes effect next.
 func (s *search) explore(r register, done []bool) bool {
 	done = slices.Clone(done)
 	var next []int
@@ -203,8 +204,8 @@
 	return false
 }
 
-// firstEnd is when the first call ends that is not done: no other can have taken
-// effect before those that end earlier than it began.
+// firstEnd is the earliest end of a call that is not done: a call that started later
+// cannot take effect before that one.
 func (s *search) firstEnd(done []bool) int64 {
 	at := noAnswer
 	for i, x := range s.calls {
