--- a/tests/simulation/scenarios/bounds_test.go
+++ b/tests/simulation/scenarios/bounds_test.go
@@ -13,9 +13,9 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestStalledDisksBoundBacklog: while every disk is stalled nothing commits, and requests
-// are kept only up to a bound: beyond it clients get 503 at once. When the disks go
-// on, all that is sent again is accepted.
+// TestStalledDisksBoundBacklog stalls every disk, so that nothing commits. Pending requests
+// must be retained only up to a bound, beyond which clients get 503 at once. Once the disks
+// recover, all retried requests must be accepted.
 func TestStalledDisksBoundBacklog(t *testing.T) {
 	t.Parallel()
 	statuses := map[int]int{}
@@ -45,17 +45,17 @@
 		})
 		cluster.At(9000, func() {
 			if statuses[http.StatusServiceUnavailable] < 10 {
-				t.Errorf("half a second after 50 MiB came in, responses by status: %v", statuses)
+				t.Errorf("half a second after 50 MiB of requests, responses by status: %v", statuses)
 			}
 		})
 	}})
 	if statuses[http.StatusOK]+statuses[http.StatusCreated] != 50 {
-		t.Errorf("in the end, responses by status: %v", statuses)
+		t.Errorf("at the end, responses by status: %v", statuses)
 	}
 	t.Log(statuses)
 }
 
-// TestTooManyRunners: a leader keeps unknown runners only up to a bound.
+// TestTooManyRunners checks that a leader registers unknown runners only up to a bound.
 func TestTooManyRunners(t *testing.T) {
 	t.Parallel()
 	statuses := map[int]int{}
--- a/tests/simulation/scenarios/cancel_lease_test.go
+++ b/tests/simulation/scenarios/cancel_lease_test.go
@@ -14,18 +14,20 @@
 )
 
 const (
-	// busyFrom is when the runner gets its work, cutOffAt when it is cut off, in ms.
-	busyFrom = 5000
-	cutOffAt = 8000
-	// pollGap is the time between two short jobs, each of which has a poll answered.
-	pollGap = 40
-	// leastRunOn is how long the cancelled task runs on at least in this scene: nearly a
-	// lease, or the scene shows nothing.
-	leastRunOn = 9800
-	sweepGap   = 10
+	// busyFrom is when jobs for the runner are submitted, isolatedAt when it is isolated,
+	// in ms.
+	busyFrom   = 5000
+	isolatedAt = 8000
+	// jobInterval is the time between two short jobs, each of which causes a poll to be
+	// answered, in ms.
+	jobInterval = 40
+	// minRunOn is the least time for which the cancelled task must run on, in ms: nearly a
+	// lease, otherwise the run does not exercise the lease.
+	minRunOn      = 9800
+	sweepInterval = 10
 )
 
-// submitOneTask submits a job of one task that runs for so many ms.
+// submitOneTask submits a job of one task that runs for ms milliseconds.
 func submitOneTask(cluster *simulation.Cluster, id string, ms int64) identifier.JobKey {
 	key := identifier.NewJobKey("c", identifier.JobID(id))
 	step := job.Step{Name: "s", Tasks: 1, MaxDefects: 1, Demand: job.Demand{Cores: 1, Mem: 1}}
@@ -35,9 +37,9 @@
 	return key
 }
 
-// TestCancelledRunEndsWithLease cuts a runner off right after one of its polls was
-// answered, and cancels a task that runs there. No stop can reach it: it ends with the
-// runner's lease, which began with that poll, and not a moment later.
+// TestCancelledRunEndsWithLease isolates a runner right after one of its polls was
+// answered, and cancels a task that runs there. No stop order can reach the runner: the
+// task must end with the runner's lease, which began with that poll, and not later.
 func TestCancelledRunEndsWithLease(t *testing.T) {
 	t.Parallel()
 	spec := simulation.FastNetwork()
@@ -48,20 +50,20 @@
 		cluster := simulation.NewCluster(seed, spec)
 		var key identifier.JobKey
 		cluster.At(busyFrom, func() { key = submitOneTask(cluster, "long", 60000) })
-		for i := range (cutOffAt - busyFrom) / pollGap {
-			cluster.At(busyFrom+int64(i)*pollGap, func() { submitOneTask(cluster, fmt.Sprintf("j%d", i), 20) })
+		for i := range (isolatedAt - busyFrom) / jobInterval {
+			cluster.At(busyFrom+int64(i)*jobInterval, func() { submitOneTask(cluster, fmt.Sprintf("j%d", i), 20) })
 		}
-		cluster.At(cutOffAt, func() {
+		cluster.At(isolatedAt, func() {
 			cluster.Isolate(cluster.Runners[0].Process, true, true)
 			cluster.Request(cluster.Clients.Process, cluster.Gateways[0].Addr, http.MethodDelete, endpoint.JobPath(key), nil, 1000, func(status int, _ []byte) {
 				if status != http.StatusOK {
-					t.Errorf("seed %d: the cancel is answered %d", seed, status)
+					t.Errorf("seed %d: the cancellation got status %d", seed, status)
 				}
 				cluster.Checker.Jobs[key].CancelSent = true
 				cluster.Checker.Jobs[key].CancelledAt = cluster.Now
 			})
 		})
-		cluster.Poll(sweepGap, func() (again bool) {
+		cluster.Poll(sweepInterval, func() (again bool) {
 			cluster.Checker.Sweep()
 			submitted := cluster.Checker.Jobs[key]
 			if submitted != nil && submitted.CancelledAt > 0 && cluster.Runners[0].Machine.Running() > 0 {
@@ -69,11 +71,11 @@
 			}
 			return true
 		})
-		cluster.Run(cutOffAt + 12000)
+		cluster.Run(isolatedAt + 12000)
 		simulationtest.CheckInvariants(t, seed, cluster)
 	}
 	t.Logf("the cancelled task ran on for %d ms at most", longest)
-	if longest < leastRunOn {
-		t.Errorf("the cancelled task ran on for %d ms, which shows nothing of the lease", longest)
+	if longest < minRunOn {
+		t.Errorf("too little evidence: the cancelled task ran on for only %d ms, not until the end of the lease", longest)
 	}
 }
--- a/tests/simulation/scenarios/clocks_test.go
+++ b/tests/simulation/scenarios/clocks_test.go
@@ -8,11 +8,11 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// wrongClocks are skews of the servers' clocks in ms. After 18 s cluster time may be
-// ahead by at most most, and behind by at most -least.
+// wrongClocks are skews of the servers' clocks in ms. After 18 s the error of cluster time
+// must lie between minError and maxError; a positive error means that it is ahead.
 var wrongClocks = []struct {
-	skews       [3]int64
-	least, most int64
+	skews              [3]int64
+	minError, maxError int64
 }{
 	{[3]int64{3600000, 0, 0}, -1000, 100},
 	{[3]int64{0, 3600000, 7200000}, -1000, 100},
@@ -30,9 +30,9 @@
 	return int64(server.Machine.State().Now) - simulation.WallClockStart - cluster.Now
 }
 
-// TestClocks: every server's clock jumps, forward and back by hours, while leaders
-// change. Clocks that all disagree move cluster time nowhere; a wrong
-// majority moves it by a twentieth of the time it is wrong.
+// TestClocks lets the servers' clocks jump, forward and back by hours, while leaders change.
+// Clocks that all disagree must not shift cluster time; a wrong majority shifts it by at
+// most a twentieth of the time for which it is wrong.
 func TestClocks(t *testing.T) {
 	for _, one := range wrongClocks {
 		t.Run(fmt.Sprint(one.skews), func(t *testing.T) {
@@ -44,7 +44,7 @@
 				cluster.At(9000, func() { cluster.Inject(simulation.Fault{Duration: 3000, Kind: simulation.LeaderCrash}) })
 				cluster.At(15000, func() { cluster.Inject(simulation.Fault{Duration: 3000, Kind: simulation.LeaderFreeze}) })
 				cluster.At(24000, func() {
-					if off := clusterTimeError(cluster, t); off > one.most || off < one.least {
+					if off := clusterTimeError(cluster, t); off > one.maxError || off < one.minError {
 						t.Errorf("cluster time is off by %d ms after 18 s", off)
 					}
 				})
@@ -53,22 +53,22 @@
 	}
 }
 
-// TestDisagreeingClocks starts all servers, for the first time and after a power loss,
-// with clocks of which no two agree. Cluster time is not set until two do, and then to
-// these; jobs with a start time wait until then and are not early.
+// TestDisagreeingClocks starts all servers, for the first time or after a power loss, with
+// clocks of which no two agree. Cluster time must not be set until two clocks agree, and
+// then to these; jobs with a start time must wait until then and not start early.
 func TestDisagreeingClocks(t *testing.T) {
 	for _, first := range []bool{true, false} {
 		t.Run(fmt.Sprint(first), func(t *testing.T) {
 			t.Parallel()
 			from := int64(0)
 			simulationtest.RunScenario(t, simulation.Scenario{Seed: 41, Window: 30000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
-				wrong := func() {
+				skewClocks := func() {
 					for i, server := range cluster.Servers {
 						server.ClockSkew = int64(i) * 3600000
 					}
 				}
 				if first {
-					wrong()
+					skewClocks()
 				} else {
 					from = 8000
 					cluster.At(8000, func() {
@@ -76,7 +76,7 @@
 						for _, server := range cluster.Servers {
 							undo = append(undo, cluster.CrashServer(server))
 						}
-						wrong()
+						skewClocks()
 						cluster.After(5000, simulation.UndoAll(undo))
 					})
 				}
@@ -88,7 +88,7 @@
 				})
 				cluster.At(from+14000, func() {
 					if off := clusterTimeError(cluster, t); off > 100 || off < -100 {
-						t.Errorf("cluster time is off by %d ms though two clocks agree", off)
+						t.Errorf("cluster time is off by %d ms although two clocks agree", off)
 					}
 				})
 			}})
@@ -96,20 +96,20 @@
 	}
 }
 
-// TestLateEntry: a new leader's first entries reach one follower, and none of them
-// commits before the leader is lost and the follower alone for many seconds. When they
-// commit then, they must not set cluster time back to when they were made.
+// TestLateEntry has a new leader's first entries reach one follower, but not commit before
+// the leader crashes and the follower is alone for many seconds. When the entries commit
+// after that, they must not set cluster time back to the time of their proposal.
 func TestLateEntry(t *testing.T) {
 	t.Parallel()
 	elected := false
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 43, Window: 35000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
-		var old, leader, left *simulation.Server
-		var look func()
-		look = func() {
+		var old, leader, follower *simulation.Server
+		var awaitLeader func()
+		awaitLeader = func() {
 			server := cluster.Leader()
 			if server == nil || server == old || server.Machine.Raft().CommitIndex() < server.Machine.Raft().TermStart() {
 				if cluster.Now < 15000 {
-					cluster.After(1, look)
+					cluster.After(1, awaitLeader)
 				}
 				return
 			}
@@ -117,10 +117,10 @@
 			elected = true
 			for _, one := range cluster.Servers {
 				if one != old && one != leader {
-					left = one
+					follower = one
 				}
 			}
-			unblock := cluster.BlockLink(left.Process, leader.Process, false)
+			unblock := cluster.BlockLink(follower.Process, leader.Process, false)
 			cluster.After(500, func() {
 				cluster.CrashServer(leader)
 				unblock()
@@ -130,7 +130,7 @@
 		cluster.At(9000, func() {
 			old = cluster.Leader()
 			cluster.CrashServer(old)
-			look()
+			awaitLeader()
 		})
 		cluster.At(25000, func() {
 			if off := clusterTimeError(cluster, t); off < -1000 || off > 100 {
--- a/tests/simulation/scenarios/delayed_orders_test.go
+++ b/tests/simulation/scenarios/delayed_orders_test.go
@@ -11,7 +11,7 @@
 	"orchidward/tests/simulation"
 )
 
-// retryingClient sends one order at a time and gives each attempt up after a timeout.
+// retryingClient sends one order at a time and abandons each attempt after a timeout.
 type retryingClient struct {
 	cluster *simulation.Cluster
 	timeout int64
@@ -22,8 +22,7 @@
 	o.cluster.Request(o.cluster.Clients.Process, addr, method, path, body, o.timeout, func(status int, _ []byte) { done(status) })
 }
 
-// sendUntilAnswered sends an order to one address after another until its outcome is
-// known.
+// sendUntilAnswered sends an order to one address after another until its outcome is known.
 func (o retryingClient) sendUntilAnswered(addrs []string, method, path string, body []byte, done func(status int)) {
 	o.send(addrs[0], method, path, body, func(status int) {
 		if status == 0 || status >= 500 || status == http.StatusTooManyRequests {
@@ -34,20 +33,20 @@
 	})
 }
 
-// delayedOrder is a run in which an order is sent, given up, sent again, acknowledged
-// and withdrawn, while its first copy is still on its way.
+// delayedOrder is a run in which an order is sent, abandoned, resent, acknowledged and
+// withdrawn, while its first copy is still in flight.
 type delayedOrder struct {
-	// delay delays the first copy from the moment it is called until undone.
-	delay func(w *simulation.Cluster) (undo func())
+	// delay delays the first copy from its call until undone.
+	delay func(c *simulation.Cluster) (undo func())
 	// offset is how long after that the order is sent, in ms; it may be negative.
 	offset int64
 	seed   int64
-	// at lists the addresses in the order they are tried; the first one gets the
-	// first copy, the others all that follows.
-	addresses func(w *simulation.Cluster) (addrs []string)
+	// addresses lists the addresses in the order in which they are tried; the first one
+	// gets the first copy, the others get all later requests.
+	addresses func(c *simulation.Cluster) (addrs []string)
 }
 
-// gatewayAddrs are the addresses of the gateways.
+// gatewayAddrs lists the addresses of the gateways.
 func gatewayAddrs(cluster *simulation.Cluster) []string {
 	var addrs []string
 	for _, g := range cluster.Gateways {
@@ -56,7 +55,8 @@
 	return addrs
 }
 
-// followerFirst are the addresses of the servers, one that follows first.
+// followerFirst lists the addresses of the servers, a follower's first and the leader's
+// last.
 func followerFirst(cluster *simulation.Cluster) []string {
 	var addrs []string
 	for _, server := range cluster.Servers {
@@ -67,7 +67,7 @@
 	return append(addrs, cluster.Leader().Addr)
 }
 
-// leaderFirst are the addresses of the servers, the leader's first.
+// leaderFirst lists the addresses of the servers, the leader's first.
 func leaderFirst(cluster *simulation.Cluster) []string {
 	list := followerFirst(cluster)
 	return append(list[len(list)-1:], list[:len(list)-1]...)
@@ -79,9 +79,9 @@
 	observationTime = 3000
 )
 
-// run returns the cluster a few seconds after the first copy was let go. script sends
-// the orders and calls acked once the last one is acknowledged; late says that this
-// was before the first copy was let go.
+// run returns the cluster a few seconds after the delay of the first copy ended. script
+// sends the orders and calls acked once the last one is acknowledged; late reports whether
+// this was before the delay ended.
 func (s delayedOrder) run(script func(o retryingClient, addrs []string, acked func())) (cluster *simulation.Cluster, late bool) {
 	cluster = simulation.NewCluster(s.seed, simulation.FastNetwork())
 	addrs, ackedAt, releasedAt := []string{}, int64(0), int64(0)
@@ -100,7 +100,7 @@
 	return cluster, ackedAt > 0 && ackedAt < releasedAt
 }
 
-// play has an order given up, sent again elsewhere and withdrawn.
+// sendAndWithdraw sends an order, abandons it, resends it elsewhere and withdraws it.
 func (s delayedOrder) sendAndWithdraw(method, path string, body []byte, undoMethod string) (cluster *simulation.Cluster, late bool) {
 	return s.run(func(o retryingClient, addrs []string, acked func()) {
 		o.send(addrs[0], method, path, body, func(int) {
@@ -111,7 +111,7 @@
 	})
 }
 
-// sendAndCancel gives an order up and cancels it, without sending it again.
+// sendAndCancel sends an order, abandons it and cancels it, without resending it.
 func (s delayedOrder) sendAndCancel(method, path string, body []byte) (cluster *simulation.Cluster, late bool) {
 	return s.run(func(o retryingClient, addrs []string, acked func()) {
 		o.send(addrs[0], method, path, body, func(status int) {
@@ -122,7 +122,7 @@
 	})
 }
 
-// stallGatewayLinks stalls the gateways' links into a server.
+// stallGatewayLinks stalls the links from the gateways to a server.
 func stallGatewayLinks(cluster *simulation.Cluster, server *simulation.Server) func() {
 	undos := []func(){}
 	for _, g := range cluster.Gateways {
@@ -131,74 +131,75 @@
 	return simulation.UndoAll(undos)
 }
 
-// orderDelay is a way in which an order's first copy is delayed.
+// orderDelay is a way to delay the first copy of an order.
 type orderDelay struct {
 	name string
 	// at lists the addresses that an order is sent to, the delayed one first.
-	at    func(w *simulation.Cluster) (addrs []string)
-	delay func(w *simulation.Cluster) (undo func())
-	// undecided says that the leader takes an order in and cannot have it decided.
+	at    func(c *simulation.Cluster) (addrs []string)
+	delay func(c *simulation.Cluster) (undo func())
+	// undecided is set if the leader appends the order to its log but cannot commit it.
 	undecided bool
 }
 
-// orderDelays are all of them.
+// orderDelays are all ways to delay an order.
 var orderDelays = []orderDelay{
-	{name: "asked at the leader, which is frozen", at: leaderFirst, delay: func(w *simulation.Cluster) func() { return w.Freeze(w.Leader().Process) }},
-	{name: "asked at a follower, which is frozen", at: followerFirst, delay: func(w *simulation.Cluster) func() { return w.Freeze(w.Process(followerFirst(w)[0])) }},
-	{name: "asked at a follower, its link to the leader stalled", at: followerFirst, delay: func(w *simulation.Cluster) func() {
-		return w.StallLink(w.Process(followerFirst(w)[0]), w.Leader().Process)
+	{name: "sent to the leader, which is frozen", at: leaderFirst, delay: func(c *simulation.Cluster) func() { return c.Freeze(c.Leader().Process) }},
+	{name: "sent to a follower, which is frozen", at: followerFirst, delay: func(c *simulation.Cluster) func() { return c.Freeze(c.Process(followerFirst(c)[0])) }},
+	{name: "sent to a follower, its link to the leader stalled", at: followerFirst, delay: func(c *simulation.Cluster) func() {
+		return c.StallLink(c.Process(followerFirst(c)[0]), c.Leader().Process)
 	}},
-	{name: "leader frozen", at: gatewayAddrs, delay: func(w *simulation.Cluster) func() { return w.Freeze(w.Leader().Process) }},
-	{undecided: true, name: "leader cut off, links to it stalled", at: gatewayAddrs, delay: func(w *simulation.Cluster) func() {
-		lead := w.Leader()
-		return simulation.UndoAll([]func(){stallGatewayLinks(w, lead), w.Isolate(lead.Process, true, false)})
+	{name: "leader frozen", at: gatewayAddrs, delay: func(c *simulation.Cluster) func() { return c.Freeze(c.Leader().Process) }},
+	{undecided: true, name: "links from the leader blocked, links to it stalled", at: gatewayAddrs, delay: func(c *simulation.Cluster) func() {
+		lead := c.Leader()
+		return simulation.UndoAll([]func(){stallGatewayLinks(c, lead), c.Isolate(lead.Process, true, false)})
 	}},
-	{name: "links to the leader stalled", at: gatewayAddrs, delay: func(w *simulation.Cluster) func() { return stallGatewayLinks(w, w.Leader()) }},
-	{name: "gateway frozen", at: gatewayAddrs, delay: func(w *simulation.Cluster) func() { return w.Freeze(w.Gateways[0].Process) }},
-	{name: "links from one gateway stalled", at: gatewayAddrs, delay: func(w *simulation.Cluster) func() {
+	{name: "links to the leader stalled", at: gatewayAddrs, delay: func(c *simulation.Cluster) func() { return stallGatewayLinks(c, c.Leader()) }},
+	{name: "gateway frozen", at: gatewayAddrs, delay: func(c *simulation.Cluster) func() { return c.Freeze(c.Gateways[0].Process) }},
+	{name: "links from one gateway stalled", at: gatewayAddrs, delay: func(c *simulation.Cluster) func() {
 		undos := []func(){}
-		for _, k := range w.Servers {
-			undos = append(undos, w.StallLink(w.Gateways[0].Process, k.Process))
+		for _, server := range c.Servers {
+			undos = append(undos, c.StallLink(c.Gateways[0].Process, server.Process))
 		}
 		return simulation.UndoAll(undos)
 	}},
-	{undecided: true, name: "followers' links to the leader stalled, gateways cut from it", at: gatewayAddrs, delay: func(w *simulation.Cluster) func() {
-		lead, undos := w.Leader(), []func(){}
-		for _, k := range w.Servers {
-			if k != lead {
-				undos = append(undos, w.StallLink(k.Process, lead.Process))
+	{undecided: true, name: "followers' links to the leader stalled, gateways' links blocked", at: gatewayAddrs, delay: func(c *simulation.Cluster) func() {
+		lead, undos := c.Leader(), []func(){}
+		for _, server := range c.Servers {
+			if server != lead {
+				undos = append(undos, c.StallLink(server.Process, lead.Process))
 			}
 		}
-		for _, g := range w.Gateways {
-			undos = append(undos, w.BlockLink(g.Process, lead.Process, true))
+		for _, g := range c.Gateways {
+			undos = append(undos, c.BlockLink(g.Process, lead.Process, true))
 		}
 		return simulation.UndoAll(undos)
 	}},
 }
 
-// eachDelayedOrder runs every delay with the order sent at offsets round its start.
-func eachDelayedOrder(t *testing.T, seeds int64, play func(t *testing.T, s delayedOrder) (late bool)) {
-	for _, loss := range orderDelays {
-		t.Run(loss.name, func(t *testing.T) {
+// eachDelayedOrder runs every delay with the order sent at several offsets from the start
+// of the delay.
+func eachDelayedOrder(t *testing.T, seeds int64, run func(t *testing.T, s delayedOrder) (late bool)) {
+	for _, delay := range orderDelays {
+		t.Run(delay.name, func(t *testing.T) {
 			t.Parallel()
 			late := 0
 			for i, offset := range []int64{-4, -2, 1, 20, 90, 200, 400, 700} {
 				for seed := int64(1); seed <= seeds; seed++ {
-					if play(t, delayedOrder{loss.delay, offset, seed*100 + int64(i), loss.at}) {
+					if run(t, delayedOrder{delay.delay, offset, seed*100 + int64(i), delay.at}) {
 						late++
 					}
 				}
 			}
 			if late == 0 {
-				t.Error("no order was withdrawn while its first copy was on its way: the test shows nothing")
+				t.Error("no order was withdrawn while its first copy was in flight: the test proves nothing")
 			}
 			t.Logf("%d orders were withdrawn before their first copy arrived", late)
 		})
 	}
 }
 
-// checkOpen wants the domain that was reopened in a run to be open, if that was before the
-// first copy of the order to drain it was let go.
+// checkOpen requires that the domain that was reopened in a run is open, if the reopening
+// was acknowledged before the delay of the first drain order ended.
 func (s delayedOrder) checkOpen(t *testing.T, cluster *simulation.Cluster, late bool) {
 	t.Helper()
 	leader := cluster.Leader()
@@ -212,7 +213,8 @@
 	}
 }
 
-// checkCancelled wants the job that was cancelled in a run to be so, likewise.
+// checkCancelled requires that the job that was cancelled in a run is cancelled, under the
+// same condition.
 func (s delayedOrder) checkCancelled(t *testing.T, cluster *simulation.Cluster, key identifier.JobKey, late bool) {
 	t.Helper()
 	leader := cluster.Leader()
@@ -225,10 +227,10 @@
 	}
 }
 
-// lateJob is a job that is cancelled while its submission is on its way.
+// lateJob is a job that is cancelled while its submission is in flight.
 const lateJob identifier.JobKey = "gilde/late"
 
-// lateJobText is the job as it is submitted.
+// lateJobText is the body of the job's submission.
 func lateJobText(t *testing.T) []byte {
 	t.Helper()
 	body, err := json.Marshal(map[string]any{"pending": "default", "steps": []map[string]any{{"name": "s", "tasks": 1, "spanMs": 60000}}})
@@ -238,9 +240,9 @@
 	return body
 }
 
-// TestDelayedDrainOrder: an order to drain a domain is sent, given up after a second,
-// sent again, acknowledged and withdrawn; then its first copy, delayed in a frozen
-// process or on a stalled link, arrives. The domain stays open.
+// TestDelayedDrainOrder sends an order to drain a domain, which is abandoned after a second,
+// resent, acknowledged and withdrawn; then its first copy, delayed in a frozen process or on
+// a stalled link, arrives. The domain must stay open.
 func TestDelayedDrainOrder(t *testing.T) {
 	t.Parallel()
 	eachDelayedOrder(t, 2, func(t *testing.T, s delayedOrder) bool {
@@ -250,27 +252,27 @@
 	})
 }
 
-// TestDelayedReopenOrder is the same for an order to reopen and a later one to drain:
-// the domain stays drained.
+// TestDelayedReopenOrder is the same for an order to reopen a domain and a later one to
+// drain it: the domain must stay drained.
 func TestDelayedReopenOrder(t *testing.T) {
 	t.Parallel()
 	eachDelayedOrder(t, 1, func(t *testing.T, s delayedOrder) bool {
 		cluster, late := s.sendAndWithdraw(http.MethodDelete, endpoint.DrainPath("east"), nil, http.MethodPut)
-		down := 0
+		cordoned := 0
 		for _, c := range cluster.Leader().Machine.State().Drains {
 			if c.Stage.Cordons() {
-				down++
+				cordoned++
 			}
 		}
-		if late && down != 1 {
+		if late && cordoned != 1 {
 			t.Errorf("seed %d, offset %d: the domain that was drained is open again", s.seed, s.offset)
 		}
 		return late
 	})
 }
 
-// TestDelayedJob: a job is submitted, given up, and cancelled while nobody knows of it;
-// then its first copy arrives. It does not run.
+// TestDelayedJob submits a job, abandons the submission, and cancels the job before the
+// control plane knows it; then the first copy arrives. The job must not run.
 func TestDelayedJob(t *testing.T) {
 	t.Parallel()
 	body := lateJobText(t)
--- a/tests/simulation/scenarios/disks_test.go
+++ b/tests/simulation/scenarios/disks_test.go
@@ -10,9 +10,9 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestPowerLoss: all servers lose power at once, again and again, while they
-// acknowledge; nothing acknowledged is lost, and where the
-// outage is shorter than the lease no running task is.
+// TestPowerLoss crashes all servers at once, repeatedly, while they acknowledge requests.
+// No acknowledged request may be lost, and no running task, as the outage is shorter than
+// the lease.
 func TestPowerLoss(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -29,25 +29,25 @@
 	}
 }
 
-// TestSlowDisk: a leader whose disk has become slow transfers leadership.
+// TestSlowDisk checks that a leader whose disk has become slow transfers leadership.
 func TestSlowDisk(t *testing.T) {
 	t.Parallel()
-	var was, is *simulation.Server
+	var oldLeader, newLeader *simulation.Server
 	scenario := simulation.Scenario{Seed: 9, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(9000, func() {
-			was = cluster.Leader()
-			was.DiskDelay = 3000
+			oldLeader = cluster.Leader()
+			oldLeader.DiskDelay = 3000
 		})
-		cluster.At(15000, func() { is = cluster.Leader() })
+		cluster.At(15000, func() { newLeader = cluster.Leader() })
 	}}
 	simulationtest.RunScenario(t, scenario)
-	if was == nil || is == nil || was == is {
-		t.Errorf("6 s after its disk became slow %v still leads", was.Name)
+	if oldLeader == nil || newLeader == nil || oldLeader == newLeader {
+		t.Errorf("6 s after its disk became slow %v still leads", oldLeader.Name)
 	}
 }
 
-// TestAckIsOnDisk: power is lost while both followers have slow disks, and the leader
-// stays down. Whatever was acknowledged must be on a disk that is left.
+// TestAckIsOnDisk crashes all servers while both followers have slow disks; the leader
+// stays down. Every acknowledged entry must be on the disk of a remaining server.
 func TestAckIsOnDisk(t *testing.T) {
 	for seed := int64(1); seed <= 6; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -77,9 +77,9 @@
 	}
 }
 
-// TestDiskFails: the leader's disk is full in the midst of writing. The leader stops at
-// once and acknowledges nothing more; the others go on without it, and once its disk has
-// space again it comes back with all it had.
+// TestDiskFails fills the leader's disk while it writes. The leader must stop at once and
+// acknowledge nothing more, the others must elect another leader, and the stopped server
+// must catch up once its disk has space again.
 func TestDiskFails(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -92,12 +92,12 @@
 				})
 				cluster.At(10000, func() {
 					if server.Up || server.QuitReason == "" {
-						t.Error("a server whose disk is full goes on")
+						t.Error("a server whose disk is full is still running")
 					}
 				})
 				cluster.At(15000, func() {
 					if leader := cluster.Leader(); leader == nil || leader == server {
-						t.Error("no other server leads")
+						t.Error("no other server became leader")
 					}
 				})
 				cluster.At(18000, func() {
@@ -106,7 +106,7 @@
 				})
 				cluster.At(24000, func() {
 					if leader := cluster.Leader(); leader == nil || leader.Machine.Raft().CommitIndex()-server.Machine.Raft().CommitIndex() > 200 {
-						t.Error("started again, it has not caught up")
+						t.Error("the restarted server has not caught up")
 					}
 				})
 			}})
--- a/tests/simulation/scenarios/drain_capacity_test.go
+++ b/tests/simulation/scenarios/drain_capacity_test.go
@@ -12,10 +12,10 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// tasksByState counts tasks by their state.
+// tasksByState is the number of tasks in each state.
 type tasksByState map[state.TaskState]int
 
-// taskStates counts the tasks of each row by their state.
+// taskStates counts the tasks of each row by state.
 func taskStates(cluster *simulation.Cluster) map[identifier.Row]tasksByState {
 	counts := map[identifier.Row]tasksByState{}
 	for _, j := range cluster.Leader().Machine.State().Jobs {
@@ -32,13 +32,14 @@
 	return counts
 }
 
-// always tells that an order is still wanted.
+// always reports that an order is still wanted.
 func always() bool { return true }
 
 // TestDrainWithoutCapacity drains a domain of a full cluster, so that preflight finds too
-// little capacity, and loses the leader just then or not. Tasks do as their row says:
-// row check preempts the cheaper row push, push waits, stock is suspended, and gangs
-// of each likewise. After the reopening all jobs end.
+// little capacity, with and without a failure of the leader during preflight. Displaced
+// tasks must follow the setting of their row: row check preempts row push, which has a lower
+// weight, row push waits, row stock is suspended; the same holds for their gangs. After the
+// reopening all jobs must end.
 func TestDrainWithoutCapacity(t *testing.T) {
 	for _, loss := range []simulation.FaultKind{"", simulation.LeaderCrash, simulation.LeaderFreeze} {
 		for _, seed := range []int64{61, 64, 65} {
@@ -47,12 +48,12 @@
 	}
 }
 
-// tightDrain is what was seen of the drain while its domain was out.
-type tightDrain struct {
+// observedDrain is what was observed of the drain while its domain was drained.
+type observedDrain struct {
 	drain  *state.Drain
 	states map[identifier.Row]tasksByState
-	// displaced counts the displaced tasks of row check, unplaced those that neither
-	// run again nor have ended.
+	// displaced counts the displaced tasks of row check, unplaced those of them that
+	// neither are placed again nor have ended.
 	displaced, unplaced int
 }
 
@@ -61,7 +62,7 @@
 	spec := simulation.FastNetwork()
 	spec.Cores = 4
 	spec.DefectPercent = 0
-	var seen tightDrain
+	var observed observedDrain
 	cluster := simulation.Run(simulation.Scenario{Seed: seed, Spec: spec, Window: 30000, Recovery: 70000, Setup: func(cluster *simulation.Cluster) {
 		cluster.At(6600, func() { cluster.Clients.StopAt = 0 })
 		cluster.At(7500, func() { setWeights(t, cluster) })
@@ -70,31 +71,31 @@
 		if loss != "" {
 			cluster.At(13020, func() { cluster.Inject(simulation.Fault{Duration: 8000, Kind: loss}) })
 		}
-		cluster.At(19000, func() { seen = lookAtDrain(t, cluster) })
+		cluster.At(19000, func() { observed = observeDrain(t, cluster) })
 		cluster.At(22000, func() { cluster.Clients.SetDrained("north", false, always) })
 	}})
 	simulationtest.CheckInvariants(t, seed, cluster)
-	seen.check(t)
+	observed.check(t)
 	for row, states := range taskStates(cluster) {
 		if states[state.Waiting]+states[state.Suspended]+states[state.Placed] > 0 {
-			t.Errorf("in the end %s: %v", row, states)
+			t.Errorf("at the end, row %s: %v", row, states)
 		}
 	}
 }
 
-// setWeights makes row check the dearest and row push the cheapest.
+// setWeights gives row check the highest weight and row push the lowest.
 func setWeights(t *testing.T, cluster *simulation.Cluster) {
 	weights := map[string]any{"push.weight": 1, "stock.weight": 2, "check.weight": 4}
 	cluster.Clients.ReadLimits(func(epoch int64) {
 		cluster.Clients.PatchLimits(epoch, weights, func(status int, _ int64) {
 			if status != http.StatusOK {
-				t.Errorf("the weights got %d", status)
+				t.Errorf("setting the weights: status %d", status)
 			}
 		})
 	})
 }
 
-// fillCluster submits long tasks of each row, gangs among them.
+// fillCluster submits long tasks of each row, some of them as gangs.
 func fillCluster(cluster *simulation.Cluster) {
 	submit := func(row identifier.Row, tasks int64, gang bool) {
 		cluster.Clients.Submit(row, job.Step{Name: "long", Tasks: tasks, Gang: gang, Demand: job.Demand{Cores: 1, Mem: 64}, ExpectedRun: 20000})
@@ -109,39 +110,39 @@
 	submit(simulation.RowPush, 4, true)
 }
 
-func lookAtDrain(t *testing.T, cluster *simulation.Cluster) tightDrain {
-	seen := tightDrain{states: taskStates(cluster)}
+func observeDrain(t *testing.T, cluster *simulation.Cluster) observedDrain {
+	observed := observedDrain{states: taskStates(cluster)}
 	store := cluster.Leader().Machine.State()
 	for _, drain := range store.Drains {
-		seen.drain = drain
+		observed.drain = drain
 	}
-	if seen.drain.Stage != state.Closed {
-		t.Errorf("6 s after the order the drain is at %s", seen.drain.Stage)
+	if observed.drain.Stage != state.Closed {
+		t.Errorf("6 s after the order the drain is in stage %s", observed.drain.Stage)
 	}
-	for _, ref := range seen.drain.Displaced {
+	for _, ref := range observed.drain.Displaced {
 		displaced := store.Jobs[ref.Job]
 		if displaced.Spec.Row != simulation.RowCheck {
 			continue
 		}
-		seen.displaced++
+		observed.displaced++
 		if taskState := displaced.Task(ref).State; taskState != state.Placed && !taskState.Ended() {
-			seen.unplaced++
+			observed.unplaced++
 		}
 	}
-	return seen
+	return observed
 }
 
-func (d tightDrain) check(t *testing.T) {
+func (d observedDrain) check(t *testing.T) {
 	t.Helper()
 	drain := d.drain
 	if drain == nil || drain.Fits || !drain.PreflightDone || len(drain.Displaced) < 10 || drain.Shortage.Cores == 0 {
-		t.Fatalf("the drain: %+v", drain)
+		t.Fatalf("unexpected drain: %+v", drain)
 	}
 	if states := d.states[simulation.RowStock]; states[state.Suspended] == 0 {
 		t.Errorf("row stock is not suspended: %v", states)
 	}
 	if d.displaced == 0 || d.unplaced > 0 {
-		t.Errorf("row check does not preempt: of %d displaced, %d are not placed", d.displaced, d.unplaced)
+		t.Errorf("row check does not preempt: of %d displaced tasks, %d are not placed", d.displaced, d.unplaced)
 	}
 	if states := d.states[simulation.RowPush]; states[state.Waiting] == 0 || states[state.Suspended] > 0 {
 		t.Errorf("row push does not wait: %v", states)
--- a/tests/simulation/scenarios/drain_leader_loss_test.go
+++ b/tests/simulation/scenarios/drain_leader_loss_test.go
@@ -10,9 +10,9 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestDrainSurvivesLeaderLoss loses the leader at every log entry of a drain from the
-// order on, and again of the reopening: crashed, frozen and isolated. The next leader
-// must finish with the same scope and displaced tasks.
+// TestDrainSurvivesLeaderLoss crashes, freezes or isolates the leader at every log entry of
+// a drain, and at every log entry of the reopening. The next leader must complete the drain
+// with the same scope.
 func TestDrainSurvivesLeaderLoss(t *testing.T) {
 	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze, simulation.LeaderIsolated} {
 		for n := 0; n < 14; n++ {
@@ -27,8 +27,8 @@
 }
 
 func drainSurvivesLeaderLoss(t *testing.T, loss simulation.FaultKind, n int, onReopen bool) {
-	// first is the scope and stage of each drain before the reopening.
-	var first []string
+	// beforeReopen is the scope and stage of each drain before the reopening.
+	var beforeReopen []string
 	failpoint := &leaderFailpoint{loss: loss, entries: n, duration: 8000}
 	scenario := simulation.Scenario{Seed: int64(n) + 100, Window: 30000, Recovery: 20000, Setup: func(cluster *simulation.Cluster) {
 		cluster.Spec.LoadPercent = 60
@@ -45,7 +45,7 @@
 			}
 			if server := cluster.Leader(); server != nil {
 				for _, x := range server.Machine.State().Drains {
-					first = append(first, fmt.Sprint(x.Scope, x.Stage))
+					beforeReopen = append(beforeReopen, fmt.Sprint(x.Scope, x.Stage))
 				}
 			}
 			cluster.Clients.SetDrained("north", false, always)
@@ -55,19 +55,19 @@
 	if !failpoint.fired {
 		t.Fatal("the failpoint never fired")
 	}
-	if len(first) != 1 || !strings.HasSuffix(first[0], string(state.Closed)) {
-		t.Errorf("ten seconds after the order the drain is at %v", first)
+	if len(beforeReopen) != 1 || !strings.HasSuffix(beforeReopen[0], string(state.Closed)) {
+		t.Errorf("ten seconds after the order the drains are %v", beforeReopen)
 	}
 	drains := cluster.Leader().Machine.State().Drains
 	if len(drains) == 0 {
-		t.Fatal("there is no drain in the end")
+		t.Fatal("there is no drain at the end")
 	}
 	for _, drain := range drains {
 		checkCompleteDrain(t, drain)
 	}
 }
 
-// checkCompleteDrain requires a drain that went through every stage once.
+// checkCompleteDrain requires that a drain entered every stage exactly once.
 func checkCompleteDrain(t *testing.T, drain *state.Drain) {
 	t.Helper()
 	if drain.Stage != state.Open || !drain.PreflightDone || drain.Verdict == "" || len(drain.Scope) != 5 {
@@ -88,8 +88,9 @@
 	}
 }
 
-// TestRackDrainSurvivesLeaderLoss loses the leader at every log entry of a rack's drain
-// from the first poll that says so on, and again when the rack stays after all.
+// TestRackDrainSurvivesLeaderLoss crashes or freezes the leader at every log entry of a
+// rack's drain, from the first poll that announces the departure on, and at every log entry
+// after the runners withdraw the announcement.
 func TestRackDrainSurvivesLeaderLoss(t *testing.T) {
 	for _, loss := range []simulation.FaultKind{simulation.LeaderCrash, simulation.LeaderFreeze} {
 		for n := 0; n < 12; n++ {
@@ -140,7 +141,7 @@
 	list := cluster.Leader().Machine.State().Drains
 	for _, one := range list {
 		if one.Stage != state.Open {
-			t.Errorf("in the end: %+v", one)
+			t.Errorf("at the end: %+v", one)
 		}
 	}
 	if len(list) != 1 {
--- a/tests/simulation/scenarios/drains_test.go
+++ b/tests/simulation/scenarios/drains_test.go
@@ -7,7 +7,8 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestAllDomainsDrained drains every domain at once while runners leave, and reopens.
+// TestAllDomainsDrained drains all domains at the same time while runners depart, and
+// reopens them.
 func TestAllDomainsDrained(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 17, Window: 35000, Recovery: 60000, Faults: []simulation.Fault{
--- a/tests/simulation/scenarios/fault_sequences_test.go
+++ b/tests/simulation/scenarios/fault_sequences_test.go
@@ -8,19 +8,18 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// faultSequence brings about on purpose what one row of docs/promises.md speaks of,
-// and says when it came about often enough to count.
+// faultSequence injects the faults that one row of docs/promises.md covers, and defines how
+// often the covered situation must occur for a run to be meaningful.
 type faultSequence struct {
 	name string
-	// adjust changes the usual conditions.
+	// adjust changes the normal operating conditions.
 	adjust func(spec *simulation.ClusterSpec)
 	faults func(seed int64) []simulation.Fault
-	// evidence judges each run, totalEvidence the counts of all runs together, where
-	// how much one run brings depends on where its leaders stood.
+	// evidence checks the counts of each run, totalEvidence the counts of all runs
+	// together, for sequences whose counts in a single run depend on which servers lead.
 	evidence      func(counts map[string]int) (enough bool)
 	totalEvidence func(counts map[string]int) (enough bool)
-	// span is the name of a measured time to report, maxSpan what is promised of it
-	// in ms.
+	// span is the name of a measured time to report, maxSpan its promised limit in ms.
 	span    string
 	maxSpan int64
 }
@@ -35,9 +34,9 @@
 }
 
 const (
-	// sequenceRuns is under how many seeds each sequence runs.
+	// sequenceRuns is the number of seeds for each sequence.
 	sequenceRuns = 3
-	// maxOutage is how long the cluster may not answer in ms.
+	// maxOutage is how long the cluster may be unavailable, in ms.
 	maxOutage = 12000
 )
 
@@ -168,8 +167,8 @@
 	}},
 }
 
-// TestFaultSequences runs each sequence under a few seeds. Every invariant is
-// checked in each; its own is the one it was made to break.
+// TestFaultSequences runs each sequence with a few seeds. All invariants are checked in
+// each run; each sequence is designed to break a particular one.
 func TestFaultSequences(t *testing.T) {
 	for _, sequence := range faultSequences {
 		t.Run(sequence.name, func(t *testing.T) {
@@ -201,18 +200,19 @@
 		spans = append(spans, simulationtest.Longest(cluster.Checker.Spans[s.span]))
 	}
 	if s.totalEvidence != nil && !s.totalEvidence(total) {
-		t.Errorf("too little evidence under all seeds: %v", total)
+		t.Errorf("too little evidence in the runs of all seeds: %v", total)
 	}
-	t.Logf("longest without an answer %v ms", outages)
+	t.Logf("longest outages %v ms", outages)
 	if s.span != "" {
-		t.Logf("latest %s %v ms of %d allowed", s.span, spans, s.maxSpan)
+		t.Logf("longest %s %v ms of %d allowed", s.span, spans, s.maxSpan)
 	}
 	if simulationtest.Longest(outages) > maxOutage {
-		t.Errorf("no answer for %v ms", outages)
+		t.Errorf("outages of %v ms", outages)
 	}
 }
 
-// scenario is a run of the sequence: on a lossy network for every second seed.
+// scenario returns the run of the sequence for a seed; every second one uses a lossy
+// network.
 func (s faultSequence) scenario(seed int64) simulation.Scenario {
 	spec := simulation.FastNetwork()
 	if seed%2 == 0 {
--- a/tests/simulation/scenarios/gang_test.go
+++ b/tests/simulation/scenarios/gang_test.go
@@ -9,27 +9,28 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// gangRunner finds a runner of a wide gang that still runs for long, nil if there is none.
+// gangRunner finds a runner with a member of a wide gang that is expected to run for at
+// least 10 s, nil if there is none.
 func gangRunner(cluster *simulation.Cluster) *simulation.Runner {
 	var r *simulation.Runner
 	server := cluster.Leader()
 	if server == nil {
 		return nil
 	}
-	b := server.Machine.State()
+	store := server.Machine.State()
 	best := int64(0)
 	for _, one := range cluster.Runners {
-		n := b.Runners[one.Config.Name]
-		if n == nil || !one.Up || one.Frozen {
+		known := store.Runners[one.Config.Name]
+		if known == nil || !one.Up || one.Frozen {
 			continue
 		}
-		for _, id := range n.LeaseIDs() {
-			g := b.Leases[id]
-			if g.Demand.Cores < wideDemand {
+		for _, id := range known.LeaseIDs() {
+			lease := store.Leases[id]
+			if lease.Demand.Cores < wideDemand {
 				continue
 			}
-			if st := b.Jobs[g.Task.Job].Spec.Steps[g.Task.Step]; st.Gang && g.RevokeReason == "" && int64(g.ExpectedRun) > best {
-				best, r = int64(g.ExpectedRun), one
+			if step := store.Jobs[lease.Task.Job].Spec.Steps[lease.Task.Step]; step.Gang && lease.RevokeReason == "" && int64(lease.ExpectedRun) > best {
+				best, r = int64(lease.ExpectedRun), one
 			}
 		}
 	}
@@ -39,71 +40,72 @@
 	return r
 }
 
-// wideDemand is more than half the cores of a runner: no two members share one.
+// wideDemand is more than half the cores of a runner, so that no two members fit on one.
 const wideDemand = 9
 
-// gangFaults leave a gang incomplete: single faults, and pairs of which one delays the
-// detection of the other.
+// gangFaults leave a gang incomplete: single faults, and pairs in which one fault delays
+// the detection of the other.
 var gangFaults = []struct {
 	name string
-	most int64
-	hit  func(w *simulation.Cluster, r *simulation.Runner)
+	// maxIncomplete is how long the other members may run on, in ms.
+	maxIncomplete int64
+	inject        func(c *simulation.Cluster, r *simulation.Runner)
 }{
-	{"partner crashes", 4500, func(w *simulation.Cluster, r *simulation.Runner) { w.LoseRunner(r) }},
-	{"partner freezes", 4500, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Freeze(r.Process)) }},
-	{"partner is cut off", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Isolate(r.Process, true, true)) }},
-	{"partner is not heard", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Isolate(r.Process, true, false)) }},
-	{"partner hears nothing", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) { w.After(20000, w.Isolate(r.Process, false, true)) }},
-	{"partner and leader crash", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
-		w.LoseRunner(r)
-		w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderCrash})
+	{"partner crashes", 4500, func(c *simulation.Cluster, r *simulation.Runner) { c.LoseRunner(r) }},
+	{"partner freezes", 4500, func(c *simulation.Cluster, r *simulation.Runner) { c.After(20000, c.Freeze(r.Process)) }},
+	{"partner is isolated", invariants.MaxIncompleteGang, func(c *simulation.Cluster, r *simulation.Runner) { c.After(20000, c.Isolate(r.Process, true, true)) }},
+	{"links from partner are blocked", invariants.MaxIncompleteGang, func(c *simulation.Cluster, r *simulation.Runner) { c.After(20000, c.Isolate(r.Process, true, false)) }},
+	{"links to partner are blocked", invariants.MaxIncompleteGang, func(c *simulation.Cluster, r *simulation.Runner) { c.After(20000, c.Isolate(r.Process, false, true)) }},
+	{"partner and leader crash", invariants.MaxIncompleteGang, func(c *simulation.Cluster, r *simulation.Runner) {
+		c.LoseRunner(r)
+		c.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderCrash})
 	}},
-	{"partner goes, then leader", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
-		w.LoseRunner(r)
-		w.After(2200, func() { w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderFreeze}) })
+	{"partner crashes, then leader freezes", invariants.MaxIncompleteGang, func(c *simulation.Cluster, r *simulation.Runner) {
+		c.LoseRunner(r)
+		c.After(2200, func() { c.Inject(simulation.Fault{Duration: 15000, Kind: simulation.LeaderFreeze}) })
 	}},
-	{"partner goes with the control plane", invariants.MaxIncompleteGang, func(w *simulation.Cluster, r *simulation.Runner) {
-		w.LoseRunner(r)
-		w.Inject(simulation.Fault{Duration: 15000, Kind: simulation.AllServersCrash})
+	{"partner and all servers crash", invariants.MaxIncompleteGang, func(c *simulation.Cluster, r *simulation.Runner) {
+		c.LoseRunner(r)
+		c.Inject(simulation.Fault{Duration: 15000, Kind: simulation.AllServersCrash})
 	}},
 }
 
-// TestIncompleteGang loses a member of a gang in every way, with and without the control
-// plane, and bounds the longest time for which the others run on.
+// TestIncompleteGang loses a member of a gang in different ways, with and without the
+// leader or the control plane, and bounds the time for which the other members run on.
 func TestIncompleteGang(t *testing.T) {
 	for _, one := range gangFaults {
 		t.Run(one.name, func(t *testing.T) {
 			t.Parallel()
-			longestRuns, hits := []int64{}, 0
+			longestRuns, injected := []int64{}, 0
 			for seed := int64(1); seed <= 2; seed++ {
 				scenario := simulation.Scenario{Seed: seed, Window: 45000, Recovery: 60000, Spec: simulation.FastNetwork(), Setup: func(cluster *simulation.Cluster) {
 					cluster.Spec.LoadPercent = 50
 					cluster.At(9000, func() {
 						cluster.Clients.Submit("stock", job.Step{Name: "wide", Tasks: 3, Gang: true, Demand: job.Demand{Cores: wideDemand, Mem: 512}, ExpectedRun: 25000})
 					})
-					var look func()
-					look = func() {
+					var poll func()
+					poll = func() {
 						if r := gangRunner(cluster); r != nil {
-							hits++
-							one.hit(cluster, r)
+							injected++
+							one.inject(cluster, r)
 							return
 						}
 						if cluster.Now < 30000 {
-							cluster.After(100, look)
+							cluster.After(100, poll)
 						}
 					}
-					cluster.At(10000, look)
+					cluster.At(10000, poll)
 				}}
 				cluster := simulation.Run(scenario)
 				simulationtest.CheckInvariants(t, scenario.Seed, cluster)
 				longestRuns = append(longestRuns, simulationtest.Longest(cluster.Checker.Spans[invariants.SpanIncompleteGang]))
 			}
-			if hits == 0 {
-				t.Fatal("no gang ever lost a member")
+			if injected == 0 {
+				t.Fatal("too little evidence: no gang lost a member")
 			}
-			t.Logf("longest incomplete, by seed: %v ms", longestRuns)
-			if simulationtest.Longest(longestRuns) > one.most {
-				t.Errorf("a gang went on in part for %d ms, want at most %d", simulationtest.Longest(longestRuns), one.most)
+			t.Logf("longest time of an incomplete gang, by seed: %v ms", longestRuns)
+			if simulationtest.Longest(longestRuns) > one.maxIncomplete {
+				t.Errorf("a gang ran on in part for %d ms, want at most %d", simulationtest.Longest(longestRuns), one.maxIncomplete)
 			}
 		})
 	}
--- a/tests/simulation/scenarios/hang_up_test.go
+++ b/tests/simulation/scenarios/hang_up_test.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// hangUpBudget is how long the caller says that it waits, in ms.
+	// hangUpBudget is the timeout that the caller announces, in ms.
 	hangUpBudget = 700
 	// maxAfterHangUp is how long after its caller has hung up an order may still take
-	// effect, in ms: two hops of some 5 ms, the moment for which the leader keeps it, a
+	// effect, in ms: two hops of about 5 ms, the time for which the leader holds it back, a
 	// tick, and the replication of its entry.
 	maxAfterHangUp = 60
-	// maxUndecided is the same for an order that is in the log of a leader which cannot
-	// have it decided: nobody can take it back. It takes effect once the leader is in
-	// touch again, unless another one is elected before.
+	// maxUndecided is the same for an order in the log of a leader that cannot commit it:
+	// such an order cannot be withdrawn. It takes effect once the leader regains contact,
+	// unless another leader is elected before that.
 	maxUndecided = 1000
-	// hangUpObserved is how long a run goes on after the order, in ms.
+	// hangUpObserved is how long the cluster is observed after the order, in ms.
 	hangUpObserved = 3000
 )
 
-// drainedBySome tells whether some server that runs has applied a drain of the domain.
+// drainedBySome reports whether any running server has applied a drain of the domain.
 func drainedBySome(cluster *simulation.Cluster, domain string) bool {
 	for _, server := range cluster.Servers {
 		if server.Machine == nil {
@@ -38,11 +38,11 @@
 	return false
 }
 
-// hangUpRun is one order whose caller hangs up: so many ms after it was sent, while
-// its way is delayed for so many.
+// hangUpRun is one order whose caller hangs up hangUp ms after sending it, while its path
+// is delayed for lasts ms.
 type hangUpRun struct {
-	delay   func(w *simulation.Cluster) (undo func())
-	addrs   func(w *simulation.Cluster) (addrs []string)
+	delay   func(c *simulation.Cluster) (undo func())
+	addrs   func(c *simulation.Cluster) (addrs []string)
 	lasts   int64
 	offset  int64
 	hangUp  int64
@@ -50,9 +50,9 @@
 	timeout int64
 }
 
-// play returns how long after the hang-up the order took effect; ok is false if it never
-// did, or had before.
-func (r hangUpRun) play() (after int64, ok bool) {
+// run returns how long after the hang-up the order took effect; ok is false if it never
+// did, or did so before.
+func (r hangUpRun) run() (after int64, ok bool) {
 	spec := simulation.FastNetwork()
 	spec.Runners = 0
 	cluster := simulation.NewCluster(r.seed, spec)
@@ -83,43 +83,43 @@
 	return after, ok
 }
 
-// noDelay leaves everything as it is.
+// noDelay injects no delay.
 func noDelay(*simulation.Cluster) (undo func()) { return func() {} }
 
-// TestHangUp has the caller of an order to drain a domain hang up, and so give it up,
-// while the order is on its way: to each door, through frozen processes and stalled
-// connections, for less than the caller's time. The order takes effect before or in the
-// next moments, or never.
+// TestHangUp has the caller of an order to drain a domain hang up, and thereby abandon the
+// order, while it is in flight: to a gateway, a follower or the leader, through frozen
+// processes and stalled connections, for less than the caller's timeout. The order must
+// take effect before or shortly after the hang-up, or never.
 func TestHangUp(t *testing.T) {
 	t.Parallel()
-	ways := append(orderDelays[:len(orderDelays):len(orderDelays)],
-		orderDelay{name: "nothing, by way of a gateway", at: gatewayAddrs, delay: noDelay},
-		orderDelay{name: "nothing, by way of a follower", at: followerFirst, delay: noDelay},
-		orderDelay{name: "nothing, at the leader", at: leaderFirst, delay: noDelay},
+	delays := append(orderDelays[:len(orderDelays):len(orderDelays)],
+		orderDelay{name: "no delay, through a gateway", at: gatewayAddrs, delay: noDelay},
+		orderDelay{name: "no delay, through a follower", at: followerFirst, delay: noDelay},
+		orderDelay{name: "no delay, at the leader", at: leaderFirst, delay: noDelay},
 	)
-	for _, way := range ways {
-		t.Run(way.name, func(t *testing.T) {
+	for _, delay := range delays {
+		t.Run(delay.name, func(t *testing.T) {
 			t.Parallel()
-			longest, late, played := int64(0), 0, 0
+			longest, late, runs := int64(0), 0, 0
 			for i, lasts := range []int64{100, 500, 650} {
 				for j, hangUp := range []int64{1, 10, 100, 450} {
 					for k, offset := range []int64{-4, 1} {
-						run := hangUpRun{way.delay, way.at, lasts, offset, hangUp, int64(i*100 + j*10 + k + 1), hangUpBudget}
-						played++
-						if after, ok := run.play(); ok {
+						run := hangUpRun{delay.delay, delay.at, lasts, offset, hangUp, int64(i*100 + j*10 + k + 1), hangUpBudget}
+						runs++
+						if after, ok := run.run(); ok {
 							late++
 							longest = max(longest, after)
 						}
 					}
 				}
 			}
-			t.Logf("%d of %d orders took effect after the hang-up, %d ms after it at most", late, played, longest)
-			most := int64(maxAfterHangUp)
-			if way.undecided {
-				most = maxUndecided
+			t.Logf("%d of %d orders took effect after the hang-up, at most %d ms after it", late, runs, longest)
+			limit := int64(maxAfterHangUp)
+			if delay.undecided {
+				limit = maxUndecided
 			}
-			if longest > most {
-				t.Errorf("an order took effect %d ms after its caller had hung up, want %d at most", longest, most)
+			if longest > limit {
+				t.Errorf("an order took effect %d ms after its caller had hung up, want at most %d", longest, limit)
 			}
 		})
 	}
--- a/tests/simulation/scenarios/latencies_test.go
+++ b/tests/simulation/scenarios/latencies_test.go
@@ -12,51 +12,51 @@
 func TestLatencies(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 11, Window: 60000, Recovery: 30000}
-	closed := int64(0)
+	drainTime := int64(0)
 	scenario.Setup = func(cluster *simulation.Cluster) {
 		cluster.At(30000, func() { cluster.Clients.SetDrained("east", true, func() bool { return true }) })
-		var look func()
-		look = func() {
-			if at, ok := cluster.Checker.DrainedSince("east"); ok && closed == 0 {
+		var poll func()
+		poll = func() {
+			if ackedAt, ok := cluster.Checker.DrainedSince("east"); ok && drainTime == 0 {
 				if server := cluster.Leader(); server != nil {
 					for _, c := range server.Machine.State().Drains {
 						if free, loose := server.Machine.State().OpenLeases(c); c.PreflightDone && len(free)+len(loose) == 0 {
-							closed = cluster.Now - at + 1
+							drainTime = cluster.Now - ackedAt + 1
 						}
 					}
 				}
 			}
 			if cluster.Now < 40000 {
-				cluster.After(5, look)
+				cluster.After(5, poll)
 			}
 		}
-		cluster.At(30000, look)
+		cluster.At(30000, poll)
 	}
 	cluster := simulationtest.RunScenario(t, scenario)
-	if closed == 0 || closed > 1000 {
-		t.Errorf("drain to last stop: %d ms", closed)
+	if drainTime == 0 || drainTime > 1000 {
+		t.Errorf("drain acknowledged to last stop confirmed: %d ms", drainTime)
 	}
-	t.Logf("drain acknowledged to last stop confirmed: %d ms", closed)
+	t.Logf("drain acknowledged to last stop confirmed: %d ms", drainTime)
 	spans := cluster.Checker.Spans
 	if n := simulationtest.Longest(spans[invariants.SpanCancelToStop]); len(spans[invariants.SpanCancelToStop]) < 3 || n > 300 {
-		t.Errorf("cancel to gone: %v", spans[invariants.SpanCancelToStop])
+		t.Errorf("cancellation to stop: %v", spans[invariants.SpanCancelToStop])
 	}
 	if n := simulationtest.Median(spans[invariants.SpanAdmissionToStart]); len(spans[invariants.SpanAdmissionToStart]) < 300 || n > 100 {
 		t.Errorf("admission to start: median %d of %d", n, len(spans[invariants.SpanAdmissionToStart]))
 	}
 	secs := cluster.Now / 1000
 	pollBytes := cluster.Traffic.PollBytes / secs / int64(len(cluster.Runners))
-	t.Logf("frames among processes: about %d bytes a second in all; polls and answers: %d bytes a second for each runner",
+	t.Logf("frames between processes: about %d bytes per second in total; polls and responses: %d bytes per second and runner",
 		cluster.Traffic.Bytes/secs, pollBytes)
 	starts := spans[invariants.SpanAdmissionToStart]
 	stops := spans[invariants.SpanCancelToStop]
-	t.Logf("admission to start: median %d ms, worst %d ms of %d; cancel to gone: worst %d ms of %d",
+	t.Logf("admission to start: median %d ms, worst %d ms of %d; cancellation to stop: worst %d ms of %d",
 		simulationtest.Median(starts), simulationtest.Longest(starts), len(starts),
 		simulationtest.Longest(stops), len(stops))
 }
 
-// TestTakeover measures how long the cluster does not answer when its leader is lost,
-// in each way.
+// TestTakeover measures how long the cluster is unavailable when its leader fails, for each
+// kind of failure.
 func TestTakeover(t *testing.T) {
 	for _, loss := range []simulation.FaultKind{
 		simulation.LeaderCrash,
@@ -79,10 +79,10 @@
 				simulationtest.RunScenario(t, scenario)
 				gaps = append(gaps, gap)
 			}
-			t.Logf("%s: time without an answer: median %d ms, worst %d ms of %v",
+			t.Logf("%s: outage: median %d ms, worst %d ms of %v",
 				loss, simulationtest.Median(gaps), simulationtest.Longest(gaps), gaps)
 			if simulationtest.Longest(gaps) > 12000 || simulationtest.Longest(gaps) < 300 {
-				t.Errorf("%s: %v", loss, gaps)
+				t.Errorf("%s: outages of %v ms", loss, gaps)
 			}
 		})
 	}
--- a/tests/simulation/scenarios/leader_failpoint_test.go
+++ b/tests/simulation/scenarios/leader_failpoint_test.go
@@ -5,13 +5,13 @@
 	"orchidward/tests/simulation"
 )
 
-// leaderFailpoint loses the leader for a while as soon as its log has grown by so many
-// entries since the failpoint was armed.
+// leaderFailpoint makes the leader fail for a while as soon as its log has grown by the
+// given number of entries since the failpoint was armed.
 type leaderFailpoint struct {
 	// loss is LeaderCrash, LeaderFreeze or LeaderIsolated.
 	loss    simulation.FaultKind
 	entries int
-	// duration is how long the leader is lost, in ms.
+	// duration is how long the leader is unavailable, in ms.
 	duration int64
 
 	cluster    *simulation.Cluster
@@ -24,14 +24,14 @@
 	cluster.Failpoint = f.check
 }
 
-// arm counts entries from now on.
+// arm arms the failpoint: entries count from now on.
 func (f *leaderFailpoint) arm() {
 	if leader := f.cluster.Leader(); leader != nil {
 		f.armedIndex = leader.Machine.Raft().LastIndex()
 	}
 }
 
-// check loses a server if it is the leader and has the entries.
+// check makes a server fail if it is the leader and its log has the entries.
 func (f *leaderFailpoint) check(server *simulation.Server) (crashed bool) {
 	if f.armedIndex == 0 || f.fired || !server.IsLeader() {
 		return false
--- a/tests/simulation/scenarios/policy_test.go
+++ b/tests/simulation/scenarios/policy_test.go
@@ -12,13 +12,13 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestPolicy: a row's policy decides where its tasks are placed and nothing more; an
-// invalid one never takes effect; one that fails when it runs is counted and shown, and
-// tasks are placed by the built-in choice.
+// TestPolicy checks that a row's policy decides only where its tasks are placed, and that
+// an invalid policy never takes effect. A policy that fails at run time must be counted and
+// reported, and the built-in choice must place the tasks.
 func TestPolicy(t *testing.T) {
 	t.Parallel()
 	statuses := map[string]int{}
-	var shown struct {
+	var reported struct {
 		Policies []struct {
 			Row          string
 			Used, Failed int
@@ -49,7 +49,7 @@
 		})
 		cluster.At(28000, func() {
 			cluster.Request(cluster.Clients.Process, cluster.Clients.RandomGateway(), http.MethodGet, endpoint.ServersPath, nil, 2000, func(_ int, body []byte) {
-				if err := json.Unmarshal(body, &shown); err != nil {
+				if err := json.Unmarshal(body, &reported); err != nil {
 					t.Error(err)
 				}
 			})
@@ -61,9 +61,9 @@
 		t.Errorf("responses by status: %v", statuses)
 	}
 	if starts["west"] < 60 || starts["west"] < 9*(starts["north"]+starts["east"]) {
-		t.Errorf("the row that scores west highest started its work at %v", starts)
+		t.Errorf("the row whose policy prefers west started its tasks in %v", starts)
 	}
-	if len(shown.Policies) != 2 || shown.Policies[0].Used < 50 || shown.Policies[0].Failed > 0 || shown.Policies[1].Failed < 20 || !strings.Contains(shown.Policies[1].LastFailure, "zero") {
-		t.Errorf("shown %+v", shown.Policies)
+	if len(reported.Policies) != 2 || reported.Policies[0].Used < 50 || reported.Policies[0].Failed > 0 || reported.Policies[1].Failed < 20 || !strings.Contains(reported.Policies[1].LastFailure, "zero") {
+		t.Errorf("policies reported: %+v", reported.Policies)
 	}
 }
--- a/tests/simulation/scenarios/runners_cut_off_test.go
+++ b/tests/simulation/scenarios/runners_cut_off_test.go
@@ -10,8 +10,8 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestRunnersCutOff: runners are isolated for longer than their lease while long tasks
-// run on them; they end these themselves before they run anywhere else.
+// TestRunnersCutOff isolates runners for longer than their lease while long tasks run on
+// them. The runners must end these tasks by themselves before the tasks start elsewhere.
 func TestRunnersCutOff(t *testing.T) {
 	t.Parallel()
 	scenario := simulation.Scenario{Seed: 23, Window: 40000, Recovery: 50000, Setup: func(cluster *simulation.Cluster) {
--- a/tests/simulation/scenarios/suspend_test.go
+++ b/tests/simulation/scenarios/suspend_test.go
@@ -10,13 +10,13 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// TestSuspend suspends machines for longer than leases last: runners with long tasks,
-// and the leader. With clocks that count the suspend nothing is violated. With clocks
-// that stop meanwhile, as Go's own do, the same suspends must violate something, or this
-// test proves nothing.
+// TestSuspend suspends runners with long tasks, and the leader, for longer than leases
+// last. With clocks that include the time in suspend, no invariant may be violated. With
+// clocks that stop meanwhile, as Go's monotonic clock does, the same suspends must violate
+// an invariant, otherwise this test proves nothing.
 func TestSuspend(t *testing.T) {
 	t.Parallel()
-	broken := 0
+	violations := 0
 	for seed := int64(1); seed <= 2; seed++ {
 		for _, clocksStop := range []bool{false, true} {
 			scenario := simulation.Scenario{Seed: seed, Spec: simulation.FastNetwork(), Window: 45000, Recovery: 50000}
@@ -29,19 +29,19 @@
 			}
 			cluster := simulation.Run(scenario)
 			if clocksStop {
-				broken += len(cluster.Checker.Violations)
+				violations += len(cluster.Checker.Violations)
 				continue
 			}
 			simulationtest.CheckInvariants(t, scenario.Seed, cluster)
 		}
 	}
-	if broken == 0 {
-		t.Error("clocks that stop in suspend broke nothing: the test shows nothing")
+	if violations == 0 {
+		t.Error("clocks that stop in suspend violate no invariant: the test proves nothing")
 	}
-	t.Logf("with clocks that stop in suspend: %d invariants violated", broken)
+	t.Logf("with clocks that stop in suspend: %d violations", violations)
 }
 
-// suspendBusyRunners freezes all runners that run something, for 16 seconds.
+// suspendBusyRunners freezes all runners with running tasks, for 16 seconds.
 func suspendBusyRunners(cluster *simulation.Cluster) {
 	for _, runner := range cluster.Runners {
 		if runner.Machine.Running() > 0 {
@@ -50,8 +50,8 @@
 	}
 }
 
-// TestResumedGateway: a gateway that was suspended during a change of the limits table
-// decides nothing by the old one.
+// TestResumedGateway checks that a gateway which was suspended during a change of the
+// limits table does not admit jobs by the stale table.
 func TestResumedGateway(t *testing.T) {
 	t.Parallel()
 	statuses := []int{}
@@ -92,6 +92,6 @@
 		}
 	}
 	if len(statuses) != 3 || statuses[2] != http.StatusUnprocessableEntity {
-		t.Errorf("in touch with the leader again it answered %v, want 422 last", statuses)
+		t.Errorf("once in contact with the leader again it answered %v, want 422 last", statuses)
 	}
 }
--- a/tests/simulation/scenarios/versions_test.go
+++ b/tests/simulation/scenarios/versions_test.go
@@ -11,7 +11,7 @@
 	"orchidward/tests/simulation/simulationtest"
 )
 
-// levels are the levels of entries at the servers that run.
+// levels lists the levels of log entries at the running servers.
 func levels(cluster *simulation.Cluster) []uint16 {
 	var list []uint16
 	for _, server := range cluster.Servers {
@@ -22,9 +22,9 @@
 	return list
 }
 
-// TestUpgrade upgrades a cluster from the first level to the present one, server by
-// server, with a downgrade, a drain, elections and load on the way. The level is raised
-// only when the last server knows it, and then everywhere.
+// TestUpgrade upgrades a cluster from the first level to the current one, server by server,
+// with a downgrade, a drain, elections and load in between. The level must be raised only
+// when the last server supports it, and then on all servers.
 func TestUpgrade(t *testing.T) {
 	for seed := int64(1); seed <= 3; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -33,7 +33,7 @@
 				for _, server := range cluster.Servers {
 					server.Level = 0
 				}
-				low := func(when string) {
+				requireLevelZero := func(when string) {
 					for _, n := range levels(cluster) {
 						if n != 0 {
 							t.Errorf("%s the level is %v", when, levels(cluster))
@@ -46,13 +46,13 @@
 				cluster.At(17000, func() {
 					cluster.Clients.PatchLimits(cluster.Clients.Epoch, map[string]any{"push.policy": "1"}, func(status int, _ int64) {
 						if status != http.StatusConflict {
-							t.Errorf("a policy with one old server left got %d", status)
+							t.Errorf("a policy with one old server left got status %d", status)
 						}
 					})
 				})
-				cluster.At(18000, func() { low("two of three upgraded,") })
+				cluster.At(18000, func() { requireLevelZero("two of three upgraded,") })
 				cluster.At(18500, func() { cluster.RestartAtLevel(cluster.Servers[0], 0) })
-				cluster.At(23000, func() { low("after a step back,"); cluster.RestartAtLevel(cluster.Servers[0], state.SupportedLevel) })
+				cluster.At(23000, func() { requireLevelZero("after a downgrade,"); cluster.RestartAtLevel(cluster.Servers[0], state.SupportedLevel) })
 				cluster.At(27000, func() {
 					cluster.Clients.SetDrained("north", false, func() bool { return true })
 					cluster.RestartAtLevel(cluster.Servers[2], state.SupportedLevel)
@@ -70,8 +70,9 @@
 	}
 }
 
-// TestOldVersionRejected: once the level is raised, a server of an old version neither
-// starts on its data folder nor joins with an empty one; upgraded, it does.
+// TestOldVersionRejected checks that once the level is raised, a server of an old version
+// neither starts with its existing data directory nor joins with an empty one. Once
+// upgraded, it must become a voter.
 func TestOldVersionRejected(t *testing.T) {
 	t.Parallel()
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 4, Window: 50000, Recovery: 45000, Setup: func(cluster *simulation.Cluster) {
@@ -79,7 +80,7 @@
 		cluster.At(9000, func() { cluster.RestartAtLevel(server, 0) })
 		cluster.At(13000, func() {
 			if server.Up || !strings.Contains(server.QuitReason, "level") {
-				t.Errorf("an old version runs on a folder of a later level: %q", server.QuitReason)
+				t.Errorf("an old version runs with a data directory of a later level: %q", server.QuitReason)
 			}
 			cluster.ReplaceServer(server)
 			server = cluster.Servers[1]
@@ -100,37 +101,37 @@
 		})
 		cluster.At(45000, func() {
 			if m, ok := cluster.Leader().Machine.Raft().Member(server.Machine.Config().ID); !ok || !m.Voter {
-				t.Error("upgraded, it is no voter")
+				t.Error("the upgraded server is not a voter")
 			}
 		})
 	}})
 }
 
-// TestUnknownEntry: a server that gets an entry it does not know, in a group that raised
-// no level for it, stops instead of taking it for an empty one.
+// TestUnknownEntry checks that a server which receives an unknown entry, in a group that
+// raised no level for it, stops instead of treating the entry as empty.
 func TestUnknownEntry(t *testing.T) {
 	t.Parallel()
 	cluster := simulation.NewCluster(5, simulation.FastNetwork())
 	cluster.Run(6000)
 	leader := cluster.Leader()
-	at, _ := leader.Machine.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
+	index, _ := leader.Machine.Raft().Propose([]byte(`{"at":1,"novel":{"x":1}}`))
 	cluster.Run(12000)
-	aside := 0
+	stopped := 0
 	for _, server := range cluster.Servers {
 		switch {
 		case strings.Contains(server.QuitReason, "does not know"):
-			aside++
-		case server.Machine.Raft().CommitIndex() >= at:
+			stopped++
+		case server.Machine.Raft().CommitIndex() >= index:
 			t.Errorf("%s went on past an entry it does not know", server.Name)
 		}
 	}
-	if aside == 0 {
-		t.Error("no server got the entry")
+	if stopped == 0 {
+		t.Error("no server stopped because of the entry")
 	}
 }
 
-// TestStateDivergence: a follower whose state differs from the others' notices with the
-// leader's next checksum and stops before it can ever lead.
+// TestStateDivergence checks that a follower whose state differs from the others' detects
+// the difference with the leader's next checksum, and stops before it can become leader.
 func TestStateDivergence(t *testing.T) {
 	t.Parallel()
 	simulationtest.RunScenario(t, simulation.Scenario{Seed: 6, Window: 25000, Recovery: 40000, Setup: func(cluster *simulation.Cluster) {
@@ -145,7 +146,7 @@
 		})
 		cluster.At(13000, func() {
 			if !strings.Contains(server.QuitReason, "differs") || server.Up {
-				t.Errorf("4 s after its state diverged from the others' it says %q", server.QuitReason)
+				t.Errorf("4 s after its state diverged from the others', quit reason %q", server.QuitReason)
 			}
 			for _, one := range cluster.Servers {
 				if one != server && one.QuitReason != "" {
