--- a/tests/simulation/cluster.go
+++ b/tests/simulation/cluster.go
@@ -66,7 +66,7 @@
 // quietAfter is how long after the last fault the cluster counts as recovered, in ms.
 const quietAfter = 15000
 
-// Latest moments at which processes first start, in ms.
+// Latest times at which processes first start, in ms.
 const (
 	maxServerStart = 300
 	maxRunnerStart = 1000
--- a/tests/simulation/runner.go
+++ b/tests/simulation/runner.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// pollAnswered notifies the checker that a poll was answered; draining tells whether
-// the runner announced its departure in that poll.
+// pollAnswered notifies the checker that a poll was answered; draining is set if the
+// runner announced its departure in that poll.
 func (r *Runner) pollAnswered(draining bool) {
 	if draining && r.draining() {
 		r.cluster.Checker.RunnerLeaving(r.Name)
--- a/tests/simulation/scenarios/delayed_orders_test.go
+++ b/tests/simulation/scenarios/delayed_orders_test.go
@@ -134,7 +134,7 @@
 // orderDelay is a way to delay the first copy of an order.
 type orderDelay struct {
 	name string
-	// at lists the addresses that an order is sent to, the delayed one first.
+	// at lists the addresses that the order is sent to, the delayed one first.
 	at    func(c *simulation.Cluster) (addrs []string)
 	delay func(c *simulation.Cluster) (undo func())
 	// undecided is set if the leader appends the order to its log but cannot commit it.
@@ -179,13 +179,13 @@
 // eachDelayedOrder runs every delay with the order sent at several offsets from the start
 // of the delay.
 func eachDelayedOrder(t *testing.T, seeds int64, run func(t *testing.T, s delayedOrder) (late bool)) {
-	for _, delay := range orderDelays {
-		t.Run(delay.name, func(t *testing.T) {
+	for _, variant := range orderDelays {
+		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
 			late := 0
 			for i, offset := range []int64{-4, -2, 1, 20, 90, 200, 400, 700} {
 				for seed := int64(1); seed <= seeds; seed++ {
-					if run(t, delayedOrder{delay.delay, offset, seed*100 + int64(i), delay.at}) {
+					if run(t, delayedOrder{variant.delay, offset, seed*100 + int64(i), variant.at}) {
 						late++
 					}
 				}
--- a/tests/simulation/scenarios/hang_up_test.go
+++ b/tests/simulation/scenarios/hang_up_test.go
@@ -92,21 +92,21 @@
 // take effect before or shortly after the hang-up, or never.
 func TestHangUp(t *testing.T) {
 	t.Parallel()
-	delays := append(orderDelays[:len(orderDelays):len(orderDelays)],
+	variants := append(orderDelays[:len(orderDelays):len(orderDelays)],
 		orderDelay{name: "no delay, through a gateway", at: gatewayAddrs, delay: noDelay},
 		orderDelay{name: "no delay, through a follower", at: followerFirst, delay: noDelay},
 		orderDelay{name: "no delay, at the leader", at: leaderFirst, delay: noDelay},
 	)
-	for _, delay := range delays {
-		t.Run(delay.name, func(t *testing.T) {
+	for _, variant := range variants {
+		t.Run(variant.name, func(t *testing.T) {
 			t.Parallel()
 			longest, late, runs := int64(0), 0, 0
 			for i, lasts := range []int64{100, 500, 650} {
 				for j, hangUp := range []int64{1, 10, 100, 450} {
 					for k, offset := range []int64{-4, 1} {
-						run := hangUpRun{delay.delay, delay.at, lasts, offset, hangUp, int64(i*100 + j*10 + k + 1), hangUpBudget}
+						order := hangUpRun{variant.delay, variant.at, lasts, offset, hangUp, int64(i*100 + j*10 + k + 1), hangUpBudget}
 						runs++
-						if after, ok := run.run(); ok {
+						if after, ok := order.run(); ok {
 							late++
 							longest = max(longest, after)
 						}
@@ -115,7 +115,7 @@
 			}
 			t.Logf("%d of %d orders took effect after the hang-up, at most %d ms after it", late, runs, longest)
 			limit := int64(maxAfterHangUp)
-			if delay.undecided {
+			if variant.undecided {
 				limit = maxUndecided
 			}
 			if longest > limit {
--- a/tests/simulation/scenarios/refused_change_test.go
+++ b/tests/simulation/scenarios/refused_change_test.go
@@ -87,6 +87,6 @@
 	}
 	t.Logf("%d copies were applied, at most %d ms after the rejection, %d were not", applied, longest, dropped)
 	if longest > changeBudget || applied == 0 || dropped == 0 {
-		t.Errorf("%d copies applied, at most %d ms after the rejection, %d not; want at most %d ms and both kinds", applied, longest, dropped, changeBudget)
+		t.Errorf("applied at most %d ms after the rejection, want at most %d ms, and both applied and dropped copies", longest, changeBudget)
 	}
 }
--- a/tests/simulation/scenarios/versions_test.go
+++ b/tests/simulation/scenarios/versions_test.go
@@ -52,7 +52,10 @@
 				})
 				cluster.At(18000, func() { requireLevelZero("two of three upgraded,") })
 				cluster.At(18500, func() { cluster.RestartAtLevel(cluster.Servers[0], 0) })
-				cluster.At(23000, func() { requireLevelZero("after a downgrade,"); cluster.RestartAtLevel(cluster.Servers[0], state.SupportedLevel) })
+				cluster.At(23000, func() {
+					requireLevelZero("after a downgrade,")
+					cluster.RestartAtLevel(cluster.Servers[0], state.SupportedLevel)
+				})
 				cluster.At(27000, func() {
 					cluster.Clients.SetDrained("north", false, func() bool { return true })
 					cluster.RestartAtLevel(cluster.Servers[2], state.SupportedLevel)
