--- a/tests/simulation/mixed_test.go
+++ b/tests/simulation/mixed_test.go
@@ -19,8 +19,8 @@
 	showTrace  = flag.Bool("show", false, "print the run of a failing seed")
 )
 
-// TestCalm runs clusters without faults: all invariants must hold, and all jobs must end.
-func TestCalm(t *testing.T) {
+// TestWithoutFaults runs clusters without faults: all invariants must hold, and all jobs must end.
+func TestWithoutFaults(t *testing.T) {
 	for _, spec := range []simulation.ClusterSpec{simulation.FastNetwork(), simulation.LossyNetwork()} {
 		scenario := simulation.Scenario{Seed: 7, Spec: spec, Window: 30000, Recovery: 25000}
 		cluster := simulation.Run(scenario)
--- a/tests/simulation/network.go
+++ b/tests/simulation/network.go
@@ -49,9 +49,9 @@
 		c.transmit(from, to, do)
 		return
 	}
-	way := linkBetween(from, to)
-	done := max(c.Now, c.network.busyUntil[way]) + int64(size)/c.Spec.LinkBytesPerMs
-	c.network.busyUntil[way] = done
+	l := linkBetween(from, to)
+	done := max(c.Now, c.network.busyUntil[l]) + int64(size)/c.Spec.LinkBytesPerMs
+	c.network.busyUntil[l] = done
 	incarnation := from.Incarnation
 	c.At(done, func() {
 		if from.Incarnation == incarnation {
@@ -66,17 +66,17 @@
 	if c.blocked(from, to) || c.Random.Int63n(1000) < c.Spec.LossPerMille {
 		return
 	}
-	way := linkBetween(from, to)
-	if waiting, stalled := c.network.stalled[way]; stalled {
-		c.network.stalled[way] = append(waiting, func() { c.transmit(from, to, do) })
+	l := linkBetween(from, to)
+	if waiting, stalled := c.network.stalled[l]; stalled {
+		c.network.stalled[l] = append(waiting, func() { c.transmit(from, to, do) })
 		return
 	}
 	arrival := c.Now + c.Spec.DelayMs/2 + c.Random.Int63n(c.Spec.DelayMs+1)
 	if from == to {
 		arrival = c.Now
 	}
-	arrival = max(arrival, c.network.lastArrival[way])
-	c.network.lastArrival[way] = arrival
+	arrival = max(arrival, c.network.lastArrival[l])
+	c.network.lastArrival[l] = arrival
 	incarnation := to.Incarnation
 	c.postFrom(to, arrival-c.Now, from.Name, func() {
 		if to.Incarnation == incarnation && !c.blocked(from, to) {
@@ -133,16 +133,16 @@
 	var blocked []link
 	for _, from := range c.processes {
 		for _, to := range c.processes {
-			way := linkBetween(from, to)
-			if inside[from.Name] != inside[to.Name] && !c.network.blocked[way] {
-				c.network.blocked[way] = true
-				blocked = append(blocked, way)
+			l := linkBetween(from, to)
+			if inside[from.Name] != inside[to.Name] && !c.network.blocked[l] {
+				c.network.blocked[l] = true
+				blocked = append(blocked, l)
 			}
 		}
 	}
 	return func() {
-		for _, way := range blocked {
-			delete(c.network.blocked, way)
+		for _, l := range blocked {
+			delete(c.network.blocked, l)
 		}
 	}
 }
@@ -150,14 +150,14 @@
 // StallLink holds back all messages from one process to another until undo is called;
 // then they arrive, in order. undo is nil if the link is stalled already.
 func (c *Cluster) StallLink(from, to *Process) (undo func()) {
-	way := linkBetween(from, to)
-	if _, stalled := c.network.stalled[way]; stalled {
+	l := linkBetween(from, to)
+	if _, stalled := c.network.stalled[l]; stalled {
 		return nil
 	}
-	c.network.stalled[way] = []func(){}
+	c.network.stalled[l] = []func(){}
 	return func() {
-		waiting := c.network.stalled[way]
-		delete(c.network.stalled, way)
+		waiting := c.network.stalled[l]
+		delete(c.network.stalled, l)
 		for _, send := range waiting {
 			send()
 		}
