--- a/tests/mutation/consensus.go
+++ b/tests/mutation/consensus.go
@@ -82,7 +82,7 @@
 		original:    "if r.timer.expired(now) && r.isVoter(r.id) && !r.leaving {",
 		replacement: "if r.timer.expired(now) && r.isVoter(r.id) && r.hardState.Term == 0 {",
 		tests:       test("./tests/simulation/membership", "TestAllKilled"),
-		want:        "all are back for 2 s",
+		want:        "2 s after the last start",
 	},
 	{
 		name:        "two of five voters commit an entry",
--- a/tests/mutation/membership.go
+++ b/tests/mutation/membership.go
@@ -18,7 +18,7 @@
 		original:    "if announcement.Role != wire.RoleServer {",
 		replacement: "if false {",
 		tests:       test("./tests/simulation/membership", "TestEveryAddress"),
-		want:        "nobody leads",
+		want:        "there is no leader",
 	},
 	{
 		name:        "silent voter is removed late",
@@ -26,7 +26,7 @@
 		original:    "minVoterSilence clock.Millis = 1000",
 		replacement: "minVoterSilence clock.Millis = 10000",
 		tests:       test("./tests/simulation/membership", "TestLossesInTurn"),
-		want:        "nobody leads",
+		want:        "there is no leader",
 	},
 	{
 		name:        "larger cluster has only three voters",
@@ -34,7 +34,7 @@
 		original:    "maxVoters = 5",
 		replacement: "maxVoters = 3",
 		tests:       test("./tests/simulation/membership", "TestTwoLostAtOnce|TestDomainLost"),
-		want:        "nobody leads",
+		want:        "there is no leader",
 	},
 	{
 		name:        "voters are chosen regardless of zones",
@@ -73,7 +73,7 @@
 		original:    "s.now.Since(s.leader.maxVotersLiveAt) <= memberDeadAfter",
 		replacement: "true",
 		tests:       test("./tests/simulation/membership", "TestFiveVoters"),
-		want:        "with four alive for long",
+		want:        "with four servers left",
 	},
 	{
 		name:        "only a seed that is the leader admits members",
@@ -97,7 +97,7 @@
 		original:    "announcement.Founded = f.knowsGroup()",
 		replacement: "announcement.Founded = false",
 		tests:       test("./tests/simulation/membership", "TestDisklessServers"),
-		want:        "replaced, nobody leads",
+		want:        "replaced, there is no leader",
 	},
 	{
 		name:        "group is founded without waiting for an existing one",
@@ -177,7 +177,7 @@
 		original:    "maxStopHold clock.Millis = 2000",
 		replacement: "maxStopHold clock.Millis = 0",
 		tests:       test("./tests/simulation/membership", "TestStopIsHeldBack"),
-		want:        "nobody led for",
+		want:        "there was no leader for",
 	},
 	{
 		name:        "new leader counts voters without contact as present",
@@ -185,7 +185,7 @@
 		original:    "(!server.Heard || server.SilentFor > voterAbsentAfter)",
 		replacement: "server.SilentFor > voterAbsentAfter",
 		tests:       test("./tests/simulation/membership", "TestStopIsHeldBack"),
-		want:        "nobody led for",
+		want:        "there was no leader for",
 	},
 	{
 		name:        "five voters become three regardless of the tolerated losses",
@@ -193,7 +193,7 @@
 		original:    "s.votersToTolerateLosses() >= maxVoters {",
 		replacement: "s.votersToTolerateLosses() > maxVoters {",
 		tests:       test("./tests/simulation/membership", "TestDisksLostAfterLongAbsence"),
-		want:        "of 3 voters lost, nobody leads",
+		want:        "of 3 voters lost, there is no leader",
 	},
 	{
 		name:        "rejoined member counts as silent since its removal",
--- a/tests/mutation/operators.go
+++ b/tests/mutation/operators.go
@@ -67,7 +67,7 @@
 		original:    "\tif current.Has(change) {",
 		replacement: "\tif false {",
 		tests:       test("./tests/simulation/register", "TestRegisterHistories"),
-		want:        "no register answers so",
+		want:        "history is not linearizable",
 	},
 	{
 		name:        "version is confirmed for any content",
@@ -75,7 +75,7 @@
 		original:    "return known == newDigest(change.kind(), change.Checksum) ||",
 		replacement: "return true ||",
 		tests:       test("./tests/simulation/register", "TestRegisterHistories"),
-		want:        "no register answers so",
+		want:        "history is not linearizable",
 	},
 	{
 		name:        "deduplication records are missing from snapshots",
@@ -83,7 +83,7 @@
 		original:    "`json:\"dedup,omitempty\"`",
 		replacement: "`json:\"-\"`",
 		tests:       test("./tests/simulation/register", "TestRegisterHistories"),
-		want:        "no register answers so",
+		want:        "history is not linearizable",
 	},
 	{
 		name:        "resend to a whole cluster is rejected",
@@ -91,7 +91,7 @@
 		original:    "\tif current.Has(change) {",
 		replacement: "\tif false {",
 		tests:       test("./tests/simulation/register", "TestRegisterExchange"),
-		want:        "no register answers so",
+		want:        "history is not linearizable",
 	},
 	{
 		name:        "unknown parts of a patch are dropped",
@@ -161,6 +161,6 @@
 		original:    "case !pools[q.Pool]:",
 		replacement: "case q.Pool == \"\":",
 		tests:       test("./tests/simulation/register", "TestRegisterHistories"),
-		want:        "no register answers so",
+		want:        "history is not linearizable",
 	},
 }
--- a/tests/mutation/requests.go
+++ b/tests/mutation/requests.go
@@ -17,7 +17,7 @@
 			},
 		},
 		tests: test("./tests/simulation/scenarios", "TestResumedGateway"),
-		want:  "just resumed it answered",
+		want:  "right after the resumption the gateway answered",
 	},
 	{
 		name:        "gang with a silent member is not revoked",
@@ -89,7 +89,7 @@
 		original:    "r.Method != http.MethodGet && (r.outcomeUnknown || r.attempt != 0)",
 		replacement: `r.Method == ""`,
 		tests:       test("./tests/simulation/register", "TestRegisterExchange"),
-		want:        "no register answers so",
+		want:        "history is not linearizable",
 	},
 	{
 		name:        "forwarder accepts any sender's response",
@@ -113,7 +113,7 @@
 		original:    "if silent > leaderUnreachableAfter && !link.unreachable {",
 		replacement: "if silent > 1<<40 && !link.unreachable {",
 		tests:       test("./tests/simulation/membership", "TestServerCutOff"),
-		want:        "never said so at once",
+		want:        "never responded with 503 at once",
 	},
 	{
 		name:        "update carries the whole routing table",
--- a/tests/mutation/runners.go
+++ b/tests/mutation/runners.go
@@ -152,7 +152,7 @@
 		original:    `runner.AgentAddr != "" && !runner.Gone`,
 		replacement: `runner.AgentAddr == "nobody" && !runner.Gone`,
 		tests:       test("./tests/simulation/agents", "TestNewLeaderIsAnnounced"),
-		want:        "agents turned to a new leader after",
+		want:        "agents switched to a new leader after",
 	},
 	{
 		name:        "leader is not announced to gateways",
@@ -160,7 +160,7 @@
 		original:    "list := s.gateways.livePeerAddrs(s.now)",
 		replacement: "list := s.gateways.livePeerAddrs(s.now)[:0]",
 		tests:       test("./tests/simulation/agents", "TestNewLeaderIsAnnounced"),
-		want:        "gateways turned to a new leader after",
+		want:        "gateways switched to a new leader after",
 	},
 	{
 		name:        "start carries another payload",
--- a/tests/simulation/agents/new_leader_test.go
+++ b/tests/simulation/agents/new_leader_test.go
@@ -99,12 +99,12 @@
 		c.checkInvariants(int64(i + 1))
 	}
 	if len(agents) != newLeaders*5 || len(gateways) != newLeaders*3 {
-		t.Errorf("%d of %d agents and %d of %d gateways turned to the new leader", len(agents), newLeaders*5, len(gateways), newLeaders*3)
+		t.Errorf("%d of %d agents and %d of %d gateways switched to the new leader", len(agents), newLeaders*5, len(gateways), newLeaders*3)
 	}
 	for name, spans := range map[string][]int64{"agents": agents, "gateways": gateways} {
 		t.Logf("%s: p50 %d ms, worst %d ms", name, simulationtest.Median(spans), simulationtest.Longest(spans))
 		if worst := simulationtest.Longest(spans); worst > maxTurnToLeader {
-			t.Errorf("%s turned to a new leader after %d ms, want at most %d", name, worst, maxTurnToLeader)
+			t.Errorf("%s switched to a new leader after %d ms, want at most %d", name, worst, maxTurnToLeader)
 		}
 	}
 }
--- a/tests/simulation/membership/cut_off_test.go
+++ b/tests/simulation/membership/cut_off_test.go
@@ -141,7 +141,7 @@
 					t.Errorf("an order took %d ms", worst)
 				}
 				if name != "frozen" && fast == 0 {
-					t.Error("the isolated server never said so at once")
+					t.Error("the isolated server never responded with 503 at once")
 				}
 			})
 		}
@@ -205,7 +205,7 @@
 		} `json:"closings"`
 	}
 	if err := json.Unmarshal(body, &doc); err != nil {
-		t.Errorf("drains read as %s", body)
+		t.Errorf("invalid list of drains: %s", body)
 	}
 	for _, c := range doc.Closings {
 		yes = yes || c.Stage.Cordons()
--- a/tests/simulation/membership/diskless_test.go
+++ b/tests/simulation/membership/diskless_test.go
@@ -69,7 +69,7 @@
 		cluster.At(38000, func() {
 			requireKnownLeader("after the leader was replaced,")
 			if cluster.Leader() == nil {
-				t.Error("after the leader was replaced, nobody leads")
+				t.Error("after the leader was replaced, there is no leader")
 				return
 			}
 			list := []string{}
--- a/tests/simulation/membership/founding_test.go
+++ b/tests/simulation/membership/founding_test.go
@@ -143,7 +143,7 @@
 			})
 			cluster.Run(45000)
 			if list, _ := cluster.Voters(); len(list) != 5 {
-				t.Errorf("in the end: %d voters", len(list))
+				t.Errorf("at the end: %d voters", len(list))
 			}
 			for _, server := range cluster.Servers[:6] {
 				if server.Machine.Raft() == nil || len(server.Machine.Raft().Members()) != 6 {
--- a/tests/simulation/membership/graceful_stop_test.go
+++ b/tests/simulation/membership/graceful_stop_test.go
@@ -231,7 +231,7 @@
 	})
 	cluster.Run(13500)
 	if cluster.Leader() == nil {
-		t.Error("after a second loss right after a planned replacement nobody leads")
+		t.Error("after a second loss right after a planned replacement there is no leader")
 	}
 }
 
--- a/tests/simulation/membership/long_absence_test.go
+++ b/tests/simulation/membership/long_absence_test.go
@@ -122,7 +122,7 @@
 		},
 	})
 	if !served {
-		t.Errorf("seed %d: two of %d voters lost, nobody leads %d ms after the machines have restarted", seed, voters, serviceIn)
+		t.Errorf("seed %d: two of %d voters lost, there is no leader %d ms after the machines have restarted", seed, voters, serviceIn)
 	}
 }
 
--- a/tests/simulation/membership/old_seeds_test.go
+++ b/tests/simulation/membership/old_seeds_test.go
@@ -26,7 +26,7 @@
 						return
 					}
 				}
-				t.Errorf("at %d nobody leads", cluster.Now)
+				t.Errorf("at %d there is no leader", cluster.Now)
 			}
 			cluster.At(9000, replace)
 			for at := int64(13000); at < 28000; at += 3000 {
--- a/tests/simulation/membership/power_loss_test.go
+++ b/tests/simulation/membership/power_loss_test.go
@@ -46,7 +46,7 @@
 				},
 			})
 			if !served {
-				t.Errorf("seed %d: nobody leads %d ms after the machines have restarted", seed, serviceIn)
+				t.Errorf("seed %d: there is no leader %d ms after the machines have restarted", seed, serviceIn)
 			}
 		}
 	})
--- a/tests/simulation/membership/replacement_test.go
+++ b/tests/simulation/membership/replacement_test.go
@@ -39,7 +39,7 @@
 		cluster.At(70000, func() {
 			names := []string{}
 			if cluster.Leader() == nil {
-				t.Error("nobody leads")
+				t.Error("there is no leader")
 				return
 			}
 			for _, m := range cluster.Leader().Machine.Raft().Members() {
@@ -92,7 +92,7 @@
 			cluster.At(21000, func() { cluster.CrashServer(other(at)) })
 			cluster.At(24500, func() {
 				if cluster.Leader() == nil {
-					t.Errorf("seed %d: after three successive losses nobody leads", seed)
+					t.Errorf("seed %d: after three successive losses there is no leader", seed)
 				}
 				other(at).Start()
 			})
--- a/tests/simulation/membership/stop_hold_test.go
+++ b/tests/simulation/membership/stop_hold_test.go
@@ -67,16 +67,16 @@
 					scenario.Run(firstLossAt + 600 + seed*60)
 					stopping := scenario.another(stopped == "leader")
 					if stopping == nil {
-						t.Fatalf("seed %d: nobody leads %d ms after the loss", seed, scenario.Now-firstLossAt)
+						t.Fatalf("seed %d: there is no leader %d ms after the loss", seed, scenario.Now-firstLossAt)
 					}
 					stopGracefully(scenario.Cluster, stopping, stopDowntime)
 					gap := scenario.longestUnserved(scenario.Now + 8000)
 					unserved = append(unserved, gap)
 					if gap > maxUnserved {
-						t.Errorf("seed %d: nobody led for %d ms, want %d at most", seed, gap, maxUnserved)
+						t.Errorf("seed %d: there was no leader for %d ms, want %d at most", seed, gap, maxUnserved)
 					}
 				}
-				t.Logf("nobody led for %d ms at most", simulationtest.Longest(unserved))
+				t.Logf("there was no leader for %d ms at most", simulationtest.Longest(unserved))
 			})
 		}
 	}
--- a/tests/simulation/membership/voters_test.go
+++ b/tests/simulation/membership/voters_test.go
@@ -108,7 +108,7 @@
 			}
 			cluster.At(36000, func() {
 				if list, byDomain := cluster.Voters(); len(list) != 3 {
-					t.Errorf("with four alive for long: %d voters, by domain %v", len(list), byDomain)
+					t.Errorf("with four servers left: %d voters, by domain %v", len(list), byDomain)
 				}
 				for _, server := range left {
 					server.Start()
@@ -133,7 +133,7 @@
 				cluster.At(9000, func() { back = cluster.CrashDomain(domain) })
 				cluster.At(15000, func() {
 					if cluster.Leader() == nil {
-						t.Errorf("6 s after the crash of domain %s nobody leads", domain)
+						t.Errorf("6 s after the crash of domain %s there is no leader", domain)
 					}
 					back()
 				})
@@ -149,7 +149,7 @@
 				})
 				cluster.At(34000, func() {
 					if cluster.Leader() == nil {
-						t.Errorf("8 s after the disks of domain %s were lost nobody leads", domain)
+						t.Errorf("8 s after the disks of domain %s were lost there is no leader", domain)
 					}
 				})
 				cluster.At(40000, func() {
@@ -210,14 +210,14 @@
 				})
 				cluster.At(14500, func() {
 					if cluster.Leader() == nil {
-						t.Errorf("seed %d: after the loss of two voters nobody leads", seed)
+						t.Errorf("seed %d: after the loss of two voters there is no leader", seed)
 						return
 					}
 					cluster.After(3000, cluster.CrashServer(cluster.Leader()))
 				})
 				cluster.At(19000, func() {
 					if cluster.Leader() == nil {
-						t.Errorf("seed %d: after the loss of the next leader nobody leads", seed)
+						t.Errorf("seed %d: after the loss of the next leader there is no leader", seed)
 					}
 				})
 				cluster.At(22000, func() {
@@ -260,7 +260,7 @@
 								return
 							}
 							if cluster.Now-at-last > 2000 {
-								t.Errorf("seed %d: all are back for 2 s, and nobody leads", seed)
+								t.Errorf("seed %d: 2 s after the last start there is no leader", seed)
 								return
 							}
 							cluster.After(5, awaitLeader)
--- a/tests/simulation/register/cluster_test.go
+++ b/tests/simulation/register/cluster_test.go
@@ -192,13 +192,13 @@
 				statuses[x.status]++
 			}
 			if len(o.cluster.Checker.Violations) > 0 || !linearizable(newRegister(), nil, o.calls) {
-				t.Fatalf("no register answers so: %v\n%s", o.cluster.Checker.Violations, formatCalls(o.calls))
+				t.Fatalf("history is not linearizable: %v\n%s", o.cluster.Checker.Violations, formatCalls(o.calls))
 			}
 			if statuses[http.StatusOK] < 10 {
 				t.Errorf("too little evidence: %v", statuses)
 			}
 			if leader := o.cluster.Leader(); leader == nil || seed%2 == 0 && leader.Machine.Raft().SnapshotIndex() == 0 {
-				t.Error("too little evidence: nobody leads, or no snapshot was taken")
+				t.Error("too little evidence: there is no leader, or no snapshot was taken")
 			}
 			t.Log(statuses, o.cluster.Injected)
 		})
--- a/tests/simulation/register/histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -233,6 +233,6 @@
 		m.step()
 	}
 	if !linearizable(first, m.acceptedBefore, m.calls) {
-		t.Fatalf("seed %d: no register answers so:\n%s", seed, formatCalls(m.calls))
+		t.Fatalf("seed %d: history is not linearizable:\n%s", seed, formatCalls(m.calls))
 	}
 }
--- a/tests/simulation/scenarios/delayed_orders_test.go
+++ b/tests/simulation/scenarios/delayed_orders_test.go
@@ -204,7 +204,7 @@
 	t.Helper()
 	leader := cluster.Leader()
 	if leader == nil {
-		t.Fatalf("seed %d, offset %d: nobody leads in the end", s.seed, s.offset)
+		t.Fatalf("seed %d, offset %d: there is no leader at the end", s.seed, s.offset)
 	}
 	for _, drain := range leader.Machine.State().Drains {
 		if late && drain.Stage.Cordons() {
@@ -219,7 +219,7 @@
 	t.Helper()
 	leader := cluster.Leader()
 	if leader == nil {
-		t.Fatalf("seed %d, offset %d: nobody leads in the end", s.seed, s.offset)
+		t.Fatalf("seed %d, offset %d: there is no leader at the end", s.seed, s.offset)
 	}
 	j := leader.Machine.State().Jobs[key]
 	if late && j != nil && j.EndState != state.Cancelled {
--- a/tests/simulation/scenarios/suspend_test.go
+++ b/tests/simulation/scenarios/suspend_test.go
@@ -73,7 +73,7 @@
 			path := endpoint.LimitsPath
 			cluster.Request(clients, other.Addr, http.MethodPatch, path, body, 2000, func(status int, _ []byte) {
 				if status != http.StatusOK {
-					t.Errorf("the change got %d", status)
+					t.Errorf("the change got status %d", status)
 				}
 			})
 			cluster.Clients.StopAt = 0
@@ -88,10 +88,10 @@
 	simulationtest.RunScenario(t, scenario)
 	for _, s := range statuses[:2] {
 		if s != http.StatusServiceUnavailable {
-			t.Errorf("just resumed it answered %v, want 503", statuses)
+			t.Errorf("right after the resumption the gateway answered %v, want 503", statuses)
 		}
 	}
 	if len(statuses) != 3 || statuses[2] != http.StatusUnprocessableEntity {
-		t.Errorf("once in contact with the leader again it answered %v, want 422 last", statuses)
+		t.Errorf("in contact with the leader again, the gateway answered %v, want 422 last", statuses)
 	}
 }
