--- a/tests/simulation/client_jobs.go
+++ b/tests/simulation/client_jobs.go
@@ -114,8 +114,8 @@
 
 func (c *Clients) oneIn(share int) bool { return c.cluster.Random.Intn(share) == 0 }
 
-func (c *Clients) runTime(least, span int64) clock.Millis {
-	return clock.Millis(least + c.below(span))
+func (c *Clients) runTime(minimum, span int64) clock.Millis {
+	return clock.Millis(minimum + c.below(span))
 }
 
 // Submit submits a job with the given steps within a second, some jobs with a start time.
--- a/tests/simulation/register/histories_test.go
+++ b/tests/simulation/register/histories_test.go
@@ -197,8 +197,8 @@
 				}
 			}
 			t.Log("responses by status, 0 for none:", statuses)
-			for status, least := range map[int]int{0: historiesPerTest, 200: historiesPerTest, 412: historiesPerTest, 422: historiesPerTest / 4, 504: 4} {
-				if statuses[status] < least {
+			for status, minimum := range map[int]int{0: historiesPerTest, 200: historiesPerTest, 412: historiesPerTest, 422: historiesPerTest / 4, 504: 4} {
+				if statuses[status] < minimum {
 					t.Errorf("too little evidence: %d responses with status %d", statuses[status], status)
 				}
 			}
