--- a/tests/simulation/membership/founding_test.go
+++ b/tests/simulation/membership/founding_test.go
@@ -46,6 +46,7 @@
 // first start with diskless servers among the seeds. There must never be two groups, and
 // if no disk was lost there must be one in the end.
 func TestSingleGroupFounded(t *testing.T) {
+	t.Parallel()
 	ends := map[bool]int{}
 	for seed := int64(1); seed <= 150; seed++ {
 		spec := simulation.FastNetwork()
@@ -113,6 +114,7 @@
 // while the diskless servers among the seeds lose their knowledge of the group. A server
 // that restarts empty must wait until it learns of the existing group.
 func TestSeedWiped(t *testing.T) {
+	t.Parallel()
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
--- a/tests/simulation/membership/old_seeds_test.go
+++ b/tests/simulation/membership/old_seeds_test.go
@@ -11,6 +11,7 @@
 // TestLeaderReplacedOldSeeds replaces two leaders, the second of which is not a seed, by
 // empty servers at new addresses that know only the original seeds.
 func TestLeaderReplacedOldSeeds(t *testing.T) {
+	t.Parallel()
 	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 		simulationtest.RunScenario(t, simulation.Scenario{Seed: 341, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			requireCaughtUpVoters(t, cluster)
--- a/tests/simulation/membership/power_loss_test.go
+++ b/tests/simulation/membership/power_loss_test.go
@@ -14,6 +14,7 @@
 // that an entry acknowledged too early is on the lost disks only. No acknowledged entry may
 // be lost, and the group must serve again.
 func TestDisksLostWhileAllLosePower(t *testing.T) {
+	t.Parallel()
 	const (
 		lossAt    = 20_000
 		downTime  = 1000
--- a/tests/simulation/membership/voters_test.go
+++ b/tests/simulation/membership/voters_test.go
@@ -89,6 +89,7 @@
 // TestFiveVoters checks that a larger cluster gets five voters, and three when all but
 // four of its servers stay down.
 func TestFiveVoters(t *testing.T) {
+	t.Parallel()
 	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 		simulationtest.RunScenario(t, simulation.Scenario{Seed: 301, Spec: spec, Window: 45000, Recovery: 30000, Setup: func(cluster *simulation.Cluster) {
 			requireCaughtUpVoters(t, cluster)
@@ -122,6 +123,7 @@
 // TestDomainLost crashes each domain in turn, and then wipes all servers of the domain,
 // which later restart empty.
 func TestDomainLost(t *testing.T) {
+	t.Parallel()
 	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 		for seed, domain := range spec.ServerDomainNames() {
 			gap, promoted := int64(0), new(int)
@@ -189,6 +191,7 @@
 // on slow disks. No server may become a voter before it has caught up, and the group must
 // tolerate that the leader is down for a while in the meantime.
 func TestTwoLostAtOnce(t *testing.T) {
+	t.Parallel()
 	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 		for seed := int64(0); seed < 4; seed++ {
 			gap, promoted := int64(0), new(int)
@@ -239,6 +242,7 @@
 // With the election timeout that users configure there must be a leader within 2 s of the
 // last start, and no acknowledged entry may be lost.
 func TestAllKilled(t *testing.T) {
+	t.Parallel()
 	eachLargeCluster(t, func(t *testing.T, spec simulation.ClusterSpec) {
 		spec.ElectionTimeout = 250
 		gaps := []int64{}
