--- a/tests/ablation/compare.go
+++ b/tests/ablation/compare.go
@@ -10,23 +10,23 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// allDays is the row of a comparison for all days together.
+// allDays is the day name of the row that covers all days.
 const allDays = "all"
 
-// row compares a version with the first one, over the copies of one day or over all days.
+// row compares a version with the first version, over the copies of one day or over all days.
 type row struct {
 	version string
 	day     string
 	pairs   int
-	// mean is that of the version's scores; difference that of the differences from the
-	// first version, pair by pair, and standardError its own.
+	// mean is the mean of the version's scores. difference is the mean of the paired
+	// differences from the first version, and standardError its standard error.
 	mean          float64
 	difference    float64
 	standardError float64
 	broken        int
 }
 
-// compare makes the rows of all versions, the first one's with differences of 0.
+// compare returns the rows of all versions. Those of the first version have differences of 0.
 func compare(results []played) []row {
 	base := map[string]dayResult{}
 	for _, day := range results[0].days {
@@ -50,7 +50,7 @@
 	return rows
 }
 
-// sortedDays lists the days by name, all of them together first.
+// sortedDays returns the names of the days, with allDays first and the others sorted.
 func sortedDays(byDay map[string][]dayResult) []string {
 	var names []string
 	for name := range byDay {
--- a/tests/ablation/edits.go
+++ b/tests/ablation/edits.go
@@ -2,7 +2,7 @@
 
 import "orchidward/tests/sourceedit"
 
-// ablations switch one mechanism off each.
+// ablations maps the name of an ablation to its edits; each disables one mechanism.
 var ablations = map[string][]sourceedit.Edit{
 	"no-timeliness": {{
 		File:        "internal/scheduler/job_order.go",
--- a/tests/ablation/main.go
+++ b/tests/ablation/main.go
@@ -1,14 +1,14 @@
-// Command ablation measures what a mechanism or a change is worth: it plays the same days
+// Command ablation measures the effect of a mechanism or a change: it runs the same days
 // with the same seeds on several versions of the tree, and prints the differences of their
-// scores from the first version, with standard errors. It is run by hand, as it needs the
-// users' bench:
+// scores from the first version, with standard errors. It is run by hand, because it needs
+// the users' benchmark program, the bench:
 //
 //	go run ./tests/ablation -bench FLEETBENCH -site SITE.toml -days scale-1,scale-2 -seeds 6 \
 //	    -versions HEAD,HEAD+no-reservation -out FOLDER
 //
-// A version is a revision of git, with the names of edits (edits.go) behind plus signs. What
-// was played is kept in the folder and not played again, so that versions can be added. The
-// bench's journal entries are copied into journal/.
+// A version is a git revision, followed by the names of edits (see edits.go) after plus
+// signs. Results are stored in the folder and reused by later runs, so that versions can be
+// added. The bench's journal entries are copied into journal/.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	"strings"
 )
 
-// options are the command line.
+// options are the command-line options.
 type options struct {
 	bench    string
 	site     string
--- a/tests/ablation/main_test.go
+++ b/tests/ablation/main_test.go
@@ -14,7 +14,7 @@
 	"orchidward/tests/sourceedit"
 )
 
-// TestAblationsApply: the text that each edit replaces stands in its file once.
+// TestAblationsApply checks that the text that each edit replaces occurs once in its file.
 func TestAblationsApply(t *testing.T) {
 	for name, edits := range ablations {
 		if len(edits) == 0 {
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestAblationsBuild: with each edit the packages that decide still build. The edited files
-// take the place of the real ones by an overlay, so that nothing need be copied.
+// TestAblationsBuild checks that the control plane builds with each edit. An overlay
+// replaces the edited files, so that the tree need not be copied.
 func TestAblationsBuild(t *testing.T) {
 	t.Chdir("../..")
 	for name, edits := range ablations {
@@ -43,7 +43,8 @@
 	}
 }
 
-// writeOverlay writes the edited files and the list of them that the go command reads.
+// writeOverlay writes the edited files and the overlay file that lists them for the go
+// command.
 func writeOverlay(t *testing.T, edits []sourceedit.Edit) (path string) {
 	t.Helper()
 	dir := t.TempDir()
@@ -80,12 +81,13 @@
 seed = 20
 `
 
-// TestMultiplyDays: each chosen day stands there once for each seed, the others not at all.
+// TestMultiplyDays checks that a site file gets each chosen day once per seed, and no other
+// day.
 func TestMultiplyDays(t *testing.T) {
 	have, err := multiplyDays(twoDays, []string{"b-1"}, 2)
 	want := "name = \"site\"\n[[day]]\nname = \"b-1-s0\"\nseed = 20\n[[day]]\nname = \"b-1-s1\"\nseed = 7939\n"
 	if err != nil || have != want {
-		t.Errorf("have %q, %v", have, err)
+		t.Errorf("got %q, %v, want %q", have, err, want)
 	}
 	if all, _ := multiplyDays(twoDays, []string{""}, 3); strings.Count(all, dayMark) != 6 {
 		t.Errorf("all days, three seeds: %s", all)
@@ -95,7 +97,8 @@
 	}
 }
 
-// TestCompare: differences are taken pair by pair, and days that the bench drew are left out.
+// TestCompare checks that differences are computed pair by pair, and that days drawn by the
+// bench are excluded.
 func TestCompare(t *testing.T) {
 	day := func(name string, score float64) dayResult { return dayResult{Name: name, Score: score} }
 	first := played{"x", []dayResult{day("a-1-s0", 0.2), day("a-1-s1", 0.6), day("fresh-1", 1)}}
--- a/tests/ablation/play.go
+++ b/tests/ablation/play.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// maxAtOnce is how many runs of the bench may go on at once, benchJobs the cores that
-	// each may use.
+	// maxAtOnce bounds the concurrent runs of the bench; benchJobs is the number of cores
+	// that each may use.
 	maxAtOnce = 2
 	benchJobs = "4"
-	// freshDay begins the name of a day that the bench draws by itself.
+	// freshDay is the name prefix of a day that the bench draws at random.
 	freshDay = "fresh-"
 )
 
 var errNoEntry = errors.New("the bench left no journal entry")
 
-// dayResult is what the bench says of one day.
+// dayResult is the bench's result of one day.
 type dayResult struct {
 	Name  string           `json:"name"`
 	Score float64          `json:"score"`
@@ -34,31 +34,31 @@
 
 func (d dayResult) broken() bool { return len(d.Rules) > 0 || d.Fault != nil }
 
-// journalEntry is what is read of an entry of the bench's journal.
+// journalEntry holds the fields that are read from an entry of the bench's journal.
 type journalEntry struct {
 	OK    bool        `json:"ok"`
 	Error string      `json:"error"`
 	Days  []dayResult `json:"days"`
 }
 
-// played is a version with its days.
+// played is a version with the results of its days.
 type played struct {
 	version string
 	days    []dayResult
 }
 
-// playAll plays each version, or takes what was played before.
+// playAll runs the days on each version, or reads the results of an earlier run.
 func playAll(o options, site siteCopy) ([]played, error) {
 	results := make([]played, len(o.versions))
 	failures := make([]error, len(o.versions))
 	done := make(chan struct{})
-	free := make(chan struct{}, o.atOnce)
+	slots := make(chan struct{}, o.atOnce)
 	for i, version := range o.versions {
 		go func() {
-			free <- struct{}{}
+			slots <- struct{}{}
 			results[i].version = version
 			results[i].days, failures[i] = playOnce(o, site, version)
-			<-free
+			<-slots
 			done <- struct{}{}
 		}()
 	}
@@ -68,10 +68,10 @@
 	return results, errors.Join(failures...)
 }
 
-// playOnce plays a version unless its result is there.
+// playOnce runs the days on a version unless its results are already stored.
 func playOnce(o options, site siteCopy, version string) ([]dayResult, error) {
-	kept := filepath.Join(o.out, resultName(o, site, version))
-	if text, err := os.ReadFile(kept); err == nil {
+	path := filepath.Join(o.out, resultName(o, site, version))
+	if text, err := os.ReadFile(path); err == nil {
 		var days []dayResult
 		return days, json.Unmarshal(text, &days)
 	}
@@ -83,10 +83,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return entry.Days, os.WriteFile(kept, text, 0o644)
+	return entry.Days, os.WriteFile(path, text, 0o644)
 }
 
-// resultName is the name of the file that a version's days are kept in.
+// resultName returns the name of the file that stores the results of a version.
 func resultName(o options, site siteCopy, version string) string {
 	name := site.name + "-" + fileName(version)
 	if o.small {
@@ -97,7 +97,7 @@
 
 func fileName(version string) string { return strings.NewReplacer("/", "_", "+", "-").Replace(version) }
 
-// play builds a version in a clone of its own and has the bench play the site's days.
+// play checks out a version in a new clone and runs the bench on the site's days.
 func play(o options, site siteCopy, version string) (*journalEntry, error) {
 	dir, err := os.MkdirTemp(o.out, "clone-")
 	if err != nil {
@@ -119,14 +119,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w: %s", err, output)
 	}
-	// A failed gate is an exit code too; what counts is that the days were played.
+	// The bench also exits with an error if a gate failed, so the exit code is ignored if
+	// days were played.
 	if len(entry.Days) == 0 {
 		return nil, fmt.Errorf("no day was played: %w: %s", runErr, output)
 	}
 	return entry, nil
 }
 
-// checkOut clones the revision of a version and makes its edits.
+// checkOut clones the repository, checks out the version's revision and applies its edits.
 func checkOut(dir, version string) error {
 	revision, names, _ := strings.Cut(version, "+")
 	script := `git clone -q . "$1" && git -C "$1" checkout -q "$(git rev-parse "$2")"`
@@ -139,7 +140,7 @@
 	for _, name := range strings.Split(names, "+") {
 		edits, ok := ablations[name]
 		if !ok {
-			return fmt.Errorf("no edit is called %q", name)
+			return fmt.Errorf("unknown edit %q", name)
 		}
 		if err := applyAll(dir, edits); err != nil {
 			return err
@@ -157,8 +158,8 @@
 	return nil
 }
 
-// takeEntry copies what the bench left in the journal of a clone into the journal here, and
-// reads the entry of the run.
+// takeEntry copies the files that the bench added to the journal of a clone into the journal
+// of the working directory, and returns the entry of the run.
 func takeEntry(dir string) (*journalEntry, error) {
 	script := `git -C "$1" status --porcelain -uall journal | cut -c4-`
 	names, err := exec.Command("sh", "-c", script, "sh", dir).Output()
--- a/tests/ablation/plot.go
+++ b/tests/ablation/plot.go
@@ -14,8 +14,8 @@
 	plotBarGap   = 50
 )
 
-// plot draws the mean score of each version over all days. With one version there is
-// nothing to compare, and nothing is drawn.
+// plot draws the mean score of each version over all days. It draws nothing if there is only
+// one version.
 func plot(path string, rows []row) error {
 	var bars []chart.Value
 	for _, r := range rows {
--- a/tests/ablation/site.go
+++ b/tests/ablation/site.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// seedStep lies between two seeds of a day.
+// seedStep is the difference between two consecutive seeds of a day.
 const seedStep = 7919
 
 var (
-	errNoSuchDay = errors.New("the site has none of these days")
+	errNoSuchDay = errors.New("the site file has none of the given days")
 	dayName      = regexp.MustCompile(`(?m)^name = "([^"]+)"$`)
 	daySeed      = regexp.MustCompile(`(?m)^seed = (\d+)$`)
 )
 
-// dayMark begins a day in a site file.
+// dayMark starts the section of a day in a site file.
 const dayMark = "[[day]]\n"
 
-// siteCopy is a copy of a site file whose days are chosen ones, each with several seeds.
+// siteCopy is a copy of a site file with only the chosen days, each with several seeds.
 type siteCopy struct {
 	name string
 	path string
 }
 
-// writeSite writes the copy, and the file that the bench wants beside it.
+// writeSite writes the copy, and wire.json, which the bench requires in the same folder.
 func writeSite(o options) (siteCopy, error) {
 	text, err := os.ReadFile(o.site)
 	if err != nil {
@@ -54,8 +54,8 @@
 	return siteCopy{name, path}, os.WriteFile(path, []byte(changed), 0o644)
 }
 
-// multiplyDays keeps the named days of a site file, all for none named, each as often as
-// there are seeds: the first with the seed that the site gives.
+// multiplyDays returns a site file with the named days, or with all days if no name is
+// given. Each day is repeated once per seed; the first copy keeps the seed of the site file.
 func multiplyDays(text string, names []string, seeds int) (string, error) {
 	parts := strings.Split(text, dayMark)
 	var result strings.Builder
@@ -80,12 +80,12 @@
 	return result.String(), nil
 }
 
-// copySeparator stands between the name of a day and the number of its seed.
+// copySeparator separates the name of a day and the number of its seed.
 const copySeparator = "-s"
 
 func copyName(day string, seed int) string { return fmt.Sprint(day, copySeparator, seed) }
 
-// originalDay is the day that a copy was made of.
+// originalDay returns the name of the day that a copy was made from.
 func originalDay(name string) string {
 	at := strings.LastIndex(name, copySeparator)
 	if at < 0 {
--- a/tests/devcluster/cluster_test.go
+++ b/tests/devcluster/cluster_test.go
@@ -11,27 +11,28 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Sizes of the cluster of a script.
+// Sizes of a script's cluster.
 const (
 	serverCount    = 3
 	gatewayCount   = 3
 	runnerCount    = 11
 	runnersPerRack = 3
-	// firstRunners are the runners with the label "first".
+	// firstRunners is the number of runners with the label "first".
 	firstRunners = 3
-	// logFileKB is small, so that logs are compacted.
+	// logFileKB is small, so that logs are compacted during a script.
 	logFileKB = "512"
 )
 
 var domains = []string{"north", "east", "west"}
 
-// cluster is the processes of one script, by names such as server-1.
+// cluster holds the processes of one script, by names such as server-1.
 type cluster struct {
 	dir       string
 	processes map[string]*exec.Cmd
 	// args are the flags with which each process is started.
 	args map[string][]string
-	// addrs are the addresses of processes, and of their HTTP under name-http.
+	// addrs are the addresses of the processes by name; their HTTP addresses are under
+	// NAME-http.
 	addrs map[string]string
 }
 
@@ -94,7 +95,7 @@
 	}
 }
 
-// addr is the address of a name, the same for the whole script.
+// addr returns the address of a process, which is the same for the whole script.
 func (c *cluster) addr(name string) string {
 	if c.addrs[name] == "" {
 		c.addrs[name] = freeAddr()
@@ -124,7 +125,7 @@
 	c.processes[name] = cmd
 }
 
-// end wakes a process, sends it a signal and waits for its end.
+// end resumes a process, sends it a signal and waits for it to exit.
 func (c *cluster) end(name string, sig os.Signal) {
 	process := c.processes[name]
 	if process == nil {
@@ -142,10 +143,10 @@
 	}
 }
 
-// maxLogTail is how much of a log is printed, in bytes.
+// maxLogTail bounds the printed part of a log, in bytes.
 const maxLogTail = 600
 
-// printLogs prints the end of every process's log, for a script that failed.
+// printLogs prints the end of every process's log after a script has failed.
 func (c *cluster) printLogs(ts *testscript.TestScript) {
 	names, _ := filepath.Glob(filepath.Join(c.dir, "*.log"))
 	for _, name := range names {
--- a/tests/devcluster/commands_test.go
+++ b/tests/devcluster/commands_test.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// untilLimit is how long the command until waits, untilInterval how often it
-	// tries.
+	// untilLimit bounds the wait of the command until; untilInterval is the time between
+	// its attempts.
 	untilLimit    = 90 * time.Second
 	untilInterval = 100 * time.Millisecond
 )
 
-// startProcesses starts the processes named.
+// startProcesses starts the named processes.
 func startProcesses(ts *testscript.TestScript, _ bool, args []string) {
 	for _, name := range expandNames(args) {
 		clusterOf(ts).start(ts, name)
 	}
 }
 
-// endProcesses sends the processes named a signal and waits for their end.
+// endProcesses sends a signal to the named processes and waits for them to exit.
 func endProcesses(sig os.Signal) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range expandNames(args) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// signalProcesses sends the processes named a signal.
+// signalProcesses sends a signal to the named processes.
 func signalProcesses(sig os.Signal) func(ts *testscript.TestScript, neg bool, args []string) {
 	return func(ts *testscript.TestScript, _ bool, args []string) {
 		for _, name := range expandNames(args) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// until runs a program again and again until its output matches the pattern given
-// first, or, negated, does not: until PATTERN program args...
+// until runs a program repeatedly until its output matches a pattern or, if negated, does
+// not match it: until PATTERN program args...
 func until(ts *testscript.TestScript, neg bool, args []string) {
 	pattern := regexp.MustCompile(args[0])
 	output := ""
@@ -60,10 +60,11 @@
 		}
 	}
 	clusterOf(ts).printLogs(ts)
-	ts.Fatalf("after %v %v still says:\n%s", untilLimit, args[1:], output)
+	ts.Fatalf("after %v the output of %v is still:\n%s", untilLimit, args[1:], output)
 }
 
-// command is a program under test, or cat, in the script's environment.
+// command returns a command that runs a program under test, or cat, in the script's
+// environment.
 func command(ts *testscript.TestScript, program string, args ...string) *exec.Cmd {
 	if program != "cat" {
 		program = filepath.Join(binaries, program)
@@ -74,7 +75,7 @@
 	return cmd
 }
 
-// awaitLeader waits until some server leads and sets LEAD to its name.
+// awaitLeader waits until there is a leader and sets LEAD to its name.
 func awaitLeader(ts *testscript.TestScript, _ bool, _ []string) {
 	until(ts, false, []string{`leader`, "orchidctl", "servers"})
 	text, err := command(ts, "orchidctl", "servers").CombinedOutput()
@@ -91,7 +92,8 @@
 	ts.Fatalf("no leader in:\n%s", text)
 }
 
-// serverIn is the name of the server whose address is in a line, empty for none.
+// serverIn returns the name of the server whose address is in a line, or "" if there is
+// none.
 func (c *cluster) serverIn(line string) string {
 	for i := 1; i <= serverCount+1; i++ {
 		name := fmt.Sprintf("server-%d", i)
@@ -102,7 +104,7 @@
 	return ""
 }
 
-// setPids sets PIDS to the process ids of the processes named, separated by commas.
+// setPids sets PIDS to the process ids of the named processes, separated by commas.
 func setPids(ts *testscript.TestScript, _ bool, args []string) {
 	var pids []string
 	for _, name := range expandNames(args) {
--- a/tests/devcluster/inflight_request_test.go
+++ b/tests/devcluster/inflight_request_test.go
@@ -13,11 +13,12 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// inflightLimit is how long stopping a gateway with a request in flight may take.
+// inflightLimit bounds the time to stop a gateway with a request in flight.
 const inflightLimit = 60 * time.Second
 
-// stopWithRequestInFlight stops a gateway gracefully while a request is in flight: its
-// body is sent only when the gateway no longer listens. Its response must be complete.
+// stopWithRequestInFlight stops a gateway gracefully while a request is in flight. The body
+// of the request is sent only after the gateway has closed its listener; the response must
+// be complete.
 func stopWithRequestInFlight(ts *testscript.TestScript, _ bool, args []string) {
 	c, name := clusterOf(ts), args[0]
 	addr := c.httpAddr(name)
@@ -44,7 +45,7 @@
 	c.end(name, syscall.SIGCONT)
 }
 
-// sendHeader sends a request without its body, and waits until the gateway asks for it.
+// sendHeader sends the header of a request, and waits until the gateway asks for the body.
 func sendHeader(ts *testscript.TestScript, conn net.Conn, reader *bufio.Reader, bodyBytes int) {
 	_, err := fmt.Fprintf(conn, "PUT /v1/jobs/gilde/part HTTP/1.1\r\n"+
 		"Host: %s\r\n"+
@@ -59,7 +60,7 @@
 	}
 }
 
-// awaitNoListener waits until nobody listens on an address.
+// awaitNoListener waits until no process listens on an address.
 func awaitNoListener(ts *testscript.TestScript, addr string) {
 	for end := time.Now().Add(inflightLimit); time.Now().Before(end); {
 		conn, err := net.Dial("tcp", addr)
--- a/tests/devcluster/ports_test.go
+++ b/tests/devcluster/ports_test.go
@@ -7,20 +7,20 @@
 	"sync"
 )
 
-// Ports of processes, below the range that the kernel gives to outgoing connections: a
-// process may be started on its port much later.
+// Ports of processes, below the kernel's range for outgoing connections: a process may be
+// started long after its port was chosen, and the port must still be free.
 const (
 	firstPort = 10000
 	portCount = 22000
 )
 
-// usedAddrs are the addresses given to processes so far, in any script.
+// usedAddrs are the addresses assigned to processes so far, by all scripts.
 var usedAddrs = struct {
 	sync.Mutex
 	used map[string]bool
 }{used: map[string]bool{}}
 
-// freeAddr finds an address on which nobody listens.
+// freeAddr returns an unused address on which no process listens.
 func freeAddr() string {
 	usedAddrs.Lock()
 	defer usedAddrs.Unlock()
--- a/tests/devcluster/scripts_test.go
+++ b/tests/devcluster/scripts_test.go
@@ -12,7 +12,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// binaries is the directory of the programs under test.
+// binaries is the directory that contains the programs under test.
 var binaries string
 
 func TestMain(m *testing.M) {
@@ -38,7 +38,7 @@
 	gatewaysEnv = "ORCHIDWARD_GATES"
 	// runnersEnv are the HTTP addresses of the runners.
 	runnersEnv = "RUNNERS"
-	// leaderEnv is the name of the leader, set by the command lead.
+	// leaderEnv is the process name of the leader, set by the command lead.
 	leaderEnv = "LEAD"
 	// pidsEnv are process ids, set by the command pids.
 	pidsEnv = "PIDS"
@@ -47,11 +47,10 @@
 // clusterValue is the key of a script's cluster.
 const clusterValue = "cluster"
 
-// largeJobBytes is more than a gateway accepts.
+// largeJobBytes is more than a gateway accepts in a request body.
 const largeJobBytes = 2 << 20
 
-// TestScripts runs each script with a cluster of its own, of which nothing is started
-// yet.
+// TestScripts runs each script with a cluster of its own, of which no process is started.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "scripts",
@@ -70,7 +69,7 @@
 	})
 }
 
-// setUp prepares a cluster, and the environment by which a script knows its addresses.
+// setUp prepares a cluster, and the environment variables that hold its addresses.
 func setUp(e *testscript.Env) error {
 	c := newCluster(e.WorkDir)
 	e.Values[clusterValue] = c
@@ -90,7 +89,7 @@
 
 func clusterOf(ts *testscript.TestScript) *cluster { return ts.Value(clusterValue).(*cluster) }
 
-// expandNames spells out the names of processes: "runner-1..11" is eleven of them.
+// expandNames expands ranges in process names: "runner-1..11" stands for eleven names.
 func expandNames(args []string) []string {
 	var names []string
 	for _, arg := range args {
--- a/tests/promises/promises_test.go
+++ b/tests/promises/promises_test.go
@@ -1,4 +1,4 @@
-// Package promises_test holds docs/promises.md against the tree.
+// Package promises_test checks docs/promises.md against the source tree.
 package promises_test
 
 import (
@@ -14,12 +14,12 @@
 	promisesPage = "../../docs/promises.md"
 	mutationsDir = "../mutation"
 	topDir       = "../.."
-	// minRows and minTestFiles guard against a page or a tree that is not read.
+	// minRows and minTestFiles guard against reading an incomplete page or tree.
 	minRows      = 21
 	minTestFiles = 15
 )
 
-// Columns of a row of the page, as split at the bars.
+// Columns of a table row of the page, split at the vertical bars.
 const (
 	promiseColumn  = 1
 	testColumn     = 4
@@ -30,20 +30,21 @@
 var (
 	testName     = regexp.MustCompile("`(Test[A-Za-z]+)`")
 	mutationName = regexp.MustCompile(`"([^"]+)"`)
-	// faultSequence is the beginning of a sequence's name after the test that runs it.
+	// faultSequence matches the beginning of a fault sequence's name, which follows the name
+	// of the test that runs it.
 	faultSequence = regexp.MustCompile("`TestFaultSequences` ([a-z ]+?)(?:[,;|]|, `| \\|)")
 )
 
-// TestNamedTestsExist: every test and fault sequence that the page names is there.
+// TestNamedTestsExist checks that every test and fault sequence named on the page exists.
 func TestNamedTestsExist(t *testing.T) {
 	page := readFile(t, promisesPage)
 	sources, files := testSources(t)
 	if files < minTestFiles {
-		t.Fatalf("only %d test files found", files)
+		t.Fatalf("found %d test files, want at least %d", files, minTestFiles)
 	}
 	for _, name := range testName.FindAllStringSubmatch(page, -1) {
 		if !strings.Contains(sources, "func "+name[1]+"(t *testing.T)") {
-			t.Errorf("no test %s", name[1])
+			t.Errorf("the page names test %s, which does not exist", name[1])
 		}
 	}
 	for _, name := range faultSequence.FindAllStringSubmatch(page, -1) {
@@ -53,7 +54,8 @@
 	}
 }
 
-// TestPromisesAreTested: every promise names a test, and a mutation that is there.
+// TestPromisesAreTested checks that every promise names a test and at least one mutation,
+// and that the named mutations exist.
 func TestPromisesAreTested(t *testing.T) {
 	mutations := mutationSources(t)
 	rows := 0
@@ -72,12 +74,12 @@
 		}
 		for _, name := range names {
 			if !hasMutation(mutations, name[1]) {
-				t.Errorf("%s names a mutation that is not there: %s", cells[promiseColumn], name[1])
+				t.Errorf("%s names a mutation that does not exist: %s", cells[promiseColumn], name[1])
 			}
 		}
 	}
 	if rows < minRows {
-		t.Errorf("only %d rows of promises", rows)
+		t.Errorf("found %d rows of promises, want at least %d", rows, minRows)
 	}
 }
 
@@ -85,7 +87,7 @@
 	return regexp.MustCompile(`\tname: +"` + regexp.QuoteMeta(name) + `",\n`).MatchString(sources)
 }
 
-// mutationSources is the text of the mutations' tables.
+// mutationSources returns the concatenated source of the mutation tables.
 func mutationSources(t *testing.T) string {
 	t.Helper()
 	names, err := filepath.Glob(filepath.Join(mutationsDir, "*.go"))
@@ -99,8 +101,8 @@
 	return all.String()
 }
 
-// testSources is the text of all test files of the repository, one after the other, and
-// their number.
+// testSources returns the concatenated text of all test files of the repository, and their
+// number.
 func testSources(t *testing.T) (text string, files int) {
 	t.Helper()
 	var all strings.Builder
--- a/tests/sourceedit/sourceedit.go
+++ b/tests/sourceedit/sourceedit.go
@@ -1,5 +1,5 @@
-// Package sourceedit changes single places of the source code in a copy of the tree, for
-// tools that ask what the change does: tests/mutation and tests/ablation.
+// Package sourceedit replaces pieces of source code in a copy of the tree, for tools that
+// measure the effect of such a change: tests/mutation and tests/ablation.
 package sourceedit
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Edit replaces a text that stands once in a file.
+// Edit replaces a text that occurs exactly once in a file.
 type Edit struct {
 	// File is the path from the top of the tree.
 	File        string
@@ -18,24 +18,24 @@
 	Replacement string
 }
 
-// CountError says that the text to replace does not stand in its file once.
+// CountError reports that the text to replace does not occur exactly once in its file.
 type CountError struct {
 	Edit  Edit
 	Count int
 }
 
 func (e *CountError) Error() string {
-	return fmt.Sprintf("%q stands %d times in %s, want once", e.Edit.Original, e.Count, e.Edit.File)
+	return fmt.Sprintf("%q occurs %d times in %s, want once", e.Edit.Original, e.Count, e.Edit.File)
 }
 
-// Check reports whether the edit can be made in the tree at dir: nil, a *CountError, or
-// the error of reading the file.
+// Check returns nil if the edit can be applied to the tree at dir, and otherwise a
+// *CountError or the error of reading the file.
 func (e Edit) Check(dir string) error {
 	_, err := e.read(dir)
 	return err
 }
 
-// Apply makes the edit in the tree at dir.
+// Apply applies the edit to the tree at dir.
 func (e Edit) Apply(dir string) error {
 	text, err := e.read(dir)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return string(text), nil
 }
 
-// CopyTree copies the files that git tracks, as they are in the working tree, to dir.
+// CopyTree copies the working-tree versions of the files that git tracks to dir.
 func CopyTree(dir string) error {
 	output, err := exec.Command("sh", "-c", "git ls-files -z | xargs -0 cp --parents -t "+dir).CombinedOutput()
 	if err != nil {
